--- a/src/main/java/io/embernotch/app/Server.java
+++ b/src/main/java/io/embernotch/app/Server.java
@@ -11,7 +11,7 @@
 import io.embernotch.peer.VertxPeerLink;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.Settings;
-import io.embernotch.steward.Controller;
+import io.embernotch.controller.Controller;
 import io.embernotch.store.LeaseKeeper;
 import io.embernotch.store.StoreClient;
 import io.vertx.core.Context;
@@ -105,7 +105,7 @@
         timers,
         task -> lease.runOnContext(v -> task.run()),
         env.loop(),
-        settings.stewardLeaseS(env.operator()),
+        settings.leaderLeaseS(env.operator()),
         Settings.DRIFT,
         settings.contactS());
   }
--- a/src/main/java/io/embernotch/codec/EraCodec.java
+++ b/src/main/java/io/embernotch/codec/EraCodec.java
@@ -68,7 +68,7 @@
         after);
   }
 
-  /** The value of a new job's key with the era and the revision that wrote it, for the steward. */
+  /** The value of a new job's key with the era and the revision that wrote it, for the leader. */
   public static ObjectNode told(ObjectNode value, String era, long epoch) {
     return value.deepCopy().put("era", era).put("epoch", epoch);
   }
--- a/src/main/java/io/embernotch/codec/RunCodec.java
+++ b/src/main/java/io/embernotch/codec/RunCodec.java
@@ -27,11 +27,11 @@
 
   public static final String PART = "part/";
 
-  /** Facts that stewards hand on, beside jobs. */
+  /** Facts that leaders hand on, beside jobs. */
   public static final String SHARED = "shared/";
 
-  /** The key that whoever is steward holds. */
-  public static final String STEWARD = "steward";
+  /** The key that whoever is leader holds. */
+  public static final String LEADER = "steward";
 
   /**
    * An open attempt takes so many bytes besides its zone's name, and its done mark less than two
--- a/src/main/java/io/embernotch/controller/Controller.java
+++ b/src/main/java/io/embernotch/controller/Controller.java
@@ -1,4 +1,9 @@
-package io.embernotch.steward;
+package io.embernotch.controller;
+
+import io.embernotch.leader.ImageInventory;
+import io.embernotch.leader.Leader;
+import io.embernotch.leader.LeaderContext;
+import io.embernotch.leader.LeaderMessage;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.Json;
@@ -43,8 +48,8 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One controller: takes in what users and workers send, and is steward whenever it holds the key. */
-public final class Controller implements Door, Election.Listener, StewardHost, Submissions.Host, Reception.Host, Eras.Host, Restore.Source {
+/** One controller: takes in what users and workers send, and is leader whenever it holds the key. */
+public final class Controller implements Door, Election.Listener, LeaderContext, Submissions.Host, Reception.Host, Eras.Host, Restore.Source {
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
 
   private final Env env;
@@ -55,21 +60,21 @@
   private final Eras eras;
   private final Election election;
   private final Peers alive;
-  private final Beats beats;
+  private final PeerHeartbeats beats;
   private final PartKeeper part;
   private final PartPost post;
   private final int pieceSize;
   private final Submissions submissions;
-  private final Inquiries inquiries;
+  private final JobQueries inquiries;
   private final Map<String, MachineType> types = new LinkedHashMap<>();
-  private final ImageNews images;
+  private final ImageInventory images;
   private final Reception reception;
   private final EndedCache ended = new EndedCache();
   private final Questions questions;
-  private final TypesBook typesBook;
-  private Steward steward;
-  /** What was steward here last, until another is: it knows what the store held. */
-  private Steward former;
+  private final MachineTypeCatalog typesBook;
+  private Leader leader;
+  /** What was leader here last, until another is: it knows what the store held. */
+  private Leader former;
   private final Followed followed = new Followed();
 
   public Controller(Env env, PeerLink peers, LeaseKeeper keeper) {
@@ -78,19 +83,19 @@
     this.peers = peers;
     this.questions = new Questions(env.timers(), peers, env.names());
     this.keeper = keeper;
-    this.images = new ImageNews(settings.quota().machines());
+    this.images = new ImageInventory(settings.quota().machines());
     this.alive = new Peers(settings, env.clock());
     this.snapshots = new Snapshots(env);
     this.eras = new Eras(env, this, this, keeper.lifeS());
-    this.beats = new Beats(env, peers, eras);
+    this.beats = new PeerHeartbeats(env, peers, eras);
     this.election = new Election(settings, env.store(), keeper, env.clock(), env.timers(), eras, this);
     this.part = new PartKeeper(env.clock(), 6 * env.operator().roundS());
     this.post = new PartPost(settings.node(), part, peers);
     this.pieceSize = RunCodec.piece(settings.stateFloor().valueKb(), settings.zones());
     this.submissions = new Submissions(env, types, pieceSize, this);
-    this.inquiries = new Inquiries(env, ended, eras, submissions::knows, this::forward);
+    this.inquiries = new JobQueries(env, ended, eras, submissions::knows, this::forward);
     this.reception = new Reception(env, this);
-    this.typesBook = new TypesBook(env, types, this::typesKnown);
+    this.typesBook = new MachineTypeCatalog(env, types, this::typesKnown);
   }
 
   public void start() {
@@ -103,8 +108,8 @@
   }
 
   private void typesKnown() {
-    if (steward != null) {
-      steward.ledger().types.putAll(types);
+    if (leader != null) {
+      leader.ledger().types.putAll(types);
     }
   }
 
@@ -126,10 +131,10 @@
 
   @Override
   public void accepted(Job job, ObjectNode value, long epoch) {
-    if (steward != null) {
-      steward.tell(new StewardMessage.JobCreated(job, pieceSize));
+    if (leader != null) {
+      leader.tell(new LeaderMessage.JobAccepted(job, pieceSize));
     } else if (followed.node() != null) {
-      peers.send(followed.node(), JobNews.of(value, eras.name(), epoch));
+      peers.send(followed.node(), JobAnnouncements.of(value, eras.name(), epoch));
     }
   }
 
@@ -150,8 +155,8 @@
 
   @Override
   public void settled(Base base) {
-    if (steward != null) {
-      // An era of our own is settled before its stewardship begins: this one is another's.
+    if (leader != null) {
+      // An era of our own is settled before its term begins: this one is another's.
       election.deposed("another era has begun");
     }
     submissions.renew();
@@ -206,7 +211,7 @@
     ObjectNode o = Json.object();
     o.put("node", settings.node());
     o.put("steward", followed.node());
-    o.put("live", steward != null && election.live());
+    o.put("live", leader != null && election.live());
     o.put("state_ok", env.store().failingForS() == 0);
     o.put("era", eras.name()).put("sound", eras.sound()).put("losses", eras.losses());
     o.put("part", part.size());
@@ -218,11 +223,11 @@
     return o;
   }
 
-  /** Asks the steward, here or elsewhere; 503 if there is none to be had in time. */
+  /** Asks the leader, here or elsewhere; 503 if there is none to be had in time. */
   private Future<Answer> forward(Frame.Ask.What what, String ref, double withinS) {
     Promise<Answer> reply = Promise.promise();
-    if (steward != null) {
-      steward.tell(new StewardMessage.Ask(what, ref, reply));
+    if (leader != null) {
+      leader.tell(new LeaderMessage.UserRequest(what, ref, reply));
       return reply.future();
     }
     if (followed.node() == null || !alive.isLive(followed.node())) {
@@ -233,7 +238,7 @@
 
   @Override
   public Future<Answer> report(WorkerReport report) {
-    return steward == null ? reception.report(report) : own(report);
+    return leader == null ? reception.report(report) : own(report);
   }
 
   private Future<Answer> own(WorkerReport report) {
@@ -241,11 +246,11 @@
   }
 
   private Future<Answer> own(WorkerReport report, long via) {
-    if (steward == null || election.unprovenForS() > steward.holdS()) {
+    if (leader == null || election.unprovenForS() > leader.holdS()) {
       return Future.succeededFuture(Answer.later("leadership is not proven"));
     }
     Promise<byte[]> reply = Promise.promise();
-    steward.tell(new StewardMessage.Report(report, via, reply));
+    leader.tell(new LeaderMessage.HeartbeatReceived(report, via, reply));
     return reply.future().map(b -> b == null ? Reception.misdirected(null) : Answer.of(200, b));
   }
 
@@ -270,32 +275,32 @@
   public void acquired(long epoch, long stamp) {
     env.store().leading(true);
     former = null;
-    steward = new Steward(env, this, epoch, stamp, types.values(), eras.base(), eras.begunWith(), reception.waiting());
-    reception.recent().forEach(r -> steward.tell(new StewardMessage.Heard(r)));
+    leader = new Leader(env, this, epoch, stamp, types.values(), eras.base(), eras.begunWith(), reception.waiting());
+    reception.recent().forEach(r -> leader.tell(new LeaderMessage.HeartbeatHandedOver(r)));
     reception.unpark(this::own);
-    steward.start();
+    leader.start();
     sendBeats();
   }
 
   @Override
   public void lost(String why) {
     env.store().leading(false);
-    if (steward != null) {
-      steward.stop();
-      former = steward;
-      steward = null;
+    if (leader != null) {
+      leader.stop();
+      former = leader;
+      leader = null;
     }
     followed.is(null, 0);
-    reception.stewardIs(null, 0, false);
+    reception.leaderIs(null, 0, false);
   }
 
   @Override
-  public void stewardIs(String node, long epoch, boolean relays) {
+  public void leaderIs(String node, long epoch, boolean relays) {
     followed.is(node, epoch);
     if (former != null && epoch > former.epoch()) {
       former = null;
     }
-    reception.stewardIs(node, epoch, relays);
+    reception.leaderIs(node, epoch, relays);
   }
 
   @Override
@@ -357,9 +362,9 @@
     keeper.alive();
     sendBeats();
     reception.beat();
-    if (steward != null) {
-      eras.probe(steward.stamp());
-      snapshots.tick(eras.name(), steward::copy);
+    if (leader != null) {
+      eras.probe(leader.stamp());
+      snapshots.tick(eras.name(), leader::copy);
     }
     for (String silent : alive.newlySilent()) {
       peers.renew(silent);
@@ -368,7 +373,7 @@
   }
 
   private void sendBeats() {
-    boolean leads = steward != null && election.live();
+    boolean leads = leader != null && election.live();
     beats.send(leads ? settings.node() : followed.node(), leads ? election.epoch() : followed.epoch());
   }
 
@@ -376,26 +381,26 @@
     if (frame instanceof Frame.Beat f) {
       heard(f);
     } else if (frame instanceof Frame.JobCreated f) {
-      if (steward != null) {
-        JobNews.heard(f.value(), eras.name(), env.store(), steward::tell);
+      if (leader != null) {
+        JobAnnouncements.heard(f.value(), eras.name(), env.store(), leader::tell);
       }
     } else if (frame instanceof Frame.Ask f) {
       Promise<Answer> reply = Promise.promise();
       reply.future().onSuccess(a -> back.send(new Frame.Told(f.id(), a.status(), a.retryAfterS(), a.body())));
-      if (steward != null) {
-        steward.tell(new StewardMessage.Ask(f.what(), f.ref(), reply));
+      if (leader != null) {
+        leader.tell(new LeaderMessage.UserRequest(f.what(), f.ref(), reply));
       } else {
         reply.complete(Answer.later("not the steward"));
       }
     } else if (frame instanceof Frame.Report f) {
       if (f.id() != 0) {
         own(f.report(), Lifetime.of(f.id())).onSuccess(a -> back.send(new Frame.Told(f.id(), a.status(), a.retryAfterS(), a.body())));
-      } else if (steward != null) {
-        steward.tell(new StewardMessage.Heard(f.report()));
+      } else if (leader != null) {
+        leader.tell(new LeaderMessage.HeartbeatHandedOver(f.report()));
       }
     } else if (frame instanceof Frame.Here f) {
-      if (steward != null) {
-        back.send(steward.heard(f));
+      if (leader != null) {
+        back.send(leader.heard(f));
       }
     } else if (frame instanceof Frame.Noted f) {
       reception.noted(f);
@@ -412,23 +417,23 @@
     } else if (frame instanceof Frame.Forget f) {
       part.forget(f.epoch(), f.machine());
     } else if (frame instanceof Frame.Propose f) {
-      if (steward != null && steward.epoch() == f.epoch()) {
-        steward.tell(new StewardMessage.Propose(f.from(), f.restarts()));
+      if (leader != null && leader.epoch() == f.epoch()) {
+        leader.tell(new LeaderMessage.RestartsProposed(f.from(), f.restarts()));
       }
     }
   }
 
   private void heard(Frame.Beat f) {
     alive.heard(f.node(), f.stateOk());
-    eras.heard(f.node(), f.steward(), f.stewardEpoch());
-    boolean leads = f.node().equals(f.steward());
-    if (leads && election.holding() && f.stewardEpoch() > election.epoch()) {
-      election.deposed(f.node() + " is steward since epoch " + f.stewardEpoch());
+    eras.heard(f.node(), f.leader(), f.leaderEpoch());
+    boolean leads = f.node().equals(f.leader());
+    if (leads && election.holding() && f.leaderEpoch() > election.epoch()) {
+      election.deposed(f.node() + " is steward since epoch " + f.leaderEpoch());
     }
-    if (leads && followed.told(f.node(), f.stewardEpoch())) {
+    if (leads && followed.told(f.node(), f.leaderEpoch())) {
       // Whether it takes reports stands in its key; without the store, workers go to it by themselves.
       boolean willKnow = env.store().failingForS() == 0;
-      reception.stewardIs(willKnow ? null : f.node(), willKnow ? 0 : f.stewardEpoch(), false);
+      reception.leaderIs(willKnow ? null : f.node(), willKnow ? 0 : f.leaderEpoch(), false);
     }
   }
 
@@ -440,8 +445,8 @@
   }
 
   private void propose(List<Restart> restarts) {
-    if (steward != null && steward.epoch() == part.epoch()) {
-      steward.tell(new StewardMessage.Propose(settings.node(), restarts));
+    if (leader != null && leader.epoch() == part.epoch()) {
+      leader.tell(new LeaderMessage.RestartsProposed(settings.node(), restarts));
     } else if (followed.node() != null) {
       peers.send(followed.node(), new Frame.Propose(settings.node(), part.epoch(), restarts));
     }
--- a/src/main/java/io/embernotch/controller/JobAnnouncements.java
+++ b/src/main/java/io/embernotch/controller/JobAnnouncements.java
@@ -1,4 +1,6 @@
-package io.embernotch.steward;
+package io.embernotch.controller;
+
+import io.embernotch.leader.LeaderMessage;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.BadInput;
@@ -11,28 +13,28 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What controllers tell the steward of jobs that they have written. */
-final class JobNews {
-  private static final Logger LOG = LoggerFactory.getLogger(JobNews.class);
+/** What controllers tell the leader of jobs that they have written. */
+final class JobAnnouncements {
+  private static final Logger LOG = LoggerFactory.getLogger(JobAnnouncements.class);
 
-  private JobNews() {}
+  private JobAnnouncements() {}
 
   /** A job's key was written at revision {@code epoch} of that era. */
   static Frame of(ObjectNode value, String era, long epoch) {
     return new Frame.JobCreated(Json.bytes(EraCodec.told(value, era, epoch)));
   }
 
-  /** Reads it; {@code era}: the one that the steward knows. */
-  static void heard(byte[] value, String era, StoreClient store, Consumer<StewardMessage> steward) {
+  /** Reads it; {@code era}: the one that the leader knows. */
+  static void heard(byte[] value, String era, StoreClient store, Consumer<LeaderMessage> leader) {
     try {
       ObjectNode o = Json.parseObject(value);
-      StewardMessage.JobCreated job =
-          new StewardMessage.JobCreated(RunCodec.readJob(o), RunCodec.readPiece(o));
+      LeaderMessage.JobAccepted job =
+          new LeaderMessage.JobAccepted(RunCodec.readJob(o), RunCodec.readPiece(o));
       if (!era.isEmpty() && era.equals(EraCodec.toldEra(o))) {
         // Contents that were put back to just before it would else be taken for present.
         store.told(RunCodec.JOB + job.job().spec.ref(), EraCodec.toldEpoch(o));
       }
-      steward.accept(job);
+      leader.accept(job);
     } catch (BadInput e) {
       LOG.info("malformed job from a controller: {}", e.getMessage());
     }
--- a/src/main/java/io/embernotch/controller/JobQueries.java
+++ b/src/main/java/io/embernotch/controller/JobQueries.java
@@ -1,4 +1,4 @@
-package io.embernotch.steward;
+package io.embernotch.controller;
 
 import io.embernotch.codec.JobCodec;
 import io.embernotch.env.Env;
@@ -12,14 +12,14 @@
 import java.util.function.Predicate;
 
 /**
- * What users ask of a job at any controller: an end that is known is told at once, the steward is
+ * What users ask of a job at any controller: an end that is known is told at once, the leader is
  * asked else, and the store while there is none.
  */
-final class Inquiries {
+final class JobQueries {
   /**
-   * Passes a question on to the steward, wherever it is; 503 if there is none to be had in time.
+   * Passes a question on to the leader, wherever it is; 503 if there is none to be had in time.
    */
-  interface ToSteward {
+  interface ToLeader {
     Future<Answer> ask(Frame.Ask.What what, String ref, double withinS);
   }
 
@@ -28,18 +28,18 @@
   private final Eras eras;
   private final StoredStatus stored;
   private final Predicate<String> accepted;
-  private final ToSteward steward;
+  private final ToLeader leader;
 
   /** A flood of polls costs other nodes and the state service nothing, and workers little. */
   private final PollTurns turns;
 
-  Inquiries(Env env, EndedCache ended, Eras eras, Predicate<String> accepted, ToSteward steward) {
+  JobQueries(Env env, EndedCache ended, Eras eras, Predicate<String> accepted, ToLeader leader) {
     this.env = env;
     this.ended = ended;
     this.eras = eras;
     this.stored = new StoredStatus(env, ended, eras::base);
     this.accepted = accepted;
-    this.steward = steward;
+    this.leader = leader;
     this.turns = new PollTurns(env.clock(), env.timers(), env.settings());
   }
 
@@ -64,7 +64,7 @@
   }
 
   private Future<Answer> status(String ref) {
-    return steward
+    return leader
         .ask(Frame.Ask.What.POLL, ref, env.settings().workers().reportS() / 6)
         .compose(a -> a.status() == 503 ? readStatus(ref) : answer(a));
   }
@@ -92,7 +92,7 @@
     Answer known = ended.brief(ref);
     return known != null
         ? answer(known)
-        : steward.ask(Frame.Ask.What.ABORT, ref, env.settings().workers().reportS());
+        : leader.ask(Frame.Ask.What.ABORT, ref, env.settings().workers().reportS());
   }
 
   /**
--- a/src/main/java/io/embernotch/controller/MachineTypeCatalog.java
+++ b/src/main/java/io/embernotch/controller/MachineTypeCatalog.java
@@ -1,4 +1,4 @@
-package io.embernotch.steward;
+package io.embernotch.controller;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.CloudCodec;
@@ -12,15 +12,15 @@
 import org.slf4j.LoggerFactory;
 
 /** Machine types: from the store if another node has learned them, else from the cloud. */
-final class TypesBook {
-  private static final Logger LOG = LoggerFactory.getLogger(TypesBook.class);
+final class MachineTypeCatalog {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
   private static final String TYPES = "types";
 
   private final Env env;
   private final Map<String, MachineType> types;
   private final Runnable known;
 
-  TypesBook(Env env, Map<String, MachineType> types, Runnable known) {
+  MachineTypeCatalog(Env env, Map<String, MachineType> types, Runnable known) {
     this.env = env;
     this.types = types;
     this.known = known;
--- a/src/main/java/io/embernotch/copy/Copies.java
+++ b/src/main/java/io/embernotch/copy/Copies.java
@@ -29,7 +29,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Copies of what the state service is to hold: made from a steward's ledger, and read back as its
+ * Copies of what the state service is to hold: made from a leader's ledger, and read back as its
  * keys.
  */
 public final class Copies {
@@ -38,7 +38,7 @@
   private Copies() {}
 
   /**
-   * What a steward's ledger says, which is all that its store held and what it had not written yet.
+   * What a leader's ledger says, which is all that its store held and what it had not written yet.
    * Every attempt that was sent is in it, since starts are committed before they are sent.
    *
    * @param pieceOf tasks in a piece of the job with this id
--- a/src/main/java/io/embernotch/era/Eras.java
+++ b/src/main/java/io/embernotch/era/Eras.java
@@ -40,7 +40,7 @@
     /** Every other controller has been heard from since this process started. */
     boolean heardAll();
 
-    /** Data is lost: whoever is steward here stops. */
+    /** Data is lost: whoever is leader here stops. */
     void dataLost(String why);
   }
 
@@ -60,7 +60,7 @@
   /** The era that we know; null if there was none yet. */
   private Era known;
   private Base base = Base.EMPTY;
-  /** The copy that the present era was begun with, if this node's next steward is its first. */
+  /** The copy that the present era was begun with, if this node's next leader is its first. */
   private Copy begunWith;
   /** The highest epoch that anybody here has seen. */
   private long highest;
@@ -78,7 +78,7 @@
   private boolean armed;
   private int losses;
 
-  /** @param lifeS life of a steward's lease in seconds */
+  /** @param lifeS life of a leader's lease in seconds */
   public Eras(Env env, Host host, Restore.Source source, double lifeS) {
     this.env = env;
     this.host = host;
@@ -151,7 +151,7 @@
   }
 
   /**
-   * What the store held when the stewardship that follows began, if that began the era: for as long as it
+   * What the store held when the term that follows began, if that began the era: for as long as it
    * has not read the store it knows no more than this. Given once; null if others may have written since.
    */
   public Copy begunWith() {
@@ -160,24 +160,24 @@
     return given;
   }
 
-  /** Another has seen so high an epoch; the next steward's is to be above it. */
+  /** Another has seen so high an epoch; the next leader's is to be above it. */
   public void seenEpoch(long epoch) {
     highest = Math.max(highest, epoch);
   }
 
   /**
-   * A controller names a steward and its epoch. Without a steward, one far above what these contents can have
-   * reached tells that it has found data lost. A steward must not go on as if nothing were: a follower that alone
-   * had seen the one change that was gone once began an era without what the steward knew.
+   * A controller names a leader and its epoch. Without a leader, one far above what these contents can have
+   * reached tells that it has found data lost. A leader must not go on as if nothing were: a follower that alone
+   * had seen the one change that was gone once began an era without what the leader knew.
    */
-  public void heard(String node, String steward, long epoch) {
+  public void heard(String node, String leader, long epoch) {
     seenEpoch(epoch);
-    if (steward == null && state == State.SOUND && known != null && epoch > floor() + env.store().seen() + LEAP / 2) {
+    if (leader == null && state == State.SOUND && known != null && epoch > floor() + env.store().seen() + LEAP / 2) {
       lost(node + " says so");
     }
   }
 
-  /** The steward's key names this era. */
+  /** The leader's key names this era. */
   public void named(String era) {
     formerLeads = era != null && era.isEmpty();
     if (state != State.UNREAD && era != null && !era.equals(name())) {
@@ -185,10 +185,10 @@
     }
   }
 
-  /** A steward's question, now and then, whether the contents are still ours; {@code stamp}: its key's. */
+  /** A leader's question, now and then, whether the contents are still ours; {@code stamp}: its key's. */
   public void probe(long stamp) {
     if (state == State.SOUND && known != null) {
-      env.store().stillThere(RunCodec.STEWARD, stamp);
+      env.store().stillThere(RunCodec.LEADER, stamp);
     }
   }
 
--- a/src/main/java/io/embernotch/era/Restore.java
+++ b/src/main/java/io/embernotch/era/Restore.java
@@ -26,7 +26,7 @@
   /** Where the copy comes from. */
   public interface Source {
     /**
-     * What this node was steward of when the data was lost; null if it was not, or another has been
+     * What this node was leader of when the data was lost; null if it was not, or another has been
      * since.
      */
     Copy copy();
@@ -43,13 +43,13 @@
   private final double lifeS;
   private final BooleanSupplier needed;
   private Prepared prepared;
-  private boolean ownStewardship;
+  private boolean ownTerm;
 
   /** Attempts are numbered: a later one ends those before it. */
   private int attempt;
 
   /**
-   * @param lifeS life of a steward's lease in seconds
+   * @param lifeS life of a leader's lease in seconds
    */
   Restore(Env env, Source source, double lifeS, BooleanSupplier needed) {
     this.env = env;
@@ -65,23 +65,23 @@
 
   /** This node has a copy of its own. */
   boolean knows() {
-    return ownStewardship;
+    return ownTerm;
   }
 
-  /** A steward from before the loss may count itself live for so long after a claim. */
+  /** A leader from before the loss may count itself live for so long after a claim. */
   double othersMayLeadS() {
-    return ownStewardship ? 0 : lifeS * (1 + 2 * Settings.DRIFT);
+    return ownTerm ? 0 : lifeS * (1 + 2 * Settings.DRIFT);
   }
 
   /**
-   * Data was lost. Whoever was steward goes first: it knows most, and nobody else can have led
+   * Data was lost. Whoever was leader goes first: it knows most, and nobody else can have led
    * meanwhile.
    */
   void begin() {
     prepared = null;
     int mine = ++attempt;
     Copy copy = source.copy();
-    ownStewardship = copy != null;
+    ownTerm = copy != null;
     if (copy != null) {
       lead(mine, copy);
       return;
--- a/src/main/java/io/embernotch/fleet/FailureRates.java
+++ b/src/main/java/io/embernotch/fleet/FailureRates.java
@@ -6,7 +6,7 @@
 import io.embernotch.settings.Settings;
 
 /**
- * How often machines and zones fail, from what this steward has seen and what is to be expected
+ * How often machines and zones fail, from what this leader has seen and what is to be expected
  * before.
  */
 final class FailureRates {
--- a/src/main/java/io/embernotch/fleet/FleetKeeper.java
+++ b/src/main/java/io/embernotch/fleet/FleetKeeper.java
@@ -163,7 +163,7 @@
         m.spot = l.spot();
         m.address = l.address() == null ? m.address : l.address();
         m.bornAt = Math.min(m.bornAt == 0 ? now : m.bornAt, now - l.ageS());
-        // One that ran under an earlier steward is given time to find us.
+        // One that ran under an earlier leader is given time to find us.
         double findUs =
             l.phase().equals("running") ? startedAt + env.settings().workers().leaseS() / 2 : 0;
         double boot = m.type == null ? 0 : COUNTED_BOOTS * m.type.bootS();
@@ -187,7 +187,7 @@
   }
 
   /**
-   * Machines that ran under an earlier steward are asked at once: until their workers find us by
+   * Machines that ran under an earlier leader are asked at once: until their workers find us by
    * themselves, nothing could be started on them.
    */
   private void find(Machine m) {
@@ -199,7 +199,7 @@
       if (m.up() || m.deleting || m.type == null) {
         continue;
       }
-      // Machines that were up under an earlier steward need time to find us.
+      // Machines that were up under an earlier leader need time to find us.
       double since = Math.max(m.bornAt, startedAt - m.type.bootS());
       if (now - since > HOPELESS_BOOTS * m.type.bootS() + env.settings().workers().reportS()
           && now - startedAt > env.settings().workers().leaseS() / 2) {
--- a/src/main/java/io/embernotch/fleet/Rentals.java
+++ b/src/main/java/io/embernotch/fleet/Rentals.java
@@ -38,7 +38,7 @@
     this.ledger = ledger;
     this.workers = workers;
     this.changed = changed;
-    // The epoch is new with each stewardship, so no booking name is ever used twice.
+    // The epoch is new with each term, so no booking name is ever used twice.
     this.bookingPrefix = "r-" + epoch + "-";
   }
 
--- a/src/main/java/io/embernotch/fleet/Silence.java
+++ b/src/main/java/io/embernotch/fleet/Silence.java
@@ -30,7 +30,7 @@
 
   /**
    * So large a share of the machines must be silent for us to be the ones who are cut off. A zone
-   * can hold more than half of them: at half, stewards that heard the rest well gave leadership to
+   * can hold more than half of them: at half, leaders that heard the rest well gave leadership to
    * each other, and none of them started anything.
    */
   private static final double DEAF_SHARE = 0.8;
@@ -71,9 +71,9 @@
   }
 
   /**
-   * When the machine last gave a sign of life. One that ran under an earlier steward is given a
+   * When the machine last gave a sign of life. One that ran under an earlier leader is given a
    * report's time-out longer to find us; before, such a machine was taken for a booting one, and
-   * its services stayed down until its lease and the old steward's hold were over. One that has
+   * its services stayed down until its lease and the old leader's hold were over. One that has
    * only just come up is given the same time: it was once returned in the second before its first
    * report. So is one whose zone is back from a cut: 238 were once returned as the first controller
    * was back.
@@ -164,7 +164,7 @@
    * A live service on a machine that only lost the network runs on until its lease is over, and
    * would have to start anew elsewhere if the machine were returned before. One that takes a
    * connection and does not answer is not cut off: it hangs, and so does the service. One that
-   * nothing has proven alive in this stewardship is not waited for: what was heard of it may be
+   * nothing has proven alive in this term is not waited for: what was heard of it may be
    * copies of what it said before it ended.
    */
   private boolean worthWaitingFor(Machine m, double now) {
--- a/src/main/java/io/embernotch/http/HttpFront.java
+++ b/src/main/java/io/embernotch/http/HttpFront.java
@@ -28,7 +28,7 @@
 
 /**
  * The server that users, workers and health checks reach. It has a loop of its own: after a change
- * of steward a thousand workers connect to a process with a fifth of a core, and while connections,
+ * of leader a thousand workers connect to a process with a fifth of a core, and while connections,
  * requests and JSON shared a loop with leadership, the lease ran out behind them.
  *
  * <p>A worker's connection is closed with the answer while there are too many. A controller that is
@@ -117,7 +117,7 @@
   /**
    * After a process has stood still for longer than anybody waits, what lies in its buffers is told
    * to nobody: reports that were as old as that once made a thousand tasks and machines that were
-   * gone look alive to a new steward. All that was sent so far is given up, and so is what connects
+   * gone look alive to a new leader. All that was sent so far is given up, and so is what connects
    * in the next moment, which is what has waited to be accepted. True within that moment.
    */
   private boolean stale() {
--- a/src/main/java/io/embernotch/jobs/Chains.java
+++ b/src/main/java/io/embernotch/jobs/Chains.java
@@ -20,7 +20,7 @@
 /**
  * The graph of jobs that wait for others. A job is let go once every job that it awaits is done in
  * the store, and cancelled once one of them is cancelled there. Both follow from committed ends and
- * from submissions, which never change, so every steward comes to the same.
+ * from submissions, which never change, so every leader comes to the same.
  *
  * <p>A job names only jobs accepted before it, so the graph has no circles.
  */
@@ -35,7 +35,7 @@
     /** A job before it is cancelled, and so is it; nothing of it has ever started. */
     void cancelled(Job job);
 
-    /** A job that another one names, and that nobody has told the steward of. */
+    /** A job that another one names, and that nobody has told the leader of. */
     void found(Entry entry);
   }
 
@@ -145,7 +145,7 @@
     }
   }
 
-  /** Asks the store for named jobs that the steward has not heard of, a few at a time. */
+  /** Asks the store for named jobs that the leader has not heard of, a few at a time. */
   public void lookUp() {
     int most = (int) Math.max(1, env.settings().stateFloor().rps() / 20);
     for (String ref : List.copyOf(unknown)) {
--- a/src/main/java/io/embernotch/jobs/Endings.java
+++ b/src/main/java/io/embernotch/jobs/Endings.java
@@ -40,7 +40,7 @@
     this.letGo = letGo;
   }
 
-  /** Ends that an earlier steward has decided. */
+  /** Ends that an earlier leader has decided. */
   public void takeOver() {
     ending.clear();
     ledger.jobs.values().stream().filter(j -> j.end != null).forEach(ending::add);
--- a/src/main/java/io/embernotch/jobs/Outcomes.java
+++ b/src/main/java/io/embernotch/jobs/Outcomes.java
@@ -58,7 +58,7 @@
     this.stops = stops;
   }
 
-  /** What an earlier steward has decided goes on, and what it has not finished is finished. */
+  /** What an earlier leader has decided goes on, and what it has not finished is finished. */
   public void takeOver() {
     endings.takeOver();
     for (Job job : ledger.jobs.values()) {
--- a/src/main/java/io/embernotch/jobs/Takeover.java
+++ b/src/main/java/io/embernotch/jobs/Takeover.java
@@ -25,8 +25,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Fills a new steward's ledger from the store. What runs is let be: its attempts are open, and
- * unsure until a worker reports under one of this steward's tokens.
+ * Fills a new leader's ledger from the store. What runs is let be: its attempts are open, and
+ * unsure until a worker reports under one of this leader's tokens.
  */
 public final class Takeover {
   private static final Logger LOG = LoggerFactory.getLogger(Takeover.class);
@@ -125,7 +125,7 @@
   }
 
   /**
-   * One value that can't be read keeps no other from being taken over; a new steward once tried
+   * One value that can't be read keeps no other from being taken over; a new leader once tried
    * again for good.
    */
   private static boolean readable(Entry e, Runnable read) {
@@ -144,7 +144,7 @@
   }
 
   /**
-   * After a loss of which no steward's copy is left, tasks that were started before it may run
+   * After a loss of which no leader's copy is left, tasks that were started before it may run
    * where nobody knows. They are over once no worker can have been renewed for them any more.
    */
   public void waitIfUnsure(Job job) {
@@ -160,7 +160,7 @@
       return;
     }
     layout.know(ref, pieceSize);
-    // Numbers of attempts are never used twice, whatever an earlier steward left unwritten.
+    // Numbers of attempts are never used twice, whatever an earlier leader left unwritten.
     job.nextAttempt = Math.max(job.nextAttempt, baseToken);
     ledger.jobs.put(ref, job);
     job.storedDone.or(job.done);
--- a/src/main/java/io/embernotch/jobs/UserDesk.java
+++ b/src/main/java/io/embernotch/jobs/UserDesk.java
@@ -14,11 +14,11 @@
 import io.vertx.core.Promise;
 import java.util.function.BooleanSupplier;
 
-/** Answers what users ask the steward about their jobs. */
+/** Answers what users ask the leader about their jobs. */
 public final class UserDesk {
-  /** What the answers need of the steward. */
+  /** What the answers need of the leader. */
   public interface Host {
-    /** A job that the store holds and nobody has told the steward of. */
+    /** A job that the store holds and nobody has told the leader of. */
     void found(Entry job);
 
     /** Has a job's tasks stopped, and answers once it is cancelled or done, or cannot be yet. */
--- a/src/main/java/io/embernotch/leader/HeartbeatQueue.java
+++ b/src/main/java/io/embernotch/leader/HeartbeatQueue.java
@@ -1,4 +1,4 @@
-package io.embernotch.steward;
+package io.embernotch.leader;
 
 import io.embernotch.actor.Clock;
 import io.embernotch.actor.Timers;
@@ -18,7 +18,7 @@
  * 6.8 s at the 95th percentile where workers wait for 4, and what ran on those machines ended with
  * its lease.
  */
-final class ReportQueue {
+public final class HeartbeatQueue {
   private static final int SLICE = 8;
 
   /** The shortest pause: the next turn of the loop. */
@@ -32,12 +32,12 @@
 
   private static final double LONG_S = PATIENCE_S / 4;
 
-  private record Waiting(StewardMessage.Report message, double since) {}
+  private record Waiting(LeaderMessage.HeartbeatReceived message, double since) {}
 
   private final Clock clock;
   private final Timers timers;
-  private final Consumer<StewardMessage.Report> take;
-  private final Consumer<StewardMessage.Report> drop;
+  private final Consumer<LeaderMessage.HeartbeatReceived> take;
+  private final Consumer<LeaderMessage.HeartbeatReceived> drop;
 
   /** In the order they came. */
   private final TreeMap<Long, Waiting> queue = new TreeMap<>();
@@ -48,11 +48,11 @@
   private boolean armed;
 
   /** {@code drop} is told of reports that nobody waits for any more. */
-  ReportQueue(
+  public HeartbeatQueue(
       Clock clock,
       Timers timers,
-      Consumer<StewardMessage.Report> take,
-      Consumer<StewardMessage.Report> drop) {
+      Consumer<LeaderMessage.HeartbeatReceived> take,
+      Consumer<LeaderMessage.HeartbeatReceived> drop) {
     this.clock = clock;
     this.timers = timers;
     this.take = take;
@@ -60,7 +60,7 @@
   }
 
   /** Takes the report now if few have been taken in this turn, else in its own. */
-  void add(StewardMessage.Report m) {
+  public void add(LeaderMessage.HeartbeatReceived m) {
     if (left > 0 && queue.isEmpty()) {
       left--;
       arm();
@@ -69,7 +69,7 @@
     }
     String machine = m.report().machine();
     Long place = places.get(machine);
-    StewardMessage.Report before = place == null ? null : queue.get(place).message;
+    LeaderMessage.HeartbeatReceived before = place == null ? null : queue.get(place).message;
     if (before != null && !m.report().newerThan(before.report().session(), before.report().seq())) {
       // A copy that came late, or one of another life: it must not displace the one that is waited
       // for.
@@ -109,7 +109,7 @@
   }
 
   /** Reports wait for their turn for longer than a worker would notice. */
-  boolean pressed() {
+  public boolean pressed() {
     return !queue.isEmpty() && waitedS(clock.now()) > LONG_S / 4;
   }
 
@@ -117,8 +117,8 @@
     return now - queue.firstEntry().getValue().since;
   }
 
-  private StewardMessage.Report remove(long place) {
-    StewardMessage.Report m = queue.remove(place).message;
+  private LeaderMessage.HeartbeatReceived remove(long place) {
+    LeaderMessage.HeartbeatReceived m = queue.remove(place).message;
     places.remove(m.report().machine());
     return m;
   }
--- a/src/main/java/io/embernotch/leader/ImageInventory.java
+++ b/src/main/java/io/embernotch/leader/ImageInventory.java
@@ -1,4 +1,4 @@
-package io.embernotch.steward;
+package io.embernotch.leader;
 
 import io.embernotch.env.Recent;
 import io.embernotch.model.Machine;
@@ -10,23 +10,23 @@
 import java.util.function.Consumer;
 
 /**
- * Which images machines have. Workers do not report it, so a new steward used to know of none, and
- * had them fetched anew after each change of leadership. The steward tells the other controllers;
+ * Which images machines have. Workers do not report it, so a new leader used to know of none, and
+ * had them fetched anew after each change of leadership. The leader tells the other controllers;
  * nothing depends on it but where tasks start fastest, so what is lost on the way does no harm.
  */
-final class ImageNews {
+public final class ImageInventory {
   private final Map<String, List<String>> known;
   private long epoch;
 
   /**
    * @param most machines to remember; those whose end was lost on the way must not fill memory
    */
-  ImageNews(int most) {
+  public ImageInventory(int most) {
     known = new Recent<>(most);
   }
 
-  /** What a steward of that epoch says; one that follows starts from what the last one said. */
-  void heard(Frame.Images f) {
+  /** What a leader of that epoch says; one that follows starts from what the last one said. */
+  public void heard(Frame.Images f) {
     if (f.epoch() < epoch) {
       return;
     }
@@ -38,17 +38,17 @@
     }
   }
 
-  List<String> of(String machine) {
+  public List<String> of(String machine) {
     return known.getOrDefault(machine, List.of());
   }
 
-  /** What a steward has told the others, each machine at most once a round. */
-  static final class Teller {
+  /** What a leader has told the others, each machine at most once a round. */
+  public static final class Publisher {
     private final Map<String, Integer> told = new HashMap<>();
     private final double everyS;
     private double lastAt = -1e9;
 
-    Teller(double everyS) {
+    Publisher(double everyS) {
       this.everyS = everyS;
     }
 
--- a/src/main/java/io/embernotch/leader/Leader.java
+++ b/src/main/java/io/embernotch/leader/Leader.java
@@ -1,4 +1,4 @@
-package io.embernotch.steward;
+package io.embernotch.leader;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.actor.Actor;
@@ -48,14 +48,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one that writes, for one stewardship: it owns the ledger, and lives from the moment its node
+ * The one that writes, for one term: it owns the ledger, and lives from the moment its node
  * acquires the key until it loses it.
  */
-final class Steward extends Actor<StewardMessage> implements Workers.Outcome, FleetKeeper.Outcome {
-  private static final Logger LOG = LoggerFactory.getLogger(Steward.class);
+public final class Leader extends Actor<LeaderMessage> implements Workers.Outcome, FleetKeeper.Outcome {
+  private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
 
   private final Env env;
-  private final StewardHost host;
+  private final LeaderContext host;
   private final long epoch;
   private final long stamp;
   private final Ledger ledger = new Ledger();
@@ -63,10 +63,10 @@
   private final Workers workers;
   private final FleetKeeper fleet;
   private final StragglerFeed feed;
-  private final Planning planning;
+  private final SchedulingLoop planning;
   private final RestartDesk restarts;
   private final Outcomes outcomes;
-  private final ImageNews.Teller images;
+  private final ImageInventory.Publisher images;
   private final Demand demand;
   private final Layout layout;
   private final Chains chains;
@@ -76,21 +76,21 @@
   private final Cancels cancels;
   private final Stops stops;
   private final Starts starts;
-  private final ReportQueue reports;
+  private final HeartbeatQueue reports;
   private final double acquiredAt;
   private final Base base;
   private Copy begunWith;
   private Takeover takeover;
-  private final List<StewardMessage> waiting = new ArrayList<>();
-  private final EarlyReports early = new EarlyReports();
+  private final List<LeaderMessage> waiting = new ArrayList<>();
+  private final PendingHeartbeats early = new PendingHeartbeats();
   private boolean loaded;
   private double loadedAt;
   private boolean stopped;
-  private final Minutes minutes;
-  private final Facts facts;
+  private final StatusLogger minutes;
+  private final SharedStateServices facts;
 
-  /** {@code stamp} is that of the steward's key, {@code base} and {@code begunWith} as in {@code Eras}, {@code waiting} as in {@link Delegations}. */
-  Steward(Env env, StewardHost host, long epoch, long stamp, Collection<MachineType> types, Base base, Copy begunWith, Set<String> waiting) {
+  /** {@code stamp} is that of the leader's key, {@code base} and {@code begunWith} as in {@code Eras}, {@code waiting} as in {@link Delegations}. */
+  public Leader(Env env, LeaderContext host, long epoch, long stamp, Collection<MachineType> types, Base base, Copy begunWith, Set<String> waiting) {
     super(env.loop());
     this.env = env;
     this.host = host;
@@ -115,22 +115,22 @@
     this.outcomes = new Outcomes(env, ledger, committer, endings, StragglerFeed.LATELY, cancels::check, this::changed);
     this.stops = new Stops(env, ledger, workers, outcomes::close, () -> loaded);
     outcomes.stopBy(stops);
-    this.reports = new ReportQueue(env.clock(), env.timers(), m -> env.work().run("Report", () -> report(m)), Steward::refuse);
+    this.reports = new HeartbeatQueue(env.clock(), env.timers(), m -> env.work().run("Report", () -> report(m)), Leader::refuse);
     this.starts = new Starts(env, ledger, committer, workers, acquiredAt, this::leads);
     this.fleet = new FleetKeeper(env, ledger, workers, epoch, this);
     this.feed = new StragglerFeed(env, ledger,
         (node, v) -> host.post().view(node, epoch, v), (node, m) -> host.post().forget(node, epoch, m));
-    this.facts = new Facts(env, ledger, epoch, stamp, j -> committer.later(j, 0), () -> host.outranked("a fact failed on the steward's key"));
-    this.planning = new Planning(
+    this.facts = new SharedStateServices(env, ledger, epoch, stamp, j -> committer.later(j, 0), () -> host.outranked("a fact failed on the steward's key"));
+    this.planning = new SchedulingLoop(
         env, ledger, chains, demand, fleet, starts, stops, facts, acquiredAt, this::leads, reports::pressed,
-            () -> tell(new StewardMessage.MakePlan()));
+            () -> tell(new LeaderMessage.RunScheduler()));
     this.restarts = new RestartDesk(env, ledger, committer, stops);
-    this.images = new ImageNews.Teller(env.operator().roundS());
-    this.minutes = new Minutes(env, ledger, planning, committer);
+    this.images = new ImageInventory.Publisher(env.operator().roundS());
+    this.minutes = new StatusLogger(env, ledger, planning, committer);
     ledger.imagesOf(m -> host.images(m).isEmpty() ? facts.images(m) : host.images(m));
   }
 
-  void start() {
+  public void start() {
     takeover = new Takeover(env, ledger, committer, layout, chains, demand, workers.base(), acquiredAt, base);
     new Reading(env, base, () -> stopped).read((jobs, runs, parts, shared) -> {
       facts.load(shared);
@@ -141,28 +141,28 @@
     scheduleTick();
   }
 
-  void stop() {
+  public void stop() {
     stopped = true;
     planning.close();
     committer.close();
     facts.close();
-    waiting.forEach(Steward::refuse);
+    waiting.forEach(Leader::refuse);
     waiting.clear();
     early.refuse();
   }
 
-  long stamp() {
+  public long stamp() {
     return stamp;
   }
 
-  long epoch() {
+  public long epoch() {
     return epoch;
   }
 
   private void scheduleTick() {
     env.timers().after(env.settings().workers().reportS() / 8, () -> {
       if (!stopped) {
-        tell(new StewardMessage.Tick());
+        tell(new LeaderMessage.Tick());
         scheduleTick();
       }
     });
@@ -179,8 +179,8 @@
         "took over {} jobs, {} ended, {} machines with tasks after {} ms",
         ledger.jobs.size(), ledger.ended.size(), ledger.machines.size(),
         Math.round((env.clock().now() - acquiredAt) * 1000));
-    new JobWatch(env, (job, piece) -> tell(new StewardMessage.JobCreated(job, piece)), () -> stopped).from(jobsEpoch);
-    List<StewardMessage> held = new ArrayList<>(waiting);
+    new JobWatch(env, (job, piece) -> tell(new LeaderMessage.JobAccepted(job, piece)), () -> stopped).from(jobsEpoch);
+    List<LeaderMessage> held = new ArrayList<>(waiting);
     waiting.clear();
     held.forEach(this::receive);
     early.drain(env.loop(), this::receive);
@@ -190,43 +190,43 @@
   // ---- messages
 
   @Override
-  protected void receive(StewardMessage message) {
+  protected void receive(LeaderMessage message) {
     env.work().run(message.getClass().getSimpleName(), () -> take(message));
   }
 
-  private void take(StewardMessage message) {
+  private void take(LeaderMessage message) {
     if (stopped) {
       refuse(message);
-    } else if (!loaded && message instanceof StewardMessage.Report m) {
+    } else if (!loaded && message instanceof LeaderMessage.HeartbeatReceived m) {
       early.add(m, env.timers());
-    } else if (!loaded && message instanceof StewardMessage.Heard m) {
+    } else if (!loaded && message instanceof LeaderMessage.HeartbeatHandedOver m) {
       early.add(m.report());
-    } else if (!loaded && message instanceof StewardMessage.Ask m) {
+    } else if (!loaded && message instanceof LeaderMessage.UserRequest m) {
       // Its user would have gone before the store is read.
       refuse(m);
-    } else if (!loaded && !(message instanceof StewardMessage.Tick)) {
+    } else if (!loaded && !(message instanceof LeaderMessage.Tick)) {
       waiting.add(message);
-    } else if (message instanceof StewardMessage.Report m) {
+    } else if (message instanceof LeaderMessage.HeartbeatReceived m) {
       reports.add(m);
-    } else if (message instanceof StewardMessage.Heard m) {
+    } else if (message instanceof LeaderMessage.HeartbeatHandedOver m) {
       heard(m.report());
-    } else if (message instanceof StewardMessage.Ask m) {
+    } else if (message instanceof LeaderMessage.UserRequest m) {
       ask(m);
-    } else if (message instanceof StewardMessage.JobCreated m) {
+    } else if (message instanceof LeaderMessage.JobAccepted m) {
       jobCreated(m.job(), m.piece());
-    } else if (message instanceof StewardMessage.Propose m) {
+    } else if (message instanceof LeaderMessage.RestartsProposed m) {
       restarts.propose(m.from(), m.restarts());
-    } else if (message instanceof StewardMessage.Tick) {
+    } else if (message instanceof LeaderMessage.Tick) {
       tick();
-    } else if (message instanceof StewardMessage.MakePlan) {
+    } else if (message instanceof LeaderMessage.RunScheduler) {
       planning.make();
     }
   }
 
-  private static void refuse(StewardMessage message) {
-    if (message instanceof StewardMessage.Report m) {
+  private static void refuse(LeaderMessage message) {
+    if (message instanceof LeaderMessage.HeartbeatReceived m) {
       m.reply().tryComplete(null);
-    } else if (message instanceof StewardMessage.Ask m) {
+    } else if (message instanceof LeaderMessage.UserRequest m) {
       m.reply().complete(Answer.later("no steward yet"));
     }
   }
@@ -237,7 +237,7 @@
     }
   }
 
-  private void report(StewardMessage.Report m) {
+  private void report(LeaderMessage.HeartbeatReceived m) {
     if (stopped) {
       refuse(m);
       return;
@@ -268,7 +268,7 @@
     planning.soon();
   }
 
-  private void ask(StewardMessage.Ask m) {
+  private void ask(LeaderMessage.UserRequest m) {
     switch (m.what()) {
       case POLL -> users.poll(m.ref(), m.reply());
       case ABORT -> users.abort(m.ref(), m.reply());
@@ -376,7 +376,7 @@
   }
 
   /** Another controller is there. */
-  Frame.Noted heard(Frame.Here here) {
+  public Frame.Noted heard(Frame.Here here) {
     if (delegations.another(here)) {
       images.again();
     }
@@ -385,7 +385,7 @@
   }
 
   /** How long workers are renewed without a proven lease. */
-  double holdS() {
+  public double holdS() {
     return delegations.ownHoldS();
   }
 
@@ -435,11 +435,11 @@
   }
 
   /** All that is known here of jobs, whether or not the store has it yet; null before it is known. */
-  Copy copy() {
+  public Copy copy() {
     return loaded ? Copies.of(ledger, layout::size, facts.copy(), epoch, env.clock().wallMs()) : begunWith;
   }
 
-  Ledger ledger() {
+  public Ledger ledger() {
     return ledger;
   }
 }
--- a/src/main/java/io/embernotch/leader/LeaderContext.java
+++ b/src/main/java/io/embernotch/leader/LeaderContext.java
@@ -1,4 +1,4 @@
-package io.embernotch.steward;
+package io.embernotch.leader;
 
 import io.embernotch.model.Phase;
 import io.embernotch.peer.Frame;
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Set;
 
-/** What a steward needs of its controller. */
-interface StewardHost {
+/** What a leader needs of its controller. */
+public interface LeaderContext {
   boolean live();
 
   Set<String> controllers();
@@ -17,7 +17,7 @@
 
   void outranked(String why);
 
-  /** Somebody has seen the token of a steward with this epoch. */
+  /** Somebody has seen the token of a leader with this epoch. */
   void seenEpoch(long epoch);
 
   /** Gives leadership up, since this node is badly placed for it. */
@@ -28,6 +28,6 @@
   /** Says something to all other controllers. */
   void tellAll(Frame frame);
 
-  /** What an earlier steward said of a machine's images. */
+  /** What an earlier leader said of a machine's images. */
   List<String> images(String machine);
 }
--- a/src/main/java/io/embernotch/leader/LeaderMessage.java
+++ b/src/main/java/io/embernotch/leader/LeaderMessage.java
@@ -1,4 +1,4 @@
-package io.embernotch.steward;
+package io.embernotch.leader;
 
 import io.embernotch.http.Answer;
 import io.embernotch.model.Job;
@@ -8,27 +8,27 @@
 import io.vertx.core.Promise;
 import java.util.List;
 
-/** What the steward may be told. */
-sealed interface StewardMessage {
+/** What the leader may be told. */
+public sealed interface LeaderMessage {
   /**
    * A worker reports, by the controller whose life {@code via} is; {@code reply} gets the body of
    * the 200, or null if it must not get one.
    */
-  record Report(WorkerReport report, long via, Promise<byte[]> reply) implements StewardMessage {}
+  record HeartbeatReceived(WorkerReport report, long via, Promise<byte[]> reply) implements LeaderMessage {}
 
   /**
-   * What a worker reported to another controller before there was a steward; nobody waits for an
+   * What a worker reported to another controller before there was a leader; nobody waits for an
    * answer.
    */
-  record Heard(WorkerReport report) implements StewardMessage {}
+  record HeartbeatHandedOver(WorkerReport report) implements LeaderMessage {}
 
-  record Ask(Frame.Ask.What what, String ref, Promise<Answer> reply) implements StewardMessage {}
+  record UserRequest(Frame.Ask.What what, String ref, Promise<Answer> reply) implements LeaderMessage {}
 
-  record JobCreated(Job job, int piece) implements StewardMessage {}
+  record JobAccepted(Job job, int piece) implements LeaderMessage {}
 
-  record Propose(String from, List<Restart> restarts) implements StewardMessage {}
+  record RestartsProposed(String from, List<Restart> restarts) implements LeaderMessage {}
 
-  record Tick() implements StewardMessage {}
+  record Tick() implements LeaderMessage {}
 
-  record MakePlan() implements StewardMessage {}
+  record RunScheduler() implements LeaderMessage {}
 }
--- a/src/main/java/io/embernotch/leader/PendingHeartbeats.java
+++ b/src/main/java/io/embernotch/leader/PendingHeartbeats.java
@@ -1,4 +1,4 @@
-package io.embernotch.steward;
+package io.embernotch.leader;
 
 import io.embernotch.actor.Timers;
 import io.embernotch.codec.WorkerCodec;
@@ -16,17 +16,17 @@
  * answer without a token renews nothing, but its worker keeps the connection. Left to give up, a
  * thousand workers connected anew and took the time that the reading needed.
  */
-final class EarlyReports {
+final class PendingHeartbeats {
   /** Reports taken in one turn, so that everything else gets its own. */
   private static final int SLICE = 32;
 
   private final Map<String, WorkerReport> latest = new LinkedHashMap<>();
-  private final Map<String, StewardMessage.Report> waiting = new LinkedHashMap<>();
+  private final Map<String, LeaderMessage.HeartbeatReceived> waiting = new LinkedHashMap<>();
 
   /** A report whose worker waits; told to stay unless {@link #drain} comes first. */
-  void add(StewardMessage.Report m, Timers timers) {
+  void add(LeaderMessage.HeartbeatReceived m, Timers timers) {
     String machine = m.report().machine();
-    StewardMessage.Report before = waiting.put(machine, m);
+    LeaderMessage.HeartbeatReceived before = waiting.put(machine, m);
     if (before != null) {
       before.reply().tryComplete(WorkerCodec.stay());
     }
@@ -45,16 +45,16 @@
   }
 
   /** Hands over those that wait for an answer, and then what else was heard, a slice a turn. */
-  void drain(Executor loop, Consumer<StewardMessage> to) {
-    ArrayDeque<StewardMessage> left = new ArrayDeque<>(waiting.values());
-    latest.values().forEach(r -> left.add(new StewardMessage.Heard(r)));
+  void drain(Executor loop, Consumer<LeaderMessage> to) {
+    ArrayDeque<LeaderMessage> left = new ArrayDeque<>(waiting.values());
+    latest.values().forEach(r -> left.add(new LeaderMessage.HeartbeatHandedOver(r)));
     waiting.clear();
     latest.clear();
     slice(left, loop, to);
   }
 
   private static void slice(
-      ArrayDeque<StewardMessage> left, Executor loop, Consumer<StewardMessage> to) {
+      ArrayDeque<LeaderMessage> left, Executor loop, Consumer<LeaderMessage> to) {
     for (int i = 0; i < SLICE && !left.isEmpty(); i++) {
       to.accept(left.poll());
     }
--- a/src/main/java/io/embernotch/leader/SchedulingLoop.java
+++ b/src/main/java/io/embernotch/leader/SchedulingLoop.java
@@ -1,4 +1,4 @@
-package io.embernotch.steward;
+package io.embernotch.leader;
 
 import io.embernotch.actor.Latencies;
 import io.embernotch.env.Env;
@@ -21,8 +21,8 @@
 import org.slf4j.LoggerFactory;
 
 /** When plans are made, and by whom each of their parts is carried out. */
-final class Planning {
-  private static final Logger LOG = LoggerFactory.getLogger(Planning.class);
+final class SchedulingLoop {
+  private static final Logger LOG = LoggerFactory.getLogger(SchedulingLoop.class);
 
   /** So much more room is kept for live services of a release that is near. */
   private static final double NEAR = 1.5;
@@ -34,7 +34,7 @@
   private final FleetKeeper fleet;
   private final Starts starts;
   private final Stops stops;
-  private final Facts facts;
+  private final SharedStateServices facts;
   private final double acquiredAt;
   private final BooleanSupplier live;
   private final BooleanSupplier pressed;
@@ -54,9 +54,9 @@
 
   /**
    * {@code pressed}: workers' reports wait; {@code ask} has {@link #make} called in a turn of the
-   * steward's own.
+   * leader's own.
    */
-  Planning(
+  SchedulingLoop(
       Env env,
       Ledger ledger,
       Chains chains,
@@ -64,7 +64,7 @@
       FleetKeeper fleet,
       Starts starts,
       Stops stops,
-      Facts facts,
+      SharedStateServices facts,
       double acquiredAt,
       BooleanSupplier live,
       BooleanSupplier pressed,
--- a/src/main/java/io/embernotch/leader/SharedStateServices.java
+++ b/src/main/java/io/embernotch/leader/SharedStateServices.java
@@ -1,4 +1,4 @@
-package io.embernotch.steward;
+package io.embernotch.leader;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.actor.Clock;
@@ -16,10 +16,10 @@
 import java.util.function.Consumer;
 
 /**
- * What a stewardship takes over beside jobs, and hands on: read before anything but live services
+ * What a term takes over beside jobs, and hands on: read before anything but live services
  * is planned.
  */
-final class Facts {
+final class SharedStateServices {
   private final SharedState shared;
   private final HoldKeeper holds;
   private final CalendarKeeper calendar;
@@ -27,7 +27,7 @@
   private final Clock clock;
 
   /** {@code rewritten} has a job's progress written anew. */
-  Facts(Env env, Ledger ledger, long epoch, long stamp, Consumer<Job> rewritten, Runnable deposed) {
+  SharedStateServices(Env env, Ledger ledger, long epoch, long stamp, Consumer<Job> rewritten, Runnable deposed) {
     this.clock = env.clock();
     this.shared = new SharedState(env, stamp, Tokens.base(epoch), deposed);
     this.holds = new HoldKeeper(env, ledger, shared);
@@ -59,7 +59,7 @@
     weights.tick(clock.now());
   }
 
-  /** Images that a former steward knew a machine to have. */
+  /** Images that a former leader knew a machine to have. */
   List<String> images(String machine) {
     return weights.of(machine);
   }
--- a/src/main/java/io/embernotch/leader/StatusLogger.java
+++ b/src/main/java/io/embernotch/leader/StatusLogger.java
@@ -1,4 +1,4 @@
-package io.embernotch.steward;
+package io.embernotch.leader;
 
 import io.embernotch.env.Env;
 import io.embernotch.ledger.Ledger;
@@ -7,17 +7,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What a steward says of itself in the log, every half lease of a worker. */
-final class Minutes {
-  private static final Logger LOG = LoggerFactory.getLogger(Minutes.class);
+/** What a leader says of itself in the log, every half lease of a worker. */
+final class StatusLogger {
+  private static final Logger LOG = LoggerFactory.getLogger(StatusLogger.class);
 
   private final Env env;
   private final Ledger ledger;
-  private final Planning planning;
+  private final SchedulingLoop planning;
   private final Committer committer;
   private double writtenAt = -1e9;
 
-  Minutes(Env env, Ledger ledger, Planning planning, Committer committer) {
+  StatusLogger(Env env, Ledger ledger, SchedulingLoop planning, Committer committer) {
     this.env = env;
     this.ledger = ledger;
     this.planning = planning;
--- a/src/main/java/io/embernotch/leadership/Election.java
+++ b/src/main/java/io/embernotch/leadership/Election.java
@@ -16,18 +16,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Leadership: whoever holds the key {@code steward}, attached to its own short lease, is the one
- * that writes. The key's stamp names the stewardship: every commit of the steward conditions on it,
- * so nothing that an earlier steward sent can be applied later.
+ * Leadership: whoever holds the key {@code steward} in the store, attached to its own short lease, is the one
+ * that writes. The key's stamp names the term: every commit of the leader conditions on it,
+ * so nothing that an earlier leader sent can be applied later.
  */
 public final class Election {
   private static final Logger LOG = LoggerFactory.getLogger(Election.class);
-  private static final String KEY = RunCodec.STEWARD;
+  private static final String KEY = RunCodec.LEADER;
 
   /** What is told of leadership. */
   public interface Listener {
     /**
-     * This node is steward; {@code stamp} is that of the key, {@code epoch} names the stewardship
+     * This node is leader; {@code stamp} is that of the key, {@code epoch} names the term
      * in all eras.
      */
     void acquired(long epoch, long stamp);
@@ -35,10 +35,10 @@
     void lost(String why);
 
     /**
-     * The steward is {@code node} now, or nobody if null; whether it takes reports that others pass
+     * The leader is {@code node} now, or nobody if null; whether it takes reports that others pass
      * on.
      */
-    void stewardIs(String node, long epoch, boolean relays);
+    void leaderIs(String node, long epoch, boolean relays);
 
     /** The controller has been heard from lately. */
     boolean isLive(String node);
@@ -103,7 +103,7 @@
   }
 
   /**
-   * True while nobody else can be steward: counted by the steady clock from the sending of the last
+   * True while nobody else can be leader: counted by the steady clock from the sending of the last
    * good renewal, less drift.
    */
   public boolean live() {
@@ -129,7 +129,7 @@
     }
   }
 
-  /** Another steward has been seen: a newer token, or a commit that failed on our key. */
+  /** Another leader has been seen: a newer token, or a commit that failed on our key. */
   public void deposed(String why) {
     if (state == State.HOLDING) {
       lose(why);
@@ -177,7 +177,7 @@
     boolean anew = terms.beginsAnew();
     terms.named(entry.present() ? entry.value().path("era").asText("") : null);
     if ((anew || !entry.present()) && !terms.mayClaim()) {
-      listener.stewardIs(null, 0, false);
+      listener.leaderIs(null, 0, false);
       timers.after(lifeS / 8, this::look);
       return;
     }
@@ -186,7 +186,7 @@
       return;
     }
     if (!entry.present()) {
-      listener.stewardIs(null, 0, false);
+      listener.leaderIs(null, 0, false);
       double wait = Math.max(avoidUntil - clock.now(), listener.yieldFirst() ? lifeS / 4 : 0);
       if (wait > 0) {
         // After the pause somebody else may have it, so look again rather than contend blindly.
@@ -214,7 +214,7 @@
       return;
     }
     watchOver(entry, holder);
-    listener.stewardIs(
+    listener.leaderIs(
         holder,
         entry.value().path("floor").asLong(0) + entry.stamp(),
         entry.value().path("relay").asBoolean());
@@ -368,7 +368,7 @@
       return;
     }
     LOG.info("steward since epoch {}", epoch);
-    listener.stewardIs(node, epoch, true);
+    listener.leaderIs(node, epoch, true);
     listener.acquired(epoch, stamp);
   }
 
--- a/src/main/java/io/embernotch/leadership/Followed.java
+++ b/src/main/java/io/embernotch/leadership/Followed.java
@@ -1,9 +1,9 @@
 package io.embernotch.leadership;
 
 /**
- * Whom this controller takes for the steward: what the key says, and between two looks at it what a
- * steward says of itself. A beat may be seconds late, and its sender no steward any more or not
- * even alive; so one of a stewardship that the key has shown to be over is believed no more.
+ * Whom this controller takes for the leader: what the key says, and between two looks at it what a
+ * leader says of itself. A beat may be seconds late, and its sender no leader any more or not
+ * even alive; so one of a term that the key has shown to be over is believed no more.
  */
 public final class Followed {
   private String node;
@@ -19,7 +19,7 @@
     return epoch;
   }
 
-  /** The key was read, or a stewardship here has ended; null: nobody is steward. */
+  /** The key was read, or a term here has ended; null: nobody is leader. */
   public void is(String newNode, long newEpoch) {
     if (newNode == null) {
       over = Math.max(over, epoch);
@@ -28,7 +28,7 @@
     epoch = newEpoch;
   }
 
-  /** A controller says that it is steward; false if that is no news, or known to be over. */
+  /** A controller says that it is leader; false if that is no news, or known to be over. */
   public boolean told(String newNode, long newEpoch) {
     if (newEpoch <= Math.max(epoch, over)) {
       return false;
--- a/src/main/java/io/embernotch/leadership/Terms.java
+++ b/src/main/java/io/embernotch/leadership/Terms.java
@@ -2,23 +2,23 @@
 
 import io.embernotch.store.Txn;
 
-/** On what terms this node may be steward: of which era of the state service's contents. */
+/** On what terms this node may be leader: of which era of the state service's contents. */
 public interface Terms {
   /**
-   * What a claim to the steward's key stands for.
+   * What a claim to the leader's key stands for.
    *
    * @param floor added to the key's stamp to get the epoch
-   * @param waitS seconds for which a steward from before the loss may yet count itself live
+   * @param waitS seconds for which a leader from before the loss may yet count itself live
    */
   record Claim(String era, long floor, double waitS) {}
 
   /** The contents are ours, or ready to be made ours. */
   boolean mayClaim();
 
-  /** Data is lost: whoever the steward's key names is none, and a claim takes its place. */
+  /** Data is lost: whoever the leader's key names is none, and a claim takes its place. */
   boolean beginsAnew();
 
-  /** Added to a steward's stamp in the present era to get its epoch. */
+  /** Added to a leader's stamp in the present era to get its epoch. */
   long floor();
 
   /** Adds to a claim what begins an era, if one is to begin with it. */
@@ -30,12 +30,12 @@
   /** The last claim was not made. */
   void refused();
 
-  /** The steward's key names this era: "" if a version before eras leads, null if nobody does. */
+  /** The leader's key names this era: "" if a version before eras leads, null if nobody does. */
   void named(String era);
 
-  /** The steward's key is ours though our lease is not: is what the service holds still ours? */
+  /** The leader's key is ours though our lease is not: is what the service holds still ours? */
   void probe();
 
-  /** The steward's key stands there though the lease is gone that it hangs on: leases are lost. */
+  /** The leader's key stands there though the lease is gone that it hangs on: leases are lost. */
   void orphaned(String holder);
 }
--- a/src/main/java/io/embernotch/ledger/Largest.java
+++ b/src/main/java/io/embernotch/ledger/Largest.java
@@ -8,7 +8,7 @@
 
 /**
  * How long the largest jobs of each class, a tenth of them by tasks, wait until they begin, under
- * this steward.
+ * this leader.
  */
 public final class Largest {
   private static final double PERCENTILE = 90;
--- a/src/main/java/io/embernotch/ledger/Ledger.java
+++ b/src/main/java/io/embernotch/ledger/Ledger.java
@@ -14,7 +14,7 @@
 import java.util.TreeMap;
 import java.util.function.Function;
 
-/** Everything the steward knows: jobs, machines and the open attempts that tie them. */
+/** Everything the leader knows: jobs, machines and the open attempts that tie them. */
 public final class Ledger {
   /** A job that has ended, and whose every attempt is proven gone. */
   public record Ended(Phase phase, int tasks, int done, long atMs) {
--- a/src/main/java/io/embernotch/machines/Delegations.java
+++ b/src/main/java/io/embernotch/machines/Delegations.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 
 /**
- * What the steward knows of the controllers that may renew workers of their zone when they are cut
+ * What the leader knows of the controllers that may renew workers of their zone when they are cut
  * off ({@link Standby}): until when each may have done so.
  *
  * <p>A controller renews nothing before {@code contactS} after the sending of a message that we
@@ -66,7 +66,7 @@
     return settings.members().stream().allMatch(m -> waiting.contains(m.node()));
   }
 
-  /** How long this steward renews workers without a proven lease. */
+  /** How long this leader renews workers without a proven lease. */
   public double ownHoldS() {
     return allNew() ? settings.holdS() : settings.formerHoldS();
   }
@@ -95,7 +95,7 @@
     Delegation w = delegations.computeIfAbsent(h.node(), n -> new Delegation());
     w.life = Lifetime.of(h.seq());
     if (h.ack() == 0 || w.answeredAt.isEmpty()) {
-      // What its former process, or it under an earlier steward, has renewed, nobody owns up to.
+      // What its former process, or it under an earlier leader, has renewed, nobody owns up to.
       w.renewedAt =
           Math.max(w.renewedAt, Math.min(now, Math.max(acquiredAt + longestHold(), w.grantEnds)));
     }
--- a/src/main/java/io/embernotch/machines/Hearing.java
+++ b/src/main/java/io/embernotch/machines/Hearing.java
@@ -103,7 +103,7 @@
   }
 
   /**
-   * A call that was tried got no answer. A steward that reaches no worker at all, and is heard
+   * A call that was tried got no answer. A leader that reaches no worker at all, and is heard
    * through the other controllers, must not take each of them for deaf: their answers to reports
    * tell.
    */
--- a/src/main/java/io/embernotch/machines/Leases.java
+++ b/src/main/java/io/embernotch/machines/Leases.java
@@ -39,14 +39,14 @@
     return settings.holdS() * (1 + Settings.DRIFT) + lifeS(settings);
   }
 
-  /** An earlier steward may have renewed a worker that has not seen our token until then. */
+  /** An earlier leader may have renewed a worker that has not seen our token until then. */
   private double othersUntil(Machine m) {
     return m.seenToken >= epochBase ? -1e9 : acquiredAt + settings.holdS() * (1 + Settings.DRIFT);
   }
 
   /**
    * True once the machine's worker must have killed everything: nobody can have renewed its lease
-   * for longer than it lasts, neither an earlier steward nor a controller cut off with the
+   * for longer than it lasts, neither an earlier leader nor a controller cut off with the
    * machine's zone.
    */
   boolean over(Machine m) {
--- a/src/main/java/io/embernotch/machines/Workers.java
+++ b/src/main/java/io/embernotch/machines/Workers.java
@@ -185,7 +185,7 @@
     m.heardAt = now;
     m.seenToken = r.token();
     if (r.token() >= epochBase && m.provenAt < 0) {
-      // Made after this stewardship began: no copy from before it.
+      // Made after this term began: no copy from before it.
       m.provenAt = now;
     }
     if (r.recallS() != null && m.recallAt < 0) {
--- a/src/main/java/io/embernotch/model/Era.java
+++ b/src/main/java/io/embernotch/model/Era.java
@@ -4,12 +4,12 @@
 import java.util.List;
 
 /**
- * One life of what the state service holds for us. It begins when the first steward finds nothing,
+ * One life of what the state service holds for us. It begins when the first leader finds nothing,
  * and anew after each loss of data.
  *
  * @param name no other era has it
  * @param stamp of its key, which every transaction of the era conditions on
- * @param floor added to the stamp of a steward's key to get its epoch: epochs go on rising when
+ * @param floor added to the stamp of a leader's key to get its epoch: epochs go on rising when
  *     stamps begin again
  * @param base the name under which the packed copy lies that it began with; null: it began with
  *     nothing
--- a/src/main/java/io/embernotch/model/Job.java
+++ b/src/main/java/io/embernotch/model/Job.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import java.util.stream.IntStream;
 
-/** A job and its progress, owned by the steward. */
+/** A job and its progress, owned by the leader. */
 public final class Job {
   /** A job that has failed on so many machines and succeeded nowhere is itself at fault. */
   public static final int MANY_MACHINES = 3;
--- a/src/main/java/io/embernotch/model/Machine.java
+++ b/src/main/java/io/embernotch/model/Machine.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** A rented machine as the steward knows it. */
+/** A rented machine as the leader knows it. */
 public final class Machine {
   public final String name;
   public MachineType type;
@@ -72,7 +72,7 @@
   public double deafSince = -1;
 
   /**
-   * When it was last proven to hear us, and so to be alive in this stewardship; below 0 if it was
+   * When it was last proven to hear us, and so to be alive in this term; below 0 if it was
    * not.
    */
   public double provenAt = -1;
--- a/src/main/java/io/embernotch/peer/Frame.java
+++ b/src/main/java/io/embernotch/peer/Frame.java
@@ -7,13 +7,13 @@
 
 /** What controllers say to each other. */
 public sealed interface Frame {
-  /** Who is there, whom it takes for the steward, and whether the state service answers it. */
-  record Beat(String node, String steward, long stewardEpoch, boolean stateOk) implements Frame {}
+  /** Who is there, whom it takes for the leader, and whether the state service answers it. */
+  record Beat(String node, String leader, long leaderEpoch, boolean stateOk) implements Frame {}
 
   /** A job was accepted: the value of its {@code job/} key. */
   record JobCreated(byte[] value) implements Frame {}
 
-  /** A user's request, forwarded to the steward. */
+  /** A user's request, forwarded to the leader. */
   record Ask(long id, What what, String ref) implements Frame {
     /** What the leader is asked for. */
     public enum What {
@@ -29,35 +29,35 @@
   /** The answer to the question with this number. */
   record Told(long id, int status, int retryAfterS, byte[] body) implements Frame {}
 
-  /** The steward's view of a machine in the receiver's part. */
+  /** The leader's view of a machine in the receiver's part. */
   record View(long epoch, MachineView view) implements Frame {}
 
-  /** The images that a machine has, least recently used first, for whoever is steward next. */
+  /** The images that a machine has, least recently used first, for whoever is leader next. */
   record Images(long epoch, String machine, List<String> images) implements Frame {}
 
   /** The machine is gone, or has moved to another part. */
   record Forget(long epoch, String machine) implements Frame {}
 
   /**
-   * A worker's report, passed on to the steward; {@link Told} answers it, unless {@code id} is 0.
-   * Only a steward whose key says that it takes them may be sent one: the former version drops the
+   * A worker's report, passed on to the leader; {@link Told} answers it, unless {@code id} is 0.
+   * Only a leader whose key says that it takes them may be sent one: the former version drops the
    * connection.
    */
   record Report(long id, WorkerReport report) implements Frame {}
 
   /**
-   * A controller is there, for a steward that takes reports: the number of this message, the
+   * A controller is there, for a leader that takes reports: the number of this message, the
    * highest one that was answered (0: none), and how long ago it last renewed a worker by itself;
    * below 0: never.
    */
   record Here(String node, long seq, long ack, double renewedAgoS) implements Frame {}
 
   /**
-   * The steward's answer: whether the controller may renew workers of its zone for a while if it is
+   * The leader's answer: whether the controller may renew workers of its zone for a while if it is
    * cut off.
    */
   record Noted(long epoch, long seq, boolean granted) implements Frame {}
 
-  /** The restarts that a round of the owner of a part proposes to the steward. */
+  /** The restarts that a round of the owner of a part proposes to the leader. */
   record Propose(String from, long epoch, List<Restart> restarts) implements Frame {}
 }
--- a/src/main/java/io/embernotch/peer/FrameCodec.java
+++ b/src/main/java/io/embernotch/peer/FrameCodec.java
@@ -58,8 +58,8 @@
     if (frame instanceof Frame.Beat f) {
       b.put(BEAT);
       text(b, f.node());
-      text(b, f.steward());
-      b.putLong(f.stewardEpoch());
+      text(b, f.leader());
+      b.putLong(f.leaderEpoch());
       flag(b, f.stateOk());
     } else if (frame instanceof Frame.JobCreated f) {
       b.put(JOB_CREATED);
--- a/src/main/java/io/embernotch/plan/Plan.java
+++ b/src/main/java/io/embernotch/plan/Plan.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the steward should do now. */
+/** What the leader should do now. */
 public final class Plan {
   /** A task and the machine that it is to start on. */
   public record Placement(int task, Machine machine) {}
--- a/src/main/java/io/embernotch/plan/Risk.java
+++ b/src/main/java/io/embernotch/plan/Risk.java
@@ -1,7 +1,7 @@
 package io.embernotch.plan;
 
 /**
- * How often machines and zones fail, as the steward has seen it.
+ * How often machines and zones fail, as the leader has seen it.
  *
  * @param machinePerS failures of one machine in a second
  * @param zonePerS the same of a zone
--- a/src/main/java/io/embernotch/progress/Committer.java
+++ b/src/main/java/io/embernotch/progress/Committer.java
@@ -30,8 +30,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes the progress of jobs, one transaction at a time. Each write conditions on the steward's
- * key and on the piece's own stamp, so that neither a deposed steward's transaction nor a late one
+ * Writes the progress of jobs, one transaction at a time. Each write conditions on the leader's
+ * key and on the piece's own stamp, so that neither a deposed leader's transaction nor a late one
  * of ours can be applied over a newer one. A transaction without an answer is unknown: its pieces
  * are read again before anything is written over them, and nobody is told of their success.
  */
@@ -242,7 +242,7 @@
     order.sort(
         Comparator.comparing((Map.Entry<String, Dirty> e) -> e.getValue().rank)
             .thenComparingDouble(e -> e.getValue().due));
-    Txn txn = new Txn().when(RunCodec.STEWARD, stamp);
+    Txn txn = new Txn().when(RunCodec.LEADER, stamp);
     Map<String, Dirty> batch = new LinkedHashMap<>();
     List<Job> tooLarge = new ArrayList<>();
     int bytes = 0;
@@ -306,7 +306,7 @@
       next();
       return;
     }
-    if (commit.failed().contains(RunCodec.STEWARD)) {
+    if (commit.failed().contains(RunCodec.LEADER)) {
       closed = true;
       deposed.run();
       return;
--- a/src/main/java/io/embernotch/progress/JobWatch.java
+++ b/src/main/java/io/embernotch/progress/JobWatch.java
@@ -71,7 +71,7 @@
       try {
         job = RunCodec.readJob(e.value());
       } catch (RuntimeException bad) {
-        // The next steward marks it; the watch goes on.
+        // The next leader marks it; the watch goes on.
         LOG.error("the value of {} can't be read: {}", e.key(), bad.toString());
         return;
       }
--- a/src/main/java/io/embernotch/relay/Reception.java
+++ b/src/main/java/io/embernotch/relay/Reception.java
@@ -23,12 +23,12 @@
 import java.util.stream.Collectors;
 
 /**
- * What a controller that is not steward does with the workers that report to it: it passes their
- * reports on to the steward, and its answers back. So workers stay where they are when the steward
- * changes. When all of them reported to the steward itself, a thousand connected to its successor
+ * What a controller that is not leader does with the workers that report to it: it passes their
+ * reports on to the leader, and its answers back. So workers stay where they are when the leader
+ * changes. When all of them reported to the leader itself, a thousand connected to its successor
  * at once, and a fifth of a core took up to 30 s to get over that.
  *
- * <p>While no steward is known, workers are told to stay. The next one is handed what they last
+ * <p>While no leader is known, workers are told to stay. The next one is handed what they last
  * said, so that it knows its machines before their next reports.
  */
 public final class Reception {
@@ -37,7 +37,7 @@
 
   private static final int MISDIRECTED = 421;
 
-  /** Reports handed to a new steward in one turn: more would not fit the connection's queue. */
+  /** Reports handed to a new leader in one turn: more would not fit the connection's queue. */
   private static final int SLICE = 48;
 
   /** What is needed of the controller. */
@@ -67,21 +67,21 @@
   private final Host host;
   private final double withinS;
 
-  /** So long a steward that does not answer is waited for. */
+  /** So long a leader that does not answer is waited for. */
   private final double patienceS;
 
   private final Map<String, Last> last;
   private final Set<Parked> parked = new LinkedHashSet<>();
-  private String steward;
+  private String leader;
   private long epoch;
 
-  /** The latest stewardship that was ever known here. */
+  /** The latest term that was ever known here. */
   private long newest;
 
   private boolean relays;
   private double changedAt;
 
-  /** The first report passed on since the steward last answered one; below 0 if there is none. */
+  /** The first report passed on since the leader last answered one; below 0 if there is none. */
   private double unansweredSince = -1;
 
   private double tryAt;
@@ -99,11 +99,11 @@
   }
 
   /**
-   * Another steward is known, or none. {@code takesReports} tells of a version that is passed
+   * Another leader is known, or none. {@code takesReports} tells of a version that is passed
    * reports.
    */
-  public void stewardIs(String node, long newEpoch, boolean takesReports) {
-    boolean same = Objects.equals(node, steward) && newEpoch == epoch;
+  public void leaderIs(String node, long newEpoch, boolean takesReports) {
+    boolean same = Objects.equals(node, leader) && newEpoch == epoch;
     if (same && takesReports == relays) {
       return;
     }
@@ -111,7 +111,7 @@
       changedAt = env.clock().now();
       unansweredSince = -1;
     }
-    steward = node;
+    leader = node;
     epoch = newEpoch;
     newest = Math.max(newest, newEpoch);
     relays = takesReports;
@@ -125,16 +125,16 @@
     }
   }
 
-  /** Tells the steward that we are here; called a few times in a report period. */
+  /** Tells the leader that we are here; called a few times in a report period. */
   public void beat() {
-    if (steward != null && relays && !steward.equals(env.settings().node())) {
-      host.send(steward, standby.here());
+    if (leader != null && relays && !leader.equals(env.settings().node())) {
+      host.send(leader, standby.here());
     }
   }
 
   public void noted(Frame.Noted n) {
-    if (n.epoch() == epoch && steward != null) {
-      waiting.add(steward);
+    if (n.epoch() == epoch && leader != null) {
+      waiting.add(leader);
       standby.noted(n);
     }
   }
@@ -165,7 +165,7 @@
     }
     int end = Math.min(reports.size(), from + SLICE);
     for (WorkerReport r : reports.subList(from, end)) {
-      host.send(steward, new Frame.Report(0, r));
+      host.send(leader, new Frame.Report(0, r));
     }
     if (end < reports.size()) {
       env.timers()
@@ -173,39 +173,39 @@
     }
   }
 
-  /** A worker reports to this controller while another one, or none, is steward. */
+  /** A worker reports to this controller while another one, or none, is leader. */
   public Future<Answer> report(WorkerReport r) {
     double now = env.clock().now();
     Last before = last.get(r.machine());
     if (before == null || r.newerThan(before.report.session(), before.report.seq())) {
-      // A copy of an older one is no sign of life, and must not be handed to the next steward as
+      // A copy of an older one is no sign of life, and must not be handed to the next leader as
       // one.
       last.put(r.machine(), new Last(r, now));
     }
     if (Tokens.epochOf(r.token()) > newest && host.badlyPlaced()) {
-      // A steward that we know nothing of has reached this worker, and serves it elsewhere.
+      // A leader that we know nothing of has reached this worker, and serves it elsewhere.
       return Future.succeededFuture(misdirected(null));
     }
-    Answer renewal = standby.renewal(r, steward);
+    Answer renewal = standby.renewal(r, leader);
     if (renewal != null) {
       return Future.succeededFuture(renewal);
     }
-    if (steward == null) {
-      // Elsewhere a steward may be known: a node that is cut off must not keep its workers.
+    if (leader == null) {
+      // Elsewhere a leader may be known: a node that is cut off must not keep its workers.
       boolean leave = now - changedAt > patienceS && host.badlyPlaced();
       return leave ? Future.succeededFuture(misdirected(null)) : park(r);
     }
     boolean deaf = unansweredSince >= 0 && now - unansweredSince > patienceS;
     if (!relays || (deaf && now < tryAt)) {
-      return Future.succeededFuture(misdirected(steward));
+      return Future.succeededFuture(misdirected(leader));
     }
     if (deaf) {
-      // Once in a while one report tells whether the steward answers again.
+      // Once in a while one report tells whether the leader answers again.
       tryAt = now + patienceS / 2;
     }
     unansweredSince = unansweredSince < 0 ? now : unansweredSince;
     long to = epoch;
-    return host.ask(steward, id -> new Frame.Report(id, r), withinS)
+    return host.ask(leader, id -> new Frame.Report(id, r), withinS)
         .map(
             a -> {
               if (a.status() == 503) {
@@ -218,7 +218,7 @@
             });
   }
 
-  /** Waits a moment for a steward, so that the worker's lease counts from this report. */
+  /** Waits a moment for a leader, so that the worker's lease counts from this report. */
   private Future<Answer> park(WorkerReport r) {
     Parked p = new Parked(r);
     parked.add(p);
@@ -233,7 +233,7 @@
     return p.reply.future();
   }
 
-  /** A steward is known, here or elsewhere: those who wait are answered by it. */
+  /** A leader is known, here or elsewhere: those who wait are answered by it. */
   public void unpark(Function<WorkerReport, Future<Answer>> by) {
     List<Parked> all = List.copyOf(parked);
     parked.clear();
@@ -244,11 +244,11 @@
     return Answer.of(200, WorkerCodec.stay());
   }
 
-  /** Names the steward to a worker, or nobody. */
-  public static Answer misdirected(String steward) {
+  /** Names the leader to a worker, or nobody. */
+  public static Answer misdirected(String leader) {
     ObjectNode o = Json.object();
-    if (steward != null) {
-      o.put("steward", steward);
+    if (leader != null) {
+      o.put("steward", leader);
     }
     return Answer.of(MISDIRECTED, Json.bytes(o));
   }
--- a/src/main/java/io/embernotch/relay/Standby.java
+++ b/src/main/java/io/embernotch/relay/Standby.java
@@ -15,9 +15,9 @@
 /**
  * A controller's right to renew the workers of its own zone while it is cut off with them. Without
  * it all that runs behind a cut ends with its lease, though nothing is wrong there. The right is
- * given by a live steward with each {@link Frame.Noted}, counts from the sending of what that
- * answers, and is used only once the steward has not answered for {@link Settings#contactS}. {@link
- * Delegations} is the steward's side, which knows until when such renewals may have gone on.
+ * given by a live leader with each {@link Frame.Noted}, counts from the sending of what that
+ * answers, and is used only once the leader has not answered for {@link Settings#contactS}. {@link
+ * Delegations} is the leader's side, which knows until when such renewals may have gone on.
  */
 public final class Standby {
   private static final int REMEMBERED = 64;
@@ -28,7 +28,7 @@
   private long ack;
 
   /**
-   * When the last message was sent that a steward has answered; the same for those that gave the
+   * When the last message was sent that a leader has answered; the same for those that gave the
    * right.
    */
   private double contactAt;
@@ -36,7 +36,7 @@
   private double grantedAt = -1e9;
   private double renewedAt = -1;
 
-  /** When each worker was last sent to look for the steward itself. */
+  /** When each worker was last sent to look for the leader itself. */
   private final Map<String, Double> awayAt;
 
   public Standby(Env env) {
@@ -71,10 +71,10 @@
 
   /**
    * The answer that renews a worker's lease under the token it has; null if that is not for us to
-   * give. Now and then, with a fresh lease, a worker is sent to look for the steward itself:
+   * give. Now and then, with a fresh lease, a worker is sent to look for the leader itself:
    * perhaps only we are cut off, and it would get no orders here.
    */
-  public Answer renewal(WorkerReport r, String steward) {
+  public Answer renewal(WorkerReport r, String leader) {
     double now = env.clock().now();
     Settings s = env.settings();
     boolean cutOff = now - contactAt > s.contactS() * (1 + Settings.DRIFT);
@@ -86,7 +86,7 @@
         awayAt.putIfAbsent(r.machine(), now - s.workers().leaseS() / 2 + s.workers().reportS() / 4);
     if (away != null && now - away > s.workers().leaseS() / 2) {
       awayAt.put(r.machine(), now);
-      return Reception.misdirected(steward);
+      return Reception.misdirected(leader);
     }
     renewedAt = now;
     return Answer.of(200, WorkerCodec.response(r.token(), List.of()));
--- a/src/main/java/io/embernotch/reserve/HoldKeeper.java
+++ b/src/main/java/io/embernotch/reserve/HoldKeeper.java
@@ -25,7 +25,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What is held for reservations, by this steward and for the next one. Nothing that the store says
+ * What is held for reservations, by this leader and for the next one. Nothing that the store says
  * is held is given to others before the store says that it no longer is: what is more in the store
  * than a plan wants counts as held until the commit that gives it up is answered. What a plan wants
  * more counts at once.
@@ -272,7 +272,7 @@
   /**
    * Nothing is known against the machine, it just can't be planned with; or, right after a
    * takeover, it has not been heard yet. What is held on such machines was once given up by each
-   * new steward, and lent when they reported.
+   * new leader, and lent when they reported.
    */
   private boolean mayComeBack(Machine m, double now) {
     if (m == null) {
--- a/src/main/java/io/embernotch/rounds/PartPost.java
+++ b/src/main/java/io/embernotch/rounds/PartPost.java
@@ -6,7 +6,7 @@
 import io.embernotch.straggler.PartKeeper;
 
 /**
- * Brings a steward's views of machines to the controllers in whose parts they are, this one or
+ * Brings a leader's views of machines to the controllers in whose parts they are, this one or
  * another.
  */
 public final class PartPost {
--- a/src/main/java/io/embernotch/settings/Settings.java
+++ b/src/main/java/io/embernotch/settings/Settings.java
@@ -108,16 +108,16 @@
   /** Steady clocks of two machines drift apart by at most this share, with some to spare. */
   public static final double DRIFT = 0.001;
 
-  /** Life of the steward's state lease in seconds. */
-  public double stewardLeaseS(OperatorSettings operator) {
+  /** Life of the leader's state lease in seconds. */
+  public double leaderLeaseS(OperatorSettings operator) {
     return operator.leaseReports() > 0
         ? workers.reportS() * operator.leaseReports()
         : workers.leaseS() * operator.leaseShare();
   }
 
   /**
-   * How long worker leases are renewed by those who cannot reach a steward or prove to be one: a
-   * steward cut off from the state service, and a controller cut off with its zone. One worker
+   * How long worker leases are renewed by those who cannot reach a leader or prove to be one: a
+   * leader cut off from the state service, and a controller cut off with its zone. One worker
    * lease longer than {@link #formerHoldS}; so a cancellation is only told once each task of the
    * job is proven gone, or must be in time whoever renews ("ran_cancelled" in ARCHITECTURE).
    */
@@ -133,7 +133,7 @@
     return 0.8 * Math.max(0, workers.cancelS() - workers.leaseS());
   }
 
-  /** A controller that has had no answer of the steward for so long is out of contact with it. */
+  /** A controller that has had no answer of the leader for so long is out of contact with it. */
   public double contactS() {
     return workers.leaseS() / 4;
   }
--- a/src/main/java/io/embernotch/shared/InForce.java
+++ b/src/main/java/io/embernotch/shared/InForce.java
@@ -10,7 +10,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the operators' files say, of the highest generation that any steward had. A steward with a
+ * What the operators' files say, of the highest generation that any leader had. A leader with a
  * newer file writes what it says, and goes by it once that is in the store; one with an older file
  * goes by what is there, and never writes.
  *
--- a/src/main/java/io/embernotch/shared/SharedState.java
+++ b/src/main/java/io/embernotch/shared/SharedState.java
@@ -19,8 +19,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Facts that a stewardship hands to the next one: under {@code shared/} in the state service, read
- * before anything is planned, written by the steward alone with its key and each fact's own stamp
+ * Facts that a term hands to the next one: under {@code shared/} in the state service, read
+ * before anything is planned, written by the leader alone with its key and each fact's own stamp
  * as conditions. What is told of a fact is only what the store is known to hold: a change counts
  * once its commit is answered. A commit without an answer is unknown, and the keys are read again
  * before anything else is written.
@@ -55,9 +55,9 @@
   private long edition;
 
   /**
-   * @param stamp of the steward's key
-   * @param firstVersion of what this stewardship writes: above those of all before it
-   * @param deposed told when a commit fails on the steward's key
+   * @param stamp of the leader's key
+   * @param firstVersion of what this term writes: above those of all before it
+   * @param deposed told when a commit fails on the leader's key
    */
   public SharedState(Env env, long stamp, long firstVersion, Runnable deposed) {
     this.env = env;
@@ -164,7 +164,7 @@
     if (busy || closed || wanted.isEmpty()) {
       return;
     }
-    Txn txn = new Txn().when(RunCodec.STEWARD, stamp);
+    Txn txn = new Txn().when(RunCodec.LEADER, stamp);
     Map<String, Change> batch = new LinkedHashMap<>();
     int bytes = 0;
     for (Map.Entry<String, Change> e : wanted.entrySet()) {
@@ -189,7 +189,7 @@
       return;
     }
     if (!commit.applied()) {
-      if (commit.failed().contains(RunCodec.STEWARD)) {
+      if (commit.failed().contains(RunCodec.LEADER)) {
         closed = true;
         deposed.run();
         return;
--- a/src/main/java/io/embernotch/snapshot/Snapshots.java
+++ b/src/main/java/io/embernotch/snapshot/Snapshots.java
@@ -10,7 +10,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes snapshots now and then while this node is steward, if the operators named a directory. */
+/** Takes snapshots now and then while this node is leader, if the operators named a directory. */
 public final class Snapshots {
   private static final Logger LOG = LoggerFactory.getLogger(Snapshots.class);
 
@@ -37,7 +37,7 @@
   }
 
   /**
-   * Time has gone by on a steward; {@code copy}: what it knows, null if it knows too little yet.
+   * Time has gone by on a leader; {@code copy}: what it knows, null if it knows too little yet.
    */
   public void tick(String era, Supplier<Copy> copy) {
     double now = env.clock().now();
--- a/src/main/java/io/embernotch/store/StoreClient.java
+++ b/src/main/java/io/embernotch/store/StoreClient.java
@@ -37,14 +37,14 @@
   /**
    * Shares of the requests that the service takes. They add up to less than all, since leases go
    * beyond them. When each controller took 0.7 of them, polls that three controllers read from the
-   * store while nobody was steward had 1,500 requests refused on one simulated day.
+   * store while nobody was leader had 1,500 requests refused on one simulated day.
    */
   private static final double LEADING_REQUESTS = 0.5;
 
   private static final double FOLLOWING_REQUESTS = 0.2;
 
   /**
-   * The steward writes most; the others only the submissions that they take. The shares of three
+   * The leader writes most; the others only the submissions that they take. The shares of three
    * controllers add up to the limit: beyond it the service refuses everything, leases included, and
    * trying again is what keeps it there.
    */
@@ -87,7 +87,7 @@
     this.timeoutS = settings.workers().reportS() / 2;
   }
 
-  /** This controller is steward from now on, or no longer. */
+  /** This controller is leader from now on, or no longer. */
   public void leading(boolean leads) {
     writes.rate(settings.stateFloor().writeRps() * (leads ? LEADING_SHARE : FOLLOWING_SHARE));
     requests.rate(settings.stateFloor().rps() * (leads ? LEADING_REQUESTS : FOLLOWING_REQUESTS));
--- a/src/main/java/io/embernotch/straggler/PartKeeper.java
+++ b/src/main/java/io/embernotch/straggler/PartKeeper.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * A controller's part: the latest view of each machine in it, as the steward streams them. The
- * views of an earlier steward, and those that are not renewed, are forgotten.
+ * A controller's part: the latest view of each machine in it, as the leader streams them. The
+ * views of an earlier leader, and those that are not renewed, are forgotten.
  */
 public final class PartKeeper {
   private record Held(MachineView view, double at) {}
@@ -23,19 +23,19 @@
     this.forgetS = forgetS;
   }
 
-  public void put(long stewardEpoch, MachineView view) {
-    if (stewardEpoch < epoch) {
+  public void put(long leaderEpoch, MachineView view) {
+    if (leaderEpoch < epoch) {
       return;
     }
-    if (stewardEpoch > epoch) {
-      epoch = stewardEpoch;
+    if (leaderEpoch > epoch) {
+      epoch = leaderEpoch;
       views.clear();
     }
     views.put(view.machine(), new Held(view, clock.now()));
   }
 
-  public void forget(long stewardEpoch, String machine) {
-    if (stewardEpoch == epoch) {
+  public void forget(long leaderEpoch, String machine) {
+    if (leaderEpoch == epoch) {
       views.remove(machine);
     }
   }
--- a/src/main/java/io/embernotch/users/PollTurns.java
+++ b/src/main/java/io/embernotch/users/PollTurns.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 
 /**
- * Which polls are answered where more come than a node can ask the steward about. A job whose every
+ * Which polls are answered where more come than a node can ask the leader about. A job whose every
  * question is refused for {@link #FORGOTTEN_S} is as good as forgotten, so who is refused must not
  * be left to chance: the fewer polls can still be answered, the longer a job must have gone without
  * an answer here to get one. With {@code n} jobs polled at a node that can answer {@code c} polls a
--- a/src/main/java/io/embernotch/users/StoredStatus.java
+++ b/src/main/java/io/embernotch/users/StoredStatus.java
@@ -17,7 +17,7 @@
 import java.util.function.Supplier;
 
 /**
- * The state of a job as the store alone tells it, while no steward answers. The store answers with
+ * The state of a job as the store alone tells it, while no leader answers. The store answers with
  * the newest it was told, so any node may pass that on: no older answer than one already given can
  * come of it.
  *
--- a/src/main/java/io/embernotch/users/Submissions.java
+++ b/src/main/java/io/embernotch/users/Submissions.java
@@ -62,7 +62,7 @@
   private final Awaited awaited;
 
   /**
-   * Descriptions that this node has lately written: a steward that knew nothing of them yet may
+   * Descriptions that this node has lately written: a leader that knew nothing of them yet may
    * lose them.
    */
   private final Map<String, byte[]> accepted;
@@ -197,7 +197,7 @@
   }
 
   /**
-   * Another controller may have changes to spare while a steward's go to starts; it is given a few
+   * Another controller may have changes to spare while a leader's go to starts; it is given a few
    * submissions at a time. A flood is still refused at once.
    */
   private Future<Answer> handOn(byte[] body, Answer refusal) {
--- a/src/main/java/io/embernotch/weights/WeightsKeeper.java
+++ b/src/main/java/io/embernotch/weights/WeightsKeeper.java
@@ -20,7 +20,7 @@
 import java.util.TreeMap;
 
 /**
- * Which machines have the weights of live services, handed to the next steward through the store:
+ * Which machines have the weights of live services, handed to the next leader through the store:
  * what controllers tell each other of images is gone when all of them end. Only where it pays:
  * images of services whose fetch takes longer than a report period. A few pieces are written in
  * turn, one at a time, so it is never a burst. What is stale costs a fetch and nothing else: a
@@ -73,7 +73,7 @@
             });
   }
 
-  /** What a former steward knew a machine to have. */
+  /** What a former leader knew a machine to have. */
   public List<String> of(String machine) {
     return known.getOrDefault(machine, List.of());
   }
--- a/src/test/java/io/embernotch/calendar/CalendarTest.java
+++ b/src/test/java/io/embernotch/calendar/CalendarTest.java
@@ -125,7 +125,7 @@
                   "calendar { release { id: 'early' zone: 'UTC' time: '00:30' day: THURSDAY orders { job_class: 'desk' } }"));
     }
     assertThat(poll("j-3").get("release").asText()).isEqualTo("late/1970-01-01");
-    world.submit(world.steward().index, of("wire", "j-5", 16));
+    world.submit(world.leader().index, of("wire", "j-5", 16));
     world.pass(4);
     assertThat(poll("j-5").get("release").asText()).isEqualTo("morning/1970-01-01");
   }
--- a/src/test/java/io/embernotch/controller/FaultSequencesTest.java
+++ b/src/test/java/io/embernotch/controller/FaultSequencesTest.java
@@ -1,4 +1,4 @@
-package io.embernotch.steward;
+package io.embernotch.controller;
 
 import static io.embernotch.testkit.World.job;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Three hundred machines: what is hard to tell from the outside, alone and all together. */
-class BadNightsTest {
+class FaultSequencesTest {
   private static final int MACHINES = 300;
   private static final int DEAF = 10;
   private static final int REPLICAS = 1200;
@@ -77,7 +77,7 @@
   void deafMachinesCostServicesNoMoreThanDeadOnes() {
     double deaf = withDeaf();
     assertThat(world.broken()).isEmpty();
-    BadNightsTest dead = new BadNightsTest();
+    FaultSequencesTest dead = new FaultSequencesTest();
     dead.services();
     dead.hit.forEach(w -> w.cut = true);
     double cut = dead.worstHalfMinute(120, () -> {});
@@ -86,7 +86,7 @@
   }
 
   /**
-   * Deaf machines, copies of all that was reported 40 s ago, the steward alone with its workers,
+   * Deaf machines, copies of all that was reported 40 s ago, the leader alone with its workers,
    * and all back at once.
    */
   @Test
@@ -96,7 +96,7 @@
     hit.forEach(w -> w.deaf = true);
     List<FakeWorker> sound = world.workers.values().stream().filter(w -> !w.deaf).toList();
     List<Long> sessions = sound.stream().map(w -> w.session).toList();
-    Node alone = world.steward();
+    Node alone = world.leader();
     alone.noState = true;
     alone.noPeers = true;
     int[] second = new int[1];
--- a/src/test/java/io/embernotch/controller/HeartbeatForwardingTest.java
+++ b/src/test/java/io/embernotch/controller/HeartbeatForwardingTest.java
@@ -1,4 +1,7 @@
-package io.embernotch.steward;
+package io.embernotch.controller;
+
+import io.embernotch.leader.HeartbeatQueue;
+import io.embernotch.leader.LeaderMessage;
 
 import static io.embernotch.testkit.World.job;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -22,8 +25,8 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Workers whose reports a controller passes on, or keeps until there is a steward. */
-class ReceptionTest {
+/** Workers whose reports a controller passes on, or keeps until there is a leader. */
+class HeartbeatForwardingTest {
   private final World world = new World(3, 10);
 
   /** Machines that report to the given controller, with room for eight tasks each. */
@@ -63,7 +66,7 @@
   }
 
   @Test
-  void workersStayWhereTheyAreWhenTheStewardChangesAndItsSuccessorKnowsThemAtOnce() {
+  void workersStayWhereTheyAreWhenTheLeaderChangesAndItsSuccessorKnowsThemAtOnce() {
     Node old = world.settle(2);
     machines(6, world.other(old));
     world.submit(0, job("j-1", "standing", 8));
@@ -73,7 +76,7 @@
     old.kill();
     // Its key lasts three seconds more; then reports need not be waited for.
     world.pass(4);
-    Node now = world.steward();
+    Node now = world.leader();
     assertThat(now).isNotNull().isNotSameAs(old);
     world.submit(now.index, job("j-2", "standing", 8));
     world.pass(1.5);
@@ -85,7 +88,7 @@
   }
 
   @Test
-  void withoutAStewardWorkersAreToldToStayAndNothingIsRenewed() {
+  void withoutALeaderWorkersAreToldToStayAndNothingIsRenewed() {
     Node old = world.settle(2);
     Node follower = world.other(old);
     machines(1, follower);
@@ -107,13 +110,13 @@
     refused.noState = true;
     refused.noPeers = true;
     world.pass(12);
-    // It can neither pass anything on nor learn who is steward.
+    // It can neither pass anything on nor learn who is leader.
     assertThat(world.workers.values()).allMatch(w -> w.node != refused.index);
     assertThat(world.cloud.deleted).isEmpty();
   }
 
   @Test
-  void aStewardOfTheFormerVersionIsNotPassedReports() {
+  void aLeaderOfTheFormerVersionIsNotPassedReports() {
     Node old = world.settle(2);
     world.nodes.forEach(Node::kill);
     world.pass(5);
@@ -131,7 +134,7 @@
   }
 
   @Test
-  void aStewardThatNoWorkerReachesHearsThemThroughOthers() {
+  void aLeaderThatNoWorkerReachesHearsThemThroughOthers() {
     Node old = world.settle(2);
     busy(4, old);
     old.noWorkers = true;
@@ -139,30 +142,30 @@
     world.submit(0, job("j-3", "standing", 8));
     world.pass(35);
     // Direct commands fail, so the starts go out with the answers to reports.
-    assertThat(world.steward()).isSameAs(old);
+    assertThat(world.leader()).isSameAs(old);
     assertThat(world.running("j-3")).hasSize(8);
     assertThat(world.cloud.deleted).isEmpty();
   }
 
   @Test
-  void aStewardThatHearsMostMachinesNoMoreGivesWay() {
+  void aLeaderThatHearsMostMachinesNoMoreGivesWay() {
     Node old = world.settle(2);
     busy(10, world.other(old));
     world.nodes.forEach(n -> n.noWorkers = true);
     world.pass(18);
-    assertThat(world.steward()).isNotSameAs(old);
+    assertThat(world.leader()).isNotSameAs(old);
     // What holds replicas is waited for; what is returned held nothing.
     assertThat(world.running("j-100")).hasSize(8);
   }
 
   @Test
-  void moreThanHalfOfTheMachinesMayFallSilentAndTheStewardGoesOn() {
-    // A zone can hold more than half: each steward in turn then took itself for the one cut off.
+  void moreThanHalfOfTheMachinesMayFallSilentAndTheLeaderGoesOn() {
+    // A zone can hold more than half: each leader in turn then took itself for the one cut off.
     Node old = world.settle(2);
     busy(10, old);
     world.workers.values().stream().limit(6).forEach(w -> w.cut = true);
     world.pass(29);
-    assertThat(world.steward()).isSameAs(old);
+    assertThat(world.leader()).isSameAs(old);
     assertThat(world.cloud.deleted).hasSize(6);
   }
 
@@ -188,7 +191,7 @@
     }
     world.state.slowLists = false;
     world.pass(8);
-    assertThat(world.steward()).isNotNull();
+    assertThat(world.leader()).isNotNull();
     // The pages that were read are not asked for again, and what was reported meanwhile is known.
     assertThat(Json.parseObject(report(now, w).body()).has("baton")).isTrue();
   }
@@ -197,7 +200,7 @@
   void aFloodOfReportsLeavesTurnsToEverythingElse() {
     FakeTime time = new FakeTime();
     List<String> order = new ArrayList<>();
-    ReportQueue queue = new ReportQueue(time, time, m -> order.add("report"), m -> {});
+    HeartbeatQueue queue = new HeartbeatQueue(time, time, m -> order.add("report"), m -> {});
     time.after(0.0015, () -> order.add("commit"));
     for (int i = 0; i < 100; i++) {
       queue.add(reported(i, 1));
@@ -210,8 +213,8 @@
     assertThat(order).hasSize(102);
   }
 
-  private static StewardMessage.Report reported(int machine, long seq) {
-    return new StewardMessage.Report(
+  private static LeaderMessage.HeartbeatReceived reported(int machine, long seq) {
+    return new LeaderMessage.HeartbeatReceived(
         new WorkerReport(
             "n-" + machine, "10.0.1.1:9000", "g8", "z1", false, 1, seq, 0, null, List.of()),
         0,
@@ -227,8 +230,8 @@
     FakeTime time = new FakeTime();
     double[] at = new double[1000];
     List<Double> ages = new ArrayList<>();
-    ReportQueue queue =
-        new ReportQueue(
+    HeartbeatQueue queue =
+        new HeartbeatQueue(
             time,
             (after, task) -> time.after(after + 0.1, task),
             m -> {
@@ -252,7 +255,7 @@
     assertThat(ages.stream().sorted().toList().get(ages.size() / 2)).isLessThan(1);
   }
 
-  /** It made a machine look alive to the next steward. */
+  /** It made a machine look alive to the next leader. */
   @Test
   void aCopyOfWhatWasReportedLongAgoIsNotHandedOn() {
     FakeTime time = new FakeTime();
@@ -270,7 +273,7 @@
             () -> "x",
             null);
     Reception reception = new Reception(env, null);
-    reception.stewardIs("c1", 1, false);
+    reception.leaderIs("c1", 1, false);
     reception.report(reported(1, 7).report());
     time.pass(40);
     reception.report(reported(1, 6).report());
--- a/src/test/java/io/embernotch/controller/InvariantsTest.java
+++ b/src/test/java/io/embernotch/controller/InvariantsTest.java
@@ -1,4 +1,4 @@
-package io.embernotch.steward;
+package io.embernotch.controller;
 
 import static io.embernotch.testkit.World.job;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Each rule of the protocol under the failure most likely to break it. */
-class RulesTest {
+class InvariantsTest {
   private final World world = new World(3);
 
   /** Has a job running on machines, and returns where. */
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void aLateDirectCommandOfADeposedStewardStartsNothing() {
+  void aLateDirectCommandOfADeposedLeaderStartsNothing() {
     Node old = world.settle(2);
     String name = world.boot("g8", "z1", true);
     world.pass(8);
@@ -200,12 +200,12 @@
   }
 
   @Test
-  void aStewardCutFromTheStoreIsReplacedAndStartsNothingMore() {
+  void aLeaderCutFromTheStoreIsReplacedAndStartsNothingMore() {
     Node old = world.settle(2);
     run(job("j-11", "array", 2), "j-11", 2);
     old.noState = true;
     world.pass(8);
-    Node now = world.steward();
+    Node now = world.leader();
     assertThat(now).isNotNull().isNotSameAs(old);
     assertThat(world.submit(now.index, job("j-12", "array", 2)).status()).isEqualTo(201);
     world.pass(10);
@@ -214,13 +214,13 @@
   }
 
   @Test
-  void aStewardCutFromTheOtherNodesToo() {
+  void aLeaderCutFromTheOtherNodesToo() {
     Node old = world.settle(2);
     run(job("j-13", "array", 2), "j-13", 2);
     old.noState = true;
     old.noPeers = true;
     world.pass(60);
-    assertThat(world.steward()).isNotNull().isNotSameAs(old);
+    assertThat(world.leader()).isNotNull().isNotSameAs(old);
     assertThat(world.running("j-13")).hasSize(2);
   }
 
@@ -273,20 +273,20 @@
   }
 
   @Test
-  void anEndThatOthersMayReadInTheStoreIsNotDeniedByAStewardWithoutItsAnswer() {
-    Node steward = world.settle(8);
+  void anEndThatOthersMayReadInTheStoreIsNotDeniedByALeaderWithoutItsAnswer() {
+    Node leader = world.settle(8);
     run(job("j-18", "array", 1), "j-18", 1);
     world.commitFate = Fate.HELD;
     world.finish("j-18");
     world.pass(3);
     world.releaseHeld();
     assertThat(world.endInStore("j-18")).isEqualTo("done");
-    // The steward can't tell, so the store is asked; before, it said running.
-    assertThat(world.phase(steward.index, "j-18")).isEqualTo("done");
+    // The leader can't tell, so the store is asked; before, it said running.
+    assertThat(world.phase(leader.index, "j-18")).isEqualTo("done");
   }
 
   @Test
-  void withoutAStewardAnAcceptedJobIsStillKnown() {
+  void withoutALeaderAnAcceptedJobIsStillKnown() {
     Node old = world.settle(8);
     Node follower = world.other(old);
     assertThat(world.submit(follower.index, job("j-19", "array", 1)).status()).isEqualTo(201);
@@ -369,7 +369,7 @@
 
   @Test
   void aMachineThatWasCutWhenLeadershipMovedIsReplacedSoon() {
-    // It had never reported to the new steward, and was once taken for a machine still booting.
+    // It had never reported to the new leader, and was once taken for a machine still booting.
     Node old = world.settle(2);
     run(job("j-25", "standing", 8), "j-25", 8);
     run(job("j-26", "standing", 8), "j-26", 8);
--- a/src/test/java/io/embernotch/controller/JobDependenciesTest.java
+++ b/src/test/java/io/embernotch/controller/JobDependenciesTest.java
@@ -1,4 +1,4 @@
-package io.embernotch.steward;
+package io.embernotch.controller;
 
 import static io.embernotch.testkit.World.after;
 import static io.embernotch.testkit.World.job;
@@ -17,7 +17,7 @@
 /**
  * Jobs that wait for others: nothing starts too early, and no job is left behind a cancelled one.
  */
-class ChainsTest {
+class JobDependenciesTest {
   private final World world = new World(3);
 
   private void accept(int node, String json) {
@@ -114,11 +114,11 @@
     assertThat(world.running("j-1")).hasSize(1);
     assertThat(world.running("j-2")).isEmpty();
     world.finish("j-1");
-    // The next steward goes right after the end is committed.
+    // The next leader goes right after the end is committed.
     for (int i = 0; i < 200 && world.endInStore("j-1") == null; i++) {
       world.pass(0.05);
     }
-    Node second = world.steward();
+    Node second = world.leader();
     if (second != null) {
       old.start();
       second.kill();
@@ -166,7 +166,7 @@
   }
 
   @Test
-  void aCascadeIsTakenUpByTheNextStewardWhereverTheFirstOneStopped() {
+  void aCascadeIsTakenUpByTheNextLeaderWhereverTheFirstOneStopped() {
     Node old = world.settle(4);
     accept(0, job("j-0", "array", 1));
     for (int i = 1; i < 40; i++) {
@@ -174,10 +174,10 @@
     }
     world.pass(10);
     assertThat(world.abort(old.index, "j-0").status()).isEqualTo(200);
-    // Only the first end is sure to be in the store; the steward goes.
+    // Only the first end is sure to be in the store; the leader goes.
     old.kill();
     Node left = world.other(old);
-    // Without a steward the store tells, as far as it is asked; it never says queued.
+    // Without a leader the store tells, as far as it is asked; it never says queued.
     for (String ref : new String[] {"j-1", "j-5", "j-39"}) {
       assertThat(world.phase(left.index, ref)).isIn("cancelled", "status 503");
     }
@@ -195,7 +195,7 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.01, 0.05, 0.2, 1})
-  void noStepOfACascadeIsLostWithItsSteward(double afterS) {
+  void noStepOfACascadeIsLostWithItsLeader(double afterS) {
     Node old = world.settle(4);
     accept(0, job("j-0", "array", 1));
     for (int i = 1; i <= 60; i++) {
@@ -242,8 +242,8 @@
 
   @Test
   void whatANameIsOnlyTheStoreTells() {
-    Node steward = world.settle(4);
-    Node n = world.other(steward);
+    Node leader = world.settle(4);
+    Node n = world.other(leader);
     accept(n.index, job("j-1", "standing", 1));
     accept(n.index, job("j-2", "array", 1));
     Answer never = world.submit(n.index, after("j-3", 1, "j-2", "j-77"));
@@ -259,20 +259,20 @@
     accept(n.index, job("j-4", "array", 1).replace("}", ",\"awaits\":[]}"));
     // A store that does not answer proves nothing.
     world.state.outage = true;
-    Answer later = world.submit(steward.index, after("j-5", 1, "j-66"));
+    Answer later = world.submit(leader.index, after("j-5", 1, "j-66"));
     assertThat(later.status()).isEqualTo(503);
     assertThat(later.retryAfterS()).isPositive();
     world.state.recover();
     world.pass(3);
-    assertThat(world.submit(steward.index, after("j-5", 1, "j-66")).status()).isEqualTo(422);
+    assertThat(world.submit(leader.index, after("j-5", 1, "j-66")).status()).isEqualTo(422);
   }
 
   @Test
-  void aStewardThatHasNotHeardOfANamedJobWaitsForIt() {
-    Node steward = world.settle(4);
-    accept(steward.index, job("j-9", "array", 1));
+  void aLeaderThatHasNotHeardOfANamedJobWaitsForIt() {
+    Node leader = world.settle(4);
+    accept(leader.index, job("j-9", "array", 1));
     // Both were written by a node whose messages do not arrive, and the watch has not told either.
-    Node n = world.other(steward);
+    Node n = world.other(leader);
     n.noPeers = true;
     accept(n.index, job("j-1", "array", 1));
     accept(n.index, after("j-2", 1, "j-1"));
@@ -286,7 +286,7 @@
 
   @Test
   void aRepeatedSubmissionGetsItsStateWhateverWouldBeSaidOfItNow() {
-    Node steward = world.settle(4);
+    Node leader = world.settle(4);
     accept(0, job("j-1", "array", 1));
     world.pass(15);
     for (Node n : world.nodes) {
@@ -297,6 +297,6 @@
       String names = "j-" + "9".repeat(60);
       assertThat(world.submit(n.index, after("j-1", 1, names)).status()).isEqualTo(200);
     }
-    assertThat(world.submit(steward.index, "{\"ref\":\"j-8\"}").status()).isEqualTo(400);
+    assertThat(world.submit(leader.index, "{\"ref\":\"j-8\"}").status()).isEqualTo(400);
   }
 }
--- a/src/test/java/io/embernotch/controller/ProcessIncarnationsRandomizedTest.java
+++ b/src/test/java/io/embernotch/controller/ProcessIncarnationsRandomizedTest.java
@@ -1,4 +1,4 @@
-package io.embernotch.steward;
+package io.embernotch.controller;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -18,7 +18,7 @@
  * before and repeats of what was carried out, drawn by a seed. {@code -Dlives.seeds=N} plays more,
  * {@code -Dlives.from=N} others.
  */
-class LivesHuntTest {
+class ProcessIncarnationsRandomizedTest {
   private static final int SEEDS = Integer.getInteger("lives.seeds", 200);
   private static final int FROM = Integer.getInteger("lives.from", 1);
 
--- a/src/test/java/io/embernotch/controller/ProcessIncarnationsTest.java
+++ b/src/test/java/io/embernotch/controller/ProcessIncarnationsTest.java
@@ -1,4 +1,4 @@
-package io.embernotch.steward;
+package io.embernotch.controller;
 
 import static io.embernotch.testkit.World.job;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -15,7 +15,7 @@
  * Processes and machines that are back within a fraction of a second, and what was said before and
  * arrives after.
  */
-class LivesTest {
+class ProcessIncarnationsTest {
   private static final double SOON_S = 0.2;
 
   private final World world = new World(3, 10);
@@ -41,12 +41,12 @@
   }
 
   @Test
-  void aStewardThatIsBackTwiceWithinItsLeaseCostsNothingThatRuns() {
+  void aLeaderThatIsBackTwiceWithinItsLeaseCostsNothingThatRuns() {
     Map<String, FakeWorker> before = service();
-    Node steward = world.steward();
-    back(steward);
+    Node leader = world.leader();
+    back(leader);
     world.pass(0.5);
-    back(steward);
+    back(leader);
     // Its own key of a former life is no right to act, nor one to wait for.
     world.settle(2);
     world.pass(60);
@@ -56,7 +56,7 @@
   @Test
   void allThreeAtOnceInMidElectionCostNothingThatRuns() {
     Map<String, FakeWorker> before = service();
-    world.steward().kill();
+    world.leader().kill();
     // The key is about to go, and the others to claim it.
     for (int i = 0; i < 12; i++) {
       world.pass(0.3);
@@ -75,9 +75,9 @@
     for (double lateS : new double[] {1, 10, 70}) {
       world.holdFrames = true;
       world.pass(1);
-      Node steward = world.steward();
-      back(steward);
-      back(world.other(steward));
+      Node leader = world.leader();
+      back(leader);
+      back(world.other(leader));
       world.holdFrames = false;
       world.pass(lateS);
       world.releaseHeld();
@@ -87,11 +87,11 @@
   }
 
   /**
-   * A beat that a former steward had sent made it the steward once more, for whoever had seen its
+   * A beat that a former leader had sent made it the leader once more, for whoever had seen its
    * key gone.
    */
   @Test
-  void aBeatOfAStewardshipThatIsOverIsNotBelieved() {
+  void aBeatOfATermThatIsOverIsNotBelieved() {
     Followed followed = new Followed();
     assertThat(followed.told("c1", 7)).isTrue();
     followed.is(null, 0);
--- a/src/test/java/io/embernotch/controller/RollingUpgradeTest.java
+++ b/src/test/java/io/embernotch/controller/RollingUpgradeTest.java
@@ -1,4 +1,4 @@
-package io.embernotch.steward;
+package io.embernotch.controller;
 
 import static io.embernotch.testkit.World.after;
 import static io.embernotch.testkit.World.job;
@@ -19,7 +19,7 @@
  * Data of the version before job chains, and a state service that lowers its limits. That version
  * made pieces as large as the limits of its time, 85 tasks in 8 KiB.
  */
-class UpgradeTest {
+class RollingUpgradeTest {
   private static final int OLD_PIECE = 85;
   private final World world = World.lowering();
 
@@ -43,7 +43,7 @@
   }
 
   /**
-   * One such value kept every new steward reading the store over and over, and all jobs waiting.
+   * One such value kept every new leader reading the store over and over, and all jobs waiting.
    */
   @Test
   void aValueThatCannotBeReadKeepsNoOtherJobWaitingAndItsOwnStaysKnown() {
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void aStewardOfTheFormerVersionMayGoInTheMiddleOfStarts() {
+  void aLeaderOfTheFormerVersionMayGoInTheMiddleOfStarts() {
     String name = world.boot("g8", "z1", true);
     world.pass(6);
     // Two starts are written, of which no command left or none arrived; one is on a machine that is
@@ -101,7 +101,7 @@
             + "\",\"z1\"],[1,5,\""
             + name
             + "\",\"z1\"],[2,5,\"n-999999\",\"z1\"]]}");
-    Node old = world.steward();
+    Node old = world.leader();
     old.kill();
     world.pass(12);
     assertThat(world.running("j-1")).containsOnlyKeys("j-1/0", "j-1/1");
@@ -237,7 +237,7 @@
     world.pass(6);
     assertThat(world.running("j-1")).isEmpty();
     assertThat(world.endInStore("j-1")).isEqualTo("cancelled");
-    Node second = world.steward();
+    Node second = world.leader();
     // The end stands in a part, which those read too who answer from the store alone.
     assertThat(world.state.value("run/j-1").has("end")).isFalse();
     old.start();
@@ -266,7 +266,7 @@
     world.releaseHeld();
     lower();
     world.pass(4);
-    Node old = world.steward();
+    Node old = world.leader();
     old.kill();
     world.pass(25);
     assertThat(world.running("j-1")).hasSize(47).doesNotContainKey("j-1/5");
--- a/src/test/java/io/embernotch/controller/ScaleTest.java
+++ b/src/test/java/io/embernotch/controller/ScaleTest.java
@@ -1,4 +1,4 @@
-package io.embernotch.steward;
+package io.embernotch.controller;
 
 import static io.embernotch.testkit.World.job;
 import static org.assertj.core.api.Assertions.assertThat;
@@ -16,7 +16,7 @@
   private final World world = new World(3, 1000);
 
   private JsonNode cluster() {
-    return Json.parseObject(world.await(world.steward().controller.overview()).body())
+    return Json.parseObject(world.await(world.leader().controller.overview()).body())
         .get("cluster");
   }
 
--- a/src/test/java/io/embernotch/era/LossHuntTest.java
+++ b/src/test/java/io/embernotch/era/LossHuntTest.java
@@ -81,14 +81,14 @@
 
   /**
    * One controller that was up before stays up; that is what nothing is forgotten for. What only
-   * the one that ends knew is lost with it: a submission whose frame to the steward did not arrive.
+   * the one that ends knew is lost with it: a submission whose frame to the leader did not arrive.
    * So it ends only once what it was told last has had the time to arrive.
    */
   private static void lose(World world, SplittableRandom random, List<Held> moments) {
-    Node steward = world.steward();
-    if (steward != null && random.nextInt(3) == 0) {
-      // One that is not steward restarts: it knows nothing of what was.
-      Node other = world.other(steward);
+    Node leader = world.leader();
+    if (leader != null && random.nextInt(3) == 0) {
+      // One that is not leader restarts: it knows nothing of what was.
+      Node other = world.other(leader);
       world.pass(1);
       other.kill();
       world.pass(random.nextDouble(2));
--- a/src/test/java/io/embernotch/era/LossTest.java
+++ b/src/test/java/io/embernotch/era/LossTest.java
@@ -16,11 +16,11 @@
 /** The state service loses data while controllers and workers go on. */
 class LossTest {
   private final World world = new World(3, 10);
-  private Node steward;
+  private Node leader;
 
   /** A job that is done, a service and an array that run, one that waits for the array. */
   private void work() {
-    steward = world.settle(3);
+    leader = world.settle(3);
     for (String json :
         new String[] {
           job("j-1", "array", 2),
@@ -93,7 +93,7 @@
     work();
     world.state.loseAll();
     allIsServedAgain(6);
-    assertThat(world.steward()).as("who was steward knows most, and leads").isSameAs(steward);
+    assertThat(world.leader()).as("who was steward knows most, and leads").isSameAs(leader);
   }
 
   @Test
@@ -110,7 +110,7 @@
   }
 
   @Test
-  void putBackToAnEarlierMomentWhoseStewardsKeyStandsThere() {
+  void putBackToAnEarlierMomentWhoseLeadersKeyStandsThere() {
     work();
     Held then = world.state.held();
     world.submit(1, job("j-7", "array", 2));
@@ -127,18 +127,18 @@
   }
 
   @Test
-  void putBackWithoutLeasesWhileAnotherStewardHasBeenSince() {
+  void putBackWithoutLeasesWhileAnotherLeaderHasBeenSince() {
     work();
     Held then = world.state.held();
-    steward.kill();
+    leader.kill();
     world.pass(12);
-    Node second = world.steward();
-    assertThat(second).isNotNull().isNotSameAs(steward);
-    steward.start();
+    Node second = world.leader();
+    assertThat(second).isNotNull().isNotSameAs(leader);
+    leader.start();
     world.pass(3);
     world.state.putBack(then, false);
     allIsServedAgain(6);
-    assertThat(world.steward()).isSameAs(second);
+    assertThat(world.leader()).isSameAs(second);
   }
 
   @Test
@@ -191,7 +191,7 @@
     FakeWorker w = world.running("j-2").values().iterator().next();
     w.token = 1L << 50;
     world.pass(25);
-    assertThat(world.steward()).isNotNull();
+    assertThat(world.leader()).isNotNull();
     assertThat(w.session).isEqualTo(1);
     assertThat(w.token).isGreaterThan(1L << 50);
     assertThat(world.running("j-2")).hasSize(3);
@@ -230,16 +230,16 @@
   }
 
   @Test
-  void theStewardEndsWithTheDataAndWhatIsLeftGoesOnWithoutRunningTwice() {
+  void theLeaderEndsWithTheDataAndWhatIsLeftGoesOnWithoutRunningTwice() {
     work();
     Held then = world.state.held();
     world.submit(1, job("j-7", "array", 2));
     world.pass(6);
     world.state.putBack(then, false);
-    steward.kill();
+    leader.kill();
     world.pass(25);
-    assertThat(world.steward()).isNotNull();
-    assertThat(world.phase(world.steward().index, "j-1")).isEqualTo("done");
+    assertThat(world.leader()).isNotNull();
+    assertThat(world.phase(world.leader().index, "j-1")).isEqualTo("done");
     world.pass(100);
     assertThat(world.running("j-2")).hasSize(3);
     // Accepted by a controller that is still there: written again, and run once nothing of it can
@@ -250,7 +250,7 @@
   @Test
   void aControllerThatWasAwayDuringTheLossGoesOverToTheNewEra() {
     work();
-    Node other = world.other(steward);
+    Node other = world.other(leader);
     other.noState = true;
     other.noPeers = true;
     world.state.loseAll();
@@ -264,7 +264,7 @@
   void takeoversOutagesAndRestartsAreNoLoss() {
     work();
     for (int i = 0; i < 3; i++) {
-      Node now = world.steward();
+      Node now = world.leader();
       now.kill();
       world.pass(14);
       now.start();
@@ -280,9 +280,9 @@
   }
 
   @Test
-  void theLossIsNoticedWithinOneLeaseOfTheSteward() {
+  void theLossIsNoticedWithinOneLeaseOfTheLeader() {
     work();
-    double lease = steward.settings.workers().leaseS() / 10;
+    double lease = leader.settings.workers().leaseS() / 10;
     Held then = world.state.held();
     world.pass(5);
     world.state.loseAll();
--- a/src/test/java/io/embernotch/leader/ImageInventoryTest.java
+++ b/src/test/java/io/embernotch/leader/ImageInventoryTest.java
@@ -1,4 +1,4 @@
-package io.embernotch.steward;
+package io.embernotch.leader;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,11 +8,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class ImageNewsTest {
+class ImageInventoryTest {
   @Test
-  void aFollowerKnowsWhatTheStewardLastSaidAndForgetsWhatIsGone() {
-    ImageNews follower = new ImageNews(4);
-    ImageNews.Teller teller = new ImageNews.Teller(5);
+  void aFollowerKnowsWhatTheLeaderLastSaidAndForgetsWhatIsGone() {
+    ImageInventory follower = new ImageInventory(4);
+    ImageInventory.Publisher teller = new ImageInventory.Publisher(5);
     List<Frame> sent = new ArrayList<>();
     Machine m = new Machine("n-1");
     m.images.add("a");
@@ -25,12 +25,12 @@
     teller.tell(List.of(m), 7, 116, sent::add);
     sent.forEach(f -> follower.heard((Frame.Images) f));
     assertThat(follower.of("n-1")).containsExactly("a", "b");
-    // What a deposed steward still says changes nothing.
+    // What a deposed leader still says changes nothing.
     follower.heard(new Frame.Images(6, "n-1", List.of("old")));
     assertThat(follower.of("n-1")).containsExactly("a", "b");
     // A follower that is back with nothing is told again, though nothing has changed.
     teller.again();
-    ImageNews next = new ImageNews(4);
+    ImageInventory next = new ImageInventory(4);
     teller.tell(List.of(m), 7, 122, f -> next.heard((Frame.Images) f));
     assertThat(next.of("n-1")).containsExactly("a", "b");
     teller.gone("n-1", 7, f -> follower.heard((Frame.Images) f));
--- a/src/test/java/io/embernotch/machines/LateCopiesTest.java
+++ b/src/test/java/io/embernotch/machines/LateCopiesTest.java
@@ -54,7 +54,7 @@
   private double afterADeath(double copiesLateS) {
     service();
     dead.cut = true;
-    return backAfter(copiesLateS, world.other(world.steward()));
+    return backAfter(copiesLateS, world.other(world.leader()));
   }
 
   /**
@@ -75,14 +75,14 @@
     service();
     world.pass(40);
     dead.cut = true;
-    Node steward = world.steward();
-    steward.kill();
-    return backAfter(copiesLateS, world.other(steward));
+    Node leader = world.leader();
+    leader.kill();
+    return backAfter(copiesLateS, world.other(leader));
   }
 
-  /** A new steward first hears of a machine by a copy from 40 s ago, and by others after it. */
+  /** A new leader first hears of a machine by a copy from 40 s ago, and by others after it. */
   @Test
-  void aNewStewardTakesNoCopyForASignOfLife() {
+  void aNewLeaderTakesNoCopyForASignOfLife() {
     double without = afterATakeover(0);
     LateCopiesTest other = new LateCopiesTest();
     double with = other.afterATakeover(40);
@@ -90,7 +90,7 @@
     assertThat(with).isLessThanOrEqualTo(without + world.nodes.get(0).settings.workers().reportS());
   }
 
-  /** A machine that the former steward returned is reported to the next one, by a copy. */
+  /** A machine that the former leader returned is reported to the next one, by a copy. */
   @Test
   void aCopyOfAReturnedMachineTakesNoWorkForLong() {
     service();
@@ -98,10 +98,10 @@
     world.workers.remove(dead.name);
     world.cloud.deleted.add(dead.name);
     world.pass(60);
-    Node steward = world.steward();
-    steward.kill();
+    Node leader = world.leader();
+    leader.kill();
     world.settle(6);
-    Node next = world.steward();
+    Node next = world.leader();
     said.subList(0, 3).forEach(r -> world.late(next, r));
     world.submit(next.index, job("j-2", "array", 24));
     world.pass(15);
--- a/src/test/java/io/embernotch/machines/WorkersTest.java
+++ b/src/test/java/io/embernotch/machines/WorkersTest.java
@@ -104,7 +104,7 @@
   }
 
   /**
-   * What had waited, or followed an answer, would have been started by a steward that was one no
+   * What had waited, or followed an answer, would have been started by a leader that was one no
    * more.
    */
   @Test
--- a/src/test/java/io/embernotch/meetings/ConfirmedTest.java
+++ b/src/test/java/io/embernotch/meetings/ConfirmedTest.java
@@ -187,7 +187,7 @@
     world.nodes.subList(0, 2).forEach(Node::kill);
     world.pass(8);
     world.nodes.subList(0, 2).forEach(Node::start);
-    Node leader = world.steward();
+    Node leader = world.leader();
     assertThat(leader.index).isEqualTo(2);
     for (int i = 0; i < 4; i++) {
       world.boot("g8", "z2", true);
@@ -264,7 +264,7 @@
     Node next = null;
     while (next == null) {
       world.time.pass(0.05);
-      next = world.steward();
+      next = world.leader();
     }
     world.pass(0.1);
     world.releaseHeld();
--- a/src/test/java/io/embernotch/meetings/LateCommandTest.java
+++ b/src/test/java/io/embernotch/meetings/LateCommandTest.java
@@ -113,7 +113,7 @@
       if (i % 2 == 1) {
         scenario.cancelUntilTold("j-" + i, i % 3, 30);
       }
-      Node leader = world.steward();
+      Node leader = world.leader();
       if (leader != null) {
         leader.kill();
         world.time.after(i % 3 == 0 ? 0.2 : 5, leader::start);
--- a/src/test/java/io/embernotch/meetings/MeetingsHuntTest.java
+++ b/src/test/java/io/embernotch/meetings/MeetingsHuntTest.java
@@ -42,7 +42,7 @@
     }
 
     private Node node() {
-      Node leader = world.steward();
+      Node leader = world.leader();
       return leader != null && random.nextInt(3) > 0 ? leader : world.nodes.get(random.nextInt(3));
     }
 
--- a/src/test/java/io/embernotch/meetings/MeetingsTest.java
+++ b/src/test/java/io/embernotch/meetings/MeetingsTest.java
@@ -176,7 +176,7 @@
     }
     told.accepted.addAll(List.of("j-1", "j-2", "j-3"));
     world.pass(15);
-    Node leader = world.steward();
+    Node leader = world.leader();
     String zone = scenario.machinesOf("j-3").get(0).zone;
     world.cloud.full = true;
     for (String ref : List.of("j-1", "j-2", "j-3")) {
@@ -246,7 +246,7 @@
     world.pass(12);
     Map<String, FakeWorker> before = world.running("j-1");
     for (int i = 0; i < 10; i++) {
-      Node leader = world.steward();
+      Node leader = world.leader();
       if (i == 4) {
         world.state.outage = true;
       }
@@ -502,7 +502,7 @@
         world.finish("j-" + (s / 10 * 6));
       }
       if (s == 50) {
-        Node leader = world.steward();
+        Node leader = world.leader();
         if (leader != null) {
           leader.kill();
           world.time.after(0.2, leader::start);
--- a/src/test/java/io/embernotch/meetings/OldReportTest.java
+++ b/src/test/java/io/embernotch/meetings/OldReportTest.java
@@ -106,7 +106,7 @@
       List<FakeWorker> machines = List.copyOf(world.workers.values());
       FakeWorker hit = machines.get(i % machines.size());
       hit.cut = true;
-      Node leader = world.steward();
+      Node leader = world.leader();
       if (leader != null) {
         leader.kill();
         world.time.after(i % 2 == 0 ? 0.2 : 6, leader::start);
--- a/src/test/java/io/embernotch/meetings/TeamLimitTest.java
+++ b/src/test/java/io/embernotch/meetings/TeamLimitTest.java
@@ -53,7 +53,7 @@
           w.hung = how.equals("hung");
           w.deaf = how.equals("deaf");
         });
-    Node leader = world.steward();
+    Node leader = world.leader();
     world.time.after(3 + leaderEndsAtS, leader::kill);
     world.time.after(20 + leaderEndsAtS, leader::start);
     world.pass(3);
--- a/src/test/java/io/embernotch/relay/AloneTest.java
+++ b/src/test/java/io/embernotch/relay/AloneTest.java
@@ -47,9 +47,9 @@
 
   @ParameterizedTest
   @CsvSource({"true,30", "true,60", "true,150", "false,30", "false,60", "false,150"})
-  void keepsNoWorkerToItsDeath(boolean steward, int seconds) {
+  void keepsNoWorkerToItsDeath(boolean leader, int seconds) {
     Map<String, FakeWorker> before = service();
-    Node n = steward ? world.steward() : world.other(world.steward());
+    Node n = leader ? world.leader() : world.other(world.leader());
     alone(n, true);
     double told = 0;
     for (int s = 0; s < seconds; s += 5) {
@@ -65,7 +65,7 @@
       }
     }
     assertThat(told).isLessThan(1);
-    assertThat(world.steward()).isNotNull().isNotEqualTo(n);
+    assertThat(world.leader()).isNotNull().isNotEqualTo(n);
     alone(n, false);
     world.pass(40);
     assertThat(world.running("j-1")).isEqualTo(before);
@@ -81,13 +81,13 @@
   @CsvSource({"true", "false"})
   void anOutageAfterALeaderWasCutOffEndsNothing(boolean ends) {
     Map<String, FakeWorker> before = service();
-    Node n = world.steward();
+    Node n = world.leader();
     if (ends) {
       n.kill();
     }
     alone(n, true);
     world.pass(8);
-    assertThat(world.steward()).isNotNull().isNotEqualTo(n);
+    assertThat(world.leader()).isNotNull().isNotEqualTo(n);
     world.state.outage = true;
     world.pass(n.settings.holdS() + 0.6 * n.settings.workers().leaseS());
     assertThat(world.running("j-1")).isEqualTo(before);
@@ -101,25 +101,25 @@
   }
 
   /**
-   * Where the next steward has reached a worker it serves it too: one that shows its token is sent
+   * Where the next leader has reached a worker it serves it too: one that shows its token is sent
    * away at once.
    */
   @ParameterizedTest
   @CsvSource({"true", "false"})
-  void sendsAwayWhoHasSeenALaterSteward(boolean steward) {
+  void sendsAwayWhoHasSeenALaterLeader(boolean leader) {
     Map<String, FakeWorker> before = service();
-    Node n = steward ? world.steward() : world.other(world.steward());
+    Node n = leader ? world.leader() : world.other(world.leader());
     alone(n, true);
     world.pass(10);
-    if (!steward) {
-      Node other = world.steward();
+    if (!leader) {
+      Node other = world.leader();
       other.kill();
       world.pass(8);
       other.start();
     }
     world.settle(4);
-    // The new steward reaches all machines directly.
-    assertThat(world.submit(world.steward().index, job("j-2", "array", 150)).status())
+    // The new leader reaches all machines directly.
+    assertThat(world.submit(world.leader().index, job("j-2", "array", 150)).status())
         .isEqualTo(201);
     world.pass(6);
     List<FakeWorker> reached =
--- a/src/test/java/io/embernotch/relay/StandbyTest.java
+++ b/src/test/java/io/embernotch/relay/StandbyTest.java
@@ -32,10 +32,10 @@
   private final World world = new World(3, 4);
   private final Settings settings = world.nodes.get(0).settings;
 
-  /** A steward outside of z2, and a service with replicas in both zones. */
+  /** A leader outside of z2, and a service with replicas in both zones. */
   private Map<String, FakeWorker> spreadService(String ref) {
     world.pass(2);
-    if (world.steward() == world.nodes.get(2)) {
+    if (world.leader() == world.nodes.get(2)) {
       world.nodes.get(2).kill();
       world.pass(6);
       world.nodes.get(2).start();
@@ -109,11 +109,11 @@
   }
 
   @Test
-  void theyRunOnThoughTheStewardEndsDuringTheCut() {
+  void theyRunOnThoughTheLeaderEndsDuringTheCut() {
     Map<String, FakeWorker> before = spreadService("j-1");
     world.cutZone = "z2";
     world.pass(10);
-    world.steward().kill();
+    world.leader().kill();
     world.pass(CUT_S - 10);
     world.cutZone = null;
     world.pass(20);
@@ -170,10 +170,10 @@
   @Test
   void noRightIsGivenWhileAControllerMayBeOfTheFormerVersion() {
     spreadService("j-1");
-    // It never wrote to this steward, as a former version would not.
-    Node silent = world.steward() == world.nodes.get(0) ? world.nodes.get(1) : world.nodes.get(0);
+    // It never wrote to this leader, as a former version would not.
+    Node silent = world.leader() == world.nodes.get(0) ? world.nodes.get(1) : world.nodes.get(0);
     silent.noPeers = true;
-    world.steward().kill();
+    world.leader().kill();
     world.pass(10);
     world.nodes.stream().filter(n -> n.down).forEach(Node::start);
     world.pass(settings.holdS() + 10);
@@ -217,11 +217,11 @@
   }
 
   @Test
-  void theStewardKnowsUntilWhenAControllerMayHaveRenewed() {
+  void theLeaderKnowsUntilWhenAControllerMayHaveRenewed() {
     Settings s = SettingsReader.parse(World.toml(0));
     Delegations delegations = new Delegations(s, 100, new HashSet<>());
     double hold = s.holdS() * (1 + Settings.DRIFT);
-    // Nothing heard: it may hold a right of an earlier steward.
+    // Nothing heard: it may hold a right of an earlier leader.
     assertThat(delegations.renewedUntil("z2", 110)).isEqualTo(110);
     assertThat(delegations.renewedUntil("z2", 500)).isEqualTo(100 + hold);
     assertThat(delegations.heard(new Frame.Here("c2", 1, 0, -1), 7, true, 200).granted()).isFalse();
--- a/src/test/java/io/embernotch/reserve/ReservationTest.java
+++ b/src/test/java/io/embernotch/reserve/ReservationTest.java
@@ -46,7 +46,7 @@
 
   private JsonNode seen() {
     JsonNode cluster =
-        Json.parseObject(world.await(world.steward().controller.overview()).body()).get("cluster");
+        Json.parseObject(world.await(world.leader().controller.overview()).body()).get("cluster");
     return cluster.get("reserved").get("reservations").get(0);
   }
 
@@ -128,7 +128,7 @@
     assertThat(room.wrong).isEmpty();
   }
 
-  /** Held room on a machine that reports late to a new steward is not given up before. */
+  /** Held room on a machine that reports late to a new leader is not given up before. */
   @Test
   void aMachineThatIsNotHeardYetKeepsWhatIsHeldThere() {
     begin(TEN);
@@ -223,7 +223,7 @@
     assertThat(room.heldInAll()).isGreaterThanOrEqualTo(12);
   }
 
-  /** All data is lost: what was held is in the steward's copy, and is restored with the jobs. */
+  /** All data is lost: what was held is in the leader's copy, and is restored with the jobs. */
   @Test
   void aLossOfTheStoreLosesNoHold() {
     begin(TEN);
--- a/src/test/java/io/embernotch/snapshot/SnapshotTest.java
+++ b/src/test/java/io/embernotch/snapshot/SnapshotTest.java
@@ -154,7 +154,7 @@
         assertThat(world.phase(n, "j-2")).isNotEqualTo("status 404");
       }
     }
-    assertThat(world.steward()).isNotNull();
+    assertThat(world.leader()).isNotNull();
     world.pass(10);
     for (int n = 0; n < 3; n++) {
       assertThat(world.phase(n, "j-1")).isEqualTo("done");
--- a/src/test/java/io/embernotch/store/LeaseKeeperTest.java
+++ b/src/test/java/io/embernotch/store/LeaseKeeperTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The steward's lease while the core is busy, the service answers late, or leadership has moved on.
+ * The leader's lease while the core is busy, the service answers late, or leadership has moved on.
  */
 class LeaseKeeperTest {
   private static final double LIFE_S = 3;
--- a/src/test/java/io/embernotch/testkit/FakeState.java
+++ b/src/test/java/io/embernotch/testkit/FakeState.java
@@ -134,7 +134,7 @@
   }
 
   /**
-   * Everything is as it was then, the steward's key and its lease included, if {@code withLeases}.
+   * Everything is as it was then, the leader's key and its lease included, if {@code withLeases}.
    */
   public void putBack(Held then, boolean withLeases) {
     data.clear();
@@ -303,7 +303,7 @@
         }
         data.put(key, new Value(v, epoch, a.path("permit").asLong(0)));
         changed(key, v);
-        if (key.equals(RunCodec.STEWARD)) {
+        if (key.equals(RunCodec.LEADER)) {
           onLeader.run();
         }
       } else {
--- a/src/test/java/io/embernotch/testkit/Told.java
+++ b/src/test/java/io/embernotch/testkit/Told.java
@@ -104,7 +104,7 @@
       }
     }
     nothingRunsAfterItsEnd();
-    if (world.steward() == null) {
+    if (world.leader() == null) {
       wrong.add("nobody is steward");
     }
     wrong.addAll(world.broken());
--- a/src/test/java/io/embernotch/testkit/World.java
+++ b/src/test/java/io/embernotch/testkit/World.java
@@ -17,7 +17,7 @@
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.Settings;
 import io.embernotch.settings.SettingsReader;
-import io.embernotch.steward.Controller;
+import io.embernotch.controller.Controller;
 import io.embernotch.store.LeaseKeeper;
 import io.embernotch.store.StoreClient;
 import io.vertx.core.Future;
@@ -182,7 +182,7 @@
               clock,
               clock,
               clock,
-              settings.stewardLeaseS(OperatorSettings.DEFAULTS),
+              settings.leaderLeaseS(OperatorSettings.DEFAULTS),
               Settings.DRIFT,
               settings.contactS());
       controller = new Controller(env, new Link(this), keeper);
@@ -511,10 +511,10 @@
     return f.result();
   }
 
-  /** Lets so much time pass, by the end of which there must be a steward. */
+  /** Lets so much time pass, by the end of which there must be a leader. */
   public Node settle(double seconds) {
     pass(seconds);
-    Node n = steward();
+    Node n = leader();
     if (n == null) {
       throw new AssertionError("no steward after " + seconds + " s");
     }
@@ -526,8 +526,8 @@
     return nodes.get((n.index + 1) % 3);
   }
 
-  /** The node that is steward and can prove it, or null. */
-  public Node steward() {
+  /** The node that is leader and can prove it, or null. */
+  public Node leader() {
     for (Node n : nodes) {
       if (!n.down) {
         Answer a = await(n.controller.overview());
--- a/src/test/java/io/embernotch/users/SubmissionsTest.java
+++ b/src/test/java/io/embernotch/users/SubmissionsTest.java
@@ -47,7 +47,7 @@
   @Test
   void moreThanTheStateServiceTakesIsRefusedAtOnceAndStartsGoOn() {
     world.pass(4);
-    Node n = world.steward();
+    Node n = world.leader();
     List<Future<Answer>> answers = new ArrayList<>();
     for (int i = 0; i < 1000; i++) {
       answers.add(submitSoon(n, "j-" + i));
@@ -68,7 +68,7 @@
   @Test
   void aFloodOfPollsIsToldToComeBackAndReachesNobodyElse() {
     world.pass(4);
-    Node follower = world.nodes.get((world.steward().index + 1) % 3);
+    Node follower = world.nodes.get((world.leader().index + 1) % 3);
     assertThat(world.await(submitSoon(follower, "j-7")).status()).isEqualTo(201);
     world.pass(15);
     int frames = world.frames;
