--- a/src/main/java/io/embernotch/actor/Work.java
+++ b/src/main/java/io/embernotch/actor/EventLoopProfile.java
@@ -16,11 +16,11 @@
  * how much that may be. For one loop, and used by that loop alone. It measures only while its
  * logger is at info, and costs nothing otherwise.
  */
-public final class Work {
-  private static final Logger LOG = LoggerFactory.getLogger(Work.class);
+public final class EventLoopProfile {
+  private static final Logger LOG = LoggerFactory.getLogger(EventLoopProfile.class);
 
   /** Measures nothing, for whoever has no loop of its own. */
-  public static final Work NONE = new Work(null);
+  public static final EventLoopProfile NONE = new EventLoopProfile(null);
 
   private record Share(LongAdder times, LongAdder nanos) {}
 
@@ -33,13 +33,13 @@
   /**
    * @param steadyNanos steady time in nanoseconds, or null to measure nothing
    */
-  public Work(LongSupplier steadyNanos) {
+  public EventLoopProfile(LongSupplier steadyNanos) {
     this.steadyNanos = steadyNanos;
   }
 
   /** Measures if anybody reads it. */
-  public static Work read() {
-    return LOG.isInfoEnabled() ? new Work(System::nanoTime) : NONE;
+  public static EventLoopProfile read() {
+    return LOG.isInfoEnabled() ? new EventLoopProfile(System::nanoTime) : NONE;
   }
 
   /**
--- a/src/main/java/io/embernotch/actor/Latencies.java
+++ b/src/main/java/io/embernotch/actor/LatencyRecorder.java
@@ -5,7 +5,7 @@
 import org.HdrHistogram.Histogram;
 
 /** How long answers took since the last line about them, by kind of request. */
-public final class Latencies {
+public final class LatencyRecorder {
   private static final long MOST_MS = 60_000;
 
   private final Map<String, Histogram> kinds = new TreeMap<>();
--- a/src/main/java/io/embernotch/machines/Workers.java
+++ b/src/main/java/io/embernotch/agents/AgentReconciler.java
@@ -1,21 +1,21 @@
-package io.embernotch.machines;
+package io.embernotch.agents;
 
-import io.embernotch.codec.BadInput;
+import io.embernotch.codec.MalformedInputException;
 import io.embernotch.codec.WorkerCodec;
-import io.embernotch.env.Env;
-import io.embernotch.http.CallFailed;
-import io.embernotch.http.Reply;
-import io.embernotch.ledger.Ledger;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.http.CallFailedException;
+import io.embernotch.http.HttpReply;
+import io.embernotch.state.ClusterState;
 import io.embernotch.model.Attempt;
-import io.embernotch.model.Attempt.Start;
-import io.embernotch.model.Cause;
+import io.embernotch.model.Attempt.LaunchState;
+import io.embernotch.model.ExitCause;
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.Machine;
-import io.embernotch.model.Order;
+import io.embernotch.model.AgentCommand;
 import io.embernotch.model.Priority;
-import io.embernotch.model.TaskReport;
+import io.embernotch.model.TaskStatus;
 import io.embernotch.model.TaskState;
-import io.embernotch.model.WorkerReport;
+import io.embernotch.model.Heartbeat;
 import io.embernotch.settings.HostPort;
 import io.embernotch.settings.Settings;
 import java.util.ArrayList;
@@ -29,15 +29,15 @@
  * Talks to workers: sends orders, reads reports, and works out from them which attempts are there
  * and which are proven gone. What follows from that for jobs is the {@link Outcome}'s business.
  */
-public final class Workers {
-  private static final Logger LOG = LoggerFactory.getLogger(Workers.class);
+public final class AgentReconciler {
+  private static final Logger LOG = LoggerFactory.getLogger(AgentReconciler.class);
 
   /** What is told of attempts. */
   public interface Outcome {
     void running(Attempt a, Machine m);
 
     /** The attempt has exited on its machine; it is still open. */
-    void exited(Attempt a, Machine m, Cause cause, boolean saved);
+    void exited(Attempt a, Machine m, ExitCause cause, boolean saved);
 
     /** The attempt is proven gone without an exit. */
     void gone(Attempt a, Machine m, String why);
@@ -55,8 +55,8 @@
     boolean settled(String ref, int task);
   }
 
-  private final Env env;
-  private final Ledger ledger;
+  private final ControllerContext env;
+  private final ClusterState ledger;
   private final Outcome outcome;
   private final long epochBase;
   private final double callS;
@@ -67,23 +67,23 @@
   private static final int MOST_IMAGES = 32;
 
   private final Set<String> deleted = new HashSet<>();
-  private final Leases leases;
-  private final Lanes lanes;
-  private final ReportOrders inResponse;
-  private final Hearing hearing;
-  private final Asking asking;
+  private final WorkerLeases leases;
+  private final CallConcurrencyLimiter lanes;
+  private final HeartbeatResponder inResponse;
+  private final ReachabilityTracker hearing;
+  private final StatusProber asking;
 
-  public Workers(Env env, Ledger ledger, long epoch, Delegations delegations, Outcome outcome) {
+  public AgentReconciler(ControllerContext env, ClusterState ledger, long epoch, RenewalDelegations delegations, Outcome outcome) {
     this.env = env;
     this.ledger = ledger;
     this.outcome = outcome;
-    this.epochBase = Tokens.base(epoch);
-    this.leases = new Leases(env.settings(), env.clock(), delegations, epochBase);
+    this.epochBase = FencingTokens.base(epoch);
+    this.leases = new WorkerLeases(env.settings(), env.clock(), delegations, epochBase);
     this.callS = env.settings().workers().reportS() * 2 / 3;
-    this.lanes = new Lanes(env.settings().quota().directCalls());
-    this.inResponse = new ReportOrders(env, lanes, epochBase, outcome);
-    this.hearing = new Hearing(epochBase, env.settings().workers().reportS());
-    this.asking = new Asking(env, lanes, hearing, callS, this::absorb);
+    this.lanes = new CallConcurrencyLimiter(env.settings().quota().directCalls());
+    this.inResponse = new HeartbeatResponder(env, lanes, epochBase, outcome);
+    this.hearing = new ReachabilityTracker(epochBase, env.settings().workers().reportS());
+    this.asking = new StatusProber(env, lanes, hearing, callS, this::absorb);
   }
 
   public long base() {
@@ -102,9 +102,9 @@
   /**
    * Takes a report that a worker sent, and returns the body of the 200; null if it must not get one.
    *
-   * @param via the life of the controller that it was sent to; see {@link Hearing}
+   * @param via the life of the controller that it was sent to; see {@link ReachabilityTracker}
    */
-  public byte[] report(WorkerReport r, boolean trusted, long via) {
+  public byte[] report(Heartbeat r, boolean trusted, long via) {
     if (wasDeleted(r.machine())) {
       return null;
     }
@@ -129,13 +129,13 @@
       return null;
     }
     m.renewedAt = now;
-    List<Order> orders = inResponse.of(m, r, trusted);
+    List<AgentCommand> orders = inResponse.of(m, r, trusted);
     hearing.answering(m);
     return WorkerCodec.response(m.token, orders);
   }
 
   /** Learns from a report that was answered without a token; false if it tells us nothing. */
-  public boolean learn(WorkerReport r) {
+  public boolean learn(Heartbeat r) {
     return !wasDeleted(r.machine()) && tell(r, ledger.machine(r.machine(), epochBase));
   }
 
@@ -143,14 +143,14 @@
    * Takes what a report tells. Of a machine that has begun another life, only what shows that it is of this one: a
    * copy of the former life's with a later session once would have proven gone what had just been started.
    */
-  private boolean tell(WorkerReport r, Machine m) {
+  private boolean tell(Heartbeat r, Machine m) {
     return r.token() < m.lifeToken || absorb(r, m);
   }
 
   /** Learns from a report, whichever way it came. False if it shows us to be outranked. */
-  public boolean absorb(WorkerReport r, Machine m) {
+  public boolean absorb(Heartbeat r, Machine m) {
     if (r.token() > m.token) {
-      if (Tokens.epochOf(r.token()) > Tokens.epochOf(epochBase)) {
+      if (FencingTokens.epochOf(r.token()) > FencingTokens.epochOf(epochBase)) {
         outcome.outranked(r.token());
         return false;
       }
@@ -197,7 +197,7 @@
     m.session = r.session();
     m.seq = r.seq();
     Set<String> listed = new HashSet<>();
-    for (TaskReport t : r.tasks()) {
+    for (TaskStatus t : r.tasks()) {
       String key = Machine.taskKey(t.ref(), t.task());
       Attempt a = m.open.get(key);
       if (a != null && a.number == t.attempt()) {
@@ -216,12 +216,12 @@
     return true;
   }
 
-  private void present(Attempt a, Machine m, TaskReport t, double now) {
-    a.start = Start.HELD;
+  private void present(Attempt a, Machine m, TaskStatus t, double now) {
+    a.start = LaunchState.HELD;
     TaskState before = a.state;
     if (t.state() == TaskState.EXITED) {
       boolean hadImage = before != null && before != TaskState.FETCHING;
-      if (hadImage || t.cause() == Cause.DONE) {
+      if (hadImage || t.cause() == ExitCause.DONE) {
         cache(m, a.job.spec);
       }
       outcome.exited(a, m, t.cause(), t.saved());
@@ -253,14 +253,14 @@
     }
   }
 
-  private void absent(Attempt a, Machine m, WorkerReport r, boolean newSession) {
+  private void absent(Attempt a, Machine m, Heartbeat r, boolean newSession) {
     switch (a.start) {
       case HELD -> {
         if (newSession || r.token() > a.startToken) {
           outcome.gone(a, m, newSession ? "new session" : "no longer reported");
         } else {
           // A machine that is back without its tasks would carry out a copy of the start that comes only now.
-          a.start = Start.UNSURE;
+          a.start = LaunchState.UNSURE;
           refuseUpTo(m, a.startToken);
         }
       }
@@ -284,7 +284,7 @@
    * open for good, and kept its gang from starting again.
    */
   private void neverLeft(Attempt a, Machine m) {
-    a.start = Start.READY;
+    a.start = LaunchState.READY;
     if (a.stopping) {
       outcome.gone(a, m, "never started");
     }
@@ -296,17 +296,17 @@
     if (m.doInFlight || m.address == null || m.session == 0 || now - m.doFailedAt < callS) {
       return;
     }
-    List<Order> orders = new ArrayList<>();
+    List<AgentCommand> orders = new ArrayList<>();
     List<Attempt> starting = new ArrayList<>();
     List<Attempt> stopping = new ArrayList<>();
     // A command may have waited for its turn, or for the answer to another, while leadership was lost.
     boolean mayStart = outcome.leads();
     for (Attempt a : m.open.values()) {
-      if (a.start == Start.READY && !a.stopping && mayStart) {
-        orders.add(ReportOrders.start(a));
+      if (a.start == LaunchState.READY && !a.stopping && mayStart) {
+        orders.add(HeartbeatResponder.start(a));
         starting.add(a);
-      } else if (ReportOrders.stopDue(a) && now - a.stopSentAt > env.settings().workers().reportS()) {
-        orders.add(ReportOrders.stop(a));
+      } else if (HeartbeatResponder.stopDue(a) && now - a.stopSentAt > env.settings().workers().reportS()) {
+        orders.add(HeartbeatResponder.stop(a));
         stopping.add(a);
       }
     }
@@ -314,7 +314,7 @@
       return;
     }
     for (Attempt a : starting) {
-      a.start = Start.SENDING;
+      a.start = LaunchState.SENDING;
       a.startToken = m.token;
       m.sentToken = m.token;
     }
@@ -322,15 +322,15 @@
     direct(m, orders, starting);
   }
 
-  private Lanes.Need need(Machine m, List<Attempt> starting, double now) {
+  private CallConcurrencyLimiter.Need need(Machine m, List<Attempt> starting, double now) {
     if (now - m.heardAt > 2 * env.settings().workers().reportS()) {
-      return Lanes.Need.SILENT;
+      return CallConcurrencyLimiter.Need.SILENT;
     }
     boolean live = starting.stream().anyMatch(a -> a.job.spec.priority() == Priority.PRODUCTION);
-    return live ? Lanes.Need.LIVE : Lanes.Need.USUAL;
+    return live ? CallConcurrencyLimiter.Need.LIVE : CallConcurrencyLimiter.Need.USUAL;
   }
 
-  private void direct(Machine m, List<Order> orders, List<Attempt> starting) {
+  private void direct(Machine m, List<AgentCommand> orders, List<Attempt> starting) {
     HostPort to;
     try {
       to = HostPort.parse(m.address);
@@ -355,26 +355,26 @@
         }));
   }
 
-  private void directAnswered(Machine m, long token, List<Attempt> starting, Reply reply) {
+  private void directAnswered(Machine m, long token, List<Attempt> starting, HttpReply reply) {
     m.doInFlight = false;
     if (ledger.machines.get(m.name) != m) {
       return;
     }
     hearing.answered(m, env.clock().now());
     boolean done = reply.status() == 200;
-    WorkerReport r;
+    Heartbeat r;
     try {
       r = WorkerCodec.read(reply.body());
-    } catch (BadInput e) {
+    } catch (MalformedInputException e) {
       LOG.info("unreadable answer {} of {}: {}", reply.status(), m.name, e.getMessage());
-      directFailed(m, token, starting, new CallFailed(done, e.getMessage()));
+      directFailed(m, token, starting, new CallFailedException(done, e.getMessage()));
       return;
     }
     for (Attempt a : starting) {
-      if (a.start == Start.SENDING) {
+      if (a.start == LaunchState.SENDING) {
         // Executed: it is listed, or was and has ended since. Refused: nothing of it is left.
         if (done) {
-          a.start = Start.HELD;
+          a.start = LaunchState.HELD;
         } else {
           neverLeft(a, m);
         }
@@ -401,18 +401,18 @@
   private void directFailed(Machine m, long token, List<Attempt> starting, Throwable e) {
     m.doInFlight = false;
     m.doFailedAt = env.clock().now();
-    boolean sent = !(e instanceof CallFailed f) || f.sent;
+    boolean sent = !(e instanceof CallFailedException f) || f.sent;
     LOG.info("direct command to {} failed, sent {}: {}", m.name, sent, e.getMessage());
     if (sent) {
       refuseUpTo(m, token);
     }
-    if (sent || !(e instanceof CallFailed f) || f.tried) {
+    if (sent || !(e instanceof CallFailedException f) || f.tried) {
       hearing.unanswered(m, env.clock().now());
     }
     for (Attempt a : starting) {
-      if (a.start == Start.SENDING) {
+      if (a.start == LaunchState.SENDING) {
         if (sent) {
-          a.start = Start.UNSURE;
+          a.start = LaunchState.UNSURE;
         } else {
           neverLeft(a, m);
         }
@@ -420,22 +420,22 @@
     }
   }
 
-  /** See {@link Leases#over}. */
+  /** See {@link WorkerLeases#over}. */
   public boolean leaseOver(Machine m) {
     return leases.over(m);
   }
 
-  /** See {@link Leases#goneBy}. */
+  /** See {@link WorkerLeases#goneBy}. */
   public double goneBy(Machine m) {
     return leases.goneBy(m);
   }
 
-  /** See {@link Asking#probe}. */
+  /** See {@link StatusProber#probe}. */
   public void probe(Machine m) {
     asking.probe(m);
   }
 
-  /** See {@link Asking#find}. */
+  /** See {@link StatusProber#find}. */
   public void find(Machine m) {
     asking.find(m);
   }
--- a/src/main/java/io/embernotch/machines/Lanes.java
+++ b/src/main/java/io/embernotch/agents/CallConcurrencyLimiter.java
@@ -1,4 +1,4 @@
-package io.embernotch.machines;
+package io.embernotch.agents;
 
 import io.embernotch.model.Machine;
 import java.util.EnumMap;
@@ -11,7 +11,7 @@
  * takeover a thousand probes and commands left at once; what did not find a connection was given up
  * for most of a report period, and live services were started behind all others.
  */
-public final class Lanes {
+public final class CallConcurrencyLimiter {
   /** Whom a call is for, and which share of all calls may be under way when one more begins. */
   public enum Need {
     LIVE(1),
@@ -36,7 +36,7 @@
   /**
    * @param most calls under way at a time
    */
-  public Lanes(int most) {
+  public CallConcurrencyLimiter(int most) {
     this.most = most;
     for (Need n : Need.values()) {
       waiting.put(n, new LinkedHashMap<>());
--- a/src/main/java/io/embernotch/machines/Tokens.java
+++ b/src/main/java/io/embernotch/agents/FencingTokens.java
@@ -1,10 +1,10 @@
-package io.embernotch.machines;
+package io.embernotch.agents;
 
 /** Tokens: the epoch of a term, and below it a counter that is raised machine by machine. */
-public final class Tokens {
+public final class FencingTokens {
   private static final int EPOCH_BITS = 20;
 
-  private Tokens() {}
+  private FencingTokens() {}
 
   /** Lowest token of a term. */
   public static long base(long epoch) {
--- a/src/main/java/io/embernotch/machines/Hearing.java
+++ b/src/main/java/io/embernotch/agents/ReachabilityTracker.java
@@ -1,7 +1,7 @@
-package io.embernotch.machines;
+package io.embernotch.agents;
 
 import io.embernotch.model.Machine;
-import io.embernotch.model.WorkerReport;
+import io.embernotch.model.Heartbeat;
 import java.util.LinkedHashSet;
 import java.util.Set;
 import org.slf4j.Logger;
@@ -19,8 +19,8 @@
  * was tried and not answered. Where nothing new was to be shown, the next answer carries a token
  * raised by one, and the report after it tells.
  */
-final class Hearing {
-  private static final Logger LOG = LoggerFactory.getLogger(Hearing.class);
+final class ReachabilityTracker {
+  private static final Logger LOG = LoggerFactory.getLogger(ReachabilityTracker.class);
 
   /**
    * So many signs in a row, and it is taken for deaf: one answer may be late, or a controller have
@@ -39,7 +39,7 @@
   private final Set<Machine> accused = new LinkedHashSet<>();
   private double answeredAt = -1e9;
 
-  Hearing(long epochBase, double reportS) {
+  ReachabilityTracker(long epochBase, double reportS) {
     this.epochBase = epochBase;
     this.reportS = reportS;
   }
@@ -48,7 +48,7 @@
    * A newer report came by the controller {@code via}, a number of its life. The state of {@code m}
    * is from before it.
    */
-  void reported(Machine m, WorkerReport r, long via, double now) {
+  void reported(Machine m, Heartbeat r, long via, double now) {
     boolean moved = m.reportedVia != Machine.NOWHERE && m.reportedVia != via;
     boolean answered = m.toldToken > 0;
     m.reportedVia = via;
--- a/src/main/java/io/embernotch/machines/Delegations.java
+++ b/src/main/java/io/embernotch/agents/RenewalDelegations.java
@@ -1,9 +1,9 @@
-package io.embernotch.machines;
+package io.embernotch.agents;
 
-import io.embernotch.env.Lifetime;
-import io.embernotch.env.Recent;
+import io.embernotch.context.ProcessIncarnation;
+import io.embernotch.context.LeastRecentlyUsed;
 import io.embernotch.peer.Frame;
-import io.embernotch.relay.Standby;
+import io.embernotch.forwarding.DelegatedRenewal;
 import io.embernotch.settings.Settings;
 import java.util.HashMap;
 import java.util.Map;
@@ -11,7 +11,7 @@
 
 /**
  * What the leader knows of the controllers that may renew workers of their zone when they are cut
- * off ({@link Standby}): until when each may have done so.
+ * off ({@link DelegatedRenewal}): until when each may have done so.
  *
  * <p>A controller renews nothing before {@code contactS} after the sending of a message that we
  * have answered. Say its message n acknowledges our answer to k, and k acknowledged our answer to
@@ -19,21 +19,21 @@
  * nothing by itself but what n owns up to. All times are ours; held and late messages only make
  * them earlier.
  *
- * <p>Numbers are never those of another life ({@link Lifetime}), so a late message of a former one
+ * <p>Numbers are never those of another life ({@link ProcessIncarnation}), so a late message of a former one
  * proves the same: the life that followed had not begun when k was sent, and renews nothing for
  * {@code contactS} from its beginning.
  */
-public final class Delegations {
+public final class RenewalDelegations {
   private static final int REMEMBERED = 64;
 
   private static final class Delegation {
-    final Map<Long, Double> answeredAt = new Recent<>(REMEMBERED);
-    final Map<Long, Long> acks = new Recent<>(REMEMBERED);
+    final Map<Long, Double> answeredAt = new LeastRecentlyUsed<>(REMEMBERED);
+    final Map<Long, Long> acks = new LeastRecentlyUsed<>(REMEMBERED);
     double renewedAt = -1e9;
     double safeUntil = -1e9;
     double grantEnds;
 
-    /** The life of the process that wrote last; see {@link Lifetime}. */
+    /** The life of the process that wrote last; see {@link ProcessIncarnation}. */
     long life = -1;
   }
 
@@ -46,7 +46,7 @@
    * @param waiting controllers that are known to wait with cancellations, whoever leads; those that
    *     write are added. A controller is only ever replaced by one of its version or a later one
    */
-  public Delegations(Settings settings, double acquiredAt, Set<String> waiting) {
+  public RenewalDelegations(Settings settings, double acquiredAt, Set<String> waiting) {
     this.settings = settings;
     this.acquiredAt = acquiredAt;
     this.waiting = waiting;
@@ -81,19 +81,19 @@
   }
 
   /** The message is of another life of its process than the one before, or the first at all. */
-  public boolean another(Frame.Here h) {
+  public boolean another(Frame.DelegateHeartbeat h) {
     Delegation w = delegations.get(h.node());
-    return w == null || w.life != Lifetime.of(h.seq());
+    return w == null || w.life != ProcessIncarnation.of(h.seq());
   }
 
   /**
    * A controller has written. {@code may} be given the right if our lease is proven, and no job
    * whose cancellation was told has tasks left in its zone. Returns the answer to send at once.
    */
-  public Frame.Noted heard(Frame.Here h, long epoch, boolean may, double now) {
+  public Frame.DelegateHeartbeatAck heard(Frame.DelegateHeartbeat h, long epoch, boolean may, double now) {
     waiting.add(h.node());
     Delegation w = delegations.computeIfAbsent(h.node(), n -> new Delegation());
-    w.life = Lifetime.of(h.seq());
+    w.life = ProcessIncarnation.of(h.seq());
     if (h.ack() == 0 || w.answeredAt.isEmpty()) {
       // What its former process, or it under an earlier leader, has renewed, nobody owns up to.
       w.renewedAt =
@@ -113,7 +113,7 @@
     if (granted) {
       w.grantEnds = now + longestHold();
     }
-    return new Frame.Noted(epoch, h.seq(), granted);
+    return new Frame.DelegateHeartbeatAck(epoch, h.seq(), granted);
   }
 
   /**
--- a/src/main/java/io/embernotch/machines/Asking.java
+++ b/src/main/java/io/embernotch/agents/StatusProber.java
@@ -1,11 +1,11 @@
-package io.embernotch.machines;
+package io.embernotch.agents;
 
-import io.embernotch.codec.BadInput;
+import io.embernotch.codec.MalformedInputException;
 import io.embernotch.codec.WorkerCodec;
-import io.embernotch.env.Env;
-import io.embernotch.http.CallFailed;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.http.CallFailedException;
 import io.embernotch.model.Machine;
-import io.embernotch.model.WorkerReport;
+import io.embernotch.model.Heartbeat;
 import io.embernotch.settings.HostPort;
 import java.util.function.BiConsumer;
 import org.slf4j.Logger;
@@ -15,22 +15,22 @@
  * Machines that are asked for their state, because they are silent, not found yet, or said what may
  * be old.
  */
-final class Asking {
-  private static final Logger LOG = LoggerFactory.getLogger(Asking.class);
+final class StatusProber {
+  private static final Logger LOG = LoggerFactory.getLogger(StatusProber.class);
 
-  private final Env env;
-  private final Lanes lanes;
-  private final Hearing hearing;
+  private final ControllerContext env;
+  private final CallConcurrencyLimiter lanes;
+  private final ReachabilityTracker hearing;
   private final double callS;
-  private final BiConsumer<WorkerReport, Machine> absorb;
+  private final BiConsumer<Heartbeat, Machine> absorb;
 
   /** {@code absorb} takes what a machine answers. */
-  Asking(
-      Env env,
-      Lanes lanes,
-      Hearing hearing,
+  StatusProber(
+      ControllerContext env,
+      CallConcurrencyLimiter lanes,
+      ReachabilityTracker hearing,
       double callS,
-      BiConsumer<WorkerReport, Machine> absorb) {
+      BiConsumer<Heartbeat, Machine> absorb) {
     this.env = env;
     this.lanes = lanes;
     this.hearing = hearing;
@@ -52,7 +52,7 @@
 
   /** Asks a silent machine for its state; the answer counts as news, but renews nothing. */
   void probe(Machine m) {
-    if (!m.probing && m.address != null && lanes.enter(m, Lanes.Need.SILENT, () -> probe(m))) {
+    if (!m.probing && m.address != null && lanes.enter(m, CallConcurrencyLimiter.Need.SILENT, () -> probe(m))) {
       ask(m);
     }
   }
@@ -63,7 +63,7 @@
         && !m.deleting
         && !m.probing
         && m.address != null
-        && lanes.enter(m, Lanes.Need.FIND, () -> find(m))) {
+        && lanes.enter(m, CallConcurrencyLimiter.Need.FIND, () -> find(m))) {
       ask(m);
     }
   }
@@ -101,12 +101,12 @@
               lanes.leave();
               hearing.answered(m, env.clock().now());
               try {
-                WorkerReport r = WorkerCodec.read(reply.body());
+                Heartbeat r = WorkerCodec.read(reply.body());
                 if (!r.newerThan(session, seq) || r.token() < seen) {
                   anew(m);
                 }
                 absorb.accept(r, m);
-              } catch (BadInput e) {
+              } catch (MalformedInputException e) {
                 LOG.info("unreadable status of {}: {}", m.name, e.getMessage());
               }
             })
@@ -114,12 +114,12 @@
             e -> {
               m.probing = false;
               lanes.leave();
-              if (!(e instanceof CallFailed f) || f.tried) {
+              if (!(e instanceof CallFailedException f) || f.tried) {
                 m.probeFailedAt = env.clock().now();
                 if (m.up() && m.heardAt > since) {
                   hearing.unanswered(m, m.probeFailedAt);
                 }
-                m.probeConnected = e instanceof CallFailed f && f.sent;
+                m.probeConnected = e instanceof CallFailedException f && f.sent;
               }
             });
   }
--- a/src/main/java/io/embernotch/machines/Starts.java
+++ b/src/main/java/io/embernotch/agents/TaskLauncher.java
@@ -1,14 +1,14 @@
-package io.embernotch.machines;
+package io.embernotch.agents;
 
-import io.embernotch.env.Env;
-import io.embernotch.ledger.Ledger;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.state.ClusterState;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
 import io.embernotch.model.Machine;
 import io.embernotch.model.Priority;
-import io.embernotch.plan.Plan;
-import io.embernotch.progress.Committer;
-import io.embernotch.store.Pacer.Rank;
+import io.embernotch.scheduling.SchedulingPlan;
+import io.embernotch.persistence.StateWriter;
+import io.embernotch.store.RateLimiter.Rank;
 import java.util.ArrayDeque;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
@@ -16,23 +16,23 @@
 import org.slf4j.LoggerFactory;
 
 /** Carries out what a plan starts: opens attempts, has them committed, and only then sends them. */
-public final class Starts {
-  private static final Logger LOG = LoggerFactory.getLogger(Starts.class);
+public final class TaskLauncher {
+  private static final Logger LOG = LoggerFactory.getLogger(TaskLauncher.class);
 
-  private final Env env;
-  private final Ledger ledger;
-  private final Committer committer;
-  private final Workers workers;
+  private final ControllerContext env;
+  private final ClusterState ledger;
+  private final StateWriter committer;
+  private final AgentReconciler workers;
   private final double acquiredAt;
   private final BooleanSupplier mayOrder;
   private final ArrayDeque<Machine> toFlush = new ArrayDeque<>();
   private boolean liveStarted;
 
-  public Starts(
-      Env env,
-      Ledger ledger,
-      Committer committer,
-      Workers workers,
+  public TaskLauncher(
+      ControllerContext env,
+      ClusterState ledger,
+      StateWriter committer,
+      AgentReconciler workers,
       double acquiredAt,
       BooleanSupplier mayOrder) {
     this.env = env;
@@ -43,14 +43,14 @@
     this.mayOrder = mayOrder;
   }
 
-  public void begin(Plan.Start s, double now) {
+  public void begin(SchedulingPlan.Start s, double now) {
     Job job = s.job();
     if (job.open.isEmpty() && job.done.isEmpty() && job.restarted.isEmpty()) {
       ledger.largest.begins(job, env.clock().wallMs());
     }
     long number = job.nextAttempt++;
     boolean live = job.spec.priority() == Priority.PRODUCTION;
-    for (Plan.Placement p : s.placements()) {
+    for (SchedulingPlan.Placement p : s.placements()) {
       Attempt a = ledger.open(job, p.task(), number, p.machine(), now);
       job.wishes.remove(p.task());
       committer.now(
@@ -58,8 +58,8 @@
           p.task(),
           live ? Rank.FIRST : Rank.USUAL,
           () -> {
-            if (Ledger.isOpen(a) && a.start == Attempt.Start.UNCOMMITTED && job.end == null) {
-              a.start = Attempt.Start.READY;
+            if (ClusterState.isOpen(a) && a.start == Attempt.LaunchState.UNCOMMITTED && job.end == null) {
+              a.start = Attempt.LaunchState.READY;
               flushSoon(p.machine());
               if (live && !liveStarted) {
                 liveStarted = true;
--- a/src/main/java/io/embernotch/machines/Stops.java
+++ b/src/main/java/io/embernotch/agents/TaskStopper.java
@@ -1,27 +1,27 @@
-package io.embernotch.machines;
+package io.embernotch.agents;
 
-import io.embernotch.env.Env;
-import io.embernotch.ledger.Ledger;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.state.ClusterState;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
 import io.embernotch.model.Machine;
-import io.embernotch.model.Shape;
+import io.embernotch.model.JobShape;
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
 /** Has attempts end: one, a whole gang, or all that is on a machine. */
-public final class Stops {
-  private final Env env;
-  private final Ledger ledger;
-  private final Workers workers;
+public final class TaskStopper {
+  private final ControllerContext env;
+  private final ClusterState ledger;
+  private final AgentReconciler workers;
   private final Consumer<Attempt> close;
 
   /** Before the store is read, orders wait. */
   private final BooleanSupplier mayOrder;
 
-  public Stops(
-      Env env, Ledger ledger, Workers workers, Consumer<Attempt> close, BooleanSupplier mayOrder) {
+  public TaskStopper(
+      ControllerContext env, ClusterState ledger, AgentReconciler workers, Consumer<Attempt> close, BooleanSupplier mayOrder) {
     this.env = env;
     this.ledger = ledger;
     this.workers = workers;
@@ -31,7 +31,7 @@
 
   /** Wants an attempt to end. One whose start has not left ends here and now. */
   public void want(Attempt a, double graceS) {
-    if (a.start == Attempt.Start.UNCOMMITTED || a.start == Attempt.Start.READY) {
+    if (a.start == Attempt.LaunchState.UNCOMMITTED || a.start == Attempt.LaunchState.READY) {
       close.accept(a);
       return;
     }
@@ -59,7 +59,7 @@
 
   /** Stops an attempt, and with it the rest of its gang. */
   public void one(Attempt a, double graceS) {
-    if (a.job.spec.shape() == Shape.GANG) {
+    if (a.job.spec.shape() == JobShape.GANG) {
       breakGang(a.job, graceS);
     } else {
       want(a, graceS);
--- a/src/main/java/io/embernotch/machines/Leases.java
+++ b/src/main/java/io/embernotch/agents/WorkerLeases.java
@@ -1,4 +1,4 @@
-package io.embernotch.machines;
+package io.embernotch.agents;
 
 import io.embernotch.actor.Clock;
 import io.embernotch.model.Machine;
@@ -8,14 +8,14 @@
  * Until when a worker may keep what it runs: its lease, counted from the latest moment at which
  * anybody can have renewed it. All times are seconds of our steady clock.
  */
-public final class Leases {
+public final class WorkerLeases {
   private final Settings settings;
   private final Clock clock;
-  private final Delegations delegations;
+  private final RenewalDelegations delegations;
   private final long epochBase;
   private final double acquiredAt;
 
-  Leases(Settings settings, Clock clock, Delegations delegations, long epochBase) {
+  WorkerLeases(Settings settings, Clock clock, RenewalDelegations delegations, long epochBase) {
     this.settings = settings;
     this.clock = clock;
     this.delegations = delegations;
--- a/src/main/java/io/embernotch/users/Admission.java
+++ b/src/main/java/io/embernotch/api/AdmissionControl.java
@@ -1,8 +1,8 @@
-package io.embernotch.users;
+package io.embernotch.api;
 
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.MachineType;
-import io.embernotch.model.Shape;
+import io.embernotch.model.JobShape;
 import io.embernotch.settings.Settings;
 import java.util.Collection;
 import java.util.Map;
@@ -10,8 +10,8 @@
 /**
  * Tells jobs that can never run. Depends on nothing that changes, so a repeat gets the same answer.
  */
-public final class Admission {
-  private Admission() {}
+public final class AdmissionControl {
+  private AdmissionControl() {}
 
   /** Why the job can never run, or null. */
   public static String neverRuns(
@@ -27,14 +27,14 @@
     if (!fits) {
       return "a task fits no allowed machine type";
     }
-    int together = job.shape() == Shape.ARRAY ? 1 : job.tasks();
+    int together = job.shape() == JobShape.ARRAY ? 1 : job.tasks();
     if (over(job.cpus() * together, team.cpusMax())
         || over(job.gpus() * together, team.gpusMax())) {
       return "needs more than the limit of team " + job.team();
     }
     if (job.spread()
         && job.tasks() > 1
-        && job.shape() != Shape.ARRAY
+        && job.shape() != JobShape.ARRAY
         && (job.oneZone() || job.zone() != null)) {
       return "must be spread, yet may use one zone only";
     }
--- a/src/main/java/io/embernotch/users/Awaited.java
+++ b/src/main/java/io/embernotch/api/DependencyValidator.java
@@ -1,12 +1,12 @@
-package io.embernotch.users;
+package io.embernotch.api;
 
-import io.embernotch.codec.RunCodec;
-import io.embernotch.copy.Base;
-import io.embernotch.env.Env;
-import io.embernotch.env.Recent;
+import io.embernotch.codec.JobProgressCodec;
+import io.embernotch.snapshot.BaseSnapshot;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.context.LeastRecentlyUsed;
 import io.embernotch.model.JobSpec;
-import io.embernotch.model.Shape;
-import io.embernotch.progress.StoredJob;
+import io.embernotch.model.JobShape;
+import io.embernotch.persistence.PersistedJob;
 import io.vertx.core.Future;
 import java.util.ArrayList;
 import java.util.List;
@@ -18,24 +18,24 @@
  * Checks the jobs that a submission names. That one was never accepted only the store can tell;
  * that it was, and whether it is a service, never changes, so it is read once.
  */
-public final class Awaited {
+public final class DependencyValidator {
   private static final int MOST = 20_000;
 
-  private final Env env;
-  private final Supplier<Base> base;
+  private final ControllerContext env;
+  private final Supplier<BaseSnapshot> base;
 
   /** Accepted jobs, and whether they are services. */
-  private final Map<String, Boolean> accepted = new Recent<>(MOST);
+  private final Map<String, Boolean> accepted = new LeastRecentlyUsed<>(MOST);
 
   /** {@code base}: what the present era began with. */
-  public Awaited(Env env, Supplier<Base> base) {
+  public DependencyValidator(ControllerContext env, Supplier<BaseSnapshot> base) {
     this.env = env;
     this.base = base;
   }
 
   /** A job is in the store. */
   public void accepted(JobSpec spec) {
-    accepted.put(spec.ref(), spec.shape() == Shape.SERVICE);
+    accepted.put(spec.ref(), spec.shape() == JobShape.SERVICE);
   }
 
   /** The job was seen in the store. */
@@ -64,13 +64,13 @@
       // Only its end is left; a service that has ended was cancelled, and so is what awaits it.
       return Future.succeededFuture(null);
     }
-    return StoredJob.submission(env.store(), base.get(), ref)
+    return PersistedJob.submission(env.store(), base.get(), ref)
         .map(
             entry -> {
               if (!entry.present()) {
                 return "awaits " + ref + ", which was never accepted";
               }
-              accepted(RunCodec.readJob(entry.value()).spec);
+              accepted(JobProgressCodec.readJob(entry.value()).spec);
               return complaint(ref, accepted.get(ref));
             });
   }
--- a/src/main/java/io/embernotch/users/PollTurns.java
+++ b/src/main/java/io/embernotch/api/PollRateLimiter.java
@@ -1,11 +1,11 @@
-package io.embernotch.users;
+package io.embernotch.api;
 
 import io.embernotch.actor.Clock;
 import io.embernotch.actor.Timers;
-import io.embernotch.env.Recent;
+import io.embernotch.context.LeastRecentlyUsed;
 import io.embernotch.settings.Settings;
-import io.embernotch.store.Pacer;
-import io.embernotch.store.Pacer.Rank;
+import io.embernotch.store.RateLimiter;
+import io.embernotch.store.RateLimiter.Rank;
 import java.util.Map;
 
 /**
@@ -15,7 +15,7 @@
  * an answer here to get one. With {@code n} jobs polled at a node that can answer {@code c} polls a
  * second that is n/c seconds at most, and a poll's interval on top.
  */
-public final class PollTurns {
+public final class PollRateLimiter {
   /** Seconds without an answer after which the operators count a job as forgotten. */
   public static final double FORGOTTEN_S = 75;
 
@@ -31,17 +31,17 @@
   private final Clock clock;
   private final double perS;
   private final double startedAt;
-  private final Pacer pacer;
+  private final RateLimiter pacer;
 
   /** When each job was last told of here. */
   private final Map<String, Double> toldAt;
 
-  public PollTurns(Clock clock, Timers timers, Settings settings) {
+  public PollRateLimiter(Clock clock, Timers timers, Settings settings) {
     this.clock = clock;
     this.startedAt = clock.now();
     this.perS = Math.max(1, settings.quota().maxConnections() / settings.workers().reportS());
-    this.pacer = new Pacer(clock, timers, perS, 1);
-    this.toldAt = new Recent<>(settings.quota().polled());
+    this.pacer = new RateLimiter(clock, timers, perS, 1);
+    this.toldAt = new LeastRecentlyUsed<>(settings.quota().polled());
   }
 
   /** True if the poll may be answered; then {@link #told} is to follow if it was. */
--- a/src/main/java/io/embernotch/users/Submissions.java
+++ b/src/main/java/io/embernotch/api/SubmissionHandler.java
@@ -1,20 +1,20 @@
-package io.embernotch.users;
+package io.embernotch.api;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.embernotch.codec.BadInput;
+import io.embernotch.codec.MalformedInputException;
 import io.embernotch.codec.JobCodec;
 import io.embernotch.codec.Json;
-import io.embernotch.codec.RunCodec;
-import io.embernotch.copy.Base;
-import io.embernotch.env.Env;
-import io.embernotch.env.Recent;
-import io.embernotch.http.Answer;
+import io.embernotch.codec.JobProgressCodec;
+import io.embernotch.snapshot.BaseSnapshot;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.context.LeastRecentlyUsed;
+import io.embernotch.http.HttpResponse;
 import io.embernotch.model.Job;
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.MachineType;
-import io.embernotch.model.Phase;
-import io.embernotch.store.Pacer.Rank;
-import io.embernotch.store.Txn;
+import io.embernotch.model.JobPhase;
+import io.embernotch.store.RateLimiter.Rank;
+import io.embernotch.store.Transaction;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import java.util.HashMap;
@@ -31,8 +31,8 @@
  * come back. When they were queued instead, their users gave up and came again, and the copies in
  * the queue left no change for starts.
  */
-public final class Submissions {
-  private static final Logger LOG = LoggerFactory.getLogger(Submissions.class);
+public final class SubmissionHandler {
+  private static final Logger LOG = LoggerFactory.getLogger(SubmissionHandler.class);
 
   /** What a submission needs of its controller. */
   public interface Host {
@@ -46,20 +46,20 @@
     String era();
 
     /** What the present era began with. */
-    Base base();
+    BaseSnapshot base();
 
     /** The present state of a job: 200, 404 if it was never accepted, or 503. */
-    Future<Answer> poll(String ref);
+    Future<HttpResponse> poll(String ref);
 
     /** The answer of another controller that the state service serves; null if there is none. */
-    Future<Answer> elsewhere(byte[] body, double withinS);
+    Future<HttpResponse> elsewhere(byte[] body, double withinS);
   }
 
-  private final Env env;
+  private final ControllerContext env;
   private final Map<String, MachineType> types;
   private final int pieceSize;
   private final Host host;
-  private final Awaited awaited;
+  private final DependencyValidator awaited;
 
   /**
    * Descriptions that this node has lately written: a leader that knew nothing of them yet may
@@ -73,14 +73,14 @@
   /** After this time the user is told to come back. */
   private final double patienceS;
 
-  public Submissions(Env env, Map<String, MachineType> types, int pieceSize, Host host) {
+  public SubmissionHandler(ControllerContext env, Map<String, MachineType> types, int pieceSize, Host host) {
     this.env = env;
     this.types = types;
     this.pieceSize = pieceSize;
     this.host = host;
-    this.awaited = new Awaited(env, host::base);
+    this.awaited = new DependencyValidator(env, host::base);
     this.accepted =
-        new Recent<>(
+        new LeastRecentlyUsed<>(
             (int)
                 Math.ceil(
                     env.settings().stateFloor().writeRps() * env.settings().workers().leaseS()));
@@ -89,45 +89,45 @@
   }
 
   /** A user's own submission. */
-  public Future<Answer> submit(byte[] body) {
+  public Future<HttpResponse> submit(byte[] body) {
     return take(body, true);
   }
 
   /** One that another controller was given; it is not passed on any further. */
-  public Future<Answer> passedOn(byte[] body) {
+  public Future<HttpResponse> passedOn(byte[] body) {
     return take(body, false);
   }
 
   private int handedOn;
   private final Map<String, Taking> underWay = new HashMap<>();
 
-  private Future<Answer> take(byte[] body, boolean mayPassOn) {
+  private Future<HttpResponse> take(byte[] body, boolean mayPassOn) {
     ObjectNode o;
     try {
       o = Json.parseObject(body);
-    } catch (BadInput e) {
-      return Future.succeededFuture(Answer.error(400, e.getMessage()));
+    } catch (MalformedInputException e) {
+      return Future.succeededFuture(HttpResponse.error(400, e.getMessage()));
     }
     JobSpec spec;
     try {
       spec = JobCodec.read(o);
-    } catch (BadInput e) {
-      return refuse(o.path("ref").asText(), Answer.error(400, e.getMessage()));
+    } catch (MalformedInputException e) {
+      return refuse(o.path("ref").asText(), HttpResponse.error(400, e.getMessage()));
     }
     if (types.isEmpty()) {
-      return Future.succeededFuture(Answer.later("machine types are not known yet"));
+      return Future.succeededFuture(HttpResponse.later("machine types are not known yet"));
     }
-    String never = Admission.neverRuns(spec, env.settings().teams(), types.values());
+    String never = AdmissionControl.neverRuns(spec, env.settings().teams(), types.values());
     if (never != null) {
-      return refuse(spec.ref(), Answer.error(422, never));
+      return refuse(spec.ref(), HttpResponse.error(422, never));
     }
     Taking before = underWay.get(spec.ref());
     if (before != null) {
       // One submission creates the job; a repeat that joins it is told of a job that is known.
-      return before.reply.future().map(a -> a.status() == 201 ? Answer.of(200, a.body()) : a);
+      return before.reply.future().map(a -> a.status() == 201 ? HttpResponse.of(200, a.body()) : a);
     }
     if (!host.sound()) {
-      Answer refusal = Answer.later("what the state service holds is not known yet");
+      HttpResponse refusal = HttpResponse.later("what the state service holds is not known yet");
       return mayPassOn ? handOn(body, refusal) : Future.succeededFuture(refusal);
     }
     if (host.base().has(spec.ref())) {
@@ -136,14 +136,14 @@
     }
     double waitS = env.store().waitS();
     if (waitS > patienceS / 2) {
-      Answer refusal =
-          Answer.later("more is submitted than the state service takes", (int) Math.ceil(waitS));
+      HttpResponse refusal =
+          HttpResponse.later("more is submitted than the state service takes", (int) Math.ceil(waitS));
       return mayPassOn ? handOn(body, refusal) : Future.succeededFuture(refusal);
     }
     Job job = new Job(spec, env.clock().wallMs());
-    ObjectNode value = RunCodec.writeJob(job, pieceSize);
+    ObjectNode value = JobProgressCodec.writeJob(job, pieceSize);
     if (Json.bytes(value).length > env.settings().stateFloor().valueKb() * 1024) {
-      return refuse(spec.ref(), Answer.error(400, "description too long"));
+      return refuse(spec.ref(), HttpResponse.error(400, "description too long"));
     }
     Taking taking = new Taking(job, value, body, mayPassOn);
     underWay.put(spec.ref(), taking);
@@ -160,13 +160,13 @@
   public void renew() {
     for (Map.Entry<String, byte[]> e : accepted.entrySet()) {
       if (!host.base().has(e.getKey())) {
-        again(e.getKey(), Json.parseObject(e.getValue()).put(RunCodec.AGAIN, true));
+        again(e.getKey(), Json.parseObject(e.getValue()).put(JobProgressCodec.AGAIN, true));
       }
     }
   }
 
   private void again(String ref, ObjectNode value) {
-    String key = RunCodec.JOB + ref;
+    String key = JobProgressCodec.JOB + ref;
     String name = host.era();
     env.store()
         .turn(
@@ -174,14 +174,14 @@
             Rank.USUAL,
             () ->
                 env.store()
-                    .commitInTurn(new Txn().when(key, 0).write(key, value), Rank.USUAL)
+                    .commitInTurn(new Transaction().when(key, 0).write(key, value), Rank.USUAL)
                     .onSuccess(
                         c -> {
                           if (c.applied()) {
                             LOG.info(
                                 "job {} was accepted shortly before the loss, and is written again",
                                 ref);
-                            host.accepted(RunCodec.readJob(value), value, c.epoch());
+                            host.accepted(JobProgressCodec.readJob(value), value, c.epoch());
                           }
                         })
                     .onFailure(
@@ -200,8 +200,8 @@
    * Another controller may have changes to spare while a leader's go to starts; it is given a few
    * submissions at a time. A flood is still refused at once.
    */
-  private Future<Answer> handOn(byte[] body, Answer refusal) {
-    Future<Answer> other =
+  private Future<HttpResponse> handOn(byte[] body, HttpResponse refusal) {
+    Future<HttpResponse> other =
         handedOn < env.settings().stateFloor().writeRps() / 4
             ? host.elsewhere(body, patienceS)
             : null;
@@ -216,7 +216,7 @@
    * Turns a submission down for good, unless the job was accepted before: it may have been under
    * other limits, and its user is to get its state, whatever would be said of it now.
    */
-  private Future<Answer> refuse(String ref, Answer refusal) {
+  private Future<HttpResponse> refuse(String ref, HttpResponse refusal) {
     if (!JobCodec.isRef(ref)) {
       return Future.succeededFuture(refusal);
     }
@@ -231,7 +231,7 @@
     private final ObjectNode value;
     private final byte[] body;
     private final boolean mayPassOn;
-    private final Promise<Answer> reply = Promise.promise();
+    private final Promise<HttpResponse> reply = Promise.promise();
     private boolean ownFailed;
     private boolean passedOn;
     private boolean passFailed;
@@ -243,11 +243,11 @@
       this.mayPassOn = mayPassOn;
     }
 
-    Future<Answer> go() {
+    Future<HttpResponse> go() {
       env.timers()
           .after(
               patienceS,
-              () -> reply.tryComplete(Answer.later("the state service does not answer")));
+              () -> reply.tryComplete(HttpResponse.later("the state service does not answer")));
       if (env.store().failingForS() > 0 || env.store().waitS() > hedgeS) {
         // Another has changes to spare while ours wait behind starts.
         passOn();
@@ -264,7 +264,7 @@
                 if (why == null) {
                   env.store().turn(1, Rank.USUAL, this::write);
                 } else {
-                  refuse(job.spec.ref(), Answer.error(422, why)).onSuccess(reply::tryComplete);
+                  refuse(job.spec.ref(), HttpResponse.error(422, why)).onSuccess(reply::tryComplete);
                 }
               })
           .onFailure(e -> failed());
@@ -283,19 +283,19 @@
         return;
       }
       env.timers().after(hedgeS, this::passOn);
-      String key = RunCodec.JOB + job.spec.ref();
+      String key = JobProgressCodec.JOB + job.spec.ref();
       env.store()
-          .commitInTurn(new Txn().when(key, 0).write(key, value), Rank.USUAL)
+          .commitInTurn(new Transaction().when(key, 0).write(key, value), Rank.USUAL)
           .onSuccess(
               c -> {
                 if (c.applied()) {
                   awaited.accepted(job.spec);
                   accepted.put(job.spec.ref(), Json.bytes(value));
                   host.accepted(job, value, c.epoch());
-                  reply.tryComplete(Answer.of(201, JobCodec.brief(job.spec.ref(), Phase.QUEUED)));
+                  reply.tryComplete(HttpResponse.of(201, JobCodec.brief(job.spec.ref(), JobPhase.QUEUED)));
                 } else {
                   host.poll(job.spec.ref())
-                      .map(a -> a.status() == 404 ? Answer.later("not accepted yet") : a)
+                      .map(a -> a.status() == 404 ? HttpResponse.later("not accepted yet") : a)
                       .onSuccess(reply::tryComplete);
                 }
               })
@@ -306,7 +306,7 @@
       if (!mayPassOn || passedOn || reply.future().isComplete()) {
         return;
       }
-      Future<Answer> other = host.elsewhere(body, patienceS);
+      Future<HttpResponse> other = host.elsewhere(body, patienceS);
       if (other == null) {
         return;
       }
@@ -325,7 +325,7 @@
 
     private void settle() {
       if (ownFailed && (passFailed || !passedOn)) {
-        reply.tryComplete(Answer.later("the state service does not take it"));
+        reply.tryComplete(HttpResponse.later("the state service does not take it"));
       }
     }
   }
--- a/src/main/java/io/embernotch/app/ClientCommand.java
+++ b/src/main/java/io/embernotch/app/ClientCommand.java
@@ -2,9 +2,9 @@
 
 import io.embernotch.actor.SystemClock;
 import io.embernotch.actor.VertxTimers;
-import io.embernotch.http.CallFailed;
-import io.embernotch.http.Reply;
-import io.embernotch.http.VertxCaller;
+import io.embernotch.http.CallFailedException;
+import io.embernotch.http.HttpReply;
+import io.embernotch.http.VertxHttpCaller;
 import io.embernotch.settings.HostPort;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
@@ -53,8 +53,8 @@
                         .setClassPathResolvingEnabled(false)
                         .setFileCachingEnabled(false)));
     try {
-      VertxCaller caller =
-          new VertxCaller(
+      VertxHttpCaller caller =
+          new VertxHttpCaller(
               vertx,
               new SystemClock(),
               new VertxTimers(vertx, vertx.getOrCreateContext()),
@@ -62,7 +62,7 @@
               1,
               TIMEOUT_S,
               TIMEOUT_S);
-      Reply reply =
+      HttpReply reply =
           caller
               .call(method, address, path, body, TIMEOUT_S)
               .toCompletionStage()
@@ -81,7 +81,7 @@
       };
     } catch (ExecutionException e) {
       String why =
-          e.getCause() instanceof CallFailed
+          e.getCause() instanceof CallFailedException
               ? e.getCause().getMessage()
               : String.valueOf(e.getCause());
       err.println("embernotch: cannot reach " + address + ": " + why);
--- a/src/main/java/io/embernotch/app/Server.java
+++ b/src/main/java/io/embernotch/app/Server.java
@@ -3,16 +3,16 @@
 import io.embernotch.actor.SystemClock;
 import io.embernotch.actor.Timers;
 import io.embernotch.actor.VertxTimers;
-import io.embernotch.actor.Work;
+import io.embernotch.actor.EventLoopProfile;
 import io.embernotch.cloud.CloudClient;
-import io.embernotch.env.Env;
-import io.embernotch.http.HttpFront;
-import io.embernotch.http.VertxCaller;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.http.HttpApiServer;
+import io.embernotch.http.VertxHttpCaller;
 import io.embernotch.peer.VertxPeerLink;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.Settings;
 import io.embernotch.controller.Controller;
-import io.embernotch.store.LeaseKeeper;
+import io.embernotch.store.LeaseRenewer;
 import io.embernotch.store.StoreClient;
 import io.vertx.core.Context;
 import io.vertx.core.Deployable;
@@ -51,17 +51,17 @@
   private static void wire(
       Vertx vertx, Context loop, Settings settings, OperatorSettings operator) {
     SystemClock clock = new SystemClock();
-    Work work = Work.read();
+    EventLoopProfile work = EventLoopProfile.read();
     Timers timers = work.around("timer", new VertxTimers(vertx, loop));
     double report = settings.workers().reportS();
-    VertxCaller store = new VertxCaller(vertx, clock, timers, 8, 1, report / 3, KEEP_S);
-    VertxCaller cloud = new VertxCaller(vertx, clock, timers, 4, 1, report / 3, KEEP_S);
+    VertxHttpCaller store = new VertxHttpCaller(vertx, clock, timers, 8, 1, report / 3, KEEP_S);
+    VertxHttpCaller cloud = new VertxHttpCaller(vertx, clock, timers, 4, 1, report / 3, KEEP_S);
     // Each worker has a connection to us already: ours to them are few at a time, and short-lived.
     int direct = settings.quota().directCalls();
-    VertxCaller workers = new VertxCaller(vertx, clock, timers, 1, direct, report / 3, report / 3);
+    VertxHttpCaller workers = new VertxHttpCaller(vertx, clock, timers, 1, direct, report / 3, report / 3);
     VertxPeerLink peers = new VertxPeerLink(vertx, timers, settings);
-    Env env =
-        new Env(
+    ControllerContext env =
+        new ControllerContext(
             settings,
             operator,
             clock,
@@ -78,7 +78,7 @@
                       task.run();
                       return null;
                     }));
-    Promise<LeaseKeeper> keeper = Promise.promise();
+    Promise<LeaseRenewer> keeper = Promise.promise();
     vertx
         .deployVerticle(
             (Deployable)
@@ -93,12 +93,12 @@
                     v -> listen(vertx, env, peers, new Controller(env, peers, kept))));
   }
 
-  private static LeaseKeeper keeper(Vertx vertx, Context lease, Env env) {
+  private static LeaseRenewer keeper(Vertx vertx, Context lease, ControllerContext env) {
     Settings settings = env.settings();
     VertxTimers timers = new VertxTimers(vertx, lease);
-    VertxCaller caller =
-        new VertxCaller(vertx, env.clock(), timers, 1, 1, settings.workers().reportS() / 3, KEEP_S);
-    return new LeaseKeeper(
+    VertxHttpCaller caller =
+        new VertxHttpCaller(vertx, env.clock(), timers, 1, 1, settings.workers().reportS() / 3, KEEP_S);
+    return new LeaseRenewer(
         caller,
         settings.state(),
         env.clock(),
@@ -110,7 +110,7 @@
         settings.contactS());
   }
 
-  private static void listen(Vertx vertx, Env env, VertxPeerLink peers, Controller controller) {
+  private static void listen(Vertx vertx, ControllerContext env, VertxPeerLink peers, Controller controller) {
     Settings settings = env.settings();
     vertx
         .deployVerticle((Deployable) front -> front(vertx, front, env, controller))
@@ -132,9 +132,9 @@
   }
 
   /** A deployment is given a loop of its own while there is one. */
-  private static Future<?> front(Vertx vertx, Context loop, Env env, Controller controller) {
+  private static Future<?> front(Vertx vertx, Context loop, ControllerContext env, Controller controller) {
     Settings settings = env.settings();
-    return new HttpFront(
+    return new HttpApiServer(
             controller, env.loop(), env.clock(), new VertxTimers(vertx, loop), settings)
         .listen(vertx, settings.clientListen());
   }
--- a/src/main/java/io/embernotch/app/SnapshotCommand.java
+++ b/src/main/java/io/embernotch/app/SnapshotCommand.java
@@ -2,9 +2,9 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.Json;
-import io.embernotch.snapshot.Snapshot;
-import io.embernotch.snapshot.SnapshotDiff;
-import io.embernotch.snapshot.SnapshotDir;
+import io.embernotch.snapshot.file.SnapshotArchive;
+import io.embernotch.snapshot.file.SnapshotDiff;
+import io.embernotch.snapshot.file.SnapshotDirectory;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.charset.StandardCharsets;
@@ -71,7 +71,7 @@
 
   private int list() throws IOException {
     boolean whole = true;
-    for (Path file : new SnapshotDir(files.get(0), 1).list()) {
+    for (Path file : new SnapshotDirectory(files.get(0), 1).list()) {
       whole &= verify(file);
     }
     return whole ? 0 : 1;
@@ -80,17 +80,17 @@
   private boolean verify(Path file) throws IOException {
     ObjectNode o = Json.object().put("file", file.getFileName().toString());
     try {
-      about(SnapshotDir.read(file), o);
+      about(SnapshotDirectory.read(file), o);
       say(o);
       return true;
-    } catch (Snapshot.Damaged e) {
+    } catch (SnapshotArchive.Damaged e) {
       say(o.put("damaged", e.getMessage()));
       return false;
     }
   }
 
   private int show() throws IOException {
-    Snapshot s = SnapshotDir.read(files.get(0));
+    SnapshotArchive s = SnapshotDirectory.read(files.get(0));
     say(about(s, Json.object().put("file", files.get(0).getFileName().toString())));
     s.copy().getJobList().forEach(j -> say(SnapshotDiff.line(j)));
     s.copy().getEndedList().forEach(e -> say(SnapshotDiff.line(e)));
@@ -100,12 +100,12 @@
   private int diff() throws IOException {
     List<ObjectNode> lines =
         SnapshotDiff.of(
-            SnapshotDir.read(files.get(0)).copy(), SnapshotDir.read(files.get(1)).copy());
+            SnapshotDirectory.read(files.get(0)).copy(), SnapshotDirectory.read(files.get(1)).copy());
     lines.forEach(this::say);
     return lines.isEmpty() ? 0 : 1;
   }
 
-  private static ObjectNode about(Snapshot s, ObjectNode o) {
+  private static ObjectNode about(SnapshotArchive s, ObjectNode o) {
     return o.put("era", s.head().getEra())
         .put("epoch", s.head().getEpoch())
         .put("at", Instant.ofEpochMilli(s.head().getWallMs()).toString())
--- a/src/main/java/io/embernotch/calendar/CalendarKeeper.java
+++ b/src/main/java/io/embernotch/calendar/ReleaseCalendar.java
@@ -3,19 +3,19 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.calendar.Occurrences.Occurrence;
-import io.embernotch.codec.BadInput;
+import io.embernotch.codec.MalformedInputException;
 import io.embernotch.codec.CalendarCodec;
 import io.embernotch.codec.CalendarCodec.Kept;
-import io.embernotch.env.Env;
-import io.embernotch.ledger.Ledger;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.state.ClusterState;
 import io.embernotch.model.Job;
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.MachineType;
-import io.embernotch.model.Phase;
+import io.embernotch.model.JobPhase;
 import io.embernotch.model.Priority;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.Release;
-import io.embernotch.shared.InForce;
+import io.embernotch.shared.EffectiveConfiguration;
 import io.embernotch.shared.SharedState;
 import java.time.Instant;
 import java.time.LocalDate;
@@ -36,8 +36,8 @@
  * job's release; once that is settled it is kept with the job. The time of day decides nothing here
  * but which days ahead are written, so controllers' clocks may differ.
  */
-public final class CalendarKeeper {
-  private static final Logger LOG = LoggerFactory.getLogger(CalendarKeeper.class);
+public final class ReleaseCalendar {
+  private static final Logger LOG = LoggerFactory.getLogger(ReleaseCalendar.class);
 
   private static final String CALENDAR = "calendar";
   private static final String PREFIX = "release/";
@@ -53,11 +53,11 @@
   /** Live services of a release that is nearer than so many boot times need more room. */
   private static final double NEAR_BOOTS = 3;
 
-  private final Env env;
-  private final Ledger ledger;
+  private final ControllerContext env;
+  private final ClusterState ledger;
   private final SharedState shared;
   private final Consumer<Job> settled;
-  private final InForce<List<Release>> inForce;
+  private final EffectiveConfiguration<List<Release>> inForce;
   private final Map<String, Kept> kept = new TreeMap<>();
   private final Map<String, Set<String>> served = new HashMap<>();
   private final Map<String, Set<String>> atRisk = new HashMap<>();
@@ -67,14 +67,14 @@
    * {@code settled} is told of each job whose release has been settled: it is to be written with
    * the job.
    */
-  public CalendarKeeper(Env env, Ledger ledger, SharedState shared, Consumer<Job> settled) {
+  public ReleaseCalendar(ControllerContext env, ClusterState ledger, SharedState shared, Consumer<Job> settled) {
     this.env = env;
     this.ledger = ledger;
     this.shared = shared;
     this.settled = settled;
     OperatorSettings.Calendar own = env.operator().calendar();
     this.inForce =
-        new InForce<>(
+        new EffectiveConfiguration<>(
             shared,
             CALENDAR,
             own.releases(),
@@ -102,7 +102,7 @@
             (name, value) -> {
               try {
                 kept.put(name.substring(PREFIX.length()), CalendarCodec.read(value));
-              } catch (BadInput e) {
+              } catch (MalformedInputException e) {
                 LOG.error("{} can't be read: {}", name, e.getMessage());
               }
             });
@@ -182,7 +182,7 @@
       Kept k = j.release == null ? null : kept.get(j.release);
       j.releaseByMs = k == null || k.lifted() ? Long.MAX_VALUE : k.atMs() - leadMs(j);
       j.restMs = Math.round(restS(j) * 1000);
-      if (k != null && j.end == Phase.DONE && j.endedMs <= k.atMs()) {
+      if (k != null && j.end == JobPhase.DONE && j.endedMs <= k.atMs()) {
         served.computeIfAbsent(j.release, x -> new HashSet<>()).add(j.spec.ref());
       }
       if (k != null
--- a/src/main/java/io/embernotch/cloud/CloudClient.java
+++ b/src/main/java/io/embernotch/cloud/CloudClient.java
@@ -4,12 +4,12 @@
 import io.embernotch.actor.Timers;
 import io.embernotch.codec.CloudCodec;
 import io.embernotch.codec.CloudCodec.Listed;
-import io.embernotch.http.Caller;
-import io.embernotch.http.Reply;
+import io.embernotch.http.HttpCaller;
+import io.embernotch.http.HttpReply;
 import io.embernotch.model.MachineType;
 import io.embernotch.settings.Settings;
-import io.embernotch.store.Pacer;
-import io.embernotch.store.Pacer.Rank;
+import io.embernotch.store.RateLimiter;
+import io.embernotch.store.RateLimiter.Rank;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import java.util.ArrayList;
@@ -22,15 +22,15 @@
   /** The answer to a rental request: {@code refused} means that no capacity is left. */
   public record Rented(boolean refused, List<String> machines) {}
 
-  private final Caller caller;
+  private final HttpCaller caller;
   private final Settings settings;
-  private final Pacer pacer;
+  private final RateLimiter pacer;
   private final double timeoutS;
 
-  public CloudClient(Caller caller, Clock clock, Timers timers, Settings settings) {
+  public CloudClient(HttpCaller caller, Clock clock, Timers timers, Settings settings) {
     this.caller = caller;
     this.settings = settings;
-    this.pacer = new Pacer(clock, timers, settings.cloudLimits().rps() * 0.8, 1);
+    this.pacer = new RateLimiter(clock, timers, settings.cloudLimits().rps() * 0.8, 1);
     this.timeoutS = settings.workers().reportS();
   }
 
@@ -76,8 +76,8 @@
             });
   }
 
-  private Future<Reply> send(String method, String path, byte[] body, Rank rank) {
-    Promise<Reply> promise = Promise.promise();
+  private Future<HttpReply> send(String method, String path, byte[] body, Rank rank) {
+    Promise<HttpReply> promise = Promise.promise();
     pacer.pass(
         1,
         rank,
@@ -97,7 +97,7 @@
     }
   }
 
-  private static <T> Future<T> odd(Reply r) {
+  private static <T> Future<T> odd(HttpReply r) {
     return Future.failedFuture("answer " + r.status() + " " + new String(r.body()));
   }
 }
--- a/src/main/java/io/embernotch/codec/CalendarCodec.java
+++ b/src/main/java/io/embernotch/codec/CalendarCodec.java
@@ -77,7 +77,7 @@
       times(n.putObject("also"), r.also());
       times(n.putObject("moved"), r.moved());
       ArrayNode orders = n.putArray("orders");
-      r.orders().forEach(s -> orders.add(ReserveCodec.writeSelector(s)));
+      r.orders().forEach(s -> orders.add(ReservationCodec.writeSelector(s)));
     }
     return o;
   }
@@ -95,7 +95,7 @@
         Set<LocalDate> except = new TreeSet<>();
         n.path("except").forEach(d -> except.add(LocalDate.parse(d.asText())));
         List<Selector> orders = new ArrayList<>();
-        n.path("orders").forEach(s -> orders.add(ReserveCodec.readSelector(s)));
+        n.path("orders").forEach(s -> orders.add(ReservationCodec.readSelector(s)));
         out.add(
             new Release(
                 Json.need(n, "id").asText(),
@@ -109,7 +109,7 @@
                 n.path("lead").asDouble()));
       }
     } catch (DateTimeException e) {
-      throw new BadInput("releases: " + e.getMessage());
+      throw new MalformedInputException("releases: " + e.getMessage());
     }
     return out;
   }
--- a/src/main/java/io/embernotch/codec/EraCodec.java
+++ b/src/main/java/io/embernotch/codec/IncarnationCodec.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.embernotch.model.Era;
+import io.embernotch.model.StoreIncarnation;
 import java.util.ArrayList;
 import java.util.Base64;
 import java.util.List;
@@ -13,15 +13,15 @@
  * there as long as it lasts, and {@code block/NAME/K} is the K-th block of the copy that it began
  * with.
  */
-public final class EraCodec {
+public final class IncarnationCodec {
   public static final String POINTER = "era";
   private static final String FENCE = "era/";
   private static final String BLOCK = "block/";
 
-  private EraCodec() {}
+  private IncarnationCodec() {}
 
   /** The key that every transaction of an era conditions on. */
-  public static String fence(Era era) {
+  public static String fence(StoreIncarnation era) {
     return FENCE + era.name();
   }
 
@@ -35,7 +35,7 @@
     return blocks(base) + String.format("%06d", index);
   }
 
-  public static ObjectNode write(Era era) {
+  public static ObjectNode write(StoreIncarnation era) {
     ObjectNode o = Json.object().put("name", era.name()).put("floor", era.floor());
     if (era.base() != null) {
       o.put("base", era.base())
@@ -49,15 +49,15 @@
   }
 
   /**
-   * @throws BadInput if the value is not an era's
+   * @throws MalformedInputException if the value is not an era's
    */
-  public static Era read(JsonNode o, long stamp) {
+  public static StoreIncarnation read(JsonNode o, long stamp) {
     List<String> after = new ArrayList<>();
     for (JsonNode n : Json.need(o, "after")) {
       after.add(n.asText());
     }
     boolean based = Json.opt(o, "base") != null;
-    return new Era(
+    return new StoreIncarnation(
         Json.text(o, "name"),
         stamp,
         Json.whole(o, "floor"),
@@ -92,13 +92,13 @@
   }
 
   /**
-   * @throws BadInput if it is not base64
+   * @throws MalformedInputException if it is not base64
    */
   public static byte[] readBlock(JsonNode o) {
     try {
       return Base64.getDecoder().decode(Json.text(o, "z"));
     } catch (IllegalArgumentException e) {
-      throw new BadInput("z: not base64");
+      throw new MalformedInputException("z: not base64");
     }
   }
 }
--- a/src/main/java/io/embernotch/codec/JobCodec.java
+++ b/src/main/java/io/embernotch/codec/JobCodec.java
@@ -4,9 +4,9 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.model.JobSpec;
-import io.embernotch.model.Phase;
+import io.embernotch.model.JobPhase;
 import io.embernotch.model.Priority;
-import io.embernotch.model.Shape;
+import io.embernotch.model.JobShape;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -31,11 +31,11 @@
   public static JobSpec read(JsonNode o) {
     String ref = Json.text(o, "ref");
     if (!isRef(ref)) {
-      throw new BadInput("ref: not a job id");
+      throw new MalformedInputException("ref: not a job id");
     }
     long tasks = Json.whole(o, "shards");
     if (tasks < 1 || tasks > MAX_TASKS) {
-      throw new BadInput("shards: must be between 1 and " + MAX_TASKS);
+      throw new MalformedInputException("shards: must be between 1 and " + MAX_TASKS);
     }
     JsonNode due = Json.opt(o, "due_s");
     return new JobSpec(
@@ -111,7 +111,7 @@
     return o;
   }
 
-  public static String phase(Phase p) {
+  public static String phase(JobPhase p) {
     return switch (p) {
       case QUEUED -> "queued";
       case RUNNING -> "running";
@@ -121,7 +121,7 @@
   }
 
   /** What a poll is answered. */
-  public static byte[] status(String ref, Phase phase, int done, int running) {
+  public static byte[] status(String ref, JobPhase phase, int done, int running) {
     return ("{\"ref\":\""
             + ref
             + "\",\"phase\":\""
@@ -136,7 +136,7 @@
 
   /** The same with more that is to be told. */
   public static byte[] status(
-      String ref, Phase phase, int done, int running, Consumer<ObjectNode> more) {
+      String ref, JobPhase phase, int done, int running, Consumer<ObjectNode> more) {
     ObjectNode o =
         Json.object()
             .put("ref", ref)
@@ -152,7 +152,7 @@
    * named.
    */
   public static byte[] failing(
-      String ref, Phase phase, int done, int running, Collection<String> machines) {
+      String ref, JobPhase phase, int done, int running, Collection<String> machines) {
     ObjectNode o =
         Json.object()
             .put("ref", ref)
@@ -175,7 +175,7 @@
   }
 
   /** What a submission or an abort is answered. */
-  public static byte[] brief(String ref, Phase phase) {
+  public static byte[] brief(String ref, JobPhase phase) {
     return ("{\"ref\":\"" + ref + "\",\"phase\":\"" + phase(phase) + "\"}")
         .getBytes(StandardCharsets.UTF_8);
   }
@@ -183,7 +183,7 @@
   private static String name(JsonNode o, String field) {
     String s = Json.text(o, field);
     if (s.isEmpty() || s.length() > 500) {
-      throw new BadInput(field + ": must have 1 to 500 characters");
+      throw new MalformedInputException(field + ": must have 1 to 500 characters");
     }
     return s;
   }
@@ -193,12 +193,12 @@
       return null;
     }
     if (!n.isArray() || n.isEmpty()) {
-      throw new BadInput("flavors: must be null or an array of names");
+      throw new MalformedInputException("flavors: must be null or an array of names");
     }
     List<String> out = new ArrayList<>();
     for (JsonNode t : n) {
       if (!t.isTextual()) {
-        throw new BadInput("flavors: must be null or an array of names");
+        throw new MalformedInputException("flavors: must be null or an array of names");
       }
       out.add(t.textValue());
     }
@@ -211,24 +211,24 @@
       return List.of();
     }
     if (!n.isArray()) {
-      throw new BadInput("awaits: must be null or an array of job ids");
+      throw new MalformedInputException("awaits: must be null or an array of job ids");
     }
     Set<String> out = new LinkedHashSet<>();
     for (JsonNode ref : n) {
       if (!ref.isTextual() || !isRef(ref.textValue())) {
-        throw new BadInput("awaits: must be null or an array of job ids");
+        throw new MalformedInputException("awaits: must be null or an array of job ids");
       }
       out.add(ref.textValue());
     }
     return List.copyOf(out);
   }
 
-  private static Shape shape(String s) {
+  private static JobShape shape(String s) {
     return switch (s) {
-      case "array" -> Shape.ARRAY;
-      case "group" -> Shape.GANG;
-      case "standing" -> Shape.SERVICE;
-      default -> throw new BadInput("shape: must be array, group or standing");
+      case "array" -> JobShape.ARRAY;
+      case "group" -> JobShape.GANG;
+      case "standing" -> JobShape.SERVICE;
+      default -> throw new MalformedInputException("shape: must be array, group or standing");
     };
   }
 
@@ -238,7 +238,7 @@
       case "standard" -> Priority.NORMAL;
       case "high" -> Priority.HIGH;
       case "production" -> Priority.PRODUCTION;
-      default -> throw new BadInput("rank: must be production, high, standard or idle");
+      default -> throw new MalformedInputException("rank: must be production, high, standard or idle");
     };
   }
 }
--- a/src/main/java/io/embernotch/codec/RunCodec.java
+++ b/src/main/java/io/embernotch/codec/JobProgressCodec.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
-import io.embernotch.model.Phase;
+import io.embernotch.model.JobPhase;
 import java.util.Base64;
 import java.util.BitSet;
 import java.util.List;
@@ -21,7 +21,7 @@
  * tasks instead. A part tells everything of its tasks, so it overrides what any larger piece says
  * of them, and larger pieces are never written again.
  */
-public final class RunCodec {
+public final class JobProgressCodec {
   public static final String JOB = "job/";
   public static final String RUN = "run/";
 
@@ -45,7 +45,7 @@
   /** Marks a submission that is written once more after a loss of data. */
   public static final String AGAIN = "again";
 
-  private RunCodec() {}
+  private JobProgressCodec() {}
 
   /**
    * Tasks in a piece when values may have {@code valueKb} KiB. With longer names of machines than
@@ -104,7 +104,7 @@
     }
     int from = piece * pieceSize;
     int to = Math.min(job.spec.tasks(), from + pieceSize);
-    if (job.end != Phase.DONE) {
+    if (job.end != JobPhase.DONE) {
       BitSet part = job.done.get(from, to);
       if (!part.isEmpty()) {
         o.put("done", Base64.getEncoder().encodeToString(part.toByteArray()));
@@ -127,15 +127,15 @@
   }
 
   /** Reads the end of a job from its first piece; null while it has none. */
-  public static Phase readEnd(JsonNode o) {
+  public static JobPhase readEnd(JsonNode o) {
     JsonNode end = Json.opt(o, "end");
     if (end == null) {
       return null;
     }
     return switch (end.asText()) {
-      case "done" -> Phase.DONE;
-      case "cancelled" -> Phase.CANCELLED;
-      default -> throw new BadInput("end: unknown: " + end.asText());
+      case "done" -> JobPhase.DONE;
+      case "cancelled" -> JobPhase.CANCELLED;
+      default -> throw new MalformedInputException("end: unknown: " + end.asText());
     };
   }
 
@@ -169,14 +169,14 @@
         Attempt attempt =
             new Attempt(
                 job, a.get(0).asInt(), a.get(1).asLong(), a.get(2).asText(), a.get(3).asText(), 0);
-        attempt.start = Attempt.Start.UNSURE;
+        attempt.start = Attempt.LaunchState.UNSURE;
         job.open.put(attempt.task, attempt);
         if (a.size() > 4) {
           job.wishes.put(attempt.task, a.get(4).asText());
         }
       }
     }
-    if (job.end == Phase.DONE) {
+    if (job.end == JobPhase.DONE) {
       job.done.set(0, job.spec.tasks());
     }
   }
--- a/src/main/java/io/embernotch/codec/Json.java
+++ b/src/main/java/io/embernotch/codec/Json.java
@@ -30,10 +30,10 @@
     try {
       n = MAPPER.readTree(body);
     } catch (IOException e) {
-      throw new BadInput("not JSON");
+      throw new MalformedInputException("not JSON");
     }
     if (n == null || !n.isObject()) {
-      throw new BadInput("not a JSON object");
+      throw new MalformedInputException("not a JSON object");
     }
     return (ObjectNode) n;
   }
@@ -55,7 +55,7 @@
   public static JsonNode need(JsonNode o, String name) {
     JsonNode n = opt(o, name);
     if (n == null) {
-      throw new BadInput(name + ": missing");
+      throw new MalformedInputException(name + ": missing");
     }
     return n;
   }
@@ -63,7 +63,7 @@
   public static String text(JsonNode o, String name) {
     JsonNode n = need(o, name);
     if (!n.isTextual()) {
-      throw new BadInput(name + ": must be a string");
+      throw new MalformedInputException(name + ": must be a string");
     }
     return n.textValue();
   }
@@ -71,7 +71,7 @@
   public static boolean flag(JsonNode o, String name) {
     JsonNode n = need(o, name);
     if (!n.isBoolean()) {
-      throw new BadInput(name + ": must be true or false");
+      throw new MalformedInputException(name + ": must be true or false");
     }
     return n.booleanValue();
   }
@@ -86,7 +86,7 @@
     JsonNode n = need(o, name);
     double v = n.isNumber() ? n.doubleValue() : Double.NaN;
     if (!(v >= 0) || Double.isInfinite(v)) {
-      throw new BadInput(name + ": must be a number of at least 0");
+      throw new MalformedInputException(name + ": must be a number of at least 0");
     }
     return v;
   }
@@ -94,7 +94,7 @@
   public static long whole(JsonNode o, String name) {
     JsonNode n = need(o, name);
     if (!n.isIntegralNumber() || !n.canConvertToLong() || n.longValue() < 0) {
-      throw new BadInput(name + ": must be a whole number of at least 0");
+      throw new MalformedInputException(name + ": must be a whole number of at least 0");
     }
     return n.longValue();
   }
--- a/src/main/java/io/embernotch/codec/ReserveCodec.java
+++ b/src/main/java/io/embernotch/codec/ReservationCodec.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.model.Priority;
-import io.embernotch.model.Shape;
+import io.embernotch.model.JobShape;
 import io.embernotch.settings.Reservation;
 import io.embernotch.settings.Selector;
 import java.util.ArrayList;
@@ -16,8 +16,8 @@
 /**
  * Reservations as facts that controllers share: their terms, and what is held on which machines.
  */
-public final class ReserveCodec {
-  private ReserveCodec() {}
+public final class ReservationCodec {
+  private ReservationCodec() {}
 
   public static ObjectNode writeTerms(long generation, List<Reservation> terms) {
     ObjectNode o = Json.object().put("gen", generation);
@@ -57,11 +57,11 @@
     try {
       return new Selector(
           s.has("priority") ? Priority.valueOf(s.get("priority").asText()) : null,
-          s.has("shape") ? Shape.valueOf(s.get("shape").asText()) : null,
+          s.has("shape") ? JobShape.valueOf(s.get("shape").asText()) : null,
           s.path("team").asText(null),
           s.path("class").asText(null));
     } catch (IllegalArgumentException e) {
-      throw new BadInput("selector: " + e.getMessage());
+      throw new MalformedInputException("selector: " + e.getMessage());
     }
   }
 
--- a/src/main/java/io/embernotch/codec/WorkerCodec.java
+++ b/src/main/java/io/embernotch/codec/WorkerCodec.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.embernotch.model.Cause;
-import io.embernotch.model.Order;
-import io.embernotch.model.TaskReport;
+import io.embernotch.model.ExitCause;
+import io.embernotch.model.AgentCommand;
+import io.embernotch.model.TaskStatus;
 import io.embernotch.model.TaskState;
-import io.embernotch.model.WorkerReport;
+import io.embernotch.model.Heartbeat;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -15,20 +15,20 @@
 public final class WorkerCodec {
   private WorkerCodec() {}
 
-  public static WorkerReport read(byte[] body) {
+  public static Heartbeat read(byte[] body) {
     ObjectNode o = Json.parseObject(body);
     JsonNode tasks = Json.opt(o, "shards");
-    List<TaskReport> list = new ArrayList<>();
+    List<TaskStatus> list = new ArrayList<>();
     if (tasks != null) {
       if (!tasks.isArray()) {
-        throw new BadInput("shards: must be an array");
+        throw new MalformedInputException("shards: must be an array");
       }
       for (JsonNode t : tasks) {
         list.add(task(t));
       }
     }
     JsonNode recall = Json.opt(o, "recall_s");
-    return new WorkerReport(
+    return new Heartbeat(
         Json.text(o, "hearth"),
         Json.text(o, "address"),
         Json.text(o, "flavor"),
@@ -41,21 +41,21 @@
         list);
   }
 
-  private static TaskReport task(JsonNode t) {
+  private static TaskStatus task(JsonNode t) {
     String name = Json.text(t, "shard");
     int slash = name.lastIndexOf('/');
     int index;
     try {
       index = Integer.parseInt(name.substring(slash + 1));
     } catch (NumberFormatException e) {
-      throw new BadInput("shard: not JOB/NUMBER: " + name);
+      throw new MalformedInputException("shard: not JOB/NUMBER: " + name);
     }
     if (slash <= 0 || index < 0) {
-      throw new BadInput("shard: not JOB/NUMBER: " + name);
+      throw new MalformedInputException("shard: not JOB/NUMBER: " + name);
     }
     TaskState state = state(Json.text(t, "phase"));
     JsonNode cause = Json.opt(t, "cause");
-    return new TaskReport(
+    return new TaskStatus(
         name.substring(0, slash),
         index,
         Json.whole(t, "try"),
@@ -71,25 +71,25 @@
       case "running" -> TaskState.RUNNING;
       case "saving" -> TaskState.SAVING;
       case "exited" -> TaskState.EXITED;
-      default -> throw new BadInput("phase: unknown: " + s);
+      default -> throw new MalformedInputException("phase: unknown: " + s);
     };
   }
 
-  private static Cause cause(String s) {
+  private static ExitCause cause(String s) {
     return switch (s) {
-      case "done" -> Cause.DONE;
-      case "halted" -> Cause.STOPPED;
-      case "peers" -> Cause.PEERS;
-      case "alone" -> Cause.ALONE;
-      case "no_room" -> Cause.NO_ROOM;
-      case "in_use" -> Cause.BUSY;
-      case "unknown" -> Cause.UNKNOWN;
-      default -> Cause.ERROR;
+      case "done" -> ExitCause.DONE;
+      case "halted" -> ExitCause.STOPPED;
+      case "peers" -> ExitCause.PEERS;
+      case "alone" -> ExitCause.ALONE;
+      case "no_room" -> ExitCause.NO_ROOM;
+      case "in_use" -> ExitCause.BUSY;
+      case "unknown" -> ExitCause.UNKNOWN;
+      default -> ExitCause.ERROR;
     };
   }
 
   /** The answer to a report. */
-  public static byte[] response(long token, List<Order> orders) {
+  public static byte[] response(long token, List<AgentCommand> orders) {
     return Json.bytes(orders(Json.object().put("baton", token), orders));
   }
 
@@ -102,13 +102,13 @@
   }
 
   /** A direct command. */
-  public static byte[] direct(long token, long session, List<Order> orders) {
+  public static byte[] direct(long token, long session, List<AgentCommand> orders) {
     return Json.bytes(orders(Json.object().put("baton", token).put("tenure", session), orders));
   }
 
-  private static ObjectNode orders(ObjectNode o, List<Order> orders) {
+  private static ObjectNode orders(ObjectNode o, List<AgentCommand> orders) {
     ArrayNode list = o.putArray("orders");
-    for (Order order : orders) {
+    for (AgentCommand order : orders) {
       ObjectNode n = list.addObject();
       n.put(
           "verb",
@@ -119,7 +119,7 @@
           });
       n.put("shard", order.ref() + "/" + order.task());
       n.put("try", order.attempt());
-      if (order.verb() == Order.Verb.STOP) {
+      if (order.verb() == AgentCommand.Verb.STOP) {
         n.put("linger_s", order.graceS());
       }
     }
--- a/src/main/java/io/embernotch/env/Env.java
+++ b/src/main/java/io/embernotch/context/ControllerContext.java
@@ -1,10 +1,10 @@
-package io.embernotch.env;
+package io.embernotch.context;
 
 import io.embernotch.actor.Clock;
 import io.embernotch.actor.Timers;
-import io.embernotch.actor.Work;
+import io.embernotch.actor.EventLoopProfile;
 import io.embernotch.cloud.CloudClient;
-import io.embernotch.http.Caller;
+import io.embernotch.http.HttpCaller;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.Settings;
 import io.embernotch.store.StoreClient;
@@ -15,15 +15,15 @@
  * What a controller is given to work with; {@code names} makes names that nobody else ever has,
  * {@code blocking} runs what waits for a disk.
  */
-public record Env(
+public record ControllerContext(
     Settings settings,
     OperatorSettings operator,
     Clock clock,
     Timers timers,
     Executor loop,
-    Work work,
+    EventLoopProfile work,
     StoreClient store,
     CloudClient cloud,
-    Caller workers,
+    HttpCaller workers,
     Supplier<String> names,
     Executor blocking) {}
--- a/src/main/java/io/embernotch/env/Recent.java
+++ b/src/main/java/io/embernotch/context/LeastRecentlyUsed.java
@@ -1,14 +1,14 @@
-package io.embernotch.env;
+package io.embernotch.context;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /** What was used most recently, up to a number of entries. */
-public final class Recent<K, V> extends LinkedHashMap<K, V> {
+public final class LeastRecentlyUsed<K, V> extends LinkedHashMap<K, V> {
   private static final long serialVersionUID = 1L;
   private final int most;
 
-  public Recent(int most) {
+  public LeastRecentlyUsed(int most) {
     super(64, 0.75f, true);
     this.most = most;
   }
--- a/src/main/java/io/embernotch/env/Lifetime.java
+++ b/src/main/java/io/embernotch/context/ProcessIncarnation.java
@@ -1,4 +1,4 @@
-package io.embernotch.env;
+package io.embernotch.context;
 
 import java.util.function.Supplier;
 
@@ -8,10 +8,10 @@
  * was said to or by the one before it may arrive only then; the time of day, which can go back by
  * more than that, tells no lives apart.
  */
-public final class Lifetime {
+public final class ProcessIncarnation {
   private static final int COUNTED_BITS = 32;
 
-  private Lifetime() {}
+  private ProcessIncarnation() {}
 
   /**
    * The number before the first of a life that begins now; {@code names} gives names that nobody
--- a/src/main/java/io/embernotch/controller/Controller.java
+++ b/src/main/java/io/embernotch/controller/Controller.java
@@ -7,35 +7,35 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.Json;
-import io.embernotch.codec.RunCodec;
-import io.embernotch.copy.Base;
+import io.embernotch.codec.JobProgressCodec;
+import io.embernotch.snapshot.BaseSnapshot;
 import io.embernotch.copy.proto.CopyFile.Copy;
-import io.embernotch.env.Env;
-import io.embernotch.env.Lifetime;
-import io.embernotch.era.Eras;
-import io.embernotch.era.Restore;
-import io.embernotch.http.Answer;
-import io.embernotch.http.Door;
-import io.embernotch.leadership.Election;
-import io.embernotch.leadership.Followed;
-import io.embernotch.leadership.Peers;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.context.ProcessIncarnation;
+import io.embernotch.incarnation.StoreIncarnationTracker;
+import io.embernotch.incarnation.StoreRestorer;
+import io.embernotch.http.HttpResponse;
+import io.embernotch.http.RequestHandler;
+import io.embernotch.election.LeaderElection;
+import io.embernotch.election.LeaderObserver;
+import io.embernotch.election.PeerLiveness;
 import io.embernotch.model.Job;
 import io.embernotch.model.MachineType;
-import io.embernotch.model.Phase;
-import io.embernotch.model.WorkerReport;
+import io.embernotch.model.JobPhase;
+import io.embernotch.model.Heartbeat;
 import io.embernotch.peer.Frame;
 import io.embernotch.peer.PeerLink;
-import io.embernotch.relay.Questions;
-import io.embernotch.relay.Reception;
-import io.embernotch.rounds.PartPost;
-import io.embernotch.rounds.Rounds;
+import io.embernotch.forwarding.PendingRequests;
+import io.embernotch.forwarding.HeartbeatForwarder;
+import io.embernotch.rounds.PartitionViews;
+import io.embernotch.rounds.StragglerRounds;
 import io.embernotch.settings.Settings;
-import io.embernotch.snapshot.Snapshots;
-import io.embernotch.store.LeaseKeeper;
-import io.embernotch.straggler.PartKeeper;
+import io.embernotch.snapshot.file.SnapshotScheduler;
+import io.embernotch.store.LeaseRenewer;
+import io.embernotch.straggler.LocalPartition;
 import io.embernotch.straggler.Restart;
-import io.embernotch.users.EndedCache;
-import io.embernotch.users.Submissions;
+import io.embernotch.api.CompletedJobCache;
+import io.embernotch.api.SubmissionHandler;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import java.nio.charset.StandardCharsets;
@@ -49,52 +49,52 @@
 import org.slf4j.LoggerFactory;
 
 /** One controller: takes in what users and workers send, and is leader whenever it holds the key. */
-public final class Controller implements Door, Election.Listener, LeaderContext, Submissions.Host, Reception.Host, Eras.Host, Restore.Source {
+public final class Controller implements RequestHandler, LeaderElection.Listener, LeaderContext, SubmissionHandler.Host, HeartbeatForwarder.Host, StoreIncarnationTracker.Host, StoreRestorer.Source {
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
 
-  private final Env env;
+  private final ControllerContext env;
   private final Settings settings;
   private final PeerLink peers;
-  private final LeaseKeeper keeper;
-  private final Snapshots snapshots;
-  private final Eras eras;
-  private final Election election;
-  private final Peers alive;
+  private final LeaseRenewer keeper;
+  private final SnapshotScheduler snapshots;
+  private final StoreIncarnationTracker eras;
+  private final LeaderElection election;
+  private final PeerLiveness alive;
   private final PeerHeartbeats beats;
-  private final PartKeeper part;
-  private final PartPost post;
+  private final LocalPartition part;
+  private final PartitionViews post;
   private final int pieceSize;
-  private final Submissions submissions;
+  private final SubmissionHandler submissions;
   private final JobQueries inquiries;
   private final Map<String, MachineType> types = new LinkedHashMap<>();
   private final ImageInventory images;
-  private final Reception reception;
-  private final EndedCache ended = new EndedCache();
-  private final Questions questions;
+  private final HeartbeatForwarder reception;
+  private final CompletedJobCache ended = new CompletedJobCache();
+  private final PendingRequests questions;
   private final MachineTypeCatalog typesBook;
   private Leader leader;
   /** What was leader here last, until another is: it knows what the store held. */
   private Leader former;
-  private final Followed followed = new Followed();
+  private final LeaderObserver followed = new LeaderObserver();
 
-  public Controller(Env env, PeerLink peers, LeaseKeeper keeper) {
+  public Controller(ControllerContext env, PeerLink peers, LeaseRenewer keeper) {
     this.env = env;
     this.settings = env.settings();
     this.peers = peers;
-    this.questions = new Questions(env.timers(), peers, env.names());
+    this.questions = new PendingRequests(env.timers(), peers, env.names());
     this.keeper = keeper;
     this.images = new ImageInventory(settings.quota().machines());
-    this.alive = new Peers(settings, env.clock());
-    this.snapshots = new Snapshots(env);
-    this.eras = new Eras(env, this, this, keeper.lifeS());
+    this.alive = new PeerLiveness(settings, env.clock());
+    this.snapshots = new SnapshotScheduler(env);
+    this.eras = new StoreIncarnationTracker(env, this, this, keeper.lifeS());
     this.beats = new PeerHeartbeats(env, peers, eras);
-    this.election = new Election(settings, env.store(), keeper, env.clock(), env.timers(), eras, this);
-    this.part = new PartKeeper(env.clock(), 6 * env.operator().roundS());
-    this.post = new PartPost(settings.node(), part, peers);
-    this.pieceSize = RunCodec.piece(settings.stateFloor().valueKb(), settings.zones());
-    this.submissions = new Submissions(env, types, pieceSize, this);
+    this.election = new LeaderElection(settings, env.store(), keeper, env.clock(), env.timers(), eras, this);
+    this.part = new LocalPartition(env.clock(), 6 * env.operator().roundS());
+    this.post = new PartitionViews(settings.node(), part, peers);
+    this.pieceSize = JobProgressCodec.piece(settings.stateFloor().valueKb(), settings.zones());
+    this.submissions = new SubmissionHandler(env, types, pieceSize, this);
     this.inquiries = new JobQueries(env, ended, eras, submissions::knows, this::forward);
-    this.reception = new Reception(env, this);
+    this.reception = new HeartbeatForwarder(env, this);
     this.typesBook = new MachineTypeCatalog(env, types, this::typesKnown);
   }
 
@@ -104,7 +104,7 @@
     typesBook.learn();
     election.start();
     beat();
-    new Rounds(env, part, this::propose).start();
+    new StragglerRounds(env, part, this::propose).start();
   }
 
   private void typesKnown() {
@@ -114,18 +114,18 @@
   }
 
   @Override
-  public Answer ready() {
+  public HttpResponse ready() {
     if (types.isEmpty()) {
-      return Answer.later("machine types are not known yet");
+      return HttpResponse.later("machine types are not known yet");
     }
     // In an outage all nodes are alike, and leaving the balancer would only delay the return.
     boolean onlyUs = env.store().failingForS() > settings.workers().reportS() / 2 && alive.firstWithState() != null;
     boolean alone = !settings.members().isEmpty() && alive.live().isEmpty() && env.store().failingForS() > 0;
-    return onlyUs || alone ? Answer.later("cannot reach the state service") : Answer.of(200, "{}".getBytes(StandardCharsets.UTF_8));
+    return onlyUs || alone ? HttpResponse.later("cannot reach the state service") : HttpResponse.of(200, "{}".getBytes(StandardCharsets.UTF_8));
   }
 
   @Override
-  public Future<Answer> submit(byte[] body) {
+  public Future<HttpResponse> submit(byte[] body) {
     return submissions.submit(body);
   }
 
@@ -149,12 +149,12 @@
   }
 
   @Override
-  public Base base() {
+  public BaseSnapshot base() {
     return eras.base();
   }
 
   @Override
-  public void settled(Base base) {
+  public void settled(BaseSnapshot base) {
     if (leader != null) {
       // An era of our own is settled before its term begins: this one is another's.
       election.deposed("another era has begun");
@@ -187,27 +187,27 @@
   }
 
   @Override
-  public Future<Answer> elsewhere(byte[] body, double withinS) {
+  public Future<HttpResponse> elsewhere(byte[] body, double withinS) {
     String node = alive.nextWithState();
-    return node == null ? null : questions.ask(node, id -> new Frame.Submit(id, body), withinS);
+    return node == null ? null : questions.ask(node, id -> new Frame.ForwardedSubmission(id, body), withinS);
   }
 
   @Override
-  public Future<Answer> poll(String ref) {
+  public Future<HttpResponse> poll(String ref) {
     return inquiries.poll(ref);
   }
 
   @Override
-  public Future<Answer> abort(String ref) {
+  public Future<HttpResponse> abort(String ref) {
     return inquiries.abort(ref);
   }
 
   @Override
-  public Future<Answer> overview() {
-    return forward(Frame.Ask.What.OVERVIEW, "", settings.workers().reportS()).map(a -> Answer.of(200, Json.bytes(overview(a))));
+  public Future<HttpResponse> overview() {
+    return forward(Frame.ForwardedRequest.Kind.OVERVIEW, "", settings.workers().reportS()).map(a -> HttpResponse.of(200, Json.bytes(overview(a))));
   }
 
-  private ObjectNode overview(Answer cluster) {
+  private ObjectNode overview(HttpResponse cluster) {
     ObjectNode o = Json.object();
     o.put("node", settings.node());
     o.put("steward", followed.node());
@@ -224,38 +224,38 @@
   }
 
   /** Asks the leader, here or elsewhere; 503 if there is none to be had in time. */
-  private Future<Answer> forward(Frame.Ask.What what, String ref, double withinS) {
-    Promise<Answer> reply = Promise.promise();
+  private Future<HttpResponse> forward(Frame.ForwardedRequest.Kind what, String ref, double withinS) {
+    Promise<HttpResponse> reply = Promise.promise();
     if (leader != null) {
       leader.tell(new LeaderMessage.UserRequest(what, ref, reply));
       return reply.future();
     }
     if (followed.node() == null || !alive.isLive(followed.node())) {
-      return Future.succeededFuture(Answer.later("no steward is known"));
+      return Future.succeededFuture(HttpResponse.later("no steward is known"));
     }
-    return questions.ask(followed.node(), id -> new Frame.Ask(id, what, ref), withinS);
+    return questions.ask(followed.node(), id -> new Frame.ForwardedRequest(id, what, ref), withinS);
   }
 
   @Override
-  public Future<Answer> report(WorkerReport report) {
+  public Future<HttpResponse> report(Heartbeat report) {
     return leader == null ? reception.report(report) : own(report);
   }
 
-  private Future<Answer> own(WorkerReport report) {
+  private Future<HttpResponse> own(Heartbeat report) {
     return own(report, 0);
   }
 
-  private Future<Answer> own(WorkerReport report, long via) {
+  private Future<HttpResponse> own(Heartbeat report, long via) {
     if (leader == null || election.unprovenForS() > leader.holdS()) {
-      return Future.succeededFuture(Answer.later("leadership is not proven"));
+      return Future.succeededFuture(HttpResponse.later("leadership is not proven"));
     }
     Promise<byte[]> reply = Promise.promise();
     leader.tell(new LeaderMessage.HeartbeatReceived(report, via, reply));
-    return reply.future().map(b -> b == null ? Reception.misdirected(null) : Answer.of(200, b));
+    return reply.future().map(b -> b == null ? HeartbeatForwarder.misdirected(null) : HttpResponse.of(200, b));
   }
 
   @Override
-  public Future<Answer> ask(String node, LongFunction<Frame> question, double withinS) {
+  public Future<HttpResponse> ask(String node, LongFunction<Frame> question, double withinS) {
     return questions.ask(node, question, withinS);
   }
 
@@ -324,7 +324,7 @@
   }
 
   @Override
-  public PartPost post() {
+  public PartitionViews post() {
     return post;
   }
 
@@ -341,13 +341,13 @@
   }
 
   @Override
-  public void ended(String ref, Phase phase, int tasks, int done) {
+  public void ended(String ref, JobPhase phase, int tasks, int done) {
     ended.put(ref, phase, done);
   }
 
   @Override
   public void tellAll(Frame frame) {
-    if (frame instanceof Frame.Images f) {
+    if (frame instanceof Frame.ImageInventoryUpdate f) {
       images.heard(f);
     }
     settings.members().forEach(m -> peers.send(m.node(), frame));
@@ -377,53 +377,53 @@
     beats.send(leads ? settings.node() : followed.node(), leads ? election.epoch() : followed.epoch());
   }
 
-  private void frame(Frame frame, PeerLink.Back back) {
-    if (frame instanceof Frame.Beat f) {
+  private void frame(Frame frame, PeerLink.ReplyChannel back) {
+    if (frame instanceof Frame.PeerHeartbeat f) {
       heard(f);
-    } else if (frame instanceof Frame.JobCreated f) {
+    } else if (frame instanceof Frame.JobAccepted f) {
       if (leader != null) {
         JobAnnouncements.heard(f.value(), eras.name(), env.store(), leader::tell);
       }
-    } else if (frame instanceof Frame.Ask f) {
-      Promise<Answer> reply = Promise.promise();
-      reply.future().onSuccess(a -> back.send(new Frame.Told(f.id(), a.status(), a.retryAfterS(), a.body())));
+    } else if (frame instanceof Frame.ForwardedRequest f) {
+      Promise<HttpResponse> reply = Promise.promise();
+      reply.future().onSuccess(a -> back.send(new Frame.Response(f.id(), a.status(), a.retryAfterS(), a.body())));
       if (leader != null) {
         leader.tell(new LeaderMessage.UserRequest(f.what(), f.ref(), reply));
       } else {
-        reply.complete(Answer.later("not the steward"));
+        reply.complete(HttpResponse.later("not the steward"));
       }
-    } else if (frame instanceof Frame.Report f) {
+    } else if (frame instanceof Frame.ForwardedHeartbeat f) {
       if (f.id() != 0) {
-        own(f.report(), Lifetime.of(f.id())).onSuccess(a -> back.send(new Frame.Told(f.id(), a.status(), a.retryAfterS(), a.body())));
+        own(f.report(), ProcessIncarnation.of(f.id())).onSuccess(a -> back.send(new Frame.Response(f.id(), a.status(), a.retryAfterS(), a.body())));
       } else if (leader != null) {
         leader.tell(new LeaderMessage.HeartbeatHandedOver(f.report()));
       }
-    } else if (frame instanceof Frame.Here f) {
+    } else if (frame instanceof Frame.DelegateHeartbeat f) {
       if (leader != null) {
         back.send(leader.heard(f));
       }
-    } else if (frame instanceof Frame.Noted f) {
+    } else if (frame instanceof Frame.DelegateHeartbeatAck f) {
       reception.noted(f);
-    } else if (frame instanceof Frame.Submit f) {
+    } else if (frame instanceof Frame.ForwardedSubmission f) {
       submissions
           .passedOn(f.body())
-          .onSuccess(a -> back.send(new Frame.Told(f.id(), a.status(), a.retryAfterS(), a.body())));
-    } else if (frame instanceof Frame.Told f) {
+          .onSuccess(a -> back.send(new Frame.Response(f.id(), a.status(), a.retryAfterS(), a.body())));
+    } else if (frame instanceof Frame.Response f) {
       questions.told(f);
-    } else if (frame instanceof Frame.View f) {
+    } else if (frame instanceof Frame.MachineViewUpdate f) {
       part.put(f.epoch(), f.view());
-    } else if (frame instanceof Frame.Images f) {
+    } else if (frame instanceof Frame.ImageInventoryUpdate f) {
       images.heard(f);
-    } else if (frame instanceof Frame.Forget f) {
+    } else if (frame instanceof Frame.MachineViewRemoval f) {
       part.forget(f.epoch(), f.machine());
-    } else if (frame instanceof Frame.Propose f) {
+    } else if (frame instanceof Frame.RestartProposals f) {
       if (leader != null && leader.epoch() == f.epoch()) {
         leader.tell(new LeaderMessage.RestartsProposed(f.from(), f.restarts()));
       }
     }
   }
 
-  private void heard(Frame.Beat f) {
+  private void heard(Frame.PeerHeartbeat f) {
     alive.heard(f.node(), f.stateOk());
     eras.heard(f.node(), f.leader(), f.leaderEpoch());
     boolean leads = f.node().equals(f.leader());
@@ -448,7 +448,7 @@
     if (leader != null && leader.epoch() == part.epoch()) {
       leader.tell(new LeaderMessage.RestartsProposed(settings.node(), restarts));
     } else if (followed.node() != null) {
-      peers.send(followed.node(), new Frame.Propose(settings.node(), part.epoch(), restarts));
+      peers.send(followed.node(), new Frame.RestartProposals(settings.node(), part.epoch(), restarts));
     }
   }
 }
--- a/src/main/java/io/embernotch/controller/JobAnnouncements.java
+++ b/src/main/java/io/embernotch/controller/JobAnnouncements.java
@@ -3,10 +3,10 @@
 import io.embernotch.leader.LeaderMessage;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.embernotch.codec.BadInput;
-import io.embernotch.codec.EraCodec;
+import io.embernotch.codec.MalformedInputException;
+import io.embernotch.codec.IncarnationCodec;
 import io.embernotch.codec.Json;
-import io.embernotch.codec.RunCodec;
+import io.embernotch.codec.JobProgressCodec;
 import io.embernotch.peer.Frame;
 import io.embernotch.store.StoreClient;
 import java.util.function.Consumer;
@@ -21,7 +21,7 @@
 
   /** A job's key was written at revision {@code epoch} of that era. */
   static Frame of(ObjectNode value, String era, long epoch) {
-    return new Frame.JobCreated(Json.bytes(EraCodec.told(value, era, epoch)));
+    return new Frame.JobAccepted(Json.bytes(IncarnationCodec.told(value, era, epoch)));
   }
 
   /** Reads it; {@code era}: the one that the leader knows. */
@@ -29,13 +29,13 @@
     try {
       ObjectNode o = Json.parseObject(value);
       LeaderMessage.JobAccepted job =
-          new LeaderMessage.JobAccepted(RunCodec.readJob(o), RunCodec.readPiece(o));
-      if (!era.isEmpty() && era.equals(EraCodec.toldEra(o))) {
+          new LeaderMessage.JobAccepted(JobProgressCodec.readJob(o), JobProgressCodec.readPiece(o));
+      if (!era.isEmpty() && era.equals(IncarnationCodec.toldEra(o))) {
         // Contents that were put back to just before it would else be taken for present.
-        store.told(RunCodec.JOB + job.job().spec.ref(), EraCodec.toldEpoch(o));
+        store.told(JobProgressCodec.JOB + job.job().spec.ref(), IncarnationCodec.toldEpoch(o));
       }
       leader.accept(job);
-    } catch (BadInput e) {
+    } catch (MalformedInputException e) {
       LOG.info("malformed job from a controller: {}", e.getMessage());
     }
   }
--- a/src/main/java/io/embernotch/controller/JobQueries.java
+++ b/src/main/java/io/embernotch/controller/JobQueries.java
@@ -1,13 +1,13 @@
 package io.embernotch.controller;
 
 import io.embernotch.codec.JobCodec;
-import io.embernotch.env.Env;
-import io.embernotch.era.Eras;
-import io.embernotch.http.Answer;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.incarnation.StoreIncarnationTracker;
+import io.embernotch.http.HttpResponse;
 import io.embernotch.peer.Frame;
-import io.embernotch.users.EndedCache;
-import io.embernotch.users.PollTurns;
-import io.embernotch.users.StoredStatus;
+import io.embernotch.api.CompletedJobCache;
+import io.embernotch.api.PollRateLimiter;
+import io.embernotch.api.PersistedStatus;
 import io.vertx.core.Future;
 import java.util.function.Predicate;
 
@@ -20,39 +20,39 @@
    * Passes a question on to the leader, wherever it is; 503 if there is none to be had in time.
    */
   interface ToLeader {
-    Future<Answer> ask(Frame.Ask.What what, String ref, double withinS);
+    Future<HttpResponse> ask(Frame.ForwardedRequest.Kind what, String ref, double withinS);
   }
 
-  private final Env env;
-  private final EndedCache ended;
-  private final Eras eras;
-  private final StoredStatus stored;
+  private final ControllerContext env;
+  private final CompletedJobCache ended;
+  private final StoreIncarnationTracker eras;
+  private final PersistedStatus stored;
   private final Predicate<String> accepted;
   private final ToLeader leader;
 
   /** A flood of polls costs other nodes and the state service nothing, and workers little. */
-  private final PollTurns turns;
+  private final PollRateLimiter turns;
 
-  JobQueries(Env env, EndedCache ended, Eras eras, Predicate<String> accepted, ToLeader leader) {
+  JobQueries(ControllerContext env, CompletedJobCache ended, StoreIncarnationTracker eras, Predicate<String> accepted, ToLeader leader) {
     this.env = env;
     this.ended = ended;
     this.eras = eras;
-    this.stored = new StoredStatus(env, ended, eras::base);
+    this.stored = new PersistedStatus(env, ended, eras::base);
     this.accepted = accepted;
     this.leader = leader;
-    this.turns = new PollTurns(env.clock(), env.timers(), env.settings());
+    this.turns = new PollRateLimiter(env.clock(), env.timers(), env.settings());
   }
 
-  public Future<Answer> poll(String ref) {
+  public Future<HttpResponse> poll(String ref) {
     if (!JobCodec.isRef(ref)) {
-      return answer(Answer.error(404, "no such job"));
+      return answer(HttpResponse.error(404, "no such job"));
     }
-    Answer known = ended.status(ref);
+    HttpResponse known = ended.status(ref);
     if (known != null) {
       return answer(known);
     }
     if (!turns.admit(ref)) {
-      return answer(Answer.later("too many polls"));
+      return answer(HttpResponse.later("too many polls"));
     }
     return status(ref)
         .onSuccess(
@@ -63,36 +63,36 @@
             });
   }
 
-  private Future<Answer> status(String ref) {
+  private Future<HttpResponse> status(String ref) {
     return leader
-        .ask(Frame.Ask.What.POLL, ref, env.settings().workers().reportS() / 6)
+        .ask(Frame.ForwardedRequest.Kind.POLL, ref, env.settings().workers().reportS() / 6)
         .compose(a -> a.status() == 503 ? readStatus(ref) : answer(a));
   }
 
   /** What the state service tells, if it does so in time: users wait two seconds at most. */
-  private Future<Answer> readStatus(String ref) {
+  private Future<HttpResponse> readStatus(String ref) {
     if (!eras.tells()) {
-      return answer(Answer.later("what the state service holds is not known yet"));
+      return answer(HttpResponse.later("what the state service holds is not known yet"));
     }
     if (env.store().failingForS() > env.settings().workers().reportS() / 6) {
-      return answer(Answer.later("the state service does not answer"));
+      return answer(HttpResponse.later("the state service does not answer"));
     }
     if (env.store().readWaitS() > env.settings().workers().reportS() / 12) {
       // A read that waits for its turn is answered after its user has gone, and the next ones too.
-      return answer(Answer.later("more is asked than the state service takes"));
+      return answer(HttpResponse.later("more is asked than the state service takes"));
     }
     boolean acceptedBefore = accepted.test(ref);
     return stored.of(ref).map(a -> a.status() == 404 ? denied(ref, a, acceptedBefore) : a);
   }
 
-  public Future<Answer> abort(String ref) {
+  public Future<HttpResponse> abort(String ref) {
     if (!JobCodec.isRef(ref)) {
-      return answer(Answer.error(404, "no such job"));
+      return answer(HttpResponse.error(404, "no such job"));
     }
-    Answer known = ended.brief(ref);
+    HttpResponse known = ended.brief(ref);
     return known != null
         ? answer(known)
-        : leader.ask(Frame.Ask.What.ABORT, ref, env.settings().workers().reportS());
+        : leader.ask(Frame.ForwardedRequest.Kind.ABORT, ref, env.settings().workers().reportS());
   }
 
   /**
@@ -100,17 +100,17 @@
    * that was accepted while the read was under way shows nothing: such a read was once taken for a
    * loss, and an older copy restored.
    */
-  private Answer denied(String ref, Answer a, boolean acceptedBefore) {
+  private HttpResponse denied(String ref, HttpResponse a, boolean acceptedBefore) {
     if (!accepted.test(ref)) {
       return a;
     }
     if (acceptedBefore) {
       eras.missing(ref);
     }
-    return Answer.later("what the state service holds is not known yet");
+    return HttpResponse.later("what the state service holds is not known yet");
   }
 
-  private static Future<Answer> answer(Answer a) {
+  private static Future<HttpResponse> answer(HttpResponse a) {
     return Future.succeededFuture(a);
   }
 }
--- a/src/main/java/io/embernotch/controller/MachineTypeCatalog.java
+++ b/src/main/java/io/embernotch/controller/MachineTypeCatalog.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.CloudCodec;
 import io.embernotch.codec.Json;
-import io.embernotch.env.Env;
+import io.embernotch.context.ControllerContext;
 import io.embernotch.model.MachineType;
-import io.embernotch.store.Txn;
+import io.embernotch.store.Transaction;
 import java.util.List;
 import java.util.Map;
 import org.slf4j.Logger;
@@ -16,11 +16,11 @@
   private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
   private static final String TYPES = "types";
 
-  private final Env env;
+  private final ControllerContext env;
   private final Map<String, MachineType> types;
   private final Runnable known;
 
-  MachineTypeCatalog(Env env, Map<String, MachineType> types, Runnable known) {
+  MachineTypeCatalog(ControllerContext env, Map<String, MachineType> types, Runnable known) {
     this.env = env;
     this.types = types;
     this.known = known;
@@ -50,7 +50,7 @@
   private void write(List<MachineType> list) {
     ObjectNode value = CloudCodec.writeTypes(list);
     if (Json.bytes(value).length <= env.settings().stateFloor().valueKb() * 1024) {
-      env.store().commit(new Txn().when(TYPES, 0).write(TYPES, value));
+      env.store().commit(new Transaction().when(TYPES, 0).write(TYPES, value));
     }
   }
 
--- a/src/main/java/io/embernotch/controller/PeerHeartbeats.java
+++ b/src/main/java/io/embernotch/controller/PeerHeartbeats.java
@@ -1,7 +1,7 @@
 package io.embernotch.controller;
 
-import io.embernotch.env.Env;
-import io.embernotch.era.Eras;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.incarnation.StoreIncarnationTracker;
 import io.embernotch.peer.Frame;
 import io.embernotch.peer.PeerLink;
 import io.embernotch.settings.Settings;
@@ -10,11 +10,11 @@
  * What a controller tells the others of itself, a few times in a report period and when it matters.
  */
 final class PeerHeartbeats {
-  private final Env env;
+  private final ControllerContext env;
   private final PeerLink peers;
-  private final Eras eras;
+  private final StoreIncarnationTracker eras;
 
-  PeerHeartbeats(Env env, PeerLink peers, Eras eras) {
+  PeerHeartbeats(ControllerContext env, PeerLink peers, StoreIncarnationTracker eras) {
     this.env = env;
     this.peers = peers;
     this.eras = eras;
@@ -28,10 +28,10 @@
     Settings s = env.settings();
     boolean served = env.store().failingForS() == 0;
     // While data is lost, no leader and an epoch that the store can't reach tell the others so.
-    Frame.Beat beat =
+    Frame.PeerHeartbeat beat =
         eras.lost()
-            ? new Frame.Beat(s.node(), null, eras.lostMark(), served)
-            : new Frame.Beat(s.node(), leader, epoch, served);
+            ? new Frame.PeerHeartbeat(s.node(), null, eras.lostMark(), served)
+            : new Frame.PeerHeartbeat(s.node(), leader, epoch, served);
     s.members().forEach(m -> peers.send(m.node(), beat));
   }
 }
--- a/src/main/java/io/embernotch/leadership/Terms.java
+++ b/src/main/java/io/embernotch/election/Candidacy.java
@@ -1,9 +1,9 @@
-package io.embernotch.leadership;
+package io.embernotch.election;
 
-import io.embernotch.store.Txn;
+import io.embernotch.store.Transaction;
 
 /** On what terms this node may be leader: of which era of the state service's contents. */
-public interface Terms {
+public interface Candidacy {
   /**
    * What a claim to the leader's key stands for.
    *
@@ -22,7 +22,7 @@
   long floor();
 
   /** Adds to a claim what begins an era, if one is to begin with it. */
-  Claim claim(Txn txn);
+  Claim claim(Transaction txn);
 
   /** The last claim was made, at this stamp. */
   void claimed(long stamp);
--- a/src/main/java/io/embernotch/leadership/Election.java
+++ b/src/main/java/io/embernotch/election/LeaderElection.java
@@ -1,17 +1,17 @@
-package io.embernotch.leadership;
+package io.embernotch.election;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.actor.Clock;
 import io.embernotch.actor.Timers;
 import io.embernotch.codec.Json;
-import io.embernotch.codec.RunCodec;
+import io.embernotch.codec.JobProgressCodec;
 import io.embernotch.settings.Settings;
-import io.embernotch.store.Entry;
-import io.embernotch.store.LeaseKeeper;
-import io.embernotch.store.Pacer.Rank;
+import io.embernotch.store.VersionedEntry;
+import io.embernotch.store.LeaseRenewer;
+import io.embernotch.store.RateLimiter.Rank;
 import io.embernotch.store.StoreClient;
-import io.embernotch.store.StoreFailure;
-import io.embernotch.store.Txn;
+import io.embernotch.store.StoreException;
+import io.embernotch.store.Transaction;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -20,9 +20,9 @@
  * that writes. The key's stamp names the term: every commit of the leader conditions on it,
  * so nothing that an earlier leader sent can be applied later.
  */
-public final class Election {
-  private static final Logger LOG = LoggerFactory.getLogger(Election.class);
-  private static final String KEY = RunCodec.LEADER;
+public final class LeaderElection {
+  private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
+  private static final String KEY = JobProgressCodec.LEADER;
 
   /** What is told of leadership. */
   public interface Listener {
@@ -60,9 +60,9 @@
   private final Clock clock;
   private final Timers timers;
   private final double lifeS;
-  private final LeaseKeeper keeper;
+  private final LeaseRenewer keeper;
   private final Listener listener;
-  private final Terms terms;
+  private final Candidacy terms;
   private State state = State.FOLLOWING;
   private long permit;
   private long epoch;
@@ -76,13 +76,13 @@
   private double avoidUntil = -1;
   private boolean looking;
 
-  public Election(
+  public LeaderElection(
       Settings settings,
       StoreClient store,
-      LeaseKeeper keeper,
+      LeaseRenewer keeper,
       Clock clock,
       Timers timers,
-      Terms terms,
+      Candidacy terms,
       Listener listener) {
     this.terms = terms;
     this.node = settings.node();
@@ -170,7 +170,7 @@
             });
   }
 
-  private void seen(Entry entry) {
+  private void seen(VersionedEntry entry) {
     if (state != State.FOLLOWING) {
       return;
     }
@@ -227,7 +227,7 @@
    * A key whose lease is gone without it would never be dropped, and nobody could ever lead. So
    * when its holder is not heard for far longer than its lease lasts, the lease is looked for.
    */
-  private void watchOver(Entry entry, String holder) {
+  private void watchOver(VersionedEntry entry, String holder) {
     double now = clock.now();
     if (entry.stamp() != watchedStamp || listener.isLive(holder)) {
       watchedStamp = entry.stamp();
@@ -263,7 +263,7 @@
   }
 
   /** Takes a lease and claims the key, which is absent, or left from before a loss. */
-  private void contend(Entry there) {
+  private void contend(VersionedEntry there) {
     state = State.CONTENDING;
     double sentAt = clock.now();
     store
@@ -272,14 +272,14 @@
         .onFailure(e -> follow(lifeS / 8));
   }
 
-  private void claim(Entry there, long granted, double sentAt) {
+  private void claim(VersionedEntry there, long granted, double sentAt) {
     if (!terms.mayClaim() || (there.present() && !terms.beginsAnew())) {
       store.revoke(granted);
       follow(0.001);
       return;
     }
-    Txn txn = new Txn().when(KEY, there.stamp());
-    Terms.Claim claim = terms.claim(txn);
+    Transaction txn = new Transaction().when(KEY, there.stamp());
+    Candidacy.Claim claim = terms.claim(txn);
     ObjectNode value =
         Json.object()
             .put("node", node)
@@ -305,7 +305,7 @@
             })
         .onFailure(
             e -> {
-              if (StoreFailure.kindOf(e) == StoreFailure.Kind.UNKNOWN) {
+              if (StoreException.kindOf(e) == StoreException.Kind.UNKNOWN) {
                 confirm(granted, claim, sentAt);
               } else {
                 store.revoke(granted);
@@ -316,7 +316,7 @@
   }
 
   /** The claim was not answered: only the key itself tells whether it was made. */
-  private void confirm(long granted, Terms.Claim claim, double sentAt) {
+  private void confirm(long granted, Candidacy.Claim claim, double sentAt) {
     store
         .get(KEY)
         .onSuccess(
@@ -341,7 +341,7 @@
     timers.after(afterS, this::look);
   }
 
-  private void hold(long granted, long stamp, Terms.Claim claim, double sentAt) {
+  private void hold(long granted, long stamp, Candidacy.Claim claim, double sentAt) {
     state = State.HOLDING;
     permit = granted;
     epoch = claim.floor() + stamp;
--- a/src/main/java/io/embernotch/leadership/Peers.java
+++ b/src/main/java/io/embernotch/election/PeerLiveness.java
@@ -1,4 +1,4 @@
-package io.embernotch.leadership;
+package io.embernotch.election;
 
 import io.embernotch.actor.Clock;
 import io.embernotch.settings.Settings;
@@ -10,7 +10,7 @@
 import java.util.TreeSet;
 
 /** Which of the other controllers have been heard from lately, and what they say of the store. */
-public final class Peers {
+public final class PeerLiveness {
   private record Heard(double at, boolean stateOk) {}
 
   private final Clock clock;
@@ -20,7 +20,7 @@
   private int turn;
   private final Map<String, Double> renewedAt = new HashMap<>();
 
-  public Peers(Settings settings, Clock clock) {
+  public PeerLiveness(Settings settings, Clock clock) {
     this.clock = clock;
     this.liveS = settings.workers().reportS();
     this.renewS = settings.workers().reportS();
--- a/src/main/java/io/embernotch/fleet/Silence.java
+++ b/src/main/java/io/embernotch/fleet/FailureDetector.java
@@ -1,8 +1,8 @@
 package io.embernotch.fleet;
 
-import io.embernotch.env.Env;
-import io.embernotch.ledger.Ledger;
-import io.embernotch.machines.Workers;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.state.ClusterState;
+import io.embernotch.agents.AgentReconciler;
 import io.embernotch.model.Machine;
 import io.embernotch.settings.Settings;
 import java.util.ArrayList;
@@ -19,8 +19,8 @@
  * Machines that do not report: whether they are cut off, hang or are dead, and when they are given
  * up.
  */
-final class Silence {
-  private static final Logger LOG = LoggerFactory.getLogger(Silence.class);
+final class FailureDetector {
+  private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
 
   /** Reports come a quarter late at most: after so many periods a machine is asked itself. */
   private static final double PROBE_REPORTS = 1.5;
@@ -38,10 +38,10 @@
   /** Share of a worker's lease for which a silent machine with live services is waited for. */
   private static final double PATIENCE = 0.9;
 
-  private final Env env;
-  private final Ledger ledger;
-  private final Workers workers;
-  private final FleetKeeper.Outcome outcome;
+  private final ControllerContext env;
+  private final ClusterState ledger;
+  private final AgentReconciler workers;
+  private final FleetManager.Outcome outcome;
   private final Consumer<Machine> giveBack;
   private final FailureRates rates;
   private final double startedAt;
@@ -50,11 +50,11 @@
   /** When zones were last back from a cut. */
   private final Map<String, Double> backAt = new HashMap<>();
 
-  Silence(
-      Env env,
-      Ledger ledger,
-      Workers workers,
-      FleetKeeper.Outcome outcome,
+  FailureDetector(
+      ControllerContext env,
+      ClusterState ledger,
+      AgentReconciler workers,
+      FleetManager.Outcome outcome,
       Consumer<Machine> giveBack,
       FailureRates rates) {
     this.env = env;
--- a/src/main/java/io/embernotch/fleet/FailureRates.java
+++ b/src/main/java/io/embernotch/fleet/FailureRates.java
@@ -1,8 +1,8 @@
 package io.embernotch.fleet;
 
-import io.embernotch.ledger.Ledger;
+import io.embernotch.state.ClusterState;
 import io.embernotch.model.Machine;
-import io.embernotch.plan.Risk;
+import io.embernotch.scheduling.FailureRisk;
 import io.embernotch.settings.Settings;
 
 /**
@@ -37,7 +37,7 @@
     this.settings = settings;
   }
 
-  void tick(Ledger ledger, double now) {
+  void tick(ClusterState ledger, double now) {
     if (countedAt >= 0) {
       double up = ledger.machines.values().stream().filter(Machine::up).count();
       machineS += up * (now - countedAt);
@@ -54,9 +54,9 @@
     zones++;
   }
 
-  Risk risk() {
+  FailureRisk risk() {
     double lease = settings.workers().leaseS();
-    return new Risk(
+    return new FailureRisk(
         (machines + 1) / (machineS + MACHINE_LEASES * lease),
         (zones + 1) / (zoneS + ZONE_LEASES * lease),
         HORIZON_LEASES * lease,
--- a/src/main/java/io/embernotch/fleet/FleetKeeper.java
+++ b/src/main/java/io/embernotch/fleet/FleetManager.java
@@ -1,14 +1,14 @@
 package io.embernotch.fleet;
 
 import io.embernotch.codec.CloudCodec.Listed;
-import io.embernotch.env.Env;
-import io.embernotch.ledger.Ledger;
-import io.embernotch.machines.Workers;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.state.ClusterState;
+import io.embernotch.agents.AgentReconciler;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Machine;
-import io.embernotch.plan.Fleet;
-import io.embernotch.plan.Plan;
-import io.embernotch.plan.Risk;
+import io.embernotch.scheduling.FleetView;
+import io.embernotch.scheduling.SchedulingPlan;
+import io.embernotch.scheduling.FailureRisk;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /** Rents, lists and returns machines, and gives up on those that never come up or fall silent. */
-public final class FleetKeeper {
-  private static final Logger LOG = LoggerFactory.getLogger(FleetKeeper.class);
+public final class FleetManager {
+  private static final Logger LOG = LoggerFactory.getLogger(FleetManager.class);
 
   /** Boot times after which a machine that has not come up is given back. */
   private static final double HOPELESS_BOOTS = 2.5;
@@ -42,15 +42,15 @@
     void deaf();
   }
 
-  private final Env env;
-  private final Ledger ledger;
-  private final Workers workers;
+  private final ControllerContext env;
+  private final ClusterState ledger;
+  private final AgentReconciler workers;
   private final Outcome outcome;
-  private final Rentals rentals;
-  private final Silence silence;
+  private final ScaleOut rentals;
+  private final FailureDetector silence;
   private final FailureRates rates;
-  private final Unreached unreached;
-  private final Returns returns;
+  private final OneWayPartitions unreached;
+  private final ScaleIn returns;
   private final double startedAt;
   private double listedAt = -1e9;
   private boolean answering;
@@ -58,16 +58,16 @@
   private boolean listedOnce;
   private double typesAt = -1e9;
 
-  public FleetKeeper(Env env, Ledger ledger, Workers workers, long epoch, Outcome outcome) {
+  public FleetManager(ControllerContext env, ClusterState ledger, AgentReconciler workers, long epoch, Outcome outcome) {
     this.env = env;
     this.ledger = ledger;
     this.workers = workers;
     this.outcome = outcome;
-    this.rentals = new Rentals(env, ledger, workers, epoch, outcome::changed);
-    this.returns = new Returns(env, ledger, outcome::machineGone);
+    this.rentals = new ScaleOut(env, ledger, workers, epoch, outcome::changed);
+    this.returns = new ScaleIn(env, ledger, outcome::machineGone);
     this.rates = new FailureRates(env.settings());
-    this.silence = new Silence(env, ledger, workers, outcome, returns::giveBack, rates);
-    this.unreached = new Unreached(env, ledger, workers, outcome, returns::giveBack);
+    this.silence = new FailureDetector(env, ledger, workers, outcome, returns::giveBack, rates);
+    this.unreached = new OneWayPartitions(env, ledger, workers, outcome, returns::giveBack);
     this.startedAt = env.clock().now();
   }
 
@@ -88,12 +88,12 @@
   }
 
   /** What is being rented. */
-  public List<Fleet.Expected> expected() {
+  public List<FleetView.Expected> expected() {
     return rentals.expected();
   }
 
   /** How often machines and zones fail, as far as is known. */
-  public Risk risk() {
+  public FailureRisk risk() {
     return rates.risk();
   }
 
@@ -101,8 +101,8 @@
     return silence.isCut(zone) || rentals.full(type, zone, spot);
   }
 
-  /** See {@link Rentals#rent}. */
-  public void rent(Plan.Buy buy) {
+  /** See {@link ScaleOut#rent}. */
+  public void rent(SchedulingPlan.Buy buy) {
     rentals.rent(buy);
   }
 
@@ -224,7 +224,7 @@
       }
       if (workers.leaseOver(m)) {
         for (Attempt a : m.open.values()) {
-          if (a.start != Attempt.Start.SENDING) {
+          if (a.start != Attempt.LaunchState.SENDING) {
             out.add(a);
           }
         }
--- a/src/main/java/io/embernotch/fleet/Unreached.java
+++ b/src/main/java/io/embernotch/fleet/OneWayPartitions.java
@@ -1,8 +1,8 @@
 package io.embernotch.fleet;
 
-import io.embernotch.env.Env;
-import io.embernotch.ledger.Ledger;
-import io.embernotch.machines.Workers;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.state.ClusterState;
+import io.embernotch.agents.AgentReconciler;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Machine;
 import java.util.List;
@@ -14,7 +14,7 @@
  * soon as that is proven. Once nothing runs there any more the machine is returned, which proves
  * all else on it gone.
  */
-final class Unreached {
+final class OneWayPartitions {
   /**
    * From so large a share of the machines on it is rather we who are not heard: none is returned
    * for it.
@@ -27,17 +27,17 @@
   /** Report periods from the last answer that was heard until a machine is taken for deaf. */
   private static final double NOTICED_REPORTS = 2;
 
-  private final Env env;
-  private final Ledger ledger;
-  private final Workers workers;
-  private final FleetKeeper.Outcome outcome;
+  private final ControllerContext env;
+  private final ClusterState ledger;
+  private final AgentReconciler workers;
+  private final FleetManager.Outcome outcome;
   private final Consumer<Machine> giveBack;
 
-  Unreached(
-      Env env,
-      Ledger ledger,
-      Workers workers,
-      FleetKeeper.Outcome outcome,
+  OneWayPartitions(
+      ControllerContext env,
+      ClusterState ledger,
+      AgentReconciler workers,
+      FleetManager.Outcome outcome,
       Consumer<Machine> giveBack) {
     this.env = env;
     this.ledger = ledger;
@@ -65,7 +65,7 @@
 
   private void withdraw(Machine m) {
     for (Attempt a : List.copyOf(m.open.values())) {
-      boolean begun = a.start == Attempt.Start.HELD || a.start == Attempt.Start.SENDING;
+      boolean begun = a.start == Attempt.LaunchState.HELD || a.start == Attempt.LaunchState.SENDING;
       if (!begun && !a.stopping) {
         outcome.unreachable(a);
       }
@@ -74,7 +74,7 @@
 
   private boolean worthWaitingFor(Machine m, double now) {
     boolean runs =
-        m.open.values().stream().anyMatch(a -> a.start == Attempt.Start.HELD && !a.stopping);
+        m.open.values().stream().anyMatch(a -> a.start == Attempt.LaunchState.HELD && !a.stopping);
     double left =
         PATIENCE * env.settings().workers().leaseS()
             - NOTICED_REPORTS * env.settings().workers().reportS();
--- a/src/main/java/io/embernotch/fleet/Returns.java
+++ b/src/main/java/io/embernotch/fleet/ScaleIn.java
@@ -1,7 +1,7 @@
 package io.embernotch.fleet;
 
-import io.embernotch.env.Env;
-import io.embernotch.ledger.Ledger;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.state.ClusterState;
 import io.embernotch.model.Machine;
 import io.embernotch.settings.Settings;
 import java.util.ArrayList;
@@ -14,18 +14,18 @@
 import org.slf4j.LoggerFactory;
 
 /** Machines on their way back to the cloud: the answer to a deletion proves them gone. */
-final class Returns {
-  private static final Logger LOG = LoggerFactory.getLogger(Returns.class);
+final class ScaleIn {
+  private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
 
-  private final Env env;
-  private final Ledger ledger;
+  private final ControllerContext env;
+  private final ClusterState ledger;
   private final Consumer<Machine> gone;
   private final Set<Machine> leaving = new LinkedHashSet<>();
   private boolean urgentDelete;
   private boolean idleDelete;
 
   /** {@code gone} is told of each machine that is gone with all that was on it. */
-  Returns(Env env, Ledger ledger, Consumer<Machine> gone) {
+  ScaleIn(ControllerContext env, ClusterState ledger, Consumer<Machine> gone) {
     this.env = env;
     this.ledger = ledger;
     this.gone = gone;
--- a/src/main/java/io/embernotch/fleet/Rentals.java
+++ b/src/main/java/io/embernotch/fleet/ScaleOut.java
@@ -1,13 +1,13 @@
 package io.embernotch.fleet;
 
 import io.embernotch.cloud.CloudClient.Rented;
-import io.embernotch.env.Env;
-import io.embernotch.ledger.Ledger;
-import io.embernotch.machines.Workers;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.state.ClusterState;
+import io.embernotch.agents.AgentReconciler;
 import io.embernotch.model.Machine;
 import io.embernotch.model.MachineType;
-import io.embernotch.plan.Fleet;
-import io.embernotch.plan.Plan;
+import io.embernotch.scheduling.FleetView;
+import io.embernotch.scheduling.SchedulingPlan;
 import io.embernotch.settings.Settings;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -18,14 +18,14 @@
 import org.slf4j.LoggerFactory;
 
 /** Bookings under way, and where the cloud has no more machines. */
-final class Rentals {
-  private static final Logger LOG = LoggerFactory.getLogger(Rentals.class);
+final class ScaleOut {
+  private static final Logger LOG = LoggerFactory.getLogger(ScaleOut.class);
 
   private record Booking(String name, String type, String zone, boolean spot, int number) {}
 
-  private final Env env;
-  private final Ledger ledger;
-  private final Workers workers;
+  private final ControllerContext env;
+  private final ClusterState ledger;
+  private final AgentReconciler workers;
   private final Runnable changed;
   private final String bookingPrefix;
   private final Map<String, Booking> open = new LinkedHashMap<>();
@@ -33,7 +33,7 @@
   private int bookings;
 
   /** {@code changed}: machines have come, or will not. */
-  Rentals(Env env, Ledger ledger, Workers workers, long epoch, Runnable changed) {
+  ScaleOut(ControllerContext env, ClusterState ledger, AgentReconciler workers, long epoch, Runnable changed) {
     this.env = env;
     this.ledger = ledger;
     this.workers = workers;
@@ -42,10 +42,10 @@
     this.bookingPrefix = "r-" + epoch + "-";
   }
 
-  List<Fleet.Expected> expected() {
-    List<Fleet.Expected> out = new ArrayList<>();
+  List<FleetView.Expected> expected() {
+    List<FleetView.Expected> out = new ArrayList<>();
     for (Booking b : open.values()) {
-      out.add(new Fleet.Expected(b.type, b.zone, b.spot, b.number));
+      out.add(new FleetView.Expected(b.type, b.zone, b.spot, b.number));
     }
     return out;
   }
@@ -64,7 +64,7 @@
    * waits and comes with the next plan, unless it fills a call. A call for each plan's few machines
    * used to take up all that the cloud allows.
    */
-  void rent(Plan.Buy buy) {
+  void rent(SchedulingPlan.Buy buy) {
     int left = buy.number();
     boolean underWay = open.values().stream().anyMatch(b -> samePool(b, buy));
     while (left > 0 && open.size() < env.settings().cloudLimits().rps()) {
@@ -80,7 +80,7 @@
     }
   }
 
-  private static boolean samePool(Booking b, Plan.Buy buy) {
+  private static boolean samePool(Booking b, SchedulingPlan.Buy buy) {
     return b.type.equals(buy.type()) && b.zone.equals(buy.zone()) && b.spot == buy.spot();
   }
 
@@ -107,7 +107,7 @@
         m.zone = b.zone;
         m.spot = b.spot;
         m.bornAt = now;
-        m.countUntil = now + FleetKeeper.COUNTED_BOOTS * type.bootS();
+        m.countUntil = now + FleetManager.COUNTED_BOOTS * type.bootS();
       }
     }
     if (r.refused() || r.machines().size() < b.number) {
--- a/src/main/java/io/embernotch/relay/Standby.java
+++ b/src/main/java/io/embernotch/forwarding/DelegatedRenewal.java
@@ -1,12 +1,12 @@
-package io.embernotch.relay;
+package io.embernotch.forwarding;
 
 import io.embernotch.codec.WorkerCodec;
-import io.embernotch.env.Env;
-import io.embernotch.env.Lifetime;
-import io.embernotch.env.Recent;
-import io.embernotch.http.Answer;
-import io.embernotch.machines.Delegations;
-import io.embernotch.model.WorkerReport;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.context.ProcessIncarnation;
+import io.embernotch.context.LeastRecentlyUsed;
+import io.embernotch.http.HttpResponse;
+import io.embernotch.agents.RenewalDelegations;
+import io.embernotch.model.Heartbeat;
 import io.embernotch.peer.Frame;
 import io.embernotch.settings.Settings;
 import java.util.List;
@@ -15,15 +15,15 @@
 /**
  * A controller's right to renew the workers of its own zone while it is cut off with them. Without
  * it all that runs behind a cut ends with its lease, though nothing is wrong there. The right is
- * given by a live leader with each {@link Frame.Noted}, counts from the sending of what that
+ * given by a live leader with each {@link Frame.DelegateHeartbeatAck}, counts from the sending of what that
  * answers, and is used only once the leader has not answered for {@link Settings#contactS}. {@link
  * Delegations} is the leader's side, which knows until when such renewals may have gone on.
  */
-public final class Standby {
+public final class DelegatedRenewal {
   private static final int REMEMBERED = 64;
 
-  private final Env env;
-  private final Map<Long, Double> sentAt = new Recent<>(REMEMBERED);
+  private final ControllerContext env;
+  private final Map<Long, Double> sentAt = new LeastRecentlyUsed<>(REMEMBERED);
   private long seq;
   private long ack;
 
@@ -39,20 +39,20 @@
   /** When each worker was last sent to look for the leader itself. */
   private final Map<String, Double> awayAt;
 
-  public Standby(Env env) {
+  public DelegatedRenewal(ControllerContext env) {
     this.env = env;
     this.contactAt = env.clock().now();
-    this.awayAt = new Recent<>(env.settings().quota().maxConnections());
-    this.seq = Lifetime.begin(env.names());
+    this.awayAt = new LeastRecentlyUsed<>(env.settings().quota().maxConnections());
+    this.seq = ProcessIncarnation.begin(env.names());
   }
 
-  public Frame.Here here() {
+  public Frame.DelegateHeartbeat here() {
     double now = env.clock().now();
     sentAt.put(++seq, now);
-    return new Frame.Here(env.settings().node(), seq, ack, renewedAt < 0 ? -1 : now - renewedAt);
+    return new Frame.DelegateHeartbeat(env.settings().node(), seq, ack, renewedAt < 0 ? -1 : now - renewedAt);
   }
 
-  public void noted(Frame.Noted n) {
+  public void noted(Frame.DelegateHeartbeatAck n) {
     Double sent = sentAt.get(n.seq());
     if (sent == null) {
       return;
@@ -74,7 +74,7 @@
    * give. Now and then, with a fresh lease, a worker is sent to look for the leader itself:
    * perhaps only we are cut off, and it would get no orders here.
    */
-  public Answer renewal(WorkerReport r, String leader) {
+  public HttpResponse renewal(Heartbeat r, String leader) {
     double now = env.clock().now();
     Settings s = env.settings();
     boolean cutOff = now - contactAt > s.contactS() * (1 + Settings.DRIFT);
@@ -86,9 +86,9 @@
         awayAt.putIfAbsent(r.machine(), now - s.workers().leaseS() / 2 + s.workers().reportS() / 4);
     if (away != null && now - away > s.workers().leaseS() / 2) {
       awayAt.put(r.machine(), now);
-      return Reception.misdirected(leader);
+      return HeartbeatForwarder.misdirected(leader);
     }
     renewedAt = now;
-    return Answer.of(200, WorkerCodec.response(r.token(), List.of()));
+    return HttpResponse.of(200, WorkerCodec.response(r.token(), List.of()));
   }
 }
--- a/src/main/java/io/embernotch/relay/Reception.java
+++ b/src/main/java/io/embernotch/forwarding/HeartbeatForwarder.java
@@ -1,13 +1,13 @@
-package io.embernotch.relay;
+package io.embernotch.forwarding;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.Json;
 import io.embernotch.codec.WorkerCodec;
-import io.embernotch.env.Env;
-import io.embernotch.env.Recent;
-import io.embernotch.http.Answer;
-import io.embernotch.machines.Tokens;
-import io.embernotch.model.WorkerReport;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.context.LeastRecentlyUsed;
+import io.embernotch.http.HttpResponse;
+import io.embernotch.agents.FencingTokens;
+import io.embernotch.model.Heartbeat;
 import io.embernotch.peer.Frame;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
@@ -31,7 +31,7 @@
  * <p>While no leader is known, workers are told to stay. The next one is handed what they last
  * said, so that it knows its machines before their next reports.
  */
-public final class Reception {
+public final class HeartbeatForwarder {
   /** Workers give up after four seconds. */
   public static final double PATIENCE_S = 3;
 
@@ -43,7 +43,7 @@
   /** What is needed of the controller. */
   public interface Host {
     /** Asks another controller; 503 if it does not answer in time. */
-    Future<Answer> ask(String node, LongFunction<Frame> question, double withinS);
+    Future<HttpResponse> ask(String node, LongFunction<Frame> question, double withinS);
 
     void send(String node, Frame frame);
 
@@ -53,17 +53,17 @@
 
   /** Compared by identity: a report can be long. */
   private static final class Parked {
-    final WorkerReport report;
-    final Promise<Answer> reply = Promise.promise();
+    final Heartbeat report;
+    final Promise<HttpResponse> reply = Promise.promise();
 
-    Parked(WorkerReport report) {
+    Parked(Heartbeat report) {
       this.report = report;
     }
   }
 
-  private record Last(WorkerReport report, double at) {}
+  private record Last(Heartbeat report, double at) {}
 
-  private final Env env;
+  private final ControllerContext env;
   private final Host host;
   private final double withinS;
 
@@ -85,17 +85,17 @@
   private double unansweredSince = -1;
 
   private double tryAt;
-  private final Standby standby;
+  private final DelegatedRenewal standby;
   private final Set<String> waiting = new HashSet<>();
 
-  public Reception(Env env, Host host) {
+  public HeartbeatForwarder(ControllerContext env, Host host) {
     this.env = env;
     this.host = host;
     this.withinS = PATIENCE_S;
     this.patienceS = env.settings().workers().leaseS() / 4;
-    this.last = new Recent<>(env.settings().quota().maxConnections());
+    this.last = new LeastRecentlyUsed<>(env.settings().quota().maxConnections());
     this.changedAt = env.clock().now();
-    this.standby = new Standby(env);
+    this.standby = new DelegatedRenewal(env);
   }
 
   /**
@@ -132,7 +132,7 @@
     }
   }
 
-  public void noted(Frame.Noted n) {
+  public void noted(Frame.DelegateHeartbeatAck n) {
     if (n.epoch() == epoch && leader != null) {
       waiting.add(leader);
       standby.noted(n);
@@ -148,8 +148,8 @@
   }
 
   /** What workers said within a report period or so. */
-  public List<WorkerReport> recent() {
-    List<WorkerReport> out = new ArrayList<>();
+  public List<Heartbeat> recent() {
+    List<Heartbeat> out = new ArrayList<>();
     double since = env.clock().now() - 1.5 * env.settings().workers().reportS();
     for (Last l : last.values()) {
       if (l.at >= since) {
@@ -159,13 +159,13 @@
     return out;
   }
 
-  private void handOver(List<WorkerReport> reports, int from, long to) {
+  private void handOver(List<Heartbeat> reports, int from, long to) {
     if (epoch != to) {
       return;
     }
     int end = Math.min(reports.size(), from + SLICE);
-    for (WorkerReport r : reports.subList(from, end)) {
-      host.send(leader, new Frame.Report(0, r));
+    for (Heartbeat r : reports.subList(from, end)) {
+      host.send(leader, new Frame.ForwardedHeartbeat(0, r));
     }
     if (end < reports.size()) {
       env.timers()
@@ -174,7 +174,7 @@
   }
 
   /** A worker reports to this controller while another one, or none, is leader. */
-  public Future<Answer> report(WorkerReport r) {
+  public Future<HttpResponse> report(Heartbeat r) {
     double now = env.clock().now();
     Last before = last.get(r.machine());
     if (before == null || r.newerThan(before.report.session(), before.report.seq())) {
@@ -182,11 +182,11 @@
       // one.
       last.put(r.machine(), new Last(r, now));
     }
-    if (Tokens.epochOf(r.token()) > newest && host.badlyPlaced()) {
+    if (FencingTokens.epochOf(r.token()) > newest && host.badlyPlaced()) {
       // A leader that we know nothing of has reached this worker, and serves it elsewhere.
       return Future.succeededFuture(misdirected(null));
     }
-    Answer renewal = standby.renewal(r, leader);
+    HttpResponse renewal = standby.renewal(r, leader);
     if (renewal != null) {
       return Future.succeededFuture(renewal);
     }
@@ -205,7 +205,7 @@
     }
     unansweredSince = unansweredSince < 0 ? now : unansweredSince;
     long to = epoch;
-    return host.ask(leader, id -> new Frame.Report(id, r), withinS)
+    return host.ask(leader, id -> new Frame.ForwardedHeartbeat(id, r), withinS)
         .map(
             a -> {
               if (a.status() == 503) {
@@ -219,7 +219,7 @@
   }
 
   /** Waits a moment for a leader, so that the worker's lease counts from this report. */
-  private Future<Answer> park(WorkerReport r) {
+  private Future<HttpResponse> park(Heartbeat r) {
     Parked p = new Parked(r);
     parked.add(p);
     env.timers()
@@ -234,22 +234,22 @@
   }
 
   /** A leader is known, here or elsewhere: those who wait are answered by it. */
-  public void unpark(Function<WorkerReport, Future<Answer>> by) {
+  public void unpark(Function<Heartbeat, Future<HttpResponse>> by) {
     List<Parked> all = List.copyOf(parked);
     parked.clear();
     all.forEach(p -> by.apply(p.report).onSuccess(p.reply::complete));
   }
 
-  private static Answer stay() {
-    return Answer.of(200, WorkerCodec.stay());
+  private static HttpResponse stay() {
+    return HttpResponse.of(200, WorkerCodec.stay());
   }
 
   /** Names the leader to a worker, or nobody. */
-  public static Answer misdirected(String leader) {
+  public static HttpResponse misdirected(String leader) {
     ObjectNode o = Json.object();
     if (leader != null) {
       o.put("steward", leader);
     }
-    return Answer.of(MISDIRECTED, Json.bytes(o));
+    return HttpResponse.of(MISDIRECTED, Json.bytes(o));
   }
 }
--- a/src/main/java/io/embernotch/relay/Questions.java
+++ b/src/main/java/io/embernotch/forwarding/PendingRequests.java
@@ -1,8 +1,8 @@
-package io.embernotch.relay;
+package io.embernotch.forwarding;
 
 import io.embernotch.actor.Timers;
-import io.embernotch.env.Lifetime;
-import io.embernotch.http.Answer;
+import io.embernotch.context.ProcessIncarnation;
+import io.embernotch.http.HttpResponse;
 import io.embernotch.peer.Frame;
 import io.embernotch.peer.PeerLink;
 import io.vertx.core.Future;
@@ -13,18 +13,18 @@
 import java.util.function.Supplier;
 
 /** What other controllers have been asked, until they answer or it is too late. */
-public final class Questions {
+public final class PendingRequests {
   private final Timers timers;
   private final PeerLink peers;
-  private final Map<Long, Promise<Answer>> asked = new HashMap<>();
+  private final Map<Long, Promise<HttpResponse>> asked = new HashMap<>();
   private long next;
 
   /**
    * @param names makes names that nobody else ever has: an answer to a former life must not pass
    *     for one to this
    */
-  public Questions(Timers timers, PeerLink peers, Supplier<String> names) {
-    this.next = Lifetime.begin(names);
+  public PendingRequests(Timers timers, PeerLink peers, Supplier<String> names) {
+    this.next = ProcessIncarnation.begin(names);
     this.timers = timers;
     this.peers = peers;
   }
@@ -34,27 +34,27 @@
    *
    * @param question makes the frame that carries the given number
    */
-  public Future<Answer> ask(String node, LongFunction<Frame> question, double withinS) {
-    Promise<Answer> reply = Promise.promise();
+  public Future<HttpResponse> ask(String node, LongFunction<Frame> question, double withinS) {
+    Promise<HttpResponse> reply = Promise.promise();
     long id = ++next;
     asked.put(id, reply);
     peers.send(node, question.apply(id));
     timers.after(
         withinS,
         () -> {
-          Promise<Answer> late = asked.remove(id);
+          Promise<HttpResponse> late = asked.remove(id);
           if (late != null) {
-            late.tryComplete(Answer.later(node + " does not answer"));
+            late.tryComplete(HttpResponse.later(node + " does not answer"));
           }
         });
     return reply.future();
   }
 
   /** A controller has answered; what nobody waits for any more is dropped. */
-  public void told(Frame.Told f) {
-    Promise<Answer> p = asked.remove(f.id());
+  public void told(Frame.Response f) {
+    Promise<HttpResponse> p = asked.remove(f.id());
     if (p != null) {
-      p.tryComplete(new Answer(f.status(), f.body(), f.retryAfterS()));
+      p.tryComplete(new HttpResponse(f.status(), f.body(), f.retryAfterS()));
     }
   }
 }
--- a/src/main/java/io/embernotch/http/CallFailed.java
+++ b/src/main/java/io/embernotch/http/CallFailedException.java
@@ -1,26 +1,26 @@
 package io.embernotch.http;
 
 /** A call got no answer. If {@code sent} is false, the other side cannot have executed it. */
-public final class CallFailed extends RuntimeException {
+public final class CallFailedException extends RuntimeException {
   private static final long serialVersionUID = 1L;
   public final boolean sent;
 
   /** False if this side had no room to try: then it says nothing of the other side. */
   public final boolean tried;
 
-  public CallFailed(boolean sent, String message) {
+  public CallFailedException(boolean sent, String message) {
     super(message, null, false, false);
     this.sent = sent;
     this.tried = true;
   }
 
-  private CallFailed(String message) {
+  private CallFailedException(String message) {
     super(message, null, false, false);
     this.sent = false;
     this.tried = false;
   }
 
-  public static CallFailed untried(String message) {
-    return new CallFailed(message);
+  public static CallFailedException untried(String message) {
+    return new CallFailedException(message);
   }
 }
--- a/src/main/java/io/embernotch/http/Caller.java
+++ /dev/null
@@ -1,9 +0,0 @@
-package io.embernotch.http;
-
-import io.embernotch.settings.HostPort;
-import io.vertx.core.Future;
-
-/** Calls HTTP servers. A future fails with {@link CallFailed} only. */
-public interface Caller {
-  Future<Reply> call(String method, HostPort to, String path, byte[] body, double timeoutS);
-}
--- a/src/main/java/io/embernotch/http/HttpFront.java
+++ b/src/main/java/io/embernotch/http/HttpApiServer.java
@@ -1,11 +1,11 @@
 package io.embernotch.http;
 
 import io.embernotch.actor.Clock;
-import io.embernotch.actor.Latencies;
+import io.embernotch.actor.LatencyRecorder;
 import io.embernotch.actor.Timers;
-import io.embernotch.codec.BadInput;
+import io.embernotch.codec.MalformedInputException;
 import io.embernotch.codec.WorkerCodec;
-import io.embernotch.model.WorkerReport;
+import io.embernotch.model.Heartbeat;
 import io.embernotch.settings.HostPort;
 import io.embernotch.settings.Settings;
 import io.vertx.core.Context;
@@ -39,8 +39,8 @@
  * <p>What nobody waits for any more when the core comes to it is dropped there: users and workers
  * come again, and answering the gone would keep the core from those who wait.
  */
-public final class HttpFront {
-  private static final Logger LOG = LoggerFactory.getLogger(HttpFront.class);
+public final class HttpApiServer {
+  private static final Logger LOG = LoggerFactory.getLogger(HttpApiServer.class);
   public static final int MAX_BODY = 64 * 1024;
   private static final String JOBS = "/api/jobs";
   private static final String ABORT = "/abort";
@@ -56,12 +56,12 @@
   /** A health check waits a second; from half of it on, what was last known is told. */
   private static final double READY_S = 0.5;
 
-  private final Door door;
+  private final RequestHandler door;
   private final Executor core;
   private final Clock clock;
   private final Timers timers;
   private final double logEveryS;
-  private final Latencies latencies = new Latencies();
+  private final LatencyRecorder latencies = new LatencyRecorder();
   private final int crowd;
   private final int backlog;
   private final Set<HttpConnection> connections = new HashSet<>();
@@ -69,13 +69,13 @@
   private double staleUntil = -1e9;
   private HttpServer server;
   private Context front;
-  private Answer lastReady = Answer.later("starting");
+  private HttpResponse lastReady = HttpResponse.later("starting");
 
   /**
    * @param core runs what is asked of the door
    * @param timers those of the loop that {@link #listen} is called on
    */
-  public HttpFront(Door door, Executor core, Clock clock, Timers timers, Settings settings) {
+  public HttpApiServer(RequestHandler door, Executor core, Clock clock, Timers timers, Settings settings) {
     this.door = door;
     this.core = core;
     this.clock = clock;
@@ -176,7 +176,7 @@
       if (body.length() + more.length() > MAX_BODY) {
         body = null;
         request.response().putHeader("connection", "close");
-        write(request.response(), Answer.error(413, "body exceeds 64 KiB"));
+        write(request.response(), HttpResponse.error(413, "body exceeds 64 KiB"));
         return;
       }
       body.appendBuffer(more);
@@ -198,7 +198,7 @@
                   Future<Void> written =
                       write(
                           request.response(),
-                          r.succeeded() ? r.result() : Answer.error(500, "internal error"));
+                          r.succeeded() ? r.result() : HttpResponse.error(500, "internal error"));
                   if (parts) {
                     written.onComplete(v -> request.connection().close());
                   }
@@ -207,7 +207,7 @@
     }
   }
 
-  private Future<Answer> route(HttpServerRequest request, byte[] body) {
+  private Future<HttpResponse> route(HttpServerRequest request, byte[] body) {
     String path = request.path();
     String method = request.method().name();
     try {
@@ -233,33 +233,33 @@
           return method.equals("GET") ? ask(POLL_S, () -> door.poll(rest)) : wrongMethod("GET");
         }
       }
-      return Future.succeededFuture(Answer.error(404, "no such path"));
+      return Future.succeededFuture(HttpResponse.error(404, "no such path"));
     } catch (RuntimeException e) {
       return Future.failedFuture(e);
     }
   }
 
-  private Future<Answer> report(byte[] body) {
-    WorkerReport report;
+  private Future<HttpResponse> report(byte[] body) {
+    Heartbeat report;
     try {
       report = WorkerCodec.read(body);
-    } catch (BadInput e) {
-      return Future.succeededFuture(Answer.error(400, e.getMessage()));
+    } catch (MalformedInputException e) {
+      return Future.succeededFuture(HttpResponse.error(400, e.getMessage()));
     }
     return ask(REPORT_S, () -> door.report(report));
   }
 
   /** Has the core answer, unless it comes to it too late; the future completes on this loop. */
-  private Future<Answer> ask(double patienceS, Supplier<Future<Answer>> question) {
-    Promise<Answer> reply = Promise.promise();
+  private Future<HttpResponse> ask(double patienceS, Supplier<Future<HttpResponse>> question) {
+    Promise<HttpResponse> reply = Promise.promise();
     double since = clock.now();
     core.execute(
         () -> {
           if (clock.now() - since > patienceS) {
-            front.runOnContext(v -> reply.complete(Answer.later("overloaded")));
+            front.runOnContext(v -> reply.complete(HttpResponse.later("overloaded")));
             return;
           }
-          Future<Answer> answer;
+          Future<HttpResponse> answer;
           try {
             answer = question.get();
           } catch (RuntimeException e) {
@@ -279,8 +279,8 @@
     return reply.future();
   }
 
-  private Future<Answer> ready() {
-    Promise<Answer> reply = Promise.promise();
+  private Future<HttpResponse> ready() {
+    Promise<HttpResponse> reply = Promise.promise();
     ask(SUBMIT_S, () -> Future.succeededFuture(door.ready()))
         .onSuccess(
             a -> {
@@ -291,11 +291,11 @@
     return reply.future();
   }
 
-  private static Future<Answer> wrongMethod(String right) {
-    return Future.succeededFuture(Answer.error(405, "use " + right));
+  private static Future<HttpResponse> wrongMethod(String right) {
+    return Future.succeededFuture(HttpResponse.error(405, "use " + right));
   }
 
-  private static Future<Void> write(HttpServerResponse response, Answer answer) {
+  private static Future<Void> write(HttpServerResponse response, HttpResponse answer) {
     if (response.ended() || response.closed()) {
       return Future.succeededFuture();
     }
--- a/src/main/java/io/embernotch/http/VertxCaller.java
+++ b/src/main/java/io/embernotch/http/VertxHttpCaller.java
@@ -21,7 +21,7 @@
 import java.util.Set;
 
 /** Calls over Vert.x's client, each with a time limit of its own. */
-public final class VertxCaller implements Caller {
+public final class VertxHttpCaller implements HttpCaller {
   private final HttpClient client;
   private final Clock clock;
   private final Timers timers;
@@ -39,7 +39,7 @@
    * @param most hosts to be connected to at a time; a call to one more fails unsent
    * @param keepS idle connections are closed after this time
    */
-  public VertxCaller(
+  public VertxHttpCaller(
       Vertx vertx,
       Clock clock,
       Timers timers,
@@ -64,12 +64,12 @@
   }
 
   @Override
-  public Future<Reply> call(String method, HostPort to, String path, byte[] body, double timeoutS) {
+  public Future<HttpReply> call(String method, HostPort to, String path, byte[] body, double timeoutS) {
     String host = to.host() + ":" + to.port();
     Host known = hosts.get(host);
     if (known == null) {
       if (hosts.size() >= most && !makeRoom()) {
-        return Future.failedFuture(CallFailed.untried("too many connections"));
+        return Future.failedFuture(CallFailedException.untried("too many connections"));
       }
       known = new Host();
       hosts.put(host, known);
@@ -130,7 +130,7 @@
 
   /** One call under way; the first of answer, failure and time limit settles it. */
   private final class Call {
-    final Promise<Reply> promise = Promise.promise();
+    final Promise<HttpReply> promise = Promise.promise();
     Runnable cancelTimer;
     HttpClientRequest request;
     boolean settled;
@@ -160,12 +160,12 @@
       Future<io.vertx.core.http.HttpClientResponse> response =
           body == null ? req.send() : req.send(Buffer.buffer(body));
       response
-          .compose(r -> r.body().map(b -> new Reply(r.statusCode(), b.getBytes())))
+          .compose(r -> r.body().map(b -> new HttpReply(r.statusCode(), b.getBytes())))
           .onSuccess(this::succeed)
           .onFailure(e -> fail(e.getMessage()));
     }
 
-    void succeed(Reply reply) {
+    void succeed(HttpReply reply) {
       if (!settled) {
         settled = true;
         cancelTimer.run();
@@ -177,14 +177,14 @@
       if (!settled) {
         settled = true;
         cancelTimer.run();
-        promise.fail(new CallFailed(request != null, why));
+        promise.fail(new CallFailedException(request != null, why));
       }
     }
 
     void timeOut() {
       if (!settled) {
         settled = true;
-        promise.fail(new CallFailed(request != null, "no answer in time"));
+        promise.fail(new CallFailedException(request != null, "no answer in time"));
         if (request != null) {
           request.reset();
         }
--- a/src/main/java/io/embernotch/era/Eras.java
+++ b/src/main/java/io/embernotch/incarnation/StoreIncarnationTracker.java
@@ -1,18 +1,18 @@
-package io.embernotch.era;
+package io.embernotch.incarnation;
 
-import io.embernotch.codec.BadInput;
-import io.embernotch.codec.EraCodec;
-import io.embernotch.codec.RunCodec;
-import io.embernotch.copy.Base;
-import io.embernotch.copy.Blocks;
+import io.embernotch.codec.MalformedInputException;
+import io.embernotch.codec.IncarnationCodec;
+import io.embernotch.codec.JobProgressCodec;
+import io.embernotch.snapshot.BaseSnapshot;
+import io.embernotch.snapshot.SnapshotBlocks;
 import io.embernotch.copy.proto.CopyFile.Copy;
-import io.embernotch.env.Env;
-import io.embernotch.leadership.Terms;
-import io.embernotch.model.Era;
-import io.embernotch.store.Changes;
-import io.embernotch.store.Entry;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.election.Candidacy;
+import io.embernotch.model.StoreIncarnation;
+import io.embernotch.store.WatchEvents;
+import io.embernotch.store.VersionedEntry;
 import io.embernotch.store.StoreClient;
-import io.embernotch.store.Txn;
+import io.embernotch.store.Transaction;
 import java.util.ArrayList;
 import java.util.List;
 import org.slf4j.Logger;
@@ -26,8 +26,8 @@
  * <p>A loss is noticed by a revision that falls, by the era's key that is not there, or by another era in
  * its place that was not made from ours. An era that was made from ours is taken over.
  */
-public final class Eras implements StoreClient.Witness, Terms {
-  private static final Logger LOG = LoggerFactory.getLogger(Eras.class);
+public final class StoreIncarnationTracker implements StoreClient.Witness, Candidacy {
+  private static final Logger LOG = LoggerFactory.getLogger(StoreIncarnationTracker.class);
 
   /** Epochs are raised by so much over the highest that we know: others may have seen higher ones than we. */
   static final long LEAP = 1L << 24;
@@ -35,7 +35,7 @@
   /** What is told of it. */
   public interface Host {
     /** The state service holds our data. {@code base} is what the present era began with. */
-    void settled(Base base);
+    void settled(BaseSnapshot base);
 
     /** Every other controller has been heard from since this process started. */
     boolean heardAll();
@@ -50,16 +50,16 @@
     LOST
   }
 
-  private final Env env;
+  private final ControllerContext env;
   private final Host host;
   private final double lifeS;
   private final double againS;
-  private final Restore.Source source;
-  private final Restore restore;
+  private final StoreRestorer.Source source;
+  private final StoreRestorer restore;
   private State state = State.UNREAD;
   /** The era that we know; null if there was none yet. */
-  private Era known;
-  private Base base = Base.EMPTY;
+  private StoreIncarnation known;
+  private BaseSnapshot base = BaseSnapshot.EMPTY;
   /** The copy that the present era was begun with, if this node's next leader is its first. */
   private Copy begunWith;
   /** The highest epoch that anybody here has seen. */
@@ -67,9 +67,9 @@
   private long lostMark;
   /** Stamp of the pointer when it was last read, 0 if it was absent; what it named, null if nothing that can be read. */
   private long pointerStamp;
-  private Era pointed;
+  private StoreIncarnation pointed;
   /** The era that a claim under way begins; null if it goes on with the present one. */
-  private Era claimed;
+  private StoreIncarnation claimed;
   private boolean formerLeads;
   private final double startedAt;
   /** The pointer has been read since data was last seen to be lost. */
@@ -79,14 +79,14 @@
   private int losses;
 
   /** @param lifeS life of a leader's lease in seconds */
-  public Eras(Env env, Host host, Restore.Source source, double lifeS) {
+  public StoreIncarnationTracker(ControllerContext env, Host host, StoreRestorer.Source source, double lifeS) {
     this.env = env;
     this.host = host;
     this.lifeS = lifeS;
     this.againS = lifeS / 4;
     this.startedAt = env.clock().now();
     this.source = source;
-    this.restore = new Restore(env, source, lifeS, () -> state == State.LOST);
+    this.restore = new StoreRestorer(env, source, lifeS, () -> state == State.LOST);
     env.store().witness(this);
   }
 
@@ -146,7 +146,7 @@
     return known == null ? "" : known.name();
   }
 
-  public Base base() {
+  public BaseSnapshot base() {
     return base;
   }
 
@@ -188,14 +188,14 @@
   /** A leader's question, now and then, whether the contents are still ours; {@code stamp}: its key's. */
   public void probe(long stamp) {
     if (state == State.SOUND && known != null) {
-      env.store().stillThere(RunCodec.LEADER, stamp);
+      env.store().stillThere(JobProgressCodec.LEADER, stamp);
     }
   }
 
   @Override
   public void probe() {
     if (state == State.SOUND && known != null) {
-      env.store().commit(new Txn());
+      env.store().commit(new Transaction());
     }
   }
 
@@ -245,7 +245,7 @@
     }
     reading = true;
     env.store()
-        .get(EraCodec.POINTER)
+        .get(IncarnationCodec.POINTER)
         .onComplete(
             r -> {
               reading = false;
@@ -259,11 +259,11 @@
             });
   }
 
-  private void seen(Entry entry) {
-    Era there = null;
+  private void seen(VersionedEntry entry) {
+    StoreIncarnation there = null;
     try {
-      there = entry.present() ? EraCodec.read(entry.value(), entry.stamp()) : null;
-    } catch (BadInput e) {
+      there = entry.present() ? IncarnationCodec.read(entry.value(), entry.stamp()) : null;
+    } catch (MalformedInputException e) {
       LOG.warn("the era's key is unreadable: {}", e.getMessage());
     }
     pointerStamp = entry.stamp();
@@ -286,30 +286,30 @@
    * After a loss an era that was begun since is taken over if it was made from ours, or if we know nothing
    * that could be put in its place. The one that we knew, or one before it, is what was put back.
    */
-  private boolean mayAdopt(Era there) {
+  private boolean mayAdopt(StoreIncarnation there) {
     if (known == null || there.follows(known)) {
       return true;
     }
     return !there.name().equals(known.name()) && !known.follows(there) && !restore.knows();
   }
 
-  private void adopt(Era there, boolean same) {
+  private void adopt(StoreIncarnation there, boolean same) {
     if (there == null || same) {
       settle(there, base);
       return;
     }
     if (there.base() == null) {
-      settle(there, Base.EMPTY);
+      settle(there, BaseSnapshot.EMPTY);
       return;
     }
-    String prefix = EraCodec.blocks(there.base());
+    String prefix = IncarnationCodec.blocks(there.base());
     env.store()
         .list(prefix)
         .onSuccess(
             found -> {
               try {
-                settle(there, new Base(unpack(there, found).unpack(), there.since()));
-              } catch (BadInput e) {
+                settle(there, new BaseSnapshot(unpack(there, found).unpack(), there.since()));
+              } catch (MalformedInputException e) {
                 LOG.error("era {} can't be used: {}", there.name(), e.getMessage());
                 again();
               }
@@ -317,26 +317,26 @@
         .onFailure(e -> again());
   }
 
-  private static Blocks unpack(Era era, Changes found) {
+  private static SnapshotBlocks unpack(StoreIncarnation era, WatchEvents found) {
     List<byte[]> blocks = new ArrayList<>();
-    for (Entry e : found.events()) {
-      byte[] block = EraCodec.readBlock(e.value());
-      if (!e.key().equals(EraCodec.block(era.base(), blocks.size())) || Blocks.sum(block) != EraCodec.readCrc(e.value())) {
-        throw new BadInput("block " + blocks.size() + " is missing or damaged");
+    for (VersionedEntry e : found.events()) {
+      byte[] block = IncarnationCodec.readBlock(e.value());
+      if (!e.key().equals(IncarnationCodec.block(era.base(), blocks.size())) || SnapshotBlocks.sum(block) != IncarnationCodec.readCrc(e.value())) {
+        throw new MalformedInputException("block " + blocks.size() + " is missing or damaged");
       }
       blocks.add(block);
     }
     if (blocks.size() != era.blocks()) {
-      throw new BadInput("it has " + blocks.size() + " of " + era.blocks() + " blocks");
+      throw new MalformedInputException("it has " + blocks.size() + " of " + era.blocks() + " blocks");
     }
-    return new Blocks(blocks, era.crc());
+    return new SnapshotBlocks(blocks, era.crc());
   }
 
-  private void settle(Era there, Base itsBase) {
+  private void settle(StoreIncarnation there, BaseSnapshot itsBase) {
     boolean news = there != null && (known == null || !there.name().equals(known.name()));
     State before = state;
     if (there != null) {
-      env.store().fence(EraCodec.fence(there), there.stamp());
+      env.store().fence(IncarnationCodec.fence(there), there.stamp());
     }
     known = there;
     base = itsBase;
@@ -380,30 +380,30 @@
   }
 
   @Override
-  public Claim claim(Txn txn) {
+  public Claim claim(Transaction txn) {
     claimed = null;
     if (state == State.LOST) {
-      Restore.Prepared p = restore.prepared();
+      StoreRestorer.Prepared p = restore.prepared();
       highest = Math.max(highest, p.copy().getEpoch());
-      claimed = new Era(p.name(), 0, highest + LEAP, p.name(), p.blocks(), p.crc(), 0, before());
+      claimed = new StoreIncarnation(p.name(), 0, highest + LEAP, p.name(), p.blocks(), p.crc(), 0, before());
     } else if (known == null) {
-      claimed = new Era(env.names().get(), 0, behind() ? highest + LEAP : 0, null, 0, 0, 0, List.of());
+      claimed = new StoreIncarnation(env.names().get(), 0, behind() ? highest + LEAP : 0, null, 0, 0, 0, List.of());
     } else if (highest > floor() + env.store().seen()) {
-      claimed = new Era(env.names().get(), 0, highest + LEAP, known.base(), known.blocks(), known.crc(), known.since(), known.line());
+      claimed = new StoreIncarnation(env.names().get(), 0, highest + LEAP, known.base(), known.blocks(), known.crc(), known.since(), known.line());
     }
     if (claimed == null) {
       return new Claim(name(), floor(), 0);
     }
-    txn.unfenced().when(EraCodec.POINTER, pointerStamp);
+    txn.unfenced().when(IncarnationCodec.POINTER, pointerStamp);
     if (state == State.LOST) {
       // Lost again since they were written, the blocks would be missing: contents that hold the last hold all.
-      Restore.Prepared p = restore.prepared();
-      txn.when(EraCodec.block(p.name(), p.blocks() - 1), p.lastStamp());
+      StoreRestorer.Prepared p = restore.prepared();
+      txn.when(IncarnationCodec.block(p.name(), p.blocks() - 1), p.lastStamp());
     }
     if (pointed != null) {
-      txn.drop(EraCodec.fence(pointed));
+      txn.drop(IncarnationCodec.fence(pointed));
     }
-    txn.write(EraCodec.POINTER, EraCodec.write(claimed)).write(EraCodec.fence(claimed), EraCodec.write(claimed));
+    txn.write(IncarnationCodec.POINTER, IncarnationCodec.write(claimed)).write(IncarnationCodec.fence(claimed), IncarnationCodec.write(claimed));
     return new Claim(claimed.name(), claimed.floor(), state == State.LOST ? restore.othersMayLeadS() : 0);
   }
 
@@ -421,9 +421,9 @@
     if (claimed == null) {
       return;
     }
-    Era begun = claimed.at(stamp);
+    StoreIncarnation begun = claimed.at(stamp);
     claimed = null;
-    Base with = state == State.LOST ? new Base(restore.prepared().copy(), stamp) : base;
+    BaseSnapshot with = state == State.LOST ? new BaseSnapshot(restore.prepared().copy(), stamp) : base;
     if (state == State.LOST) {
       begunWith = restore.prepared().copy();
       LOG.info("restored: {} blocks, complete {}", begun.blocks(), with.complete());
--- a/src/main/java/io/embernotch/era/Restore.java
+++ b/src/main/java/io/embernotch/incarnation/StoreRestorer.java
@@ -1,16 +1,16 @@
-package io.embernotch.era;
+package io.embernotch.incarnation;
 
-import io.embernotch.codec.EraCodec;
-import io.embernotch.codec.RunCodec;
-import io.embernotch.copy.Blocks;
-import io.embernotch.copy.Copies;
-import io.embernotch.copy.Merge;
+import io.embernotch.codec.IncarnationCodec;
+import io.embernotch.codec.JobProgressCodec;
+import io.embernotch.snapshot.SnapshotBlocks;
+import io.embernotch.snapshot.StateSnapshot;
+import io.embernotch.snapshot.SnapshotMerge;
 import io.embernotch.copy.proto.CopyFile.Copy;
-import io.embernotch.env.Env;
+import io.embernotch.context.ControllerContext;
 import io.embernotch.settings.Settings;
-import io.embernotch.store.Pacer.Rank;
+import io.embernotch.store.RateLimiter.Rank;
 import io.embernotch.store.StoreClient;
-import io.embernotch.store.Txn;
+import io.embernotch.store.Transaction;
 import java.util.function.BooleanSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -20,8 +20,8 @@
  * had, so that nothing there can be taken for part of another copy. It counts only once an era is
  * begun with it.
  */
-public final class Restore {
-  private static final Logger LOG = LoggerFactory.getLogger(Restore.class);
+public final class StoreRestorer {
+  private static final Logger LOG = LoggerFactory.getLogger(StoreRestorer.class);
 
   /** Where the copy comes from. */
   public interface Source {
@@ -38,7 +38,7 @@
   /** A copy that lies in the state service. */
   record Prepared(String name, Copy copy, int blocks, long crc, long lastStamp) {}
 
-  private final Env env;
+  private final ControllerContext env;
   private final Source source;
   private final double lifeS;
   private final BooleanSupplier needed;
@@ -51,7 +51,7 @@
   /**
    * @param lifeS life of a leader's lease in seconds
    */
-  Restore(Env env, Source source, double lifeS, BooleanSupplier needed) {
+  StoreRestorer(ControllerContext env, Source source, double lifeS, BooleanSupplier needed) {
     this.env = env;
     this.source = source;
     this.lifeS = lifeS;
@@ -107,21 +107,21 @@
   private void leadWithRemains(int mine, Copy kept) {
     StoreClient store = env.store();
     store
-        .list(RunCodec.JOB)
+        .list(JobProgressCodec.JOB)
         .compose(
             jobs ->
                 store
-                    .list(RunCodec.RUN)
+                    .list(JobProgressCodec.RUN)
                     .compose(
                         runs ->
                             store
-                                .list(RunCodec.PART)
+                                .list(JobProgressCodec.PART)
                                 .compose(
                                     parts ->
                                         store
-                                            .list(RunCodec.SHARED)
-                                            .map(shared -> Copies.of(jobs, runs, parts, shared)))))
-        .onSuccess(left -> lead(mine, Merge.of(left, kept)))
+                                            .list(JobProgressCodec.SHARED)
+                                            .map(shared -> StateSnapshot.of(jobs, runs, parts, shared)))))
+        .onSuccess(left -> lead(mine, SnapshotMerge.of(left, kept)))
         .onFailure(
             e ->
                 env.timers()
@@ -141,7 +141,7 @@
 
   private void lead(int mine, Copy copy) {
     String name = env.names().get();
-    Blocks packed = Blocks.pack(copy, (int) (env.settings().stateFloor().valueKb() * 1024));
+    SnapshotBlocks packed = SnapshotBlocks.pack(copy, (int) (env.settings().stateFloor().valueKb() * 1024));
     LOG.info(
         "restoring {} jobs and {} ends in {} blocks",
         copy.getJobCount(),
@@ -150,7 +150,7 @@
     write(mine, new Prepared(name, copy, packed.blocks().size(), packed.crc(), 0), packed, 0);
   }
 
-  private void write(int mine, Prepared p, Blocks packed, int from) {
+  private void write(int mine, Prepared p, SnapshotBlocks packed, int from) {
     if (mine != attempt || !needed.getAsBoolean()) {
       return;
     }
@@ -158,16 +158,16 @@
       prepared = p;
       return;
     }
-    Txn txn = new Txn().unfenced();
+    Transaction txn = new Transaction().unfenced();
     int bytes = 0;
     int to = from;
     for (; to < packed.blocks().size() && to - from < env.settings().stateFloor().txnOps(); to++) {
       byte[] block = packed.blocks().get(to);
       bytes += block.length * 4 / 3 + 200;
-      if (to > from && bytes > Txn.MAX_BYTES) {
+      if (to > from && bytes > Transaction.MAX_BYTES) {
         break;
       }
-      txn.write(EraCodec.block(p.name(), to), EraCodec.writeBlock(block, Blocks.sum(block)));
+      txn.write(IncarnationCodec.block(p.name(), to), IncarnationCodec.writeBlock(block, SnapshotBlocks.sum(block)));
     }
     int next = to;
     // Written again after an answer that did not come, it is the same.
--- a/src/main/java/io/embernotch/jobs/Outcomes.java
+++ b/src/main/java/io/embernotch/jobs/AttemptOutcomes.java
@@ -1,45 +1,45 @@
 package io.embernotch.jobs;
 
-import io.embernotch.env.Env;
-import io.embernotch.ledger.Blame;
-import io.embernotch.ledger.Ledger;
-import io.embernotch.machines.Stops;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.state.FailureAttribution;
+import io.embernotch.state.ClusterState;
+import io.embernotch.agents.TaskStopper;
 import io.embernotch.model.Attempt;
-import io.embernotch.model.Cause;
+import io.embernotch.model.ExitCause;
 import io.embernotch.model.Job;
 import io.embernotch.model.Machine;
-import io.embernotch.model.Phase;
-import io.embernotch.model.Shape;
-import io.embernotch.progress.Committer;
+import io.embernotch.model.JobPhase;
+import io.embernotch.model.JobShape;
+import io.embernotch.persistence.StateWriter;
 import java.util.List;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** What the end of an attempt means for its job: done marks, ends, gangs to break, blame. */
-public final class Outcomes {
-  private static final Logger LOG = LoggerFactory.getLogger(Outcomes.class);
+public final class AttemptOutcomes {
+  private static final Logger LOG = LoggerFactory.getLogger(AttemptOutcomes.class);
 
-  private final Env env;
-  private final Ledger ledger;
-  private final Committer committer;
-  private final Endings endings;
-  private final Blame blame;
+  private final ControllerContext env;
+  private final ClusterState ledger;
+  private final StateWriter committer;
+  private final JobCompletions endings;
+  private final FailureAttribution blame;
   private final int remembered;
   private final Consumer<Job> closed;
   private final Runnable changed;
-  private Stops stops;
+  private TaskStopper stops;
 
   /**
    * @param remembered finished tasks that a machine's performance is counted from
    * @param closed is told of each job that has one attempt less open; {@code changed} asks for a
    *     plan
    */
-  public Outcomes(
-      Env env,
-      Ledger ledger,
-      Committer committer,
-      Endings endings,
+  public AttemptOutcomes(
+      ControllerContext env,
+      ClusterState ledger,
+      StateWriter committer,
+      JobCompletions endings,
       int remembered,
       Consumer<Job> closed,
       Runnable changed) {
@@ -47,14 +47,14 @@
     this.ledger = ledger;
     this.committer = committer;
     this.endings = endings;
-    this.blame = new Blame(env, ledger);
+    this.blame = new FailureAttribution(env, ledger);
     this.remembered = remembered;
     this.closed = closed;
     this.changed = changed;
   }
 
   /** Stopping an attempt may end it, and an end may stop others, so each has to know the other. */
-  public void stopBy(Stops stops) {
+  public void stopBy(TaskStopper stops) {
     this.stops = stops;
   }
 
@@ -62,9 +62,9 @@
   public void takeOver() {
     endings.takeOver();
     for (Job job : ledger.jobs.values()) {
-      if (job.end == Phase.CANCELLED) {
+      if (job.end == JobPhase.CANCELLED) {
         List.copyOf(job.open.values()).forEach(a -> stops.want(a, 0));
-      } else if (job.spec.shape() == Shape.GANG
+      } else if (job.spec.shape() == JobShape.GANG
           && job.open.size() < job.spec.tasks()
           && !job.open.isEmpty()) {
         stops.breakGang(job, 0);
@@ -73,7 +73,7 @@
   }
 
   /** An attempt has exited on its machine. */
-  public void exited(Attempt a, Machine m, Cause cause, boolean saved) {
+  public void exited(Attempt a, Machine m, ExitCause cause, boolean saved) {
     Job job = a.job;
     double now = env.clock().now();
     if (LOG.isDebugEnabled()) {
@@ -86,7 +86,7 @@
           a.runningAt < 0 ? 0 : Math.round(now - a.runningAt),
           Math.round(job.spec.expectS()));
     }
-    if (cause == Cause.DONE && job.spec.shape() != Shape.SERVICE) {
+    if (cause == ExitCause.DONE && job.spec.shape() != JobShape.SERVICE) {
       finished(a, m, now);
     } else {
       failed(a, m, cause, now);
@@ -103,7 +103,7 @@
       m.finished(job.meanS() / ran, remembered);
     }
     boolean ended = job.end != null;
-    if (!ended && job.spec.shape() == Shape.GANG) {
+    if (!ended && job.spec.shape() == JobShape.GANG) {
       // A gang completes together: when one task is done, every task is.
       job.done.set(0, job.spec.tasks());
     } else if (!ended) {
@@ -114,7 +114,7 @@
       return;
     }
     if (job.remaining() == 0) {
-      endings.decide(job, Phase.DONE);
+      endings.decide(job, JobPhase.DONE);
       for (Attempt other : job.open.values()) {
         other.stopping = false;
         touched(other);
@@ -122,7 +122,7 @@
     }
   }
 
-  private void failed(Attempt a, Machine m, Cause cause, double now) {
+  private void failed(Attempt a, Machine m, ExitCause cause, double now) {
     Job job = a.job;
     double report = env.settings().workers().reportS();
     switch (cause) {
@@ -131,7 +131,7 @@
       case UNKNOWN -> job.backoffUntil = now + report / 3;
       default -> {}
     }
-    if (job.spec.shape() == Shape.GANG && job.end == null) {
+    if (job.spec.shape() == JobShape.GANG && job.end == null) {
       stops.breakGang(job, a.stopping ? a.stopGraceS : 0);
     }
   }
@@ -139,7 +139,7 @@
   /** An attempt is proven gone without an exit. */
   public void gone(Attempt a, Machine m, String why) {
     LOG.info("{} is gone: {}", a, why);
-    if (a.job.spec.shape() == Shape.GANG && a.job.end == null) {
+    if (a.job.spec.shape() == JobShape.GANG && a.job.end == null) {
       stops.breakGang(a.job, 0);
     }
     close(a);
@@ -155,7 +155,7 @@
   /** An attempt is over: its place is free, and what the store is to hold has changed. */
   public void close(Attempt a) {
     ledger.close(a, env.clock().now());
-    if (a.start != Attempt.Start.UNCOMMITTED && a.start != Attempt.Start.READY) {
+    if (a.start != Attempt.LaunchState.UNCOMMITTED && a.start != Attempt.LaunchState.READY) {
       a.job.restarted.set(a.task);
     }
     committer.later(a.job, a.task);
--- a/src/main/java/io/embernotch/jobs/Cancels.java
+++ b/src/main/java/io/embernotch/jobs/Cancellations.java
@@ -1,17 +1,17 @@
 package io.embernotch.jobs;
 
 import io.embernotch.codec.JobCodec;
-import io.embernotch.env.Env;
-import io.embernotch.http.Answer;
-import io.embernotch.ledger.Ledger;
-import io.embernotch.machines.Workers;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.http.HttpResponse;
+import io.embernotch.state.ClusterState;
+import io.embernotch.agents.AgentReconciler;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
 import io.embernotch.model.Machine;
-import io.embernotch.model.Phase;
-import io.embernotch.progress.Committer;
+import io.embernotch.model.JobPhase;
+import io.embernotch.persistence.StateWriter;
 import io.embernotch.settings.Settings;
-import io.embernotch.store.Pacer.Rank;
+import io.embernotch.store.RateLimiter.Rank;
 import io.vertx.core.Promise;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -27,15 +27,15 @@
  * <p>Nor is it decided while a start of ours may yet be carried out, or a task waits for its image:
  * a cancelled job once started on a machine that had hung, seconds after its user had been told.
  */
-public final class Cancels {
-  private final Env env;
-  private final Ledger ledger;
-  private final Committer committer;
-  private final Endings endings;
-  private final Workers workers;
-  private final Map<Job, List<Promise<Answer>>> asked = new LinkedHashMap<>();
+public final class Cancellations {
+  private final ControllerContext env;
+  private final ClusterState ledger;
+  private final StateWriter committer;
+  private final JobCompletions endings;
+  private final AgentReconciler workers;
+  private final Map<Job, List<Promise<HttpResponse>>> asked = new LinkedHashMap<>();
 
-  public Cancels(Env env, Ledger ledger, Committer committer, Endings endings, Workers workers) {
+  public Cancellations(ControllerContext env, ClusterState ledger, StateWriter committer, JobCompletions endings, AgentReconciler workers) {
     this.env = env;
     this.ledger = ledger;
     this.committer = committer;
@@ -44,12 +44,12 @@
   }
 
   /** A user wants the job cancelled; its tasks have been told to stop. */
-  public void ask(Job job, Promise<Answer> reply) {
+  public void ask(Job job, Promise<HttpResponse> reply) {
     asked.computeIfAbsent(job, j -> new ArrayList<>()).add(reply);
     env.timers()
         .after(
             env.settings().workers().reportS() / 2,
-            () -> reply.tryComplete(Answer.later("tasks of it cannot be reached yet")));
+            () -> reply.tryComplete(HttpResponse.later("tasks of it cannot be reached yet")));
     check(job);
   }
 
@@ -59,7 +59,7 @@
 
   /** Something of the job may have ended. */
   public void check(Job job) {
-    List<Promise<Answer>> replies = asked.get(job);
+    List<Promise<HttpResponse>> replies = asked.get(job);
     if (replies == null) {
       return;
     }
@@ -67,10 +67,10 @@
       if (!allGoneInTime(job)) {
         return;
       }
-      endings.decide(job, Phase.CANCELLED);
+      endings.decide(job, JobPhase.CANCELLED);
     }
     asked.remove(job);
-    Answer answer = Answer.of(200, JobCodec.brief(job.spec.ref(), job.end));
+    HttpResponse answer = HttpResponse.of(200, JobCodec.brief(job.spec.ref(), job.end));
     if (job.endKept) {
       replies.forEach(r -> r.tryComplete(answer));
     } else {
--- a/src/main/java/io/embernotch/jobs/Chains.java
+++ b/src/main/java/io/embernotch/jobs/DependencyGraph.java
@@ -1,12 +1,12 @@
 package io.embernotch.jobs;
 
-import io.embernotch.codec.RunCodec;
-import io.embernotch.env.Env;
-import io.embernotch.ledger.Ledger;
+import io.embernotch.codec.JobProgressCodec;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.state.ClusterState;
 import io.embernotch.model.Job;
-import io.embernotch.model.Phase;
+import io.embernotch.model.JobPhase;
 import io.embernotch.model.Priority;
-import io.embernotch.store.Entry;
+import io.embernotch.store.VersionedEntry;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
@@ -24,8 +24,8 @@
  *
  * <p>A job names only jobs accepted before it, so the graph has no circles.
  */
-public final class Chains {
-  private static final Logger LOG = LoggerFactory.getLogger(Chains.class);
+public final class DependencyGraph {
+  private static final Logger LOG = LoggerFactory.getLogger(DependencyGraph.class);
 
   /** What becomes of jobs that waited. */
   public interface Sink {
@@ -36,11 +36,11 @@
     void cancelled(Job job);
 
     /** A job that another one names, and that nobody has told the leader of. */
-    void found(Entry entry);
+    void found(VersionedEntry entry);
   }
 
-  private final Env env;
-  private final Ledger ledger;
+  private final ControllerContext env;
+  private final ClusterState ledger;
   private final Sink sink;
 
   /** The jobs that name a job, by the id of the named one, while that has not ended. */
@@ -52,7 +52,7 @@
   private final Set<String> lookingUp = new LinkedHashSet<>();
   private boolean changed;
 
-  public Chains(Env env, Ledger ledger, Sink sink) {
+  public DependencyGraph(ControllerContext env, ClusterState ledger, Sink sink) {
     this.env = env;
     this.ledger = ledger;
     this.sink = sink;
@@ -71,14 +71,14 @@
     unknown.remove(job.spec.ref());
     boolean doomed = false;
     for (String ref : job.end == null ? job.spec.awaits() : List.<String>of()) {
-      Ledger.Ended ended = ended(ref);
+      ClusterState.Ended ended = ended(ref);
       if (ended == null) {
         job.waitingFor.add(ref);
         needing.computeIfAbsent(ref, r -> new LinkedHashSet<>()).add(job);
         if (!ledger.jobs.containsKey(ref)) {
           unknown.add(ref);
         }
-      } else if (ended.phase() == Phase.CANCELLED) {
+      } else if (ended.phase() == JobPhase.CANCELLED) {
         doomed = true;
       } else {
         job.sinceMs = Math.max(job.sinceMs, ended.atMs());
@@ -91,19 +91,19 @@
   }
 
   /** The end of a job as the store holds it; null while it has none there. */
-  private Ledger.Ended ended(String ref) {
-    Ledger.Ended ended = ledger.ended.get(ref);
+  private ClusterState.Ended ended(String ref) {
+    ClusterState.Ended ended = ledger.ended.get(ref);
     if (ended != null) {
       return ended;
     }
     Job job = ledger.jobs.get(ref);
-    return job != null && job.endKept ? Ledger.Ended.of(job) : null;
+    return job != null && job.endKept ? ClusterState.Ended.of(job) : null;
   }
 
   /** The store holds the end of a job. */
   public void ended(Job job) {
     Set<Job> after = needing.remove(job.spec.ref());
-    if (job.end == Phase.CANCELLED) {
+    if (job.end == JobPhase.CANCELLED) {
       changed = true;
     }
     if (after == null) {
@@ -114,7 +114,7 @@
       if (next.end != null) {
         continue;
       }
-      if (job.end == Phase.CANCELLED) {
+      if (job.end == JobPhase.CANCELLED) {
         cancel(next);
         continue;
       }
@@ -134,7 +134,7 @@
       if (job.endKept) {
         continue;
       }
-      job.end = Phase.CANCELLED;
+      job.end = JobPhase.CANCELLED;
       job.endKept = true;
       job.endedMs = env.clock().wallMs();
       sink.cancelled(job);
@@ -154,7 +154,7 @@
       }
       if (lookingUp.add(ref)) {
         env.store()
-            .get(RunCodec.JOB + ref)
+            .get(JobProgressCodec.JOB + ref)
             .onComplete(
                 r -> {
                   lookingUp.remove(ref);
--- a/src/main/java/io/embernotch/jobs/Takeover.java
+++ b/src/main/java/io/embernotch/jobs/FailoverRecovery.java
@@ -1,19 +1,19 @@
 package io.embernotch.jobs;
 
-import io.embernotch.codec.RunCodec;
-import io.embernotch.copy.Base;
-import io.embernotch.copy.StoredPart;
-import io.embernotch.env.Env;
-import io.embernotch.ledger.Demand;
-import io.embernotch.ledger.Ledger;
-import io.embernotch.machines.Leases;
+import io.embernotch.codec.JobProgressCodec;
+import io.embernotch.snapshot.BaseSnapshot;
+import io.embernotch.snapshot.ProgressShard;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.state.DemandForecast;
+import io.embernotch.state.ClusterState;
+import io.embernotch.agents.WorkerLeases;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
 import io.embernotch.model.Machine;
-import io.embernotch.progress.Committer;
-import io.embernotch.progress.Layout;
-import io.embernotch.store.Changes;
-import io.embernotch.store.Entry;
+import io.embernotch.persistence.StateWriter;
+import io.embernotch.persistence.ShardLayout;
+import io.embernotch.store.WatchEvents;
+import io.embernotch.store.VersionedEntry;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -28,29 +28,29 @@
  * Fills a new leader's ledger from the store. What runs is let be: its attempts are open, and
  * unsure until a worker reports under one of this leader's tokens.
  */
-public final class Takeover {
-  private static final Logger LOG = LoggerFactory.getLogger(Takeover.class);
+public final class FailoverRecovery {
+  private static final Logger LOG = LoggerFactory.getLogger(FailoverRecovery.class);
 
-  private final Env env;
-  private final Ledger ledger;
-  private final Committer committer;
-  private final Layout layout;
-  private final Chains chains;
-  private final Demand demand;
+  private final ControllerContext env;
+  private final ClusterState ledger;
+  private final StateWriter committer;
+  private final ShardLayout layout;
+  private final DependencyGraph chains;
+  private final DemandForecast demand;
   private final long baseToken;
   private final double acquiredAt;
-  private final Base base;
+  private final BaseSnapshot base;
 
-  public Takeover(
-      Env env,
-      Ledger ledger,
-      Committer committer,
-      Layout layout,
-      Chains chains,
-      Demand demand,
+  public FailoverRecovery(
+      ControllerContext env,
+      ClusterState ledger,
+      StateWriter committer,
+      ShardLayout layout,
+      DependencyGraph chains,
+      DemandForecast demand,
       long baseToken,
       double acquiredAt,
-      Base base) {
+      BaseSnapshot base) {
     this.env = env;
     this.ledger = ledger;
     this.committer = committer;
@@ -62,7 +62,7 @@
     this.base = base;
   }
 
-  public void read(Changes jobs, Changes runs, Changes parts) {
+  public void read(WatchEvents jobs, WatchEvents runs, WatchEvents parts) {
     ledger.jobs.clear();
     ledger.ended.clear();
     ledger.machines.clear();
@@ -70,33 +70,33 @@
     Map<String, Job> all = new LinkedHashMap<>();
     Map<String, Integer> sizes = new HashMap<>();
     ledger.unreadable.clear();
-    for (Entry e : jobs.events()) {
-      String ref = e.key().substring(RunCodec.JOB.length());
+    for (VersionedEntry e : jobs.events()) {
+      String ref = e.key().substring(JobProgressCodec.JOB.length());
       if (!readable(
           e,
           () -> {
-            Job job = RunCodec.readJob(e.value());
-            sizes.put(ref, RunCodec.readPiece(e.value()));
+            Job job = JobProgressCodec.readJob(e.value());
+            sizes.put(ref, JobProgressCodec.readPiece(e.value()));
             all.put(ref, job);
             job.again |= e.stamp() <= base.since();
           })) {
         ledger.unreadable.add(ref);
       }
     }
-    for (Entry e : runs.events()) {
+    for (VersionedEntry e : runs.events()) {
       String ref = e.key().split("/")[1];
       Job job = all.get(ref);
       if (job != null
           && !readable(
               e,
-              () -> RunCodec.readRun(e.value(), job, sizes.get(ref), RunCodec.pieceOf(e.key())))) {
+              () -> JobProgressCodec.readRun(e.value(), job, sizes.get(ref), JobProgressCodec.pieceOf(e.key())))) {
         // What runs of it is not known, so it waits until nothing can.
-        job.notBefore = acquiredAt + Leases.longestS(env.settings());
+        job.notBefore = acquiredAt + WorkerLeases.longestS(env.settings());
       }
     }
-    Map<String, List<StoredPart>> partsOf = new HashMap<>();
-    for (Entry e : parts.events()) {
-      StoredPart part = StoredPart.of(e);
+    Map<String, List<ProgressShard>> partsOf = new HashMap<>();
+    for (VersionedEntry e : parts.events()) {
+      ProgressShard part = ProgressShard.of(e);
       partsOf.computeIfAbsent(part.ref(), r -> new ArrayList<>()).add(part);
     }
     partsOf.forEach(
@@ -104,7 +104,7 @@
           Job job = all.get(ref);
           if (job != null) {
             committer.limitsAreLowered();
-            StoredPart.add(job, list);
+            ProgressShard.add(job, list);
             list.forEach(p -> layout.knowPart(ref, p.size()));
           }
         });
@@ -128,7 +128,7 @@
    * One value that can't be read keeps no other from being taken over; a new leader once tried
    * again for good.
    */
-  private static boolean readable(Entry e, Runnable read) {
+  private static boolean readable(VersionedEntry e, Runnable read) {
     try {
       read.run();
       return true;
@@ -149,14 +149,14 @@
    */
   public void waitIfUnsure(Job job) {
     if (job.again && !base.complete()) {
-      job.notBefore = acquiredAt + Leases.longestS(env.settings());
+      job.notBefore = acquiredAt + WorkerLeases.longestS(env.settings());
     }
   }
 
   private void take(Job job, int pieceSize) {
     String ref = job.spec.ref();
     if (job.end != null && job.open.isEmpty()) {
-      ledger.ended.put(ref, Ledger.Ended.of(job));
+      ledger.ended.put(ref, ClusterState.Ended.of(job));
       return;
     }
     layout.know(ref, pieceSize);
--- a/src/main/java/io/embernotch/jobs/Endings.java
+++ b/src/main/java/io/embernotch/jobs/JobCompletions.java
@@ -1,11 +1,11 @@
 package io.embernotch.jobs;
 
-import io.embernotch.env.Env;
-import io.embernotch.ledger.Ledger;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.state.ClusterState;
 import io.embernotch.model.Job;
-import io.embernotch.model.Phase;
-import io.embernotch.progress.Committer;
-import io.embernotch.store.Pacer.Rank;
+import io.embernotch.model.JobPhase;
+import io.embernotch.persistence.StateWriter;
+import io.embernotch.store.RateLimiter.Rank;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
@@ -15,24 +15,24 @@
  * How jobs end: decided once, told once the store holds it, and let go when nothing of them is
  * left.
  */
-public final class Endings {
-  private final Env env;
-  private final Ledger ledger;
-  private final Committer committer;
-  private final Chains chains;
+public final class JobCompletions {
+  private final ControllerContext env;
+  private final ClusterState ledger;
+  private final StateWriter committer;
+  private final DependencyGraph chains;
 
   /** Is told of ends with nothing open or unwritten behind them. */
-  private final BiConsumer<String, Ledger.Ended> letGo;
+  private final BiConsumer<String, ClusterState.Ended> letGo;
 
   /** Jobs whose end is decided, until nothing of them is open or unwritten. */
   private final Set<Job> ending = new LinkedHashSet<>();
 
-  public Endings(
-      Env env,
-      Ledger ledger,
-      Committer committer,
-      Chains chains,
-      BiConsumer<String, Ledger.Ended> letGo) {
+  public JobCompletions(
+      ControllerContext env,
+      ClusterState ledger,
+      StateWriter committer,
+      DependencyGraph chains,
+      BiConsumer<String, ClusterState.Ended> letGo) {
     this.env = env;
     this.ledger = ledger;
     this.committer = committer;
@@ -47,7 +47,7 @@
   }
 
   /** Decides an end. Jobs that need this one learn of it when it is committed, not before. */
-  public void decide(Job job, Phase end) {
+  public void decide(Job job, JobPhase end) {
     job.end = end;
     job.endedMs = env.clock().wallMs();
     ending.add(job);
@@ -70,7 +70,7 @@
   /** Nothing of a job that is told to be cancelled is left in a zone. */
   public boolean clear(String zone) {
     return ending.stream()
-        .filter(j -> j.end == Phase.CANCELLED)
+        .filter(j -> j.end == JobPhase.CANCELLED)
         .allMatch(j -> j.open.values().stream().noneMatch(a -> a.zone.equals(zone)));
   }
 
@@ -79,7 +79,7 @@
     for (Job job : List.copyOf(ending)) {
       if (job.open.isEmpty() && !committer.isDirty(job)) {
         String ref = job.spec.ref();
-        Ledger.Ended end = Ledger.Ended.of(job);
+        ClusterState.Ended end = ClusterState.Ended.of(job);
         ending.remove(job);
         ledger.jobs.remove(ref);
         ledger.ended.put(ref, end);
