--- a/src/main/java/io/embernotch/jobs/UserDesk.java
+++ b/src/main/java/io/embernotch/jobs/JobRequestHandler.java
@@ -2,27 +2,27 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.JobCodec;
-import io.embernotch.codec.RunCodec;
-import io.embernotch.env.Env;
-import io.embernotch.http.Answer;
-import io.embernotch.ledger.Ledger;
+import io.embernotch.codec.JobProgressCodec;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.http.HttpResponse;
+import io.embernotch.state.ClusterState;
 import io.embernotch.model.Job;
-import io.embernotch.model.Phase;
-import io.embernotch.progress.Committer;
-import io.embernotch.store.Entry;
-import io.embernotch.store.Pacer.Rank;
+import io.embernotch.model.JobPhase;
+import io.embernotch.persistence.StateWriter;
+import io.embernotch.store.VersionedEntry;
+import io.embernotch.store.RateLimiter.Rank;
 import io.vertx.core.Promise;
 import java.util.function.BooleanSupplier;
 
 /** Answers what users ask the leader about their jobs. */
-public final class UserDesk {
+public final class JobRequestHandler {
   /** What the answers need of the leader. */
   public interface Host {
     /** A job that the store holds and nobody has told the leader of. */
-    void found(Entry job);
+    void found(VersionedEntry job);
 
     /** Has a job's tasks stopped, and answers once it is cancelled or done, or cannot be yet. */
-    void cancel(Job job, Promise<Answer> reply);
+    void cancel(Job job, Promise<HttpResponse> reply);
 
     boolean over();
 
@@ -30,13 +30,13 @@
     void describe(Job job, ObjectNode into);
   }
 
-  private final Env env;
-  private final Ledger ledger;
-  private final Committer committer;
+  private final ControllerContext env;
+  private final ClusterState ledger;
+  private final StateWriter committer;
   private final BooleanSupplier live;
   private final Host host;
 
-  public UserDesk(Env env, Ledger ledger, Committer committer, BooleanSupplier live, Host host) {
+  public JobRequestHandler(ControllerContext env, ClusterState ledger, StateWriter committer, BooleanSupplier live, Host host) {
     this.env = env;
     this.ledger = ledger;
     this.committer = committer;
@@ -44,44 +44,44 @@
     this.host = host;
   }
 
-  public void poll(String ref, Promise<Answer> reply) {
-    Ledger.Ended ended = ledger.ended.get(ref);
+  public void poll(String ref, Promise<HttpResponse> reply) {
+    ClusterState.Ended ended = ledger.ended.get(ref);
     if (ended != null) {
-      reply.complete(Answer.of(200, JobCodec.status(ref, ended.phase(), ended.done(), 0)));
+      reply.complete(HttpResponse.of(200, JobCodec.status(ref, ended.phase(), ended.done(), 0)));
       return;
     }
     if (!live.getAsBoolean()) {
-      reply.complete(Answer.later("leadership is not proven"));
+      reply.complete(HttpResponse.later("leadership is not proven"));
       return;
     }
     Job job = ledger.jobs.get(ref);
     if (job == null && ledger.unreadable.contains(ref)) {
-      reply.complete(Answer.of(200, JobCodec.status(ref, Phase.QUEUED, 0, 0)));
+      reply.complete(HttpResponse.of(200, JobCodec.status(ref, JobPhase.QUEUED, 0, 0)));
     } else if (job == null) {
       lookUp(ref, reply, () -> poll(ref, reply));
     } else if (job.end == null && job.held()) {
-      reply.complete(Answer.of(200, JobCodec.waiting(ref, job.waitingFor.size())));
+      reply.complete(HttpResponse.of(200, JobCodec.waiting(ref, job.waitingFor.size())));
     } else if (job.end != null && !job.endKept) {
       // Its end may be in the store before we have the answer, and be told from there by another
       // controller
       // that we did not answer in time. So nothing older is told any more: a drawn run of losses
       // once had
       // a job done, then running, then done.
-      Answer later = Answer.later("its end is being written");
+      HttpResponse later = HttpResponse.later("its end is being written");
       boolean waits = committer.whenWritten(job, 0, () -> again(ref, reply));
       env.timers()
           .after(
               waits ? env.settings().workers().reportS() / 6 : 0, () -> reply.tryComplete(later));
     } else if (job.end == null && committer.whenDoneMarksAreKnown(job, () -> again(ref, reply))) {
       // The same holds for the count of done tasks.
-      Answer later = Answer.later("what is done of it is being written");
+      HttpResponse later = HttpResponse.later("what is done of it is being written");
       env.timers().after(env.settings().workers().reportS() / 6, () -> reply.tryComplete(later));
     } else {
       double answered = env.clock().now() - env.settings().workers().reportS() / 6;
-      Phase phase = job.endKept ? job.end : job.mayRun(answered) ? Phase.RUNNING : Phase.QUEUED;
+      JobPhase phase = job.endKept ? job.end : job.mayRun(answered) ? JobPhase.RUNNING : JobPhase.QUEUED;
       int done = (job.endKept ? job.done : job.storedDone).cardinality();
       reply.complete(
-          Answer.of(
+          HttpResponse.of(
               200,
               job.fails() && !job.endKept
                   ? JobCodec.failing(ref, phase, done, job.running(), job.errorMachines)
@@ -91,34 +91,34 @@
     }
   }
 
-  private void again(String ref, Promise<Answer> reply) {
+  private void again(String ref, Promise<HttpResponse> reply) {
     if (!reply.future().isComplete()) {
       poll(ref, reply);
     }
   }
 
   /** Only the store can tell that a job was never accepted. */
-  private void lookUp(String ref, Promise<Answer> reply, Runnable found) {
+  private void lookUp(String ref, Promise<HttpResponse> reply, Runnable found) {
     env.store()
-        .getSurely(RunCodec.JOB + ref)
+        .getSurely(JobProgressCodec.JOB + ref)
         .onSuccess(
             entry -> {
               if (!entry.present()) {
-                reply.complete(Answer.error(404, "no such job"));
+                reply.complete(HttpResponse.error(404, "no such job"));
               } else if (host.over()) {
-                reply.complete(Answer.later("no steward"));
+                reply.complete(HttpResponse.later("no steward"));
               } else {
                 host.found(entry);
                 found.run();
               }
             })
-        .onFailure(e -> reply.complete(Answer.later("the state service does not answer")));
+        .onFailure(e -> reply.complete(HttpResponse.later("the state service does not answer")));
   }
 
-  public void abort(String ref, Promise<Answer> reply) {
-    Ledger.Ended ended = ledger.ended.get(ref);
+  public void abort(String ref, Promise<HttpResponse> reply) {
+    ClusterState.Ended ended = ledger.ended.get(ref);
     if (ended != null) {
-      reply.complete(Answer.of(200, JobCodec.brief(ref, ended.phase())));
+      reply.complete(HttpResponse.of(200, JobCodec.brief(ref, ended.phase())));
       return;
     }
     Job job = ledger.jobs.get(ref);
@@ -130,7 +130,7 @@
       host.cancel(job, reply);
       return;
     }
-    Answer answer = Answer.of(200, JobCodec.brief(ref, job.end));
+    HttpResponse answer = HttpResponse.of(200, JobCodec.brief(ref, job.end));
     if (job.endKept) {
       reply.complete(answer);
     } else {
@@ -138,7 +138,7 @@
       env.timers()
           .after(
               env.settings().workers().reportS(),
-              () -> reply.tryComplete(Answer.later("not in the store yet")));
+              () -> reply.tryComplete(HttpResponse.later("not in the store yet")));
     }
   }
 }
--- a/src/main/java/io/embernotch/jobs/Reading.java
+++ b/src/main/java/io/embernotch/jobs/StoreLoader.java
@@ -1,10 +1,10 @@
 package io.embernotch.jobs;
 
-import io.embernotch.codec.RunCodec;
-import io.embernotch.copy.Base;
-import io.embernotch.env.Env;
-import io.embernotch.store.Changes;
-import io.embernotch.store.Entry;
+import io.embernotch.codec.JobProgressCodec;
+import io.embernotch.snapshot.BaseSnapshot;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.store.WatchEvents;
+import io.embernotch.store.VersionedEntry;
 import io.embernotch.store.StoreClient;
 import java.util.List;
 import java.util.function.BooleanSupplier;
@@ -12,21 +12,21 @@
 import org.slf4j.LoggerFactory;
 
 /** Reads all that the store holds of jobs, as often as it takes. */
-public final class Reading {
-  private static final Logger LOG = LoggerFactory.getLogger(Reading.class);
+public final class StoreLoader {
+  private static final Logger LOG = LoggerFactory.getLogger(StoreLoader.class);
 
   /** Is given what was read. */
   public interface Sink {
     /** {@code jobs} was read first: what changed after its epoch may be missing. */
-    void read(Changes jobs, Changes runs, Changes parts, List<Entry> shared);
+    void read(WatchEvents jobs, WatchEvents runs, WatchEvents parts, List<VersionedEntry> shared);
   }
 
-  private final Env env;
-  private final Base base;
+  private final ControllerContext env;
+  private final BaseSnapshot base;
   private final BooleanSupplier over;
 
   /** {@code base} stands beneath what the store holds; {@code over}: nobody needs it any more. */
-  public Reading(Env env, Base base, BooleanSupplier over) {
+  public StoreLoader(ControllerContext env, BaseSnapshot base, BooleanSupplier over) {
     this.env = env;
     this.base = base;
     this.over = over;
@@ -38,26 +38,26 @@
     }
     StoreClient store = env.store();
     store
-        .list(RunCodec.JOB)
+        .list(JobProgressCodec.JOB)
         .compose(
             jobs ->
                 store
-                    .list(RunCodec.RUN)
+                    .list(JobProgressCodec.RUN)
                     .compose(
                         runs ->
                             store
-                                .list(RunCodec.PART)
+                                .list(JobProgressCodec.PART)
                                 .compose(
                                     parts ->
                                         store
-                                            .list(RunCodec.SHARED)
+                                            .list(JobProgressCodec.SHARED)
                                             .map(
                                                 shared -> {
                                                   if (!over.getAsBoolean()) {
                                                     sink.read(
-                                                        base.beneath(RunCodec.JOB, jobs),
-                                                        base.beneath(RunCodec.RUN, runs),
-                                                        base.beneath(RunCodec.PART, parts),
+                                                        base.beneath(JobProgressCodec.JOB, jobs),
+                                                        base.beneath(JobProgressCodec.RUN, runs),
+                                                        base.beneath(JobProgressCodec.PART, parts),
                                                         base.beneathShared(shared));
                                                   }
                                                   return null;
--- a/src/main/java/io/embernotch/leader/ImageInventory.java
+++ b/src/main/java/io/embernotch/leader/ImageInventory.java
@@ -1,6 +1,6 @@
 package io.embernotch.leader;
 
-import io.embernotch.env.Recent;
+import io.embernotch.context.LeastRecentlyUsed;
 import io.embernotch.model.Machine;
 import io.embernotch.peer.Frame;
 import java.util.Collection;
@@ -22,11 +22,11 @@
    * @param most machines to remember; those whose end was lost on the way must not fill memory
    */
   public ImageInventory(int most) {
-    known = new Recent<>(most);
+    known = new LeastRecentlyUsed<>(most);
   }
 
   /** What a leader of that epoch says; one that follows starts from what the last one said. */
-  public void heard(Frame.Images f) {
+  public void heard(Frame.ImageInventoryUpdate f) {
     if (f.epoch() < epoch) {
       return;
     }
@@ -59,7 +59,7 @@
 
     void gone(String machine, long epoch, Consumer<Frame> send) {
       if (told.remove(machine) != null) {
-        send.accept(new Frame.Images(epoch, machine, List.of()));
+        send.accept(new Frame.ImageInventoryUpdate(epoch, machine, List.of()));
       }
     }
 
@@ -72,7 +72,7 @@
         int hash = m.images.hashCode();
         Integer before = told.put(m.name, hash);
         if (before == null ? !m.images.isEmpty() : before != hash) {
-          send.accept(new Frame.Images(epoch, m.name, List.copyOf(m.images)));
+          send.accept(new Frame.ImageInventoryUpdate(epoch, m.name, List.copyOf(m.images)));
         }
       }
     }
--- a/src/main/java/io/embernotch/leader/Leader.java
+++ b/src/main/java/io/embernotch/leader/Leader.java
@@ -3,42 +3,42 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.actor.Actor;
 import io.embernotch.codec.Json;
-import io.embernotch.codec.RunCodec;
-import io.embernotch.copy.Base;
-import io.embernotch.copy.Copies;
+import io.embernotch.codec.JobProgressCodec;
+import io.embernotch.snapshot.BaseSnapshot;
+import io.embernotch.snapshot.StateSnapshot;
 import io.embernotch.copy.proto.CopyFile.Copy;
-import io.embernotch.env.Env;
-import io.embernotch.fleet.FleetKeeper;
-import io.embernotch.http.Answer;
-import io.embernotch.jobs.Cancels;
-import io.embernotch.jobs.Chains;
-import io.embernotch.jobs.Endings;
-import io.embernotch.jobs.Outcomes;
-import io.embernotch.jobs.Reading;
-import io.embernotch.jobs.Takeover;
-import io.embernotch.jobs.UserDesk;
-import io.embernotch.ledger.Demand;
-import io.embernotch.ledger.Ledger;
-import io.embernotch.ledger.Overview;
-import io.embernotch.machines.Starts;
-import io.embernotch.machines.Stops;
-import io.embernotch.machines.Tokens;
-import io.embernotch.machines.Delegations;
-import io.embernotch.machines.Workers;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.fleet.FleetManager;
+import io.embernotch.http.HttpResponse;
+import io.embernotch.jobs.Cancellations;
+import io.embernotch.jobs.DependencyGraph;
+import io.embernotch.jobs.JobCompletions;
+import io.embernotch.jobs.AttemptOutcomes;
+import io.embernotch.jobs.StoreLoader;
+import io.embernotch.jobs.FailoverRecovery;
+import io.embernotch.jobs.JobRequestHandler;
+import io.embernotch.state.DemandForecast;
+import io.embernotch.state.ClusterState;
+import io.embernotch.state.ClusterOverview;
+import io.embernotch.agents.TaskLauncher;
+import io.embernotch.agents.TaskStopper;
+import io.embernotch.agents.FencingTokens;
+import io.embernotch.agents.RenewalDelegations;
+import io.embernotch.agents.AgentReconciler;
 import io.embernotch.model.Attempt;
-import io.embernotch.model.Cause;
+import io.embernotch.model.ExitCause;
 import io.embernotch.model.Job;
 import io.embernotch.model.Machine;
 import io.embernotch.model.MachineType;
-import io.embernotch.model.WorkerReport;
+import io.embernotch.model.Heartbeat;
 import io.embernotch.peer.Frame;
-import io.embernotch.plan.Planner;
-import io.embernotch.progress.Committer;
-import io.embernotch.progress.JobWatch;
-import io.embernotch.progress.Layout;
-import io.embernotch.rounds.RestartDesk;
-import io.embernotch.rounds.StragglerFeed;
-import io.embernotch.store.Entry;
+import io.embernotch.scheduling.Scheduler;
+import io.embernotch.persistence.StateWriter;
+import io.embernotch.persistence.SubmissionWatcher;
+import io.embernotch.persistence.ShardLayout;
+import io.embernotch.rounds.RestartReviewer;
+import io.embernotch.rounds.MachineViewPublisher;
+import io.embernotch.store.VersionedEntry;
 import io.vertx.core.Promise;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -51,36 +51,36 @@
  * The one that writes, for one term: it owns the ledger, and lives from the moment its node
  * acquires the key until it loses it.
  */
-public final class Leader extends Actor<LeaderMessage> implements Workers.Outcome, FleetKeeper.Outcome {
+public final class Leader extends Actor<LeaderMessage> implements AgentReconciler.Outcome, FleetManager.Outcome {
   private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
 
-  private final Env env;
+  private final ControllerContext env;
   private final LeaderContext host;
   private final long epoch;
   private final long stamp;
-  private final Ledger ledger = new Ledger();
-  private final Committer committer;
-  private final Workers workers;
-  private final FleetKeeper fleet;
-  private final StragglerFeed feed;
+  private final ClusterState ledger = new ClusterState();
+  private final StateWriter committer;
+  private final AgentReconciler workers;
+  private final FleetManager fleet;
+  private final MachineViewPublisher feed;
   private final SchedulingLoop planning;
-  private final RestartDesk restarts;
-  private final Outcomes outcomes;
+  private final RestartReviewer restarts;
+  private final AttemptOutcomes outcomes;
   private final ImageInventory.Publisher images;
-  private final Demand demand;
-  private final Layout layout;
-  private final Chains chains;
-  private final Endings endings;
-  private final UserDesk users;
-  private final Delegations delegations;
-  private final Cancels cancels;
-  private final Stops stops;
-  private final Starts starts;
+  private final DemandForecast demand;
+  private final ShardLayout layout;
+  private final DependencyGraph chains;
+  private final JobCompletions endings;
+  private final JobRequestHandler users;
+  private final RenewalDelegations delegations;
+  private final Cancellations cancels;
+  private final TaskStopper stops;
+  private final TaskLauncher starts;
   private final HeartbeatQueue reports;
   private final double acquiredAt;
-  private final Base base;
+  private final BaseSnapshot base;
   private Copy begunWith;
-  private Takeover takeover;
+  private FailoverRecovery takeover;
   private final List<LeaderMessage> waiting = new ArrayList<>();
   private final PendingHeartbeats early = new PendingHeartbeats();
   private boolean loaded;
@@ -89,50 +89,50 @@
   private final StatusLogger minutes;
   private final SharedStateServices facts;
 
-  /** {@code stamp} is that of the leader's key, {@code base} and {@code begunWith} as in {@code Eras}, {@code waiting} as in {@link Delegations}. */
-  public Leader(Env env, LeaderContext host, long epoch, long stamp, Collection<MachineType> types, Base base, Copy begunWith, Set<String> waiting) {
+  /** {@code stamp} is that of the leader's key, {@code base} and {@code begunWith} as in {@code StoreIncarnationTracker}, {@code waiting} as in {@link RenewalDelegations}. */
+  public Leader(ControllerContext env, LeaderContext host, long epoch, long stamp, Collection<MachineType> types, BaseSnapshot base, Copy begunWith, Set<String> waiting) {
     super(env.loop());
     this.env = env;
     this.host = host;
     this.epoch = epoch;
     this.stamp = stamp;
-    this.demand = new Demand(spec -> Planner.patient(env.settings(), spec));
+    this.demand = new DemandForecast(spec -> Scheduler.patient(env.settings(), spec));
     this.acquiredAt = env.clock().now();
     this.base = base;
     this.begunWith = begunWith;
     types.forEach(t -> ledger.types.put(t.name(), t));
-    this.layout = new Layout(RunCodec.piece(env.settings().stateFloor().valueKb(), env.settings().zones()));
-    this.committer = new Committer(
+    this.layout = new ShardLayout(JobProgressCodec.piece(env.settings().stateFloor().valueKb(), env.settings().zones()));
+    this.committer = new StateWriter(
         env.settings(), layout, env.store(), env.clock(), env.timers(), env.work(), stamp,
         () -> host.outranked("a commit failed on the steward's key"));
     Hooks hooks = new Hooks();
-    this.chains = new Chains(env, ledger, hooks);
-    this.endings = new Endings(env, ledger, committer, chains, (ref, e) -> host.ended(ref, e.phase(), e.tasks(), e.done()));
-    this.users = new UserDesk(env, ledger, committer, host::live, hooks);
-    this.delegations = new Delegations(env.settings(), acquiredAt, waiting);
-    this.workers = new Workers(env, ledger, epoch, delegations, this);
-    this.cancels = new Cancels(env, ledger, committer, endings, workers);
-    this.outcomes = new Outcomes(env, ledger, committer, endings, StragglerFeed.LATELY, cancels::check, this::changed);
-    this.stops = new Stops(env, ledger, workers, outcomes::close, () -> loaded);
+    this.chains = new DependencyGraph(env, ledger, hooks);
+    this.endings = new JobCompletions(env, ledger, committer, chains, (ref, e) -> host.ended(ref, e.phase(), e.tasks(), e.done()));
+    this.users = new JobRequestHandler(env, ledger, committer, host::live, hooks);
+    this.delegations = new RenewalDelegations(env.settings(), acquiredAt, waiting);
+    this.workers = new AgentReconciler(env, ledger, epoch, delegations, this);
+    this.cancels = new Cancellations(env, ledger, committer, endings, workers);
+    this.outcomes = new AttemptOutcomes(env, ledger, committer, endings, MachineViewPublisher.LATELY, cancels::check, this::changed);
+    this.stops = new TaskStopper(env, ledger, workers, outcomes::close, () -> loaded);
     outcomes.stopBy(stops);
     this.reports = new HeartbeatQueue(env.clock(), env.timers(), m -> env.work().run("Report", () -> report(m)), Leader::refuse);
-    this.starts = new Starts(env, ledger, committer, workers, acquiredAt, this::leads);
-    this.fleet = new FleetKeeper(env, ledger, workers, epoch, this);
-    this.feed = new StragglerFeed(env, ledger,
+    this.starts = new TaskLauncher(env, ledger, committer, workers, acquiredAt, this::leads);
+    this.fleet = new FleetManager(env, ledger, workers, epoch, this);
+    this.feed = new MachineViewPublisher(env, ledger,
         (node, v) -> host.post().view(node, epoch, v), (node, m) -> host.post().forget(node, epoch, m));
     this.facts = new SharedStateServices(env, ledger, epoch, stamp, j -> committer.later(j, 0), () -> host.outranked("a fact failed on the steward's key"));
     this.planning = new SchedulingLoop(
         env, ledger, chains, demand, fleet, starts, stops, facts, acquiredAt, this::leads, reports::pressed,
             () -> tell(new LeaderMessage.RunScheduler()));
-    this.restarts = new RestartDesk(env, ledger, committer, stops);
+    this.restarts = new RestartReviewer(env, ledger, committer, stops);
     this.images = new ImageInventory.Publisher(env.operator().roundS());
     this.minutes = new StatusLogger(env, ledger, planning, committer);
     ledger.imagesOf(m -> host.images(m).isEmpty() ? facts.images(m) : host.images(m));
   }
 
   public void start() {
-    takeover = new Takeover(env, ledger, committer, layout, chains, demand, workers.base(), acquiredAt, base);
-    new Reading(env, base, () -> stopped).read((jobs, runs, parts, shared) -> {
+    takeover = new FailoverRecovery(env, ledger, committer, layout, chains, demand, workers.base(), acquiredAt, base);
+    new StoreLoader(env, base, () -> stopped).read((jobs, runs, parts, shared) -> {
       facts.load(shared);
       takeover.read(jobs, runs, parts);
       outcomes.takeOver();
@@ -179,7 +179,7 @@
         "took over {} jobs, {} ended, {} machines with tasks after {} ms",
         ledger.jobs.size(), ledger.ended.size(), ledger.machines.size(),
         Math.round((env.clock().now() - acquiredAt) * 1000));
-    new JobWatch(env, (job, piece) -> tell(new LeaderMessage.JobAccepted(job, piece)), () -> stopped).from(jobsEpoch);
+    new SubmissionWatcher(env, (job, piece) -> tell(new LeaderMessage.JobAccepted(job, piece)), () -> stopped).from(jobsEpoch);
     List<LeaderMessage> held = new ArrayList<>(waiting);
     waiting.clear();
     held.forEach(this::receive);
@@ -227,11 +227,11 @@
     if (message instanceof LeaderMessage.HeartbeatReceived m) {
       m.reply().tryComplete(null);
     } else if (message instanceof LeaderMessage.UserRequest m) {
-      m.reply().complete(Answer.later("no steward yet"));
+      m.reply().complete(HttpResponse.later("no steward yet"));
     }
   }
 
-  private void heard(WorkerReport report) {
+  private void heard(Heartbeat report) {
     if (!stopped && workers.learn(report)) {
       planning.soon();
     }
@@ -272,12 +272,12 @@
     switch (m.what()) {
       case POLL -> users.poll(m.ref(), m.reply());
       case ABORT -> users.abort(m.ref(), m.reply());
-      case OVERVIEW -> m.reply().complete(Answer.of(200, Json.bytes(overview())));
+      case OVERVIEW -> m.reply().complete(HttpResponse.of(200, Json.bytes(overview())));
     }
   }
 
   /** The jobs that waited, and what users ask for. */
-  private final class Hooks implements Chains.Sink, UserDesk.Host {
+  private final class Hooks implements DependencyGraph.Sink, JobRequestHandler.Host {
     @Override
     public void released(Job job) {
       demand.seen(job.spec, env.clock().now());
@@ -291,14 +291,14 @@
     }
 
     @Override
-    public void found(Entry entry) {
+    public void found(VersionedEntry entry) {
       if (!stopped) {
-        jobCreated(RunCodec.readJob(entry.value()), RunCodec.readPiece(entry.value()));
+        jobCreated(JobProgressCodec.readJob(entry.value()), JobProgressCodec.readPiece(entry.value()));
       }
     }
 
     @Override
-    public void cancel(Job job, Promise<Answer> reply) {
+    public void cancel(Job job, Promise<HttpResponse> reply) {
       LOG.debug("job {} is to be cancelled", job.spec.ref());
       job.cancelling = true;
       List.copyOf(job.open.values()).forEach(a -> stops.want(a, 0));
@@ -323,7 +323,7 @@
   public void running(Attempt a, Machine m) {}
 
   @Override
-  public void exited(Attempt a, Machine m, Cause cause, boolean saved) {
+  public void exited(Attempt a, Machine m, ExitCause cause, boolean saved) {
     outcomes.exited(a, m, cause, saved);
   }
 
@@ -334,7 +334,7 @@
 
   @Override
   public void outranked(long token) {
-    host.seenEpoch(Tokens.epochOf(token));
+    host.seenEpoch(FencingTokens.epochOf(token));
     host.outranked("a worker has seen token " + token);
   }
 
@@ -376,7 +376,7 @@
   }
 
   /** Another controller is there. */
-  public Frame.Noted heard(Frame.Here here) {
+  public Frame.DelegateHeartbeatAck heard(Frame.DelegateHeartbeat here) {
     if (delegations.another(here)) {
       images.again();
     }
@@ -431,15 +431,15 @@
   }
 
   private ObjectNode overview() {
-    return facts.overview(Overview.of(ledger, chains.waiting())).put("epoch", epoch).put("plans", planning.made()).put("views", feed.sent());
+    return facts.overview(ClusterOverview.of(ledger, chains.waiting())).put("epoch", epoch).put("plans", planning.made()).put("views", feed.sent());
   }
 
   /** All that is known here of jobs, whether or not the store has it yet; null before it is known. */
   public Copy copy() {
-    return loaded ? Copies.of(ledger, layout::size, facts.copy(), epoch, env.clock().wallMs()) : begunWith;
+    return loaded ? StateSnapshot.of(ledger, layout::size, facts.copy(), epoch, env.clock().wallMs()) : begunWith;
   }
 
-  public Ledger ledger() {
+  public ClusterState ledger() {
     return ledger;
   }
 }
--- a/src/main/java/io/embernotch/leader/LeaderContext.java
+++ b/src/main/java/io/embernotch/leader/LeaderContext.java
@@ -1,8 +1,8 @@
 package io.embernotch.leader;
 
-import io.embernotch.model.Phase;
+import io.embernotch.model.JobPhase;
 import io.embernotch.peer.Frame;
-import io.embernotch.rounds.PartPost;
+import io.embernotch.rounds.PartitionViews;
 import java.util.List;
 import java.util.Set;
 
@@ -13,7 +13,7 @@
   Set<String> controllers();
 
   /** Brings views to the controllers that own them. */
-  PartPost post();
+  PartitionViews post();
 
   void outranked(String why);
 
@@ -23,7 +23,7 @@
   /** Gives leadership up, since this node is badly placed for it. */
   void resign(String why);
 
-  void ended(String ref, Phase phase, int tasks, int done);
+  void ended(String ref, JobPhase phase, int tasks, int done);
 
   /** Says something to all other controllers. */
   void tellAll(Frame frame);
--- a/src/main/java/io/embernotch/leader/LeaderMessage.java
+++ b/src/main/java/io/embernotch/leader/LeaderMessage.java
@@ -1,8 +1,8 @@
 package io.embernotch.leader;
 
-import io.embernotch.http.Answer;
+import io.embernotch.http.HttpResponse;
 import io.embernotch.model.Job;
-import io.embernotch.model.WorkerReport;
+import io.embernotch.model.Heartbeat;
 import io.embernotch.peer.Frame;
 import io.embernotch.straggler.Restart;
 import io.vertx.core.Promise;
@@ -14,15 +14,15 @@
    * A worker reports, by the controller whose life {@code via} is; {@code reply} gets the body of
    * the 200, or null if it must not get one.
    */
-  record HeartbeatReceived(WorkerReport report, long via, Promise<byte[]> reply) implements LeaderMessage {}
+  record HeartbeatReceived(Heartbeat report, long via, Promise<byte[]> reply) implements LeaderMessage {}
 
   /**
    * What a worker reported to another controller before there was a leader; nobody waits for an
    * answer.
    */
-  record HeartbeatHandedOver(WorkerReport report) implements LeaderMessage {}
+  record HeartbeatHandedOver(Heartbeat report) implements LeaderMessage {}
 
-  record UserRequest(Frame.Ask.What what, String ref, Promise<Answer> reply) implements LeaderMessage {}
+  record UserRequest(Frame.ForwardedRequest.Kind what, String ref, Promise<HttpResponse> reply) implements LeaderMessage {}
 
   record JobAccepted(Job job, int piece) implements LeaderMessage {}
 
--- a/src/main/java/io/embernotch/leader/PendingHeartbeats.java
+++ b/src/main/java/io/embernotch/leader/PendingHeartbeats.java
@@ -2,8 +2,8 @@
 
 import io.embernotch.actor.Timers;
 import io.embernotch.codec.WorkerCodec;
-import io.embernotch.model.WorkerReport;
-import io.embernotch.relay.Reception;
+import io.embernotch.model.Heartbeat;
+import io.embernotch.forwarding.HeartbeatForwarder;
 import java.util.ArrayDeque;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -20,7 +20,7 @@
   /** Reports taken in one turn, so that everything else gets its own. */
   private static final int SLICE = 32;
 
-  private final Map<String, WorkerReport> latest = new LinkedHashMap<>();
+  private final Map<String, Heartbeat> latest = new LinkedHashMap<>();
   private final Map<String, LeaderMessage.HeartbeatReceived> waiting = new LinkedHashMap<>();
 
   /** A report whose worker waits; told to stay unless {@link #drain} comes first. */
@@ -31,7 +31,7 @@
       before.reply().tryComplete(WorkerCodec.stay());
     }
     timers.after(
-        Reception.PATIENCE_S,
+        HeartbeatForwarder.PATIENCE_S,
         () -> {
           if (waiting.remove(machine, m)) {
             add(m.report());
@@ -40,7 +40,7 @@
         });
   }
 
-  void add(WorkerReport r) {
+  void add(Heartbeat r) {
     latest.merge(r.machine(), r, (old, now) -> now.newerThan(old.session(), old.seq()) ? now : old);
   }
 
--- a/src/main/java/io/embernotch/leader/SchedulingLoop.java
+++ b/src/main/java/io/embernotch/leader/SchedulingLoop.java
@@ -1,20 +1,20 @@
 package io.embernotch.leader;
 
-import io.embernotch.actor.Latencies;
-import io.embernotch.env.Env;
-import io.embernotch.fleet.FleetKeeper;
-import io.embernotch.jobs.Chains;
-import io.embernotch.ledger.Demand;
-import io.embernotch.ledger.Ledger;
-import io.embernotch.machines.Starts;
-import io.embernotch.machines.Stops;
+import io.embernotch.actor.LatencyRecorder;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.fleet.FleetManager;
+import io.embernotch.jobs.DependencyGraph;
+import io.embernotch.state.DemandForecast;
+import io.embernotch.state.ClusterState;
+import io.embernotch.agents.TaskLauncher;
+import io.embernotch.agents.TaskStopper;
 import io.embernotch.model.Machine;
 import io.embernotch.model.Priority;
-import io.embernotch.plan.Fleet;
-import io.embernotch.plan.Holds;
-import io.embernotch.plan.Plan;
-import io.embernotch.plan.Planner;
-import io.embernotch.plan.Situation;
+import io.embernotch.scheduling.FleetView;
+import io.embernotch.scheduling.ReservationView;
+import io.embernotch.scheduling.SchedulingPlan;
+import io.embernotch.scheduling.Scheduler;
+import io.embernotch.scheduling.SchedulingInput;
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import org.slf4j.Logger;
@@ -27,20 +27,20 @@
   /** So much more room is kept for live services of a release that is near. */
   private static final double NEAR = 1.5;
 
-  private final Env env;
-  private final Ledger ledger;
-  private final Chains chains;
-  private final Demand demand;
-  private final FleetKeeper fleet;
-  private final Starts starts;
-  private final Stops stops;
+  private final ControllerContext env;
+  private final ClusterState ledger;
+  private final DependencyGraph chains;
+  private final DemandForecast demand;
+  private final FleetManager fleet;
+  private final TaskLauncher starts;
+  private final TaskStopper stops;
   private final SharedStateServices facts;
   private final double acquiredAt;
   private final BooleanSupplier live;
   private final BooleanSupplier pressed;
   private final Runnable ask;
-  private final Planner planner;
-  private final Latencies plans = new Latencies();
+  private final Scheduler planner;
+  private final LatencyRecorder plans = new LatencyRecorder();
   private double loadedAt = -1;
   private boolean closed;
   private boolean armed;
@@ -57,13 +57,13 @@
    * leader's own.
    */
   SchedulingLoop(
-      Env env,
-      Ledger ledger,
-      Chains chains,
-      Demand demand,
-      FleetKeeper fleet,
-      Starts starts,
-      Stops stops,
+      ControllerContext env,
+      ClusterState ledger,
+      DependencyGraph chains,
+      DemandForecast demand,
+      FleetManager fleet,
+      TaskLauncher starts,
+      TaskStopper stops,
       SharedStateServices facts,
       double acquiredAt,
       BooleanSupplier live,
@@ -81,7 +81,7 @@
     this.live = live;
     this.pressed = pressed;
     this.ask = ask;
-    this.planner = new Planner(env.settings(), env.operator());
+    this.planner = new Scheduler(env.settings(), env.operator());
   }
 
   /** The store is read: from now on plans are made. */
@@ -152,17 +152,17 @@
     boolean liveFirst = liveWaits(now);
     long wallMs = env.clock().wallMs();
     facts.calendar().apply(wallMs);
-    List<Fleet.Headroom> room =
+    List<FleetView.Headroom> room =
         demand.headroom(env.operator(), ledger.types.values(), ledger.jobs.values(), now).stream()
             .map(
                 h ->
                     facts.calendar().near(h.like(), wallMs)
-                        ? new Fleet.Headroom(h.like(), (int) Math.ceil(NEAR * h.count()))
+                        ? new FleetView.Headroom(h.like(), (int) Math.ceil(NEAR * h.count()))
                         : h)
             .toList();
-    Holds held = facts.holds().holds(room);
-    Situation at =
-        new Situation(
+    ReservationView held = facts.holds().holds(room);
+    SchedulingInput at =
+        new SchedulingInput(
             now,
             wallMs,
             ledger.jobs.values(),
@@ -173,15 +173,15 @@
             room,
             held,
             fleet.risk());
-    Plan plan = liveFirst ? planner.liveOnly(at) : planner.plan(at);
+    SchedulingPlan plan = liveFirst ? planner.liveOnly(at) : planner.plan(at);
     facts.holds().planned(plan.held);
     tookS = env.clock().now() - now;
     plans.record(liveFirst ? "live plan" : "plan", tookS);
-    for (Plan.Stop s : plan.stops) {
+    for (SchedulingPlan.Stop s : plan.stops) {
       LOG.info("stopping {}: {}", s.attempt(), s.why());
       stops.one(s.attempt(), s.graceS());
     }
-    for (Plan.Start s : plan.starts) {
+    for (SchedulingPlan.Start s : plan.starts) {
       starts.begin(s, now);
     }
     if (fleet.listedOnce()) {
--- a/src/main/java/io/embernotch/leader/SharedStateServices.java
+++ b/src/main/java/io/embernotch/leader/SharedStateServices.java
@@ -2,15 +2,15 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.actor.Clock;
-import io.embernotch.calendar.CalendarKeeper;
-import io.embernotch.env.Env;
-import io.embernotch.ledger.Ledger;
-import io.embernotch.machines.Tokens;
+import io.embernotch.calendar.ReleaseCalendar;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.state.ClusterState;
+import io.embernotch.agents.FencingTokens;
 import io.embernotch.model.Job;
-import io.embernotch.reserve.HoldKeeper;
+import io.embernotch.reservation.ReservationManager;
 import io.embernotch.shared.SharedState;
-import io.embernotch.store.Entry;
-import io.embernotch.weights.WeightsKeeper;
+import io.embernotch.store.VersionedEntry;
+import io.embernotch.weights.ImageLocality;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
@@ -21,21 +21,21 @@
  */
 final class SharedStateServices {
   private final SharedState shared;
-  private final HoldKeeper holds;
-  private final CalendarKeeper calendar;
-  private final WeightsKeeper weights;
+  private final ReservationManager holds;
+  private final ReleaseCalendar calendar;
+  private final ImageLocality weights;
   private final Clock clock;
 
   /** {@code rewritten} has a job's progress written anew. */
-  SharedStateServices(Env env, Ledger ledger, long epoch, long stamp, Consumer<Job> rewritten, Runnable deposed) {
+  SharedStateServices(ControllerContext env, ClusterState ledger, long epoch, long stamp, Consumer<Job> rewritten, Runnable deposed) {
     this.clock = env.clock();
-    this.shared = new SharedState(env, stamp, Tokens.base(epoch), deposed);
-    this.holds = new HoldKeeper(env, ledger, shared);
-    this.calendar = new CalendarKeeper(env, ledger, shared, rewritten);
-    this.weights = new WeightsKeeper(env, ledger, shared);
+    this.shared = new SharedState(env, stamp, FencingTokens.base(epoch), deposed);
+    this.holds = new ReservationManager(env, ledger, shared);
+    this.calendar = new ReleaseCalendar(env, ledger, shared, rewritten);
+    this.weights = new ImageLocality(env, ledger, shared);
   }
 
-  void load(List<Entry> entries) {
+  void load(List<VersionedEntry> entries) {
     shared.load(entries);
     holds.load();
     calendar.load();
@@ -46,11 +46,11 @@
     shared.close();
   }
 
-  HoldKeeper holds() {
+  ReservationManager holds() {
     return holds;
   }
 
-  CalendarKeeper calendar() {
+  ReleaseCalendar calendar() {
     return calendar;
   }
 
--- a/src/main/java/io/embernotch/leader/StatusLogger.java
+++ b/src/main/java/io/embernotch/leader/StatusLogger.java
@@ -1,9 +1,9 @@
 package io.embernotch.leader;
 
-import io.embernotch.env.Env;
-import io.embernotch.ledger.Ledger;
-import io.embernotch.ledger.Summary;
-import io.embernotch.progress.Committer;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.state.ClusterState;
+import io.embernotch.state.ClusterSummary;
+import io.embernotch.persistence.StateWriter;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -11,13 +11,13 @@
 final class StatusLogger {
   private static final Logger LOG = LoggerFactory.getLogger(StatusLogger.class);
 
-  private final Env env;
-  private final Ledger ledger;
+  private final ControllerContext env;
+  private final ClusterState ledger;
   private final SchedulingLoop planning;
-  private final Committer committer;
+  private final StateWriter committer;
   private double writtenAt = -1e9;
 
-  StatusLogger(Env env, Ledger ledger, SchedulingLoop planning, Committer committer) {
+  StatusLogger(ControllerContext env, ClusterState ledger, SchedulingLoop planning, StateWriter committer) {
     this.env = env;
     this.ledger = ledger;
     this.planning = planning;
@@ -29,7 +29,7 @@
       return;
     }
     writtenAt = now;
-    LOG.info("{}", Summary.of(ledger));
+    LOG.info("{}", ClusterSummary.of(ledger));
     line("planned", planning.line());
     env.work().log();
     line("written", committer.line());
--- a/src/main/java/io/embernotch/model/Attempt.java
+++ b/src/main/java/io/embernotch/model/Attempt.java
@@ -6,7 +6,7 @@
  */
 public final class Attempt {
   /** Where the start command of an attempt is. */
-  public enum Start {
+  public enum LaunchState {
     /** Its commit has not been answered: no command may leave. */
     UNCOMMITTED,
     /** Committed, and no copy of its command is on the way. */
@@ -30,7 +30,7 @@
   /** Highest token under which its start may have left. */
   public long startToken;
 
-  public Start start = Start.UNCOMMITTED;
+  public LaunchState start = LaunchState.UNCOMMITTED;
   public TaskState state;
 
   /** An earlier leader opened it. */
@@ -78,7 +78,7 @@
     if (state != null) {
       return state == TaskState.RUNNING || state == TaskState.SAVING;
     }
-    return inherited || start == Start.UNSURE || start == Start.IN_RESPONSE;
+    return inherited || start == LaunchState.UNSURE || start == LaunchState.IN_RESPONSE;
   }
 
   @Override
--- a/src/main/java/io/embernotch/model/Cause.java
+++ b/src/main/java/io/embernotch/model/ExitCause.java
@@ -1,7 +1,7 @@
 package io.embernotch.model;
 
 /** Why a task ended. */
-public enum Cause {
+public enum ExitCause {
   DONE,
   STOPPED,
   PEERS,
--- a/src/main/java/io/embernotch/model/WorkerReport.java
+++ b/src/main/java/io/embernotch/model/Heartbeat.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** What a worker says of itself. {@code recallS} is null unless the cloud has given notice. */
-public record WorkerReport(
+public record Heartbeat(
     String machine,
     String address,
     String type,
@@ -13,7 +13,7 @@
     long seq,
     long token,
     Double recallS,
-    List<TaskReport> tasks) {
+    List<TaskStatus> tasks) {
 
   /** True if this report was made after the one with the given session and sequence number. */
   public boolean newerThan(long otherSession, long otherSeq) {
--- a/src/main/java/io/embernotch/model/Job.java
+++ b/src/main/java/io/embernotch/model/Job.java
@@ -18,7 +18,7 @@
   public final long submittedMs;
 
   /** DONE or CANCELLED once that is decided, else null. */
-  public Phase end;
+  public JobPhase end;
 
   /**
    * The store is known to hold the end, or one that implies it (a job before this one is
@@ -180,6 +180,6 @@
   public boolean mayRun(double sentBefore) {
     return open.values().stream()
         .anyMatch(
-            a -> a.mayRun() || (a.start == Attempt.Start.SENDING && a.createdAt < sentBefore));
+            a -> a.mayRun() || (a.start == Attempt.LaunchState.SENDING && a.createdAt < sentBefore));
   }
 }
--- a/src/main/java/io/embernotch/model/Phase.java
+++ b/src/main/java/io/embernotch/model/JobPhase.java
@@ -1,7 +1,7 @@
 package io.embernotch.model;
 
 /** What a user is told of a job. */
-public enum Phase {
+public enum JobPhase {
   QUEUED,
   RUNNING,
   DONE,
--- a/src/main/java/io/embernotch/model/Shape.java
+++ b/src/main/java/io/embernotch/model/JobShape.java
@@ -1,7 +1,7 @@
 package io.embernotch.model;
 
 /** How the tasks of a job belong together. */
-public enum Shape {
+public enum JobShape {
   ARRAY,
   GANG,
   SERVICE
--- a/src/main/java/io/embernotch/model/JobSpec.java
+++ b/src/main/java/io/embernotch/model/JobSpec.java
@@ -10,7 +10,7 @@
     String ref,
     String jobClass,
     String team,
-    Shape shape,
+    JobShape shape,
     Priority priority,
     int tasks,
     double cpus,
--- a/src/main/java/io/embernotch/model/Machine.java
+++ b/src/main/java/io/embernotch/model/Machine.java
@@ -121,7 +121,7 @@
 
   public double keptGpus;
   public double keptMemGb;
-  private Load load;
+  private MachineLoad load;
   private double performance;
 
   /** Counts the changes of its attempts. */
@@ -143,9 +143,9 @@
     version++;
   }
 
-  public Load load() {
+  public MachineLoad load() {
     if (load == null) {
-      load = new Load(open.values());
+      load = new MachineLoad(open.values());
     }
     return load;
   }
--- a/src/main/java/io/embernotch/model/Load.java
+++ b/src/main/java/io/embernotch/model/MachineLoad.java
@@ -8,7 +8,7 @@
  * What a machine's open attempts take of it, summed up. It is made anew only after the machine has
  * changed, so that a plan over a thousand machines costs no more than what moved.
  */
-public final class Load {
+public final class MachineLoad {
   public final double cpus;
   public final double gpus;
   public final double memGb;
@@ -29,7 +29,7 @@
   public final Set<String> fetching;
 
   /** What these attempts take together. */
-  public Load(Collection<Attempt> open) {
+  public MachineLoad(Collection<Attempt> open) {
     double c = 0;
     double g = 0;
     double m = 0;
@@ -44,7 +44,7 @@
       c += j.cpus();
       g += j.gpus();
       m += j.memGb();
-      service |= j.shape() == Shape.SERVICE;
+      service |= j.shape() == JobShape.SERVICE;
       if (a.stopping) {
         fc += j.cpus();
         fg += j.gpus();
--- a/src/main/java/io/embernotch/model/Era.java
+++ b/src/main/java/io/embernotch/model/StoreIncarnation.java
@@ -18,7 +18,7 @@
  * @param since keys of this stamp or a lower one are older than that copy; 0: the era's own stamp
  * @param after names of the eras before it, the latest first
  */
-public record Era(
+public record StoreIncarnation(
     String name,
     long stamp,
     long floor,
@@ -34,7 +34,7 @@
    * True if whoever knew {@code other} may go over to this one, which was made from what that one
    * held.
    */
-  public boolean follows(Era other) {
+  public boolean follows(StoreIncarnation other) {
     return after.contains(other.name);
   }
 
@@ -51,7 +51,7 @@
   }
 
   /** The same, begun at this stamp. */
-  public Era at(long newStamp) {
-    return new Era(name, newStamp, floor, base, blocks, crc, since, after);
+  public StoreIncarnation at(long newStamp) {
+    return new StoreIncarnation(name, newStamp, floor, base, blocks, crc, since, after);
   }
 }
--- a/src/main/java/io/embernotch/model/TaskReport.java
+++ /dev/null
@@ -1,5 +0,0 @@
-package io.embernotch.model;
-
-/** One task in a worker's report; {@code cause} is null until the task has exited. */
-public record TaskReport(
-    String ref, int task, long attempt, TaskState state, Cause cause, boolean saved) {}
--- a/src/main/java/io/embernotch/peer/Frame.java
+++ b/src/main/java/io/embernotch/peer/Frame.java
@@ -1,6 +1,6 @@
 package io.embernotch.peer;
 
-import io.embernotch.model.WorkerReport;
+import io.embernotch.model.Heartbeat;
 import io.embernotch.straggler.MachineView;
 import io.embernotch.straggler.Restart;
 import java.util.List;
@@ -8,15 +8,15 @@
 /** What controllers say to each other. */
 public sealed interface Frame {
   /** Who is there, whom it takes for the leader, and whether the state service answers it. */
-  record Beat(String node, String leader, long leaderEpoch, boolean stateOk) implements Frame {}
+  record PeerHeartbeat(String node, String leader, long leaderEpoch, boolean stateOk) implements Frame {}
 
   /** A job was accepted: the value of its {@code job/} key. */
-  record JobCreated(byte[] value) implements Frame {}
+  record JobAccepted(byte[] value) implements Frame {}
 
   /** A user's request, forwarded to the leader. */
-  record Ask(long id, What what, String ref) implements Frame {
+  record ForwardedRequest(long id, Kind what, String ref) implements Frame {
     /** What the leader is asked for. */
-    public enum What {
+    public enum Kind {
       POLL,
       ABORT,
       OVERVIEW
@@ -24,40 +24,40 @@
   }
 
   /** A submission, passed on by a controller that the state service does not answer. */
-  record Submit(long id, byte[] body) implements Frame {}
+  record ForwardedSubmission(long id, byte[] body) implements Frame {}
 
   /** The answer to the question with this number. */
-  record Told(long id, int status, int retryAfterS, byte[] body) implements Frame {}
+  record Response(long id, int status, int retryAfterS, byte[] body) implements Frame {}
 
   /** The leader's view of a machine in the receiver's part. */
-  record View(long epoch, MachineView view) implements Frame {}
+  record MachineViewUpdate(long epoch, MachineView view) implements Frame {}
 
   /** The images that a machine has, least recently used first, for whoever is leader next. */
-  record Images(long epoch, String machine, List<String> images) implements Frame {}
+  record ImageInventoryUpdate(long epoch, String machine, List<String> images) implements Frame {}
 
   /** The machine is gone, or has moved to another part. */
-  record Forget(long epoch, String machine) implements Frame {}
+  record MachineViewRemoval(long epoch, String machine) implements Frame {}
 
   /**
-   * A worker's report, passed on to the leader; {@link Told} answers it, unless {@code id} is 0.
+   * A worker's report, passed on to the leader; {@link RecordedAnswers} answers it, unless {@code id} is 0.
    * Only a leader whose key says that it takes them may be sent one: the former version drops the
    * connection.
    */
-  record Report(long id, WorkerReport report) implements Frame {}
+  record ForwardedHeartbeat(long id, Heartbeat report) implements Frame {}
 
   /**
    * A controller is there, for a leader that takes reports: the number of this message, the
    * highest one that was answered (0: none), and how long ago it last renewed a worker by itself;
    * below 0: never.
    */
-  record Here(String node, long seq, long ack, double renewedAgoS) implements Frame {}
+  record DelegateHeartbeat(String node, long seq, long ack, double renewedAgoS) implements Frame {}
 
   /**
    * The leader's answer: whether the controller may renew workers of its zone for a while if it is
    * cut off.
    */
-  record Noted(long epoch, long seq, boolean granted) implements Frame {}
+  record DelegateHeartbeatAck(long epoch, long seq, boolean granted) implements Frame {}
 
   /** The restarts that a round of the owner of a part proposes to the leader. */
-  record Propose(String from, long epoch, List<Restart> restarts) implements Frame {}
+  record RestartProposals(String from, long epoch, List<Restart> restarts) implements Frame {}
 }
--- a/src/main/java/io/embernotch/peer/FrameCodec.java
+++ b/src/main/java/io/embernotch/peer/FrameCodec.java
@@ -1,10 +1,10 @@
 package io.embernotch.peer;
 
-import io.embernotch.codec.BadInput;
-import io.embernotch.model.Cause;
-import io.embernotch.model.TaskReport;
+import io.embernotch.codec.MalformedInputException;
+import io.embernotch.model.ExitCause;
+import io.embernotch.model.TaskStatus;
 import io.embernotch.model.TaskState;
-import io.embernotch.model.WorkerReport;
+import io.embernotch.model.Heartbeat;
 import io.embernotch.straggler.MachineView;
 import io.embernotch.straggler.MachineView.TaskView;
 import io.embernotch.straggler.Restart;
@@ -55,45 +55,45 @@
   private static byte[] encode(Frame frame, ByteBuffer b) {
     b.position(4);
     b.put(VERSION);
-    if (frame instanceof Frame.Beat f) {
+    if (frame instanceof Frame.PeerHeartbeat f) {
       b.put(BEAT);
       text(b, f.node());
       text(b, f.leader());
       b.putLong(f.leaderEpoch());
       flag(b, f.stateOk());
-    } else if (frame instanceof Frame.JobCreated f) {
+    } else if (frame instanceof Frame.JobAccepted f) {
       b.put(JOB_CREATED);
       blob(b, f.value());
-    } else if (frame instanceof Frame.Ask f) {
+    } else if (frame instanceof Frame.ForwardedRequest f) {
       b.put(ASK).putLong(f.id()).put((byte) f.what().ordinal());
       text(b, f.ref());
-    } else if (frame instanceof Frame.Submit f) {
+    } else if (frame instanceof Frame.ForwardedSubmission f) {
       b.put(SUBMIT).putLong(f.id());
       blob(b, f.body());
-    } else if (frame instanceof Frame.Told f) {
+    } else if (frame instanceof Frame.Response f) {
       b.put(TOLD).putLong(f.id()).putShort((short) f.status()).putShort((short) f.retryAfterS());
       blob(b, f.body());
-    } else if (frame instanceof Frame.View f) {
+    } else if (frame instanceof Frame.MachineViewUpdate f) {
       b.put(VIEW).putLong(f.epoch());
       view(b, f.view());
-    } else if (frame instanceof Frame.Images f) {
+    } else if (frame instanceof Frame.ImageInventoryUpdate f) {
       b.put(IMAGES).putLong(f.epoch());
       text(b, f.machine());
       texts(b, f.images());
-    } else if (frame instanceof Frame.Report f) {
+    } else if (frame instanceof Frame.ForwardedHeartbeat f) {
       b.put(REPORT).putLong(f.id());
       report(b, f.report());
-    } else if (frame instanceof Frame.Here f) {
+    } else if (frame instanceof Frame.DelegateHeartbeat f) {
       b.put(HERE);
       text(b, f.node());
       b.putLong(f.seq()).putLong(f.ack()).putDouble(f.renewedAgoS());
-    } else if (frame instanceof Frame.Noted f) {
+    } else if (frame instanceof Frame.DelegateHeartbeatAck f) {
       b.put(NOTED).putLong(f.epoch()).putLong(f.seq());
       flag(b, f.granted());
-    } else if (frame instanceof Frame.Forget f) {
+    } else if (frame instanceof Frame.MachineViewRemoval f) {
       b.put(FORGET).putLong(f.epoch());
       text(b, f.machine());
-    } else if (frame instanceof Frame.Propose f) {
+    } else if (frame instanceof Frame.RestartProposals f) {
       b.put(PROPOSE);
       text(b, f.from());
       b.putLong(f.epoch()).putShort((short) f.restarts().size());
@@ -116,35 +116,35 @@
     try {
       byte version = b.get();
       if (version != VERSION) {
-        throw new BadInput("frame version " + version);
+        throw new MalformedInputException("frame version " + version);
       }
       byte kind = b.get();
       Frame frame =
           switch (kind) {
-            case BEAT -> new Frame.Beat(text(b), text(b), b.getLong(), flag(b));
-            case JOB_CREATED -> new Frame.JobCreated(blob(b));
-            case ASK -> new Frame.Ask(b.getLong(), one(Frame.Ask.What.values(), b.get()), text(b));
-            case SUBMIT -> new Frame.Submit(b.getLong(), blob(b));
-            case TOLD -> new Frame.Told(b.getLong(), b.getShort(), b.getShort(), blob(b));
-            case VIEW -> new Frame.View(b.getLong(), view(b));
-            case HERE -> new Frame.Here(text(b), b.getLong(), b.getLong(), b.getDouble());
-            case NOTED -> new Frame.Noted(b.getLong(), b.getLong(), flag(b));
-            case REPORT -> new Frame.Report(b.getLong(), report(b));
-            case IMAGES -> new Frame.Images(b.getLong(), text(b), texts(b));
-            case FORGET -> new Frame.Forget(b.getLong(), text(b));
-            case PROPOSE -> new Frame.Propose(text(b), b.getLong(), restarts(b));
-            default -> throw new BadInput("frame kind " + kind);
+            case BEAT -> new Frame.PeerHeartbeat(text(b), text(b), b.getLong(), flag(b));
+            case JOB_CREATED -> new Frame.JobAccepted(blob(b));
+            case ASK -> new Frame.ForwardedRequest(b.getLong(), one(Frame.ForwardedRequest.Kind.values(), b.get()), text(b));
+            case SUBMIT -> new Frame.ForwardedSubmission(b.getLong(), blob(b));
+            case TOLD -> new Frame.Response(b.getLong(), b.getShort(), b.getShort(), blob(b));
+            case VIEW -> new Frame.MachineViewUpdate(b.getLong(), view(b));
+            case HERE -> new Frame.DelegateHeartbeat(text(b), b.getLong(), b.getLong(), b.getDouble());
+            case NOTED -> new Frame.DelegateHeartbeatAck(b.getLong(), b.getLong(), flag(b));
+            case REPORT -> new Frame.ForwardedHeartbeat(b.getLong(), report(b));
+            case IMAGES -> new Frame.ImageInventoryUpdate(b.getLong(), text(b), texts(b));
+            case FORGET -> new Frame.MachineViewRemoval(b.getLong(), text(b));
+            case PROPOSE -> new Frame.RestartProposals(text(b), b.getLong(), restarts(b));
+            default -> throw new MalformedInputException("frame kind " + kind);
           };
       if (b.hasRemaining()) {
-        throw new BadInput("frame has " + b.remaining() + " bytes too many");
+        throw new MalformedInputException("frame has " + b.remaining() + " bytes too many");
       }
       return frame;
     } catch (BufferUnderflowException e) {
-      throw new BadInput("frame is cut short");
+      throw new MalformedInputException("frame is cut short");
     }
   }
 
-  private static void report(ByteBuffer b, WorkerReport r) {
+  private static void report(ByteBuffer b, Heartbeat r) {
     text(b, r.machine());
     text(b, r.address());
     text(b, r.type());
@@ -153,7 +153,7 @@
     b.putLong(r.session()).putLong(r.seq()).putLong(r.token());
     b.putDouble(r.recallS() == null ? -1 : r.recallS());
     b.putShort((short) r.tasks().size());
-    for (TaskReport t : r.tasks()) {
+    for (TaskStatus t : r.tasks()) {
       text(b, t.ref());
       b.putInt(t.task()).putLong(t.attempt()).put((byte) t.state().ordinal());
       b.put((byte) (t.cause() == null ? -1 : t.cause().ordinal()));
@@ -161,7 +161,7 @@
     }
   }
 
-  private static WorkerReport report(ByteBuffer b) {
+  private static Heartbeat report(ByteBuffer b) {
     String machine = text(b);
     String address = text(b);
     String type = text(b);
@@ -171,10 +171,10 @@
     long seq = b.getLong();
     long token = b.getLong();
     double recall = b.getDouble();
-    List<TaskReport> tasks = new ArrayList<>();
+    List<TaskStatus> tasks = new ArrayList<>();
     for (int n = b.getShort() & MAX_COUNT; n > 0; n--) {
       tasks.add(
-          new TaskReport(
+          new TaskStatus(
               text(b),
               b.getInt(),
               b.getLong(),
@@ -182,17 +182,17 @@
               cause(b.get()),
               flag(b)));
     }
-    return new WorkerReport(
+    return new Heartbeat(
         machine, address, type, zone, spot, session, seq, token, recall < 0 ? null : recall, tasks);
   }
 
-  private static Cause cause(byte b) {
-    return b < 0 ? null : one(Cause.values(), b);
+  private static ExitCause cause(byte b) {
+    return b < 0 ? null : one(ExitCause.values(), b);
   }
 
   private static <T> T one(T[] all, byte b) {
     if (b < 0 || b >= all.length) {
-      throw new BadInput("unknown value " + b);
+      throw new MalformedInputException("unknown value " + b);
     }
     return all[b];
   }
@@ -312,7 +312,7 @@
       return null;
     }
     if (n > b.remaining()) {
-      throw new BadInput("frame is cut short");
+      throw new MalformedInputException("frame is cut short");
     }
     byte[] utf = new byte[n];
     b.get(utf);
@@ -326,7 +326,7 @@
   private static byte[] blob(ByteBuffer b) {
     int n = b.getInt();
     if (n < 0 || n > b.remaining()) {
-      throw new BadInput("frame is cut short");
+      throw new MalformedInputException("frame is cut short");
     }
     byte[] out = new byte[n];
     b.get(out);
--- a/src/main/java/io/embernotch/peer/FrameReader.java
+++ b/src/main/java/io/embernotch/peer/FrameReader.java
@@ -1,6 +1,6 @@
 package io.embernotch.peer;
 
-import io.embernotch.codec.BadInput;
+import io.embernotch.codec.MalformedInputException;
 import java.nio.ByteBuffer;
 import java.util.function.Consumer;
 
@@ -13,7 +13,7 @@
     this.sink = sink;
   }
 
-  /** Takes more bytes. A malformed frame throws {@link BadInput}; the stream is then of no use. */
+  /** Takes more bytes. A malformed frame throws {@link MalformedInputException}; the stream is then of no use. */
   public void feed(byte[] bytes) {
     if (pending.remaining() < bytes.length) {
       ByteBuffer bigger =
@@ -27,7 +27,7 @@
     while (pending.remaining() >= 4) {
       int length = pending.getInt(pending.position());
       if (length < 2 || length > FrameCodec.MAX_FRAME) {
-        throw new BadInput("frame length " + length);
+        throw new MalformedInputException("frame length " + length);
       }
       if (pending.remaining() < 4 + length) {
         break;
--- a/src/main/java/io/embernotch/peer/PeerLink.java
+++ b/src/main/java/io/embernotch/peer/PeerLink.java
@@ -5,11 +5,11 @@
 /** Carries frames to the other controllers; nothing is promised about delivery. */
 public interface PeerLink {
   /** Someone to answer over the connection that a frame came by. */
-  interface Back {
+  interface ReplyChannel {
     void send(Frame frame);
   }
 
-  void onFrame(BiConsumer<Frame, Back> handler);
+  void onFrame(BiConsumer<Frame, ReplyChannel> handler);
 
   void send(String node, Frame frame);
 
--- a/src/main/java/io/embernotch/peer/VertxPeerLink.java
+++ b/src/main/java/io/embernotch/peer/VertxPeerLink.java
@@ -1,7 +1,7 @@
 package io.embernotch.peer;
 
 import io.embernotch.actor.Timers;
-import io.embernotch.codec.BadInput;
+import io.embernotch.codec.MalformedInputException;
 import io.embernotch.settings.HostPort;
 import io.embernotch.settings.Settings;
 import io.vertx.core.Future;
@@ -30,7 +30,7 @@
   private final NetClient client;
   private final double retryS;
   private final Map<String, Outgoing> outgoing = new HashMap<>();
-  private BiConsumer<Frame, Back> handler = (f, b) -> {};
+  private BiConsumer<Frame, ReplyChannel> handler = (f, b) -> {};
 
   public VertxPeerLink(Vertx vertx, Timers timers, Settings settings) {
     this.timers = timers;
@@ -55,7 +55,7 @@
   }
 
   @Override
-  public void onFrame(BiConsumer<Frame, Back> newHandler) {
+  public void onFrame(BiConsumer<Frame, ReplyChannel> newHandler) {
     handler = newHandler;
   }
 
@@ -82,7 +82,7 @@
         bytes -> {
           try {
             reader.feed(bytes.getBytes());
-          } catch (BadInput e) {
+          } catch (MalformedInputException e) {
             LOG.info("dropping a controller's connection: {}", e.getMessage());
             socket.close();
           }
--- a/src/main/java/io/embernotch/progress/Dirty.java
+++ b/src/main/java/io/embernotch/persistence/DirtyShard.java
@@ -1,16 +1,16 @@
-package io.embernotch.progress;
+package io.embernotch.persistence;
 
-import io.embernotch.store.Pacer.Rank;
+import io.embernotch.store.RateLimiter.Rank;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
 
 /** A piece of a job that differs from what the store is known to hold. */
-final class Dirty {
+final class DirtyShard {
   /** Somebody who waits for a task's change to be in the store. */
   record Waiter(int task, Runnable durable) {}
 
-  final Layout.Piece piece;
+  final ShardLayout.Piece piece;
 
   /** Its tasks that differ; what concerns the job as a whole goes with task 0. */
   final BitSet tasks = new BitSet();
@@ -35,7 +35,7 @@
    */
   private final BitSet unknown = new BitSet();
 
-  Dirty(Layout.Piece piece, Rank rank, double due) {
+  DirtyShard(ShardLayout.Piece piece, Rank rank, double due) {
     this.piece = piece;
     this.rank = rank;
     this.due = due;
@@ -70,7 +70,7 @@
   /**
    * The same piece, or a larger one, was marked before: takes over what the store may hold of it.
    */
-  void follows(Dirty former) {
+  void follows(DirtyShard former) {
     unknown.or(within(former.unknown));
   }
 
--- /dev/null
+++ b/src/main/java/io/embernotch/persistence/PersistedJob.java
@@ -0,0 +1,71 @@
+package io.embernotch.persistence;
+
+import io.embernotch.codec.JobProgressCodec;
+import io.embernotch.snapshot.BaseSnapshot;
+import io.embernotch.snapshot.ProgressShard;
+import io.embernotch.model.Job;
+import io.embernotch.store.VersionedEntry;
+import io.embernotch.store.StoreClient;
+import io.vertx.core.Future;
+import java.util.List;
+
+/** A job put together from its entries in the store, whatever pieces and parts it is kept in. */
+public final class PersistedJob {
+  private PersistedJob() {}
+
+  /**
+   * What the store and the base of its era hold of a job's submission; an absent entry if it was
+   * never accepted.
+   */
+  public static Future<VersionedEntry> submission(StoreClient store, BaseSnapshot base, String ref) {
+    return store
+        .getSurely(JobProgressCodec.JOB + ref)
+        .map(
+            e ->
+                base.beneath(ref, JobProgressCodec.JOB, present(e)).stream()
+                    .findFirst()
+                    .orElse(new VersionedEntry(e.key(), null, 0)));
+  }
+
+  /**
+   * Reads a job, its first piece and its parts; null if it was never accepted. Three reads at most.
+   * Not for one of which the base knows only the end.
+   */
+  public static Future<Job> read(StoreClient store, BaseSnapshot base, String ref) {
+    return submission(store, base, ref)
+        .compose(
+            entry -> {
+              if (!entry.present()) {
+                return Future.succeededFuture(null);
+              }
+              Job job = JobProgressCodec.readJob(entry.value());
+              return store
+                  .get(JobProgressCodec.RUN + ref)
+                  .compose(
+                      run -> progress(store, base, job, run, JobProgressCodec.readPiece(entry.value())));
+            });
+  }
+
+  private static List<VersionedEntry> present(VersionedEntry e) {
+    return e.present() ? List.of(e) : List.of();
+  }
+
+  private static Future<Job> progress(
+      StoreClient store, BaseSnapshot base, Job job, VersionedEntry stored, int pieceSize) {
+    for (VersionedEntry run : base.beneath(job.spec.ref(), JobProgressCodec.RUN, present(stored))) {
+      JobProgressCodec.readRun(run.value(), job, pieceSize, JobProgressCodec.pieceOf(run.key()));
+    }
+    if (job.end != null) {
+      return Future.succeededFuture(job);
+    }
+    // Parts are only made of pieces that were there, or of a job's very first write.
+    return store
+        .list(JobProgressCodec.PART + job.spec.ref() + "/")
+        .map(
+            found -> {
+              List<VersionedEntry> parts = base.beneath(job.spec.ref(), JobProgressCodec.PART, found.events());
+              ProgressShard.add(job, parts.stream().map(ProgressShard::of).toList());
+              return job;
+            });
+  }
+}
--- a/src/main/java/io/embernotch/progress/Layout.java
+++ b/src/main/java/io/embernotch/persistence/ShardLayout.java
@@ -1,7 +1,7 @@
-package io.embernotch.progress;
+package io.embernotch.persistence;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.embernotch.codec.RunCodec;
+import io.embernotch.codec.JobProgressCodec;
 import io.embernotch.model.Job;
 import java.util.HashMap;
 import java.util.Map;
@@ -11,12 +11,12 @@
  * fixed when it was accepted. It goes over to smaller parts, for good, once a piece does not fit
  * the state service any more; what the larger pieces say of other tasks stays valid.
  */
-public final class Layout {
+public final class ShardLayout {
   /** So many tasks of a job, kept under one key. */
   public record Piece(Job job, int size, int index, boolean part) {
     String key() {
       String ref = job.spec.ref();
-      return part ? RunCodec.partKey(ref, size, index) : RunCodec.key(ref, index);
+      return part ? JobProgressCodec.partKey(ref, size, index) : JobProgressCodec.key(ref, index);
     }
 
     /** Number of its first task. */
@@ -25,7 +25,7 @@
     }
 
     ObjectNode value() {
-      return RunCodec.writeRun(job, size, index);
+      return JobProgressCodec.writeRun(job, size, index);
     }
   }
 
@@ -34,7 +34,7 @@
   private final Map<String, Integer> parts = new HashMap<>();
 
   /** {@code usualSize}: tasks in a piece that fits the store under its lowest limits. */
-  public Layout(int usualSize) {
+  public ShardLayout(int usualSize) {
     this.usualSize = usualSize;
   }
 
--- a/src/main/java/io/embernotch/progress/Committer.java
+++ b/src/main/java/io/embernotch/persistence/StateWriter.java
@@ -1,21 +1,21 @@
-package io.embernotch.progress;
+package io.embernotch.persistence;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.actor.Clock;
-import io.embernotch.actor.Latencies;
+import io.embernotch.actor.LatencyRecorder;
 import io.embernotch.actor.Timers;
-import io.embernotch.actor.Work;
+import io.embernotch.actor.EventLoopProfile;
 import io.embernotch.codec.Json;
-import io.embernotch.codec.RunCodec;
+import io.embernotch.codec.JobProgressCodec;
 import io.embernotch.model.Job;
-import io.embernotch.progress.Dirty.Waiter;
+import io.embernotch.persistence.DirtyShard.Waiter;
 import io.embernotch.settings.Settings;
-import io.embernotch.store.Commit;
-import io.embernotch.store.Entry;
-import io.embernotch.store.Pacer.Rank;
+import io.embernotch.store.TransactionResult;
+import io.embernotch.store.VersionedEntry;
+import io.embernotch.store.RateLimiter.Rank;
 import io.embernotch.store.StoreClient;
-import io.embernotch.store.StoreFailure;
-import io.embernotch.store.Txn;
+import io.embernotch.store.StoreException;
+import io.embernotch.store.Transaction;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Comparator;
@@ -35,8 +35,8 @@
  * of ours can be applied over a newer one. A transaction without an answer is unknown: its pieces
  * are read again before anything is written over them, and nobody is told of their success.
  */
-public final class Committer {
-  private static final Logger LOG = LoggerFactory.getLogger(Committer.class);
+public final class StateWriter {
+  private static final Logger LOG = LoggerFactory.getLogger(StateWriter.class);
 
   private final StoreClient store;
   private final Clock clock;
@@ -51,24 +51,24 @@
   /** The store has refused what would have fitted its former limits. */
   private boolean lowered;
   private boolean saidSo;
-  private final Layout layout;
+  private final ShardLayout layout;
   private final Runnable deposed;
-  private final Work work;
+  private final EventLoopProfile work;
   private final Map<String, Long> stamps = new HashMap<>();
-  private final Map<String, Dirty> dirty = new LinkedHashMap<>();
-  private Map<String, Dirty> inFlight = Map.of();
+  private final Map<String, DirtyShard> dirty = new LinkedHashMap<>();
+  private Map<String, DirtyShard> inFlight = Map.of();
   private boolean busy;
   private boolean closed;
   private double armedFor = Double.MAX_VALUE;
   /** The most urgent rank for which a turn has been asked, or null. */
   private Rank asked;
   private long turns;
-  private final Latencies latencies = new Latencies();
+  private final LatencyRecorder latencies = new LatencyRecorder();
   private long transactions;
   private long changes;
 
-  public Committer(
-      Settings settings, Layout layout, StoreClient store, Clock clock, Timers timers, Work work, long stamp,
+  public StateWriter(
+      Settings settings, ShardLayout layout, StoreClient store, Clock clock, Timers timers, EventLoopProfile work, long stamp,
       Runnable deposed) {
     this.layout = layout;
     this.store = store;
@@ -122,7 +122,7 @@
   /** Runs {@code then} once the piece with {@code task}, as it is now, is in the store; false if it is. */
   public boolean whenWritten(Job job, int task, Runnable then) {
     String key = layout.of(job, task).key();
-    Dirty d = dirty.getOrDefault(key, inFlight.get(key));
+    DirtyShard d = dirty.getOrDefault(key, inFlight.get(key));
     return d != null && d.waiters.add(new Waiter(task, then));
   }
 
@@ -131,7 +131,7 @@
     int size = layout.size(job.spec.ref());
     for (int task = 0; task < job.spec.tasks(); task += size) {
       String key = layout.of(job, task).key();
-      for (Dirty d : Arrays.asList(inFlight.get(key), dirty.get(key))) {
+      for (DirtyShard d : Arrays.asList(inFlight.get(key), dirty.get(key))) {
         if (d != null && d.mayBeStored()) {
           d.waiters.add(new Waiter(task, then));
           return true;
@@ -159,8 +159,8 @@
   }
 
   private void mark(Job job, int task, Rank rank, double due, Runnable durable) {
-    Layout.Piece piece = layout.of(job, task);
-    Dirty d = dirty.computeIfAbsent(piece.key(), k -> new Dirty(piece, rank, due));
+    ShardLayout.Piece piece = layout.of(job, task);
+    DirtyShard d = dirty.computeIfAbsent(piece.key(), k -> new DirtyShard(piece, rank, due));
     d.hurry(rank, due);
     d.tasks.set(task);
     if (durable != null) {
@@ -170,7 +170,7 @@
     arm(d);
   }
 
-  private void arm(Dirty d) {
+  private void arm(DirtyShard d) {
     if (busy || closed) {
       return;
     }
@@ -193,9 +193,9 @@
       return;
     }
     double now = clock.now();
-    Dirty first = null;
-    Dirty soonest = null;
-    for (Dirty d : dirty.values()) {
+    DirtyShard first = null;
+    DirtyShard soonest = null;
+    for (DirtyShard d : dirty.values()) {
       if (d.rank == Rank.SPARE && now - d.due > overdueS) {
         d.rank = Rank.USUAL;
       }
@@ -232,25 +232,25 @@
     double now = clock.now();
     int most = (int) Math.min(maxChanges, least + Math.max(0, Math.floor(store.credit())));
     boolean spare = rank == Rank.SPARE || store.spare();
-    List<Map.Entry<String, Dirty>> order = new ArrayList<>();
-    for (Map.Entry<String, Dirty> e : dirty.entrySet()) {
-      Dirty d = e.getValue();
+    List<Map.Entry<String, DirtyShard>> order = new ArrayList<>();
+    for (Map.Entry<String, DirtyShard> e : dirty.entrySet()) {
+      DirtyShard d = e.getValue();
       if (d.due <= now + 0.001 && (spare || d.rank != Rank.SPARE)) {
         order.add(e);
       }
     }
     order.sort(
-        Comparator.comparing((Map.Entry<String, Dirty> e) -> e.getValue().rank)
+        Comparator.comparing((Map.Entry<String, DirtyShard> e) -> e.getValue().rank)
             .thenComparingDouble(e -> e.getValue().due));
-    Txn txn = new Txn().when(RunCodec.LEADER, stamp);
-    Map<String, Dirty> batch = new LinkedHashMap<>();
+    Transaction txn = new Transaction().when(JobProgressCodec.LEADER, stamp);
+    Map<String, DirtyShard> batch = new LinkedHashMap<>();
     List<Job> tooLarge = new ArrayList<>();
     int bytes = 0;
-    for (Map.Entry<String, Dirty> e : order) {
+    for (Map.Entry<String, DirtyShard> e : order) {
       if (batch.size() >= most) {
         break;
       }
-      Dirty d = e.getValue();
+      DirtyShard d = e.getValue();
       if (d.suspect && !batch.isEmpty()) {
         continue;
       }
@@ -261,7 +261,7 @@
         continue;
       }
       bytes += size + 2 * e.getKey().length() + 100;
-      if (bytes > Txn.MAX_BYTES && !batch.isEmpty()) {
+      if (bytes > Transaction.MAX_BYTES && !batch.isEmpty()) {
         break;
       }
       txn.when(e.getKey(), stamps.getOrDefault(e.getKey(), 0L)).write(e.getKey(), value);
@@ -276,7 +276,7 @@
       return 0;
     }
     batch.keySet().forEach(dirty::remove);
-    batch.values().forEach(Dirty::sent);
+    batch.values().forEach(DirtyShard::sent);
     inFlight = batch;
     busy = true;
     transactions++;
@@ -288,7 +288,7 @@
     return batch.size();
   }
 
-  private void answered(Commit commit, Map<String, Dirty> batch) {
+  private void answered(TransactionResult commit, Map<String, DirtyShard> batch) {
     if (closed) {
       return;
     }
@@ -296,8 +296,8 @@
       batch.keySet().forEach(key -> stamps.put(key, commit.epoch()));
       inFlight = Map.of();
       busy = false;
-      batch.values().forEach(Dirty::stored);
-      for (Dirty d : batch.values()) {
+      batch.values().forEach(DirtyShard::stored);
+      for (DirtyShard d : batch.values()) {
         if (d.awaitedSince >= 0) {
           latencies.record(d.rank == Rank.FIRST ? "urgent commit" : "commit", clock.now() - d.awaitedSince);
         }
@@ -306,30 +306,30 @@
       next();
       return;
     }
-    if (commit.failed().contains(RunCodec.LEADER)) {
+    if (commit.failed().contains(JobProgressCodec.LEADER)) {
       closed = true;
       deposed.run();
       return;
     }
     LOG.info("commit failed on {}", commit.failed());
-    batch.values().forEach(Dirty::refused);
+    batch.values().forEach(DirtyShard::refused);
     reread(batch);
   }
 
-  private void unanswered(Throwable e, Map<String, Dirty> batch) {
+  private void unanswered(Throwable e, Map<String, DirtyShard> batch) {
     if (closed) {
       return;
     }
     LOG.debug("commit of {} pieces: {}", batch.size(), e.getMessage());
-    StoreFailure.Kind kind = StoreFailure.kindOf(e);
-    boolean refused = kind == StoreFailure.Kind.REFUSED || kind == StoreFailure.Kind.MALFORMED;
-    batch.values().forEach(refused ? Dirty::refused : Dirty::unanswered);
-    if (kind == StoreFailure.Kind.MALFORMED) {
+    StoreException.Kind kind = StoreException.kindOf(e);
+    boolean refused = kind == StoreException.Kind.REFUSED || kind == StoreException.Kind.MALFORMED;
+    batch.values().forEach(refused ? DirtyShard::refused : DirtyShard::unanswered);
+    if (kind == StoreException.Kind.MALFORMED) {
       putBack(batch);
       explain(batch, e.getMessage());
     }
     if (refused) {
-      if (kind == StoreFailure.Kind.REFUSED) {
+      if (kind == StoreException.Kind.REFUSED) {
         putBack(batch);
       }
       timers.after(retryS, () -> {
@@ -346,9 +346,9 @@
    * former limits are the likely cause: their jobs go over to smaller parts. Else what was refused
    * together is tried one by one, and what is refused alone waits, so that it holds up nothing else.
    */
-  private void explain(Map<String, Dirty> batch, String answer) {
+  private void explain(Map<String, DirtyShard> batch, String answer) {
     Set<Job> large = new LinkedHashSet<>();
-    for (Dirty d : batch.values()) {
+    for (DirtyShard d : batch.values()) {
       if (Json.bytes(d.piece.value()).length > safeBytes) {
         large.add(d.piece.job());
       }
@@ -364,8 +364,8 @@
     if (smaller) {
       return;
     }
-    for (Map.Entry<String, Dirty> e : batch.entrySet()) {
-      Dirty d = dirty.get(e.getKey());
+    for (Map.Entry<String, DirtyShard> e : batch.entrySet()) {
+      DirtyShard d = dirty.get(e.getKey());
       if (batch.size() > 1) {
         d.suspect = true;
       } else if (!refine(d.piece.job())) {
@@ -381,17 +381,17 @@
   /** Has a job go over to smaller parts, with all of it that is still to be written. */
   private boolean refine(Job job) {
     String ref = job.spec.ref();
-    List<Dirty> old = new ArrayList<>();
+    List<DirtyShard> old = new ArrayList<>();
     dirty.values().stream().filter(d -> d.piece.job() == job).forEach(old::add);
     if (!layout.refine(ref)) {
       return false;
     }
     LOG.info("job {} goes on in parts of {} tasks", ref, layout.size(ref));
-    for (Dirty d : old) {
+    for (DirtyShard d : old) {
       dirty.remove(d.piece.key());
       for (int task = d.tasks.nextSetBit(0); task >= 0; task = d.tasks.nextSetBit(task + 1)) {
-        Layout.Piece piece = layout.of(job, task);
-        Dirty part = dirty.computeIfAbsent(piece.key(), k -> new Dirty(piece, d.rank, d.due));
+        ShardLayout.Piece piece = layout.of(job, task);
+        DirtyShard part = dirty.computeIfAbsent(piece.key(), k -> new DirtyShard(piece, d.rank, d.due));
         part.hurry(d.rank, d.due);
         part.tasks.set(task);
         part.follows(d);
@@ -402,11 +402,11 @@
     return true;
   }
 
-  private void putBack(Map<String, Dirty> batch) {
+  private void putBack(Map<String, DirtyShard> batch) {
     inFlight = Map.of();
     batch.forEach(
         (key, d) -> {
-          Dirty newer = dirty.get(key);
+          DirtyShard newer = dirty.get(key);
           if (newer == null) {
             dirty.put(key, d);
           } else {
@@ -422,11 +422,11 @@
         });
   }
 
-  private void reread(Map<String, Dirty> batch) {
+  private void reread(Map<String, DirtyShard> batch) {
     rereadNext(new ArrayList<>(batch.keySet()), 0, batch);
   }
 
-  private void rereadNext(List<String> keys, int i, Map<String, Dirty> batch) {
+  private void rereadNext(List<String> keys, int i, Map<String, DirtyShard> batch) {
     if (closed) {
       return;
     }
@@ -439,7 +439,7 @@
     store
         .get(keys.get(i))
         .onSuccess(
-            (Entry entry) -> {
+            (VersionedEntry entry) -> {
               stamps.put(keys.get(i), entry.stamp());
               rereadNext(keys, i + 1, batch);
             })
--- a/src/main/java/io/embernotch/progress/JobWatch.java
+++ b/src/main/java/io/embernotch/persistence/SubmissionWatcher.java
@@ -1,29 +1,29 @@
-package io.embernotch.progress;
+package io.embernotch.persistence;
 
-import io.embernotch.codec.RunCodec;
-import io.embernotch.env.Env;
+import io.embernotch.codec.JobProgressCodec;
+import io.embernotch.context.ControllerContext;
 import io.embernotch.model.Job;
-import io.embernotch.store.Entry;
-import io.embernotch.store.StoreFailure;
+import io.embernotch.store.VersionedEntry;
+import io.embernotch.store.StoreException;
 import java.util.function.BooleanSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Watches the store for new jobs: the backstop for messages about them that never came. */
-public final class JobWatch {
-  private static final Logger LOG = LoggerFactory.getLogger(JobWatch.class);
+public final class SubmissionWatcher {
+  private static final Logger LOG = LoggerFactory.getLogger(SubmissionWatcher.class);
 
   /** Is told of each job, known or not. */
   public interface Sink {
     void seen(Job job, int piece);
   }
 
-  private final Env env;
+  private final ControllerContext env;
   private final Sink sink;
   private final BooleanSupplier over;
 
   /** {@code over}: nobody needs it any more. */
-  public JobWatch(Env env, Sink sink, BooleanSupplier over) {
+  public SubmissionWatcher(ControllerContext env, Sink sink, BooleanSupplier over) {
     this.env = env;
     this.sink = sink;
     this.over = over;
@@ -35,7 +35,7 @@
     }
     double hold = 3 * env.settings().workers().reportS();
     env.store()
-        .watch(RunCodec.JOB, epoch, hold)
+        .watch(JobProgressCodec.JOB, epoch, hold)
         .onSuccess(
             changes -> {
               changes.events().forEach(this::tell);
@@ -43,7 +43,7 @@
             })
         .onFailure(
             e -> {
-              if (StoreFailure.kindOf(e) == StoreFailure.Kind.TOO_OLD) {
+              if (StoreException.kindOf(e) == StoreException.Kind.TOO_OLD) {
                 readAll();
               } else {
                 env.timers().after(env.settings().workers().reportS() / 6, () -> from(epoch));
@@ -56,7 +56,7 @@
       return;
     }
     env.store()
-        .list(RunCodec.JOB)
+        .list(JobProgressCodec.JOB)
         .onSuccess(
             jobs -> {
               jobs.events().forEach(this::tell);
@@ -65,17 +65,17 @@
         .onFailure(e -> env.timers().after(env.settings().workers().reportS(), this::readAll));
   }
 
-  private void tell(Entry e) {
+  private void tell(VersionedEntry e) {
     if (e.present()) {
       Job job;
       try {
-        job = RunCodec.readJob(e.value());
+        job = JobProgressCodec.readJob(e.value());
       } catch (RuntimeException bad) {
         // The next leader marks it; the watch goes on.
         LOG.error("the value of {} can't be read: {}", e.key(), bad.toString());
         return;
       }
-      sink.seen(job, RunCodec.readPiece(e.value()));
+      sink.seen(job, JobProgressCodec.readPiece(e.value()));
     }
   }
 }
--- a/src/main/java/io/embernotch/reserve/Spare.java
+++ b/src/main/java/io/embernotch/reservation/ReservationHeadroom.java
@@ -1,13 +1,13 @@
-package io.embernotch.reserve;
+package io.embernotch.reservation;
 
-import io.embernotch.ledger.Ledger;
+import io.embernotch.state.ClusterState;
 import io.embernotch.model.Job;
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.MachineType;
 import io.embernotch.model.Priority;
-import io.embernotch.model.Shape;
-import io.embernotch.plan.Amount;
-import io.embernotch.plan.Fleet.Headroom;
+import io.embernotch.model.JobShape;
+import io.embernotch.scheduling.Resources;
+import io.embernotch.scheduling.FleetView.Headroom;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.Reservation;
 import io.embernotch.settings.Selector;
@@ -15,17 +15,17 @@
 import java.util.List;
 
 /** How much is to be free for a reservation, as tasks like those that it is for. */
-final class Spare {
-  private Spare() {}
+final class ReservationHeadroom {
+  private ReservationHeadroom() {}
 
   static List<Headroom> of(
-      Reservation r, List<Headroom> headroom, Ledger ledger, OperatorSettings operator) {
-    Amount used = Amount.ZERO;
+      Reservation r, List<Headroom> headroom, ClusterState ledger, OperatorSettings operator) {
+    Resources used = Resources.ZERO;
     int tasks = 0;
     JobSpec like = null;
     for (Job j : ledger.jobs.values()) {
       if (j.end == null && r.serves(j.spec)) {
-        used = used.plus(Amount.of(j.spec), j.open.size());
+        used = used.plus(Resources.of(j.spec), j.open.size());
         tasks += j.open.size();
         like = j.spec;
       }
@@ -36,7 +36,7 @@
       if (r.serves(h.like())) {
         like = h.like();
         double each =
-            operator.serviceSpare() > 0 && h.like().shape() == Shape.SERVICE
+            operator.serviceSpare() > 0 && h.like().shape() == JobShape.SERVICE
                 ? r.deviations() / operator.serviceSpare()
                 : r.deviations();
         int n = (int) Math.round(h.count() * each);
@@ -59,7 +59,7 @@
 
   /** What is missing to a fixed amount beyond what is free anyway. */
   private static void missing(
-      Reservation r, Amount used, JobSpec like, double served, Ledger ledger, List<Headroom> out) {
+      Reservation r, Resources used, JobSpec like, double served, ClusterState ledger, List<Headroom> out) {
     if (r.machines() > 0) {
       MachineType type =
           ledger.types.values().stream()
@@ -67,7 +67,7 @@
               .findFirst()
               .orElse(null);
       if (type != null) {
-        Amount whole = new Amount(type.cpus(), type.gpus(), type.memGb());
+        Resources whole = new Resources(type.cpus(), type.gpus(), type.memGb());
         int filled =
             (int)
                 Math.ceil(
@@ -80,11 +80,11 @@
       }
       return;
     }
-    Amount left = new Amount(r.cpus(), r.gpus(), r.memGb()).less(used);
+    Resources left = new Resources(r.cpus(), r.gpus(), r.memGb()).less(used);
     if (left.isZero()) {
       return;
     }
-    Amount unit = like != null ? Amount.of(like) : unit(r);
+    Resources unit = like != null ? Resources.of(like) : unit(r);
     int n =
         (int)
             Math.ceil(
@@ -103,19 +103,19 @@
   }
 
   /** Nothing of its work has been seen: one GPU, or one CPU, and what goes with it. */
-  private static Amount unit(Reservation r) {
+  private static Resources unit(Reservation r) {
     double n = r.gpus() > 0 ? r.gpus() : Math.max(1, r.cpus());
-    return new Amount(r.cpus() / n, r.gpus() / n, r.memGb() / n);
+    return new Resources(r.cpus() / n, r.gpus() / n, r.memGb() / n);
   }
 
-  private static JobSpec task(Reservation r, Amount a) {
+  private static JobSpec task(Reservation r, Resources a) {
     Selector s = r.serves().get(0);
     Priority priority = s.priority() == null ? Priority.PRODUCTION : s.priority();
     return new JobSpec(
         "",
         s.jobClass() == null ? r.name() : s.jobClass(),
         s.team() == null ? "" : s.team(),
-        s.shape() == null ? Shape.SERVICE : s.shape(),
+        s.shape() == null ? JobShape.SERVICE : s.shape(),
         priority,
         1,
         a.cpus(),
--- a/src/main/java/io/embernotch/reserve/HoldKeeper.java
+++ b/src/main/java/io/embernotch/reservation/ReservationManager.java
@@ -1,19 +1,19 @@
-package io.embernotch.reserve;
+package io.embernotch.reservation;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.embernotch.codec.ReserveCodec;
-import io.embernotch.env.Env;
-import io.embernotch.ledger.Ledger;
+import io.embernotch.codec.ReservationCodec;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.state.ClusterState;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Machine;
-import io.embernotch.plan.Amount;
-import io.embernotch.plan.Fleet;
-import io.embernotch.plan.Holds;
-import io.embernotch.plan.Planner;
+import io.embernotch.scheduling.Resources;
+import io.embernotch.scheduling.FleetView;
+import io.embernotch.scheduling.ReservationView;
+import io.embernotch.scheduling.Scheduler;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.Reservation;
-import io.embernotch.shared.InForce;
+import io.embernotch.shared.EffectiveConfiguration;
 import io.embernotch.shared.SharedState;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -30,8 +30,8 @@
  * than a plan wants counts as held until the commit that gives it up is answered. What a plan wants
  * more counts at once.
  */
-public final class HoldKeeper {
-  private static final Logger LOG = LoggerFactory.getLogger(HoldKeeper.class);
+public final class ReservationManager {
+  private static final Logger LOG = LoggerFactory.getLogger(ReservationManager.class);
 
   /**
    * Facts that what is held for one reservation is spread over, so that a change rewrites a part of
@@ -51,42 +51,42 @@
   private static final String TERMS = "reserve";
   private static final String HELD = "held/";
 
-  private record Used(int version, int terms, Amount[] amounts) {}
+  private record Used(int version, int terms, Resources[] amounts) {}
 
-  private final Env env;
-  private final Ledger ledger;
+  private final ControllerContext env;
+  private final ClusterState ledger;
   private final SharedState shared;
   private final Map<Machine, Used> usage = new HashMap<>();
   private final List<Machine> marked = new ArrayList<>();
   private List<Reservation> terms = List.of();
-  private final InForce<List<Reservation>> inForce;
+  private final EffectiveConfiguration<List<Reservation>> inForce;
 
   /** As the store is known to hold it, and as the last plan wants it. */
-  private Map<String, Amount[]> kept = Map.of();
+  private Map<String, Resources[]> kept = Map.of();
 
-  private Map<String, Amount[]> wanted = Map.of();
-  private Map<String, Amount[]> perhaps = Map.of();
+  private Map<String, Resources[]> wanted = Map.of();
+  private Map<String, Resources[]> perhaps = Map.of();
   private long perhapsOf = -1;
   private long perhapsIn = -1;
-  private List<Holds.Term> lastTerms = List.of();
+  private List<ReservationView.Term> lastTerms = List.of();
   private double loadedAt;
   private double writtenAt;
   private double changedAt;
   private long told = -1;
 
-  public HoldKeeper(Env env, Ledger ledger, SharedState shared) {
+  public ReservationManager(ControllerContext env, ClusterState ledger, SharedState shared) {
     this.env = env;
     this.ledger = ledger;
     this.shared = shared;
     OperatorSettings.Reserve own = env.operator().reserve();
     this.inForce =
-        new InForce<>(
+        new EffectiveConfiguration<>(
             shared,
             TERMS,
             own.terms(),
             own.generation(),
-            ReserveCodec.writeTerms(own.generation(), own.terms()),
-            ReserveCodec::readTerms,
+            ReservationCodec.writeTerms(own.generation(), own.terms()),
+            ReservationCodec::readTerms,
             this::use);
   }
 
@@ -117,13 +117,13 @@
       boolean inForce = terms.stream().anyMatch(r -> e.getKey().startsWith(HELD + r.name() + "/"));
       if (!inForce && !e.getValue().path("on").isEmpty()) {
         // Of a reservation that is no more.
-        shared.put(e.getKey(), ReserveCodec.writeHeld(Map.of()), () -> {});
+        shared.put(e.getKey(), ReservationCodec.writeHeld(Map.of()), () -> {});
       }
     }
   }
 
-  private Map<String, Amount[]> stored() {
-    Map<String, Amount[]> out = new TreeMap<>();
+  private Map<String, Resources[]> stored() {
+    Map<String, Resources[]> out = new TreeMap<>();
     for (int i = 0; i < terms.size(); i++) {
       for (int k = 0; k < PIECES; k++) {
         add(shared.get(piece(terms.get(i), k)), i, out);
@@ -132,23 +132,23 @@
     return out;
   }
 
-  private void add(ObjectNode piece, int term, Map<String, Amount[]> to) {
+  private void add(ObjectNode piece, int term, Map<String, Resources[]> to) {
     if (piece != null) {
-      ReserveCodec.readHeld(piece)
+      ReservationCodec.readHeld(piece)
           .forEach(
               (machine, a) -> {
-                Amount[] there = to.computeIfAbsent(machine, x -> nothing());
-                there[term] = there[term].max(new Amount(a[0], a[1], a[2]));
+                Resources[] there = to.computeIfAbsent(machine, x -> nothing());
+                there[term] = there[term].max(new Resources(a[0], a[1], a[2]));
               });
     }
   }
 
   /** What the store holds or may hold: a commit whose answer is out may have been made. */
-  private Map<String, Amount[]> perhapsStored() {
+  private Map<String, Resources[]> perhapsStored() {
     if (perhapsOf == shared.edition() && perhapsIn == inForce.generation()) {
       return perhaps;
     }
-    Map<String, Amount[]> out = stored();
+    Map<String, Resources[]> out = stored();
     for (int i = 0; i < terms.size(); i++) {
       for (int k = 0; k < PIECES; k++) {
         add(shared.underWay(piece(terms.get(i), k)), i, out);
@@ -160,9 +160,9 @@
     return out;
   }
 
-  private Amount[] nothing() {
-    Amount[] out = new Amount[terms.size()];
-    Arrays.fill(out, Amount.ZERO);
+  private Resources[] nothing() {
+    Resources[] out = new Resources[terms.size()];
+    Arrays.fill(out, Resources.ZERO);
     return out;
   }
 
@@ -171,36 +171,36 @@
   }
 
   /** For the next plan; {@code headroom} is what each class needs free. */
-  public Holds holds(List<Fleet.Headroom> headroom) {
+  public ReservationView holds(List<FleetView.Headroom> headroom) {
     if (terms.isEmpty()) {
-      return Holds.NONE;
+      return ReservationView.NONE;
     }
-    Map<String, Amount[]> held = new HashMap<>(wanted);
+    Map<String, Resources[]> held = new HashMap<>(wanted);
     perhapsStored()
         .forEach(
             (machine, there) -> {
-              Amount[] w = wanted.get(machine);
+              Resources[] w = wanted.get(machine);
               held.put(machine, w == null ? there : max(there, w));
             });
     usage.keySet().removeIf(m -> ledger.machines.get(m.name) != m);
     mark(held);
     lastTerms =
         terms.stream()
-            .map(r -> new Holds.Term(r, Spare.of(r, headroom, ledger, env.operator())))
+            .map(r -> new ReservationView.Term(r, ReservationHeadroom.of(r, headroom, ledger, env.operator())))
             .toList();
-    return new Holds(lastTerms, held, this::used);
+    return new ReservationView(lastTerms, held, this::used);
   }
 
   /** Restarts keep off what is held free. */
-  private void mark(Map<String, Amount[]> held) {
-    marked.forEach(m -> keep(m, Amount.ZERO));
+  private void mark(Map<String, Resources[]> held) {
+    marked.forEach(m -> keep(m, Resources.ZERO));
     marked.clear();
     held.forEach(
         (name, amounts) -> {
           Machine m = ledger.machines.get(name);
           if (m != null) {
-            Amount[] u = used(m);
-            Amount free = Amount.ZERO;
+            Resources[] u = used(m);
+            Resources free = Resources.ZERO;
             for (int i = 0; i < amounts.length; i++) {
               free = free.plus(u == null ? amounts[i] : amounts[i].less(u[i]), 1);
             }
@@ -210,14 +210,14 @@
         });
   }
 
-  private static void keep(Machine m, Amount free) {
+  private static void keep(Machine m, Resources free) {
     m.keptCpus = free.cpus();
     m.keptGpus = free.gpus();
     m.keptMemGb = free.memGb();
   }
 
-  private static Amount[] max(Amount[] a, Amount[] b) {
-    Amount[] out = new Amount[a.length];
+  private static Resources[] max(Resources[] a, Resources[] b) {
+    Resources[] out = new Resources[a.length];
     for (int i = 0; i < out.length; i++) {
       out[i] = a[i].max(b[i]);
     }
@@ -228,7 +228,7 @@
    * What the work of each reservation takes of a machine; null if nothing. Summed up anew only when
    * that has changed.
    */
-  private Amount[] used(Machine m) {
+  private Resources[] used(Machine m) {
     Used u = usage.get(m);
     if (u == null || u.version != m.version || u.terms != terms.size()) {
       u = new Used(m.version, terms.size(), sum(m));
@@ -237,13 +237,13 @@
     return u.amounts;
   }
 
-  private Amount[] sum(Machine m) {
-    Amount[] out = null;
+  private Resources[] sum(Machine m) {
+    Resources[] out = null;
     for (Attempt a : m.open.values()) {
       for (int i = 0; i < terms.size(); i++) {
         if (terms.get(i).serves(a.job.spec)) {
           out = out == null ? nothing() : out;
-          out[i] = out[i].plus(Amount.of(a.job.spec), 1);
+          out[i] = out[i].plus(Resources.of(a.job.spec), 1);
         }
       }
     }
@@ -251,12 +251,12 @@
   }
 
   /** A plan has been made with {@link #holds}; {@code held} is what is to be held after it. */
-  public void planned(Map<String, Amount[]> held) {
+  public void planned(Map<String, Resources[]> held) {
     if (terms.isEmpty() || held == null) {
       return;
     }
     double now = env.clock().now();
-    Map<String, Amount[]> next = new TreeMap<>(held);
+    Map<String, Resources[]> next = new TreeMap<>(held);
     wanted.forEach(
         (name, a) -> {
           if (!next.containsKey(name)
@@ -282,23 +282,23 @@
         && !m.failed
         && !m.cordoned
         && m.recallAt < 0
-        && !Planner.usable(m, now, env.settings());
+        && !Scheduler.usable(m, now, env.settings());
   }
 
   private void write(double now) {
     double report = env.settings().workers().reportS();
     double difference = 0;
     double size = 0;
-    for (Map.Entry<String, Amount[]> e : wanted.entrySet()) {
-      Amount[] there = kept.get(e.getKey());
+    for (Map.Entry<String, Resources[]> e : wanted.entrySet()) {
+      Resources[] there = kept.get(e.getKey());
       for (int i = 0; i < terms.size(); i++) {
         size += weight(e.getValue()[i]);
         difference += Math.abs(weight(e.getValue()[i]) - (there == null ? 0 : weight(there[i])));
       }
     }
-    for (Map.Entry<String, Amount[]> e : kept.entrySet()) {
+    for (Map.Entry<String, Resources[]> e : kept.entrySet()) {
       if (!wanted.containsKey(e.getKey())) {
-        difference += Arrays.stream(e.getValue()).mapToDouble(HoldKeeper::weight).sum();
+        difference += Arrays.stream(e.getValue()).mapToDouble(ReservationManager::weight).sum();
       }
     }
     boolean due =
@@ -314,7 +314,7 @@
     }
   }
 
-  private static double weight(Amount a) {
+  private static double weight(Resources a) {
     return a.cpus() + a.gpus() + a.memGb();
   }
 
@@ -330,7 +330,7 @@
           }
         });
     String name = piece(terms.get(term), k);
-    ObjectNode value = ReserveCodec.writeHeld(held);
+    ObjectNode value = ReservationCodec.writeHeld(held);
     ObjectNode there = shared.get(name);
     boolean same = there == null ? held.isEmpty() : there.path("on").equals(value.path("on"));
     if (!same && !shared.pending(name)) {
@@ -369,24 +369,24 @@
     }
   }
 
-  private record Seen(Amount held, Amount filled, int machines, double idlePerHour) {}
+  private record Seen(Resources held, Resources filled, int machines, double idlePerHour) {}
 
   private Seen seen(int term) {
-    Amount held = Amount.ZERO;
-    Amount filled = Amount.ZERO;
+    Resources held = Resources.ZERO;
+    Resources filled = Resources.ZERO;
     int machines = 0;
     double idle = 0;
-    for (Map.Entry<String, Amount[]> e : kept.entrySet()) {
+    for (Map.Entry<String, Resources[]> e : kept.entrySet()) {
       Machine m = ledger.machines.get(e.getKey());
       if (m == null || m.type == null || e.getValue()[term].isZero()) {
         continue;
       }
-      Amount[] u = used(m);
-      Amount used = u == null ? Amount.ZERO : u[term];
+      Resources[] u = used(m);
+      Resources used = u == null ? Resources.ZERO : u[term];
       held = held.plus(e.getValue()[term], 1);
       filled = filled.plus(used, 1);
       machines++;
-      Amount free = e.getValue()[term].less(used);
+      Resources free = e.getValue()[term].less(used);
       double share =
           Math.max(
               free.cpus() / Math.max(1, m.type.cpus()),
@@ -406,10 +406,10 @@
       ObjectNode o = list.addObject().put("name", terms.get(i).name()).put("machines", s.machines);
       amount(o.putObject("held"), s.held);
       amount(o.putObject("filled"), s.filled);
-      Amount free = Amount.ZERO;
+      Resources free = Resources.ZERO;
       if (i < lastTerms.size()) {
-        for (Fleet.Headroom h : lastTerms.get(i).spare()) {
-          free = free.plus(Amount.of(h.like()), h.count());
+        for (FleetView.Headroom h : lastTerms.get(i).spare()) {
+          free = free.plus(Resources.of(h.like()), h.count());
         }
       }
       amount(o.putObject("wanted"), s.filled.plus(free, 1));
@@ -418,7 +418,7 @@
     }
   }
 
-  private static void amount(ObjectNode o, Amount a) {
+  private static void amount(ObjectNode o, Resources a) {
     o.put("cpus", a.cpus()).put("gpus", a.gpus()).put("mem_gb", a.memGb());
   }
 }
--- a/src/main/java/io/embernotch/rounds/StragglerFeed.java
+++ b/src/main/java/io/embernotch/rounds/MachineViewPublisher.java
@@ -1,15 +1,15 @@
 package io.embernotch.rounds;
 
-import io.embernotch.env.Env;
-import io.embernotch.ledger.Ledger;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.state.ClusterState;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.Machine;
-import io.embernotch.model.Shape;
+import io.embernotch.model.JobShape;
 import io.embernotch.model.TaskState;
 import io.embernotch.straggler.MachineView;
 import io.embernotch.straggler.MachineView.TaskView;
-import io.embernotch.straggler.Parts;
+import io.embernotch.straggler.MachinePartitions;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -18,7 +18,7 @@
 import java.util.function.BiConsumer;
 
 /** Streams starts, finishes and free room of each machine to the owner of its part. */
-public final class StragglerFeed {
+public final class MachineViewPublisher {
   /**
    * Views that have not changed are sent again after this many rounds, lest a lost one be missed.
    */
@@ -44,8 +44,8 @@
   /** Finished runs that make up a machine's recent performance. */
   public static final int LATELY = 16;
 
-  private final Env env;
-  private final Ledger ledger;
+  private final ControllerContext env;
+  private final ClusterState ledger;
   private final BiConsumer<String, MachineView> send;
   private final BiConsumer<String, String> forget;
   private final Map<String, Sent> sentTo = new HashMap<>();
@@ -53,9 +53,9 @@
   private long messages;
   private int turn;
 
-  public StragglerFeed(
-      Env env,
-      Ledger ledger,
+  public MachineViewPublisher(
+      ControllerContext env,
+      ClusterState ledger,
       BiConsumer<String, MachineView> send,
       BiConsumer<String, String> forget) {
     this.env = env;
@@ -112,10 +112,10 @@
       if (!m.up() || m.type == null) {
         return null;
       }
-      sent = new Sent(Parts.owner(m.name, controllers));
+      sent = new Sent(MachinePartitions.owner(m.name, controllers));
       sentTo.put(m.name, sent);
     } else if (moved) {
-      String owner = Parts.owner(m.name, controllers);
+      String owner = MachinePartitions.owner(m.name, controllers);
       if (!owner.equals(sent.owner)) {
         forget.accept(sent.owner, m.name);
         sent = new Sent(owner);
@@ -155,7 +155,7 @@
       gpus -= j.gpus();
       mem -= j.memGb();
       busy++;
-      if (j.shape() == Shape.ARRAY
+      if (j.shape() == JobShape.ARRAY
           && a.state == TaskState.RUNNING
           && a.runningAt >= 0
           && !a.stopping) {
--- a/src/main/java/io/embernotch/rounds/PartPost.java
+++ b/src/main/java/io/embernotch/rounds/PartitionViews.java
@@ -3,21 +3,21 @@
 import io.embernotch.peer.Frame;
 import io.embernotch.peer.PeerLink;
 import io.embernotch.straggler.MachineView;
-import io.embernotch.straggler.PartKeeper;
+import io.embernotch.straggler.LocalPartition;
 
 /**
  * Brings a leader's views of machines to the controllers in whose parts they are, this one or
  * another.
  */
-public final class PartPost {
+public final class PartitionViews {
   private final String node;
-  private final PartKeeper part;
+  private final LocalPartition part;
   private final PeerLink peers;
 
   /**
    * @param part this controller's own, {@code node} its name
    */
-  public PartPost(String node, PartKeeper part, PeerLink peers) {
+  public PartitionViews(String node, LocalPartition part, PeerLink peers) {
     this.node = node;
     this.part = part;
     this.peers = peers;
@@ -27,7 +27,7 @@
     if (controller.equals(node)) {
       part.put(epoch, view);
     } else {
-      peers.send(controller, new Frame.View(epoch, view));
+      peers.send(controller, new Frame.MachineViewUpdate(epoch, view));
     }
   }
 
@@ -35,7 +35,7 @@
     if (controller.equals(node)) {
       part.forget(epoch, machine);
     } else {
-      peers.send(controller, new Frame.Forget(epoch, machine));
+      peers.send(controller, new Frame.MachineViewRemoval(epoch, machine));
     }
   }
 }
--- a/src/main/java/io/embernotch/rounds/RestartDesk.java
+++ b/src/main/java/io/embernotch/rounds/RestartReviewer.java
@@ -1,16 +1,16 @@
 package io.embernotch.rounds;
 
-import io.embernotch.env.Env;
-import io.embernotch.ledger.Ledger;
-import io.embernotch.machines.Stops;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.state.ClusterState;
+import io.embernotch.agents.TaskStopper;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.Machine;
-import io.embernotch.model.Shape;
+import io.embernotch.model.JobShape;
 import io.embernotch.model.TaskState;
-import io.embernotch.progress.Committer;
-import io.embernotch.store.Pacer.Rank;
+import io.embernotch.persistence.StateWriter;
+import io.embernotch.store.RateLimiter.Rank;
 import io.embernotch.straggler.Restart;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -22,17 +22,17 @@
 import org.slf4j.LoggerFactory;
 
 /** Takes proposals to restart slow tasks, checks them, and lets a few batches a second through. */
-public final class RestartDesk {
-  private static final Logger LOG = LoggerFactory.getLogger(RestartDesk.class);
+public final class RestartReviewer {
+  private static final Logger LOG = LoggerFactory.getLogger(RestartReviewer.class);
 
-  private final Env env;
-  private final Ledger ledger;
-  private final Committer committer;
-  private final Stops stops;
+  private final ControllerContext env;
+  private final ClusterState ledger;
+  private final StateWriter committer;
+  private final TaskStopper stops;
   private final Map<String, Deque<List<Restart>>> proposed = new HashMap<>();
   private final Map<String, Double> nextAt = new HashMap<>();
 
-  public RestartDesk(Env env, Ledger ledger, Committer committer, Stops stops) {
+  public RestartReviewer(ControllerContext env, ClusterState ledger, StateWriter committer, TaskStopper stops) {
     this.env = env;
     this.ledger = ledger;
     this.committer = committer;
@@ -70,7 +70,7 @@
         r.task(),
         Rank.USUAL,
         () -> {
-          if (Ledger.isOpen(a) && !a.stopping && job.end == null) {
+          if (ClusterState.isOpen(a) && !a.stopping && job.end == null) {
             stops.want(a, a.job.spec.checkpointS() > 0 ? a.job.spec.saveS() : 0);
           }
         });
@@ -101,7 +101,7 @@
     Machine target = ledger.machines.get(r.target());
     if (job == null
         || job.end != null
-        || job.spec.shape() != Shape.ARRAY
+        || job.spec.shape() != JobShape.ARRAY
         || target == null
         || target.type == null) {
       return false;
--- a/src/main/java/io/embernotch/rounds/Rounds.java
+++ b/src/main/java/io/embernotch/rounds/StragglerRounds.java
@@ -1,10 +1,10 @@
 package io.embernotch.rounds;
 
-import io.embernotch.env.Env;
+import io.embernotch.context.ControllerContext;
 import io.embernotch.straggler.MachineView;
-import io.embernotch.straggler.PartKeeper;
+import io.embernotch.straggler.LocalPartition;
 import io.embernotch.straggler.Restart;
-import io.embernotch.straggler.Round;
+import io.embernotch.straggler.StragglerRound;
 import java.util.Collection;
 import java.util.List;
 import java.util.function.Consumer;
@@ -12,20 +12,20 @@
 import org.slf4j.LoggerFactory;
 
 /** The paper's rounds over this controller's part of the machines. */
-public final class Rounds {
-  private static final Logger LOG = LoggerFactory.getLogger(Rounds.class);
+public final class StragglerRounds {
+  private static final Logger LOG = LoggerFactory.getLogger(StragglerRounds.class);
 
-  private final Env env;
-  private final PartKeeper part;
-  private final Round round;
+  private final ControllerContext env;
+  private final LocalPartition part;
+  private final StragglerRound round;
   private final Consumer<List<Restart>> propose;
 
-  public Rounds(Env env, PartKeeper part, Consumer<List<Restart>> propose) {
+  public StragglerRounds(ControllerContext env, LocalPartition part, Consumer<List<Restart>> propose) {
     this.env = env;
     this.part = part;
     this.propose = propose;
     this.round =
-        new Round(env.operator().flagRatio(), env.operator().beta(), env.operator().roundS());
+        new StragglerRound(env.operator().flagRatio(), env.operator().beta(), env.operator().roundS());
   }
 
   public void start() {
--- a/src/main/java/io/embernotch/plan/Queueing.java
+++ b/src/main/java/io/embernotch/scheduling/BootQueueing.java
@@ -1,9 +1,9 @@
-package io.embernotch.plan;
+package io.embernotch.scheduling;
 
 import io.embernotch.model.Job;
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.MachineType;
-import io.embernotch.model.Shape;
+import io.embernotch.model.JobShape;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.Map;
@@ -14,7 +14,7 @@
  * about as long as for a machine of its own; renting one for each used to triple the fleet while
  * the first machines booted, and to return most of it right after.
  */
-final class Queueing {
+final class BootQueueing {
   /** Owners' estimates are often wrong by half, so the mean of a class counts, and with care. */
   private static final int MOST = 3;
 
@@ -33,7 +33,7 @@
   private final Map<String, Kind> kinds = new HashMap<>();
   private final Map<String, MachineType> types;
 
-  Queueing(Collection<Job> jobs, Map<String, MachineType> types) {
+  BootQueueing(Collection<Job> jobs, Map<String, MachineType> types) {
     this.types = types;
     for (Job j : jobs) {
       if (j.held()) {
@@ -60,7 +60,7 @@
    */
   boolean worthOrdinary(JobSpec spec) {
     Kind k = kinds.get(spec.jobClass());
-    if (!spec.spot() || spec.shape() != Shape.ARRAY || k == null || k.expectS <= 0) {
+    if (!spec.spot() || spec.shape() != JobShape.ARRAY || k == null || k.expectS <= 0) {
       return true;
     }
     return k.pending > k.placed * Math.min(1, bootS(spec) / k.meanS());
@@ -68,7 +68,7 @@
 
   private int depth(JobSpec spec) {
     Kind k = kinds.get(spec.jobClass());
-    if (spec.shape() != Shape.ARRAY || k == null || k.expectS <= 0) {
+    if (spec.shape() != JobShape.ARRAY || k == null || k.expectS <= 0) {
       return 1;
     }
     return (int) Math.max(1, Math.min(MOST, 1 + bootS(spec) / k.meanS()));
--- a/src/main/java/io/embernotch/plan/Slot.java
+++ b/src/main/java/io/embernotch/scheduling/CandidateMachine.java
@@ -1,7 +1,7 @@
-package io.embernotch.plan;
+package io.embernotch.scheduling;
 
 import io.embernotch.model.JobSpec;
-import io.embernotch.model.Load;
+import io.embernotch.model.MachineLoad;
 import io.embernotch.model.Machine;
 import io.embernotch.model.MachineType;
 import io.embernotch.model.Priority;
@@ -9,7 +9,7 @@
 import java.util.Set;
 
 /** A machine while a plan is being made: one that is up, one that is coming, or one to buy. */
-final class Slot {
+final class CandidateMachine {
   enum Kind {
     READY,
     COMING,
@@ -52,12 +52,12 @@
   double score;
 
   /** What is held here for reservations; null if nothing is. */
-  Hold hold;
+  MachineReservation hold;
 
   private Set<String> fetching = Set.of();
   private boolean ownFetching;
 
-  Slot(Kind kind, Machine machine, MachineType type, String zone, boolean spot) {
+  CandidateMachine(Kind kind, Machine machine, MachineType type, String zone, boolean spot) {
     this.kind = kind;
     this.machine = machine;
     this.type = type;
@@ -68,9 +68,9 @@
     this.mem = type.memGb();
   }
 
-  static Slot of(Kind kind, Machine m) {
-    Slot s = new Slot(kind, m, m.type, m.zone, m.spot);
-    Load l = m.load();
+  static CandidateMachine of(Kind kind, Machine m) {
+    CandidateMachine s = new CandidateMachine(kind, m, m.type, m.zone, m.spot);
+    MachineLoad l = m.load();
     s.cpus -= l.cpus;
     s.gpus -= l.gpus;
     s.mem -= l.memGb;
@@ -108,7 +108,7 @@
   /** How many such tasks have room now, or once what is being stopped has ended. */
   int count(JobSpec j, boolean later) {
     double n = 10_000;
-    Amount kept = keptFrom(j);
+    Resources kept = keptFrom(j);
     n = fits(n, (later ? cpus + freeingCpus : cpus) - kept.cpus(), j.cpus());
     n = fits(n, (later ? gpus + freeingGpus : gpus) - kept.gpus(), j.gpus());
     n = fits(n, (later ? mem + freeingMem : mem) - kept.memGb(), j.memGb());
@@ -116,13 +116,13 @@
   }
 
   /** What is held here that such a job may not have. */
-  Amount keptFrom(JobSpec j) {
-    return hold == null ? Amount.ZERO : hold.keptFrom(j);
+  Resources keptFrom(JobSpec j) {
+    return hold == null ? Resources.ZERO : hold.keptFrom(j);
   }
 
   /** What nobody uses, or will not once what is being stopped has ended. */
-  Amount freeLater() {
-    return new Amount(
+  Resources freeLater() {
+    return new Resources(
         Math.max(0, cpus + freeingCpus),
         Math.max(0, gpus + freeingGpus),
         Math.max(0, mem + freeingMem));
--- a/src/main/java/io/embernotch/plan/Slots.java
+++ b/src/main/java/io/embernotch/scheduling/CandidateMachines.java
@@ -1,4 +1,4 @@
-package io.embernotch.plan;
+package io.embernotch.scheduling;
 
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.Machine;
@@ -17,7 +17,7 @@
  * nearly all, and looking at them again for each job made a plan cost machines times tasks. For the
  * same reason machines whose GPUs are all taken are shown only to jobs that need none.
  */
-final class Slots {
+final class CandidateMachines {
   /** Room that a task can be given. */
   enum Room {
     /** On a machine that is up. */
@@ -30,14 +30,14 @@
     NEW
   }
 
-  private final List<Slot> all = new ArrayList<>();
-  private final List<Slot> ready = new ArrayList<>();
+  private final List<CandidateMachine> all = new ArrayList<>();
+  private final List<CandidateMachine> ready = new ArrayList<>();
 
   /** Machines that are up and have room, but no GPU. */
-  private final List<Slot> bare = new ArrayList<>();
+  private final List<CandidateMachine> bare = new ArrayList<>();
 
-  private final List<Slot> coming = new ArrayList<>();
-  private final List<Slot> fresh = new ArrayList<>();
+  private final List<CandidateMachine> coming = new ArrayList<>();
+  private final List<CandidateMachine> fresh = new ArrayList<>();
   private boolean anySpot;
   private final Map<String, Integer> inZone = new HashMap<>();
 
@@ -46,26 +46,26 @@
     return anySpot;
   }
 
-  void add(Slot s) {
+  void add(CandidateMachine s) {
     all.add(s);
     inZone.merge(s.zone, 1, Integer::sum);
     anySpot |= s.spot;
     if (!s.full()) {
       if (!s.gpusTaken()) {
         open(s).add(s);
-      } else if (s.kind == Slot.Kind.READY) {
+      } else if (s.kind == CandidateMachine.Kind.READY) {
         bare.add(s);
       }
     }
   }
 
-  void add(Fleet.Expected e, MachineType t) {
+  void add(FleetView.Expected e, MachineType t) {
     for (int i = 0; t != null && i < e.number(); i++) {
-      add(new Slot(Slot.Kind.COMING, null, t, e.zone(), e.spot()));
+      add(new CandidateMachine(CandidateMachine.Kind.COMING, null, t, e.zone(), e.spot()));
     }
   }
 
-  private List<Slot> open(Slot s) {
+  private List<CandidateMachine> open(CandidateMachine s) {
     return switch (s.kind) {
       case READY -> ready;
       case COMING -> coming;
@@ -73,7 +73,7 @@
     };
   }
 
-  private List<Slot> open(Room room) {
+  private List<CandidateMachine> open(Room room) {
     return switch (room) {
       case NOW, FREEING -> ready;
       case COMING -> coming;
@@ -81,26 +81,26 @@
     };
   }
 
-  List<Slot> all() {
+  List<CandidateMachine> all() {
     return all;
   }
 
   /** What all machines have together. */
-  Amount together() {
-    Amount sum = Amount.ZERO;
-    for (Slot s : all) {
-      sum = sum.plus(new Amount(s.type.cpus(), s.type.gpus(), s.type.memGb()), 1);
+  Resources together() {
+    Resources sum = Resources.ZERO;
+    for (CandidateMachine s : all) {
+      sum = sum.plus(new Resources(s.type.cpus(), s.type.gpus(), s.type.memGb()), 1);
     }
     return sum;
   }
 
   /** Machines that are up and have room now or will have. */
-  List<Slot> ready() {
+  List<CandidateMachine> ready() {
     return ready;
   }
 
   /** A slot may have room again, since something there is to be stopped. */
-  void reopen(Slot s) {
+  void reopen(CandidateMachine s) {
     if (!ready.contains(s)) {
       bare.remove(s);
       ready.add(s);
@@ -112,13 +112,13 @@
   }
 
   /** Slots with such room for this job, best first. */
-  List<Slot> candidates(
-      Room room, JobSpec spec, Predicate<Slot> allowed, ToDoubleFunction<Slot> score) {
-    List<Slot> from = open(room);
+  List<CandidateMachine> candidates(
+      Room room, JobSpec spec, Predicate<CandidateMachine> allowed, ToDoubleFunction<CandidateMachine> score) {
+    List<CandidateMachine> from = open(room);
     from.removeIf(this::filledUp);
-    List<Slot> out = new ArrayList<>();
+    List<CandidateMachine> out = new ArrayList<>();
     if (spec.gpus() <= 0 && from == ready) {
-      bare.removeIf(Slot::full);
+      bare.removeIf(CandidateMachine::full);
       add(bare, out, room, spec, allowed, score);
     }
     add(from, out, room, spec, allowed, score);
@@ -126,11 +126,11 @@
     return out;
   }
 
-  private boolean filledUp(Slot s) {
+  private boolean filledUp(CandidateMachine s) {
     if (s.full()) {
       return true;
     }
-    if (s.gpusTaken() && s.kind == Slot.Kind.READY) {
+    if (s.gpusTaken() && s.kind == CandidateMachine.Kind.READY) {
       bare.add(s);
       return true;
     }
@@ -138,16 +138,16 @@
   }
 
   private static void add(
-      List<Slot> from,
-      List<Slot> out,
+      List<CandidateMachine> from,
+      List<CandidateMachine> out,
       Room room,
       JobSpec spec,
-      Predicate<Slot> allowed,
-      ToDoubleFunction<Slot> score) {
-    for (Slot s : from) {
+      Predicate<CandidateMachine> allowed,
+      ToDoubleFunction<CandidateMachine> score) {
+    for (CandidateMachine s : from) {
       if (s.count(spec, room == Room.FREEING) > 0
           && s.allows(spec)
-          && Gathering.lets(s, spec)
+          && GangAccumulation.lets(s, spec)
           && allowed.test(s)) {
         s.score = score.applyAsDouble(s);
         out.add(s);
@@ -156,10 +156,10 @@
   }
 
   /** What is held on each machine now. */
-  Map<String, Amount[]> held() {
-    Map<String, Amount[]> out = new HashMap<>();
-    for (Slot s : all) {
-      Amount[] total = s.hold == null ? null : s.hold.total();
+  Map<String, Resources[]> held() {
+    Map<String, Resources[]> out = new HashMap<>();
+    for (CandidateMachine s : all) {
+      Resources[] total = s.hold == null ? null : s.hold.total();
       if (total != null) {
         out.put(s.machine.name, total);
       }
@@ -167,7 +167,7 @@
     return out;
   }
 
-  static Slot slot(Machine m, double now) {
+  static CandidateMachine slot(Machine m, double now) {
     if (m.type == null
         || m.zone == null
         || m.deleting
@@ -177,18 +177,18 @@
       return null;
     }
     if (!m.up()) {
-      return now < m.countUntil ? Slot.of(Slot.Kind.COMING, m) : null;
+      return now < m.countUntil ? CandidateMachine.of(CandidateMachine.Kind.COMING, m) : null;
     }
-    return Slot.of(Slot.Kind.READY, m);
+    return CandidateMachine.of(CandidateMachine.Kind.READY, m);
   }
 
-  static Slots of(
-      Collection<Machine> machines, Predicate<Machine> usable, double now, Holds holds) {
-    Slots out = new Slots();
+  static CandidateMachines of(
+      Collection<Machine> machines, Predicate<Machine> usable, double now, ReservationView holds) {
+    CandidateMachines out = new CandidateMachines();
     for (Machine m : machines) {
-      Slot s = slot(m, now);
-      if (s != null && (s.kind != Slot.Kind.READY || usable.test(m))) {
-        s.hold = s.kind == Slot.Kind.READY && !s.spot && holds.concerns(m) ? holds.on(m) : null;
+      CandidateMachine s = slot(m, now);
+      if (s != null && (s.kind != CandidateMachine.Kind.READY || usable.test(m))) {
+        s.hold = s.kind == CandidateMachine.Kind.READY && !s.spot && holds.concerns(m) ? holds.on(m) : null;
         out.add(s);
       }
     }
--- a/src/main/java/io/embernotch/plan/Deadlines.java
+++ b/src/main/java/io/embernotch/scheduling/Deadlines.java
@@ -1,7 +1,7 @@
-package io.embernotch.plan;
+package io.embernotch.scheduling;
 
 import io.embernotch.model.Job;
-import io.embernotch.model.Shape;
+import io.embernotch.model.JobShape;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashSet;
@@ -13,7 +13,7 @@
  * Which of the jobs that are for a release are left to be late where not all can be in time: as
  * many as possible are served by their deadline (Moore and Hodgson: in the order of deadlines, and
  * whenever one would be late, the one that takes most of the machines is left out). What is left
- * out goes on behind, and is not starved: see {@code Planner}.
+ * out goes on behind, and is not starved: see {@code Scheduler}.
  */
 public final class Deadlines {
   /**
@@ -46,14 +46,14 @@
   }
 
   /** The same of jobs, on machines with so many GPUs and CPUs for them; sets {@link Job#behind}. */
-  static void mark(List<Job> jobs, Amount room, long wallMs) {
+  static void mark(List<Job> jobs, Resources room, long wallMs) {
     List<Item> items = new ArrayList<>();
     for (Job j : jobs) {
       j.behind = false;
       if (j.releaseByMs != Long.MAX_VALUE && j.end == null) {
         double share =
             Math.max(ratio(j.spec.gpus(), room.gpus()), ratio(j.spec.cpus(), room.cpus()));
-        int left = j.spec.shape() == Shape.GANG ? j.spec.tasks() : j.remaining();
+        int left = j.spec.shape() == JobShape.GANG ? j.spec.tasks() : j.remaining();
         double runS = j.restMs / 1000.0;
         // Nothing is done before one of its tasks has run, however many machines there are.
         items.add(
--- a/src/main/java/io/embernotch/plan/Risk.java
+++ b/src/main/java/io/embernotch/scheduling/FailureRisk.java
@@ -1,4 +1,4 @@
-package io.embernotch.plan;
+package io.embernotch.scheduling;
 
 /**
  * How often machines and zones fail, as the leader has seen it.
@@ -8,7 +8,7 @@
  * @param horizonS seconds for which a replica that is placed now is counted on
  * @param noticedS seconds from a failure until what ran there may start elsewhere
  */
-public record Risk(double machinePerS, double zonePerS, double horizonS, double noticedS) {
+public record FailureRisk(double machinePerS, double zonePerS, double horizonS, double noticedS) {
   /** Nothing ever fails. */
-  public static final Risk NONE = new Risk(0, 0, 0, 0);
+  public static final FailureRisk NONE = new FailureRisk(0, 0, 0, 0);
 }
--- a/src/main/java/io/embernotch/plan/Fleet.java
+++ b/src/main/java/io/embernotch/scheduling/FleetView.java
@@ -1,10 +1,10 @@
-package io.embernotch.plan;
+package io.embernotch.scheduling;
 
 import io.embernotch.model.JobSpec;
 
 /** What the planner has to know of the fleet beyond the machines themselves. */
-public final class Fleet {
-  private Fleet() {}
+public final class FleetView {
+  private FleetView() {}
 
   /** Machines that a rental request under way may yet bring. */
   public record Expected(String type, String zone, boolean spot, int number) {}
--- a/src/main/java/io/embernotch/plan/Gathering.java
+++ b/src/main/java/io/embernotch/scheduling/GangAccumulation.java
@@ -1,9 +1,9 @@
-package io.embernotch.plan;
+package io.embernotch.scheduling;
 
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
 import io.embernotch.model.JobSpec;
-import io.embernotch.model.Shape;
+import io.embernotch.model.JobShape;
 import io.embernotch.settings.Settings;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -19,7 +19,7 @@
  * The first that waits may hold all that it needs, the others only within a share of the machines,
  * so that the house is not emptied for them.
  */
-final class Gathering {
+final class GangAccumulation {
   /**
    * Workers' leases that a gang waits before room is gathered for it, and until it is for all of
    * its tasks.
@@ -37,17 +37,17 @@
   /** What a task takes; machines are looked through once for each. */
   private record Size(double cpus, double gpus, double memGb) {}
 
-  private record Host(Slot slot, double emptyInS) {}
+  private record Host(CandidateMachine slot, double emptyInS) {}
 
-  private final Slots slots;
+  private final CandidateMachines slots;
   private final Settings settings;
-  private final Market market;
+  private final ScaleOutPlanner market;
   private final double now;
   private final long wallMs;
   private final Map<Size, List<Host>> hosts = new HashMap<>();
   private int left;
 
-  Gathering(Slots slots, Settings settings, Market market, double now, long wallMs) {
+  GangAccumulation(CandidateMachines slots, Settings settings, ScaleOutPlanner market, double now, long wallMs) {
     this.slots = slots;
     this.settings = settings;
     this.market = market;
@@ -66,11 +66,11 @@
 
   /** Holds machines for the gangs among these jobs that need it, in this order. */
   void hold(List<Job> order) {
-    left = (int) (MOST_SHARE * slots.all().stream().filter(s -> s.kind == Slot.Kind.READY).count());
+    left = (int) (MOST_SHARE * slots.all().stream().filter(s -> s.kind == CandidateMachine.Kind.READY).count());
     boolean first = true;
     for (Job job : order) {
       boolean waits =
-          job.spec.shape() == Shape.GANG && job.open.isEmpty() && !job.fails() && aged(job);
+          job.spec.shape() == JobShape.GANG && job.open.isEmpty() && !job.fails() && aged(job);
       if (waits
           && (left > 0 || first)
           && settings.zones().stream().noneMatch(z -> market.canBuy(job.spec, z))) {
@@ -88,14 +88,14 @@
     List<Host> best = List.of();
     if (spec.oneZone()) {
       for (String zone : settings.zones()) {
-        List<Host> there = soonest(spec, wanted, new Zones(spec, zone));
+        List<Host> there = soonest(spec, wanted, new ZoneConstraints(spec, zone));
         if (there.size() > best.size()
             || (there.size() == best.size() && lastS(there) < lastS(best))) {
           best = there;
         }
       }
     } else {
-      best = soonest(spec, wanted, new Zones(spec, null));
+      best = soonest(spec, wanted, new ZoneConstraints(spec, null));
     }
     for (Host h : best) {
       h.slot.heldFor = spec.ref();
@@ -109,7 +109,7 @@
   }
 
   /** The machines that will have room for one such task first. */
-  private List<Host> soonest(JobSpec spec, int wanted, Zones zones) {
+  private List<Host> soonest(JobSpec spec, int wanted, ZoneConstraints zones) {
     List<Host> out = new ArrayList<>();
     for (Host h :
         hosts.computeIfAbsent(
@@ -127,8 +127,8 @@
 
   private List<Host> inOrder(JobSpec spec) {
     List<Host> out = new ArrayList<>();
-    for (Slot s : slots.all()) {
-      if (s.kind == Slot.Kind.READY && s.type.fits(spec)) {
+    for (CandidateMachine s : slots.all()) {
+      if (s.kind == CandidateMachine.Kind.READY && s.type.fits(spec)) {
         double emptyInS = emptyInS(s, spec);
         if (emptyInS < Double.MAX_VALUE) {
           out.add(new Host(s, emptyInS));
@@ -140,10 +140,10 @@
   }
 
   /** Seconds until there is room for one such task. */
-  private double emptyInS(Slot s, JobSpec spec) {
+  private double emptyInS(CandidateMachine s, JobSpec spec) {
     List<Attempt> there = new ArrayList<>(s.machine.open.values());
     there.sort(Comparator.comparingDouble(this::leftS));
-    Amount kept = s.keptFrom(spec);
+    Resources kept = s.keptFrom(spec);
     double cpus = s.cpus - spec.cpus() - kept.cpus();
     double gpus = s.gpus - spec.gpus() - kept.gpus();
     double mem = s.mem - spec.memGb() - kept.memGb();
@@ -165,7 +165,7 @@
     if (a.stopping) {
       return a.job.spec.saveS();
     }
-    if (a.job.spec.shape() == Shape.SERVICE) {
+    if (a.job.spec.shape() == JobShape.SERVICE) {
       return Double.MAX_VALUE;
     }
     return Math.max(1, DOUBT * Math.max(a.job.spec.expectS(), a.job.meanS()) - (now - a.createdAt));
@@ -175,9 +175,9 @@
    * Whether a task of this job may go to a machine that is held for another: it will have ended
    * before it is empty.
    */
-  static boolean lets(Slot s, JobSpec spec) {
+  static boolean lets(CandidateMachine s, JobSpec spec) {
     return s.heldFor == null
         || s.heldFor.equals(spec.ref())
-        || (spec.shape() == Shape.ARRAY && spec.expectS() > 0 && DOUBT * spec.expectS() <= s.heldS);
+        || (spec.shape() == JobShape.ARRAY && spec.expectS() > 0 && DOUBT * spec.expectS() <= s.heldS);
   }
 }
--- a/src/main/java/io/embernotch/plan/Turns.java
+++ b/src/main/java/io/embernotch/scheduling/JobOrdering.java
@@ -1,4 +1,4 @@
-package io.embernotch.plan;
+package io.embernotch.scheduling;
 
 import io.embernotch.model.Job;
 import io.embernotch.model.Priority;
@@ -9,7 +9,7 @@
 import java.util.List;
 
 /** Whose turn it is: the order in which jobs are placed. */
-final class Turns {
+final class JobOrdering {
   /**
    * Workers' leases of waiting after which a job goes before all of its rank, for a release or not:
    * under four minutes.
@@ -37,10 +37,10 @@
           .thenComparingLong(j -> j.urgentMs)
           .thenComparing(j -> j.spec.ref());
 
-  private Turns() {}
+  private JobOrdering() {}
 
   /** The jobs with tasks to be placed, in their order. */
-  static List<Job> of(Collection<Job> jobs, Settings settings, Slots slots, long wallMs) {
+  static List<Job> of(Collection<Job> jobs, Settings settings, CandidateMachines slots, long wallMs) {
     long leaseMs = Math.round(settings.workers().leaseS() * 1000);
     List<Job> order = new ArrayList<>();
     for (Job j : jobs) {
--- a/src/main/java/io/embernotch/plan/Hold.java
+++ b/src/main/java/io/embernotch/scheduling/MachineReservation.java
@@ -1,30 +1,30 @@
-package io.embernotch.plan;
+package io.embernotch.scheduling;
 
 import io.embernotch.model.JobSpec;
 import java.util.Arrays;
 import java.util.List;
 
 /** What is held on one machine while a plan is made, for each reservation. */
-final class Hold {
-  private final List<Holds.Term> terms;
+final class MachineReservation {
+  private final List<ReservationView.Term> terms;
 
   /** What their work takes there. */
-  private final Amount[] used;
+  private final Resources[] used;
 
   /** What is held, used and not. */
-  private final Amount[] held;
+  private final Resources[] held;
 
   /** What of it is free for them, or is to be once others have ended. */
-  private final Amount[] free;
+  private final Resources[] free;
 
   /** Is to be given up: until the store says so it is still kept from others. */
   private final boolean[] given;
 
-  Hold(List<Holds.Term> terms, Amount[] used, Amount[] before) {
+  MachineReservation(List<ReservationView.Term> terms, Resources[] used, Resources[] before) {
     this.terms = terms;
     this.used = used;
-    this.held = new Amount[terms.size()];
-    this.free = new Amount[terms.size()];
+    this.held = new Resources[terms.size()];
+    this.free = new Resources[terms.size()];
     this.given = new boolean[terms.size()];
     for (int i = 0; i < free.length; i++) {
       held[i] = before == null ? used[i] : before[i].max(used[i]);
@@ -33,8 +33,8 @@
   }
 
   /** What such a job may not have of the machine, free as it may be. */
-  Amount keptFrom(JobSpec job) {
-    Amount kept = Amount.ZERO;
+  Resources keptFrom(JobSpec job) {
+    Resources kept = Resources.ZERO;
     for (int i = 0; i < free.length; i++) {
       if (!free[i].isZero() && !terms.get(i).terms().serves(job)) {
         kept = kept.plus(free[i], 1);
@@ -47,12 +47,12 @@
   void take(JobSpec job, int tasks) {
     for (int i = 0; i < free.length; i++) {
       if (terms.get(i).terms().serves(job)) {
-        free[i] = free[i].less(Amount.ZERO.plus(Amount.of(job), tasks));
+        free[i] = free[i].less(Resources.ZERO.plus(Resources.of(job), tasks));
       }
     }
   }
 
-  Amount free(int term) {
+  Resources free(int term) {
     return free[term];
   }
 
@@ -61,7 +61,7 @@
   }
 
   /** Holds room for so many more tasks. */
-  void extend(int term, Amount unit, int by) {
+  void extend(int term, Resources unit, int by) {
     free[term] = free[term].plus(unit, by);
     held[term] = held[term].plus(unit, by);
   }
@@ -71,8 +71,8 @@
   }
 
   /** All that is to be held, or null if that is nothing. */
-  Amount[] total() {
-    Amount[] out = new Amount[free.length];
+  Resources[] total() {
+    Resources[] out = new Resources[free.length];
     boolean any = false;
     for (int i = 0; i < out.length; i++) {
       out[i] = given[i] ? held[i].less(free[i]) : held[i];
@@ -81,9 +81,9 @@
     return any ? out : null;
   }
 
-  static Amount[] nothing(int terms) {
-    Amount[] out = new Amount[terms];
-    Arrays.fill(out, Amount.ZERO);
+  static Resources[] nothing(int terms) {
+    Resources[] out = new Resources[terms];
+    Arrays.fill(out, Resources.ZERO);
     return out;
   }
 }
--- a/src/main/java/io/embernotch/plan/Scores.java
+++ b/src/main/java/io/embernotch/scheduling/PlacementScore.java
@@ -1,16 +1,16 @@
-package io.embernotch.plan;
+package io.embernotch.scheduling;
 
 import io.embernotch.model.JobSpec;
 
 /** How well a machine suits a task: less is better. */
-final class Scores {
+final class PlacementScore {
   /** How full a machine is counts for this many seconds of fetching. */
   static final double PACK_S = 8;
 
-  private Scores() {}
+  private PlacementScore() {}
 
   /** Seconds of delay, with what else speaks against a machine put in seconds as well. */
-  static double of(JobSpec spec, Slot s, Zones zones) {
+  static double of(JobSpec spec, CandidateMachine s, ZoneConstraints zones) {
     double score = s.fetchS(spec) - PACK_S * s.used();
     if (spec.spot() && !s.spot) {
       // Room beside a service is paid for already, and not lost to a reclaim; any other ordinary
--- a/src/main/java/io/embernotch/plan/Preemption.java
+++ b/src/main/java/io/embernotch/scheduling/Preemption.java
@@ -1,11 +1,11 @@
-package io.embernotch.plan;
+package io.embernotch.scheduling;
 
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
 import io.embernotch.model.JobSpec;
-import io.embernotch.model.Load;
+import io.embernotch.model.MachineLoad;
 import io.embernotch.model.Priority;
-import io.embernotch.model.Shape;
+import io.embernotch.model.JobShape;
 import io.embernotch.settings.Settings;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -40,16 +40,16 @@
   private static final int ENOUGH = 2;
 
   private final Settings settings;
-  private final Slots slots;
-  private final Plan plan;
+  private final CandidateMachines slots;
+  private final SchedulingPlan plan;
   private final double now;
   private final Set<Attempt> stopped = Collections.newSetFromMap(new IdentityHashMap<>());
   private int looks;
 
   /** Machines that run what is beyond a guarantee; null until somebody asks. */
-  private List<Slot> lenders;
+  private List<CandidateMachine> lenders;
 
-  Preemption(Settings settings, Slots slots, Plan plan, double now) {
+  Preemption(Settings settings, CandidateMachines slots, SchedulingPlan plan, double now) {
     this.settings = settings;
     this.slots = slots;
     this.plan = plan;
@@ -57,7 +57,7 @@
   }
 
   /** Stops work of lower priority where that destroys least, for up to {@code wanted} tasks. */
-  int makeRoom(JobSpec spec, int wanted, Zones zones, Predicate<Slot> allowed) {
+  int makeRoom(JobSpec spec, int wanted, ZoneConstraints zones, Predicate<CandidateMachine> allowed) {
     // A live service does not wait for others to save; they fall back to their last checkpoint.
     return makeRoom(
         spec,
@@ -73,13 +73,13 @@
    * Stops what others run beyond their guarantees, for up to {@code wanted} tasks of a job within
    * its team's.
    */
-  int giveGuarantee(Job job, int wanted, Zones zones) {
+  int giveGuarantee(Job job, int wanted, ZoneConstraints zones) {
     if (!job.guaranteed || ++looks > MOST_LOOKS) {
       return 0;
     }
     if (lenders == null) {
       lenders =
-          slots.all().stream().filter(s -> s.kind == Slot.Kind.READY && runsBeyond(s)).toList();
+          slots.all().stream().filter(s -> s.kind == CandidateMachine.Kind.READY && runsBeyond(s)).toList();
     }
     return makeRoom(
         job.spec,
@@ -91,7 +91,7 @@
         a -> a.job.spec.checkpointS() > 0 ? a.job.spec.saveS() : 0);
   }
 
-  private static boolean runsBeyond(Slot s) {
+  private static boolean runsBeyond(CandidateMachine s) {
     for (Attempt a : s.machine.open.values()) {
       if (!a.job.guaranteed && a.job.spec.priority() != Priority.PRODUCTION) {
         return true;
@@ -113,17 +113,17 @@
   private int makeRoom(
       JobSpec spec,
       int wanted,
-      Zones zones,
-      List<Slot> from,
-      Predicate<Slot> allowed,
+      ZoneConstraints zones,
+      List<CandidateMachine> from,
+      Predicate<CandidateMachine> allowed,
       Predicate<Attempt> may,
       ToDoubleFunction<Attempt> graceS) {
     if (wanted <= 0) {
       return 0;
     }
-    List<Slot> hosts = new ArrayList<>();
-    for (Slot s : from) {
-      if (s.kind != Slot.Kind.READY
+    List<CandidateMachine> hosts = new ArrayList<>();
+    for (CandidateMachine s : from) {
+      if (s.kind != CandidateMachine.Kind.READY
           || !allowed.test(s)
           || !s.allows(spec)
           || zones.room(s.zone) == 0) {
@@ -138,14 +138,14 @@
         hosts.add(s);
       }
     }
-    if (spec.shape() == Shape.GANG
+    if (spec.shape() == JobShape.GANG
         && hosts.stream().mapToInt(s -> most(spec, s, may)).sum() < wanted) {
       // All of it starts or none does: half of its room would be stopped for nothing.
       return 0;
     }
     hosts.sort(Comparator.comparingDouble(s -> s.score));
     int made = 0;
-    for (Slot s : hosts) {
+    for (CandidateMachine s : hosts) {
       while (made < wanted && zones.room(s.zone) > 0) {
         List<Attempt> victims = victims(spec, s, may);
         if (victims == null) {
@@ -154,7 +154,7 @@
         for (Attempt a : victims) {
           stopped.add(a);
           s.willFree(a.job.spec);
-          plan.stops.add(new Plan.Stop(a, graceS.applyAsDouble(a), "room for " + spec.ref()));
+          plan.stops.add(new SchedulingPlan.Stop(a, graceS.applyAsDouble(a), "room for " + spec.ref()));
         }
         s.take(spec, 1);
         s.claimed = true;
@@ -173,9 +173,9 @@
   }
 
   /** What must go for one such task, and nothing besides; null if what may go is not enough. */
-  private List<Attempt> victims(JobSpec spec, Slot s, Predicate<Attempt> may) {
+  private List<Attempt> victims(JobSpec spec, CandidateMachine s, Predicate<Attempt> may) {
     List<Attempt> out = new ArrayList<>();
-    Amount kept = s.keptFrom(spec);
+    Resources kept = s.keptFrom(spec);
     double cpus = s.cpus + s.freeingCpus - spec.cpus() - kept.cpus();
     double gpus = s.gpus + s.freeingGpus - spec.gpus() - kept.gpus();
     double mem = s.mem + s.freeingMem - spec.memGb() - kept.memGb();
@@ -193,7 +193,7 @@
     // What is worth most is spared first; tiny tasks beside large ones mostly need not go.
     out.sort(
         Comparator.comparing((Attempt a) -> a.job.spec.priority())
-            .thenComparing(a -> a.job.spec.shape() == Shape.GANG)
+            .thenComparing(a -> a.job.spec.shape() == JobShape.GANG)
             .thenComparingDouble(this::lost));
     for (int i = out.size() - 1; i >= 0; i--) {
       JobSpec j = out.get(i).job.spec;
@@ -208,14 +208,14 @@
   }
 
   /** How many such tasks there is room for once all that may go is gone. */
-  private int most(JobSpec spec, Slot s, Predicate<Attempt> may) {
+  private int most(JobSpec spec, CandidateMachine s, Predicate<Attempt> may) {
     double share = Double.MAX_VALUE;
-    Load there =
-        new Load(
+    MachineLoad there =
+        new MachineLoad(
             s.machine.open.values().stream()
                 .filter(a -> !a.stopping && !stopped.contains(a) && may.test(a))
                 .toList());
-    Amount kept = s.keptFrom(spec);
+    Resources kept = s.keptFrom(spec);
     share =
         Math.min(
             share,
--- a/src/main/java/io/embernotch/plan/Usage.java
+++ b/src/main/java/io/embernotch/scheduling/QuotaUsage.java
@@ -1,4 +1,4 @@
-package io.embernotch.plan;
+package io.embernotch.scheduling;
 
 import io.embernotch.model.Job;
 import io.embernotch.model.JobSpec;
@@ -11,13 +11,13 @@
 import java.util.stream.Collectors;
 
 /** What the teams use, may use, and are guaranteed. */
-final class Usage {
+final class QuotaUsage {
   private static final double EPS = 1e-6;
   private final Map<String, Settings.Team> teams;
   private final Map<String, double[]> used = new HashMap<>();
 
   /** Open attempts count until their end is proven, whatever has become of their job. */
-  Usage(Map<String, Settings.Team> teams, Collection<Job> jobs) {
+  QuotaUsage(Map<String, Settings.Team> teams, Collection<Job> jobs) {
     this.teams = teams;
     for (Job j : jobs) {
       take(j.spec, j.open.size());
--- a/src/main/java/io/embernotch/plan/Reserving.java
+++ b/src/main/java/io/embernotch/scheduling/ReservationPlanner.java
@@ -1,7 +1,7 @@
-package io.embernotch.plan;
+package io.embernotch.scheduling;
 
 import io.embernotch.model.JobSpec;
-import io.embernotch.plan.Slots.Room;
+import io.embernotch.scheduling.CandidateMachines.Room;
 import io.embernotch.settings.Reservation;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -14,7 +14,7 @@
  * work has to leave. Too much is given up only from a margin on, and first where nothing of the
  * reservation's work runs, so that machines come free.
  */
-final class Reserving {
+final class ReservationPlanner {
   /** So much more than is wanted may stay held, and a task's room. */
   private static final double SLACK = 0.1;
 
@@ -27,11 +27,11 @@
     void restore(JobSpec like, int n, Reservation terms);
   }
 
-  private final Holds holds;
-  private final Slots slots;
+  private final ReservationView holds;
+  private final CandidateMachines slots;
   private final Host host;
 
-  Reserving(Holds holds, Slots slots, Host host) {
+  ReservationPlanner(ReservationView holds, CandidateMachines slots, Host host) {
     this.holds = holds;
     this.slots = slots;
     this.host = host;
@@ -39,18 +39,18 @@
 
   void keep() {
     for (int i = 0; i < holds.terms().size(); i++) {
-      Holds.Term t = holds.terms().get(i);
-      Amount wanted = Amount.ZERO;
-      for (Fleet.Headroom h : t.spare()) {
+      ReservationView.Term t = holds.terms().get(i);
+      Resources wanted = Resources.ZERO;
+      for (FleetView.Headroom h : t.spare()) {
         keep(i, t.terms(), h);
-        wanted = wanted.plus(Amount.of(h.like()), Math.ceil(h.count() * (1 + SLACK)) + 1);
+        wanted = wanted.plus(Resources.of(h.like()), Math.ceil(h.count() * (1 + SLACK)) + 1);
       }
       giveUp(i, wanted);
     }
   }
 
-  private void keep(int term, Reservation r, Fleet.Headroom h) {
-    Amount unit = Amount.of(h.like());
+  private void keep(int term, Reservation r, FleetView.Headroom h) {
+    Resources unit = Resources.of(h.like());
     // What is held on a machine that is empty but for that keeps it from whole-machine work: it
     // moves where others are.
     int lacking = h.count() - heldFor(term, unit, h.count(), false);
@@ -78,9 +78,9 @@
   }
 
   /** How many such tasks what is held has room for now; the machines are claimed for that. */
-  private int heldFor(int term, Amount unit, int most, boolean onEmpty) {
+  private int heldFor(int term, Resources unit, int most, boolean onEmpty) {
     int n = 0;
-    for (Slot s : slots.all()) {
+    for (CandidateMachine s : slots.all()) {
       if (s.hold != null
           && n < most
           && s.machine.open.isEmpty() == onEmpty
@@ -92,7 +92,7 @@
     return Math.max(0, Math.min(n, most));
   }
 
-  private int heldIn(int term, Amount unit, String zone) {
+  private int heldIn(int term, Resources unit, String zone) {
     return slots.all().stream()
         .filter(s -> s.hold != null && s.zone.equals(zone))
         .mapToInt(s -> s.hold.free(term).holds(unit))
@@ -104,7 +104,7 @@
       int term,
       Reservation r,
       JobSpec like,
-      Amount unit,
+      Resources unit,
       int wanted,
       String zone,
       boolean emptyToo) {
@@ -112,7 +112,7 @@
     if (wanted <= 0) {
       return 0;
     }
-    for (Slot s :
+    for (CandidateMachine s :
         slots.candidates(
             Room.NOW,
             like,
@@ -121,7 +121,7 @@
                     && (emptyToo || !s.machine.open.isEmpty())
                     && r.allowsType(s.type.name())
                     && (zone == null || zone.equals(s.zone)),
-            s -> -Scores.PACK_S * s.used() - (s.machine == null ? 0 : s.machine.images.size()))) {
+            s -> -PlacementScore.PACK_S * s.used() - (s.machine == null ? 0 : s.machine.images.size()))) {
       int there = s.hold == null ? 0 : s.hold.free(term).holds(unit);
       int n = Math.min(s.count(like, false) - there, wanted - done);
       if (n > 0) {
@@ -137,10 +137,10 @@
     return done;
   }
 
-  private void giveUp(int term, Amount wanted) {
-    List<Slot> held = new ArrayList<>();
-    Amount all = Amount.ZERO;
-    for (Slot s : slots.all()) {
+  private void giveUp(int term, Resources wanted) {
+    List<CandidateMachine> held = new ArrayList<>();
+    Resources all = Resources.ZERO;
+    for (CandidateMachine s : slots.all()) {
       if (s.hold != null && !s.hold.free(term).isZero()) {
         held.add(s);
         all = all.plus(s.hold.free(term), 1);
@@ -148,9 +148,9 @@
     }
     // What no task can use by itself is of no use to them either.
     held.sort(
-        Comparator.comparing((Slot s) -> s.hold.filled(term)).thenComparingDouble(s -> s.used()));
-    for (Slot s : held) {
-      Amount left = all.less(s.hold.free(term));
+        Comparator.comparing((CandidateMachine s) -> s.hold.filled(term)).thenComparingDouble(s -> s.used()));
+    for (CandidateMachine s : held) {
+      Resources left = all.less(s.hold.free(term));
       if (left.cpus() < wanted.cpus()
           || left.gpus() < wanted.gpus()
           || left.memGb() < wanted.memGb()) {
--- a/src/main/java/io/embernotch/plan/Holds.java
+++ b/src/main/java/io/embernotch/scheduling/ReservationView.java
@@ -1,4 +1,4 @@
-package io.embernotch.plan;
+package io.embernotch.scheduling;
 
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.Machine;
@@ -15,18 +15,18 @@
  *     and what is free for it
  * @param used what the work of each of the terms takes of a machine; null if nothing
  */
-public record Holds(
-    List<Term> terms, Map<String, Amount[]> held, Function<Machine, Amount[]> used) {
-  public static final Holds NONE = new Holds(List.of(), Map.of(), m -> null);
+public record ReservationView(
+    List<Term> terms, Map<String, Resources[]> held, Function<Machine, Resources[]> used) {
+  public static final ReservationView NONE = new ReservationView(List.of(), Map.of(), m -> null);
 
   /** One reservation, and how much is to be free for it. */
-  public record Term(Reservation terms, List<Fleet.Headroom> spare) {}
+  public record Term(Reservation terms, List<FleetView.Headroom> spare) {}
 
   /** What is held on a machine; null: on one of which nothing is known yet. */
-  Hold on(Machine m) {
-    Amount[] there = m == null ? null : used.apply(m);
-    Amount[] kept = m == null ? null : held.get(m.name);
-    return new Hold(terms, there == null ? Hold.nothing(terms.size()) : there, kept);
+  MachineReservation on(Machine m) {
+    Resources[] there = m == null ? null : used.apply(m);
+    Resources[] kept = m == null ? null : held.get(m.name);
+    return new MachineReservation(terms, there == null ? MachineReservation.nothing(terms.size()) : there, kept);
   }
 
   /** Something is held on the machine, or used by those who may hold it. */
--- a/src/main/java/io/embernotch/plan/Amount.java
+++ b/src/main/java/io/embernotch/scheduling/Resources.java
@@ -1,29 +1,29 @@
-package io.embernotch.plan;
+package io.embernotch.scheduling;
 
 import io.embernotch.model.JobSpec;
 
 /** A part of a machine. */
-public record Amount(double cpus, double gpus, double memGb) {
-  public static final Amount ZERO = new Amount(0, 0, 0);
+public record Resources(double cpus, double gpus, double memGb) {
+  public static final Resources ZERO = new Resources(0, 0, 0);
   private static final double EPS = 1e-6;
 
-  public static Amount of(JobSpec j) {
-    return new Amount(j.cpus(), j.gpus(), j.memGb());
+  public static Resources of(JobSpec j) {
+    return new Resources(j.cpus(), j.gpus(), j.memGb());
   }
 
-  public Amount plus(Amount o, double times) {
-    return new Amount(cpus + o.cpus * times, gpus + o.gpus * times, memGb + o.memGb * times);
+  public Resources plus(Resources o, double times) {
+    return new Resources(cpus + o.cpus * times, gpus + o.gpus * times, memGb + o.memGb * times);
   }
 
   /** What is left of it, at least nothing, without {@code o}. */
-  public Amount less(Amount o) {
-    return new Amount(
+  public Resources less(Resources o) {
+    return new Resources(
         Math.max(0, cpus - o.cpus), Math.max(0, gpus - o.gpus), Math.max(0, memGb - o.memGb));
   }
 
   /** The larger of both in everything. */
-  public Amount max(Amount o) {
-    return new Amount(Math.max(cpus, o.cpus), Math.max(gpus, o.gpus), Math.max(memGb, o.memGb));
+  public Resources max(Resources o) {
+    return new Resources(Math.max(cpus, o.cpus), Math.max(gpus, o.gpus), Math.max(memGb, o.memGb));
   }
 
   public boolean isZero() {
@@ -31,7 +31,7 @@
   }
 
   /** How many of {@code unit} it holds. */
-  public int holds(Amount unit) {
+  public int holds(Resources unit) {
     double n = Double.MAX_VALUE;
     n = unit.cpus > 0 ? Math.min(n, (cpus + EPS) / unit.cpus) : n;
     n = unit.gpus > 0 ? Math.min(n, (gpus + EPS) / unit.gpus) : n;
--- a/src/main/java/io/embernotch/plan/Market.java
+++ b/src/main/java/io/embernotch/scheduling/ScaleOutPlanner.java
@@ -1,22 +1,22 @@
-package io.embernotch.plan;
+package io.embernotch.scheduling;
 
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.MachineType;
-import io.embernotch.model.Shape;
+import io.embernotch.model.JobShape;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
 /** Which machines a plan rents. */
-final class Market {
+final class ScaleOutPlanner {
   private static final boolean[] KINDS = {true, false};
 
   private final Map<String, MachineType> types;
-  private final Fleet.Pools pools;
-  private final Slots slots;
-  private final Map<Plan.Buy, Integer> bought = new LinkedHashMap<>();
+  private final FleetView.Pools pools;
+  private final CandidateMachines slots;
+  private final Map<SchedulingPlan.Buy, Integer> bought = new LinkedHashMap<>();
   private int left;
 
-  Market(Map<String, MachineType> types, Fleet.Pools pools, Slots slots, int most) {
+  ScaleOutPlanner(Map<String, MachineType> types, FleetView.Pools pools, CandidateMachines slots, int most) {
     this.types = types;
     this.pools = pools;
     this.slots = slots;
@@ -24,11 +24,11 @@
   }
 
   /** Rents the machine with the lowest price for a task of this size; zones are filled evenly. */
-  Slot buy(JobSpec spec, Zones zones, boolean ordinaryToo) {
+  CandidateMachine buy(JobSpec spec, ZoneConstraints zones, boolean ordinaryToo) {
     if (left <= 0) {
       return null;
     }
-    Slot best = null;
+    CandidateMachine best = null;
     for (MachineType t : types.values()) {
       if (!t.fits(spec)) {
         continue;
@@ -36,13 +36,13 @@
       for (String zone : t.zones()) {
         for (boolean spot : KINDS) {
           if (!spec.allows(t.name(), zone, spot)
-              || spot && spec.shape() != Shape.ARRAY
+              || spot && spec.shape() != JobShape.ARRAY
               || !spot && !ordinaryToo
               || zones.room(zone) == 0
               || pools.exhausted(t.name(), zone, spot)) {
             continue;
           }
-          Slot s = new Slot(Slot.Kind.NEW, null, t, zone, spot);
+          CandidateMachine s = new CandidateMachine(CandidateMachine.Kind.NEW, null, t, zone, spot);
           double price = (spot ? t.spotPrice() : t.price()) / Math.max(1, s.count(spec, false));
           s.score = price * (1 + 0.001 * slots.inZone(zone));
           if (best == null || s.score < best.score) {
@@ -53,7 +53,7 @@
     }
     if (best != null) {
       left--;
-      bought.merge(new Plan.Buy(best.type.name(), best.zone, best.spot, 0), 1, Integer::sum);
+      bought.merge(new SchedulingPlan.Buy(best.type.name(), best.zone, best.spot, 0), 1, Integer::sum);
       slots.add(best);
     }
     return best;
@@ -77,7 +77,7 @@
       if (t.fits(spec) && t.zones().contains(zone)) {
         for (boolean spot : KINDS) {
           if (spec.allows(t.name(), zone, spot)
-              && !(spot && spec.shape() != Shape.ARRAY)
+              && !(spot && spec.shape() != JobShape.ARRAY)
               && !pools.exhausted(t.name(), zone, spot)) {
             return true;
           }
@@ -87,7 +87,7 @@
     return false;
   }
 
-  void collect(Plan plan) {
-    bought.forEach((b, n) -> plan.buys.add(new Plan.Buy(b.type(), b.zone(), b.spot(), n)));
+  void collect(SchedulingPlan plan) {
+    bought.forEach((b, n) -> plan.buys.add(new SchedulingPlan.Buy(b.type(), b.zone(), b.spot(), n)));
   }
 }
--- a/src/main/java/io/embernotch/plan/Planner.java
+++ b/src/main/java/io/embernotch/scheduling/Scheduler.java
@@ -1,11 +1,11 @@
-package io.embernotch.plan;
+package io.embernotch.scheduling;
 
 import io.embernotch.model.Job;
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.Machine;
 import io.embernotch.model.Priority;
-import io.embernotch.model.Shape;
-import io.embernotch.plan.Slots.Room;
+import io.embernotch.model.JobShape;
+import io.embernotch.scheduling.CandidateMachines.Room;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.Reservation;
 import io.embernotch.settings.Settings;
@@ -24,37 +24,37 @@
  * that is coming free, or a machine that is booting; else, if they may, they have others stopped;
  * else a machine is rented for them. What is claimed is not given to anybody behind.
  */
-public final class Planner implements Reserving.Host {
+public final class Scheduler implements ReservationPlanner.Host {
   private final Settings settings;
   private final OperatorSettings operator;
   private final int mostNew;
 
   private double now;
-  private Usage usage;
-  private Slots slots;
-  private Market market;
+  private QuotaUsage usage;
+  private CandidateMachines slots;
+  private ScaleOutPlanner market;
   private Preemption preemption;
-  private Queueing queueing;
-  private Spread spread;
-  private Gathering gathering;
-  private Plan plan;
+  private BootQueueing queueing;
+  private TopologySpread spread;
+  private GangAccumulation gathering;
+  private SchedulingPlan plan;
   /** Slots that may be filled at present. */
-  private Predicate<Slot> only = s -> true;
+  private Predicate<CandidateMachine> only = s -> true;
 
-  public Planner(Settings settings, OperatorSettings operator) {
+  public Scheduler(Settings settings, OperatorSettings operator) {
     this.settings = settings;
     this.operator = operator;
     // More could not be asked for in a second.
     this.mostNew = (int) Math.max(1, settings.cloudLimits().rps()) * Settings.Cloud.MAX_RENT;
   }
 
-  public Plan plan(Situation at) {
+  public SchedulingPlan plan(SchedulingInput at) {
     List<Job> order = placeLive(at);
     // Room for the next live service goes before all other work, or that would fill it.
-    new Reserving(at.holds(), slots, this).keep();
-    List<Fleet.Headroom> free = at.headroom().stream().filter(h -> !at.holds().serves(h.like())).toList();
+    new ReservationPlanner(at.holds(), slots, this).keep();
+    List<FleetView.Headroom> free = at.headroom().stream().filter(h -> !at.holds().serves(h.like())).toList();
     free.stream().filter(h -> h.like().priority() == Priority.PRODUCTION).forEach(this::keepFree);
-    gathering = new Gathering(slots, settings, market, now, at.wallMs());
+    gathering = new GangAccumulation(slots, settings, market, now, at.wallMs());
     gathering.hold(order);
     order.forEach(this::place);
     free.stream().filter(h -> h.like().priority() != Priority.PRODUCTION).forEach(this::keepFree);
@@ -65,25 +65,25 @@
   }
 
   /** The same for live services alone: a fraction of the time, where a whole plan would keep them waiting. */
-  public Plan liveOnly(Situation at) {
+  public SchedulingPlan liveOnly(SchedulingInput at) {
     placeLive(at);
     market.collect(plan);
     return plan;
   }
 
   /** Places live services, and returns the other jobs in their order. */
-  private List<Job> placeLive(Situation at) {
+  private List<Job> placeLive(SchedulingInput at) {
     now = at.now();
-    plan = new Plan();
-    usage = new Usage(settings.teams(), at.jobs());
+    plan = new SchedulingPlan();
+    usage = new QuotaUsage(settings.teams(), at.jobs());
     usage.markGuaranteed(at.jobs());
-    slots = Slots.of(at.machines(), this::usable, now, at.holds());
+    slots = CandidateMachines.of(at.machines(), this::usable, now, at.holds());
     at.expected().forEach(e -> slots.add(e, at.types().get(e.type())));
-    market = new Market(at.types(), at.pools(), slots, mostNew);
+    market = new ScaleOutPlanner(at.types(), at.pools(), slots, mostNew);
     preemption = new Preemption(settings, slots, plan, now);
-    queueing = new Queueing(at.jobs(), at.types());
-    spread = new Spread(slots, at.risk());
-    List<Job> order = Turns.of(at.jobs(), settings, slots, at.wallMs());
+    queueing = new BootQueueing(at.jobs(), at.types());
+    spread = new TopologySpread(slots, at.risk());
+    List<Job> order = JobOrdering.of(at.jobs(), settings, slots, at.wallMs());
     int live = 0;
     while (live < order.size() && order.get(live).spec.priority() == Priority.PRODUCTION) {
       place(order.get(live++));
@@ -104,7 +104,7 @@
     if (Math.max(job.backoffUntil, job.notBefore) > now) {
       return;
     }
-    if (job.spec.shape() == Shape.GANG) {
+    if (job.spec.shape() == JobShape.GANG) {
       placeGang(job);
     } else {
       placeTasks(job);
@@ -121,11 +121,11 @@
     }
     // Not all of a hundred thousand tasks are looked at when there is room for a few.
     PrimitiveIterator.OfInt tasks = job.pending();
-    Zones zones = Zones.of(job);
+    ZoneConstraints zones = ZoneConstraints.of(job);
     if (spec.oneZone() && zones.only == null) {
       zones.only = bestZone(spec, wanted);
     }
-    List<Plan.Placement> placements = new ArrayList<>();
+    List<SchedulingPlan.Placement> placements = new ArrayList<>();
     BitSet granted = grantWishes(job, wanted, zones, placements);
     wanted -= placements.size();
     int[] placed = new int[1];
@@ -137,18 +137,18 @@
             while (granted.get(task)) {
               task = tasks.nextInt();
             }
-            placements.add(new Plan.Placement(task, slot.machine));
+            placements.add(new SchedulingPlan.Placement(task, slot.machine));
           }
         };
     int claimed = 0;
-    if (spec.priority() == Priority.PRODUCTION && spec.shape() == Shape.SERVICE && job.restarted.get(job.firstPending())) {
+    if (spec.priority() == Priority.PRODUCTION && spec.shape() == JobShape.SERVICE && job.restarted.get(job.firstPending())) {
       claimed = bringBack(spec, wanted, zones, start);
     }
     fill(spec, Room.NOW, wanted - placed[0] - claimed, zones, start);
     claimed += claimLater(job, wanted - placed[0] - claimed, zones);
     usage.take(spec, placed[0] + claimed);
     if (!placements.isEmpty()) {
-      plan.starts.add(new Plan.Start(job, placements));
+      plan.starts.add(new SchedulingPlan.Start(job, placements));
     }
   }
 
@@ -156,7 +156,7 @@
    * Replicas that were lost go where their image is, if need be in place of lesser work: fetching
    * it anew would keep them down for longer than anything else does. Tells how many claim room so.
    */
-  private int bringBack(JobSpec spec, int wanted, Zones zones, Taken start) {
+  private int bringBack(JobSpec spec, int wanted, ZoneConstraints zones, Taken start) {
     only = s -> s.fetchS(spec) == 0;
     int placed = fill(spec, Room.NOW, wanted, zones, start);
     int claimed = fill(spec, Room.FREEING, wanted - placed, zones, (s, n) -> {});
@@ -166,7 +166,7 @@
   }
 
   /** Tasks that the straggler rounds have sent to a machine go there if they still can; tells which. */
-  private BitSet grantWishes(Job job, int wanted, Zones zones, List<Plan.Placement> placements) {
+  private BitSet grantWishes(Job job, int wanted, ZoneConstraints zones, List<SchedulingPlan.Placement> placements) {
     BitSet granted = new BitSet();
     if (job.wishes.isEmpty()) {
       return granted;
@@ -177,12 +177,12 @@
       if (wish == null) {
         continue;
       }
-      for (Slot s : slots.candidates(Room.NOW, job.spec, s -> zones.room(s.zone) > 0, s -> 0)) {
+      for (CandidateMachine s : slots.candidates(Room.NOW, job.spec, s -> zones.room(s.zone) > 0, s -> 0)) {
         if (s.machine.name.equals(wish)) {
           take(s, job.spec, 1, zones);
           usage.take(job.spec, 1);
           granted.set(task);
-          placements.add(new Plan.Placement(task, s.machine));
+          placements.add(new SchedulingPlan.Placement(task, s.machine));
           break;
         }
       }
@@ -191,7 +191,7 @@
   }
 
   private interface Taken {
-    void by(Slot slot, int tasks);
+    void by(CandidateMachine slot, int tasks);
   }
 
   /**
@@ -203,25 +203,25 @@
   }
 
   /** Gives up to {@code wanted} tasks such room, best slots first; tells how many got it. */
-  private int fill(JobSpec spec, Room room, int wanted, Zones zones, Taken taken) {
-    return fill(spec, room, wanted, zones, s -> Scores.of(spec, s, zones), taken);
+  private int fill(JobSpec spec, Room room, int wanted, ZoneConstraints zones, Taken taken) {
+    return fill(spec, room, wanted, zones, s -> PlacementScore.of(spec, s, zones), taken);
   }
 
   private int fill(
-      JobSpec spec, Room room, int wanted, Zones zones, ToDoubleFunction<Slot> score, Taken taken) {
+      JobSpec spec, Room room, int wanted, ZoneConstraints zones, ToDoubleFunction<CandidateMachine> score, Taken taken) {
     if (wanted <= 0) {
       return 0;
     }
     boolean keepOff = keepsOffOrdinary(spec);
     int done = 0;
-    List<Slot> found = slots.candidates(room, spec, s -> only.test(s) && zones.room(s.zone) > 0 && !(keepOff && dear(spec, s)), score);
-    if (spec.shape() == Shape.SERVICE && spec.tasks() > 1 && room == Room.NOW) {
+    List<CandidateMachine> found = slots.candidates(room, spec, s -> only.test(s) && zones.room(s.zone) > 0 && !(keepOff && dear(spec, s)), score);
+    if (spec.shape() == JobShape.SERVICE && spec.tasks() > 1 && room == Room.NOW) {
       return spread.place(found, spec, wanted, zones, score, s -> {
         take(s, spec, 1, zones);
         taken.by(s, 1);
       });
     }
-    for (Slot s : found) {
+    for (CandidateMachine s : found) {
       int n = Math.min(Math.min(s.count(spec, room == Room.FREEING), wanted - done), zones.room(s.zone));
       if (n > 0) {
         take(s, spec, n, zones);
@@ -235,14 +235,14 @@
     return done;
   }
 
-  private static void take(Slot s, JobSpec spec, int tasks, Zones zones) {
+  private static void take(CandidateMachine s, JobSpec spec, int tasks, ZoneConstraints zones) {
     s.take(spec, tasks);
     s.claimed = true;
     zones.put(s.zone, tasks);
   }
 
   /** Claims room that will be there: freed, made by stopping others, booting, or rented. */
-  private int claimLater(Job job, int wanted, Zones zones) {
+  private int claimLater(Job job, int wanted, ZoneConstraints zones) {
     JobSpec spec = job.spec;
     Taken nothing = (s, n) -> {};
     int done = fill(spec, Room.FREEING, wanted, zones, nothing);
@@ -256,14 +256,14 @@
     return done;
   }
 
-  private int claimNew(JobSpec spec, int wanted, Zones zones) {
+  private int claimNew(JobSpec spec, int wanted, ZoneConstraints zones) {
     Taken nothing = (s, n) -> {};
     int done = fill(spec, Room.COMING, wanted, zones, nothing);
     done += fill(spec, Room.NEW, wanted - done, zones, nothing);
     boolean cheapOnly = patient(settings, spec) && spec.spot() && (slots.anySpot() || market.spotToBeHad(spec));
     boolean ordinaryToo = !cheapOnly && queueing.worthOrdinary(spec);
     while (done < wanted) {
-      Slot s = market.buy(spec, zones, ordinaryToo);
+      CandidateMachine s = market.buy(spec, zones, ordinaryToo);
       if (s == null) {
         break;
       }
@@ -279,10 +279,10 @@
    * unless a service holds the machine anyway: it would only keep it from being returned.
    */
   private boolean keepsOffOrdinary(JobSpec spec) {
-    return spec.spot() && spec.shape() == Shape.ARRAY && market.spotToBeHad(spec);
+    return spec.spot() && spec.shape() == JobShape.ARRAY && market.spotToBeHad(spec);
   }
 
-  private static boolean dear(JobSpec spec, Slot s) {
+  private static boolean dear(JobSpec spec, CandidateMachine s) {
     return !s.spot && !s.paidFor(spec);
   }
 
@@ -296,13 +296,13 @@
       }
       double ready = 0;
       double coming = 0;
-      Zones here = new Zones(spec, zone);
-      for (Slot s : slots.candidates(Room.FREEING, spec, s -> here.room(s.zone) > 0, s -> 0)) {
+      ZoneConstraints here = new ZoneConstraints(spec, zone);
+      for (CandidateMachine s : slots.candidates(Room.FREEING, spec, s -> here.room(s.zone) > 0, s -> 0)) {
         int n = s.count(spec, false);
         // Room that is being made must decide the zone, or the next plan makes room in another.
         ready += n > 0 ? n : 0.9;
       }
-      for (Slot s : slots.candidates(Room.COMING, spec, s -> here.room(s.zone) > 0, s -> 0)) {
+      for (CandidateMachine s : slots.candidates(Room.COMING, spec, s -> here.room(s.zone) > 0, s -> 0)) {
         coming += s.count(spec, false);
       }
       double score = Math.min(ready, wanted) + Math.min(0.5, coming / 4) + (market.canBuy(spec, zone) ? 0.1 : 0);
@@ -342,18 +342,18 @@
         return;
       }
     }
-    Zones zones = new Zones(spec, first);
+    ZoneConstraints zones = new ZoneConstraints(spec, first);
     int now = fill(spec, Room.NOW, spec.tasks(), zones, (s, n) -> {});
     claimLater(job, spec.tasks() - now, zones);
   }
 
   private boolean startGang(Job job, String zone) {
     JobSpec spec = job.spec;
-    Zones zones = new Zones(spec, zone);
-    List<Slot> hosts = slots.candidates(Room.NOW, spec, s -> zones.room(s.zone) > 0, s -> Scores.of(spec, s, zones));
-    Zones probe = new Zones(spec, zone);
+    ZoneConstraints zones = new ZoneConstraints(spec, zone);
+    List<CandidateMachine> hosts = slots.candidates(Room.NOW, spec, s -> zones.room(s.zone) > 0, s -> PlacementScore.of(spec, s, zones));
+    ZoneConstraints probe = new ZoneConstraints(spec, zone);
     int there = 0;
-    for (Slot s : hosts) {
+    for (CandidateMachine s : hosts) {
       int n = Math.min(Math.min(s.count(spec, false), spec.tasks() - there), probe.room(s.zone));
       probe.put(s.zone, n);
       there += n;
@@ -361,27 +361,27 @@
     if (there < spec.tasks()) {
       return false;
     }
-    List<Plan.Placement> placements = new ArrayList<>();
-    for (Slot s : hosts) {
+    List<SchedulingPlan.Placement> placements = new ArrayList<>();
+    for (CandidateMachine s : hosts) {
       int n = Math.min(Math.min(s.count(spec, false), spec.tasks() - placements.size()), zones.room(s.zone));
       if (n > 0) {
         take(s, spec, n, zones);
         for (int i = 0; i < n; i++) {
-          placements.add(new Plan.Placement(placements.size(), s.machine));
+          placements.add(new SchedulingPlan.Placement(placements.size(), s.machine));
         }
       }
     }
-    plan.starts.add(new Plan.Start(job, placements));
+    plan.starts.add(new SchedulingPlan.Start(job, placements));
     return true;
   }
 
   /** Holds room for what may come, renting if there is too little. */
-  private void keepFree(Fleet.Headroom h) {
-    Zones anywhere = Zones.anywhere();
+  private void keepFree(FleetView.Headroom h) {
+    ZoneConstraints anywhere = ZoneConstraints.anywhere();
     // Nobody knows the next job's image, so machines that have many are kept, and young ones returned.
-    ToDoubleFunction<Slot> score = s -> -Scores.PACK_S * s.used() - (s.machine == null ? 0 : s.machine.images.size());
+    ToDoubleFunction<CandidateMachine> score = s -> -PlacementScore.PACK_S * s.used() - (s.machine == null ? 0 : s.machine.images.size());
     int now = fill(h.like(), Room.NOW, h.count(), anywhere, score, (s, n) -> {});
-    if (h.like().shape() == Shape.GANG) {
+    if (h.like().shape() == JobShape.GANG) {
       now += fill(h.like(), Room.FREEING, h.count() - now, anywhere, score, (s, n) -> {});
     }
     claimNew(h.like(), h.count() - now, anywhere);
@@ -389,20 +389,20 @@
 
   @Override
   public int claimLater(JobSpec like, int n) {
-    int done = fill(like, Room.FREEING, n, Zones.anywhere(), (s, k) -> {});
-    return done + claimNew(like, n - done, Zones.anywhere());
+    int done = fill(like, Room.FREEING, n, ZoneConstraints.anywhere(), (s, k) -> {});
+    return done + claimNew(like, n - done, ZoneConstraints.anywhere());
   }
 
   @Override
   public void restore(JobSpec like, int n, Reservation r) {
     if (settings.zones().stream().noneMatch(z -> market.canBuy(like, z))) {
-      preemption.makeRoom(like, n, Zones.anywhere(), s -> !s.spot && r.allowsType(s.type.name()));
+      preemption.makeRoom(like, n, ZoneConstraints.anywhere(), s -> !s.spot && r.allowsType(s.type.name()));
     }
   }
 
   private void collectReturns() {
-    for (Slot s : slots.all()) {
-      if (s.kind == Slot.Kind.READY
+    for (CandidateMachine s : slots.all()) {
+      if (s.kind == CandidateMachine.Kind.READY
           && !s.claimed
           && s.machine.open.isEmpty()
           && now - s.machine.idleSince > operator.keepIdleBoots() * s.type.bootS()) {
--- a/src/main/java/io/embernotch/plan/Situation.java
+++ b/src/main/java/io/embernotch/scheduling/SchedulingInput.java
@@ -1,4 +1,4 @@
-package io.embernotch.plan;
+package io.embernotch.scheduling;
 
 import io.embernotch.model.Job;
 import io.embernotch.model.Machine;
@@ -18,14 +18,14 @@
  * @param holds reservations
  * @param risk how often machines fail
  */
-public record Situation(
+public record SchedulingInput(
     double now,
     long wallMs,
     Collection<Job> jobs,
     Collection<Machine> machines,
     Map<String, MachineType> types,
-    Fleet.Pools pools,
-    List<Fleet.Expected> expected,
-    List<Fleet.Headroom> headroom,
-    Holds holds,
-    Risk risk) {}
+    FleetView.Pools pools,
+    List<FleetView.Expected> expected,
+    List<FleetView.Headroom> headroom,
+    ReservationView holds,
+    FailureRisk risk) {}
--- a/src/main/java/io/embernotch/plan/Plan.java
+++ b/src/main/java/io/embernotch/scheduling/SchedulingPlan.java
@@ -1,4 +1,4 @@
-package io.embernotch.plan;
+package io.embernotch.scheduling;
 
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 /** What the leader should do now. */
-public final class Plan {
+public final class SchedulingPlan {
   /** A task and the machine that it is to start on. */
   public record Placement(int task, Machine machine) {}
 
@@ -26,7 +26,7 @@
   public final List<Buy> buys = new ArrayList<>();
 
   /** What is to be held on machines for each reservation, by name; null: as before. */
-  public Map<String, Amount[]> held;
+  public Map<String, Resources[]> held;
 
   /** Idle machines that nothing waits for. */
   public final List<Machine> returns = new ArrayList<>();
--- a/src/main/java/io/embernotch/plan/Spread.java
+++ b/src/main/java/io/embernotch/scheduling/TopologySpread.java
@@ -1,4 +1,4 @@
-package io.embernotch.plan;
+package io.embernotch.scheduling;
 
 import io.embernotch.model.Attempt;
 import io.embernotch.model.JobSpec;
@@ -20,29 +20,29 @@
  * zone. That pays for no fetch where there is none to be saved later: weights on another machine
  * count only while that has room.
  */
-final class Spread {
+final class TopologySpread {
   /**
    * So many of the best machines are weighed for each replica: what speaks for spreading is small
    * beside a fetch.
    */
   private static final int WEIGHED = 4;
 
-  private final Slots slots;
-  private final Risk risk;
+  private final CandidateMachines slots;
+  private final FailureRisk risk;
 
   /** Machines that have an image. */
-  private Map<String, List<Slot>> holders;
+  private Map<String, List<CandidateMachine>> holders;
 
-  Spread(Slots slots, Risk risk) {
+  TopologySpread(CandidateMachines slots, FailureRisk risk) {
     this.slots = slots;
     this.risk = risk;
   }
 
-  private List<Slot> holders(String image) {
+  private List<CandidateMachine> holders(String image) {
     if (holders == null) {
       holders = new HashMap<>();
-      for (Slot s : slots.all()) {
-        if (s.kind == Slot.Kind.READY) {
+      for (CandidateMachine s : slots.all()) {
+        if (s.kind == CandidateMachine.Kind.READY) {
           s.machine.images.forEach(i -> holders.computeIfAbsent(i, x -> new ArrayList<>()).add(s));
         }
       }
@@ -52,7 +52,7 @@
 
   /** Seconds of replica time that one more replica is expected to lose by failures there. */
   static double lostS(
-      Risk r,
+      FailureRisk r,
       int replicas,
       double fetchS,
       int onMachine,
@@ -66,7 +66,7 @@
   }
 
   /** Replicas of the service on a machine. */
-  static int on(Slot s, JobSpec spec) {
+  static int on(CandidateMachine s, JobSpec spec) {
     int n = 0;
     for (Attempt a : s.machine.open.values()) {
       n += a.job.spec.ref().equals(spec.ref()) ? 1 : 0;
@@ -76,7 +76,7 @@
 
   /** What a placement does to a slot. */
   interface Placed {
-    void on(Slot slot);
+    void on(CandidateMachine slot);
   }
 
   /**
@@ -86,18 +86,18 @@
    * @param score seconds of delay on a machine as it is then, failures aside
    */
   int place(
-      List<Slot> best,
+      List<CandidateMachine> best,
       JobSpec spec,
       int wanted,
-      Zones zones,
-      ToDoubleFunction<Slot> score,
+      ZoneConstraints zones,
+      ToDoubleFunction<CandidateMachine> score,
       Placed placed) {
-    List<Slot> weighed = best.subList(0, Math.min(best.size(), WEIGHED * (wanted + 1)));
-    Map<Slot, Integer> there = new HashMap<>();
+    List<CandidateMachine> weighed = best.subList(0, Math.min(best.size(), WEIGHED * (wanted + 1)));
+    Map<CandidateMachine, Integer> there = new HashMap<>();
     weighed.forEach(s -> there.put(s, on(s, spec)));
     Set<String> zonesWith = new TreeSet<>();
     int holding = 0;
-    for (Slot s : holders(spec.image())) {
+    for (CandidateMachine s : holders(spec.image())) {
       if (s.count(spec, false) > 0) {
         holding++;
         zonesWith.add(s.zone);
@@ -105,9 +105,9 @@
     }
     int done = 0;
     while (done < wanted) {
-      Slot to = null;
+      CandidateMachine to = null;
       double least = 0;
-      for (Slot s : weighed) {
+      for (CandidateMachine s : weighed) {
         if (zones.room(s.zone) > 0 && s.count(spec, false) > 0) {
           boolean has = s.machine.images.contains(spec.image());
           double fetchS = s.type.fetchS(spec);
--- a/src/main/java/io/embernotch/plan/Zones.java
+++ b/src/main/java/io/embernotch/scheduling/ZoneConstraints.java
@@ -1,4 +1,4 @@
-package io.embernotch.plan;
+package io.embernotch.scheduling;
 
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
@@ -7,25 +7,25 @@
 import java.util.Map;
 
 /** Where a job's tasks are, and so where its next ones may go. */
-final class Zones {
+final class ZoneConstraints {
   private final JobSpec spec;
   private final Map<String, Integer> tasks = new HashMap<>();
 
   /** The zone that all must be in, or null. */
   String only;
 
-  Zones(JobSpec spec, String only) {
+  ZoneConstraints(JobSpec spec, String only) {
     this.spec = spec;
     this.only = only;
   }
 
   /** For room that no job's rules bind yet. */
-  static Zones anywhere() {
-    return new Zones(null, null);
+  static ZoneConstraints anywhere() {
+    return new ZoneConstraints(null, null);
   }
 
-  static Zones of(Job job) {
-    Zones z = new Zones(job.spec, null);
+  static ZoneConstraints of(Job job) {
+    ZoneConstraints z = new ZoneConstraints(job.spec, null);
     for (Attempt a : job.open.values()) {
       z.put(a.zone, 1);
     }
--- a/src/main/java/io/embernotch/settings/ReservationReader.java
+++ b/src/main/java/io/embernotch/settings/ReservationReader.java
@@ -1,7 +1,7 @@
 package io.embernotch.settings;
 
 import io.embernotch.model.Priority;
-import io.embernotch.model.Shape;
+import io.embernotch.model.JobShape;
 import io.embernotch.settings.proto.OperatorFile;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -84,7 +84,7 @@
   static Selector selector(OperatorFile.Work w) {
     return new Selector(
         w.hasPriority() ? priority(w.getPriority()) : null,
-        w.hasShape() ? Shape.valueOf(w.getShape().name()) : null,
+        w.hasShape() ? JobShape.valueOf(w.getShape().name()) : null,
         w.hasTeam() ? w.getTeam() : null,
         w.hasJobClass() ? w.getJobClass() : null);
   }
--- a/src/main/java/io/embernotch/settings/Selector.java
+++ b/src/main/java/io/embernotch/settings/Selector.java
@@ -2,10 +2,10 @@
 
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.Priority;
-import io.embernotch.model.Shape;
+import io.embernotch.model.JobShape;
 
 /** Which jobs something is about: all that is given must match; null: any. */
-public record Selector(Priority priority, Shape shape, String team, String jobClass) {
+public record Selector(Priority priority, JobShape shape, String team, String jobClass) {
   public boolean matches(JobSpec j) {
     return (priority == null || priority == j.priority())
         && (shape == null || shape == j.shape())
--- a/src/main/java/io/embernotch/shared/InForce.java
+++ b/src/main/java/io/embernotch/shared/EffectiveConfiguration.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.embernotch.codec.BadInput;
+import io.embernotch.codec.MalformedInputException;
 import io.embernotch.codec.Json;
 import java.util.function.Consumer;
 import java.util.function.Function;
@@ -16,8 +16,8 @@
  *
  * @param <T> what a file says
  */
-public final class InForce<T> {
-  private static final Logger LOG = LoggerFactory.getLogger(InForce.class);
+public final class EffectiveConfiguration<T> {
+  private static final Logger LOG = LoggerFactory.getLogger(EffectiveConfiguration.class);
 
   private final SharedState shared;
   private final String name;
@@ -35,7 +35,7 @@
    *     the generation
    * @param changed is told when something else has come into force
    */
-  public InForce(
+  public EffectiveConfiguration(
       SharedState shared,
       String name,
       T own,
@@ -98,7 +98,7 @@
       }
       value = there;
       generation = since;
-    } catch (BadInput e) {
+    } catch (MalformedInputException e) {
       LOG.error("what the state service says of {} can't be read: {}", name, e.getMessage());
     }
   }
--- a/src/main/java/io/embernotch/shared/SharedState.java
+++ b/src/main/java/io/embernotch/shared/SharedState.java
@@ -2,14 +2,14 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.Json;
-import io.embernotch.codec.RunCodec;
+import io.embernotch.codec.JobProgressCodec;
 import io.embernotch.codec.Versions;
-import io.embernotch.env.Env;
-import io.embernotch.store.Commit;
-import io.embernotch.store.Entry;
-import io.embernotch.store.Pacer.Rank;
-import io.embernotch.store.StoreFailure;
-import io.embernotch.store.Txn;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.store.TransactionResult;
+import io.embernotch.store.VersionedEntry;
+import io.embernotch.store.RateLimiter.Rank;
+import io.embernotch.store.StoreException;
+import io.embernotch.store.Transaction;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -39,7 +39,7 @@
 
   private record Change(ObjectNode value, List<Runnable> durable) {}
 
-  private final Env env;
+  private final ControllerContext env;
   private final long stamp;
   private final long firstVersion;
   private final int mostChanges;
@@ -59,7 +59,7 @@
    * @param firstVersion of what this term writes: above those of all before it
    * @param deposed told when a commit fails on the leader's key
    */
-  public SharedState(Env env, long stamp, long firstVersion, Runnable deposed) {
+  public SharedState(ControllerContext env, long stamp, long firstVersion, Runnable deposed) {
     this.env = env;
     this.stamp = stamp;
     this.firstVersion = firstVersion;
@@ -69,12 +69,12 @@
   }
 
   /** Takes what the store holds, the base of its era beneath it. */
-  public void load(List<Entry> entries) {
+  public void load(List<VersionedEntry> entries) {
     edition++;
     facts.clear();
-    for (Entry e : entries) {
+    for (VersionedEntry e : entries) {
       if (e.present()) {
-        facts.put(e.key().substring(RunCodec.SHARED.length()), new Fact(e.value(), e.stamp()));
+        facts.put(e.key().substring(JobProgressCodec.SHARED.length()), new Fact(e.value(), e.stamp()));
         version = Math.max(version, Versions.of(e.value()));
       }
     }
@@ -164,16 +164,16 @@
     if (busy || closed || wanted.isEmpty()) {
       return;
     }
-    Txn txn = new Txn().when(RunCodec.LEADER, stamp);
+    Transaction txn = new Transaction().when(JobProgressCodec.LEADER, stamp);
     Map<String, Change> batch = new LinkedHashMap<>();
     int bytes = 0;
     for (Map.Entry<String, Change> e : wanted.entrySet()) {
       bytes += Json.bytes(e.getValue().value).length + 2 * e.getKey().length() + 100;
-      if (batch.size() >= mostChanges || (bytes > Txn.MAX_BYTES && !batch.isEmpty())) {
+      if (batch.size() >= mostChanges || (bytes > Transaction.MAX_BYTES && !batch.isEmpty())) {
         break;
       }
       Fact f = facts.get(e.getKey());
-      String key = RunCodec.SHARED + e.getKey();
+      String key = JobProgressCodec.SHARED + e.getKey();
       txn.when(key, f == null ? 0 : f.stamp).write(key, e.getValue().value);
       batch.put(e.getKey(), e.getValue());
     }
@@ -184,12 +184,12 @@
         .onFailure(e -> unanswered(e, batch));
   }
 
-  private void answered(Commit commit, Map<String, Change> batch) {
+  private void answered(TransactionResult commit, Map<String, Change> batch) {
     if (closed) {
       return;
     }
     if (!commit.applied()) {
-      if (commit.failed().contains(RunCodec.LEADER)) {
+      if (commit.failed().contains(JobProgressCodec.LEADER)) {
         closed = true;
         deposed.run();
         return;
@@ -211,13 +211,13 @@
       return;
     }
     LOG.info("facts {} were not written: {}", batch.keySet(), e.getMessage());
-    if (StoreFailure.kindOf(e) == StoreFailure.Kind.MALFORMED) {
+    if (StoreException.kindOf(e) == StoreException.Kind.MALFORMED) {
       // One that the store does not take must hold up no other; what the store holds of it stays
       // true.
       LOG.error("the state service does not take the facts {}", batch.keySet());
       batch.forEach(wanted::remove);
     }
-    if (StoreFailure.kindOf(e) == StoreFailure.Kind.UNKNOWN) {
+    if (StoreException.kindOf(e) == StoreException.Kind.UNKNOWN) {
       reread();
     } else {
       later(
@@ -245,7 +245,7 @@
    */
   private void reread() {
     env.store()
-        .list(RunCodec.SHARED)
+        .list(JobProgressCodec.SHARED)
         .onSuccess(
             read -> {
               if (closed) {
--- a/src/main/java/io/embernotch/copy/Base.java
+++ b/src/main/java/io/embernotch/snapshot/BaseSnapshot.java
@@ -1,17 +1,17 @@
-package io.embernotch.copy;
+package io.embernotch.snapshot;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.google.protobuf.InvalidProtocolBufferException;
-import io.embernotch.codec.BadInput;
+import io.embernotch.codec.MalformedInputException;
 import io.embernotch.codec.Json;
-import io.embernotch.codec.RunCodec;
+import io.embernotch.codec.JobProgressCodec;
 import io.embernotch.codec.Versions;
 import io.embernotch.copy.proto.CopyFile.Copy;
 import io.embernotch.copy.proto.CopyFile.EndedCopy;
 import io.embernotch.copy.proto.CopyFile.JobCopy;
-import io.embernotch.ledger.Ledger;
-import io.embernotch.store.Changes;
-import io.embernotch.store.Entry;
+import io.embernotch.state.ClusterState;
+import io.embernotch.store.WatchEvents;
+import io.embernotch.store.VersionedEntry;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -23,9 +23,9 @@
  * that was written in this era is newer than the base, one that was left from before is older. Of a
  * job that the base says has ended nothing else counts.
  */
-public final class Base {
+public final class BaseSnapshot {
   /** An era that began with nothing. */
-  public static final Base EMPTY = new Base(Copy.newBuilder().setComplete(true).build(), 0);
+  public static final BaseSnapshot EMPTY = new BaseSnapshot(Copy.newBuilder().setComplete(true).build(), 0);
 
   private final boolean complete;
   private final long since;
@@ -33,20 +33,20 @@
   /** Packed: jobs that nobody asks for are never taken apart. */
   private final Map<String, byte[]> jobs = new LinkedHashMap<>();
 
-  private final Map<String, Ledger.Ended> ended = new HashMap<>();
+  private final Map<String, ClusterState.Ended> ended = new HashMap<>();
   private final Map<String, ObjectNode> shared = new TreeMap<>();
 
   /**
    * @param since keys with a higher stamp are newer than the copy
    */
-  public Base(Copy copy, long since) {
+  public BaseSnapshot(Copy copy, long since) {
     this.complete = copy.getComplete();
     this.since = since;
     for (JobCopy j : copy.getJobList()) {
       jobs.put(j.getRef(), j.toByteArray());
     }
     for (EndedCopy e : copy.getEndedList()) {
-      ended.put(e.getRef(), Copies.ended(e));
+      ended.put(e.getRef(), StateSnapshot.ended(e));
     }
     copy.getSharedList()
         .forEach(s -> shared.put(s.getName(), Json.parseObject(s.getValue().toByteArray())));
@@ -68,52 +68,52 @@
   }
 
   /** The end of a job of which nothing else is left; null if it is not such a one. */
-  public Ledger.Ended ended(String ref) {
+  public ClusterState.Ended ended(String ref) {
     return ended.get(ref);
   }
 
-  public Map<String, Ledger.Ended> allEnded() {
+  public Map<String, ClusterState.Ended> allEnded() {
     return ended;
   }
 
   /** The store's keys under a prefix, {@code stored}, with what stands beneath them. */
-  public Changes beneath(String prefix, Changes stored) {
+  public WatchEvents beneath(String prefix, WatchEvents stored) {
     if (jobs.isEmpty() && ended.isEmpty()) {
       return stored;
     }
-    Map<String, Entry> out = new LinkedHashMap<>();
+    Map<String, VersionedEntry> out = new LinkedHashMap<>();
     for (byte[] job : jobs.values()) {
       lay(job, prefix, out);
     }
     stored.events().forEach(e -> over(e, out));
-    return new Changes(stored.epoch(), List.copyOf(out.values()));
+    return new WatchEvents(stored.epoch(), List.copyOf(out.values()));
   }
 
   /**
    * The store's shared facts with what stands beneath them: of each the later value, under the
    * stamp that the store has.
    */
-  public List<Entry> beneathShared(Changes stored) {
-    Map<String, Entry> out = new TreeMap<>();
+  public List<VersionedEntry> beneathShared(WatchEvents stored) {
+    Map<String, VersionedEntry> out = new TreeMap<>();
     shared.forEach(
         (name, value) ->
-            out.put(RunCodec.SHARED + name, new Entry(RunCodec.SHARED + name, value, 0)));
-    for (Entry e : stored.events()) {
+            out.put(JobProgressCodec.SHARED + name, new VersionedEntry(JobProgressCodec.SHARED + name, value, 0)));
+    for (VersionedEntry e : stored.events()) {
       if (e.present()) {
-        Entry below = out.get(e.key());
+        VersionedEntry below = out.get(e.key());
         out.put(
             e.key(),
             below == null
                 ? e
-                : new Entry(e.key(), Versions.later(below.value(), e.value()), e.stamp()));
+                : new VersionedEntry(e.key(), Versions.later(below.value(), e.value()), e.stamp()));
       }
     }
     return List.copyOf(out.values());
   }
 
   /** The same of one job. */
-  public List<Entry> beneath(String ref, String prefix, List<Entry> stored) {
-    Map<String, Entry> out = new LinkedHashMap<>();
+  public List<VersionedEntry> beneath(String ref, String prefix, List<VersionedEntry> stored) {
+    Map<String, VersionedEntry> out = new LinkedHashMap<>();
     if (jobs.containsKey(ref)) {
       lay(jobs.get(ref), prefix, out);
     }
@@ -121,19 +121,19 @@
     return List.copyOf(out.values());
   }
 
-  private static void lay(byte[] job, String prefix, Map<String, Entry> out) {
+  private static void lay(byte[] job, String prefix, Map<String, VersionedEntry> out) {
     try {
-      for (Entry e : Copies.entries(JobCopy.parseFrom(job))) {
+      for (VersionedEntry e : StateSnapshot.entries(JobCopy.parseFrom(job))) {
         if (e.key().startsWith(prefix)) {
           out.put(e.key(), e);
         }
       }
     } catch (InvalidProtocolBufferException e) {
-      throw new BadInput("a job of the base: " + e.getMessage());
+      throw new MalformedInputException("a job of the base: " + e.getMessage());
     }
   }
 
-  private void over(Entry e, Map<String, Entry> out) {
+  private void over(VersionedEntry e, Map<String, VersionedEntry> out) {
     String ref = e.key().split("/")[1];
     if (ended.containsKey(ref)) {
       return;
@@ -142,7 +142,7 @@
       out.put(e.key(), e);
     } else if (out.containsKey(e.key())) {
       // Older than the base, but whoever writes it next conditions on its stamp.
-      out.put(e.key(), new Entry(e.key(), out.get(e.key()).value(), e.stamp()));
+      out.put(e.key(), new VersionedEntry(e.key(), out.get(e.key()).value(), e.stamp()));
     }
   }
 }
--- a/src/main/java/io/embernotch/copy/Blocks.java
+++ b/src/main/java/io/embernotch/snapshot/SnapshotBlocks.java
@@ -1,7 +1,7 @@
-package io.embernotch.copy;
+package io.embernotch.snapshot;
 
 import com.google.protobuf.InvalidProtocolBufferException;
-import io.embernotch.codec.BadInput;
+import io.embernotch.codec.MalformedInputException;
 import io.embernotch.copy.proto.CopyFile.Copy;
 import java.io.ByteArrayOutputStream;
 import java.util.ArrayList;
@@ -18,7 +18,7 @@
  *
  * @param crc over the blocks in their order
  */
-public record Blocks(List<byte[]> blocks, long crc) {
+public record SnapshotBlocks(List<byte[]> blocks, long crc) {
   private static final int VERSION = 1;
 
   /** Bytes that a block's value takes besides its base64: names, checksum, quotes. */
@@ -27,7 +27,7 @@
   /**
    * @param valueBytes what a value may have at the most
    */
-  public static Blocks pack(Copy copy, int valueBytes) {
+  public static SnapshotBlocks pack(Copy copy, int valueBytes) {
     Deflater zip = new Deflater(Deflater.BEST_SPEED);
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     byte[] buffer = new byte[4096];
@@ -44,7 +44,7 @@
     for (int from = 0; from < packed.length; from += most) {
       out.add(Arrays.copyOfRange(packed, from, Math.min(packed.length, from + most)));
     }
-    return new Blocks(out, sum(packed));
+    return new SnapshotBlocks(out, sum(packed));
   }
 
   public static long sum(byte[] bytes) {
@@ -54,23 +54,23 @@
   }
 
   /**
-   * @throws BadInput if the copy is damaged, with what is wrong: it is never used in part
+   * @throws MalformedInputException if the copy is damaged, with what is wrong: it is never used in part
    */
   public Copy unpack() {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     blocks.forEach(b -> all.write(b, 0, b.length));
     byte[] packed = all.toByteArray();
     if (sum(packed) != crc) {
-      throw new BadInput("the checksum over all " + blocks.size() + " blocks is wrong");
+      throw new MalformedInputException("the checksum over all " + blocks.size() + " blocks is wrong");
     }
     try {
       Copy copy = Copy.parseFrom(inflate(packed));
       if (copy.getVersion() > VERSION) {
-        throw new BadInput("a copy of format " + copy.getVersion() + ", newer than " + VERSION);
+        throw new MalformedInputException("a copy of format " + copy.getVersion() + ", newer than " + VERSION);
       }
       return copy;
     } catch (DataFormatException | InvalidProtocolBufferException e) {
-      throw new BadInput("unreadable copy: " + e.getMessage());
+      throw new MalformedInputException("unreadable copy: " + e.getMessage());
     }
   }
 
--- a/src/main/java/io/embernotch/copy/Merge.java
+++ b/src/main/java/io/embernotch/snapshot/SnapshotMerge.java
@@ -1,4 +1,4 @@
-package io.embernotch.copy;
+package io.embernotch.snapshot;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.google.protobuf.ByteString;
@@ -22,9 +22,9 @@
  * of each task the open attempt of the highest number stays, since a later one is only begun once
  * those before it are proven gone. That an attempt is missing from one copy proves nothing. A job
  * of which only its end is left, since all its attempts were proven gone, stays so. Commutative,
- * associative, idempotent, and no less than either ({@code MergeTest}).
+ * associative, idempotent, and no less than either ({@code SnapshotMergeTest}).
  */
-public final class Merge {
+public final class SnapshotMerge {
   private static final Comparator<OpenCopy> LATER =
       Comparator.comparingLong(OpenCopy::getNumber)
           .thenComparing(OpenCopy::getMachine)
@@ -32,18 +32,18 @@
           .thenComparing(OpenCopy::hasWish)
           .thenComparing(OpenCopy::getWish);
 
-  private Merge() {}
+  private SnapshotMerge() {}
 
   public static Copy of(Copy a, Copy b) {
     TreeMap<String, EndedCopy> ended = new TreeMap<>();
     for (Copy c : new Copy[] {a, b}) {
-      c.getEndedList().forEach(e -> ended.merge(e.getRef(), e, Merge::ends));
+      c.getEndedList().forEach(e -> ended.merge(e.getRef(), e, SnapshotMerge::ends));
     }
     TreeMap<String, JobCopy> jobs = new TreeMap<>();
     for (Copy c : new Copy[] {a, b}) {
       for (JobCopy j : c.getJobList()) {
         if (!ended.containsKey(j.getRef())) {
-          jobs.merge(j.getRef(), j, Merge::jobs);
+          jobs.merge(j.getRef(), j, SnapshotMerge::jobs);
         }
       }
     }
