--- a/src/main/java/io/embernotch/copy/Copies.java
+++ b/src/main/java/io/embernotch/snapshot/StateSnapshot.java
@@ -1,22 +1,22 @@
-package io.embernotch.copy;
+package io.embernotch.snapshot;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.google.protobuf.ByteString;
-import io.embernotch.codec.BadInput;
+import io.embernotch.codec.MalformedInputException;
 import io.embernotch.codec.Json;
-import io.embernotch.codec.RunCodec;
+import io.embernotch.codec.JobProgressCodec;
 import io.embernotch.copy.proto.CopyFile.Copy;
 import io.embernotch.copy.proto.CopyFile.End;
 import io.embernotch.copy.proto.CopyFile.EndedCopy;
 import io.embernotch.copy.proto.CopyFile.JobCopy;
 import io.embernotch.copy.proto.CopyFile.OpenCopy;
 import io.embernotch.copy.proto.CopyFile.SharedCopy;
-import io.embernotch.ledger.Ledger;
+import io.embernotch.state.ClusterState;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
-import io.embernotch.model.Phase;
-import io.embernotch.store.Changes;
-import io.embernotch.store.Entry;
+import io.embernotch.model.JobPhase;
+import io.embernotch.store.WatchEvents;
+import io.embernotch.store.VersionedEntry;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -32,10 +32,10 @@
  * Copies of what the state service is to hold: made from a leader's ledger, and read back as its
  * keys.
  */
-public final class Copies {
-  private static final Logger LOG = LoggerFactory.getLogger(Copies.class);
+public final class StateSnapshot {
+  private static final Logger LOG = LoggerFactory.getLogger(StateSnapshot.class);
 
-  private Copies() {}
+  private StateSnapshot() {}
 
   /**
    * What a leader's ledger says, which is all that its store held and what it had not written yet.
@@ -45,7 +45,7 @@
    * @param shared facts beside jobs, by name
    */
   public static Copy of(
-      Ledger ledger,
+      ClusterState ledger,
       ToIntFunction<String> pieceOf,
       Map<String, ObjectNode> shared,
       long epoch,
@@ -61,14 +61,14 @@
    * What is left in the store, of whatever moment each key is. Values that can't be read are left
    * out, and pieces without their job.
    */
-  public static Copy of(Changes jobs, Changes runs, Changes parts, Changes shared) {
+  public static Copy of(WatchEvents jobs, WatchEvents runs, WatchEvents parts, WatchEvents shared) {
     Map<String, Job> all = new LinkedHashMap<>();
     Map<String, Integer> sizes = new HashMap<>();
     read(
         jobs,
         e -> {
-          Job job = RunCodec.readJob(e.value());
-          sizes.put(job.spec.ref(), RunCodec.readPiece(e.value()));
+          Job job = JobProgressCodec.readJob(e.value());
+          sizes.put(job.spec.ref(), JobProgressCodec.readPiece(e.value()));
           all.put(job.spec.ref(), job);
         });
     read(
@@ -76,27 +76,27 @@
         e -> {
           Job job = all.get(e.key().split("/")[1]);
           if (job != null) {
-            RunCodec.readRun(e.value(), job, sizes.get(job.spec.ref()), RunCodec.pieceOf(e.key()));
+            JobProgressCodec.readRun(e.value(), job, sizes.get(job.spec.ref()), JobProgressCodec.pieceOf(e.key()));
           }
         });
-    Map<String, List<StoredPart>> partsOf = new LinkedHashMap<>();
+    Map<String, List<ProgressShard>> partsOf = new LinkedHashMap<>();
     read(
         parts,
         e -> {
-          StoredPart part = StoredPart.of(e);
+          ProgressShard part = ProgressShard.of(e);
           if (all.containsKey(part.ref())) {
             partsOf.computeIfAbsent(part.ref(), r -> new ArrayList<>()).add(part);
           }
         });
     partsOf.forEach(
         (ref, list) -> {
-          StoredPart.add(all.get(ref), list);
+          ProgressShard.add(all.get(ref), list);
           list.forEach(p -> sizes.merge(ref, p.size(), Math::min));
         });
     Copy.Builder out = Copy.newBuilder().setComplete(false);
     shared.events().stream()
-        .filter(Entry::present)
-        .forEach(e -> out.addShared(fact(e.key().substring(RunCodec.SHARED.length()), e.value())));
+        .filter(VersionedEntry::present)
+        .forEach(e -> out.addShared(fact(e.key().substring(JobProgressCodec.SHARED.length()), e.value())));
     all.forEach((ref, job) -> out.addJob(job(job, sizes.get(ref))));
     return out.build();
   }
@@ -108,11 +108,11 @@
         .build();
   }
 
-  private static void read(Changes entries, Consumer<Entry> take) {
-    for (Entry e : entries.events()) {
+  private static void read(WatchEvents entries, Consumer<VersionedEntry> take) {
+    for (VersionedEntry e : entries.events()) {
       try {
         take.accept(e);
-      } catch (BadInput | IllegalArgumentException bad) {
+      } catch (MalformedInputException | IllegalArgumentException bad) {
         LOG.warn("what is left of {} can't be read: {}", e.key(), bad.getMessage());
       }
     }
@@ -122,7 +122,7 @@
     JobCopy.Builder b =
         JobCopy.newBuilder()
             .setRef(job.spec.ref())
-            .setValue(ByteString.copyFrom(Json.bytes(RunCodec.writeJob(job, piece))))
+            .setValue(ByteString.copyFrom(Json.bytes(JobProgressCodec.writeJob(job, piece))))
             .setNextAttempt(job.nextAttempt)
             .setDone(ByteString.copyFrom(job.done.toByteArray()));
     if (job.end != null) {
@@ -148,7 +148,7 @@
     return b.build();
   }
 
-  private static EndedCopy ended(String ref, Ledger.Ended e) {
+  private static EndedCopy ended(String ref, ClusterState.Ended e) {
     return EndedCopy.newBuilder()
         .setRef(ref)
         .setEnd(end(e.phase()))
@@ -158,26 +158,26 @@
         .build();
   }
 
-  private static End end(Phase phase) {
-    return phase == Phase.DONE ? End.DONE : End.CANCELLED;
+  private static End end(JobPhase phase) {
+    return phase == JobPhase.DONE ? End.DONE : End.CANCELLED;
   }
 
-  private static Phase phase(End end) {
-    return end == End.DONE ? Phase.DONE : Phase.CANCELLED;
+  private static JobPhase phase(End end) {
+    return end == End.DONE ? JobPhase.DONE : JobPhase.CANCELLED;
   }
 
-  static Ledger.Ended ended(EndedCopy e) {
-    return new Ledger.Ended(phase(e.getEnd()), e.getTasks(), e.getDone(), e.getAtMs());
+  static ClusterState.Ended ended(EndedCopy e) {
+    return new ClusterState.Ended(phase(e.getEnd()), e.getTasks(), e.getDone(), e.getAtMs());
   }
 
   /**
    * The keys of a job as the store would hold them, with stamp 0: its submission first, then its
    * pieces.
    */
-  static List<Entry> entries(JobCopy c) {
+  static List<VersionedEntry> entries(JobCopy c) {
     var value = Json.parseObject(c.getValue().toByteArray());
-    Job job = RunCodec.readJob(value);
-    int piece = RunCodec.readPiece(value);
+    Job job = JobProgressCodec.readJob(value);
+    int piece = JobProgressCodec.readPiece(value);
     job.nextAttempt = c.getNextAttempt();
     if (c.hasEnd()) {
       job.end = phase(c.getEnd());
@@ -197,10 +197,10 @@
         job.wishes.put(o.getTask(), o.getWish());
       }
     }
-    List<Entry> out = new ArrayList<>();
-    out.add(new Entry(RunCodec.JOB + c.getRef(), value, 0));
+    List<VersionedEntry> out = new ArrayList<>();
+    out.add(new VersionedEntry(JobProgressCodec.JOB + c.getRef(), value, 0));
     for (int k = 0; k * piece < job.spec.tasks(); k++) {
-      out.add(new Entry(RunCodec.key(c.getRef(), k), RunCodec.writeRun(job, piece, k), 0));
+      out.add(new VersionedEntry(JobProgressCodec.key(c.getRef(), k), JobProgressCodec.writeRun(job, piece, k), 0));
     }
     return out;
   }
--- a/src/main/java/io/embernotch/snapshot/Snapshot.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotArchive.java
@@ -1,4 +1,4 @@
-package io.embernotch.snapshot;
+package io.embernotch.snapshot.file;
 
 import com.google.protobuf.InvalidProtocolBufferException;
 import io.embernotch.copy.proto.CopyFile.Copy;
@@ -21,7 +21,7 @@
  * each of them; the head has the number of parts and one checksum over all, since an archive that
  * lacks its last parts would look whole.
  */
-public final class Snapshot {
+public final class SnapshotArchive {
   private static final int VERSION = 1;
 
   /** Jobs in a part, and ends: damage is named by the part. */
@@ -41,7 +41,7 @@
   private final SnapshotHead head;
   private final Copy copy;
 
-  private Snapshot(SnapshotHead head, Copy copy) {
+  private SnapshotArchive(SnapshotHead head, Copy copy) {
     this.head = head;
     this.copy = copy;
   }
@@ -79,7 +79,7 @@
   /**
    * @throws Damaged if it is not a whole snapshot, with the place; nothing of it is to be used then
    */
-  public static Snapshot read(InputStream in) throws IOException {
+  public static SnapshotArchive read(InputStream in) throws IOException {
     ZipInputStream zip = new ZipInputStream(in);
     SnapshotHead head;
     Copy.Builder copy = Copy.newBuilder();
@@ -104,7 +104,7 @@
         || copy.getEndedCount() != head.getEnded()) {
       throw new Damaged("head: the checksum over all parts, or their contents' count, is another");
     }
-    return new Snapshot(
+    return new SnapshotArchive(
         head,
         copy.setEpoch(head.getEpoch()).setWallMs(head.getWallMs()).setComplete(false).build());
   }
--- a/src/main/java/io/embernotch/snapshot/SnapshotDiff.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotDiff.java
@@ -1,4 +1,4 @@
-package io.embernotch.snapshot;
+package io.embernotch.snapshot.file;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.google.protobuf.Message;
--- a/src/main/java/io/embernotch/snapshot/SnapshotDir.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotDirectory.java
@@ -1,4 +1,4 @@
-package io.embernotch.snapshot;
+package io.embernotch.snapshot.file;
 
 import io.embernotch.copy.proto.CopyFile.Copy;
 import java.io.BufferedInputStream;
@@ -23,8 +23,8 @@
  * synced, and renamed. Its name holds the epoch and the time of day, so that names sort by age; the
  * epoch comes first, since clocks of controllers differ. All calls block.
  */
-public final class SnapshotDir {
-  private static final Logger LOG = LoggerFactory.getLogger(SnapshotDir.class);
+public final class SnapshotDirectory {
+  private static final Logger LOG = LoggerFactory.getLogger(SnapshotDirectory.class);
   private static final String END = ".snapshot";
   private static final String UNFINISHED = ".unfinished";
 
@@ -34,7 +34,7 @@
   /**
    * @param keep how many are kept when another is written, at least one
    */
-  public SnapshotDir(Path directory, int keep) {
+  public SnapshotDirectory(Path directory, int keep) {
     this.directory = directory;
     this.keep = keep;
   }
@@ -51,7 +51,7 @@
             StandardOpenOption.TRUNCATE_EXISTING,
             StandardOpenOption.WRITE)) {
       OutputStream out = new BufferedOutputStream(Channels.newOutputStream(channel));
-      Snapshot.write(copy, era, out);
+      SnapshotArchive.write(copy, era, out);
       out.flush();
       channel.force(true);
     }
@@ -80,11 +80,11 @@
   /**
    * The newest that is whole; null if there is none. Damaged ones are named in the log, and left.
    */
-  public Snapshot newest() throws IOException {
+  public SnapshotArchive newest() throws IOException {
     for (Path file : list()) {
       try {
         return read(file);
-      } catch (Snapshot.Damaged e) {
+      } catch (SnapshotArchive.Damaged e) {
         LOG.error("snapshot {} is damaged: {}", file.getFileName(), e.getMessage());
       }
     }
@@ -94,9 +94,9 @@
   /**
    * @throws Snapshot.Damaged if it is not whole, with the place of the damage
    */
-  public static Snapshot read(Path file) throws IOException {
+  public static SnapshotArchive read(Path file) throws IOException {
     try (InputStream in = new BufferedInputStream(Files.newInputStream(file))) {
-      return Snapshot.read(in);
+      return SnapshotArchive.read(in);
     }
   }
 }
--- a/src/main/java/io/embernotch/snapshot/Snapshots.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotScheduler.java
@@ -1,8 +1,8 @@
-package io.embernotch.snapshot;
+package io.embernotch.snapshot.file;
 
-import io.embernotch.actor.Latencies;
+import io.embernotch.actor.LatencyRecorder;
 import io.embernotch.copy.proto.CopyFile.Copy;
-import io.embernotch.env.Env;
+import io.embernotch.context.ControllerContext;
 import io.embernotch.settings.OperatorSettings;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -11,27 +11,27 @@
 import org.slf4j.LoggerFactory;
 
 /** Takes snapshots now and then while this node is leader, if the operators named a directory. */
-public final class Snapshots {
-  private static final Logger LOG = LoggerFactory.getLogger(Snapshots.class);
+public final class SnapshotScheduler {
+  private static final Logger LOG = LoggerFactory.getLogger(SnapshotScheduler.class);
 
   /** So many intervals without a new snapshot are said in the log. */
   private static final int LATE = 3;
 
-  private final Env env;
+  private final ControllerContext env;
   private final OperatorSettings.Snapshots settings;
-  private final SnapshotDir directory;
-  private final Latencies took = new Latencies();
+  private final SnapshotDirectory directory;
+  private final LatencyRecorder took = new LatencyRecorder();
   private double takenAt;
   private double triedAt;
   private boolean writing;
 
-  public Snapshots(Env env) {
+  public SnapshotScheduler(ControllerContext env) {
     this.env = env;
     this.settings = env.operator().snapshots();
     this.directory =
         settings.directory() == null
             ? null
-            : new SnapshotDir(settings.directory(), settings.keep());
+            : new SnapshotDirectory(settings.directory(), settings.keep());
     this.takenAt = env.clock().now();
     this.triedAt = takenAt;
   }
@@ -95,7 +95,7 @@
       return null;
     }
     try {
-      Snapshot s = directory.newest();
+      SnapshotArchive s = directory.newest();
       return s == null ? null : s.copy();
     } catch (IOException e) {
       LOG.error("snapshots can't be read: {}", e.toString());
--- a/src/main/java/io/embernotch/ledger/Overview.java
+++ b/src/main/java/io/embernotch/state/ClusterOverview.java
@@ -1,4 +1,4 @@
-package io.embernotch.ledger;
+package io.embernotch.state;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.Json;
@@ -8,10 +8,10 @@
 import java.util.TreeMap;
 
 /** Fleet and queue for operators. */
-public final class Overview {
-  private Overview() {}
+public final class ClusterOverview {
+  private ClusterOverview() {}
 
-  public static ObjectNode of(Ledger ledger, int waiting) {
+  public static ObjectNode of(ClusterState ledger, int waiting) {
     ObjectNode o = Json.object();
     Map<String, int[]> classes = new TreeMap<>();
     for (Job j : ledger.jobs.values()) {
--- a/src/main/java/io/embernotch/ledger/Ledger.java
+++ b/src/main/java/io/embernotch/state/ClusterState.java
@@ -1,10 +1,10 @@
-package io.embernotch.ledger;
+package io.embernotch.state;
 
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
 import io.embernotch.model.Machine;
 import io.embernotch.model.MachineType;
-import io.embernotch.model.Phase;
+import io.embernotch.model.JobPhase;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -15,9 +15,9 @@
 import java.util.function.Function;
 
 /** Everything the leader knows: jobs, machines and the open attempts that tie them. */
-public final class Ledger {
+public final class ClusterState {
   /** A job that has ended, and whose every attempt is proven gone. */
-  public record Ended(Phase phase, int tasks, int done, long atMs) {
+  public record Ended(JobPhase phase, int tasks, int done, long atMs) {
     public static Ended of(Job job) {
       return new Ended(job.end, job.spec.tasks(), job.done.cardinality(), job.endedMs);
     }
@@ -36,7 +36,7 @@
   public final Map<String, Machine> machines = new TreeMap<>();
   public final Map<String, MachineType> types = new LinkedHashMap<>();
 
-  public final Largest largest = new Largest();
+  public final LargestJobWaitTimes largest = new LargestJobWaitTimes();
 
   /** Sizes of images in GB, as far as jobs that need them have been seen to run. */
   public final Map<String, Double> imageGb = new HashMap<>();
--- a/src/main/java/io/embernotch/ledger/Summary.java
+++ b/src/main/java/io/embernotch/state/ClusterSummary.java
@@ -1,15 +1,15 @@
-package io.embernotch.ledger;
+package io.embernotch.state;
 
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
 import io.embernotch.model.Machine;
-import io.embernotch.model.Shape;
+import io.embernotch.model.JobShape;
 
 /** One line on fleet and queue for the log. */
-public final class Summary {
-  private Summary() {}
+public final class ClusterSummary {
+  private ClusterSummary() {}
 
-  public static String of(Ledger ledger) {
+  public static String of(ClusterState ledger) {
     int[][] kinds = new int[2][5];
     for (Machine m : ledger.machines.values()) {
       int[] k = kinds[m.spot ? 1 : 0];
@@ -17,9 +17,9 @@
         k[0]++;
       } else if (m.open.isEmpty()) {
         k[1]++;
-      } else if (has(m, Shape.SERVICE)) {
+      } else if (has(m, JobShape.SERVICE)) {
         k[2]++;
-      } else if (has(m, Shape.GANG)) {
+      } else if (has(m, JobShape.GANG)) {
         k[3]++;
       } else {
         k[4]++;
@@ -55,7 +55,7 @@
         + " with arrays";
   }
 
-  private static boolean has(Machine m, Shape shape) {
+  private static boolean has(Machine m, JobShape shape) {
     for (Attempt a : m.open.values()) {
       if (a.job.spec.shape() == shape) {
         return true;
--- a/src/main/java/io/embernotch/ledger/Demand.java
+++ b/src/main/java/io/embernotch/state/DemandForecast.java
@@ -1,10 +1,10 @@
-package io.embernotch.ledger;
+package io.embernotch.state;
 
 import io.embernotch.model.Job;
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.MachineType;
-import io.embernotch.model.Shape;
-import io.embernotch.plan.Fleet.Headroom;
+import io.embernotch.model.JobShape;
+import io.embernotch.scheduling.FleetView.Headroom;
 import io.embernotch.settings.OperatorSettings;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -26,7 +26,7 @@
  * cheaper is another one, while a task that finds no room waits for a boot at any size. For a
  * normal deviation the best number grows with the root of the logarithm of that ratio.
  */
-public final class Demand {
+public final class DemandForecast {
   /** Boot times over which the rate of a class is measured. */
   private static final double WINDOW_BOOTS = 4;
 
@@ -44,7 +44,7 @@
    * @param patient no room is kept for such jobs: one of a guest's arrays had machines rented for
    *     the next one like it
    */
-  public Demand(Predicate<JobSpec> patient) {
+  public DemandForecast(Predicate<JobSpec> patient) {
     this.patient = patient;
   }
 
@@ -82,7 +82,7 @@
     return ratio <= 1 ? 1 : Math.max(1, Math.sqrt(2 * Math.log(ratio)));
   }
 
-  private static double spares(OperatorSettings operator, Shape shape) {
+  private static double spares(OperatorSettings operator, JobShape shape) {
     return switch (shape) {
       case ARRAY -> operator.arraySpare();
       case GANG -> operator.gangSpare();
--- a/src/main/java/io/embernotch/ledger/Blame.java
+++ b/src/main/java/io/embernotch/state/FailureAttribution.java
@@ -1,6 +1,6 @@
-package io.embernotch.ledger;
+package io.embernotch.state;
 
-import io.embernotch.env.Env;
+import io.embernotch.context.ControllerContext;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
 import io.embernotch.model.Machine;
@@ -20,8 +20,8 @@
  * <p>A single job once was enough to have a machine returned that it had failed on three times, so
  * a gang with a mistake cost a machine and a boot with each of its first tries.
  */
-public final class Blame {
-  private static final Logger LOG = LoggerFactory.getLogger(Blame.class);
+public final class FailureAttribution {
+  private static final Logger LOG = LoggerFactory.getLogger(FailureAttribution.class);
   private static final double EPS = 1e-6;
 
   /**
@@ -35,10 +35,10 @@
   /** As often must a job that succeeds elsewhere fail on a machine to be enough by itself. */
   private static final int OFTEN = 3;
 
-  private final Env env;
-  private final Ledger ledger;
+  private final ControllerContext env;
+  private final ClusterState ledger;
 
-  public Blame(Env env, Ledger ledger) {
+  public FailureAttribution(ControllerContext env, ClusterState ledger) {
     this.env = env;
     this.ledger = ledger;
   }
--- a/src/main/java/io/embernotch/ledger/Largest.java
+++ b/src/main/java/io/embernotch/state/LargestJobWaitTimes.java
@@ -1,4 +1,4 @@
-package io.embernotch.ledger;
+package io.embernotch.state;
 
 import io.embernotch.model.Job;
 import java.util.Collection;
@@ -10,7 +10,7 @@
  * How long the largest jobs of each class, a tenth of them by tasks, wait until they begin, under
  * this leader.
  */
-public final class Largest {
+public final class LargestJobWaitTimes {
   private static final double PERCENTILE = 90;
   private static final long MOST_TASKS = 100_000;
   private static final long MOST_MS = 24 * 3600 * 1000L;
--- a/src/main/java/io/embernotch/store/Lives.java
+++ b/src/main/java/io/embernotch/store/IncarnationGuard.java
@@ -14,7 +14,7 @@
  * <p>The fence is a key of the present era that every transaction conditions on: revisions may be
  * overtaken, stamps repeat after a loss, the fence does not.
  */
-final class Lives {
+final class IncarnationGuard {
   /** What a request may assume, fixed as it is sent. */
   record Mark(int life, long least) {}
 
@@ -100,7 +100,7 @@
     return fence != null;
   }
 
-  Txn guard(Txn txn) {
+  Transaction guard(Transaction txn) {
     return fence != null && txn.fenced() ? txn.when(fence, fenceStamp) : txn;
   }
 }
--- a/src/main/java/io/embernotch/store/LeaseKeeper.java
+++ b/src/main/java/io/embernotch/store/LeaseRenewer.java
@@ -2,7 +2,7 @@
 
 import io.embernotch.actor.Clock;
 import io.embernotch.actor.Timers;
-import io.embernotch.http.Caller;
+import io.embernotch.http.HttpCaller;
 import io.embernotch.settings.HostPort;
 import java.util.concurrent.Executor;
 import java.util.concurrent.atomic.AtomicReference;
@@ -15,13 +15,13 @@
  *
  * <p>The core shows now and then that it is alive; when it has not for long, the lease is let go.
  */
-public final class LeaseKeeper {
+public final class LeaseRenewer {
   private static final int GONE = 404;
 
   /** The lease cannot have ended before {@code until}. */
   private record Proof(long permit, double until) {}
 
-  private final Caller caller;
+  private final HttpCaller caller;
   private final HostPort state;
   private final Clock clock;
   private final Timers timers;
@@ -43,8 +43,8 @@
    *     drift}
    * @param stuckS seconds without a sign of the core after which nothing is renewed any more
    */
-  public LeaseKeeper(
-      Caller caller,
+  public LeaseRenewer(
+      HttpCaller caller,
       HostPort state,
       Clock clock,
       Timers timers,
--- a/src/main/java/io/embernotch/store/Pacer.java
+++ b/src/main/java/io/embernotch/store/RateLimiter.java
@@ -9,7 +9,7 @@
  * Lets work through at a given rate, with bursts of what collects in a given time at most. What
  * waits goes by rank, then in the order it came.
  */
-public final class Pacer {
+public final class RateLimiter {
   /** How urgent something is. */
   public enum Rank {
     /** Goes at once, and may overdraw: what keeps leadership and proofs alive. */
@@ -35,7 +35,7 @@
   private long order;
   private double armedFor = Double.MAX_VALUE;
 
-  public Pacer(Clock clock, Timers timers, double rate, double burstS) {
+  public RateLimiter(Clock clock, Timers timers, double rate, double burstS) {
     this.clock = clock;
     this.timers = timers;
     this.burstS = burstS;
--- a/src/main/java/io/embernotch/store/StoreClient.java
+++ b/src/main/java/io/embernotch/store/StoreClient.java
@@ -4,14 +4,14 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.actor.Clock;
 import io.embernotch.actor.Timers;
-import io.embernotch.codec.BadInput;
+import io.embernotch.codec.MalformedInputException;
 import io.embernotch.codec.Json;
-import io.embernotch.http.CallFailed;
-import io.embernotch.http.Caller;
-import io.embernotch.http.Reply;
+import io.embernotch.http.CallFailedException;
+import io.embernotch.http.HttpCaller;
+import io.embernotch.http.HttpReply;
 import io.embernotch.settings.Settings;
-import io.embernotch.store.Pacer.Rank;
-import io.embernotch.store.StoreFailure.Kind;
+import io.embernotch.store.RateLimiter.Rank;
+import io.embernotch.store.StoreException.Kind;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import java.util.ArrayList;
@@ -23,7 +23,7 @@
 import java.util.function.Function;
 import java.util.function.ToLongFunction;
 
-/** The state service, paced under its limits. Futures fail with {@link StoreFailure} only. */
+/** The state service, paced under its limits. Futures fail with {@link StoreException} only. */
 public final class StoreClient {
   /** Is told what shows that the service's contents are not the ones we knew. Called before the answer is. */
   public interface Witness {
@@ -62,28 +62,28 @@
   private static final int PAGE_TRIES = 3;
   private static final int THROTTLED = 429;
 
-  private final Caller caller;
+  private final HttpCaller caller;
   private final Clock clock;
   private final Timers timers;
   private final Settings settings;
-  private final Pacer requests;
-  private final Pacer writes;
+  private final RateLimiter requests;
+  private final RateLimiter writes;
   private final double timeoutS;
-  private final Lives lives = new Lives();
+  private final IncarnationGuard lives = new IncarnationGuard();
   private Witness witness;
   private double answeredAt = -1e9;
   private double failingSince = -1;
 
   /** A reply, and what its request could assume. */
-  private record Got(Reply reply, Lives.Mark mark) {}
+  private record Got(HttpReply reply, IncarnationGuard.Mark mark) {}
 
-  public StoreClient(Caller caller, Clock clock, Timers timers, Settings settings) {
+  public StoreClient(HttpCaller caller, Clock clock, Timers timers, Settings settings) {
     this.caller = caller;
     this.clock = clock;
     this.timers = timers;
     this.settings = settings;
-    this.requests = new Pacer(clock, timers, settings.stateFloor().rps() * FOLLOWING_REQUESTS, 0.5);
-    this.writes = new Pacer(clock, timers, settings.stateFloor().writeRps() * FOLLOWING_SHARE, WRITE_BURST_S);
+    this.requests = new RateLimiter(clock, timers, settings.stateFloor().rps() * FOLLOWING_REQUESTS, 0.5);
+    this.writes = new RateLimiter(clock, timers, settings.stateFloor().writeRps() * FOLLOWING_SHARE, WRITE_BURST_S);
     this.timeoutS = settings.workers().reportS() / 2;
   }
 
@@ -109,7 +109,7 @@
 
   /** Another controller wrote this key at this revision of the present contents. */
   public void told(String key, long epoch) {
-    lives.wrote(new Lives.Mark(0, 0), key, epoch);
+    lives.wrote(new IncarnationGuard.Mark(0, 0), key, epoch);
   }
 
   /** The highest revision seen since the last loss. */
@@ -127,13 +127,13 @@
     return failingSince < 0 ? 0 : clock.now() - failingSince;
   }
 
-  public Future<Entry> get(String key) {
+  public Future<VersionedEntry> get(String key) {
     return send("GET", "/store/" + key, null, 0, Rank.USUAL, timeoutS)
         .compose(
             got ->
                 switch (got.reply.status()) {
-                  case 200 -> parsed(got, o -> entry(o), Entry::stamp, true);
-                  case 404 -> parsed(got, o -> Json.whole(o, "epoch"), e -> e, false).map(e -> new Entry(key, null, 0));
+                  case 200 -> parsed(got, o -> entry(o), VersionedEntry::stamp, true);
+                  case 404 -> parsed(got, o -> Json.whole(o, "epoch"), e -> e, false).map(e -> new VersionedEntry(key, null, 0));
                   default -> odd(got.reply);
                 });
   }
@@ -142,21 +142,21 @@
    * Like {@link #get}; that a key is absent is said only if our era still stands after it was looked for.
    * New contents may have overtaken the revisions that this node has seen.
    */
-  public Future<Entry> getSurely(String key) {
+  public Future<VersionedEntry> getSurely(String key) {
     return get(key)
         .compose(
             entry ->
                 entry.present() || !lives.fenced()
                     ? Future.succeededFuture(entry)
-                    : commit(new Txn()).map(c -> entry));
+                    : commit(new Transaction()).map(c -> entry));
   }
 
   /** Everything under a prefix, page by page, and the epoch of the first page. */
-  public Future<Changes> list(String prefix) {
+  public Future<WatchEvents> list(String prefix) {
     return listFrom(prefix, null, new ArrayList<>(), -1);
   }
 
-  private Future<Changes> listFrom(String prefix, String after, List<Entry> sofar, long firstEpoch) {
+  private Future<WatchEvents> listFrom(String prefix, String after, List<VersionedEntry> sofar, long firstEpoch) {
     String path = "/store?starts=" + prefix + (after == null ? "" : "&after=" + after) + "&page=" + PAGE;
     return page(path, PAGE_TRIES)
         .compose(
@@ -174,7 +174,7 @@
                         if (Json.flagOr(o, "truncated", false) && !sofar.isEmpty()) {
                           return listFrom(prefix, sofar.get(sofar.size() - 1).key(), sofar, epoch);
                         }
-                        return Future.succeededFuture(new Changes(epoch, sofar));
+                        return Future.succeededFuture(new WatchEvents(epoch, sofar));
                       });
             });
   }
@@ -185,31 +185,31 @@
         .recover(e -> tries > 1 ? page(path, tries - 1) : Future.failedFuture(e));
   }
 
-  public Future<Commit> commit(Txn txn) {
+  public Future<TransactionResult> commit(Transaction txn) {
     return commit(txn, Rank.USUAL);
   }
 
-  public Future<Commit> commit(Txn txn, Rank rank) {
+  public Future<TransactionResult> commit(Transaction txn, Rank rank) {
     return answered(txn, send("POST", "/commit", lives.guard(txn).bytes(), txn.changes(), rank, timeoutS));
   }
 
-  private Future<Commit> answered(Txn txn, Future<Got> sent) {
+  private Future<TransactionResult> answered(Transaction txn, Future<Got> sent) {
     return sent
         .compose(
             got ->
                 switch (got.reply.status()) {
-                  case 200 -> parsed(got, o -> new Commit(true, Json.whole(o, "epoch"), Set.of()), Commit::epoch, false)
+                  case 200 -> parsed(got, o -> new TransactionResult(true, Json.whole(o, "epoch"), Set.of()), TransactionResult::epoch, false)
                       .compose(c -> made(got, txn, c));
-                  case 409 -> parsed(got, o -> new Commit(false, Json.whole(o, "epoch"), failedKeys(o)), Commit::epoch, false)
+                  case 409 -> parsed(got, o -> new TransactionResult(false, Json.whole(o, "epoch"), failedKeys(o)), TransactionResult::epoch, false)
                       .compose(this::inOurEra);
                   case 400 -> new String(got.reply.body()).contains("no such lease")
-                      ? Future.failedFuture(new StoreFailure(Kind.NO_LEASE, "no such lease"))
-                      : Future.failedFuture(new StoreFailure(Kind.MALFORMED, new String(got.reply.body())));
+                      ? Future.failedFuture(new StoreException(Kind.NO_LEASE, "no such lease"))
+                      : Future.failedFuture(new StoreException(Kind.MALFORMED, new String(got.reply.body())));
                   default -> odd(got.reply);
                 });
   }
 
-  private Future<Commit> made(Got got, Txn txn, Commit c) {
+  private Future<TransactionResult> made(Got got, Transaction txn, TransactionResult c) {
     return txn.lastKey() == null || lives.wrote(got.mark, txn.lastKey(), c.epoch())
         ? Future.succeededFuture(c)
         : fell(got.mark.least(), c.epoch());
@@ -232,7 +232,7 @@
   public Future<Boolean> stillThere(String key, long stamp) {
     Map<String, Long> written = new HashMap<>(lives.written());
     written.remove(key);
-    Txn txn = new Txn().when(key, stamp);
+    Transaction txn = new Transaction().when(key, stamp);
     written.forEach(txn::when);
     return commit(txn)
         .compose(
@@ -250,7 +250,7 @@
         .compose(e -> e.present() && e.stamp() >= stamp ? Future.succeededFuture(true) : fell(stamp, e.stamp()));
   }
 
-  private Future<Commit> inOurEra(Commit refused) {
+  private Future<TransactionResult> inOurEra(TransactionResult refused) {
     if (refused.failed().stream().noneMatch(lives::isFence)) {
       return Future.succeededFuture(refused);
     }
@@ -261,7 +261,7 @@
   }
 
   private static <T> Future<T> lost() {
-    return Future.failedFuture(new StoreFailure(Kind.LOST, "another era, or data was lost"));
+    return Future.failedFuture(new StoreException(Kind.LOST, "another era, or data was lost"));
   }
 
   /**
@@ -297,7 +297,7 @@
   }
 
   /** Commits within a turn. */
-  public Future<Commit> commitInTurn(Txn txn, Rank rank) {
+  public Future<TransactionResult> commitInTurn(Transaction txn, Rank rank) {
     Promise<Got> promise = Promise.promise();
     lives.guard(txn);
     double until = clock.now() + timeoutS;
@@ -328,15 +328,15 @@
   }
 
   /** Waits until something under the prefix has changed after {@code epoch}, or the time is out. */
-  public Future<Changes> watch(String prefix, long epoch, double holdS) {
+  public Future<WatchEvents> watch(String prefix, long epoch, double holdS) {
     String path =
         "/changes?starts=" + prefix + "&after=" + epoch + "&hold_ms=" + Math.round(holdS * 1000);
     return send("GET", path, null, 0, Rank.USUAL, holdS + timeoutS)
         .compose(
             got ->
                 switch (got.reply.status()) {
-                  case 200 -> parsed(got, StoreClient::changes, Changes::epoch, false);
-                  case 410 -> Future.failedFuture(new StoreFailure(Kind.TOO_OLD, "too old"));
+                  case 200 -> parsed(got, StoreClient::changes, WatchEvents::epoch, false);
+                  case 410 -> Future.failedFuture(new StoreException(Kind.TOO_OLD, "too old"));
                   default -> odd(got.reply);
                 });
   }
@@ -358,10 +358,10 @@
       String method, String path, byte[] body, int changes, Rank rank, double until, Promise<Got> promise) {
     double left = until - clock.now();
     if (left <= 0) {
-      promise.fail(new StoreFailure(Kind.REFUSED, "not sent in time"));
+      promise.fail(new StoreException(Kind.REFUSED, "not sent in time"));
       return;
     }
-    Lives.Mark mark = lives.mark();
+    IncarnationGuard.Mark mark = lives.mark();
     caller
         .call(method, settings.state(), path, body, left)
         .onSuccess(
@@ -371,7 +371,7 @@
                 timers.after(0.1, () -> attempt(method, path, body, changes, rank, until, promise));
               } else if (reply.status() == 503) {
                 failing();
-                promise.fail(new StoreFailure(Kind.REFUSED, "state service answers 503"));
+                promise.fail(new StoreException(Kind.REFUSED, "state service answers 503"));
               } else {
                 answeredAt = clock.now();
                 failingSince = -1;
@@ -381,8 +381,8 @@
         .onFailure(
             e -> {
               failing();
-              boolean sent = !(e instanceof CallFailed f) || f.sent;
-              promise.fail(new StoreFailure(sent ? Kind.UNKNOWN : Kind.REFUSED, e.getMessage()));
+              boolean sent = !(e instanceof CallFailedException f) || f.sent;
+              promise.fail(new StoreException(sent ? Kind.UNKNOWN : Kind.REFUSED, e.getMessage()));
             });
   }
 
@@ -400,29 +400,29 @@
     T value;
     try {
       value = read.apply(got.reply.json());
-    } catch (BadInput e) {
-      return Future.failedFuture(new StoreFailure(Kind.UNKNOWN, "unreadable answer: " + e.getMessage()));
+    } catch (MalformedInputException e) {
+      return Future.failedFuture(new StoreException(Kind.UNKNOWN, "unreadable answer: " + e.getMessage()));
     }
     if (!lives.isOf(got.mark)) {
       return lost();
     }
     long epoch = epochOf.applyAsLong(value);
     if (atLeast) {
-      lives.saw(new Lives.Mark(0, 0), epoch);
+      lives.saw(new IncarnationGuard.Mark(0, 0), epoch);
     } else if (!lives.saw(got.mark, epoch)) {
       return fell(got.mark.least(), epoch);
     }
     return Future.succeededFuture(value);
   }
 
-  private static <T> Future<T> odd(Reply reply) {
+  private static <T> Future<T> odd(HttpReply reply) {
     return Future.failedFuture(
-        new StoreFailure(Kind.UNKNOWN, "answer " + reply.status() + " " + new String(reply.body())));
+        new StoreException(Kind.UNKNOWN, "answer " + reply.status() + " " + new String(reply.body())));
   }
 
-  private static Entry entry(ObjectNode o) {
+  private static VersionedEntry entry(ObjectNode o) {
     JsonNode v = Json.opt(o, "v");
-    return new Entry(Json.text(o, "key"), v == null ? null : (ObjectNode) v, Json.whole(o, "stamp"));
+    return new VersionedEntry(Json.text(o, "key"), v == null ? null : (ObjectNode) v, Json.whole(o, "stamp"));
   }
 
   private static Set<String> failedKeys(ObjectNode o) {
@@ -433,17 +433,17 @@
     return out;
   }
 
-  private static Changes changes(ObjectNode o) {
-    List<Entry> out = new ArrayList<>();
+  private static WatchEvents changes(ObjectNode o) {
+    List<VersionedEntry> out = new ArrayList<>();
     for (JsonNode e : Json.need(o, "events")) {
       JsonNode drop = Json.opt(e, "drop");
       if (drop != null) {
-        out.add(new Entry(drop.asText(), null, Json.whole(e, "stamp")));
+        out.add(new VersionedEntry(drop.asText(), null, Json.whole(e, "stamp")));
       } else {
         JsonNode v = Json.opt(e, "v");
-        out.add(new Entry(Json.text(e, "write"), v instanceof ObjectNode n ? n : null, Json.whole(e, "stamp")));
+        out.add(new VersionedEntry(Json.text(e, "write"), v instanceof ObjectNode n ? n : null, Json.whole(e, "stamp")));
       }
     }
-    return new Changes(Json.whole(o, "epoch"), out);
+    return new WatchEvents(Json.whole(o, "epoch"), out);
   }
 }
--- a/src/main/java/io/embernotch/store/StoreFailure.java
+++ b/src/main/java/io/embernotch/store/StoreException.java
@@ -1,7 +1,7 @@
 package io.embernotch.store;
 
 /** The state service did not do what it was asked, or did not say. */
-public final class StoreFailure extends RuntimeException {
+public final class StoreException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
   /** What is known of the request that failed. */
@@ -25,12 +25,12 @@
 
   public final Kind kind;
 
-  public StoreFailure(Kind kind, String message) {
+  public StoreException(Kind kind, String message) {
     super(message, null, false, false);
     this.kind = kind;
   }
 
   public static Kind kindOf(Throwable t) {
-    return t instanceof StoreFailure f ? f.kind : Kind.UNKNOWN;
+    return t instanceof StoreException f ? f.kind : Kind.UNKNOWN;
   }
 }
--- a/src/main/java/io/embernotch/store/Txn.java
+++ b/src/main/java/io/embernotch/store/Transaction.java
@@ -5,7 +5,7 @@
 import io.embernotch.codec.Json;
 
 /** A transaction being put together, with what it costs. */
-public final class Txn {
+public final class Transaction {
   /** The service takes 64 KiB; the rest is for names and conditions. */
   public static final int MAX_BYTES = 60 * 1024;
 
@@ -15,18 +15,18 @@
   private boolean fenced = true;
   private String lastKey;
 
-  public Txn when(String key, long stamp) {
+  public Transaction when(String key, long stamp) {
     when.addObject().put("key", key).put("stamp", stamp);
     return this;
   }
 
-  public Txn write(String key, ObjectNode value) {
+  public Transaction write(String key, ObjectNode value) {
     lastKey = key;
     apply.addObject().put("write", key).set("v", value);
     return this;
   }
 
-  public Txn write(String key, ObjectNode value, long permit) {
+  public Transaction write(String key, ObjectNode value, long permit) {
     lastKey = key;
     ObjectNode o = apply.addObject().put("write", key);
     o.set("v", value);
@@ -34,13 +34,13 @@
     return this;
   }
 
-  public Txn drop(String key) {
+  public Transaction drop(String key) {
     apply.addObject().put("drop", key);
     return this;
   }
 
   /** It belongs to no era: it begins one, or writes under names that no other era has. */
-  public Txn unfenced() {
+  public Transaction unfenced() {
     fenced = false;
     return this;
   }
--- a/src/main/java/io/embernotch/straggler/Energy.java
+++ b/src/main/java/io/embernotch/straggler/EnergyModel.java
@@ -1,8 +1,8 @@
 package io.embernotch.straggler;
 
 /** The paper's power model (section 4, equations 1 and 2), with money in place of watts. */
-final class Energy {
-  private Energy() {}
+final class EnergyModel {
+  private EnergyModel() {}
 
   /** Equation 2: how much {@code n} tasks on {@code cores} cores slow each other down. */
   static double slowdown(int n, int cores) {
--- a/src/main/java/io/embernotch/straggler/PartKeeper.java
+++ b/src/main/java/io/embernotch/straggler/LocalPartition.java
@@ -10,7 +10,7 @@
  * A controller's part: the latest view of each machine in it, as the leader streams them. The
  * views of an earlier leader, and those that are not renewed, are forgotten.
  */
-public final class PartKeeper {
+public final class LocalPartition {
   private record Held(MachineView view, double at) {}
 
   private final Clock clock;
@@ -18,7 +18,7 @@
   private final Map<String, Held> views = new HashMap<>();
   private long epoch;
 
-  public PartKeeper(Clock clock, double forgetS) {
+  public LocalPartition(Clock clock, double forgetS) {
     this.clock = clock;
     this.forgetS = forgetS;
   }
--- a/src/main/java/io/embernotch/straggler/Parts.java
+++ b/src/main/java/io/embernotch/straggler/MachinePartitions.java
@@ -8,8 +8,8 @@
  * Splits machines among live controllers by rendezvous hashing: a change of one moves only its
  * part.
  */
-public final class Parts {
-  private Parts() {}
+public final class MachinePartitions {
+  private MachinePartitions() {}
 
   public static String owner(String machine, Collection<String> controllers) {
     String best = null;
--- a/src/main/java/io/embernotch/straggler/Round.java
+++ b/src/main/java/io/embernotch/straggler/StragglerRound.java
@@ -12,12 +12,12 @@
  * One round over a part: flag (section 3.1, Mantri's test), keep those on slow machines (section
  * 5), worst first, and best fit by the change of energy (section 6, algorithm 1). Pure.
  */
-public final class Round {
+public final class StragglerRound {
   private final double flagRatio;
   private final double beta;
   private final double roundS;
 
-  public Round(double flagRatio, double beta, double roundS) {
+  public StragglerRound(double flagRatio, double beta, double roundS) {
     this.flagRatio = flagRatio;
     this.beta = beta;
     this.roundS = roundS;
@@ -73,11 +73,11 @@
   /** Equation 6: energy saved by running a copy on {@code j} instead of waiting on {@code k}. */
   double gain(MachineView k, TaskView task, MachineView j, double average) {
     double ts = Math.max(roundS, task.jobMeanS() / performance(k, average) - task.elapsedS());
-    double alpha = Energy.slowdown(j.busyTasks() + 1, j.cores());
+    double alpha = EnergyModel.slowdown(j.busyTasks() + 1, j.cores());
     double tc = alpha * task.jobMeanS() / performance(j, average);
-    double pk = Energy.power(k.pricePerS(), k.busyTasks(), k.cores());
-    double pj = Energy.power(j.pricePerS(), j.busyTasks(), j.cores());
-    double pjWith = Energy.power(j.pricePerS(), j.busyTasks() + 1, j.cores());
+    double pk = EnergyModel.power(k.pricePerS(), k.busyTasks(), k.cores());
+    double pj = EnergyModel.power(j.pricePerS(), j.busyTasks(), j.cores());
+    double pjWith = EnergyModel.power(j.pricePerS(), j.busyTasks() + 1, j.cores());
     return pk * (ts - tc) + pj * ts - pjWith * tc;
   }
 
--- a/src/main/java/io/embernotch/weights/WeightsKeeper.java
+++ b/src/main/java/io/embernotch/weights/ImageLocality.java
@@ -4,12 +4,12 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.Json;
-import io.embernotch.env.Env;
-import io.embernotch.ledger.Ledger;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.state.ClusterState;
 import io.embernotch.model.Job;
 import io.embernotch.model.Machine;
 import io.embernotch.model.MachineType;
-import io.embernotch.model.Shape;
+import io.embernotch.model.JobShape;
 import io.embernotch.shared.SharedState;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -26,7 +26,7 @@
  * turn, one at a time, so it is never a burst. What is stale costs a fetch and nothing else: a
  * worker fetches what it lacks, whatever we believe.
  */
-public final class WeightsKeeper {
+public final class ImageLocality {
   private static final String PREFIX = "weights/";
   private static final int PIECES = 8;
 
@@ -36,14 +36,14 @@
   /** Bytes that a machine takes in a piece: its name, a few numbers. */
   private static final int BYTES_PER_MACHINE = 32;
 
-  private final Env env;
-  private final Ledger ledger;
+  private final ControllerContext env;
+  private final ClusterState ledger;
   private final SharedState shared;
   private final Map<String, List<String>> known = new HashMap<>();
   private int piece;
   private double writtenAt;
 
-  public WeightsKeeper(Env env, Ledger ledger, SharedState shared) {
+  public ImageLocality(ControllerContext env, ClusterState ledger, SharedState shared) {
     this.env = env;
     this.ledger = ledger;
     this.shared = shared;
@@ -100,7 +100,7 @@
   private Set<String> worthKeeping() {
     Set<String> out = new HashSet<>();
     for (Job j : ledger.jobs.values()) {
-      if (j.spec.shape() == Shape.SERVICE && j.end == null && !out.contains(j.spec.image())) {
+      if (j.spec.shape() == JobShape.SERVICE && j.end == null && !out.contains(j.spec.image())) {
         double fetchS =
             ledger.types.values().stream()
                 .filter(t -> t.fits(j.spec))
--- a/src/test/java/io/embernotch/actor/WorkTest.java
+++ b/src/test/java/io/embernotch/actor/EventLoopProfileTest.java
@@ -5,9 +5,9 @@
 
 import org.junit.jupiter.api.Test;
 
-class WorkTest {
+class EventLoopProfileTest {
   private long nanos;
-  private final Work work = new Work(() -> nanos);
+  private final EventLoopProfile work = new EventLoopProfile(() -> nanos);
 
   private void pass(int ms) {
     nanos += ms * 1_000_000L;
--- a/src/test/java/io/embernotch/actor/LatenciesTest.java
+++ b/src/test/java/io/embernotch/actor/LatencyRecorderTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-class LatenciesTest {
+class LatencyRecorderTest {
   @Test
   void tellsWhatWasSeenSinceTheLastLine() {
-    Latencies l = new Latencies();
+    LatencyRecorder l = new LatencyRecorder();
     assertThat(l.line()).isNull();
     for (int i = 1; i <= 100; i++) {
       l.record("poll", i / 1000.0);
--- a/src/test/java/io/embernotch/machines/WorkersTest.java
+++ b/src/test/java/io/embernotch/agents/AgentReconcilerTest.java
@@ -1,25 +1,25 @@
-package io.embernotch.machines;
+package io.embernotch.agents;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.embernotch.actor.Work;
+import io.embernotch.actor.EventLoopProfile;
 import io.embernotch.codec.JobCodec;
 import io.embernotch.codec.Json;
-import io.embernotch.env.Env;
-import io.embernotch.http.CallFailed;
-import io.embernotch.http.Caller;
-import io.embernotch.http.Reply;
-import io.embernotch.ledger.Ledger;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.http.CallFailedException;
+import io.embernotch.http.HttpCaller;
+import io.embernotch.http.HttpReply;
+import io.embernotch.state.ClusterState;
 import io.embernotch.model.Attempt;
-import io.embernotch.model.Cause;
+import io.embernotch.model.ExitCause;
 import io.embernotch.model.Job;
 import io.embernotch.model.Machine;
-import io.embernotch.model.WorkerReport;
+import io.embernotch.model.Heartbeat;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.Settings;
 import io.embernotch.settings.SettingsReader;
 import io.embernotch.testkit.FakeTime;
-import io.embernotch.testkit.World;
+import io.embernotch.testkit.SimulatedCluster;
 import io.vertx.core.Promise;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -27,31 +27,31 @@
 import org.junit.jupiter.api.Test;
 
 /** Commands that wait for their turn. */
-class WorkersTest implements Workers.Outcome {
+class AgentReconcilerTest implements AgentReconciler.Outcome {
   private static final long EPOCH = 7;
 
   private final FakeTime time = new FakeTime();
   private final Settings settings =
-      SettingsReader.parse(World.toml(0).replace("max_connections = 1000", "max_connections = 40"));
+      SettingsReader.parse(SimulatedCluster.toml(0).replace("max_connections = 1000", "max_connections = 40"));
   private final List<String> called = new ArrayList<>();
-  private final List<Promise<Reply>> answers = new ArrayList<>();
-  private final Caller caller =
+  private final List<Promise<HttpReply>> answers = new ArrayList<>();
+  private final HttpCaller caller =
       (method, to, path, body, timeoutS) -> {
-        Promise<Reply> answer = Promise.promise();
+        Promise<HttpReply> answer = Promise.promise();
         called.add(to.host() + path);
         answers.add(answer);
         return answer.future();
       };
-  private final Ledger ledger = new Ledger();
-  private final Workers workers =
-      new Workers(
-          new Env(
+  private final ClusterState ledger = new ClusterState();
+  private final AgentReconciler workers =
+      new AgentReconciler(
+          new ControllerContext(
               settings,
               OperatorSettings.DEFAULTS,
               time,
               time,
               time,
-              Work.NONE,
+              EventLoopProfile.NONE,
               null,
               null,
               caller,
@@ -59,10 +59,10 @@
               null),
           ledger,
           EPOCH,
-          new Delegations(settings, time.now(), new HashSet<>()),
+          new RenewalDelegations(settings, time.now(), new HashSet<>()),
           this);
   private final Job job =
-      new Job(JobCodec.read(Json.parseObject(World.job("j-1", "array", 16).getBytes())), 0);
+      new Job(JobCodec.read(Json.parseObject(SimulatedCluster.job("j-1", "array", 16).getBytes())), 0);
   private boolean leads = true;
   private final List<Attempt> gone = new ArrayList<>();
 
@@ -70,12 +70,12 @@
   private Machine starting(int i) {
     Machine m = ledger.machine("n-" + i, workers.base());
     workers.learn(report(i, 1));
-    ledger.open(job, i, 1, m, time.now()).start = Attempt.Start.READY;
+    ledger.open(job, i, 1, m, time.now()).start = Attempt.LaunchState.READY;
     return m;
   }
 
-  private static WorkerReport report(int i, long seq) {
-    return new WorkerReport(
+  private static Heartbeat report(int i, long seq) {
+    return new Heartbeat(
         "n-" + i, "10.0.1." + i + ":9000", "g8", "z1", false, 1, seq, 0, null, List.of());
   }
 
@@ -89,7 +89,7 @@
     assertThat(new String(workers.report(report(4, 2), true, 0)))
         .contains("\"run\"")
         .contains("j-1/4");
-    answers.get(0).fail(new CallFailed(true, "no answer in time"));
+    answers.get(0).fail(new CallFailedException(true, "no answer in time"));
     assertThat(called).hasSize(4);
     assertThat(new String(workers.report(report(3, 2), true, 0))).doesNotContain("\"run\"");
   }
@@ -99,7 +99,7 @@
     for (int i = 0; i < 5; i++) {
       workers.flush(starting(i));
     }
-    answers.get(0).fail(new CallFailed(true, "no answer in time"));
+    answers.get(0).fail(new CallFailedException(true, "no answer in time"));
     assertThat(called).hasSize(5).endsWith("10.0.1.4/do");
   }
 
@@ -113,7 +113,7 @@
       workers.flush(starting(i));
     }
     leads = false;
-    answers.get(0).fail(new CallFailed(true, "no answer in time"));
+    answers.get(0).fail(new CallFailedException(true, "no answer in time"));
     assertThat(called).hasSize(4);
     workers.flush(starting(5));
     assertThat(called).hasSize(4);
@@ -127,7 +127,7 @@
     }
     assertThat(called).containsExactly("10.0.1.0/status");
     workers.learn(report(1, 1));
-    answers.get(0).fail(new CallFailed(true, "no answer in time"));
+    answers.get(0).fail(new CallFailedException(true, "no answer in time"));
     assertThat(called).containsExactly("10.0.1.0/status", "10.0.1.2/status");
   }
 
@@ -150,7 +150,7 @@
   public void running(Attempt a, Machine m) {}
 
   @Override
-  public void exited(Attempt a, Machine m, Cause cause, boolean saved) {}
+  public void exited(Attempt a, Machine m, ExitCause cause, boolean saved) {}
 
   @Override
   public void gone(Attempt a, Machine m, String why) {
--- a/src/test/java/io/embernotch/machines/LanesTest.java
+++ b/src/test/java/io/embernotch/agents/CallConcurrencyLimiterTest.java
@@ -1,4 +1,4 @@
-package io.embernotch.machines;
+package io.embernotch.agents;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,16 +7,16 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class LanesTest {
-  private final Lanes lanes = new Lanes(8);
+class CallConcurrencyLimiterTest {
+  private final CallConcurrencyLimiter lanes = new CallConcurrencyLimiter(8);
   private final List<String> begun = new ArrayList<>();
 
-  private void call(String name, Lanes.Need need) {
+  private void call(String name, CallConcurrencyLimiter.Need need) {
     Machine m = new Machine(name);
     call(m, need);
   }
 
-  private void call(Machine m, Lanes.Need need) {
+  private void call(Machine m, CallConcurrencyLimiter.Need need) {
     if (lanes.enter(m, need, () -> call(m, need))) {
       begun.add(m.name);
     }
@@ -28,15 +28,15 @@
   @Test
   void liveServicesGoBeforeWhatWaitsAndSilentMachinesTakeAQuarterAtMost() {
     for (int i = 0; i < 5; i++) {
-      call("silent-" + i, Lanes.Need.SILENT);
+      call("silent-" + i, CallConcurrencyLimiter.Need.SILENT);
     }
     assertThat(begun).containsExactly("silent-0", "silent-1");
     for (int i = 0; i < 5; i++) {
-      call("usual-" + i, Lanes.Need.USUAL);
+      call("usual-" + i, CallConcurrencyLimiter.Need.USUAL);
     }
     assertThat(begun).endsWith("usual-0", "usual-1").hasSize(4);
     for (int i = 0; i < 5; i++) {
-      call("live-" + i, Lanes.Need.LIVE);
+      call("live-" + i, CallConcurrencyLimiter.Need.LIVE);
     }
     assertThat(begun).endsWith("live-2", "live-3").hasSize(8);
     lanes.leave();
@@ -52,9 +52,9 @@
   @Test
   void whoHasNothingToSayAnyMoreMakesWayForTheNext() {
     Machine m = new Machine("gone");
-    lanes.enter(new Machine("a"), Lanes.Need.FIND, () -> {});
-    assertThat(lanes.enter(m, Lanes.Need.FIND, () -> begun.add("nothing"))).isFalse();
-    call("next", Lanes.Need.FIND);
+    lanes.enter(new Machine("a"), CallConcurrencyLimiter.Need.FIND, () -> {});
+    assertThat(lanes.enter(m, CallConcurrencyLimiter.Need.FIND, () -> begun.add("nothing"))).isFalse();
+    call("next", CallConcurrencyLimiter.Need.FIND);
     lanes.leave();
     assertThat(begun).containsExactly("nothing", "next");
   }
@@ -63,10 +63,10 @@
   void tellsWhichCommandsWait() {
     Machine m = new Machine("m");
     for (int i = 0; i < 4; i++) {
-      call("usual-" + i, Lanes.Need.USUAL);
+      call("usual-" + i, CallConcurrencyLimiter.Need.USUAL);
     }
     assertThat(lanes.waits(m)).isFalse();
-    call(m, Lanes.Need.USUAL);
+    call(m, CallConcurrencyLimiter.Need.USUAL);
     assertThat(lanes.waits(m)).isTrue();
     lanes.leave();
     assertThat(lanes.waits(m)).isFalse();
--- a/src/test/java/io/embernotch/machines/LateCopiesTest.java
+++ b/src/test/java/io/embernotch/agents/LateHeartbeatCopiesTest.java
@@ -1,19 +1,19 @@
-package io.embernotch.machines;
+package io.embernotch.agents;
 
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.testkit.FakeWorker;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Fate;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Fate;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
 /** Copies of reports that arrive from seconds to well over a lease late. */
-class LateCopiesTest {
-  private final World world = new World(3, 100);
+class LateHeartbeatCopiesTest {
+  private final SimulatedCluster world = new SimulatedCluster(3, 100);
   private FakeWorker dead;
 
   private void service() {
@@ -64,7 +64,7 @@
   @Test
   void copiesOfWhatADeadMachineSaidHoldNothingUp() {
     double without = afterADeath(0);
-    LateCopiesTest other = new LateCopiesTest();
+    LateHeartbeatCopiesTest other = new LateHeartbeatCopiesTest();
     double with = other.afterADeath(40);
     assertThat(other.world.broken()).isEmpty();
     assertThat(with)
@@ -84,7 +84,7 @@
   @Test
   void aNewLeaderTakesNoCopyForASignOfLife() {
     double without = afterATakeover(0);
-    LateCopiesTest other = new LateCopiesTest();
+    LateHeartbeatCopiesTest other = new LateHeartbeatCopiesTest();
     double with = other.afterATakeover(40);
     assertThat(other.world.broken()).isEmpty();
     assertThat(with).isLessThanOrEqualTo(without + world.nodes.get(0).settings.workers().reportS());
--- a/src/test/java/io/embernotch/machines/HearingTest.java
+++ b/src/test/java/io/embernotch/agents/ReachabilityTrackerTest.java
@@ -1,18 +1,18 @@
-package io.embernotch.machines;
+package io.embernotch.agents;
 
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.testkit.FakeWorker;
-import io.embernotch.testkit.World;
+import io.embernotch.testkit.SimulatedCluster;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
 /** Machines whose reports arrive while neither answers nor commands reach them. */
-class HearingTest {
-  private final World world = new World(3, 1000);
+class ReachabilityTrackerTest {
+  private final SimulatedCluster world = new SimulatedCluster(3, 1000);
 
   private List<FakeWorker> machines(int n) {
     for (int i = 0; i < n; i++) {
--- a/src/test/java/io/embernotch/users/PollTurnsTest.java
+++ b/src/test/java/io/embernotch/api/PollRateLimiterTest.java
@@ -1,11 +1,11 @@
-package io.embernotch.users;
+package io.embernotch.api;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.settings.Settings;
 import io.embernotch.settings.SettingsReader;
 import io.embernotch.testkit.FakeTime;
-import io.embernotch.testkit.World;
+import io.embernotch.testkit.SimulatedCluster;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Who is answered where more poll than a node can answer. */
-class PollTurnsTest {
+class PollRateLimiterTest {
   private record Poll(double at, int job) {}
 
   /**
@@ -23,12 +23,12 @@
   private static double longest(int jobs, int nodes, int times) {
     Settings settings =
         SettingsReader.parse(
-            World.toml(0).replace("max_connections = 1000", "max_connections = 938"));
+            SimulatedCluster.toml(0).replace("max_connections = 1000", "max_connections = 938"));
     FakeTime time = new FakeTime();
     SplittableRandom random = new SplittableRandom(3);
-    List<PollTurns> at = new ArrayList<>();
+    List<PollRateLimiter> at = new ArrayList<>();
     for (int i = 0; i < nodes; i++) {
-      at.add(new PollTurns(time, time, settings));
+      at.add(new PollRateLimiter(time, time, settings));
     }
     PriorityQueue<Poll> polls = new PriorityQueue<>((a, b) -> Double.compare(a.at, b.at));
     double begin = time.now();
@@ -41,7 +41,7 @@
     while (polls.peek().at < begin + 225) {
       Poll p = polls.poll();
       time.pass(Math.max(0, p.at - time.now()));
-      PollTurns turns = at.get(random.nextInt(nodes));
+      PollRateLimiter turns = at.get(random.nextInt(nodes));
       if (turns.admit("j-" + p.job)) {
         turns.told("j-" + p.job);
         worst = Math.max(worst, p.at - told[p.job]);
@@ -58,12 +58,12 @@
   /** Left to chance, some of them were refused each time they asked. */
   @Test
   void noJobOfTwentyThousandIsForgotten() {
-    assertThat(longest(20_000, 3, 1)).isLessThan(PollTurns.FORGOTTEN_S);
-    assertThat(longest(20_000, 1, 1)).isLessThan(PollTurns.FORGOTTEN_S);
+    assertThat(longest(20_000, 3, 1)).isLessThan(PollRateLimiter.FORGOTTEN_S);
+    assertThat(longest(20_000, 1, 1)).isLessThan(PollRateLimiter.FORGOTTEN_S);
   }
 
   @Test
   void norOfThousandsThatAskEightTimesAsOften() {
-    assertThat(longest(2_500, 1, 8)).isLessThan(PollTurns.FORGOTTEN_S / 2);
+    assertThat(longest(2_500, 1, 8)).isLessThan(PollRateLimiter.FORGOTTEN_S / 2);
   }
 }
--- a/src/test/java/io/embernotch/users/SubmissionsTest.java
+++ b/src/test/java/io/embernotch/api/SubmissionHandlerTest.java
@@ -1,11 +1,11 @@
-package io.embernotch.users;
+package io.embernotch.api;
 
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.embernotch.http.Answer;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.http.HttpResponse;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import io.vertx.core.Future;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -13,10 +13,10 @@
 import org.junit.jupiter.api.Test;
 
 /** What becomes of submissions when the state service is away, or takes less than is submitted. */
-class SubmissionsTest {
-  private final World world = new World(3);
+class SubmissionHandlerTest {
+  private final SimulatedCluster world = new SimulatedCluster(3);
 
-  private Future<Answer> submitSoon(Node n, String ref) {
+  private Future<HttpResponse> submitSoon(Node n, String ref) {
     return n.controller.submit(job(ref, "array", 1).getBytes(StandardCharsets.UTF_8));
   }
 
@@ -26,7 +26,7 @@
     Node cut = world.nodes.get(1);
     cut.noState = true;
     world.pass(1);
-    Answer a = world.await(submitSoon(cut, "j-1"));
+    HttpResponse a = world.await(submitSoon(cut, "j-1"));
     assertThat(a.status()).isIn(200, 201);
     assertThat(world.state.value("job/j-1")).isNotNull();
   }
@@ -36,7 +36,7 @@
     world.pass(4);
     world.state.outage = true;
     world.pass(3);
-    Answer a = world.await(submitSoon(world.nodes.get(0), "j-2"));
+    HttpResponse a = world.await(submitSoon(world.nodes.get(0), "j-2"));
     assertThat(a.status()).isEqualTo(503);
     assertThat(a.retryAfterS()).isPositive();
     world.state.recover();
@@ -48,7 +48,7 @@
   void moreThanTheStateServiceTakesIsRefusedAtOnceAndStartsGoOn() {
     world.pass(4);
     Node n = world.leader();
-    List<Future<Answer>> answers = new ArrayList<>();
+    List<Future<HttpResponse>> answers = new ArrayList<>();
     for (int i = 0; i < 1000; i++) {
       answers.add(submitSoon(n, "j-" + i));
     }
@@ -72,7 +72,7 @@
     assertThat(world.await(submitSoon(follower, "j-7")).status()).isEqualTo(201);
     world.pass(15);
     int frames = world.frames;
-    List<Future<Answer>> answers = new ArrayList<>();
+    List<Future<HttpResponse>> answers = new ArrayList<>();
     for (int i = 0; i < 10_000; i++) {
       answers.add(follower.controller.poll("j-7"));
     }
--- a/src/test/java/io/embernotch/calendar/CalendarTest.java
+++ b/src/test/java/io/embernotch/calendar/ReleaseCalendarTest.java
@@ -1,14 +1,14 @@
 package io.embernotch.calendar;
 
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.embernotch.codec.Json;
 import io.embernotch.settings.OperatorSettings;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Fate;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Fate;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -18,10 +18,10 @@
  * The embargo calendar, with three controllers that fail. The fake day begins at 00:16:40 of 1
  * January 1970.
  */
-class CalendarTest {
+class ReleaseCalendarTest {
   private static final int SEEDS = Integer.getInteger("calendar.seeds", 40);
 
-  private World world;
+  private SimulatedCluster world;
 
   private static String file(int generation, String more) {
     return "reserve_live: false generation: "
@@ -33,7 +33,7 @@
   }
 
   private void begin(String file) {
-    world = new World(OperatorSettings.parse(file));
+    world = new SimulatedCluster(OperatorSettings.parse(file));
     world.settle(4);
   }
 
--- a/src/test/java/io/embernotch/codec/CodecTest.java
+++ b/src/test/java/io/embernotch/codec/CodecTest.java
@@ -1,17 +1,17 @@
 package io.embernotch.codec;
 
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.model.Attempt;
-import io.embernotch.model.Cause;
+import io.embernotch.model.ExitCause;
 import io.embernotch.model.Job;
 import io.embernotch.model.JobSpec;
-import io.embernotch.model.Phase;
+import io.embernotch.model.JobPhase;
 import io.embernotch.model.TaskState;
-import io.embernotch.model.WorkerReport;
+import io.embernotch.model.Heartbeat;
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -55,20 +55,20 @@
     String json = job("j-1", "array", 2);
     assertThat(json).contains(good);
     assertThatThrownBy(() -> read(json.replace(good, bad)))
-        .isInstanceOf(BadInput.class)
+        .isInstanceOf(MalformedInputException.class)
         .hasMessageContaining(field);
   }
 
   @Test
   void whatIsNotAnObjectIsRefused() {
     for (String s : new String[] {"", "[]", "3", "{", "{}x", "null"}) {
-      assertThatThrownBy(() -> Json.parseObject(utf(s))).as(s).isInstanceOf(BadInput.class);
+      assertThatThrownBy(() -> Json.parseObject(utf(s))).as(s).isInstanceOf(MalformedInputException.class);
     }
   }
 
   @Test
   void readsAReport() {
-    WorkerReport r =
+    Heartbeat r =
         WorkerCodec.read(
             utf(
                 "{\"hearth\":\"n-1\",\"address\":\"10.1.0.2:9000\",\"flavor\":\"g8\",\"room\":\"a\",\"loaner\":true,"
@@ -77,7 +77,7 @@
                     + "{\"shard\":\"j-3/0\",\"try\":1,\"phase\":\"exited\",\"cause\":\"halted\",\"stored\":true}]}"));
     assertThat(r.recallS()).isNull();
     assertThat(r.tasks().get(0).state()).isEqualTo(TaskState.RUNNING);
-    assertThat(r.tasks().get(1).cause()).isEqualTo(Cause.STOPPED);
+    assertThat(r.tasks().get(1).cause()).isEqualTo(ExitCause.STOPPED);
     assertThat(r.tasks().get(1).saved()).isTrue();
     assertThat(r.newerThan(2, 87)).isTrue();
     assertThat(r.newerThan(2, 88)).isFalse();
@@ -88,14 +88,14 @@
   void progressOfTheLargestJobFitsInPieces() {
     JobSpec spec = read(job("j-1", "array", 100_000));
     Job job = new Job(spec, 1);
-    int size = RunCodec.piece(8, java.util.List.of("a-rather-long-zone"));
+    int size = JobProgressCodec.piece(8, java.util.List.of("a-rather-long-zone"));
     job.done.set(0, 100_000);
     for (int t = 0; t < 2 * size; t++) {
       Attempt a = new Attempt(job, t, 1L << 50, "n-000123456", "a-rather-long-zone", 0);
       job.open.put(t, a);
     }
-    assertThat(Json.bytes(RunCodec.writeRun(job, size, 1)).length).isLessThanOrEqualTo(8 * 1024);
-    assertThat(Json.bytes(RunCodec.writeRun(job, size, 0)).length).isLessThanOrEqualTo(8 * 1024);
+    assertThat(Json.bytes(JobProgressCodec.writeRun(job, size, 1)).length).isLessThanOrEqualTo(8 * 1024);
+    assertThat(Json.bytes(JobProgressCodec.writeRun(job, size, 0)).length).isLessThanOrEqualTo(8 * 1024);
   }
 
   @Test
@@ -108,24 +108,24 @@
     job.open.put(3, new Attempt(job, 3, 4, "n-1", "z1", 9));
     job.open.put(8, new Attempt(job, 8, 4, "n-2", "z2", 9));
     job.wishes.put(3, "n-9");
-    Job back = RunCodec.readJob(RunCodec.writeJob(job, 4));
+    Job back = JobProgressCodec.readJob(JobProgressCodec.writeJob(job, 4));
     for (int piece = 0; piece < 3; piece++) {
-      RunCodec.readRun(RunCodec.writeRun(job, 4, piece), back, 4, piece);
+      JobProgressCodec.readRun(JobProgressCodec.writeRun(job, 4, piece), back, 4, piece);
     }
     assertThat(back.submittedMs).isEqualTo(77);
     assertThat(back.done).isEqualTo(job.done);
     assertThat(back.open.keySet()).containsExactly(3, 8);
     assertThat(back.open.get(8).zone).isEqualTo("z2");
     assertThat(back.wishes).containsEntry(3, "n-9");
-    job.end = Phase.CANCELLED;
-    ObjectNode o = RunCodec.writeRun(job, 4, 0);
-    assertThat(RunCodec.readEnd(o)).isEqualTo(Phase.CANCELLED);
+    job.end = JobPhase.CANCELLED;
+    ObjectNode o = JobProgressCodec.writeRun(job, 4, 0);
+    assertThat(JobProgressCodec.readEnd(o)).isEqualTo(JobPhase.CANCELLED);
   }
 
   @Test
   void aReportThatLacksAFieldIsRefused() {
     for (String body : new String[] {"{\"hearth\":", "{\"hearth\":\"n-1\"}", "[]"}) {
-      assertThatThrownBy(() -> WorkerCodec.read(utf(body))).isInstanceOf(BadInput.class);
+      assertThatThrownBy(() -> WorkerCodec.read(utf(body))).isInstanceOf(MalformedInputException.class);
     }
   }
 }
--- a/src/test/java/io/embernotch/controller/FaultSequencesTest.java
+++ b/src/test/java/io/embernotch/controller/FaultSequencesTest.java
@@ -1,12 +1,12 @@
 package io.embernotch.controller;
 
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.testkit.FakeWorker;
-import io.embernotch.testkit.Told;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.testkit.RecordedAnswers;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -17,8 +17,8 @@
   private static final int DEAF = 10;
   private static final int REPLICAS = 1200;
 
-  private final World world = new World(3, 1000);
-  private final Told told = new Told(world);
+  private final SimulatedCluster world = new SimulatedCluster(3, 1000);
+  private final RecordedAnswers told = new RecordedAnswers(world);
   private List<FakeWorker> hit = List.of();
 
   private void services() {
--- a/src/test/java/io/embernotch/controller/HeartbeatForwardingTest.java
+++ b/src/test/java/io/embernotch/controller/HeartbeatForwardingTest.java
@@ -3,21 +3,21 @@
 import io.embernotch.leader.HeartbeatQueue;
 import io.embernotch.leader.LeaderMessage;
 
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.embernotch.actor.Work;
+import io.embernotch.actor.EventLoopProfile;
 import io.embernotch.codec.Json;
 import io.embernotch.codec.WorkerCodec;
-import io.embernotch.env.Env;
-import io.embernotch.http.Answer;
-import io.embernotch.model.WorkerReport;
-import io.embernotch.relay.Reception;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.http.HttpResponse;
+import io.embernotch.model.Heartbeat;
+import io.embernotch.forwarding.HeartbeatForwarder;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.testkit.FakeTime;
 import io.embernotch.testkit.FakeWorker;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import io.vertx.core.Promise;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -27,7 +27,7 @@
 
 /** Workers whose reports a controller passes on, or keeps until there is a leader. */
 class HeartbeatForwardingTest {
-  private final World world = new World(3, 10);
+  private final SimulatedCluster world = new SimulatedCluster(3, 10);
 
   /** Machines that report to the given controller, with room for eight tasks each. */
   private void machines(int count, Node at) {
@@ -52,7 +52,7 @@
     assertThat(world.workers).hasSize(count);
   }
 
-  private Answer report(Node n, FakeWorker w) {
+  private HttpResponse report(Node n, FakeWorker w) {
     return world.await(n.controller.report(WorkerCodec.read(w.report())));
   }
 
@@ -96,7 +96,7 @@
     world.nodes.forEach(n -> n.noState = n != old);
     old.kill();
     world.pass(4);
-    Answer a = report(follower, w);
+    HttpResponse a = report(follower, w);
     assertThat(a.status()).isEqualTo(200);
     assertThat(Json.parseObject(a.body()).has("baton")).isFalse();
     assertThat(moves()).isZero();
@@ -128,7 +128,7 @@
     world.pass(1);
     world.boot("g8", "z1", true);
     world.pass(world.cloud.bootS + 0.3);
-    Answer a = report(follower, world.workers.firstEntry().getValue());
+    HttpResponse a = report(follower, world.workers.firstEntry().getValue());
     assertThat(a.status()).isEqualTo(421);
     assertThat(Json.parseObject(a.body()).get("steward").asText()).isEqualTo("c9");
   }
@@ -184,7 +184,7 @@
             .findFirst()
             .orElseThrow();
     for (Node n : new Node[] {next, now}) {
-      Answer a = report(n, w);
+      HttpResponse a = report(n, w);
       assertThat(a.status()).isEqualTo(200);
       assertThat(Json.parseObject(a.body()).has("baton")).isFalse();
       assertThat(world.poll(n.index, "j-77").status()).isIn(404, 503);
@@ -215,7 +215,7 @@
 
   private static LeaderMessage.HeartbeatReceived reported(int machine, long seq) {
     return new LeaderMessage.HeartbeatReceived(
-        new WorkerReport(
+        new Heartbeat(
             "n-" + machine, "10.0.1.1:9000", "g8", "z1", false, 1, seq, 0, null, List.of()),
         0,
         Promise.promise());
@@ -259,20 +259,20 @@
   @Test
   void aCopyOfWhatWasReportedLongAgoIsNotHandedOn() {
     FakeTime time = new FakeTime();
-    Env env =
-        new Env(
+    ControllerContext env =
+        new ControllerContext(
             world.nodes.get(0).settings,
             OperatorSettings.DEFAULTS,
             time,
             time,
             time,
-            Work.NONE,
+            EventLoopProfile.NONE,
             null,
             null,
             null,
             () -> "x",
             null);
-    Reception reception = new Reception(env, null);
+    HeartbeatForwarder reception = new HeartbeatForwarder(env, null);
     reception.leaderIs("c1", 1, false);
     reception.report(reported(1, 7).report());
     time.pass(40);
@@ -290,7 +290,7 @@
     world.submit(0, job("j-4", "array", 2));
     world.pass(3);
     assertThat(w.alive()).hasSize(2);
-    WorkerReport old = WorkerCodec.read(w.report());
+    Heartbeat old = WorkerCodec.read(w.report());
     world.finish("j-4");
     world.pass(3);
     String answer = new String(world.await(n.controller.report(old)).body());
--- a/src/test/java/io/embernotch/controller/InvariantsTest.java
+++ b/src/test/java/io/embernotch/controller/InvariantsTest.java
@@ -1,19 +1,19 @@
 package io.embernotch.controller;
 
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.testkit.FakeWorker;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Fate;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Fate;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.Map;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
 /** Each rule of the protocol under the failure most likely to break it. */
 class InvariantsTest {
-  private final World world = new World(3);
+  private final SimulatedCluster world = new SimulatedCluster(3);
 
   /** Has a job running on machines, and returns where. */
   private Map<String, FakeWorker> run(String json, String ref, int tasks) {
--- a/src/test/java/io/embernotch/controller/JobDependenciesTest.java
+++ b/src/test/java/io/embernotch/controller/JobDependenciesTest.java
@@ -1,14 +1,14 @@
 package io.embernotch.controller;
 
-import static io.embernotch.testkit.World.after;
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.after;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.codec.Json;
-import io.embernotch.http.Answer;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Fate;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.http.HttpResponse;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Fate;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -18,7 +18,7 @@
  * Jobs that wait for others: nothing starts too early, and no job is left behind a cancelled one.
  */
 class JobDependenciesTest {
-  private final World world = new World(3);
+  private final SimulatedCluster world = new SimulatedCluster(3);
 
   private void accept(int node, String json) {
     assertThat(world.submit(node, json).status()).isEqualTo(201);
@@ -48,7 +48,7 @@
             .replace("\"owner\":\"red\"", "\"owner\":\"blue\""));
     accept(0, after("j-4", 1, "j-2", "j-3", "j-1", "j-2"));
     world.pass(15);
-    Answer waiting = world.poll(1, "j-4");
+    HttpResponse waiting = world.poll(1, "j-4");
     assertThat(Json.parseObject(waiting.body()).get("phase").asText()).isEqualTo("queued");
     assertThat(Json.parseObject(waiting.body()).get("awaited").asInt()).isEqualTo(3);
     finish("j-1");
@@ -217,12 +217,12 @@
 
   @Test
   void someHundredCancelledJobsAreWrittenInTimeUnderLoweredLimits() {
-    World low = World.lowering();
+    SimulatedCluster low = SimulatedCluster.lowering();
     low.pass(4);
     low.submit(0, job("j-0", "array", 1));
     for (int i = 1; i <= 300; i++) {
       int before = i % 3 == 0 ? i - 1 : 0;
-      Answer a = low.submit(i % 3, after("j-" + i, 1, "j-" + before));
+      HttpResponse a = low.submit(i % 3, after("j-" + i, 1, "j-" + before));
       assertThat(a.status()).isIn(201, 503);
       if (a.status() == 503) {
         low.pass(1);
@@ -246,7 +246,7 @@
     Node n = world.other(leader);
     accept(n.index, job("j-1", "standing", 1));
     accept(n.index, job("j-2", "array", 1));
-    Answer never = world.submit(n.index, after("j-3", 1, "j-2", "j-77"));
+    HttpResponse never = world.submit(n.index, after("j-3", 1, "j-2", "j-77"));
     assertThat(never.status()).isEqualTo(422);
     assertThat(new String(never.body())).contains("j-77");
     assertThat(world.submit(n.index, after("j-3", 1, "j-3")).status()).isEqualTo(422);
@@ -259,7 +259,7 @@
     accept(n.index, job("j-4", "array", 1).replace("}", ",\"awaits\":[]}"));
     // A store that does not answer proves nothing.
     world.state.outage = true;
-    Answer later = world.submit(leader.index, after("j-5", 1, "j-66"));
+    HttpResponse later = world.submit(leader.index, after("j-5", 1, "j-66"));
     assertThat(later.status()).isEqualTo(503);
     assertThat(later.retryAfterS()).isPositive();
     world.state.recover();
--- a/src/test/java/io/embernotch/controller/ProcessIncarnationsRandomizedTest.java
+++ b/src/test/java/io/embernotch/controller/ProcessIncarnationsRandomizedTest.java
@@ -3,10 +3,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.testkit.FakeWorker;
-import io.embernotch.testkit.Told;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Fate;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.testkit.RecordedAnswers;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Fate;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
@@ -24,8 +24,8 @@
 
   private static List<String> play(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    World world = new World(3, 10);
-    Told told = new Told(world);
+    SimulatedCluster world = new SimulatedCluster(3, 10);
+    RecordedAnswers told = new RecordedAnswers(world);
     world.settle(3);
     int next = 1;
     for (int step = 0; step < 40; step++) {
@@ -80,20 +80,20 @@
     return told.wrong;
   }
 
-  private static List<String> some(Told told, SplittableRandom random) {
+  private static List<String> some(RecordedAnswers told, SplittableRandom random) {
     return told.accepted.isEmpty()
         ? List.of()
         : List.of(told.accepted.get(random.nextInt(told.accepted.size())));
   }
 
   /** One loses the state service and the others, but not its workers; or has them again. */
-  private static void alone(World world, SplittableRandom random) {
+  private static void alone(SimulatedCluster world, SplittableRandom random) {
     int which = random.nextInt(6);
     world.nodes.forEach(n -> n.noState = n.noPeers = n.index == which);
   }
 
   /** Copies of any age of what some machine has said reach any controller. */
-  private static void copies(World world, SplittableRandom random) {
+  private static void copies(SimulatedCluster world, SplittableRandom random) {
     List<String> names = List.copyOf(world.workers.keySet());
     if (!names.isEmpty()) {
       List<byte[]> said = world.reportsOf(names.get(random.nextInt(names.size())));
@@ -104,7 +104,7 @@
   }
 
   /** One, or all of them, end and are back after up to half a second. */
-  private static void back(World world, SplittableRandom random) {
+  private static void back(SimulatedCluster world, SplittableRandom random) {
     int which = random.nextInt(5);
     List<Node> nodes = which < 3 ? List.of(world.nodes.get(which)) : world.nodes;
     nodes.forEach(Node::kill);
--- a/src/test/java/io/embernotch/controller/ProcessIncarnationsTest.java
+++ b/src/test/java/io/embernotch/controller/ProcessIncarnationsTest.java
@@ -1,12 +1,12 @@
 package io.embernotch.controller;
 
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.embernotch.leadership.Followed;
+import io.embernotch.election.LeaderObserver;
 import io.embernotch.testkit.FakeWorker;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.Map;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -18,7 +18,7 @@
 class ProcessIncarnationsTest {
   private static final double SOON_S = 0.2;
 
-  private final World world = new World(3, 10);
+  private final SimulatedCluster world = new SimulatedCluster(3, 10);
 
   /** A service with eight replicas, and where they run. */
   private Map<String, FakeWorker> service() {
@@ -92,7 +92,7 @@
    */
   @Test
   void aBeatOfATermThatIsOverIsNotBelieved() {
-    Followed followed = new Followed();
+    LeaderObserver followed = new LeaderObserver();
     assertThat(followed.told("c1", 7)).isTrue();
     followed.is(null, 0);
     assertThat(followed.told("c1", 7)).isFalse();
--- a/src/test/java/io/embernotch/controller/RollingUpgradeTest.java
+++ b/src/test/java/io/embernotch/controller/RollingUpgradeTest.java
@@ -1,15 +1,15 @@
 package io.embernotch.controller;
 
-import static io.embernotch.testkit.World.after;
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.after;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.Json;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Fate;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Fate;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.Base64;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
@@ -21,7 +21,7 @@
  */
 class RollingUpgradeTest {
   private static final int OLD_PIECE = 85;
-  private final World world = World.lowering();
+  private final SimulatedCluster world = SimulatedCluster.lowering();
 
   /** A job as the former version left it: its description, and its progress where it has any. */
   private void left(String ref, int tasks, String run) {
--- a/src/test/java/io/embernotch/controller/ScaleTest.java
+++ b/src/test/java/io/embernotch/controller/ScaleTest.java
@@ -1,11 +1,11 @@
 package io.embernotch.controller;
 
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.embernotch.codec.Json;
-import io.embernotch.testkit.World;
+import io.embernotch.testkit.SimulatedCluster;
 import org.junit.jupiter.api.Test;
 
 /** A thousand machines: what a report costs is bounded by counting, never by time. */
@@ -13,7 +13,7 @@
   private static final int MACHINES = 1000;
   private static final int PER_JOB = 200;
 
-  private final World world = new World(3, 1000);
+  private final SimulatedCluster world = new SimulatedCluster(3, 1000);
 
   private JsonNode cluster() {
     return Json.parseObject(world.await(world.leader().controller.overview()).body())
--- a/src/test/java/io/embernotch/meetings/ConfirmedTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/ConfirmedCancellationTest.java
@@ -1,12 +1,12 @@
-package io.embernotch.meetings;
+package io.embernotch.faultcombinations;
 
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.testkit.FakeWorker;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Fate;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Fate;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -22,13 +22,13 @@
  * while workers keep reporting to the former leader. What was confirmed is gone in time all the
  * same. {@code -Dmeetings.seeds=N} draws more variants.
  */
-class ConfirmedTest {
+class ConfirmedCancellationTest {
   private static final int SEEDS = Integer.getInteger("meetings.seeds", 60);
   private static final int FROM = Integer.getInteger("meetings.from", 1);
   private static final String[] SHAPES = {"array", "group", "standing"};
 
   /** Jobs that run on machines which all report to the leader. */
-  private static Node busy(World world, int jobs) {
+  private static Node busy(SimulatedCluster world, int jobs) {
     Node leader = world.settle(3);
     for (int i = 0; i < 2 * jobs; i++) {
       world.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
@@ -48,7 +48,7 @@
 
   private static List<String> play(long seed, List<Double> waits) {
     SplittableRandom random = new SplittableRandom(seed);
-    World world = new World(3, 100);
+    SimulatedCluster world = new SimulatedCluster(3, 100);
     int jobs = 6;
     Node former = busy(world, jobs);
     double cancelS = former.settings.workers().cancelS();
@@ -123,7 +123,7 @@
   @ParameterizedTest
   @CsvSource({"true", "false"})
   void theFormerLeaderKeepsWorkersUnderItsOwnToken(boolean refused) {
-    World world = new World(3, 100);
+    SimulatedCluster world = new SimulatedCluster(3, 100);
     Node former = busy(world, 3);
     double cancelS = former.settings.workers().cancelS();
     former.noState = true;
@@ -146,7 +146,7 @@
     assertThat(world.broken()).isEmpty();
   }
 
-  private static boolean told(World world, String ref) {
+  private static boolean told(SimulatedCluster world, String ref) {
     return "cancelled".equals(world.endInStore(ref));
   }
 
@@ -157,7 +157,7 @@
   @ParameterizedTest
   @CsvSource({"10", "25", "40", "70"})
   void aMachineThatHangsGoesOnWithNothingThatIsCancelled(int hungS) {
-    World world = new World(3, 100);
+    SimulatedCluster world = new SimulatedCluster(3, 100);
     Node leader = busy(world, 3);
     List<FakeWorker> hung = world.running("j-0").values().stream().distinct().toList();
     world.askCancel(leader.index, "j-0");
@@ -182,7 +182,7 @@
   @ParameterizedTest
   @CsvSource({"0.5,false", "1.2,false", "8,false", "45,false", "0.5,true", "8,true"})
   void aStartThatIsHeldUpIsNotCarriedOutOnceTheCancellationIsTold(double heldS, boolean hung) {
-    World world = new World(3, 100);
+    SimulatedCluster world = new SimulatedCluster(3, 100);
     world.settle(3);
     world.nodes.subList(0, 2).forEach(Node::kill);
     world.pass(8);
@@ -221,7 +221,7 @@
   @ParameterizedTest
   @CsvSource({"1", "6"})
   void anEndThatIsCarriedOutLateIsToldOnlyWhereNothingOutlivesIt(int lateS) {
-    World world = new World(3, 100);
+    SimulatedCluster world = new SimulatedCluster(3, 100);
     Node leader = busy(world, 3);
     world.commitFate = Fate.HELD;
     world.askCancel(leader.index, "j-0");
@@ -252,7 +252,7 @@
    */
   @Test
   void anEndOfAFormerLeaderIsNotCarriedOutOnceTheNextHasRead() {
-    World world = new World(3, 100);
+    SimulatedCluster world = new SimulatedCluster(3, 100);
     Node former = busy(world, 3);
     world.commitFate = Fate.HELD;
     world.askCancel(former.index, "j-0");
--- a/src/test/java/io/embernotch/meetings/HandOverTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/FailoverTest.java
@@ -1,9 +1,9 @@
-package io.embernotch.meetings;
+package io.embernotch.faultcombinations;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -12,13 +12,13 @@
  * Jobs are cancelled in the seconds in which one controller's work changes hands, by users who go
  * from node to node.
  */
-class HandOverTest {
+class FailoverTest {
   private static final double FROM_S = -5;
   private static final double TO_S = 5;
   private static final double STEP_S = 0.5;
 
-  private final Scenario scenario = Scenario.large();
-  private final World world = scenario.world;
+  private final FaultScenario scenario = FaultScenario.large();
+  private final SimulatedCluster world = scenario.world;
 
   private void handOver(String how, Node leader) {
     switch (how) {
@@ -59,7 +59,7 @@
       // One that is just being started meets it too.
       world.time.after(
           Math.max(0, -FROM_S + at - 0.2),
-          () -> world.askSubmit(asked, World.job(fresh, "array", 3)));
+          () -> world.askSubmit(asked, SimulatedCluster.job(fresh, "array", 3)));
       world.time.after(-FROM_S + at, () -> scenario.cancelUntilTold(fresh, (asked + 1) % 3, 12));
       scenario.lookAround(ref, 2 * TO_S + 4, 0.25);
       world.pass(-FROM_S + TO_S + 8);
@@ -86,13 +86,13 @@
     world.pass(12);
     // Neither the stops nor the answers to reports reach them any more.
     world.workers.values().forEach(w -> w.mute = true);
-    world.directFate = World.Fate.LOST;
+    world.directFate = SimulatedCluster.Fate.LOST;
     world.askCancel(leader.index, "j-1");
     world.pass(afterS);
     leader.kill();
     world.pass(6);
     world.workers.values().forEach(w -> w.mute = false);
-    world.directFate = World.Fate.ARRIVES;
+    world.directFate = SimulatedCluster.Fate.ARRIVES;
     scenario.cancelUntilTold("j-1", 0, 10);
     world.pass(20);
     leader.start();
--- a/src/test/java/io/embernotch/meetings/FastBootTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/FastBootTest.java
@@ -1,11 +1,11 @@
-package io.embernotch.meetings;
+package io.embernotch.faultcombinations;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.testkit.FakeWorker;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Fate;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Fate;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -18,8 +18,8 @@
 class FastBootTest {
   private static final double FAST_S = 1.2;
 
-  private final Scenario scenario = Scenario.large();
-  private final World world = scenario.world;
+  private final FaultScenario scenario = FaultScenario.large();
+  private final SimulatedCluster world = scenario.world;
 
   @ParameterizedTest
   @CsvSource({"1,0.3,2", "2,0.3,4", "3,0.6,2", "4,0.6,4", "5,0.6,7"})
--- a/src/test/java/io/embernotch/meetings/MeetingsHuntTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/FaultCombinationsRandomizedTest.java
@@ -1,13 +1,13 @@
-package io.embernotch.meetings;
+package io.embernotch.faultcombinations;
 
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.testkit.FakeWorker;
-import io.embernotch.testkit.Told;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Fate;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.testkit.RecordedAnswers;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Fate;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -20,7 +20,7 @@
  * last tasks, drawn by a seed. {@code -Dmeetings.seeds=N} plays more, {@code -Dmeetings.from=N}
  * others, {@code -Dmeetings.trace=true} tells what happens.
  */
-class MeetingsHuntTest {
+class FaultCombinationsRandomizedTest {
   private static final int SEEDS = Integer.getInteger("meetings.seeds", 60);
   private static final int FROM = Integer.getInteger("meetings.from", 1);
   private static final int STEPS = 100;
@@ -33,8 +33,8 @@
 
   private static final class History {
     private final SplittableRandom random;
-    private final World world = new World(3, 10);
-    private final Told told = new Told(world);
+    private final SimulatedCluster world = new SimulatedCluster(3, 10);
+    private final RecordedAnswers told = new RecordedAnswers(world);
 
     History(long seed) {
       random = new SplittableRandom(seed);
--- a/src/test/java/io/embernotch/meetings/MeetingsTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/FaultCombinationsTest.java
@@ -1,13 +1,13 @@
-package io.embernotch.meetings;
+package io.embernotch.faultcombinations;
 
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.testkit.FakeWorker;
-import io.embernotch.testkit.Told;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Fate;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.testkit.RecordedAnswers;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Fate;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -18,10 +18,10 @@
 /**
  * Two troubles that meet, one test for each row of {@code docs/design/meetings.md}, in its order.
  */
-class MeetingsTest {
-  private Scenario scenario = new Scenario(new World(3));
-  private World world = scenario.world;
-  private Told told = scenario.told;
+class FaultCombinationsTest {
+  private FaultScenario scenario = new FaultScenario(new SimulatedCluster(3));
+  private SimulatedCluster world = scenario.world;
+  private RecordedAnswers told = scenario.told;
 
   private double cancelS() {
     return scenario.cancelS();
@@ -33,7 +33,7 @@
 
   /** Many more machines and a larger limit than most of these need. */
   private void large() {
-    scenario = Scenario.large();
+    scenario = FaultScenario.large();
     world = scenario.world;
     told = scenario.told;
   }
--- a/src/test/java/io/embernotch/meetings/Scenario.java
+++ b/src/test/java/io/embernotch/faultcombinations/FaultScenario.java
@@ -1,12 +1,12 @@
-package io.embernotch.meetings;
+package io.embernotch.faultcombinations;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.settings.Settings;
 import io.embernotch.testkit.FakeWorker;
-import io.embernotch.testkit.Told;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Fate;
+import io.embernotch.testkit.RecordedAnswers;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Fate;
 import java.util.List;
 import java.util.SplittableRandom;
 
@@ -14,29 +14,29 @@
  * Three controllers, what their users were told, and the end that every meeting of troubles has in
  * common.
  */
-final class Scenario {
+final class FaultScenario {
   /** So long after the last trouble everything is expected to run again. */
   private static final double RECOVERY_S = 20;
 
   /** Longer than a job may wait beside room for it. */
   private static final double QUIET_S = 100;
 
-  final World world;
-  final Told told;
+  final SimulatedCluster world;
+  final RecordedAnswers told;
 
-  Scenario(World world) {
+  FaultScenario(SimulatedCluster world) {
     this.world = world;
-    this.told = new Told(world);
+    this.told = new RecordedAnswers(world);
   }
 
   /** Teams may use a good deal more than most histories need. */
-  static Scenario large() {
-    return new Scenario(new World(3, 10));
+  static FaultScenario large() {
+    return new FaultScenario(new SimulatedCluster(3, 10));
   }
 
   /** The same with troubles that are drawn by a seed. */
-  static Scenario drawn(long seed) {
-    Scenario s = large();
+  static FaultScenario drawn(long seed) {
+    FaultScenario s = large();
     s.world.random = new SplittableRandom(seed);
     return s;
   }
--- a/src/test/java/io/embernotch/meetings/RulesCheckerTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/InvariantCheckerTest.java
@@ -1,24 +1,24 @@
-package io.embernotch.meetings;
+package io.embernotch.faultcombinations;
 
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.codec.JobCodec;
 import io.embernotch.codec.Json;
-import io.embernotch.http.Answer;
-import io.embernotch.model.Phase;
+import io.embernotch.http.HttpResponse;
+import io.embernotch.model.JobPhase;
 import io.embernotch.settings.SettingsReader;
 import io.embernotch.testkit.FakeWorker;
-import io.embernotch.testkit.Rules;
-import io.embernotch.testkit.World;
+import io.embernotch.testkit.InvariantChecker;
+import io.embernotch.testkit.SimulatedCluster;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Each check of {@link Rules} reports a history in which the fault was planted. */
-class RulesCheckerTest {
-  private final Rules rules = new Rules(SettingsReader.parse(World.toml(0)));
+/** Each check of {@link InvariantChecker} reports a history in which the fault was planted. */
+class InvariantCheckerTest {
+  private final InvariantChecker rules = new InvariantChecker(SettingsReader.parse(SimulatedCluster.toml(0)));
   private final List<FakeWorker> machines = new ArrayList<>();
 
   private FakeWorker machine(String zone, boolean spot) {
@@ -30,7 +30,7 @@
   private void accept(String json) {
     rules.submitted(
         json.getBytes(StandardCharsets.UTF_8),
-        Answer.of(201, JobCodec.brief(ref(json), Phase.QUEUED)),
+        HttpResponse.of(201, JobCodec.brief(ref(json), JobPhase.QUEUED)),
         0,
         0);
   }
@@ -50,8 +50,8 @@
     rules.started(w, task, null, machines, now);
   }
 
-  private void told(String ref, Phase phase, double now) {
-    rules.heard(ref, Answer.of(200, JobCodec.status(ref, phase, 0, 0)), now, now);
+  private void told(String ref, JobPhase phase, double now) {
+    rules.heard(ref, HttpResponse.of(200, JobCodec.status(ref, phase, 0, 0)), now, now);
   }
 
   private void reports(String what) {
@@ -68,7 +68,7 @@
     rules.look(machines, 200);
     rules.exited("j-1/0", "done");
     rules.exited("j-1/1", "done");
-    told("j-1", Phase.DONE, 201);
+    told("j-1", JobPhase.DONE, 201);
     rules.look(machines, 400);
     assertThat(rules.broken()).isEmpty();
   }
@@ -115,7 +115,7 @@
     FakeWorker w = machine("z1", true);
     start(w, "j-1/0", 1);
     rules.cancelAsked("j-1", 2);
-    told("j-1", Phase.CANCELLED, 4);
+    told("j-1", JobPhase.CANCELLED, 4);
     start(w, "j-1/1", 10);
     assertThat(rules.startsAfterCancel).hasSize(1);
     assertThat(rules.cancelWaits).containsExactly(2.0);
@@ -130,7 +130,7 @@
   void startsLongAfterAConfirmation() {
     accept(job("j-1", "array", 2));
     rules.cancelAsked("j-1", 2);
-    told("j-1", Phase.CANCELLED, 4);
+    told("j-1", JobPhase.CANCELLED, 4);
     start(machine("z1", true), "j-1/0", 60);
     reports("starts later than cancel_s");
   }
@@ -138,13 +138,13 @@
   @Test
   void forgottenInventedAndTakenBack() {
     accept(job("j-1", "array", 1));
-    rules.polled("j-1", Answer.error(404, "x"), 1, 1, true);
+    rules.polled("j-1", HttpResponse.error(404, "x"), 1, 1, true);
     rules.submitted(
-        job("j-1", "array", 1).getBytes(StandardCharsets.UTF_8), Answer.error(422, "x"), 1, 1);
-    rules.polled("j-2", Answer.of(200, JobCodec.status("j-2", Phase.QUEUED, 0, 0)), 1, 1, false);
+        job("j-1", "array", 1).getBytes(StandardCharsets.UTF_8), HttpResponse.error(422, "x"), 1, 1);
+    rules.polled("j-2", HttpResponse.of(200, JobCodec.status("j-2", JobPhase.QUEUED, 0, 0)), 1, 1, false);
     rules.cancelAsked("j-1", 1);
-    told("j-1", Phase.CANCELLED, 2);
-    told("j-1", Phase.RUNNING, 3);
+    told("j-1", JobPhase.CANCELLED, 2);
+    told("j-1", JobPhase.RUNNING, 3);
     assertThat(rules.broken()).hasSize(4);
   }
 
@@ -152,19 +152,19 @@
   void doneTooEarlyAndCancelledByItself() {
     accept(job("j-1", "array", 2));
     rules.exited("j-1/0", "done");
-    told("j-1", Phase.DONE, 2);
+    told("j-1", JobPhase.DONE, 2);
     reports("before all of its tasks");
     accept(job("j-2", "array", 2));
-    told("j-2", Phase.CANCELLED, 2);
+    told("j-2", JobPhase.CANCELLED, 2);
     assertThat(rules.broken()).hasSize(2);
   }
 
-  private void asked(String ref, Answer answer, double askedAt, double now) {
+  private void asked(String ref, HttpResponse answer, double askedAt, double now) {
     rules.polled(ref, answer, askedAt, now, true);
   }
 
-  private static Answer running(String ref, int done) {
-    return Answer.of(200, JobCodec.status(ref, Phase.RUNNING, done, 1));
+  private static HttpResponse running(String ref, int done) {
+    return HttpResponse.of(200, JobCodec.status(ref, JobPhase.RUNNING, done, 1));
   }
 
   /** Answers whose times overlap may come in any order. */
@@ -174,17 +174,17 @@
     asked("j-1", running("j-1", 2), 5.0, 5.1);
     asked("j-1", running("j-1", 1), 5.05, 5.2);
     rules.cancelAsked("j-1", 5.2);
-    told("j-1", Phase.CANCELLED, 6);
+    told("j-1", JobPhase.CANCELLED, 6);
     asked("j-1", running("j-1", 2), 5.9, 6.5);
     assertThat(rules.broken()).isEmpty();
   }
 
   @Test
   void aDenialOfWhatWasAcceptedBeforeItWasAsked() {
-    asked("j-1", Answer.error(404, "x"), 0.5, 0.9);
+    asked("j-1", HttpResponse.error(404, "x"), 0.5, 0.9);
     accept(job("j-1", "array", 1));
     assertThat(rules.broken()).isEmpty();
-    asked("j-1", Answer.error(404, "x"), 0.01, 0.02);
+    asked("j-1", HttpResponse.error(404, "x"), 0.01, 0.02);
     reports("UNKNOWN");
   }
 
@@ -200,7 +200,7 @@
   void anEndThatIsTakenBackByALaterQuestion() {
     accept(job("j-1", "array", 1));
     rules.cancelAsked("j-1", 1);
-    told("j-1", Phase.CANCELLED, 2);
+    told("j-1", JobPhase.CANCELLED, 2);
     asked("j-1", running("j-1", 0), 2.001, 2.01);
     reports("ENDED");
   }
@@ -211,7 +211,7 @@
     FakeWorker w = machine("z1", true);
     start(w, "j-1/0", 1);
     asked("j-1", running("j-1", 0), 2, 2.1);
-    Answer queued = Answer.of(200, JobCodec.status("j-1", Phase.QUEUED, 0, 0));
+    HttpResponse queued = HttpResponse.of(200, JobCodec.status("j-1", JobPhase.QUEUED, 0, 0));
     asked("j-1", queued, 2.05, 2.2);
     assertThat(rules.broken()).isEmpty();
     asked("j-1", queued, 2.3, 2.4);
@@ -230,7 +230,7 @@
     String json = job("j-1", "array", 2).replace("\"flush_s\":2.0,", "");
     rules.submitted(
         json.getBytes(StandardCharsets.UTF_8),
-        Answer.of(201, JobCodec.brief("j-1", Phase.QUEUED)),
+        HttpResponse.of(201, JobCodec.brief("j-1", JobPhase.QUEUED)),
         0,
         0);
     reports("lacks something");
--- a/src/test/java/io/embernotch/meetings/LateCommandTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/LateCommandTest.java
@@ -1,19 +1,19 @@
-package io.embernotch.meetings;
+package io.embernotch.faultcombinations;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.testkit.FakeWorker;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Fate;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Fate;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A command of a leader that has since ended or been deposed arrives after the new leader's. */
 class LateCommandTest {
-  private final Scenario scenario = Scenario.large();
-  private final World world = scenario.world;
+  private final FaultScenario scenario = FaultScenario.large();
+  private final SimulatedCluster world = scenario.world;
 
   /**
    * Starts of the former leader are held up; its job is cancelled or goes on under the next one.
--- a/src/test/java/io/embernotch/meetings/LostAnswerTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/LostResponseTest.java
@@ -1,11 +1,11 @@
-package io.embernotch.meetings;
+package io.embernotch.faultcombinations;
 
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Fate;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Fate;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -16,9 +16,9 @@
  * A transaction is carried out at once and only its answer is lost, while other nodes read what it
  * wrote.
  */
-class LostAnswerTest {
-  private final Scenario scenario = Scenario.large();
-  private final World world = scenario.world;
+class LostResponseTest {
+  private final FaultScenario scenario = FaultScenario.large();
+  private final SimulatedCluster world = scenario.world;
 
   /**
    * Every transaction of one kind, with the answers to the reads that follow lost as well or not,
--- a/src/test/java/io/embernotch/meetings/CloseLooksTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/ReadConsistencyTest.java
@@ -1,14 +1,14 @@
-package io.embernotch.meetings;
+package io.embernotch.faultcombinations;
 
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.Json;
-import io.embernotch.http.Answer;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Fate;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.http.HttpResponse;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Fate;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -19,12 +19,12 @@
  * right after a job was accepted, ended or confirmed as cancelled. No node may then answer
  * something older.
  */
-class CloseLooksTest {
+class ReadConsistencyTest {
   private static final double LOOKS_S = 2;
   private static final double MOST_APART_S = 0.02;
 
-  private final Scenario scenario = Scenario.large();
-  private final World world = scenario.world;
+  private final FaultScenario scenario = FaultScenario.large();
+  private final SimulatedCluster world = scenario.world;
 
   private void look(String ref) {
     for (double at = 0; at < LOOKS_S; at += world.random.nextDouble(MOST_APART_S)) {
@@ -181,7 +181,7 @@
     world.running("j-1").get("j-1/0").exit("j-1/0", "done");
     int counted = 0;
     for (int i = 0; i < 60; i++) {
-      Answer elsewhere = world.poll(alone.index, "j-1");
+      HttpResponse elsewhere = world.poll(alone.index, "j-1");
       counted =
           Math.max(
               counted,
--- a/src/test/java/io/embernotch/meetings/SmallJobsTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/SmallJobsTest.java
@@ -1,12 +1,12 @@
-package io.embernotch.meetings;
+package io.embernotch.faultcombinations;
 
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.Json;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.ArrayDeque;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -25,9 +25,9 @@
   @ParameterizedTest
   @CsvSource({"false", "true"})
   void oneTaskJobsForMinutes(boolean troubles) {
-    World world = World.withStateLimits(100, WRITES_PER_S);
+    SimulatedCluster world = SimulatedCluster.withStateLimits(100, WRITES_PER_S);
     world.state.changesPerS = WRITES_PER_S;
-    Scenario scenario = new Scenario(world);
+    FaultScenario scenario = new FaultScenario(world);
     world.settle(3);
     ArrayDeque<String> under = new ArrayDeque<>();
     int mostKnown = 0;
@@ -76,7 +76,7 @@
     scenario.allIsWell();
   }
 
-  private static int unfinished(World world) {
+  private static int unfinished(SimulatedCluster world) {
     Node leader = world.settle(0);
     ObjectNode overview = Json.parseObject(world.await(leader.controller.overview()).body());
     return overview.path("cluster").path("queue").path("c").path("jobs").asInt();
--- a/src/test/java/io/embernotch/meetings/OldReportTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/StaleHeartbeatTest.java
@@ -1,10 +1,10 @@
-package io.embernotch.meetings;
+package io.embernotch.faultcombinations;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.testkit.FakeWorker;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -13,9 +13,9 @@
  * An old report reaches every controller just as a new leader begins: of an earlier session, of an
  * earlier attempt, from before a start or a stop; two different ones at two nodes.
  */
-class OldReportTest {
-  private final Scenario scenario = Scenario.large();
-  private final World world = scenario.world;
+class StaleHeartbeatTest {
+  private final FaultScenario scenario = FaultScenario.large();
+  private final SimulatedCluster world = scenario.world;
 
   private void atEveryNode(byte[] report, byte[] another) {
     for (Node n : world.nodes) {
--- a/src/test/java/io/embernotch/meetings/TeamLimitTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/TeamLimitTest.java
@@ -1,11 +1,11 @@
-package io.embernotch.meetings;
+package io.embernotch.faultcombinations;
 
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.testkit.FakeWorker;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -19,8 +19,8 @@
   private static final int RED_LIMIT = 24;
   private static final int BLUE_LIMIT = 64;
 
-  private final Scenario scenario = new Scenario(new World(3));
-  private final World world = scenario.world;
+  private final FaultScenario scenario = new FaultScenario(new SimulatedCluster(3));
+  private final SimulatedCluster world = scenario.world;
 
   private void submit(String ref, String team, int tasks) {
     String json =
--- a/src/test/java/io/embernotch/relay/StandbyTest.java
+++ b/src/test/java/io/embernotch/forwarding/DelegatedRenewalTest.java
@@ -1,20 +1,20 @@
-package io.embernotch.relay;
+package io.embernotch.forwarding;
 
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.embernotch.actor.Work;
-import io.embernotch.env.Env;
-import io.embernotch.machines.Delegations;
-import io.embernotch.model.WorkerReport;
+import io.embernotch.actor.EventLoopProfile;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.agents.RenewalDelegations;
+import io.embernotch.model.Heartbeat;
 import io.embernotch.peer.Frame;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.Settings;
 import io.embernotch.settings.SettingsReader;
 import io.embernotch.testkit.FakeTime;
 import io.embernotch.testkit.FakeWorker;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
@@ -26,10 +26,10 @@
  * A zone that is cut off: what runs there runs on, and no rule gives way for it. Node 2 is in zone
  * z2.
  */
-class StandbyTest {
+class DelegatedRenewalTest {
   private static final double CUT_S = 56;
 
-  private final World world = new World(3, 4);
+  private final SimulatedCluster world = new SimulatedCluster(3, 4);
   private final Settings settings = world.nodes.get(0).settings;
 
   /** A leader outside of z2, and a service with replicas in both zones. */
@@ -82,24 +82,24 @@
   void eachCutRenewsWorkersBeforeItSendsThemAway() {
     FakeTime time = new FakeTime();
     Settings far = world.nodes.get(2).settings;
-    Standby standby =
-        new Standby(
-            new Env(
+    DelegatedRenewal standby =
+        new DelegatedRenewal(
+            new ControllerContext(
                 far,
                 OperatorSettings.DEFAULTS,
                 time,
                 time,
                 time,
-                Work.NONE,
+                EventLoopProfile.NONE,
                 null,
                 null,
                 null,
                 () -> "x",
                 null));
-    WorkerReport report =
-        new WorkerReport("n-1", "10.0.0.9:9", "g8", "z2", false, 1, 1, 5, null, List.of());
+    Heartbeat report =
+        new Heartbeat("n-1", "10.0.0.9:9", "g8", "z2", false, 1, 1, 5, null, List.of());
     for (int cut = 0; cut < 2; cut++) {
-      standby.noted(new Frame.Noted(1, standby.here().seq(), true));
+      standby.noted(new Frame.DelegateHeartbeatAck(1, standby.here().seq(), true));
       time.pass(far.contactS() * 1.1);
       assertThat(standby.renewal(report, "c0").status()).isEqualTo(200);
       time.pass(far.workers().leaseS() / 2);
@@ -190,27 +190,27 @@
   void noTwoLivesGiveTheSameNumbers() {
     FakeTime time = new FakeTime();
     Settings far = world.nodes.get(2).settings;
-    List<Frame.Here> first =
+    List<Frame.DelegateHeartbeat> first =
         Stream.of("one", "two")
             .map(
                 name ->
-                    new Standby(
-                        new Env(
+                    new DelegatedRenewal(
+                        new ControllerContext(
                             far,
                             OperatorSettings.DEFAULTS,
                             time,
                             time,
                             time,
-                            Work.NONE,
+                            EventLoopProfile.NONE,
                             null,
                             null,
                             null,
                             () -> name,
                             null)))
-            .map(Standby::here)
+            .map(DelegatedRenewal::here)
             .toList();
     assertThat(first.get(0).seq()).isNotEqualTo(first.get(1).seq());
-    Delegations delegations = new Delegations(far, 100, new HashSet<>());
+    RenewalDelegations delegations = new RenewalDelegations(far, 100, new HashSet<>());
     delegations.heard(first.get(0), 7, true, 200);
     assertThat(delegations.another(first.get(0))).isFalse();
     assertThat(delegations.another(first.get(1))).isTrue();
@@ -218,16 +218,16 @@
 
   @Test
   void theLeaderKnowsUntilWhenAControllerMayHaveRenewed() {
-    Settings s = SettingsReader.parse(World.toml(0));
-    Delegations delegations = new Delegations(s, 100, new HashSet<>());
+    Settings s = SettingsReader.parse(SimulatedCluster.toml(0));
+    RenewalDelegations delegations = new RenewalDelegations(s, 100, new HashSet<>());
     double hold = s.holdS() * (1 + Settings.DRIFT);
     // Nothing heard: it may hold a right of an earlier leader.
     assertThat(delegations.renewedUntil("z2", 110)).isEqualTo(110);
     assertThat(delegations.renewedUntil("z2", 500)).isEqualTo(100 + hold);
-    assertThat(delegations.heard(new Frame.Here("c2", 1, 0, -1), 7, true, 200).granted()).isFalse();
-    assertThat(delegations.heard(new Frame.Here("c1", 1, 0, -1), 7, true, 200).granted()).isTrue();
-    assertThat(delegations.heard(new Frame.Here("c2", 2, 1, -1), 7, true, 202).granted()).isTrue();
-    delegations.heard(new Frame.Here("c2", 3, 2, -1), 7, true, 204);
+    assertThat(delegations.heard(new Frame.DelegateHeartbeat("c2", 1, 0, -1), 7, true, 200).granted()).isFalse();
+    assertThat(delegations.heard(new Frame.DelegateHeartbeat("c1", 1, 0, -1), 7, true, 200).granted()).isTrue();
+    assertThat(delegations.heard(new Frame.DelegateHeartbeat("c2", 2, 1, -1), 7, true, 202).granted()).isTrue();
+    delegations.heard(new Frame.DelegateHeartbeat("c2", 3, 2, -1), 7, true, 204);
     // 3 acknowledges 2, which acknowledged 1, answered at 200: until contactS after that it renewed
     // nothing.
     assertThat(delegations.renewedUntil("z2", 200 + s.contactS())).isEqualTo(100 + hold);
@@ -236,11 +236,11 @@
     assertThat(delegations.renewedUntil("z2", 900)).isEqualTo(204 + hold);
     // It owns up to a renewal, and is in contact again.
     for (int i = 4; i < 8; i++) {
-      delegations.heard(new Frame.Here("c2", i, i - 1, 10 + 2 * i), 7, true, 230 + 2 * i);
+      delegations.heard(new Frame.DelegateHeartbeat("c2", i, i - 1, 10 + 2 * i), 7, true, 230 + 2 * i);
     }
     assertThat(delegations.renewedUntil("z2", 245)).isEqualTo(220);
     // A new process knows nothing of what the one before it did.
-    delegations.heard(new Frame.Here("c2", 50, 0, -1), 7, true, 260);
+    delegations.heard(new Frame.DelegateHeartbeat("c2", 50, 0, -1), 7, true, 260);
     assertThat(delegations.renewedUntil("z2", 300)).isGreaterThanOrEqualTo(260);
   }
 }
--- a/src/test/java/io/embernotch/relay/AloneTest.java
+++ b/src/test/java/io/embernotch/forwarding/IsolatedControllerTest.java
@@ -1,12 +1,12 @@
-package io.embernotch.relay;
+package io.embernotch.forwarding;
 
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.embernotch.machines.Tokens;
+import io.embernotch.agents.FencingTokens;
 import io.embernotch.testkit.FakeWorker;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.AfterEach;
@@ -14,8 +14,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** A controller that loses the state service and the other controllers, but not its workers. */
-class AloneTest {
-  private final World world = new World(3, 100);
+class IsolatedControllerTest {
+  private final SimulatedCluster world = new SimulatedCluster(3, 100);
 
   private Map<String, FakeWorker> service() {
     world.settle(3);
@@ -124,7 +124,7 @@
     world.pass(6);
     List<FakeWorker> reached =
         world.workers.values().stream()
-            .filter(w -> w.node == n.index && w.token >= Tokens.base(world.state.stamp("steward")))
+            .filter(w -> w.node == n.index && w.token >= FencingTokens.base(world.state.stamp("steward")))
             .toList();
     world.pass(1.5);
     assertThat(reached).noneMatch(w -> w.node == n.index);
--- a/src/test/java/io/embernotch/relay/QuestionsTest.java
+++ b/src/test/java/io/embernotch/forwarding/PendingRequestsTest.java
@@ -1,8 +1,8 @@
-package io.embernotch.relay;
+package io.embernotch.forwarding;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.embernotch.http.Answer;
+import io.embernotch.http.HttpResponse;
 import io.embernotch.peer.Frame;
 import io.embernotch.peer.PeerLink;
 import io.embernotch.testkit.FakeTime;
@@ -11,13 +11,13 @@
 import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
 
-class QuestionsTest implements PeerLink {
+class PendingRequestsTest implements PeerLink {
   private final FakeTime time = new FakeTime();
   private long lastId;
 
-  private Questions life(String name) {
+  private PendingRequests life(String name) {
     Supplier<String> names = () -> name;
-    return new Questions(time, this, names);
+    return new PendingRequests(time, this, names);
   }
 
   /**
@@ -26,22 +26,22 @@
    */
   @Test
   void anAnswerToAFormerLifeAnswersNothingOfThisOne() {
-    life("one").ask("c1", id -> new Frame.Ask(id, Frame.Ask.What.POLL, "j-1"), 2);
+    life("one").ask("c1", id -> new Frame.ForwardedRequest(id, Frame.ForwardedRequest.Kind.POLL, "j-1"), 2);
     long former = lastId;
-    Questions now = life("two");
-    Future<Answer> reply = now.ask("c1", id -> new Frame.Ask(id, Frame.Ask.What.POLL, "j-2"), 2);
-    now.told(new Frame.Told(former, 200, 0, new byte[0]));
+    PendingRequests now = life("two");
+    Future<HttpResponse> reply = now.ask("c1", id -> new Frame.ForwardedRequest(id, Frame.ForwardedRequest.Kind.POLL, "j-2"), 2);
+    now.told(new Frame.Response(former, 200, 0, new byte[0]));
     assertThat(reply.isComplete()).isFalse();
-    now.told(new Frame.Told(lastId, 404, 0, new byte[0]));
+    now.told(new Frame.Response(lastId, 404, 0, new byte[0]));
     assertThat(reply.result().status()).isEqualTo(404);
   }
 
   @Override
-  public void onFrame(BiConsumer<Frame, Back> handler) {}
+  public void onFrame(BiConsumer<Frame, ReplyChannel> handler) {}
 
   @Override
   public void send(String node, Frame frame) {
-    lastId = ((Frame.Ask) frame).id();
+    lastId = ((Frame.ForwardedRequest) frame).id();
   }
 
   @Override
--- a/src/test/java/io/embernotch/http/HttpFrontTest.java
+++ b/src/test/java/io/embernotch/http/HttpApiServerTest.java
@@ -3,12 +3,12 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.actor.VertxTimers;
-import io.embernotch.model.WorkerReport;
+import io.embernotch.model.Heartbeat;
 import io.embernotch.settings.HostPort;
 import io.embernotch.settings.Settings;
 import io.embernotch.settings.SettingsReader;
 import io.embernotch.testkit.FakeTime;
-import io.embernotch.testkit.World;
+import io.embernotch.testkit.SimulatedCluster;
 import io.vertx.core.Context;
 import io.vertx.core.Deployable;
 import io.vertx.core.Future;
@@ -29,9 +29,9 @@
  * The front before a core that is busy: its tasks are run by the test, and the time that they see
  * is the test's.
  */
-class HttpFrontTest implements Door {
+class HttpApiServerTest implements RequestHandler {
   private final Settings settings =
-      SettingsReader.parse(World.toml(0).replace("max_connections = 1000", "max_connections = 12"));
+      SettingsReader.parse(SimulatedCluster.toml(0).replace("max_connections = 1000", "max_connections = 12"));
   private final Vertx vertx = Vertx.vertx();
   private final FakeTime time = new FakeTime();
   private final BlockingQueue<Runnable> core = new LinkedBlockingQueue<>();
@@ -50,7 +50,7 @@
   }
 
   private Future<?> front(Context loop) {
-    return new HttpFront(this, core::add, time, new VertxTimers(vertx, loop), settings)
+    return new HttpApiServer(this, core::add, time, new VertxTimers(vertx, loop), settings)
         .listen(vertx, new HostPort("127.0.0.1", port));
   }
 
@@ -147,34 +147,34 @@
   }
 
   @Override
-  public Future<Answer> submit(byte[] body) {
-    return Future.succeededFuture(Answer.error(400, "not asked here"));
+  public Future<HttpResponse> submit(byte[] body) {
+    return Future.succeededFuture(HttpResponse.error(400, "not asked here"));
   }
 
   @Override
-  public Future<Answer> poll(String ref) {
+  public Future<HttpResponse> poll(String ref) {
     polled++;
-    return Future.succeededFuture(Answer.of(200, new byte[0]));
+    return Future.succeededFuture(HttpResponse.of(200, new byte[0]));
   }
 
   @Override
-  public Future<Answer> abort(String ref) {
-    return Future.succeededFuture(Answer.error(400, "not asked here"));
+  public Future<HttpResponse> abort(String ref) {
+    return Future.succeededFuture(HttpResponse.error(400, "not asked here"));
   }
 
   @Override
-  public Future<Answer> report(WorkerReport report) {
+  public Future<HttpResponse> report(Heartbeat report) {
     reported++;
-    return Future.succeededFuture(Answer.of(200, new byte[0]));
+    return Future.succeededFuture(HttpResponse.of(200, new byte[0]));
   }
 
   @Override
-  public Answer ready() {
-    return Answer.of(200, new byte[0]);
+  public HttpResponse ready() {
+    return HttpResponse.of(200, new byte[0]);
   }
 
   @Override
-  public Future<Answer> overview() {
-    return Future.succeededFuture(Answer.of(200, new byte[0]));
+  public Future<HttpResponse> overview() {
+    return Future.succeededFuture(HttpResponse.of(200, new byte[0]));
   }
 }
--- a/src/test/java/io/embernotch/http/VertxCallerTest.java
+++ b/src/test/java/io/embernotch/http/VertxHttpCallerTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-class VertxCallerTest {
+class VertxHttpCallerTest {
   private Vertx vertx;
   private Context loop;
   private HttpServer server;
@@ -39,8 +39,8 @@
     vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
   }
 
-  private Future<Reply> call(VertxCaller caller, String host, String path, double within) {
-    Promise<Reply> reply = Promise.promise();
+  private Future<HttpReply> call(VertxHttpCaller caller, String host, String path, double within) {
+    Promise<HttpReply> reply = Promise.promise();
     loop.runOnContext(
         v ->
             caller
@@ -49,7 +49,7 @@
     return reply.future();
   }
 
-  private static Reply get(Future<Reply> f) throws Exception {
+  private static HttpReply get(Future<HttpReply> f) throws Exception {
     return f.toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
   }
 
@@ -59,17 +59,17 @@
    */
   @Test
   void anIdleConnectionMakesWayForAnotherHostAndABusyOneDoesNot() throws Exception {
-    VertxCaller caller =
-        new VertxCaller(vertx, new SystemClock(), new VertxTimers(vertx, loop), 1, 1, 5, 60);
+    VertxHttpCaller caller =
+        new VertxHttpCaller(vertx, new SystemClock(), new VertxTimers(vertx, loop), 1, 1, 5, 60);
     for (String host : new String[] {"127.0.0.1", "127.0.0.2", "127.0.0.1", "127.0.0.3"}) {
       assertThat(get(call(caller, host, "/", 8)).status()).isEqualTo(200);
     }
-    Future<Reply> busy = call(caller, "127.0.0.4", "/never", 1);
+    Future<HttpReply> busy = call(caller, "127.0.0.4", "/never", 1);
     assertThat(call(caller, "127.0.0.1", "/", 8).toCompletionStage().toCompletableFuture())
         .failsWithin(10, TimeUnit.SECONDS)
         .withThrowableThat()
         .havingCause()
-        .isInstanceOfSatisfying(CallFailed.class, e -> assertThat(e.tried).isFalse());
+        .isInstanceOfSatisfying(CallFailedException.class, e -> assertThat(e.tried).isFalse());
     assertThat(busy.toCompletionStage().toCompletableFuture()).failsWithin(10, TimeUnit.SECONDS);
     assertThat(get(call(caller, "127.0.0.1", "/", 8)).status()).isEqualTo(200);
   }
--- a/src/test/java/io/embernotch/era/LossAtScaleTest.java
+++ b/src/test/java/io/embernotch/incarnation/DataLossAtScaleTest.java
@@ -1,21 +1,21 @@
-package io.embernotch.era;
+package io.embernotch.incarnation;
 
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.embernotch.testkit.FakeState.Held;
-import io.embernotch.testkit.World;
+import io.embernotch.testkit.FakeStore.Held;
+import io.embernotch.testkit.SimulatedCluster;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
 /**
  * Three controllers and 300 machines full of live services when the state service loses its data.
  */
-class LossAtScaleTest {
+class DataLossAtScaleTest {
   private static final int MACHINES = 300;
   private static final int EACH = 8;
 
-  private final World world = new World(3, 200);
+  private final SimulatedCluster world = new SimulatedCluster(3, 200);
 
   @BeforeEach
   void full() {
--- a/src/test/java/io/embernotch/era/LossHuntTest.java
+++ b/src/test/java/io/embernotch/incarnation/DataLossRandomizedTest.java
@@ -1,12 +1,12 @@
-package io.embernotch.era;
+package io.embernotch.incarnation;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.embernotch.testkit.FakeState.Held;
-import io.embernotch.testkit.Told;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Fate;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.testkit.FakeStore.Held;
+import io.embernotch.testkit.RecordedAnswers;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Fate;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -19,15 +19,15 @@
  * and what workers ran is held against the rules. {@code -Dloss.seeds=N} plays more, {@code
  * -Dloss.from=N} others.
  */
-class LossHuntTest {
+class DataLossRandomizedTest {
   private static final int SEEDS = Integer.getInteger("loss.seeds", 500);
   private static final int FROM = Integer.getInteger("loss.from", 1);
 
   /** Plays one seed; returns what went wrong. */
   private static List<String> play(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    World world = new World(3, 10);
-    Told told = new Told(world);
+    SimulatedCluster world = new SimulatedCluster(3, 10);
+    RecordedAnswers told = new RecordedAnswers(world);
     world.settle(3);
     List<Held> moments = new ArrayList<>();
     int next = 1;
@@ -84,7 +84,7 @@
    * the one that ends knew is lost with it: a submission whose frame to the leader did not arrive.
    * So it ends only once what it was told last has had the time to arrive.
    */
-  private static void lose(World world, SplittableRandom random, List<Held> moments) {
+  private static void lose(SimulatedCluster world, SplittableRandom random, List<Held> moments) {
     Node leader = world.leader();
     if (leader != null && random.nextInt(3) == 0) {
       // One that is not leader restarts: it knows nothing of what was.
--- a/src/test/java/io/embernotch/era/LossTest.java
+++ b/src/test/java/io/embernotch/incarnation/DataLossTest.java
@@ -1,21 +1,21 @@
-package io.embernotch.era;
+package io.embernotch.incarnation;
 
-import static io.embernotch.testkit.World.after;
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.after;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.codec.Json;
-import io.embernotch.testkit.FakeState.Held;
+import io.embernotch.testkit.FakeStore.Held;
 import io.embernotch.testkit.FakeWorker;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Fate;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Fate;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
 /** The state service loses data while controllers and workers go on. */
-class LossTest {
-  private final World world = new World(3, 10);
+class DataLossTest {
+  private final SimulatedCluster world = new SimulatedCluster(3, 10);
   private Node leader;
 
   /** A job that is done, a service and an array that run, one that waits for the array. */
@@ -75,7 +75,7 @@
     assertThat(world.running("j-5")).hasSize(2);
   }
 
-  private static int losses(World world) {
+  private static int losses(SimulatedCluster world) {
     int n = 0;
     for (Node node : world.nodes) {
       n += Json.parseObject(world.await(node.controller.overview()).body()).get("losses").asInt();
--- a/src/test/java/io/embernotch/jobs/ChainGraphTest.java
+++ b/src/test/java/io/embernotch/jobs/DependencyGraphTest.java
@@ -1,31 +1,31 @@
 package io.embernotch.jobs;
 
-import static io.embernotch.testkit.World.after;
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.after;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.codec.JobCodec;
 import io.embernotch.codec.Json;
-import io.embernotch.env.Env;
-import io.embernotch.ledger.Ledger;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.state.ClusterState;
 import io.embernotch.model.Job;
-import io.embernotch.model.Phase;
+import io.embernotch.model.JobPhase;
 import io.embernotch.model.Priority;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.SettingsReader;
-import io.embernotch.store.Entry;
+import io.embernotch.store.VersionedEntry;
 import io.embernotch.testkit.FakeTime;
-import io.embernotch.testkit.World;
+import io.embernotch.testkit.SimulatedCluster;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** What jobs inherit from those that need them, and when they are let go. */
-class ChainGraphTest implements Chains.Sink {
+class DependencyGraphTest implements DependencyGraph.Sink {
   private final FakeTime time = new FakeTime();
-  private final Env env =
-      new Env(
-          SettingsReader.parse(World.toml(0)),
+  private final ControllerContext env =
+      new ControllerContext(
+          SettingsReader.parse(SimulatedCluster.toml(0)),
           OperatorSettings.DEFAULTS,
           time,
           time,
@@ -36,8 +36,8 @@
           null,
           null,
           null);
-  private final Ledger ledger = new Ledger();
-  private final Chains chains = new Chains(env, ledger, this);
+  private final ClusterState ledger = new ClusterState();
+  private final DependencyGraph chains = new DependencyGraph(env, ledger, this);
   private final List<String> released = new ArrayList<>();
   private final List<String> cancelled = new ArrayList<>();
 
@@ -52,7 +52,7 @@
   }
 
   @Override
-  public void found(Entry entry) {
+  public void found(VersionedEntry entry) {
     throw new AssertionError();
   }
 
@@ -63,7 +63,7 @@
     return job;
   }
 
-  private void end(Job job, Phase phase, long atMs) {
+  private void end(Job job, JobPhase phase, long atMs) {
     job.end = phase;
     job.endKept = true;
     job.endedMs = atMs;
@@ -89,7 +89,7 @@
     assertThat(List.of(first.rank, left.rank, right.rank)).containsOnly(Priority.HIGH);
     assertThat(first.spec.priority()).isEqualTo(Priority.LOW);
     // Once the last one is cancelled, nobody needs them any more.
-    end(last, Phase.CANCELLED, 2_000);
+    end(last, JobPhase.CANCELLED, 2_000);
     chains.inherit();
     assertThat(first.rank).isEqualTo(Priority.NORMAL);
     assertThat(first.startByMs).isEqualTo(Long.MAX_VALUE);
@@ -111,9 +111,9 @@
     Job one = add(job("j-1", "array", 1));
     Job two = add(job("j-2", "array", 1));
     Job last = add(after("j-3", 1, "j-1", "j-2"));
-    end(one, Phase.DONE, 50_000);
+    end(one, JobPhase.DONE, 50_000);
     assertThat(released).isEmpty();
-    end(two, Phase.DONE, 40_000);
+    end(two, JobPhase.DONE, 40_000);
     assertThat(released).containsExactly("j-3");
     assertThat(last.sinceMs).isEqualTo(50_000);
     // One that comes when all is over, or after a takeover, comes to the same.
@@ -128,7 +128,7 @@
     for (int i = 1; i < 2_000; i++) {
       add(after("j-" + i, 1, "j-" + (i - 1), "j-" + i / 2));
     }
-    end(first, Phase.CANCELLED, 5_000);
+    end(first, JobPhase.CANCELLED, 5_000);
     assertThat(cancelled).hasSize(1_999).doesNotHaveDuplicates();
     assertThat(released).isEmpty();
   }
--- a/src/test/java/io/embernotch/leader/ImageInventoryTest.java
+++ b/src/test/java/io/embernotch/leader/ImageInventoryTest.java
@@ -23,17 +23,17 @@
     teller.tell(List.of(m), 7, 112, sent::add);
     assertThat(sent).hasSize(1);
     teller.tell(List.of(m), 7, 116, sent::add);
-    sent.forEach(f -> follower.heard((Frame.Images) f));
+    sent.forEach(f -> follower.heard((Frame.ImageInventoryUpdate) f));
     assertThat(follower.of("n-1")).containsExactly("a", "b");
     // What a deposed leader still says changes nothing.
-    follower.heard(new Frame.Images(6, "n-1", List.of("old")));
+    follower.heard(new Frame.ImageInventoryUpdate(6, "n-1", List.of("old")));
     assertThat(follower.of("n-1")).containsExactly("a", "b");
     // A follower that is back with nothing is told again, though nothing has changed.
     teller.again();
     ImageInventory next = new ImageInventory(4);
-    teller.tell(List.of(m), 7, 122, f -> next.heard((Frame.Images) f));
+    teller.tell(List.of(m), 7, 122, f -> next.heard((Frame.ImageInventoryUpdate) f));
     assertThat(next.of("n-1")).containsExactly("a", "b");
-    teller.gone("n-1", 7, f -> follower.heard((Frame.Images) f));
+    teller.gone("n-1", 7, f -> follower.heard((Frame.ImageInventoryUpdate) f));
     assertThat(follower.of("n-1")).isEmpty();
   }
 }
--- a/src/test/java/io/embernotch/peer/FormerVersionTest.java
+++ b/src/test/java/io/embernotch/peer/FormerVersionTest.java
@@ -4,9 +4,9 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.Json;
-import io.embernotch.codec.RunCodec;
+import io.embernotch.codec.JobProgressCodec;
 import io.embernotch.model.Job;
-import io.embernotch.model.Phase;
+import io.embernotch.model.JobPhase;
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.ByteBuffer;
@@ -43,25 +43,25 @@
   @Test
   void valuesAreReadAndWrittenAsBeforeButForFieldsThatItIgnores() throws IOException {
     ObjectNode stored = value("job.json");
-    Job job = RunCodec.readJob(stored);
+    Job job = JobProgressCodec.readJob(stored);
     assertThat(job.spec.awaits()).isEmpty();
     assertThat(job.sinceMs).isEqualTo(77);
-    int piece = RunCodec.readPiece(stored);
-    assertThat(Json.bytes(RunCodec.writeJob(job, piece))).isEqualTo(Json.bytes(stored));
-    RunCodec.readRun(value("run.json"), job, piece, 0);
+    int piece = JobProgressCodec.readPiece(stored);
+    assertThat(Json.bytes(JobProgressCodec.writeJob(job, piece))).isEqualTo(Json.bytes(stored));
+    JobProgressCodec.readRun(value("run.json"), job, piece, 0);
     assertThat(job.open.keySet()).containsExactly(3, 8);
     assertThat(job.wishes).containsEntry(3, "n-9");
-    assertThat(Json.bytes(RunCodec.writeRun(job, piece, 0)))
+    assertThat(Json.bytes(JobProgressCodec.writeRun(job, piece, 0)))
         .isEqualTo(Json.bytes(value("run.json")));
-    job.end = Phase.CANCELLED;
+    job.end = JobPhase.CANCELLED;
     job.endedMs = 99;
-    ObjectNode ended = RunCodec.writeRun(job, piece, 0);
+    ObjectNode ended = JobProgressCodec.writeRun(job, piece, 0);
     assertThat(ended.remove("at").asLong()).isEqualTo(99);
     assertThat(Json.bytes(ended)).isEqualTo(Json.bytes(value("ended.json")));
     // Written back by the former version, an end has lost its time: then the submission's counts.
-    Job back = RunCodec.readJob(stored);
-    RunCodec.readRun(value("ended.json"), back, piece, 0);
-    assertThat(back.end).isEqualTo(Phase.CANCELLED);
+    Job back = JobProgressCodec.readJob(stored);
+    JobProgressCodec.readRun(value("ended.json"), back, piece, 0);
+    assertThat(back.end).isEqualTo(JobPhase.CANCELLED);
     assertThat(back.endedMs).isEqualTo(77);
   }
 }
--- a/src/test/java/io/embernotch/peer/FrameTest.java
+++ b/src/test/java/io/embernotch/peer/FrameTest.java
@@ -3,11 +3,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import io.embernotch.codec.BadInput;
-import io.embernotch.model.Cause;
-import io.embernotch.model.TaskReport;
+import io.embernotch.codec.MalformedInputException;
+import io.embernotch.model.ExitCause;
+import io.embernotch.model.TaskStatus;
 import io.embernotch.model.TaskState;
-import io.embernotch.model.WorkerReport;
+import io.embernotch.model.Heartbeat;
 import io.embernotch.straggler.MachineView;
 import io.embernotch.straggler.Restart;
 import java.util.ArrayList;
@@ -35,8 +35,8 @@
               new MachineView.TaskView(
                   "j-2", 8, 4, 13, 0, 5, 1, 27, false, "z1", List.of("g8", "h9"))));
 
-  private static final WorkerReport REPORT =
-      new WorkerReport(
+  private static final Heartbeat REPORT =
+      new Heartbeat(
           "n-1",
           "10.1.0.2:9000",
           "g8",
@@ -47,20 +47,20 @@
           41L << 20,
           12.5,
           List.of(
-              new TaskReport("j-1", 7, 3, TaskState.RUNNING, null, false),
-              new TaskReport("j-2", 8, 4, TaskState.EXITED, Cause.STOPPED, true)));
+              new TaskStatus("j-1", 7, 3, TaskState.RUNNING, null, false),
+              new TaskStatus("j-2", 8, 4, TaskState.EXITED, ExitCause.STOPPED, true)));
 
   private static List<Frame> all() {
     return List.of(
-        new Frame.Beat("c1", null, 0, true),
-        new Frame.Ask(9, Frame.Ask.What.ABORT, "j-3"),
-        new Frame.View(44, VIEW),
-        new Frame.Forget(44, "n-1"),
-        new Frame.Images(44, "n-1", List.of("img-1", "img-2")),
-        new Frame.Report(3, REPORT),
-        new Frame.Here("c2", 9, 8, -1),
-        new Frame.Noted(44, 9, true),
-        new Frame.Propose("c2", 44, List.of(new Restart("j-1", 2, 3, "n-7", 0.25))));
+        new Frame.PeerHeartbeat("c1", null, 0, true),
+        new Frame.ForwardedRequest(9, Frame.ForwardedRequest.Kind.ABORT, "j-3"),
+        new Frame.MachineViewUpdate(44, VIEW),
+        new Frame.MachineViewRemoval(44, "n-1"),
+        new Frame.ImageInventoryUpdate(44, "n-1", List.of("img-1", "img-2")),
+        new Frame.ForwardedHeartbeat(3, REPORT),
+        new Frame.DelegateHeartbeat("c2", 9, 8, -1),
+        new Frame.DelegateHeartbeatAck(44, 9, true),
+        new Frame.RestartProposals("c2", 44, List.of(new Restart("j-1", 2, 3, "n-7", 0.25))));
   }
 
   @Test
@@ -80,7 +80,7 @@
 
   @Test
   void malformedFramesAreRefused() {
-    byte[] good = FrameCodec.encode(new Frame.Forget(44, "n-1"));
+    byte[] good = FrameCodec.encode(new Frame.MachineViewRemoval(44, "n-1"));
     byte[] version = good.clone();
     version[4] = 9;
     byte[] kind = good.clone();
@@ -90,7 +90,7 @@
     byte[] cut = good.clone();
     cut[14] = 0x70;
     for (byte[] bad : List.of(version, kind, tooLong, cut)) {
-      assertThatThrownBy(() -> new FrameReader(f -> {}).feed(bad)).isInstanceOf(BadInput.class);
+      assertThatThrownBy(() -> new FrameReader(f -> {}).feed(bad)).isInstanceOf(MalformedInputException.class);
     }
   }
 }
--- a/src/test/java/io/embernotch/reserve/ReservationTest.java
+++ b/src/test/java/io/embernotch/reservation/ReservationTest.java
@@ -1,6 +1,6 @@
-package io.embernotch.reserve;
+package io.embernotch.reservation;
 
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
@@ -9,9 +9,9 @@
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.SettingsException;
 import io.embernotch.testkit.FakeWorker;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Fate;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Fate;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
@@ -25,12 +25,12 @@
   private static final String TEN =
       "generation: 1 reserve { name: 'live' serves { priority: LIVE } gpus: 10 }";
 
-  private World world;
-  private HeldRoom room;
+  private SimulatedCluster world;
+  private ReservedCapacity room;
 
   private void begin(String file) {
-    world = new World(OperatorSettings.parse(file));
-    room = new HeldRoom(world);
+    world = new SimulatedCluster(OperatorSettings.parse(file));
+    room = new ReservedCapacity(world);
     world.settle(3);
   }
 
@@ -246,7 +246,7 @@
     SplittableRandom random = new SplittableRandom(seed);
     ReservationTest t = new ReservationTest();
     t.begin(random.nextBoolean() ? "" : TEN);
-    World world = t.world;
+    SimulatedCluster world = t.world;
     int next = 1;
     for (int step = 0; step < 25; step++) {
       int node = random.nextInt(3);
@@ -278,7 +278,7 @@
     return t.room.wrong;
   }
 
-  private static void submit(World world, int node, String json) {
+  private static void submit(SimulatedCluster world, int node, String json) {
     if (!world.nodes.get(node).down) {
       world.submit(node, json);
     }
--- a/src/test/java/io/embernotch/reserve/HeldRoom.java
+++ b/src/test/java/io/embernotch/reservation/ReservedCapacity.java
@@ -1,9 +1,9 @@
-package io.embernotch.reserve;
+package io.embernotch.reservation;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.testkit.FakeWorker;
-import io.embernotch.testkit.World;
+import io.embernotch.testkit.SimulatedCluster;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -15,14 +15,14 @@
  * Checks that nobody else's task begins on what the state service says is held; every task takes
  * one GPU of eight.
  */
-final class HeldRoom {
+final class ReservedCapacity {
   private static final int GPUS = 8;
 
-  private final World world;
+  private final SimulatedCluster world;
   private final Map<String, Set<String>> before = new HashMap<>();
   final List<String> wrong = new ArrayList<>();
 
-  HeldRoom(World world) {
+  ReservedCapacity(SimulatedCluster world) {
     this.world = world;
   }
 
--- a/src/test/java/io/embernotch/rounds/StragglerFeedTest.java
+++ b/src/test/java/io/embernotch/rounds/MachineViewPublisherTest.java
@@ -2,34 +2,34 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.embernotch.actor.Work;
-import io.embernotch.env.Env;
-import io.embernotch.ledger.Ledger;
+import io.embernotch.actor.EventLoopProfile;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.state.ClusterState;
 import io.embernotch.model.Machine;
 import io.embernotch.model.MachineType;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.SettingsReader;
 import io.embernotch.straggler.MachineView;
 import io.embernotch.testkit.FakeTime;
-import io.embernotch.testkit.World;
+import io.embernotch.testkit.SimulatedCluster;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class StragglerFeedTest {
+class MachineViewPublisherTest {
   private final FakeTime time = new FakeTime();
-  private final Ledger ledger = new Ledger();
+  private final ClusterState ledger = new ClusterState();
   private final List<MachineView> views = new ArrayList<>();
-  private final StragglerFeed feed =
-      new StragglerFeed(
-          new Env(
-              SettingsReader.parse(World.toml(0)),
+  private final MachineViewPublisher feed =
+      new MachineViewPublisher(
+          new ControllerContext(
+              SettingsReader.parse(SimulatedCluster.toml(0)),
               OperatorSettings.DEFAULTS,
               time,
               time,
               time,
-              Work.NONE,
+              EventLoopProfile.NONE,
               null,
               null,
               null,
--- a/src/test/java/io/embernotch/plan/DeadlinesTest.java
+++ b/src/test/java/io/embernotch/scheduling/DeadlinesTest.java
@@ -1,4 +1,4 @@
-package io.embernotch.plan;
+package io.embernotch.scheduling;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,10 +8,10 @@
 import io.embernotch.model.Job;
 import io.embernotch.model.Machine;
 import io.embernotch.model.MachineType;
-import io.embernotch.plan.Deadlines.Item;
+import io.embernotch.scheduling.Deadlines.Item;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.SettingsReader;
-import io.embernotch.testkit.World;
+import io.embernotch.testkit.SimulatedCluster;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -57,10 +57,10 @@
   }
 
   private static final class Day {
-    final Planner planner =
-        new Planner(
+    final Scheduler planner =
+        new Scheduler(
             SettingsReader.parse(
-                World.toml(0)
+                SimulatedCluster.toml(0)
                     .replace("gpus_max = 64.0", "gpus_max = 0.0")
                     .replace("gpus = 8.0\ngpus_max = 0.0", "gpus = 0.0\ngpus_max = 0.0")),
             OperatorSettings.DEFAULTS);
@@ -113,7 +113,7 @@
         // Owners' estimates are wrong by up to half.
         double estimate = run * (0.5 + random.nextDouble());
         String json =
-            World.job("j-" + next++, "array", tasks)
+            SimulatedCluster.job("j-" + next++, "array", tasks)
                 .replace("\"expect_s\":30.0", "\"expect_s\":" + estimate)
                 .replace("red", "blue")
                 .replace(
@@ -131,9 +131,9 @@
         d.jobs.add(j);
         owed -= tasks * (double) run;
       }
-      Plan plan =
+      SchedulingPlan plan =
           d.planner.plan(
-              new Situation(
+              new SchedulingInput(
                   d.now,
                   Math.round(d.now * 1000),
                   d.jobs,
@@ -142,12 +142,12 @@
                   (t, z, s) -> true,
                   List.of(),
                   List.of(),
-                  Holds.NONE,
-                  Risk.NONE));
-      for (Plan.Start s : plan.starts) {
-        for (Plan.Placement p : s.placements()) {
+                  ReservationView.NONE,
+                  FailureRisk.NONE));
+      for (SchedulingPlan.Start s : plan.starts) {
+        for (SchedulingPlan.Placement p : s.placements()) {
           Attempt a = new Attempt(s.job(), p.task(), 1, p.machine().name, "z1", 0);
-          a.start = Attempt.Start.HELD;
+          a.start = Attempt.LaunchState.HELD;
           s.job().open.put(p.task(), a);
           p.machine().open.put(Machine.taskKey(s.job().spec.ref(), p.task()), a);
           p.machine().touched();
--- a/src/test/java/io/embernotch/plan/PlannerTest.java
+++ b/src/test/java/io/embernotch/scheduling/SchedulerTest.java
@@ -1,6 +1,6 @@
-package io.embernotch.plan;
+package io.embernotch.scheduling;
 
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.codec.JobCodec;
@@ -13,14 +13,14 @@
 import io.embernotch.model.Priority;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.SettingsReader;
-import io.embernotch.testkit.World;
+import io.embernotch.testkit.SimulatedCluster;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class PlannerTest {
+class SchedulerTest {
   private static final MachineType G8 =
       new MachineType("g8", 48, 8, 288, 100, 1, 12, 4, 60, List.of("z1", "z2"));
 
@@ -28,20 +28,20 @@
   private static final String GUESTS =
       "[[cluster.teams]]\nname = 'guests'\ngpus = 0.0\ngpus_max = 0.0\n";
 
-  private final Planner planner =
-      new Planner(SettingsReader.parse(World.toml(0) + GUESTS), OperatorSettings.DEFAULTS);
+  private final Scheduler planner =
+      new Scheduler(SettingsReader.parse(SimulatedCluster.toml(0) + GUESTS), OperatorSettings.DEFAULTS);
   private final List<Job> jobs = new ArrayList<>();
   private final List<Machine> machines = new ArrayList<>();
   private boolean full;
   private long wallMs;
   private boolean spotFull;
 
-  private Plan plan() {
+  private SchedulingPlan plan() {
     return planner.plan(situation());
   }
 
-  private Situation situation() {
-    return new Situation(
+  private SchedulingInput situation() {
+    return new SchedulingInput(
         1000,
         wallMs,
         jobs,
@@ -50,8 +50,8 @@
         (t, z, s) -> full || s && spotFull,
         List.of(),
         List.of(),
-        Holds.NONE,
-        Risk.NONE);
+        ReservationView.NONE,
+        FailureRisk.NONE);
   }
 
   private Job add(String json) {
@@ -104,11 +104,11 @@
           m.touched();
         }
       }
-      for (Plan.Start start : plan().starts) {
+      for (SchedulingPlan.Start start : plan().starts) {
         if (start.job() == gang) {
           return s;
         }
-        for (Plan.Placement p : start.placements()) {
+        for (SchedulingPlan.Placement p : start.placements()) {
           run(small, p.task(), p.machine());
           p.machine().touched();
           ends.put(small.open.get(p.task()), s + 15 + (p.task() * 7) % 11);
@@ -126,7 +126,7 @@
 
   private void run(Job j, int task, Machine m) {
     Attempt a = new Attempt(j, task, 1, m.name, m.zone, 0);
-    a.start = Attempt.Start.HELD;
+    a.start = Attempt.LaunchState.HELD;
     a.runningAt = 900;
     j.open.put(task, a);
     m.open.put(Machine.taskKey(j.spec.ref(), task), a);
@@ -164,7 +164,7 @@
     add(gang("j-3").replace("\"cores\":4.0", "\"cores\":8.0"));
     assertThat(plan().stops).isEmpty();
     full = true;
-    Plan plan = plan();
+    SchedulingPlan plan = plan();
     // What need not go stays, and what can save may.
     assertThat(plan.stops).hasSize(8).allMatch(s -> s.attempt().job == array && s.graceS() > 0);
     array.open.values().forEach(a -> a.stopping = true);
@@ -182,7 +182,7 @@
     Job array =
         add(job("j-1", "array", 50_000).replace("\"owner\":\"red\"", "\"owner\":\"guests\""));
     machine("n-1", true);
-    Plan plan = plan();
+    SchedulingPlan plan = plan();
     assertThat(plan.starts.get(0).placements()).hasSize(8);
     assertThat(plan.buys).isEmpty();
     machines.clear();
@@ -240,8 +240,8 @@
             job("j-2", "standing", 2)
                 .replace("standard", "production")
                 .replace("\"loaner\":true", "\"loaner\":false"));
-    Plan all = plan();
-    Plan first = planner.liveOnly(situation());
+    SchedulingPlan all = plan();
+    SchedulingPlan first = planner.liveOnly(situation());
     assertThat(all.starts).extracting(s -> s.job()).containsExactly(live, array);
     assertThat(first.starts).containsExactly(all.starts.get(0));
     assertThat(first.returns).isEmpty();
@@ -260,7 +260,7 @@
         job("j-2", "standing", 1)
             .replace("standard", "production")
             .replace("\"loaner\":true", "\"loaner\":false"));
-    Plan p = plan();
+    SchedulingPlan p = plan();
     assertThat(p.stops).hasSize(1);
     assertThat(p.stops.get(0).graceS()).isZero();
     assertThat(p.starts).isEmpty();
@@ -290,7 +290,7 @@
     Job first = add(gang("j-2"));
     run(first, 0, machine("n-2", false));
     add(gang("j-3"));
-    Plan p = plan();
+    SchedulingPlan p = plan();
     assertThat(array.guaranteed).isTrue();
     assertThat(jobs.get(2).guaranteed).isFalse();
     assertThat(p.stops).isEmpty();
@@ -302,10 +302,10 @@
     Machine pinned = machine("n-2", false);
     run(add(job("j-1", "standing", 1)), 0, pinned);
     add(job("j-2", "array", 9));
-    Plan p = plan();
+    SchedulingPlan p = plan();
     assertThat(p.starts).hasSize(1);
     assertThat(p.starts.get(0).placements()).hasSize(7).allMatch(x -> x.machine() == pinned);
-    assertThat(p.buys).containsExactly(new Plan.Buy("g8", p.buys.get(0).zone(), true, 1));
+    assertThat(p.buys).containsExactly(new SchedulingPlan.Buy("g8", p.buys.get(0).zone(), true, 1));
     assertThat(idle.open).isEmpty();
   }
 
@@ -333,7 +333,7 @@
         gang("j-1")
             .replace("\"shards\":1", "\"shards\":3")
             .replace("\"one_zone\":false", "\"one_zone\":true"));
-    Plan p = plan();
+    SchedulingPlan p = plan();
     assertThat(p.starts).isEmpty();
     assertThat(p.buys).hasSize(1);
     assertThat(p.buys.get(0).zone()).isEqualTo("z1");
@@ -357,13 +357,13 @@
     // A new service takes the empty machine; nobody is stopped for an image.
     assertThat(plan().starts.get(0).placements().get(0).machine()).isSameAs(empty);
     service.restarted.set(0);
-    Plan p = plan();
+    SchedulingPlan p = plan();
     assertThat(p.starts).isEmpty();
     assertThat(p.stops).hasSize(1);
     p.stops.get(0).attempt().stopping = true;
     cached.touched();
     // Until the room is there the replica keeps its claim, and no second one is stopped.
-    Plan later = plan();
+    SchedulingPlan later = plan();
     assertThat(later.starts).isEmpty();
     assertThat(later.stops).isEmpty();
   }
@@ -373,10 +373,10 @@
     // Machines boot in 60 s and the tasks run 30: two in a row wait no longer than for another
     // boot.
     add(job("j-1", "array", 24));
-    assertThat(plan().buys.stream().mapToInt(Plan.Buy::number).sum()).isEqualTo(1);
+    assertThat(plan().buys.stream().mapToInt(SchedulingPlan.Buy::number).sum()).isEqualTo(1);
     jobs.clear();
     add(job("j-2", "array", 24).replace("\"expect_s\":30.0", "\"expect_s\":300.0"));
-    assertThat(plan().buys.stream().mapToInt(Plan.Buy::number).sum()).isEqualTo(3);
+    assertThat(plan().buys.stream().mapToInt(SchedulingPlan.Buy::number).sum()).isEqualTo(3);
   }
 
   @Test
@@ -409,7 +409,7 @@
     run(gang, 0, taken);
     Machine spot = machine("n-2", true);
     add(small("j-2", 4));
-    Plan p = plan();
+    SchedulingPlan p = plan();
     assertThat(p.starts).hasSize(1);
     assertThat(p.starts.get(0).placements()).hasSize(4).allMatch(x -> x.machine() == taken);
     assertThat(p.buys).isEmpty();
@@ -437,7 +437,7 @@
     waiting.waitingFor.add("j-1");
     List<String> order = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
-      Plan p = plan();
+      SchedulingPlan p = plan();
       assertThat(p.starts).hasSize(1);
       Job next = p.starts.get(0).job();
       order.add(next.spec.ref());
--- a/src/test/java/io/embernotch/plan/SpreadTest.java
+++ b/src/test/java/io/embernotch/scheduling/TopologySpreadTest.java
@@ -1,4 +1,4 @@
-package io.embernotch.plan;
+package io.embernotch.scheduling;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,7 +10,7 @@
 import io.embernotch.model.MachineType;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.SettingsReader;
-import io.embernotch.testkit.World;
+import io.embernotch.testkit.SimulatedCluster;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -21,14 +21,14 @@
 import org.junit.jupiter.api.Test;
 
 /** Where replicas go: where their weights lie, against the wish to spread. */
-class SpreadTest {
+class TopologySpreadTest {
   private static final MachineType G8 =
       new MachineType("g8", 48, 8, 288, 200, 1, 12, 4, 60, List.of("z1", "z2"));
   private static final double LEASE_S = 30;
 
-  private final Planner planner =
-      new Planner(
-          SettingsReader.parse(World.toml(0).replace("gpus_max = 64.0", "gpus_max = 4000.0")),
+  private final Scheduler planner =
+      new Scheduler(
+          SettingsReader.parse(SimulatedCluster.toml(0).replace("gpus_max = 64.0", "gpus_max = 4000.0")),
           OperatorSettings.DEFAULTS);
   private final List<Job> jobs = new ArrayList<>();
   private final List<Machine> machines = new ArrayList<>();
@@ -48,7 +48,7 @@
 
   private Job service(String ref, int replicas, double gb) {
     String json =
-        World.job(ref, "standing", replicas)
+        SimulatedCluster.job(ref, "standing", replicas)
             .replace("standard", "production")
             .replace("\"owner\":\"red\"", "\"owner\":\"blue\"")
             .replace("\"loaner\":true", "\"loaner\":false")
@@ -59,9 +59,9 @@
     return j;
   }
 
-  private Plan plan(Risk risk) {
+  private SchedulingPlan plan(FailureRisk risk) {
     return planner.plan(
-        new Situation(
+        new SchedulingInput(
             now,
             Math.round(now * 1000),
             jobs,
@@ -70,11 +70,11 @@
             (t, z, s) -> true,
             List.of(),
             List.of(),
-            Holds.NONE,
+            ReservationView.NONE,
             risk));
   }
 
-  private Map<Machine, Integer> placed(Risk risk) {
+  private Map<Machine, Integer> placed(FailureRisk risk) {
     Map<Machine, Integer> out = new HashMap<>();
     plan(risk)
         .starts
@@ -82,8 +82,8 @@
     return out;
   }
 
-  private static Risk often(double perHour) {
-    return new Risk(perHour / 3600, perHour / 36_000, 5 * LEASE_S, LEASE_S);
+  private static FailureRisk often(double perHour) {
+    return new FailureRisk(perHour / 3600, perHour / 36_000, 5 * LEASE_S, LEASE_S);
   }
 
   @Test
@@ -91,7 +91,7 @@
     machine("z1");
     Machine has = machine("z2", "img-j-1");
     service("j-1", 4, 60);
-    assertThat(placed(Risk.NONE)).containsExactly(Map.entry(has, 4));
+    assertThat(placed(FailureRisk.NONE)).containsExactly(Map.entry(has, 4));
   }
 
   @Test
@@ -123,7 +123,7 @@
     service("j-1", 3, 20);
     assertThat(placed(often(30))).hasSize(3);
     machine("z2", "img-j-1");
-    Risk zones = new Risk(0, 0.01, 5 * LEASE_S, LEASE_S);
+    FailureRisk zones = new FailureRisk(0, 0.01, 5 * LEASE_S, LEASE_S);
     assertThat(placed(zones)).anySatisfy((m, n) -> assertThat(m.zone).isEqualTo("z2"));
   }
 
@@ -140,9 +140,9 @@
    * An hour of forty services with weights of 20 to 120 GB on 64 machines; machines fail, and once
    * a fifth of a zone.
    */
-  private static Day day(long seed, Risk risk) {
+  private static Day day(long seed, FailureRisk risk) {
     SplittableRandom random = new SplittableRandom(seed);
-    SpreadTest t = new SpreadTest();
+    TopologySpreadTest t = new TopologySpreadTest();
     for (int i = 0; i < 64; i++) {
       t.machine(i % 3 == 0 ? "z2" : "z1");
     }
@@ -168,10 +168,10 @@
         t.machines.remove(m);
         t.machine(m.zone);
       }
-      for (Plan.Start s : t.plan(risk).starts) {
-        for (Plan.Placement p : s.placements()) {
+      for (SchedulingPlan.Start s : t.plan(risk).starts) {
+        for (SchedulingPlan.Placement p : s.placements()) {
           Attempt a = new Attempt(s.job(), p.task(), 1, p.machine().name, p.machine().zone, 0);
-          a.start = Attempt.Start.HELD;
+          a.start = Attempt.LaunchState.HELD;
           s.job().open.put(p.task(), a);
           p.machine().open.put(Machine.taskKey(s.job().spec.ref(), p.task()), a);
           p.machine().touched();
@@ -216,10 +216,10 @@
    */
   @Test
   void theObjectiveLosesNoMoreThanEitherAlone() {
-    Map<String, Risk> ways = new java.util.LinkedHashMap<>();
-    ways.put("weights", Risk.NONE);
-    ways.put("spread", new Risk(1, 1, 1e6, LEASE_S));
-    ways.put("objective", new Risk(2 / 3600.0, 1 / 36_000.0, 5 * LEASE_S, LEASE_S));
+    Map<String, FailureRisk> ways = new java.util.LinkedHashMap<>();
+    ways.put("weights", FailureRisk.NONE);
+    ways.put("spread", new FailureRisk(1, 1, 1e6, LEASE_S));
+    ways.put("objective", new FailureRisk(2 / 3600.0, 1 / 36_000.0, 5 * LEASE_S, LEASE_S));
     Map<String, Double> lost = new HashMap<>();
     ways.forEach(
         (name, risk) -> {
--- a/src/test/java/io/embernotch/settings/SettingsTest.java
+++ b/src/test/java/io/embernotch/settings/SettingsTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import io.embernotch.testkit.World;
+import io.embernotch.testkit.SimulatedCluster;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -11,7 +11,7 @@
 class SettingsTest {
   @Test
   void readsTheFileAndIgnoresWhatItDoesNotKnow() {
-    Settings s = SettingsReader.parse("novelty = 3\n" + World.toml(1) + "novelty = 4\n");
+    Settings s = SettingsReader.parse("novelty = 3\n" + SimulatedCluster.toml(1) + "novelty = 4\n");
     assertThat(s.node()).isEqualTo("c1");
     assertThat(s.members()).extracting(Settings.Member::node).containsExactly("c0", "c2");
     assertThat(s.teams().get("red").gpusMax()).isEqualTo(24);
@@ -20,10 +20,10 @@
 
   @Test
   void whatIsWrittenGoesByTheSmallerOfPresentAndComingLimits() {
-    Settings same = SettingsReader.parse(World.toml(1));
+    Settings same = SettingsReader.parse(SimulatedCluster.toml(1));
     assertThat(same.stateFloor()).isEqualTo(same.stateLimits());
     String next = "txn_ops = 12\n[cluster.state.next]\ntxn_ops = 4\nwrite_rps = 200.0\n";
-    Settings s = SettingsReader.parse(World.toml(1).replace("txn_ops = 12\n", next));
+    Settings s = SettingsReader.parse(SimulatedCluster.toml(1).replace("txn_ops = 12\n", next));
     assertThat(s.stateFloor()).isEqualTo(new Settings.State(250, 100, 8, 4));
   }
 
@@ -45,7 +45,7 @@
         "txn_ops = 12 | txn_ops = 12\\n[cluster.state.next]\\nvalue_kb = 'x' | cluster.state.next.value_kb"
       })
   void aWrongFieldIsNamed(String good, String bad, String message) {
-    String toml = World.toml(1);
+    String toml = SimulatedCluster.toml(1);
     assertThat(toml).contains(good);
     assertThatThrownBy(() -> SettingsReader.parse(toml.replace(good, bad.replace("\\n", "\n"))))
         .isInstanceOf(SettingsException.class)
--- a/src/test/java/io/embernotch/copy/MergeTest.java
+++ b/src/test/java/io/embernotch/snapshot/SnapshotMergeTest.java
@@ -1,4 +1,4 @@
-package io.embernotch.copy;
+package io.embernotch.snapshot;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -18,11 +18,11 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-class MergeTest {
+class SnapshotMergeTest {
   /** Copies of a few jobs, each with some tasks done or open, ended, or reduced to its end. */
   @Provide
   Arbitrary<Copy> copies() {
-    return Arbitraries.longs().map(MergeTest::copy);
+    return Arbitraries.longs().map(SnapshotMergeTest::copy);
   }
 
   private static Copy copy(long seed) {
@@ -87,15 +87,15 @@
   @Property(tries = 500, seed = "4711")
   void theOrderDoesNotMatter(
       @ForAll("copies") Copy a, @ForAll("copies") Copy b, @ForAll("copies") Copy c) {
-    assertThat(Merge.of(a, b)).isEqualTo(Merge.of(b, a));
-    assertThat(Merge.of(a, Merge.of(b, c))).isEqualTo(Merge.of(Merge.of(a, b), c));
-    assertThat(Merge.of(a, a)).isEqualTo(a);
-    assertThat(Merge.of(a, Merge.of(a, b))).isEqualTo(Merge.of(a, b));
+    assertThat(SnapshotMerge.of(a, b)).isEqualTo(SnapshotMerge.of(b, a));
+    assertThat(SnapshotMerge.of(a, SnapshotMerge.of(b, c))).isEqualTo(SnapshotMerge.of(SnapshotMerge.of(a, b), c));
+    assertThat(SnapshotMerge.of(a, a)).isEqualTo(a);
+    assertThat(SnapshotMerge.of(a, SnapshotMerge.of(a, b))).isEqualTo(SnapshotMerge.of(a, b));
   }
 
   @Property(tries = 500, seed = "4711")
   void nothingIsTakenBack(@ForAll("copies") Copy a, @ForAll("copies") Copy b) {
-    Copy m = Merge.of(a, b);
+    Copy m = SnapshotMerge.of(a, b);
     TreeMap<String, JobCopy> jobs = new TreeMap<>();
     m.getJobList().forEach(j -> jobs.put(j.getRef(), j));
     TreeSet<String> ended = new TreeSet<>();
--- a/src/test/java/io/embernotch/snapshot/SnapshotTest.java
+++ b/src/test/java/io/embernotch/snapshot/file/SnapshotArchiveTest.java
@@ -1,21 +1,21 @@
-package io.embernotch.snapshot;
+package io.embernotch.snapshot.file;
 
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import com.google.protobuf.ByteString;
 import io.embernotch.app.Main;
-import io.embernotch.codec.BadInput;
-import io.embernotch.copy.Blocks;
+import io.embernotch.codec.MalformedInputException;
+import io.embernotch.snapshot.SnapshotBlocks;
 import io.embernotch.copy.proto.CopyFile.Copy;
 import io.embernotch.copy.proto.CopyFile.End;
 import io.embernotch.copy.proto.CopyFile.EndedCopy;
 import io.embernotch.copy.proto.CopyFile.JobCopy;
 import io.embernotch.copy.proto.CopyFile.OpenCopy;
 import io.embernotch.settings.OperatorSettings;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class SnapshotTest {
+class SnapshotArchiveTest {
   @TempDir private Path dir;
 
   private static Copy copy(int jobs, long epoch) {
@@ -57,7 +57,7 @@
 
   private static byte[] bytes(Copy c) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    Snapshot.write(c, "an-era", out);
+    SnapshotArchive.write(c, "an-era", out);
     return out.toByteArray();
   }
 
@@ -65,20 +65,20 @@
   void whateverByteIsDamagedNothingElseIsEverRead() throws IOException {
     Copy c = copy(12, 5);
     byte[] whole = bytes(c);
-    assertThat(Snapshot.read(new ByteArrayInputStream(whole)).copy()).isEqualTo(c);
+    assertThat(SnapshotArchive.read(new ByteArrayInputStream(whole)).copy()).isEqualTo(c);
     int found = 0;
     for (int i = 0; i < whole.length; i++) {
       byte[] damaged = whole.clone();
       damaged[i] ^= 0x20;
       try {
         // A byte that says nothing of the contents may differ; then they are the same.
-        assertThat(Snapshot.read(new ByteArrayInputStream(damaged)).copy()).isEqualTo(c);
+        assertThat(SnapshotArchive.read(new ByteArrayInputStream(damaged)).copy()).isEqualTo(c);
       } catch (IOException | IllegalArgumentException e) {
         found++;
       }
       byte[] shorter = Arrays.copyOf(whole, i);
       try {
-        assertThat(Snapshot.read(new ByteArrayInputStream(shorter)).copy()).isEqualTo(c);
+        assertThat(SnapshotArchive.read(new ByteArrayInputStream(shorter)).copy()).isEqualTo(c);
       } catch (IOException | IllegalArgumentException e) {
         found++;
       }
@@ -89,22 +89,22 @@
   @Test
   void blocksAreWholeOrRefused() {
     Copy c = copy(300, 5);
-    Blocks packed = Blocks.pack(c, 1024);
+    SnapshotBlocks packed = SnapshotBlocks.pack(c, 1024);
     assertThat(packed.blocks())
         .hasSizeGreaterThan(2)
         .allSatisfy(b -> assertThat(b.length * 4 / 3).isLessThan(1024));
     assertThat(packed.unpack()).isEqualTo(c);
     List<byte[]> swapped = new ArrayList<>(packed.blocks());
     swapped.add(swapped.remove(0));
-    assertThatThrownBy(() -> new Blocks(swapped, packed.crc()).unpack())
-        .isInstanceOf(BadInput.class);
-    assertThatThrownBy(() -> new Blocks(packed.blocks().subList(0, 1), packed.crc()).unpack())
-        .isInstanceOf(BadInput.class);
+    assertThatThrownBy(() -> new SnapshotBlocks(swapped, packed.crc()).unpack())
+        .isInstanceOf(MalformedInputException.class);
+    assertThatThrownBy(() -> new SnapshotBlocks(packed.blocks().subList(0, 1), packed.crc()).unpack())
+        .isInstanceOf(MalformedInputException.class);
   }
 
   @Test
   void theNewestWholeOneCountsAndOldOnesGo() throws IOException {
-    SnapshotDir snapshots = new SnapshotDir(dir, 3);
+    SnapshotDirectory snapshots = new SnapshotDirectory(dir, 3);
     for (int i = 1; i <= 5; i++) {
       snapshots.write(copy(i, i), "e");
     }
@@ -132,8 +132,8 @@
 
   @Test
   void allControllersAndAllDataGoneAndASnapshotIsLeft() {
-    World world =
-        new World(
+    SimulatedCluster world =
+        new SimulatedCluster(
             OperatorSettings.parse("snapshots { directory: '" + dir + "' every_s: 5 keep: 2 }"));
     world.settle(8);
     world.submit(0, job("j-1", "array", 2));
--- a/src/test/java/io/embernotch/ledger/BlameTest.java
+++ b/src/test/java/io/embernotch/state/FailureAttributionTest.java
@@ -1,33 +1,33 @@
-package io.embernotch.ledger;
+package io.embernotch.state;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.embernotch.actor.Work;
+import io.embernotch.actor.EventLoopProfile;
 import io.embernotch.codec.JobCodec;
 import io.embernotch.codec.Json;
-import io.embernotch.env.Env;
+import io.embernotch.context.ControllerContext;
 import io.embernotch.model.Job;
 import io.embernotch.model.Machine;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.SettingsReader;
 import io.embernotch.testkit.FakeTime;
-import io.embernotch.testkit.World;
+import io.embernotch.testkit.SimulatedCluster;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
 /** Jobs with a mistake, sick machines, and both at once. */
-class BlameTest {
+class FailureAttributionTest {
   private final FakeTime time = new FakeTime();
-  private final Ledger ledger = new Ledger();
-  private final Blame blame =
-      new Blame(
-          new Env(
-              SettingsReader.parse(World.toml(0)),
+  private final ClusterState ledger = new ClusterState();
+  private final FailureAttribution blame =
+      new FailureAttribution(
+          new ControllerContext(
+              SettingsReader.parse(SimulatedCluster.toml(0)),
               OperatorSettings.DEFAULTS,
               time,
               time,
               time,
-              Work.NONE,
+              EventLoopProfile.NONE,
               null,
               null,
               null,
@@ -38,7 +38,7 @@
   private Job job(int i) {
     return ledger.jobs.computeIfAbsent(
         "j-" + i,
-        ref -> new Job(JobCodec.read(Json.parseObject(World.job(ref, "array", 40).getBytes())), 0));
+        ref -> new Job(JobCodec.read(Json.parseObject(SimulatedCluster.job(ref, "array", 40).getBytes())), 0));
   }
 
   private Machine machine(int i) {
--- a/src/test/java/io/embernotch/ledger/LargestTest.java
+++ b/src/test/java/io/embernotch/state/LargestJobWaitTimesTest.java
@@ -1,23 +1,23 @@
-package io.embernotch.ledger;
+package io.embernotch.state;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.codec.JobCodec;
 import io.embernotch.codec.Json;
 import io.embernotch.model.Job;
-import io.embernotch.testkit.World;
+import io.embernotch.testkit.SimulatedCluster;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class LargestTest {
+class LargestJobWaitTimesTest {
   private static Job job(int n, int tasks) {
     return new Job(
-        JobCodec.read(Json.parseObject(World.job("j-" + n, "array", tasks).getBytes())), 1000);
+        JobCodec.read(Json.parseObject(SimulatedCluster.job("j-" + n, "array", tasks).getBytes())), 1000);
   }
 
   @Test
   void onlyTheLargestTenthOfAClassCountsAndWhatStillWaitsIsTold() {
-    Largest largest = new Largest();
+    LargestJobWaitTimes largest = new LargestJobWaitTimes();
     assertThat(largest.line(List.of(), 0)).isNull();
     for (int i = 0; i < 100; i++) {
       largest.begins(job(i, 1 + i % 10), 2000);
--- a/src/test/java/io/embernotch/store/LeaseKeeperTest.java
+++ b/src/test/java/io/embernotch/store/LeaseRenewerTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.embernotch.http.CallFailed;
-import io.embernotch.http.Reply;
+import io.embernotch.http.CallFailedException;
+import io.embernotch.http.HttpReply;
 import io.embernotch.settings.HostPort;
 import io.embernotch.testkit.FakeTime;
 import io.vertx.core.Future;
@@ -15,28 +15,28 @@
 /**
  * The leader's lease while the core is busy, the service answers late, or leadership has moved on.
  */
-class LeaseKeeperTest {
+class LeaseRenewerTest {
   private static final double LIFE_S = 3;
 
   private final FakeTime time = new FakeTime();
   private final List<String> asked = new ArrayList<>();
   private final List<Long> ended = new ArrayList<>();
   private int status = 200;
-  private Promise<Reply> late;
+  private Promise<HttpReply> late;
 
   /** What the core is told waits here, as if the core were busy. */
   private final List<Runnable> core = new ArrayList<>();
 
-  private final LeaseKeeper keeper =
-      new LeaseKeeper(
+  private final LeaseRenewer keeper =
+      new LeaseRenewer(
           (method, to, path, body, timeout) -> {
             asked.add(path);
             if (late != null) {
               return late.future();
             }
             return status == 0
-                ? Future.failedFuture(new CallFailed(true, "no answer"))
-                : Future.succeededFuture(new Reply(status, new byte[0]));
+                ? Future.failedFuture(new CallFailedException(true, "no answer"))
+                : Future.succeededFuture(new HttpReply(status, new byte[0]));
           },
           new HostPort("10.2.0.1", 2379),
           time,
@@ -89,13 +89,13 @@
     late = Promise.promise();
     keeper.keep(7, time.now(), ended::add);
     time.pass(0.1);
-    Promise<Reply> old = late;
+    Promise<HttpReply> old = late;
     late = Promise.promise();
     keeper.letGo();
     assertThat(keeper.provenUntil()).isNegative();
     keeper.keep(8, time.now() - 2, ended::add);
     double proven = keeper.provenUntil();
-    old.complete(new Reply(200, new byte[0]));
+    old.complete(new HttpReply(200, new byte[0]));
     time.pass(0.1);
     assertThat(keeper.provenUntil()).isEqualTo(proven);
     assertThat(asked).last().isEqualTo("/leases/8/extend");
--- a/src/test/java/io/embernotch/store/StoreClientTest.java
+++ b/src/test/java/io/embernotch/store/StoreClientTest.java
@@ -3,12 +3,12 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.codec.Json;
-import io.embernotch.http.Reply;
+import io.embernotch.http.HttpReply;
 import io.embernotch.settings.Settings;
 import io.embernotch.settings.SettingsReader;
-import io.embernotch.store.Pacer.Rank;
+import io.embernotch.store.RateLimiter.Rank;
 import io.embernotch.testkit.FakeTime;
-import io.embernotch.testkit.World;
+import io.embernotch.testkit.SimulatedCluster;
 import io.vertx.core.Future;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -17,7 +17,7 @@
 
 class StoreClientTest {
   private final FakeTime time = new FakeTime();
-  private final Settings settings = SettingsReader.parse(World.toml(0));
+  private final Settings settings = SettingsReader.parse(SimulatedCluster.toml(0));
 
   @Test
   void whatTheServiceRefusesForBeingTooMuchIsTriedAgainNoFasterThanItMay() {
@@ -28,7 +28,7 @@
         new StoreClient(
             (method, to, path, body, timeout) -> {
               calls[0]++;
-              return Future.succeededFuture(new Reply(429, "{}".getBytes(StandardCharsets.UTF_8)));
+              return Future.succeededFuture(new HttpReply(429, "{}".getBytes(StandardCharsets.UTF_8)));
             },
             time,
             time,
@@ -39,7 +39,7 @@
       store.turn(
           1,
           Rank.USUAL,
-          () -> store.commitInTurn(new Txn().when(key, 0).write(key, Json.object()), Rank.USUAL));
+          () -> store.commitInTurn(new Transaction().when(key, 0).write(key, Json.object()), Rank.USUAL));
     }
     time.pass(5);
     assertThat(calls[0])
@@ -49,7 +49,7 @@
 
   @Test
   void theUrgentPassesTheUsualAndTheSpareWaitsForHalfOfTheBurst() {
-    Pacer pacer = new Pacer(time, time, 10, 1);
+    RateLimiter pacer = new RateLimiter(time, time, 10, 1);
     List<String> order = new ArrayList<>();
     pacer.pass(10, Rank.USUAL, () -> order.add("burst"));
     pacer.pass(1, Rank.SPARE, () -> order.add("spare"));
--- a/src/test/java/io/embernotch/straggler/RoundTest.java
+++ b/src/test/java/io/embernotch/straggler/StragglerRoundTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 /** The paper's filter, order and change of energy on examples worked by hand. */
-class RoundTest {
-  private final Round round = new Round(1.5, 0.5, 5);
+class StragglerRoundTest {
+  private final StragglerRound round = new StragglerRound(1.5, 0.5, 5);
 
   private static TaskView task(String ref, double elapsed, double mean) {
     return new TaskView(ref, 0, 1, elapsed, mean, 5, 1, 10, true, null, null);
@@ -80,10 +80,10 @@
     MachineView a = machine("a", 1, 0, 1, List.of(1.0));
     MachineView b = machine("b", 1, 0, 1, List.of(0.5));
     MachineView c = machine("c", 1, 0, 1, List.of());
-    double average = Round.partAverage(List.of(a, b, c));
+    double average = StragglerRound.partAverage(List.of(a, b, c));
     assertThat(average).isCloseTo(0.75, within(1e-9));
-    assertThat(Round.performance(c, average)).isEqualTo(average);
-    assertThat(Round.partAverage(List.of(c))).isEqualTo(1.0);
+    assertThat(StragglerRound.performance(c, average)).isEqualTo(average);
+    assertThat(StragglerRound.partAverage(List.of(c))).isEqualTo(1.0);
   }
 
   @Test
@@ -91,10 +91,10 @@
     int[] count = new int[3];
     for (int i = 0; i < 300; i++) {
       String m = String.format("n-%06d", i);
-      String owner = Parts.owner(m, Set.of("c0", "c1", "c2"));
+      String owner = MachinePartitions.owner(m, Set.of("c0", "c1", "c2"));
       count[owner.charAt(1) - '0']++;
       if (!owner.equals("c2")) {
-        assertThat(Parts.owner(m, Set.of("c0", "c1"))).isEqualTo(owner);
+        assertThat(MachinePartitions.owner(m, Set.of("c0", "c1"))).isEqualTo(owner);
       }
     }
     assertThat(java.util.Arrays.stream(count).min().getAsInt()).isGreaterThan(50);
--- a/src/test/java/io/embernotch/testkit/AnswerOrder.java
+++ b/src/test/java/io/embernotch/testkit/AnswerOrderChecker.java
@@ -9,7 +9,7 @@
  * fall. So an answer is wrong only if another one that was <em>received before its question was
  * sent</em> told a later state; answers whose times overlap may come in any order.
  */
-final class AnswerOrder {
+final class AnswerOrderChecker {
   /** How far a job has come. */
   enum Stage {
     UNKNOWN,
--- a/src/test/java/io/embernotch/testkit/FakeCloud.java
+++ b/src/test/java/io/embernotch/testkit/FakeCloud.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.Json;
-import io.embernotch.http.Reply;
+import io.embernotch.http.HttpReply;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -55,7 +55,7 @@
   }
 
   /** Answers a request. */
-  Reply handle(String method, String path, byte[] body) {
+  HttpReply handle(String method, String path, byte[] body) {
     if (down) {
       return error("trouble");
     }
@@ -74,7 +74,7 @@
     return list();
   }
 
-  private Reply rent(ObjectNode request) {
+  private HttpReply rent(ObjectNode request) {
     String booking = request.get("booking").asText();
     List<String> names = bookings.get(booking);
     if (names == null && full) {
@@ -96,7 +96,7 @@
     ObjectNode reply = Json.object();
     ArrayNode list = reply.putArray("hearths");
     names.forEach(list::add);
-    return new Reply(200, Json.bytes(reply));
+    return new HttpReply(200, Json.bytes(reply));
   }
 
   private void delete(String name) {
@@ -107,7 +107,7 @@
     deleted.add(name);
   }
 
-  private Reply list() {
+  private HttpReply list() {
     ObjectNode reply = Json.object().put("truncated", false);
     ArrayNode list = reply.putArray("hearths");
     for (FakeWorker w : workers.values()) {
@@ -122,7 +122,7 @@
             .put("age_s", 10);
       }
     }
-    return new Reply(200, Json.bytes(reply));
+    return new HttpReply(200, Json.bytes(reply));
   }
 
   /** Rents a machine for somebody; it is up after a while. Returns its name. */
@@ -143,11 +143,11 @@
     return name;
   }
 
-  private static Reply json(String body) {
-    return new Reply(200, body.getBytes(StandardCharsets.UTF_8));
+  private static HttpReply json(String body) {
+    return new HttpReply(200, body.getBytes(StandardCharsets.UTF_8));
   }
 
-  private static Reply error(String what) {
-    return new Reply(503, ("{\"error\":\"" + what + "\"}").getBytes(StandardCharsets.UTF_8));
+  private static HttpReply error(String what) {
+    return new HttpReply(503, ("{\"error\":\"" + what + "\"}").getBytes(StandardCharsets.UTF_8));
   }
 }
--- a/src/test/java/io/embernotch/testkit/FakeState.java
+++ b/src/test/java/io/embernotch/testkit/FakeStore.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.Json;
-import io.embernotch.codec.RunCodec;
-import io.embernotch.http.Reply;
+import io.embernotch.codec.JobProgressCodec;
+import io.embernotch.http.HttpReply;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import java.nio.charset.StandardCharsets;
@@ -18,12 +18,12 @@
 import java.util.TreeMap;
 
 /** The state service of PROTOCOL, in memory. */
-public final class FakeState {
+public final class FakeStore {
   private record Value(ObjectNode v, long stamp, long permit) {}
 
   private record Change(String key, ObjectNode v, long stamp) {}
 
-  private record Watch(String prefix, long after, Promise<Reply> promise) {}
+  private record Watch(String prefix, long after, Promise<HttpReply> promise) {}
 
   private static final class Lease {
     double lifeS;
@@ -74,7 +74,7 @@
   /** How often each key was written. */
   public final Map<String, Integer> writes = new TreeMap<>();
 
-  public FakeState(FakeTime time) {
+  public FakeStore(FakeTime time) {
     this.time = time;
     sweep();
   }
@@ -187,7 +187,7 @@
     return v == null ? 0 : v.stamp;
   }
 
-  public Future<Reply> handle(String method, String path, byte[] body) {
+  public Future<HttpReply> handle(String method, String path, byte[] body) {
     if (outage) {
       return reply(503, Json.object().put("error", "down"));
     }
@@ -196,7 +196,7 @@
     }
     if (path.startsWith("/store?")) {
       return slowLists
-          ? Promise.<Reply>promise().future()
+          ? Promise.<HttpReply>promise().future()
           : list(query(path, "starts"), query(path, "after"));
     }
     if (path.startsWith("/changes")) {
@@ -229,7 +229,7 @@
     return reply(200, Json.object());
   }
 
-  private Future<Reply> get(String key) {
+  private Future<HttpReply> get(String key) {
     Value v = data.get(key);
     if (v == null) {
       return reply(404, Json.object().put("epoch", epoch));
@@ -239,7 +239,7 @@
     return reply(200, o);
   }
 
-  private Future<Reply> list(String prefix, String after) {
+  private Future<HttpReply> list(String prefix, String after) {
     ObjectNode o = Json.object().put("epoch", epoch).put("truncated", false);
     ArrayNode pairs = o.putArray("pairs");
     data.tailMap(prefix)
@@ -253,7 +253,7 @@
     return reply(200, o);
   }
 
-  private Future<Reply> commit(ObjectNode o) {
+  private Future<HttpReply> commit(ObjectNode o) {
     int size = o.path("apply").size();
     commits += size > 0 ? 1 : 0;
     boolean large =
@@ -303,7 +303,7 @@
         }
         data.put(key, new Value(v, epoch, a.path("permit").asLong(0)));
         changed(key, v);
-        if (key.equals(RunCodec.LEADER)) {
+        if (key.equals(JobProgressCodec.LEADER)) {
           onLeader.run();
         }
       } else {
@@ -324,8 +324,8 @@
     }
   }
 
-  private Future<Reply> watch(String prefix, long after, double holdS) {
-    Promise<Reply> promise = Promise.promise();
+  private Future<HttpReply> watch(String prefix, long after, double holdS) {
+    Promise<HttpReply> promise = Promise.promise();
     boolean any = changes.stream().anyMatch(c -> c.stamp > after && c.key.startsWith(prefix));
     if (any) {
       promise.complete(events(prefix, after));
@@ -342,7 +342,7 @@
     return promise.future();
   }
 
-  private Reply events(String prefix, long after) {
+  private HttpReply events(String prefix, long after) {
     ObjectNode o = Json.object().put("epoch", epoch);
     ArrayNode list = o.putArray("events");
     for (Change c : changes) {
@@ -354,7 +354,7 @@
         }
       }
     }
-    return new Reply(200, Json.bytes(o));
+    return new HttpReply(200, Json.bytes(o));
   }
 
   private static String query(String path, String name) {
@@ -366,7 +366,7 @@
     return null;
   }
 
-  private static Future<Reply> reply(int status, ObjectNode o) {
-    return Future.succeededFuture(new Reply(status, Json.bytes(o)));
+  private static Future<HttpReply> reply(int status, ObjectNode o) {
+    return Future.succeededFuture(new HttpReply(status, Json.bytes(o)));
   }
 }
--- a/src/test/java/io/embernotch/testkit/FakeWorker.java
+++ b/src/test/java/io/embernotch/testkit/FakeWorker.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.Json;
-import io.embernotch.http.Reply;
+import io.embernotch.http.HttpReply;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -195,14 +195,14 @@
   }
 
   /** POST /do. */
-  public Reply direct(byte[] body) {
+  public HttpReply direct(byte[] body) {
     ObjectNode o = Json.parseObject(body);
     if (o.get("baton").asLong() < token || o.get("tenure").asLong() != session) {
-      return new Reply(409, report());
+      return new HttpReply(409, report());
     }
     token = o.get("baton").asLong();
     obey(o.get("orders"));
-    return new Reply(200, report());
+    return new HttpReply(200, report());
   }
 
   private void obey(JsonNode orders) {
--- a/src/test/java/io/embernotch/testkit/Rules.java
+++ b/src/test/java/io/embernotch/testkit/InvariantChecker.java
@@ -2,12 +2,12 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.embernotch.codec.BadInput;
+import io.embernotch.codec.MalformedInputException;
 import io.embernotch.codec.JobCodec;
 import io.embernotch.codec.Json;
-import io.embernotch.http.Answer;
+import io.embernotch.http.HttpResponse;
 import io.embernotch.model.JobSpec;
-import io.embernotch.model.Shape;
+import io.embernotch.model.JobShape;
 import io.embernotch.settings.Settings;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -23,7 +23,7 @@
  * store saw. It knows nothing of what controllers mean: only submissions, questions and their
  * answers, starts, ends, and what is on machines.
  */
-public final class Rules {
+public final class InvariantChecker {
   /**
    * How long a job may wait once troubles are over, while a machine that fits has room and its team
    * is under its limit.
@@ -35,7 +35,7 @@
   private final Set<String> sent = new TreeSet<>();
   private final Set<String> accepted = new TreeSet<>();
   private final Set<String> created = new TreeSet<>();
-  private final Map<String, AnswerOrder> orders = new HashMap<>();
+  private final Map<String, AnswerOrderChecker> orders = new HashMap<>();
 
   /** How many tasks of each job are on machines. */
   private final Map<String, Integer> onMachines = new HashMap<>();
@@ -69,7 +69,7 @@
   /** Troubles are over: no job may be left waiting beside room for it. */
   public boolean quiet;
 
-  public Rules(Settings settings) {
+  public InvariantChecker(Settings settings) {
     this.settings = settings;
   }
 
@@ -85,13 +85,13 @@
 
   // ---- what users see
 
-  public void submitted(byte[] body, Answer a, double askedAt, double now) {
+  public void submitted(byte[] body, HttpResponse a, double askedAt, double now) {
     ObjectNode o = Json.object();
     JobSpec spec;
     try {
       o = Json.parseObject(body);
       spec = JobCodec.read(o);
-    } catch (BadInput e) {
+    } catch (MalformedInputException e) {
       // A job that is known gets its state, whatever else is sent under its name.
       if (a.status() == 201 || (a.status() == 200 && !accepted.contains(o.path("ref").asText()))) {
         breaks("a submission that lacks something is accepted: " + e.getMessage());
@@ -112,9 +112,9 @@
     }
   }
 
-  public void polled(String ref, Answer a, double askedAt, double now, boolean inStore) {
+  public void polled(String ref, HttpResponse a, double askedAt, double now, boolean inStore) {
     if (a.status() == 404) {
-      ordered(ref, new AnswerOrder.State(AnswerOrder.Stage.UNKNOWN, 0), askedAt, now);
+      ordered(ref, new AnswerOrderChecker.State(AnswerOrderChecker.Stage.UNKNOWN, 0), askedAt, now);
     }
     if (a.status() == 200 && !sent.contains(ref) && !inStore) {
       breaks(ref + " is invented");
@@ -130,7 +130,7 @@
    * An answer to what was asked at {@code askedAt}: older than what was told after that it may be,
    * unless both are ends.
    */
-  public void heard(String ref, Answer a, double askedAt, double now) {
+  public void heard(String ref, HttpResponse a, double askedAt, double now) {
     if (a.status() != 200 && a.status() != 201) {
       return;
     }
@@ -145,8 +145,8 @@
     ordered(
         ref,
         isEnd
-            ? new AnswerOrder.State(AnswerOrder.Stage.ENDED, 0)
-            : new AnswerOrder.State(AnswerOrder.Stage.ACCEPTED, counted),
+            ? new AnswerOrderChecker.State(AnswerOrderChecker.Stage.ENDED, 0)
+            : new AnswerOrderChecker.State(AnswerOrderChecker.Stage.ACCEPTED, counted),
         askedAt,
         now);
     presence(ref, phase, askedAt, now);
@@ -171,9 +171,9 @@
     }
   }
 
-  private void ordered(String ref, AnswerOrder.State told, double askedAt, double now) {
-    AnswerOrder order = orders.computeIfAbsent(ref, r -> new AnswerOrder());
-    AnswerOrder.State later = order.contradicts(told, askedAt);
+  private void ordered(String ref, AnswerOrderChecker.State told, double askedAt, double now) {
+    AnswerOrderChecker order = orders.computeIfAbsent(ref, r -> new AnswerOrderChecker());
+    AnswerOrderChecker.State later = order.contradicts(told, askedAt);
     if (later != null) {
       breaks(ref + " was told as " + later + " and then, asked after that, as " + told);
     }
@@ -207,7 +207,7 @@
 
   private boolean allDone(String ref, JobSpec spec) {
     int n = done.getOrDefault(ref, new BitSet()).cardinality();
-    return spec.shape() == Shape.GANG ? n > 0 : n >= spec.tasks();
+    return spec.shape() == JobShape.GANG ? n > 0 : n >= spec.tasks();
   }
 
   // ---- what workers see
@@ -328,8 +328,8 @@
       int left =
           s.tasks()
               - on.getOrDefault(ref, 0)
-              - (s.shape() == Shape.ARRAY ? done.getOrDefault(ref, new BitSet()).cardinality() : 0);
-      boolean gang = s.shape() == Shape.GANG;
+              - (s.shape() == JobShape.ARRAY ? done.getOrDefault(ref, new BitSet()).cardinality() : 0);
+      boolean gang = s.shape() == JobShape.GANG;
       boolean waits =
           !ends.containsKey(ref)
               && !cancelAskedAt.containsKey(ref)
