--- a/src/test/java/io/embernotch/testkit/Told.java
+++ b/src/test/java/io/embernotch/testkit/RecordedAnswers.java
@@ -1,9 +1,9 @@
 package io.embernotch.testkit;
 
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.job;
 
 import io.embernotch.codec.Json;
-import io.embernotch.http.Answer;
+import io.embernotch.http.HttpResponse;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -12,13 +12,13 @@
 import java.util.TreeSet;
 
 /** What users were told, and whether that was ever taken back. */
-public final class Told {
-  private final World world;
+public final class RecordedAnswers {
+  private final SimulatedCluster world;
   private final Map<String, String> ends = new TreeMap<>();
   public final List<String> accepted = new ArrayList<>();
   public final List<String> wrong = new ArrayList<>();
 
-  public Told(World world) {
+  public RecordedAnswers(SimulatedCluster world) {
     this.world = world;
   }
 
@@ -35,7 +35,7 @@
     }
   }
 
-  private void hear(String ref, Answer a) {
+  private void hear(String ref, HttpResponse a) {
     String phase =
         a.status() == 200
             ? Json.parseObject(a.body()).get("phase").asText()
@@ -52,7 +52,7 @@
 
   public void cancel(int node, String ref) {
     if (!world.nodes.get(node).down) {
-      Answer a = world.abort(node, ref);
+      HttpResponse a = world.abort(node, ref);
       if (a.status() == 200) {
         hear(ref, a);
       }
@@ -70,7 +70,7 @@
       int round = s / 5;
       left.removeIf(
           ref -> {
-            Answer a = world.poll((round + ref.hashCode() % 3 + 3) % 3, ref);
+            HttpResponse a = world.poll((round + ref.hashCode() % 3 + 3) % 3, ref);
             hear(ref, a);
             return a.status() == 200;
           });
@@ -98,7 +98,7 @@
     for (int i = 0; i < accepted.size(); i++) {
       String ref = accepted.get(i);
       ask(i % 3, ref);
-      Answer again = world.submit((i + 1) % 3, job(ref, "array", 1));
+      HttpResponse again = world.submit((i + 1) % 3, job(ref, "array", 1));
       if (again.status() != 200) {
         wrong.add(ref + " submitted again gets " + again.status());
       }
--- a/src/test/java/io/embernotch/testkit/World.java
+++ b/src/test/java/io/embernotch/testkit/SimulatedCluster.java
@@ -2,15 +2,15 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.embernotch.actor.Work;
+import io.embernotch.actor.EventLoopProfile;
 import io.embernotch.cloud.CloudClient;
 import io.embernotch.codec.Json;
 import io.embernotch.codec.WorkerCodec;
-import io.embernotch.env.Env;
-import io.embernotch.http.Answer;
-import io.embernotch.http.CallFailed;
-import io.embernotch.http.Caller;
-import io.embernotch.http.Reply;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.http.HttpResponse;
+import io.embernotch.http.CallFailedException;
+import io.embernotch.http.HttpCaller;
+import io.embernotch.http.HttpReply;
 import io.embernotch.peer.Frame;
 import io.embernotch.peer.PeerLink;
 import io.embernotch.settings.HostPort;
@@ -18,7 +18,7 @@
 import io.embernotch.settings.Settings;
 import io.embernotch.settings.SettingsReader;
 import io.embernotch.controller.Controller;
-import io.embernotch.store.LeaseKeeper;
+import io.embernotch.store.LeaseRenewer;
 import io.embernotch.store.StoreClient;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
@@ -36,7 +36,7 @@
 /**
  * Controllers, state service, cloud and workers on one fake clock, each to be disturbed at will.
  */
-public final class World {
+public final class SimulatedCluster {
   /** What a message on its way to a worker meets. */
   public enum Fate {
     ARRIVES,
@@ -54,14 +54,14 @@
   private static final double ANSWER_S = 4;
 
   public final FakeTime time = new FakeTime();
-  public final FakeState state = new FakeState(time);
+  public final FakeStore state = new FakeStore(time);
   public final TreeMap<String, FakeWorker> workers = new TreeMap<>();
   public final FakeCloud cloud = new FakeCloud(time, workers, this::booted);
   public final List<Node> nodes = new ArrayList<>();
   private final List<Runnable> held = new ArrayList<>();
 
   /** What users, workers and the store saw, held against the rules. */
-  public final Rules rules;
+  public final InvariantChecker rules;
 
   /** Copies of commands and reports that were carried out. */
   private final List<Runnable> copies = new ArrayList<>();
@@ -148,7 +148,7 @@
     public boolean noPeers;
     public boolean noWorkers;
     private int life;
-    private BiConsumer<Frame, PeerLink.Back> frames;
+    private BiConsumer<Frame, PeerLink.ReplyChannel> frames;
 
     Node(int index, Settings settings) {
       this.index = index;
@@ -159,23 +159,23 @@
       int mine = ++life;
       down = false;
       FakeTimeOf clock = new FakeTimeOf(this, mine);
-      Caller caller =
+      HttpCaller caller =
           (method, to, path, body, timeout) -> call(this, mine, method, to, path, body, timeout);
-      Env env =
-          new Env(
+      ControllerContext env =
+          new ControllerContext(
               settings,
               operator,
               time,
               clock,
               clock,
-              Work.NONE,
+              EventLoopProfile.NONE,
               new StoreClient(caller, time, clock, settings),
               new CloudClient(caller, time, clock, settings),
               caller,
               () -> settings.node() + "-" + ++names,
               Runnable::run);
-      LeaseKeeper keeper =
-          new LeaseKeeper(
+      LeaseRenewer keeper =
+          new LeaseRenewer(
               caller,
               settings.state(),
               time,
@@ -232,7 +232,7 @@
     }
 
     @Override
-    public void onFrame(BiConsumer<Frame, Back> handler) {
+    public void onFrame(BiConsumer<Frame, ReplyChannel> handler) {
       from.frames = handler;
     }
 
@@ -267,26 +267,26 @@
         });
   }
 
-  public World(int controllers) {
+  public SimulatedCluster(int controllers) {
     this(controllers, 1);
   }
 
   /** Three controllers whose operators have a file of their own. */
-  public World(OperatorSettings operator) {
+  public SimulatedCluster(OperatorSettings operator) {
     this(3, i -> TestSettings.toml(i, 10, ""), operator);
   }
 
   /** A world in which teams may use {@code scale} times as much. */
-  public World(int controllers, int scale) {
+  public SimulatedCluster(int controllers, int scale) {
     this(controllers, i -> TestSettings.toml(i, scale, ""), OperatorSettings.DEFAULTS);
   }
 
-  private World(int controllers, IntFunction<String> toml, OperatorSettings operator) {
+  private SimulatedCluster(int controllers, IntFunction<String> toml, OperatorSettings operator) {
     this.operator = operator;
     for (int i = 0; i < controllers; i++) {
       nodes.add(new Node(i, SettingsReader.parse(toml.apply(i))));
     }
-    rules = new Rules(nodes.get(0).settings);
+    rules = new InvariantChecker(nodes.get(0).settings);
     state.onLeader = this::deliverKept;
     nodes.forEach(Node::start);
   }
@@ -296,9 +296,9 @@
   }
 
   /** A world in which the state service is going to lower its limits. */
-  public static World lowering() {
+  public static SimulatedCluster lowering() {
     String next = "[cluster.state.next]\nwrite_rps = 30.0\nvalue_kb = 1.0\ntxn_ops = 4\n";
-    return new World(3, i -> TestSettings.toml(i, 2, next), OperatorSettings.DEFAULTS);
+    return new SimulatedCluster(3, i -> TestSettings.toml(i, 2, next), OperatorSettings.DEFAULTS);
   }
 
   private boolean apart(String one, String other) {
@@ -306,8 +306,8 @@
   }
 
   /** A world whose state service takes so many requests and changes a second. */
-  public static World withStateLimits(double rps, double writeRps) {
-    return new World(
+  public static SimulatedCluster withStateLimits(double rps, double writeRps) {
+    return new SimulatedCluster(
         3,
         i ->
             TestSettings.toml(i, 10, "")
@@ -388,32 +388,32 @@
 
   // ---- users
 
-  private static final Answer NONE = Answer.of(504, "{}".getBytes(StandardCharsets.UTF_8));
+  private static final HttpResponse NONE = HttpResponse.of(504, "{}".getBytes(StandardCharsets.UTF_8));
 
   /** What a user makes of no answer. */
-  private static Answer orNone(Answer a) {
+  private static HttpResponse orNone(HttpResponse a) {
     return a == null ? NONE : a;
   }
 
-  public Answer submit(int node, String json) {
+  public HttpResponse submit(int node, String json) {
     byte[] body = json.getBytes(StandardCharsets.UTF_8);
     double askedAt = time.now();
-    Answer a = orNone(await(nodes.get(node).controller.submit(body)));
+    HttpResponse a = orNone(await(nodes.get(node).controller.submit(body)));
     rules.submitted(body, a, askedAt, time.now());
     return a;
   }
 
-  public Answer poll(int node, String ref) {
+  public HttpResponse poll(int node, String ref) {
     double askedAt = time.now();
-    Answer a = orNone(await(nodes.get(node).controller.poll(ref)));
+    HttpResponse a = orNone(await(nodes.get(node).controller.poll(ref)));
     rules.polled(ref, a, askedAt, time.now(), state.value("job/" + ref) != null);
     return a;
   }
 
-  public Answer abort(int node, String ref) {
+  public HttpResponse abort(int node, String ref) {
     double askedAt = time.now();
     rules.cancelAsked(ref, askedAt);
-    Answer a = orNone(await(nodes.get(node).controller.abort(ref)));
+    HttpResponse a = orNone(await(nodes.get(node).controller.abort(ref)));
     rules.heard(ref, a, askedAt, time.now());
     return a;
   }
@@ -451,8 +451,8 @@
   private void askLater(
       int node,
       double patienceS,
-      Function<Node, Future<Answer>> question,
-      BiConsumer<Double, Answer> heard) {
+      Function<Node, Future<HttpResponse>> question,
+      BiConsumer<Double, HttpResponse> heard) {
     Node n = nodes.get(node);
     double askedAt = time.now();
     time.after(
@@ -498,7 +498,7 @@
   }
 
   public String phase(int node, String ref) {
-    Answer a = poll(node, ref);
+    HttpResponse a = poll(node, ref);
     return a.status() == 200
         ? Json.parseObject(a.body()).get("phase").asText()
         : "status " + a.status();
@@ -530,7 +530,7 @@
   public Node leader() {
     for (Node n : nodes) {
       if (!n.down) {
-        Answer a = await(n.controller.overview());
+        HttpResponse a = await(n.controller.overview());
         if (Json.parseObject(a.body()).get("live").asBoolean()) {
           return n;
         }
@@ -541,9 +541,9 @@
 
   // ---- the network
 
-  private Future<Reply> call(
+  private Future<HttpReply> call(
       Node from, int life, String method, HostPort to, String path, byte[] body, double timeout) {
-    Promise<Reply> promise = Promise.promise();
+    Promise<HttpReply> promise = Promise.promise();
     // A probe of what is cut off does not even get a connection.
     FakeWorker w = at(to);
     boolean reached =
@@ -554,13 +554,13 @@
         timeout,
         () -> {
           if (from.life == life) {
-            promise.tryFail(new CallFailed(connects, "no answer in time"));
+            promise.tryFail(new CallFailedException(connects, "no answer in time"));
           }
         });
     time.after(
         HOP_S,
         () -> {
-          Future<Reply> reply = arrive(from, method, to, path, body);
+          Future<HttpReply> reply = arrive(from, method, to, path, body);
           if (reply != null) {
             reply.onSuccess(
                 r ->
@@ -576,7 +576,7 @@
     return promise.future();
   }
 
-  private Future<Reply> arrive(Node from, String method, HostPort to, String path, byte[] body) {
+  private Future<HttpReply> arrive(Node from, String method, HostPort to, String path, byte[] body) {
     if (from.settings.location().equals(cutZone)
         && (to.equals(from.settings.state()) || to.equals(from.settings.cloud()))) {
       return null;
@@ -585,7 +585,7 @@
       if (from.noState) {
         return from.silentState
             ? null
-            : Future.succeededFuture(new Reply(503, "{}".getBytes(StandardCharsets.UTF_8)));
+            : Future.succeededFuture(new HttpReply(503, "{}".getBytes(StandardCharsets.UTF_8)));
       }
       if (lostReads > 0 && path.startsWith("/store") && random.nextDouble() < lostReads) {
         return null;
@@ -601,7 +601,7 @@
         return null;
       }
       if (stateSlowS > 0 && !path.startsWith("/changes")) {
-        Promise<Reply> slow = Promise.promise();
+        Promise<HttpReply> slow = Promise.promise();
         time.after(stateSlowS, () -> state.handle(method, path, body).onSuccess(slow::complete));
         return slow.future();
       }
@@ -661,7 +661,7 @@
     if (path.equals("/do")) {
       copies.add(() -> w.direct(body));
     }
-    return Future.succeededFuture(path.equals("/do") ? w.direct(body) : new Reply(200, w.report()));
+    return Future.succeededFuture(path.equals("/do") ? w.direct(body) : new HttpReply(200, w.report()));
   }
 
   /**
--- a/src/test/java/io/embernotch/weights/WeightsTest.java
+++ b/src/test/java/io/embernotch/weights/ImageLocalityTest.java
@@ -1,17 +1,17 @@
 package io.embernotch.weights;
 
-import static io.embernotch.testkit.World.job;
+import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.testkit.FakeWorker;
-import io.embernotch.testkit.World;
-import io.embernotch.testkit.World.Node;
+import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
 /** Which machines have a service's weights outlives all controllers. */
-class WeightsTest {
-  private final World world = new World(3, 100);
+class ImageLocalityTest {
+  private final SimulatedCluster world = new SimulatedCluster(3, 100);
 
   private static String model(String ref, int replicas) {
     return job(ref, "standing", replicas)
