--- a/src/main/java/io/embernotch/agents/CallConcurrencyLimiter.java
+++ b/src/main/java/io/embernotch/agents/CallConcurrencyLimiter.java
@@ -13,32 +13,32 @@
  */
 public final class CallConcurrencyLimiter {
   /** Whom a call is for, and which share of all calls may be under way when one more begins. */
-  public enum Need {
+  public enum CallClass {
     LIVE(1),
-    USUAL(0.5),
+    NORMAL(0.5),
     /** Commands to and probes of machines that should be heard and are not. */
-    SILENT(0.25),
+    UNRESPONSIVE(0.25),
     /** Machines that will most likely find us by themselves. */
-    FIND(0.0625);
+    DISCOVERY(0.0625);
 
     final double share;
 
-    Need(double share) {
+    CallClass(double share) {
       this.share = share;
     }
   }
 
   private final int most;
-  private final Map<Need, Map<Machine, Runnable>> waiting = new EnumMap<>(Need.class);
+  private final Map<CallClass, Map<Machine, Runnable>> waiting = new EnumMap<>(CallClass.class);
   private int underWay;
-  private boolean letting;
+  private boolean draining;
 
   /**
    * @param most calls under way at a time
    */
   public CallConcurrencyLimiter(int most) {
     this.most = most;
-    for (Need n : Need.values()) {
+    for (CallClass n : CallClass.values()) {
       waiting.put(n, new LinkedHashMap<>());
     }
   }
@@ -47,38 +47,38 @@
    * True if a call may begin now; it ends with {@link #leave}. Else {@code again} asks once there
    * is room.
    */
-  public boolean enter(Machine m, Need need, Runnable again) {
-    if (hasRoom(need) && (letting || waiting.get(need).isEmpty())) {
+  public boolean tryEnter(Machine m, CallClass callClass, Runnable again) {
+    if (hasRoom(callClass) && (draining || waiting.get(callClass).isEmpty())) {
       underWay++;
       return true;
     }
-    waiting.get(need).putIfAbsent(m, again);
+    waiting.get(callClass).putIfAbsent(m, again);
     return false;
   }
 
   public void leave() {
     underWay--;
-    if (letting) {
+    if (draining) {
       return;
     }
-    letting = true;
-    for (Need need : Need.values()) {
-      Map<Machine, Runnable> queue = waiting.get(need);
-      while (hasRoom(need) && !queue.isEmpty()) {
+    draining = true;
+    for (CallClass callClass : CallClass.values()) {
+      Map<Machine, Runnable> queue = waiting.get(callClass);
+      while (hasRoom(callClass) && !queue.isEmpty()) {
         Machine m = queue.keySet().iterator().next();
         // It enters by itself, or has nothing to say any more.
         queue.remove(m).run();
       }
     }
-    letting = false;
+    draining = false;
   }
 
   /** True while a command to the machine waits for its turn. */
   public boolean waits(Machine m) {
-    return waiting.get(Need.LIVE).containsKey(m) || waiting.get(Need.USUAL).containsKey(m);
+    return waiting.get(CallClass.LIVE).containsKey(m) || waiting.get(CallClass.NORMAL).containsKey(m);
   }
 
-  private boolean hasRoom(Need need) {
-    return underWay < Math.max(1, need.share * most);
+  private boolean hasRoom(CallClass callClass) {
+    return underWay < Math.max(1, callClass.share * most);
   }
 }
--- a/src/main/java/io/embernotch/agents/HeartbeatResponder.java
+++ b/src/main/java/io/embernotch/agents/HeartbeatResponder.java
@@ -17,29 +17,29 @@
 final class HeartbeatResponder {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatResponder.class);
 
-  private final ControllerContext env;
-  private final CallConcurrencyLimiter lanes;
-  private final long epochBase;
-  private final AgentReconciler.Outcome outcome;
+  private final ControllerContext context;
+  private final CallConcurrencyLimiter callLimiter;
+  private final long tokenBase;
+  private final AgentReconciler.Listener listener;
 
-  HeartbeatResponder(ControllerContext env, CallConcurrencyLimiter lanes, long epochBase, AgentReconciler.Outcome outcome) {
-    this.env = env;
-    this.lanes = lanes;
-    this.epochBase = epochBase;
-    this.outcome = outcome;
+  HeartbeatResponder(ControllerContext context, CallConcurrencyLimiter callLimiter, long tokenBase, AgentReconciler.Listener listener) {
+    this.context = context;
+    this.callLimiter = callLimiter;
+    this.tokenBase = tokenBase;
+    this.listener = listener;
   }
 
   /**
    * The orders; {@code trusted}: our lease is proven, so that more may be done than to stop what is
    * to end.
    */
-  List<AgentCommand> of(Machine m, Heartbeat r, boolean trusted) {
+  List<AgentCommand> commandsFor(Machine m, Heartbeat r, boolean trusted) {
     List<AgentCommand> orders = new ArrayList<>();
-    if (r.session() == m.session) {
+    if (r.agentEpoch() == m.agentEpoch) {
       addStops(m, orders);
     }
     // One that a newer report or answer has overtaken lists what has ended since as running.
-    if (trusted && r.session() == m.session && r.seq() == m.seq) {
+    if (trusted && r.agentEpoch() == m.agentEpoch && r.seq() == m.heartbeatSeq) {
       addStarts(m, orders);
       addReaps(m, r, orders);
     }
@@ -47,17 +47,17 @@
   }
 
   private void addStops(Machine m, List<AgentCommand> orders) {
-    for (Attempt a : m.open.values()) {
+    for (Attempt a : m.openAttempts.values()) {
       if (stopDue(a)) {
         orders.add(stop(a));
-        a.stopSentAt = env.clock().now();
+        a.stopSentAt = context.clock().now();
       }
     }
   }
 
   static boolean stopDue(Attempt a) {
     return a.stopping
-        && (a.start == LaunchState.HELD || a.start == LaunchState.UNSURE || a.start == LaunchState.IN_RESPONSE);
+        && (a.launchState == LaunchState.CONFIRMED || a.launchState == LaunchState.UNCONFIRMED || a.launchState == LaunchState.IN_HEARTBEAT_RESPONSE);
   }
 
   static AgentCommand stop(Attempt a) {
@@ -73,14 +73,14 @@
    * instead.
    */
   private void addStarts(Machine m, List<AgentCommand> orders) {
-    boolean failed = env.clock().now() - m.doFailedAt <= 2 * env.settings().workers().reportS();
-    if (m.doInFlight || !(failed || lanes.waits(m))) {
+    boolean failed = context.clock().now() - m.commandFailedAt <= 2 * context.settings().workers().heartbeatIntervalS();
+    if (m.commandInFlight || !(failed || callLimiter.waits(m))) {
       return;
     }
-    for (Attempt a : m.open.values()) {
-      if (a.start == LaunchState.READY && !a.stopping) {
+    for (Attempt a : m.openAttempts.values()) {
+      if (a.launchState == LaunchState.READY && !a.stopping) {
         orders.add(start(a));
-        a.start = LaunchState.IN_RESPONSE;
+        a.launchState = LaunchState.IN_HEARTBEAT_RESPONSE;
         a.startToken = m.token;
       }
     }
@@ -93,13 +93,13 @@
    * a token above all that starts have left under; the worker takes the token first.
    */
   private void addReaps(Machine m, Heartbeat r, List<AgentCommand> orders) {
-    boolean noLateStart = !m.doInFlight && r.token() > m.unsureToken && r.token() >= epochBase;
+    boolean noLateStart = !m.commandInFlight && r.token() > m.unconfirmedToken && r.token() >= tokenBase;
     for (TaskStatus t : r.tasks()) {
-      Attempt a = m.open.get(Machine.taskKey(t.ref(), t.task()));
+      Attempt a = m.openAttempts.get(Machine.taskKey(t.ref(), t.task()));
       boolean ours = a != null && a.number == t.attempt();
       if (t.state() == TaskState.EXITED) {
-        if (!ours && noLateStart && outcome.settled(t.ref(), t.task())) {
-          m.token = Math.max(m.token, m.sentToken + 1);
+        if (!ours && noLateStart && listener.isOutcomePersisted(t.ref(), t.task())) {
+          m.token = Math.max(m.token, m.highestSentToken + 1);
           orders.add(new AgentCommand(AgentCommand.Verb.FORGET, t.ref(), t.task(), t.attempt(), 0));
         }
       } else if (!ours) {
--- a/src/main/java/io/embernotch/agents/ReachabilityTracker.java
+++ b/src/main/java/io/embernotch/agents/ReachabilityTracker.java
@@ -34,72 +34,72 @@
    */
   private static final int OURS = 3;
 
-  private final long epochBase;
-  private final double reportS;
+  private final long tokenBase;
+  private final double heartbeatIntervalS;
   private final Set<Machine> accused = new LinkedHashSet<>();
   private double answeredAt = -1e9;
 
-  ReachabilityTracker(long epochBase, double reportS) {
-    this.epochBase = epochBase;
-    this.reportS = reportS;
+  ReachabilityTracker(long tokenBase, double heartbeatIntervalS) {
+    this.tokenBase = tokenBase;
+    this.heartbeatIntervalS = heartbeatIntervalS;
   }
 
   /**
    * A newer report came by the controller {@code via}, a number of its life. The state of {@code m}
    * is from before it.
    */
-  void reported(Machine m, Heartbeat r, long via, double now) {
-    boolean moved = m.reportedVia != Machine.NOWHERE && m.reportedVia != via;
-    boolean answered = m.toldToken > 0;
-    m.reportedVia = via;
-    if (answered && r.token() < m.toldToken) {
-      missed(m, now);
-    } else if (r.token() > m.shownToken && r.token() >= epochBase) {
-      proven(m, now);
+  void heartbeatReceived(Machine m, Heartbeat r, long via, double now) {
+    boolean moved = m.lastForwarder != Machine.NO_FORWARDER && m.lastForwarder != via;
+    boolean answered = m.lastAnsweredToken > 0;
+    m.lastForwarder = via;
+    if (answered && r.token() < m.lastAnsweredToken) {
+      acknowledgementMissed(m, now);
+    } else if (r.token() > m.acknowledgedToken && r.token() >= tokenBase) {
+      confirmReachable(m, now);
     } else if (moved) {
       // Its first move may be because a controller has ended; the next one tells.
-      m.moves++;
-      if (m.moves >= ENOUGH) {
-        missed(m, now);
-        test(m);
+      m.forwarderChanges++;
+      if (m.forwarderChanges >= ENOUGH) {
+        acknowledgementMissed(m, now);
+        probeWithNextToken(m);
       }
     } else {
-      m.moves = 0;
+      m.forwarderChanges = 0;
     }
-    if (answered && r.session() > m.session && m.session > 0) {
+    if (answered && r.agentEpoch() > m.agentEpoch && m.agentEpoch > 0) {
       // Its lease ran out while we answered.
-      missed(m, now);
-      test(m);
+      acknowledgementMissed(m, now);
+      probeWithNextToken(m);
     }
-    m.shownToken = Math.max(m.shownToken, r.token());
+    m.acknowledgedToken = Math.max(m.acknowledgedToken, r.token());
   }
 
   /** The next answer carries a token that the machine has not shown yet. */
-  private static void test(Machine m) {
-    m.token = Math.max(m.token, Math.max(m.shownToken, m.toldToken) + 1);
+  private static void probeWithNextToken(Machine m) {
+    m.token = Math.max(m.token, Math.max(m.acknowledgedToken, m.lastAnsweredToken) + 1);
   }
 
   /** A report is being answered with the machine's token. */
   void answering(Machine m) {
-    m.toldToken = m.token;
+    m.lastAnsweredToken = m.token;
   }
 
   /** The machine has answered a call. */
-  void answered(Machine m, double now) {
+  void callAnswered(Machine m, double now) {
     answeredAt = now;
     accused.clear();
-    proven(m, now);
+    confirmReachable(m, now);
   }
 
-  private static void proven(Machine m, double now) {
-    if (m.deafSince >= 0) {
-      LOG.info("machine {} hears us again after {} s", m.name, Math.round(now - m.deafSince));
+  private static void confirmReachable(Machine m, double now) {
+    if (m.unreachableSince >= 0) {
+      LOG.info("machine {} hears us again after {} s", m.name, Math.round(now - m.unreachableSince));
     }
-    m.provenAt = now;
-    m.unheard = 0;
-    m.moves = 0;
-    m.callUnheard = false;
-    m.deafSince = -1;
+    m.confirmedAliveAt = now;
+    m.missedAcknowledgements = 0;
+    m.forwarderChanges = 0;
+    m.callUnanswered = false;
+    m.unreachableSince = -1;
   }
 
   /**
@@ -107,22 +107,22 @@
    * through the other controllers, must not take each of them for deaf: their answers to reports
    * tell.
    */
-  void unanswered(Machine m, double now) {
-    test(m);
+  void callUnanswered(Machine m, double now) {
+    probeWithNextToken(m);
     accused.add(m);
-    if (accused.size() >= OURS && now - answeredAt > reportS) {
-      accused.forEach(a -> a.callUnheard = false);
+    if (accused.size() >= OURS && now - answeredAt > heartbeatIntervalS) {
+      accused.forEach(a -> a.callUnanswered = false);
       return;
     }
-    m.callUnheard = true;
-    missed(m, now);
+    m.callUnanswered = true;
+    acknowledgementMissed(m, now);
   }
 
-  private static void missed(Machine m, double now) {
-    m.unheard++;
-    if (m.unheard >= ENOUGH && m.deafSince < 0) {
-      m.deafSince = now;
-      LOG.info("machine {} does not hear us, with {} tasks", m.name, m.open.size());
+  private static void acknowledgementMissed(Machine m, double now) {
+    m.missedAcknowledgements++;
+    if (m.missedAcknowledgements >= ENOUGH && m.unreachableSince < 0) {
+      m.unreachableSince = now;
+      LOG.info("machine {} does not hear us, with {} tasks", m.name, m.openAttempts.size());
     }
   }
 }
--- a/src/main/java/io/embernotch/agents/RenewalDelegations.java
+++ b/src/main/java/io/embernotch/agents/RenewalDelegations.java
@@ -52,8 +52,8 @@
     this.waiting = waiting;
   }
 
-  private double longestHold() {
-    return settings.holdS() * (1 + Settings.DRIFT);
+  private double longestGracePeriodS() {
+    return settings.gracePeriodS() * (1 + Settings.DRIFT);
   }
 
   /**
@@ -62,13 +62,13 @@
    * alone writes to no successor; what it had answered as a leader tells its version as well. When
    * only those that wrote counted, a state outage after such a cut ended all that ran.
    */
-  public boolean allNew() {
+  public boolean allDelayCancellations() {
     return settings.members().stream().allMatch(m -> waiting.contains(m.node()));
   }
 
   /** How long this leader renews workers without a proven lease. */
-  public double ownHoldS() {
-    return allNew() ? settings.holdS() : settings.formerHoldS();
+  public double ownGracePeriodS() {
+    return allDelayCancellations() ? settings.gracePeriodS() : settings.legacyGracePeriodS();
   }
 
   /** The zone of a controller; null if the settings do not know it. */
@@ -81,7 +81,7 @@
   }
 
   /** The message is of another life of its process than the one before, or the first at all. */
-  public boolean another(Frame.DelegateHeartbeat h) {
+  public boolean isNewProcess(Frame.DelegateHeartbeat h) {
     Delegation w = delegations.get(h.node());
     return w == null || w.life != ProcessIncarnation.of(h.seq());
   }
@@ -90,14 +90,14 @@
    * A controller has written. {@code may} be given the right if our lease is proven, and no job
    * whose cancellation was told has tasks left in its zone. Returns the answer to send at once.
    */
-  public Frame.DelegateHeartbeatAck heard(Frame.DelegateHeartbeat h, long epoch, boolean may, double now) {
+  public Frame.DelegateHeartbeatAck heartbeatReceived(Frame.DelegateHeartbeat h, long epoch, boolean may, double now) {
     waiting.add(h.node());
     Delegation w = delegations.computeIfAbsent(h.node(), n -> new Delegation());
     w.life = ProcessIncarnation.of(h.seq());
     if (h.ack() == 0 || w.answeredAt.isEmpty()) {
       // What its former process, or it under an earlier leader, has renewed, nobody owns up to.
       w.renewedAt =
-          Math.max(w.renewedAt, Math.min(now, Math.max(acquiredAt + longestHold(), w.grantEnds)));
+          Math.max(w.renewedAt, Math.min(now, Math.max(acquiredAt + longestGracePeriodS(), w.grantEnds)));
     }
     if (h.renewedAgoS() >= 0) {
       w.renewedAt = Math.max(w.renewedAt, now - h.renewedAgoS());
@@ -105,13 +105,13 @@
     Long before = w.acks.get(h.ack());
     Double answered = before == null ? null : w.answeredAt.get(before);
     if (answered != null) {
-      w.safeUntil = Math.max(w.safeUntil, answered + settings.contactS());
+      w.safeUntil = Math.max(w.safeUntil, answered + settings.contactTimeoutS());
     }
     w.acks.put(h.seq(), h.ack());
     w.answeredAt.put(h.seq(), now);
-    boolean granted = may && allNew();
+    boolean granted = may && allDelayCancellations();
     if (granted) {
-      w.grantEnds = now + longestHold();
+      w.grantEnds = now + longestGracePeriodS();
     }
     return new Frame.DelegateHeartbeatAck(epoch, h.seq(), granted);
   }
@@ -131,7 +131,7 @@
   }
 
   private double renewedUntil(Delegation w, double now) {
-    double others = acquiredAt + longestHold();
+    double others = acquiredAt + longestGracePeriodS();
     if (w == null) {
       return Math.min(now, others);
     }
@@ -141,13 +141,13 @@
   }
 
   /** Renewals of this zone's workers that nobody else can stop end by this time. */
-  public double renewalEnds(String zone) {
+  public double renewalsEndBy(String zone) {
     double latest = -1e9;
     for (Settings.Member m : settings.members()) {
       if (m.location().equals(zone)) {
         Delegation w = delegations.get(m.node());
         latest =
-            Math.max(latest, Math.max(acquiredAt + longestHold(), w == null ? 0 : w.grantEnds));
+            Math.max(latest, Math.max(acquiredAt + longestGracePeriodS(), w == null ? 0 : w.grantEnds));
       }
     }
     return latest;
--- a/src/main/java/io/embernotch/agents/StatusProber.java
+++ b/src/main/java/io/embernotch/agents/StatusProber.java
@@ -18,42 +18,42 @@
 final class StatusProber {
   private static final Logger LOG = LoggerFactory.getLogger(StatusProber.class);
 
-  private final ControllerContext env;
-  private final CallConcurrencyLimiter lanes;
-  private final ReachabilityTracker hearing;
+  private final ControllerContext context;
+  private final CallConcurrencyLimiter callLimiter;
+  private final ReachabilityTracker reachability;
   private final double callS;
-  private final BiConsumer<Heartbeat, Machine> absorb;
+  private final BiConsumer<Heartbeat, Machine> reconcile;
 
   /** {@code absorb} takes what a machine answers. */
   StatusProber(
-      ControllerContext env,
-      CallConcurrencyLimiter lanes,
-      ReachabilityTracker hearing,
+      ControllerContext context,
+      CallConcurrencyLimiter callLimiter,
+      ReachabilityTracker reachability,
       double callS,
       BiConsumer<Heartbeat, Machine> absorb) {
-    this.env = env;
-    this.lanes = lanes;
-    this.hearing = hearing;
+    this.context = context;
+    this.callLimiter = callLimiter;
+    this.reachability = reachability;
     this.callS = callS;
-    this.absorb = absorb;
+    this.reconcile = absorb;
   }
 
   /**
    * Because of a report that was no news: copies may come by the hundred, so once in a report
    * period.
    */
-  void once(Machine m) {
-    double now = env.clock().now();
-    if (now - m.askedAt > env.settings().workers().reportS()) {
-      m.askedAt = now;
+  void probeAtMostOncePerInterval(Machine m) {
+    double now = context.clock().now();
+    if (now - m.statusRequestedAt > context.settings().workers().heartbeatIntervalS()) {
+      m.statusRequestedAt = now;
       probe(m);
     }
   }
 
   /** Asks a silent machine for its state; the answer counts as news, but renews nothing. */
   void probe(Machine m) {
-    if (!m.probing && m.address != null && lanes.enter(m, CallConcurrencyLimiter.Need.SILENT, () -> probe(m))) {
-      ask(m);
+    if (!m.probing && m.address != null && callLimiter.tryEnter(m, CallConcurrencyLimiter.CallClass.UNRESPONSIVE, () -> probe(m))) {
+      requestStatus(m);
     }
   }
 
@@ -63,8 +63,8 @@
         && !m.deleting
         && !m.probing
         && m.address != null
-        && lanes.enter(m, CallConcurrencyLimiter.Need.FIND, () -> find(m))) {
-      ask(m);
+        && callLimiter.tryEnter(m, CallConcurrencyLimiter.CallClass.DISCOVERY, () -> find(m))) {
+      requestStatus(m);
     }
   }
 
@@ -73,39 +73,39 @@
    * its name, which knows of no token, and holds what it lists. Without this all it says would be
    * taken for late.
    */
-  private static void anew(Machine m) {
+  private static void resetForNewIncarnation(Machine m) {
     LOG.info("machine {} counts anew", m.name);
-    m.session = 0;
-    m.seq = 0;
-    m.seenToken = 0;
-    m.toldToken = 0;
-    m.shownToken = 0;
+    m.agentEpoch = 0;
+    m.heartbeatSeq = 0;
+    m.highestReportedToken = 0;
+    m.lastAnsweredToken = 0;
+    m.acknowledgedToken = 0;
     // No former life has seen this token, so what shows a lower one is of theirs, or says nothing
     // yet.
     m.token++;
-    m.lifeToken = m.token;
+    m.incarnationToken = m.token;
     m.images.clear();
   }
 
-  private void ask(Machine m) {
+  private void requestStatus(Machine m) {
     m.probing = true;
-    double since = env.clock().now();
-    long session = m.session;
-    long seq = m.seq;
-    long seen = m.seenToken;
-    env.workers()
+    double since = context.clock().now();
+    long session = m.agentEpoch;
+    long seq = m.heartbeatSeq;
+    long seen = m.highestReportedToken;
+    context.workers()
         .call("GET", HostPort.parse(m.address), "/status", null, callS)
         .onSuccess(
             reply -> {
               m.probing = false;
-              lanes.leave();
-              hearing.answered(m, env.clock().now());
+              callLimiter.leave();
+              reachability.callAnswered(m, context.clock().now());
               try {
                 Heartbeat r = WorkerCodec.read(reply.body());
                 if (!r.newerThan(session, seq) || r.token() < seen) {
-                  anew(m);
+                  resetForNewIncarnation(m);
                 }
-                absorb.accept(r, m);
+                reconcile.accept(r, m);
               } catch (MalformedInputException e) {
                 LOG.info("unreadable status of {}: {}", m.name, e.getMessage());
               }
@@ -113,11 +113,11 @@
         .onFailure(
             e -> {
               m.probing = false;
-              lanes.leave();
+              callLimiter.leave();
               if (!(e instanceof CallFailedException f) || f.tried) {
-                m.probeFailedAt = env.clock().now();
-                if (m.up() && m.heardAt > since) {
-                  hearing.unanswered(m, m.probeFailedAt);
+                m.probeFailedAt = context.clock().now();
+                if (m.up() && m.lastHeartbeatAt > since) {
+                  reachability.callUnanswered(m, m.probeFailedAt);
                 }
                 m.probeConnected = e instanceof CallFailedException f && f.sent;
               }
--- a/src/main/java/io/embernotch/agents/TaskLauncher.java
+++ b/src/main/java/io/embernotch/agents/TaskLauncher.java
@@ -8,7 +8,7 @@
 import io.embernotch.model.Priority;
 import io.embernotch.scheduling.SchedulingPlan;
 import io.embernotch.persistence.StateWriter;
-import io.embernotch.store.RateLimiter.Rank;
+import io.embernotch.store.RateLimiter.RequestPriority;
 import java.util.ArrayDeque;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
@@ -19,51 +19,51 @@
 public final class TaskLauncher {
   private static final Logger LOG = LoggerFactory.getLogger(TaskLauncher.class);
 
-  private final ControllerContext env;
-  private final ClusterState ledger;
-  private final StateWriter committer;
-  private final AgentReconciler workers;
+  private final ControllerContext context;
+  private final ClusterState state;
+  private final StateWriter stateWriter;
+  private final AgentReconciler agents;
   private final double acquiredAt;
   private final BooleanSupplier mayOrder;
   private final ArrayDeque<Machine> toFlush = new ArrayDeque<>();
   private boolean liveStarted;
 
   public TaskLauncher(
-      ControllerContext env,
-      ClusterState ledger,
-      StateWriter committer,
-      AgentReconciler workers,
+      ControllerContext context,
+      ClusterState state,
+      StateWriter stateWriter,
+      AgentReconciler agents,
       double acquiredAt,
       BooleanSupplier mayOrder) {
-    this.env = env;
-    this.ledger = ledger;
-    this.committer = committer;
-    this.workers = workers;
+    this.context = context;
+    this.state = state;
+    this.stateWriter = stateWriter;
+    this.agents = agents;
     this.acquiredAt = acquiredAt;
     this.mayOrder = mayOrder;
   }
 
-  public void begin(SchedulingPlan.Start s, double now) {
+  public void launch(SchedulingPlan.Start s, double now) {
     Job job = s.job();
-    if (job.open.isEmpty() && job.done.isEmpty() && job.restarted.isEmpty()) {
-      ledger.largest.begins(job, env.clock().wallMs());
+    if (job.openAttempts.isEmpty() && job.done.isEmpty() && job.restartedTasks.isEmpty()) {
+      state.largestJobWaits.begins(job, context.clock().wallMs());
     }
     long number = job.nextAttempt++;
     boolean live = job.spec.priority() == Priority.PRODUCTION;
     for (SchedulingPlan.Placement p : s.placements()) {
-      Attempt a = ledger.open(job, p.task(), number, p.machine(), now);
-      job.wishes.remove(p.task());
-      committer.now(
+      Attempt a = state.openAttempt(job, p.task(), number, p.machine(), now);
+      job.preferredMachines.remove(p.task());
+      stateWriter.writeNow(
           job,
           p.task(),
-          live ? Rank.FIRST : Rank.USUAL,
+          live ? RequestPriority.HIGH : RequestPriority.NORMAL,
           () -> {
-            if (ClusterState.isOpen(a) && a.start == Attempt.LaunchState.UNCOMMITTED && job.end == null) {
-              a.start = Attempt.LaunchState.READY;
+            if (ClusterState.isOpen(a) && a.launchState == Attempt.LaunchState.UNCOMMITTED && job.finalPhase == null) {
+              a.launchState = Attempt.LaunchState.READY;
               flushSoon(p.machine());
               if (live && !liveStarted) {
                 liveStarted = true;
-                double at = env.clock().now();
+                double at = context.clock().now();
                 LOG.info(
                     "first live start {} ms after the takeover, {} ms after it was planned",
                     Math.round((at - acquiredAt) * 1000),
@@ -77,13 +77,13 @@
   /** Gathers the starts of one commit, so that each machine gets one command. */
   private void flushSoon(Machine m) {
     if (toFlush.isEmpty()) {
-      env.loop()
+      context.loop()
           .execute(
               () -> {
                 Set<Machine> all = Set.copyOf(toFlush);
                 toFlush.clear();
                 if (mayOrder.getAsBoolean()) {
-                  all.forEach(workers::flush);
+                  all.forEach(agents::sendDueCommands);
                 }
               });
     }
--- a/src/main/java/io/embernotch/agents/WorkerLeases.java
+++ b/src/main/java/io/embernotch/agents/WorkerLeases.java
@@ -12,14 +12,14 @@
   private final Settings settings;
   private final Clock clock;
   private final RenewalDelegations delegations;
-  private final long epochBase;
+  private final long tokenBase;
   private final double acquiredAt;
 
-  WorkerLeases(Settings settings, Clock clock, RenewalDelegations delegations, long epochBase) {
+  WorkerLeases(Settings settings, Clock clock, RenewalDelegations delegations, long tokenBase) {
     this.settings = settings;
     this.clock = clock;
     this.delegations = delegations;
-    this.epochBase = epochBase;
+    this.tokenBase = tokenBase;
     this.acquiredAt = clock.now();
   }
 
@@ -27,7 +27,7 @@
    * Seconds after its last renewal at which a worker has killed everything, with drift and some to
    * spare.
    */
-  private static double lifeS(Settings settings) {
+  private static double leaseTtlS(Settings settings) {
     return settings.workers().leaseS() * (1 + 2 * Settings.DRIFT) + 0.5;
   }
 
@@ -35,13 +35,13 @@
    * Seconds after which nothing runs any more that somebody before us has renewed, whoever that
    * was.
    */
-  public static double longestS(Settings settings) {
-    return settings.holdS() * (1 + Settings.DRIFT) + lifeS(settings);
+  public static double longestLeaseS(Settings settings) {
+    return settings.gracePeriodS() * (1 + Settings.DRIFT) + leaseTtlS(settings);
   }
 
   /** An earlier leader may have renewed a worker that has not seen our token until then. */
-  private double othersUntil(Machine m) {
-    return m.seenToken >= epochBase ? -1e9 : acquiredAt + settings.holdS() * (1 + Settings.DRIFT);
+  private double formerLeaderRenewalsUntil(Machine m) {
+    return m.highestReportedToken >= tokenBase ? -1e9 : acquiredAt + settings.gracePeriodS() * (1 + Settings.DRIFT);
   }
 
   /**
@@ -49,22 +49,22 @@
    * for longer than it lasts, neither an earlier leader nor a controller cut off with the
    * machine's zone.
    */
-  boolean over(Machine m) {
+  boolean expired(Machine m) {
     double now = clock.now();
     // Without its zone, any controller may have.
     double delegatedUntil = m.zone == null ? now : delegations.renewedUntil(m.zone, now);
-    return now > Math.max(m.renewedAt, Math.max(othersUntil(m), delegatedUntil)) + lifeS(settings);
+    return now > Math.max(m.leaseRenewedAt, Math.max(formerLeaderRenewalsUntil(m), delegatedUntil)) + leaseTtlS(settings);
   }
 
   /**
    * What is on a machine that we never reach again is gone by this time, whoever else renews its
    * worker.
    */
-  double goneBy(Machine m) {
+  double leaseExpiresBy(Machine m) {
     if (m.zone == null) {
       return Double.MAX_VALUE;
     }
-    return Math.max(m.renewedAt, Math.max(othersUntil(m), delegations.renewalEnds(m.zone)))
-        + lifeS(settings);
+    return Math.max(m.leaseRenewedAt, Math.max(formerLeaderRenewalsUntil(m), delegations.renewalsEndBy(m.zone)))
+        + leaseTtlS(settings);
   }
 }
--- a/src/main/java/io/embernotch/api/DependencyValidator.java
+++ b/src/main/java/io/embernotch/api/DependencyValidator.java
@@ -21,15 +21,15 @@
 public final class DependencyValidator {
   private static final int MOST = 20_000;
 
-  private final ControllerContext env;
+  private final ControllerContext context;
   private final Supplier<BaseSnapshot> base;
 
   /** Accepted jobs, and whether they are services. */
   private final Map<String, Boolean> accepted = new LeastRecentlyUsed<>(MOST);
 
   /** {@code base}: what the present era began with. */
-  public DependencyValidator(ControllerContext env, Supplier<BaseSnapshot> base) {
-    this.env = env;
+  public DependencyValidator(ControllerContext context, Supplier<BaseSnapshot> base) {
+    this.context = context;
     this.base = base;
   }
 
@@ -46,7 +46,7 @@
   /** Why the job can never run, or null; fails if the store does not tell. */
   public Future<String> neverRuns(JobSpec job) {
     List<Future<String>> all = new ArrayList<>();
-    for (String ref : job.awaits()) {
+    for (String ref : job.dependencies()) {
       if (ref.equals(job.ref())) {
         return Future.succeededFuture("awaits itself, " + ref);
       }
@@ -64,7 +64,7 @@
       // Only its end is left; a service that has ended was cancelled, and so is what awaits it.
       return Future.succeededFuture(null);
     }
-    return PersistedJob.submission(env.store(), base.get(), ref)
+    return PersistedJob.submission(context.store(), base.get(), ref)
         .map(
             entry -> {
               if (!entry.present()) {
--- a/src/main/java/io/embernotch/api/PersistedStatus.java
+++ b/src/main/java/io/embernotch/api/PersistedStatus.java
@@ -28,34 +28,34 @@
   /** So many jobs before one are read for one answer. */
   private static final int MOST_BEFORE = 8;
 
-  private final ControllerContext env;
+  private final ControllerContext context;
   private final CompletedJobCache ended;
   private final Supplier<BaseSnapshot> base;
 
-  public PersistedStatus(ControllerContext env, CompletedJobCache ended, Supplier<BaseSnapshot> base) {
+  public PersistedStatus(ControllerContext context, CompletedJobCache ended, Supplier<BaseSnapshot> base) {
     this.base = base;
-    this.env = env;
+    this.context = context;
     this.ended = ended;
   }
 
   /** The answer to a poll: 200, 404 or 503. */
   public Future<HttpResponse> of(String ref) {
-    ClusterState.Ended left = base.get().ended(ref);
+    ClusterState.EndedJob left = base.get().ended(ref);
     if (left != null) {
       ended.put(ref, left.phase(), left.done());
       return answer(ended.status(ref));
     }
-    return PersistedJob.read(env.store(), base.get(), ref)
+    return PersistedJob.read(context.store(), base.get(), ref)
         .compose(
             job -> {
               if (job == null) {
                 return answer(HttpResponse.error(404, "no such job"));
               }
-              if (job.end != null) {
-                return answer(told(job, job.end));
+              if (job.finalPhase != null) {
+                return answer(told(job, job.finalPhase));
               }
               return before(
-                  job, new ArrayDeque<>(job.spec.awaits()), new HashSet<>(job.spec.awaits()), 0);
+                  job, new ArrayDeque<>(job.spec.dependencies()), new HashSet<>(job.spec.dependencies()), 0);
             })
         .otherwise(e -> HttpResponse.later("the state service does not answer"));
   }
@@ -63,31 +63,31 @@
   /** Reads what is before a job, the nearest first. */
   private Future<HttpResponse> before(Job job, Deque<String> left, Set<String> seen, int read) {
     if (left.isEmpty()) {
-      return answer(told(job, job.open.isEmpty() ? JobPhase.QUEUED : JobPhase.RUNNING));
+      return answer(told(job, job.openAttempts.isEmpty() ? JobPhase.QUEUED : JobPhase.RUNNING));
     }
     if (read == MOST_BEFORE) {
       return answer(HttpResponse.later("too many jobs before this one, and no steward"));
     }
     String next = left.poll();
-    ClusterState.Ended ofBase = base.get().ended(next);
+    ClusterState.EndedJob ofBase = base.get().ended(next);
     if (ofBase != null && ofBase.phase() == JobPhase.CANCELLED) {
       return answer(told(job, JobPhase.CANCELLED));
     }
     if (ofBase != null || ended.phase(next) == JobPhase.DONE) {
       return before(job, left, seen, read);
     }
-    return PersistedJob.read(env.store(), base.get(), next)
+    return PersistedJob.read(context.store(), base.get(), next)
         .compose(
             other -> {
-              if (other != null && other.end == JobPhase.CANCELLED) {
+              if (other != null && other.finalPhase == JobPhase.CANCELLED) {
                 return answer(told(job, JobPhase.CANCELLED));
               }
-              if (other != null && other.end == JobPhase.DONE) {
+              if (other != null && other.finalPhase == JobPhase.DONE) {
                 ended.put(next, JobPhase.DONE, other.done.cardinality());
               }
               // All that was before a job that is done is done too.
               List<String> more =
-                  other == null || other.end == JobPhase.DONE ? List.of() : other.spec.awaits();
+                  other == null || other.finalPhase == JobPhase.DONE ? List.of() : other.spec.dependencies();
               more.stream().filter(seen::add).forEach(left::add);
               return before(job, left, seen, read + 1);
             });
@@ -97,7 +97,7 @@
     if (phase.isFinal()) {
       ended.put(job.spec.ref(), phase, job.done.cardinality());
     }
-    int running = phase == JobPhase.RUNNING ? job.open.size() : 0;
+    int running = phase == JobPhase.RUNNING ? job.openAttempts.size() : 0;
     return HttpResponse.of(200, JobCodec.status(job.spec.ref(), phase, job.done.cardinality(), running));
   }
 
--- a/src/main/java/io/embernotch/api/PollRateLimiter.java
+++ b/src/main/java/io/embernotch/api/PollRateLimiter.java
@@ -5,7 +5,7 @@
 import io.embernotch.context.LeastRecentlyUsed;
 import io.embernotch.settings.Settings;
 import io.embernotch.store.RateLimiter;
-import io.embernotch.store.RateLimiter.Rank;
+import io.embernotch.store.RateLimiter.RequestPriority;
 import java.util.Map;
 
 /**
@@ -39,14 +39,14 @@
   public PollRateLimiter(Clock clock, Timers timers, Settings settings) {
     this.clock = clock;
     this.startedAt = clock.now();
-    this.perS = Math.max(1, settings.quota().maxConnections() / settings.workers().reportS());
+    this.perS = Math.max(1, settings.quota().maxConnections() / settings.workers().heartbeatIntervalS());
     this.pacer = new RateLimiter(clock, timers, perS, 1);
-    this.toldAt = new LeastRecentlyUsed<>(settings.quota().polled());
+    this.toldAt = new LeastRecentlyUsed<>(settings.quota().rememberedJobs());
   }
 
   /** True if the poll may be answered; then {@link #told} is to follow if it was. */
   public boolean admit(String ref) {
-    double credit = pacer.credit();
+    double credit = pacer.available();
     double now = clock.now();
     double most = MOST_SHARE * FORGOTTEN_S;
     double pressed = Math.max(0, 1 - credit / (EASY_SHARE * perS));
@@ -57,7 +57,7 @@
     if (credit < 1 || now - told < pressed * most) {
       return false;
     }
-    pacer.pass(1, Rank.URGENT, () -> {});
+    pacer.acquire(1, RequestPriority.URGENT, () -> {});
     return true;
   }
 
--- a/src/main/java/io/embernotch/api/SubmissionHandler.java
+++ b/src/main/java/io/embernotch/api/SubmissionHandler.java
@@ -13,7 +13,7 @@
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.MachineType;
 import io.embernotch.model.JobPhase;
-import io.embernotch.store.RateLimiter.Rank;
+import io.embernotch.store.RateLimiter.RequestPriority;
 import io.embernotch.store.Transaction;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
@@ -37,13 +37,13 @@
   /** What a submission needs of its controller. */
   public interface Host {
     /** The job is in the store, by our own hand. */
-    void accepted(Job job, ObjectNode value, long epoch);
+    void submissionAccepted(Job job, ObjectNode value, long epoch);
 
     /** What the state service holds is known to be ours, so that what it lacks was not accepted. */
-    boolean sound();
+    boolean storeIsIntact();
 
     /** The name of the present era. */
-    String era();
+    String incarnationName();
 
     /** What the present era began with. */
     BaseSnapshot base();
@@ -52,12 +52,12 @@
     Future<HttpResponse> poll(String ref);
 
     /** The answer of another controller that the state service serves; null if there is none. */
-    Future<HttpResponse> elsewhere(byte[] body, double withinS);
+    Future<HttpResponse> submitElsewhere(byte[] body, double withinS);
   }
 
-  private final ControllerContext env;
+  private final ControllerContext context;
   private final Map<String, MachineType> types;
-  private final int pieceSize;
+  private final int shardSize;
   private final Host host;
   private final DependencyValidator awaited;
 
@@ -73,19 +73,19 @@
   /** After this time the user is told to come back. */
   private final double patienceS;
 
-  public SubmissionHandler(ControllerContext env, Map<String, MachineType> types, int pieceSize, Host host) {
-    this.env = env;
+  public SubmissionHandler(ControllerContext context, Map<String, MachineType> types, int shardSize, Host host) {
+    this.context = context;
     this.types = types;
-    this.pieceSize = pieceSize;
+    this.shardSize = shardSize;
     this.host = host;
-    this.awaited = new DependencyValidator(env, host::base);
+    this.awaited = new DependencyValidator(context, host::base);
     this.accepted =
         new LeastRecentlyUsed<>(
             (int)
                 Math.ceil(
-                    env.settings().stateFloor().writeRps() * env.settings().workers().leaseS()));
-    this.hedgeS = env.settings().workers().reportS() / 20;
-    this.patienceS = env.settings().workers().reportS() / 3;
+                    context.settings().minStoreLimits().writeRps() * context.settings().workers().leaseS()));
+    this.hedgeS = context.settings().workers().heartbeatIntervalS() / 20;
+    this.patienceS = context.settings().workers().heartbeatIntervalS() / 3;
   }
 
   /** A user's own submission. */
@@ -94,7 +94,7 @@
   }
 
   /** One that another controller was given; it is not passed on any further. */
-  public Future<HttpResponse> passedOn(byte[] body) {
+  public Future<HttpResponse> handleForwarded(byte[] body) {
     return take(body, false);
   }
 
@@ -117,7 +117,7 @@
     if (types.isEmpty()) {
       return Future.succeededFuture(HttpResponse.later("machine types are not known yet"));
     }
-    String never = AdmissionControl.neverRuns(spec, env.settings().teams(), types.values());
+    String never = AdmissionControl.neverRuns(spec, context.settings().teams(), types.values());
     if (never != null) {
       return refuse(spec.ref(), HttpResponse.error(422, never));
     }
@@ -126,7 +126,7 @@
       // One submission creates the job; a repeat that joins it is told of a job that is known.
       return before.reply.future().map(a -> a.status() == 201 ? HttpResponse.of(200, a.body()) : a);
     }
-    if (!host.sound()) {
+    if (!host.storeIsIntact()) {
       HttpResponse refusal = HttpResponse.later("what the state service holds is not known yet");
       return mayPassOn ? handOn(body, refusal) : Future.succeededFuture(refusal);
     }
@@ -134,15 +134,15 @@
       // Its key may be gone; written anew it would be a job that has done nothing.
       return host.poll(spec.ref());
     }
-    double waitS = env.store().waitS();
+    double waitS = context.store().writeWaitS();
     if (waitS > patienceS / 2) {
       HttpResponse refusal =
           HttpResponse.later("more is submitted than the state service takes", (int) Math.ceil(waitS));
       return mayPassOn ? handOn(body, refusal) : Future.succeededFuture(refusal);
     }
-    Job job = new Job(spec, env.clock().wallMs());
-    ObjectNode value = JobProgressCodec.writeJob(job, pieceSize);
-    if (Json.bytes(value).length > env.settings().stateFloor().valueKb() * 1024) {
+    Job job = new Job(spec, context.clock().wallMs());
+    ObjectNode value = JobProgressCodec.writeJob(job, shardSize);
+    if (Json.bytes(value).length > context.settings().minStoreLimits().valueKb() * 1024) {
       return refuse(spec.ref(), HttpResponse.error(400, "description too long"));
     }
     Taking taking = new Taking(job, value, body, mayPassOn);
@@ -157,7 +157,7 @@
   }
 
   /** A new era has begun: what was accepted here and is not in it is written once more. */
-  public void renew() {
+  public void storeIncarnationChanged() {
     for (Map.Entry<String, byte[]> e : accepted.entrySet()) {
       if (!host.base().has(e.getKey())) {
         again(e.getKey(), Json.parseObject(e.getValue()).put(JobProgressCodec.AGAIN, true));
@@ -167,30 +167,30 @@
 
   private void again(String ref, ObjectNode value) {
     String key = JobProgressCodec.JOB + ref;
-    String name = host.era();
-    env.store()
-        .turn(
+    String name = host.incarnationName();
+    context.store()
+        .requestWriteSlot(
             1,
-            Rank.USUAL,
+            RequestPriority.NORMAL,
             () ->
-                env.store()
-                    .commitInTurn(new Transaction().when(key, 0).write(key, value), Rank.USUAL)
+                context.store()
+                    .commitInWriteSlot(new Transaction().when(key, 0).write(key, value), RequestPriority.NORMAL)
                     .onSuccess(
                         c -> {
                           if (c.applied()) {
                             LOG.info(
                                 "job {} was accepted shortly before the loss, and is written again",
                                 ref);
-                            host.accepted(JobProgressCodec.readJob(value), value, c.epoch());
+                            host.submissionAccepted(JobProgressCodec.readJob(value), value, c.revision());
                           }
                         })
                     .onFailure(
                         e ->
-                            env.timers()
+                            context.timers()
                                 .after(
                                     patienceS,
                                     () -> {
-                                      if (host.era().equals(name)) {
+                                      if (host.incarnationName().equals(name)) {
                                         again(ref, value);
                                       }
                                     })));
@@ -202,8 +202,8 @@
    */
   private Future<HttpResponse> handOn(byte[] body, HttpResponse refusal) {
     Future<HttpResponse> other =
-        handedOn < env.settings().stateFloor().writeRps() / 4
-            ? host.elsewhere(body, patienceS)
+        handedOn < context.settings().minStoreLimits().writeRps() / 4
+            ? host.submitElsewhere(body, patienceS)
             : null;
     if (other == null) {
       return Future.succeededFuture(refusal);
@@ -244,25 +244,25 @@
     }
 
     Future<HttpResponse> go() {
-      env.timers()
+      context.timers()
           .after(
               patienceS,
               () -> reply.tryComplete(HttpResponse.later("the state service does not answer")));
-      if (env.store().failingForS() > 0 || env.store().waitS() > hedgeS) {
+      if (context.store().failingForS() > 0 || context.store().writeWaitS() > hedgeS) {
         // Another has changes to spare while ours wait behind starts.
         passOn();
       }
-      if (job.spec.awaits().isEmpty()) {
-        env.store().turn(1, Rank.USUAL, this::write);
+      if (job.spec.dependencies().isEmpty()) {
+        context.store().requestWriteSlot(1, RequestPriority.NORMAL, this::write);
         return reply.future();
       }
-      env.timers().after(hedgeS, this::passOn);
+      context.timers().after(hedgeS, this::passOn);
       awaited
           .neverRuns(job.spec)
           .onSuccess(
               why -> {
                 if (why == null) {
-                  env.store().turn(1, Rank.USUAL, this::write);
+                  context.store().requestWriteSlot(1, RequestPriority.NORMAL, this::write);
                 } else {
                   refuse(job.spec.ref(), HttpResponse.error(422, why)).onSuccess(reply::tryComplete);
                 }
@@ -279,19 +279,19 @@
 
     private void write() {
       if (reply.future().isComplete()) {
-        env.store().turnOver(1, 0);
+        context.store().releaseWriteSlot(1, 0);
         return;
       }
-      env.timers().after(hedgeS, this::passOn);
+      context.timers().after(hedgeS, this::passOn);
       String key = JobProgressCodec.JOB + job.spec.ref();
-      env.store()
-          .commitInTurn(new Transaction().when(key, 0).write(key, value), Rank.USUAL)
+      context.store()
+          .commitInWriteSlot(new Transaction().when(key, 0).write(key, value), RequestPriority.NORMAL)
           .onSuccess(
               c -> {
                 if (c.applied()) {
                   awaited.accepted(job.spec);
                   accepted.put(job.spec.ref(), Json.bytes(value));
-                  host.accepted(job, value, c.epoch());
+                  host.submissionAccepted(job, value, c.revision());
                   reply.tryComplete(HttpResponse.of(201, JobCodec.brief(job.spec.ref(), JobPhase.QUEUED)));
                 } else {
                   host.poll(job.spec.ref())
@@ -306,7 +306,7 @@
       if (!mayPassOn || passedOn || reply.future().isComplete()) {
         return;
       }
-      Future<HttpResponse> other = host.elsewhere(body, patienceS);
+      Future<HttpResponse> other = host.submitElsewhere(body, patienceS);
       if (other == null) {
         return;
       }
--- a/src/main/java/io/embernotch/app/RehearseCommand.java
+++ b/src/main/java/io/embernotch/app/RehearseCommand.java
@@ -44,7 +44,7 @@
       ask(vertx, client, HttpMethod.GET, "/ready", "");
       ask(vertx, client, HttpMethod.POST, "/api/jobs", JOB);
       ask(vertx, client, HttpMethod.GET, "/api/jobs/j-1", "");
-      ask(vertx, client, HttpMethod.POST, "/hello", REPORT);
+      ask(vertx, client, HttpMethod.POST, "/hello", HEARTBEAT);
       ask(vertx, client, HttpMethod.GET, "/overview", "");
     }
     return 0;
@@ -92,7 +92,7 @@
           + "\"cores\":1,\"cards\":0,\"mem_gb\":1,\"bundle\":\"i\",\"size_gb\":1,\"one_zone\":false,"
           + "\"scatter\":false,\"loaner\":true,\"expect_s\":1,\"snapshot_s\":0,\"flush_s\":0}";
 
-  private static final String REPORT =
+  private static final String HEARTBEAT =
       "{\"hearth\":\"n-1\",\"address\":\"127.0.0.1:1\",\"flavor\":\"t\",\"room\":\"a\",\"loaner\":false,"
           + "\"tenure\":1,\"tick\":1,\"baton\":0,\"shards\":[]}";
 
--- a/src/main/java/io/embernotch/app/Server.java
+++ b/src/main/java/io/embernotch/app/Server.java
@@ -51,23 +51,23 @@
   private static void wire(
       Vertx vertx, Context loop, Settings settings, OperatorSettings operator) {
     SystemClock clock = new SystemClock();
-    EventLoopProfile work = EventLoopProfile.read();
-    Timers timers = work.around("timer", new VertxTimers(vertx, loop));
-    double report = settings.workers().reportS();
-    VertxHttpCaller store = new VertxHttpCaller(vertx, clock, timers, 8, 1, report / 3, KEEP_S);
-    VertxHttpCaller cloud = new VertxHttpCaller(vertx, clock, timers, 4, 1, report / 3, KEEP_S);
+    EventLoopProfile profile = EventLoopProfile.read();
+    Timers timers = profile.around("timer", new VertxTimers(vertx, loop));
+    double heartbeat = settings.workers().heartbeatIntervalS();
+    VertxHttpCaller store = new VertxHttpCaller(vertx, clock, timers, 8, 1, heartbeat / 3, KEEP_S);
+    VertxHttpCaller cloud = new VertxHttpCaller(vertx, clock, timers, 4, 1, heartbeat / 3, KEEP_S);
     // Each worker has a connection to us already: ours to them are few at a time, and short-lived.
     int direct = settings.quota().directCalls();
-    VertxHttpCaller workers = new VertxHttpCaller(vertx, clock, timers, 1, direct, report / 3, report / 3);
+    VertxHttpCaller workers = new VertxHttpCaller(vertx, clock, timers, 1, direct, heartbeat / 3, heartbeat / 3);
     VertxPeerLink peers = new VertxPeerLink(vertx, timers, settings);
-    ControllerContext env =
+    ControllerContext context =
         new ControllerContext(
             settings,
             operator,
             clock,
             timers,
-            task -> loop.runOnContext(v -> work.run("asked", task)),
-            work,
+            task -> loop.runOnContext(v -> profile.run("asked", task)),
+            profile,
             new StoreClient(store, clock, timers, settings),
             new CloudClient(cloud, clock, timers, settings),
             workers,
@@ -83,45 +83,45 @@
         .deployVerticle(
             (Deployable)
                 lease -> {
-                  keeper.complete(keeper(vertx, lease, env));
+                  keeper.complete(keeper(vertx, lease, context));
                   return Future.succeededFuture();
                 })
         .compose(v -> keeper.future())
         .onSuccess(
             kept ->
                 loop.runOnContext(
-                    v -> listen(vertx, env, peers, new Controller(env, peers, kept))));
+                    v -> listen(vertx, context, peers, new Controller(context, peers, kept))));
   }
 
-  private static LeaseRenewer keeper(Vertx vertx, Context lease, ControllerContext env) {
-    Settings settings = env.settings();
+  private static LeaseRenewer keeper(Vertx vertx, Context lease, ControllerContext context) {
+    Settings settings = context.settings();
     VertxTimers timers = new VertxTimers(vertx, lease);
     VertxHttpCaller caller =
-        new VertxHttpCaller(vertx, env.clock(), timers, 1, 1, settings.workers().reportS() / 3, KEEP_S);
+        new VertxHttpCaller(vertx, context.clock(), timers, 1, 1, settings.workers().heartbeatIntervalS() / 3, KEEP_S);
     return new LeaseRenewer(
         caller,
-        settings.state(),
-        env.clock(),
+        settings.storeAddress(),
+        context.clock(),
         timers,
         task -> lease.runOnContext(v -> task.run()),
-        env.loop(),
-        settings.leaderLeaseS(env.operator()),
+        context.loop(),
+        settings.leaderLeaseS(context.operator()),
         Settings.DRIFT,
-        settings.contactS());
+        settings.contactTimeoutS());
   }
 
-  private static void listen(Vertx vertx, ControllerContext env, VertxPeerLink peers, Controller controller) {
-    Settings settings = env.settings();
+  private static void listen(Vertx vertx, ControllerContext context, VertxPeerLink peers, Controller controller) {
+    Settings settings = context.settings();
     vertx
-        .deployVerticle((Deployable) front -> front(vertx, front, env, controller))
-        .compose(v -> peers.start(vertx, settings.back()))
+        .deployVerticle((Deployable) front -> front(vertx, front, context, controller))
+        .compose(v -> peers.start(vertx, settings.peerListen()))
         .onSuccess(
             v -> {
               LOG.info(
                   "{} listens on {} and {}",
                   settings.node(),
                   settings.clientListen(),
-                  settings.back());
+                  settings.peerListen());
               controller.start();
             })
         .onFailure(
@@ -132,10 +132,10 @@
   }
 
   /** A deployment is given a loop of its own while there is one. */
-  private static Future<?> front(Vertx vertx, Context loop, ControllerContext env, Controller controller) {
-    Settings settings = env.settings();
+  private static Future<?> front(Vertx vertx, Context loop, ControllerContext context, Controller controller) {
+    Settings settings = context.settings();
     return new HttpApiServer(
-            controller, env.loop(), env.clock(), new VertxTimers(vertx, loop), settings)
+            controller, context.loop(), context.clock(), new VertxTimers(vertx, loop), settings)
         .listen(vertx, settings.clientListen());
   }
 }
--- a/src/main/java/io/embernotch/calendar/ReleaseCalendar.java
+++ b/src/main/java/io/embernotch/calendar/ReleaseCalendar.java
@@ -53,8 +53,8 @@
   /** Live services of a release that is nearer than so many boot times need more room. */
   private static final double NEAR_BOOTS = 3;
 
-  private final ControllerContext env;
-  private final ClusterState ledger;
+  private final ControllerContext context;
+  private final ClusterState state;
   private final SharedState shared;
   private final Consumer<Job> settled;
   private final EffectiveConfiguration<List<Release>> inForce;
@@ -67,12 +67,12 @@
    * {@code settled} is told of each job whose release has been settled: it is to be written with
    * the job.
    */
-  public ReleaseCalendar(ControllerContext env, ClusterState ledger, SharedState shared, Consumer<Job> settled) {
-    this.env = env;
-    this.ledger = ledger;
+  public ReleaseCalendar(ControllerContext context, ClusterState state, SharedState shared, Consumer<Job> settled) {
+    this.context = context;
+    this.state = state;
     this.shared = shared;
     this.settled = settled;
-    OperatorSettings.Calendar own = env.operator().calendar();
+    OperatorSettings.Calendar own = context.operator().calendar();
     this.inForce =
         new EffectiveConfiguration<>(
             shared,
@@ -157,8 +157,8 @@
     }
     int inTime = served.getOrDefault(occurrence, Set.of()).size();
     int all = inTime;
-    for (Job j : ledger.jobs.values()) {
-      all += occurrence.equals(j.release) && j.end == null ? 1 : 0;
+    for (Job j : state.jobs.values()) {
+      all += occurrence.equals(j.release) && j.finalPhase == null ? 1 : 0;
     }
     Kept over = new Kept(k.generation(), k.atMs(), k.firstMs(), k.lifted(), all, inTime, true);
     int of = all;
@@ -175,28 +175,28 @@
       return;
     }
     refresh();
-    for (Job j : ledger.jobs.values()) {
-      if (j.release == null && j.end == null && j.spec.priority() != Priority.PRODUCTION) {
+    for (Job j : state.jobs.values()) {
+      if (j.release == null && j.finalPhase == null && j.spec.priority() != Priority.PRODUCTION) {
         settle(j);
       }
       Kept k = j.release == null ? null : kept.get(j.release);
-      j.releaseByMs = k == null || k.lifted() ? Long.MAX_VALUE : k.atMs() - leadMs(j);
-      j.restMs = Math.round(restS(j) * 1000);
-      if (k != null && j.end == JobPhase.DONE && j.endedMs <= k.atMs()) {
+      j.releaseDeadlineMs = k == null || k.lifted() ? Long.MAX_VALUE : k.atMs() - leadMs(j);
+      j.remainingRunMs = Math.round(restS(j) * 1000);
+      if (k != null && j.finalPhase == JobPhase.DONE && j.endedMs <= k.atMs()) {
         served.computeIfAbsent(j.release, x -> new HashSet<>()).add(j.spec.ref());
       }
       if (k != null
-          && j.end == null
+          && j.finalPhase == null
           && !k.lifted()
           && !k.over()
-          && wallMs + j.restMs > j.releaseByMs
+          && wallMs + j.remainingRunMs > j.releaseDeadlineMs
           && atRisk.computeIfAbsent(j.release, x -> new HashSet<>()).add(j.spec.ref())) {
         LOG.info(
             "release {} is at risk: {} needs {} s more, {} s are left",
             j.release,
             j.spec.ref(),
-            j.restMs / 1000,
-            (j.releaseByMs - wallMs) / 1000);
+            j.remainingRunMs / 1000,
+            (j.releaseDeadlineMs - wallMs) / 1000);
       }
     }
   }
@@ -245,12 +245,12 @@
     double run = DOUBT * Math.max(j.spec.expectS(), 0);
     run = j.meanS() > 0 ? Math.max(j.meanS(), run / DOUBT) : run;
     double fetch =
-        ledger.types.values().stream()
+        state.types.values().stream()
             .filter(t -> t.fits(j.spec))
             .mapToDouble(t -> t.fetchS(j.spec))
             .min()
             .orElse(0);
-    return run + (j.open.isEmpty() ? fetch : 0);
+    return run + (j.openAttempts.isEmpty() ? fetch : 0);
   }
 
   /**
@@ -262,7 +262,7 @@
       return false;
     }
     double boot =
-        ledger.types.values().stream()
+        state.types.values().stream()
             .filter(t -> t.fits(like))
             .mapToDouble(MachineType::bootS)
             .min()
@@ -293,7 +293,7 @@
       into.put("lifted", true);
       return;
     }
-    long slack = j.releaseByMs - wallMs - j.restMs;
+    long slack = j.releaseDeadlineMs - wallMs - j.remainingRunMs;
     into.put("deadline", Instant.ofEpochMilli(k.atMs()).toString())
         .put("slack_s", Math.floorDiv(slack, 1000))
         .put("in_time", slack >= 0);
@@ -316,10 +316,10 @@
           }
           int jobs = 0;
           int late = 0;
-          for (Job j : ledger.jobs.values()) {
-            if (name.equals(j.release) && j.end == null) {
+          for (Job j : state.jobs.values()) {
+            if (name.equals(j.release) && j.finalPhase == null) {
               jobs++;
-              late += wallMs + j.restMs > j.releaseByMs ? 1 : 0;
+              late += wallMs + j.remainingRunMs > j.releaseDeadlineMs ? 1 : 0;
             }
           }
           o.put("jobs", jobs + served.getOrDefault(name, Set.of()).size()).put("at_risk", late);
--- a/src/main/java/io/embernotch/cloud/CloudClient.java
+++ b/src/main/java/io/embernotch/cloud/CloudClient.java
@@ -9,7 +9,7 @@
 import io.embernotch.model.MachineType;
 import io.embernotch.settings.Settings;
 import io.embernotch.store.RateLimiter;
-import io.embernotch.store.RateLimiter.Rank;
+import io.embernotch.store.RateLimiter.RequestPriority;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import java.util.ArrayList;
@@ -31,16 +31,16 @@
     this.caller = caller;
     this.settings = settings;
     this.pacer = new RateLimiter(clock, timers, settings.cloudLimits().rps() * 0.8, 1);
-    this.timeoutS = settings.workers().reportS();
+    this.timeoutS = settings.workers().heartbeatIntervalS();
   }
 
   public Future<List<MachineType>> types() {
-    return send("GET", "/machine_types", null, Rank.USUAL)
+    return send("GET", "/machine_types", null, RequestPriority.NORMAL)
         .compose(r -> r.status() == 200 ? read(() -> CloudCodec.types(r.json())) : odd(r));
   }
 
   public Future<Rented> rent(String booking, String type, String zone, boolean spot, int number) {
-    return send("POST", "/machines", CloudCodec.rent(booking, type, zone, spot, number), Rank.USUAL)
+    return send("POST", "/machines", CloudCodec.rent(booking, type, zone, spot, number), RequestPriority.NORMAL)
         .compose(
             r -> {
               if (r.status() == 200) {
@@ -54,7 +54,7 @@
 
   public Future<Void> delete(List<String> names, boolean urgent) {
     return send(
-            "POST", "/machines/delete", CloudCodec.delete(names), urgent ? Rank.FIRST : Rank.SPARE)
+            "POST", "/machines/delete", CloudCodec.delete(names), urgent ? RequestPriority.HIGH : RequestPriority.BACKGROUND)
         .compose(r -> r.status() == 200 ? Future.succeededFuture() : odd(r));
   }
 
@@ -64,7 +64,7 @@
 
   private Future<List<Listed>> listFrom(String after, List<Listed> sofar) {
     String path = "/machines?" + (after == null ? "" : "after=" + after + "&") + "page=" + PAGE;
-    return send("GET", path, null, Rank.USUAL)
+    return send("GET", path, null, RequestPriority.NORMAL)
         .compose(r -> r.status() == 200 ? read(() -> CloudCodec.page(r.json())) : odd(r))
         .compose(
             page -> {
@@ -76,12 +76,12 @@
             });
   }
 
-  private Future<HttpReply> send(String method, String path, byte[] body, Rank rank) {
+  private Future<HttpReply> send(String method, String path, byte[] body, RequestPriority priority) {
     Promise<HttpReply> promise = Promise.promise();
-    pacer.pass(
+    pacer.acquire(
         1,
-        rank,
-        () -> caller.call(method, settings.cloud(), path, body, timeoutS).onComplete(promise));
+        priority,
+        () -> caller.call(method, settings.cloudAddress(), path, body, timeoutS).onComplete(promise));
     return promise.future();
   }
 
--- a/src/main/java/io/embernotch/codec/IncarnationCodec.java
+++ b/src/main/java/io/embernotch/codec/IncarnationCodec.java
@@ -21,8 +21,8 @@
   private IncarnationCodec() {}
 
   /** The key that every transaction of an era conditions on. */
-  public static String fence(StoreIncarnation era) {
-    return FENCE + era.name();
+  public static String fence(StoreIncarnation incarnation) {
+    return FENCE + incarnation.name();
   }
 
   /** The prefix of an era's blocks. */
@@ -35,23 +35,23 @@
     return blocks(base) + String.format("%06d", index);
   }
 
-  public static ObjectNode write(StoreIncarnation era) {
-    ObjectNode o = Json.object().put("name", era.name()).put("floor", era.floor());
-    if (era.base() != null) {
-      o.put("base", era.base())
-          .put("blocks", era.blocks())
-          .put("crc", era.crc())
-          .put("since", era.since());
+  public static ObjectNode write(StoreIncarnation incarnation) {
+    ObjectNode o = Json.object().put("name", incarnation.name()).put("floor", incarnation.epochFloor());
+    if (incarnation.snapshotName() != null) {
+      o.put("base", incarnation.snapshotName())
+          .put("blocks", incarnation.blockCount())
+          .put("crc", incarnation.crc())
+          .put("since", incarnation.since());
     }
     ArrayNode after = o.putArray("after");
-    era.after().forEach(after::add);
+    incarnation.predecessors().forEach(after::add);
     return o;
   }
 
   /**
    * @throws MalformedInputException if the value is not an era's
    */
-  public static StoreIncarnation read(JsonNode o, long stamp) {
+  public static StoreIncarnation read(JsonNode o, long modRevision) {
     List<String> after = new ArrayList<>();
     for (JsonNode n : Json.need(o, "after")) {
       after.add(n.asText());
@@ -59,7 +59,7 @@
     boolean based = Json.opt(o, "base") != null;
     return new StoreIncarnation(
         Json.text(o, "name"),
-        stamp,
+        modRevision,
         Json.whole(o, "floor"),
         based ? Json.text(o, "base") : null,
         based ? (int) Json.whole(o, "blocks") : 0,
@@ -69,12 +69,12 @@
   }
 
   /** The value of a new job's key with the era and the revision that wrote it, for the leader. */
-  public static ObjectNode told(ObjectNode value, String era, long epoch) {
-    return value.deepCopy().put("era", era).put("epoch", epoch);
+  public static ObjectNode told(ObjectNode value, String incarnation, long epoch) {
+    return value.deepCopy().put("era", incarnation).put("epoch", epoch);
   }
 
   /** The era that {@link #told} names; "" if a version before eras sent it. */
-  public static String toldEra(JsonNode o) {
+  public static String toldIncarnation(JsonNode o) {
     return o.path("era").asText("");
   }
 
--- a/src/main/java/io/embernotch/codec/JobCodec.java
+++ b/src/main/java/io/embernotch/codec/JobCodec.java
@@ -59,7 +59,7 @@
         Json.amount(o, "snapshot_s"),
         Json.amount(o, "flush_s"),
         due == null ? null : Json.amount(o, "due_s"),
-        awaits(Json.opt(o, "awaits")));
+        dependencies(Json.opt(o, "awaits")));
   }
 
   public static ObjectNode write(JobSpec j) {
@@ -104,9 +104,9 @@
     if (j.dueS() != null) {
       o.put("due_s", j.dueS());
     }
-    if (!j.awaits().isEmpty()) {
-      ArrayNode awaits = o.putArray("awaits");
-      j.awaits().forEach(awaits::add);
+    if (!j.dependencies().isEmpty()) {
+      ArrayNode dependencies = o.putArray("awaits");
+      j.dependencies().forEach(dependencies::add);
     }
     return o;
   }
@@ -206,7 +206,7 @@
   }
 
   /** Names of other jobs, each once; absent, null and empty mean none. */
-  private static List<String> awaits(JsonNode n) {
+  private static List<String> dependencies(JsonNode n) {
     if (n == null) {
       return List.of();
     }
--- a/src/main/java/io/embernotch/codec/JobProgressCodec.java
+++ b/src/main/java/io/embernotch/codec/JobProgressCodec.java
@@ -25,7 +25,7 @@
   public static final String JOB = "job/";
   public static final String RUN = "run/";
 
-  public static final String PART = "part/";
+  public static final String REFINED_SHARD = "part/";
 
   /** Facts that leaders hand on, beside jobs. */
   public static final String SHARED = "shared/";
@@ -40,7 +40,7 @@
   private static final int BYTES_PER_TASK = 46;
 
   /** What a piece takes besides its tasks. */
-  private static final int BYTES_PER_PIECE = 192;
+  private static final int BYTES_PER_SHARD = 192;
 
   /** Marks a submission that is written once more after a loss of data. */
   public static final String AGAIN = "again";
@@ -51,50 +51,50 @@
    * Tasks in a piece when values may have {@code valueKb} KiB. With longer names of machines than
    * usual, or with restarts under way, a piece may still not fit: then parts take its place.
    */
-  public static int piece(double valueKb, List<String> zones) {
+  public static int shard(double valueKb, List<String> zones) {
     int zone = zones.stream().mapToInt(String::length).max().orElse(0);
-    return Math.max(1, (int) ((valueKb * 1024 - BYTES_PER_PIECE) / (BYTES_PER_TASK + zone)));
+    return Math.max(1, (int) ((valueKb * 1024 - BYTES_PER_SHARD) / (BYTES_PER_TASK + zone)));
   }
 
-  public static ObjectNode writeJob(Job job, int piece) {
+  public static ObjectNode writeJob(Job job, int shard) {
     ObjectNode o = Json.object();
     o.put("at", job.submittedMs);
-    o.put("piece", piece);
+    o.put("piece", shard);
     o.set("job", JobCodec.write(job.spec));
     return o;
   }
 
   public static Job readJob(JsonNode o) {
     Job job = new Job(JobCodec.read(Json.need(o, "job")), Json.whole(o, "at"));
-    job.again = Json.flagOr(o, AGAIN, false);
+    job.restoredAfterLoss = Json.flagOr(o, AGAIN, false);
     return job;
   }
 
-  public static int readPiece(JsonNode o) {
+  public static int readShardSize(JsonNode o) {
     return (int) Math.max(1, Json.whole(o, "piece"));
   }
 
-  public static String key(String ref, int piece) {
-    return piece == 0 ? RUN + ref : RUN + ref + "/" + piece;
+  public static String key(String ref, int shard) {
+    return shard == 0 ? RUN + ref : RUN + ref + "/" + shard;
   }
 
   /** Which piece a {@code run/} key holds. */
-  public static int pieceOf(String key) {
+  public static int shardOf(String key) {
     int slash = key.indexOf('/', RUN.length());
     return slash < 0 ? 0 : Integer.parseInt(key.substring(slash + 1));
   }
 
   /** The key of the K-th part of {@code size} tasks. */
   public static String partKey(String ref, int size, int part) {
-    return PART + ref + "/" + size + "/" + part;
+    return REFINED_SHARD + ref + "/" + size + "/" + part;
   }
 
-  public static ObjectNode writeRun(Job job, int pieceSize, int piece) {
+  public static ObjectNode writeRun(Job job, int shardSize, int shard) {
     ObjectNode o = Json.object();
-    if (piece == 0) {
+    if (shard == 0) {
       o.put("next", job.nextAttempt);
-      if (job.end != null) {
-        o.put("end", JobCodec.phase(job.end));
+      if (job.finalPhase != null) {
+        o.put("end", JobCodec.phase(job.finalPhase));
         // The version before job chains ignores this, and may write the value back without it.
         o.put("at", job.endedMs);
       }
@@ -102,22 +102,22 @@
         o.put("rel", job.release);
       }
     }
-    int from = piece * pieceSize;
-    int to = Math.min(job.spec.tasks(), from + pieceSize);
-    if (job.end != JobPhase.DONE) {
+    int from = shard * shardSize;
+    int to = Math.min(job.spec.tasks(), from + shardSize);
+    if (job.finalPhase != JobPhase.DONE) {
       BitSet part = job.done.get(from, to);
       if (!part.isEmpty()) {
         o.put("done", Base64.getEncoder().encodeToString(part.toByteArray()));
       }
     }
     ArrayNode open = null;
-    for (Attempt a : job.open.values()) {
+    for (Attempt a : job.openAttempts.values()) {
       if (a.task >= from && a.task < to) {
         if (open == null) {
           open = o.putArray("open");
         }
         ArrayNode entry = open.addArray().add(a.task).add(a.number).add(a.machine).add(a.zone);
-        String wish = job.wishes.get(a.task);
+        String wish = job.preferredMachines.get(a.task);
         if (wish != null) {
           entry.add(wish);
         }
@@ -144,24 +144,24 @@
     int from = part * size;
     int to = Math.min(job.spec.tasks(), from + size);
     job.done.clear(from, Math.max(from, to));
-    job.open.keySet().removeIf(task -> task >= from && task < to);
-    job.wishes.keySet().removeIf(task -> task >= from && task < to);
+    job.openAttempts.keySet().removeIf(task -> task >= from && task < to);
+    job.preferredMachines.keySet().removeIf(task -> task >= from && task < to);
     readRun(o, job, size, part);
   }
 
   /** Adds what a piece says to {@code job}. */
-  public static void readRun(JsonNode o, Job job, int pieceSize, int piece) {
-    if (piece == 0) {
+  public static void readRun(JsonNode o, Job job, int shardSize, int shard) {
+    if (shard == 0) {
       job.nextAttempt = Json.whole(o, "next");
-      job.end = readEnd(o);
-      job.endKept = job.end != null;
+      job.finalPhase = readEnd(o);
+      job.endPersisted = job.finalPhase != null;
       job.endedMs = Json.opt(o, "at") == null ? job.submittedMs : Json.whole(o, "at");
       job.release = o.path("rel").asText(null);
     }
     JsonNode done = Json.opt(o, "done");
     if (done != null) {
       BitSet part = BitSet.valueOf(Base64.getDecoder().decode(done.asText()));
-      part.stream().forEach(i -> job.done.set(piece * pieceSize + i));
+      part.stream().forEach(i -> job.done.set(shard * shardSize + i));
     }
     JsonNode open = Json.opt(o, "open");
     if (open != null) {
@@ -169,14 +169,14 @@
         Attempt attempt =
             new Attempt(
                 job, a.get(0).asInt(), a.get(1).asLong(), a.get(2).asText(), a.get(3).asText(), 0);
-        attempt.start = Attempt.LaunchState.UNSURE;
-        job.open.put(attempt.task, attempt);
+        attempt.launchState = Attempt.LaunchState.UNCONFIRMED;
+        job.openAttempts.put(attempt.task, attempt);
         if (a.size() > 4) {
-          job.wishes.put(attempt.task, a.get(4).asText());
+          job.preferredMachines.put(attempt.task, a.get(4).asText());
         }
       }
     }
-    if (job.end == JobPhase.DONE) {
+    if (job.finalPhase == JobPhase.DONE) {
       job.done.set(0, job.spec.tasks());
     }
   }
--- a/src/main/java/io/embernotch/context/ControllerContext.java
+++ b/src/main/java/io/embernotch/context/ControllerContext.java
@@ -21,7 +21,7 @@
     Clock clock,
     Timers timers,
     Executor loop,
-    EventLoopProfile work,
+    EventLoopProfile profile,
     StoreClient store,
     CloudClient cloud,
     HttpCaller workers,
--- a/src/main/java/io/embernotch/controller/Controller.java
+++ b/src/main/java/io/embernotch/controller/Controller.java
@@ -52,64 +52,64 @@
 public final class Controller implements RequestHandler, LeaderElection.Listener, LeaderContext, SubmissionHandler.Host, HeartbeatForwarder.Host, StoreIncarnationTracker.Host, StoreRestorer.Source {
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
 
-  private final ControllerContext env;
+  private final ControllerContext context;
   private final Settings settings;
   private final PeerLink peers;
-  private final LeaseRenewer keeper;
+  private final LeaseRenewer leaseRenewer;
   private final SnapshotScheduler snapshots;
-  private final StoreIncarnationTracker eras;
+  private final StoreIncarnationTracker incarnations;
   private final LeaderElection election;
-  private final PeerLiveness alive;
-  private final PeerHeartbeats beats;
-  private final LocalPartition part;
-  private final PartitionViews post;
-  private final int pieceSize;
+  private final PeerLiveness peerLiveness;
+  private final PeerHeartbeats peerHeartbeats;
+  private final LocalPartition localPartition;
+  private final PartitionViews partitionViews;
+  private final int shardSize;
   private final SubmissionHandler submissions;
-  private final JobQueries inquiries;
+  private final JobQueries jobQueries;
   private final Map<String, MachineType> types = new LinkedHashMap<>();
-  private final ImageInventory images;
-  private final HeartbeatForwarder reception;
+  private final ImageInventory imageInventory;
+  private final HeartbeatForwarder heartbeatForwarder;
   private final CompletedJobCache ended = new CompletedJobCache();
-  private final PendingRequests questions;
-  private final MachineTypeCatalog typesBook;
+  private final PendingRequests pendingRequests;
+  private final MachineTypeCatalog machineTypeCatalog;
   private Leader leader;
   /** What was leader here last, until another is: it knows what the store held. */
-  private Leader former;
-  private final LeaderObserver followed = new LeaderObserver();
+  private Leader formerLeader;
+  private final LeaderObserver leaderObserver = new LeaderObserver();
 
-  public Controller(ControllerContext env, PeerLink peers, LeaseRenewer keeper) {
-    this.env = env;
-    this.settings = env.settings();
+  public Controller(ControllerContext context, PeerLink peers, LeaseRenewer leaseRenewer) {
+    this.context = context;
+    this.settings = context.settings();
     this.peers = peers;
-    this.questions = new PendingRequests(env.timers(), peers, env.names());
-    this.keeper = keeper;
-    this.images = new ImageInventory(settings.quota().machines());
-    this.alive = new PeerLiveness(settings, env.clock());
-    this.snapshots = new SnapshotScheduler(env);
-    this.eras = new StoreIncarnationTracker(env, this, this, keeper.lifeS());
-    this.beats = new PeerHeartbeats(env, peers, eras);
-    this.election = new LeaderElection(settings, env.store(), keeper, env.clock(), env.timers(), eras, this);
-    this.part = new LocalPartition(env.clock(), 6 * env.operator().roundS());
-    this.post = new PartitionViews(settings.node(), part, peers);
-    this.pieceSize = JobProgressCodec.piece(settings.stateFloor().valueKb(), settings.zones());
-    this.submissions = new SubmissionHandler(env, types, pieceSize, this);
-    this.inquiries = new JobQueries(env, ended, eras, submissions::knows, this::forward);
-    this.reception = new HeartbeatForwarder(env, this);
-    this.typesBook = new MachineTypeCatalog(env, types, this::typesKnown);
+    this.pendingRequests = new PendingRequests(context.timers(), peers, context.names());
+    this.leaseRenewer = leaseRenewer;
+    this.imageInventory = new ImageInventory(settings.quota().rememberedMachines());
+    this.peerLiveness = new PeerLiveness(settings, context.clock());
+    this.snapshots = new SnapshotScheduler(context);
+    this.incarnations = new StoreIncarnationTracker(context, this, this, leaseRenewer.leaseTtlS());
+    this.peerHeartbeats = new PeerHeartbeats(context, peers, incarnations);
+    this.election = new LeaderElection(settings, context.store(), leaseRenewer, context.clock(), context.timers(), incarnations, this);
+    this.localPartition = new LocalPartition(context.clock(), 6 * context.operator().roundS());
+    this.partitionViews = new PartitionViews(settings.node(), localPartition, peers);
+    this.shardSize = JobProgressCodec.shard(settings.minStoreLimits().valueKb(), settings.zones());
+    this.submissions = new SubmissionHandler(context, types, shardSize, this);
+    this.jobQueries = new JobQueries(context, ended, incarnations, submissions::knows, this::forward);
+    this.heartbeatForwarder = new HeartbeatForwarder(context, this);
+    this.machineTypeCatalog = new MachineTypeCatalog(context, types, this::typesKnown);
   }
 
   public void start() {
-    peers.onFrame(this::frame);
-    eras.start();
-    typesBook.learn();
+    peers.onFrame(this::handleFrame);
+    incarnations.start();
+    machineTypeCatalog.load();
     election.start();
-    beat();
-    new StragglerRounds(env, part, this::propose).start();
+    tick();
+    new StragglerRounds(context, localPartition, this::proposeRestarts).start();
   }
 
   private void typesKnown() {
     if (leader != null) {
-      leader.ledger().types.putAll(types);
+      leader.state().types.putAll(types);
     }
   }
 
@@ -119,8 +119,8 @@
       return HttpResponse.later("machine types are not known yet");
     }
     // In an outage all nodes are alike, and leaving the balancer would only delay the return.
-    boolean onlyUs = env.store().failingForS() > settings.workers().reportS() / 2 && alive.firstWithState() != null;
-    boolean alone = !settings.members().isEmpty() && alive.live().isEmpty() && env.store().failingForS() > 0;
+    boolean onlyUs = context.store().failingForS() > settings.workers().heartbeatIntervalS() / 2 && peerLiveness.firstWithStore() != null;
+    boolean alone = !settings.members().isEmpty() && peerLiveness.live().isEmpty() && context.store().failingForS() > 0;
     return onlyUs || alone ? HttpResponse.later("cannot reach the state service") : HttpResponse.of(200, "{}".getBytes(StandardCharsets.UTF_8));
   }
 
@@ -130,93 +130,93 @@
   }
 
   @Override
-  public void accepted(Job job, ObjectNode value, long epoch) {
+  public void submissionAccepted(Job job, ObjectNode value, long epoch) {
     if (leader != null) {
-      leader.tell(new LeaderMessage.JobAccepted(job, pieceSize));
-    } else if (followed.node() != null) {
-      peers.send(followed.node(), JobAnnouncements.of(value, eras.name(), epoch));
+      leader.tell(new LeaderMessage.JobAccepted(job, shardSize));
+    } else if (leaderObserver.node() != null) {
+      peers.send(leaderObserver.node(), JobAnnouncements.of(value, incarnations.name(), epoch));
     }
   }
 
   @Override
-  public boolean sound() {
-    return eras.sound();
+  public boolean storeIsIntact() {
+    return incarnations.isIntact();
   }
 
   @Override
-  public String era() {
-    return eras.name();
+  public String incarnationName() {
+    return incarnations.name();
   }
 
   @Override
   public BaseSnapshot base() {
-    return eras.base();
+    return incarnations.base();
   }
 
   @Override
-  public void settled(BaseSnapshot base) {
+  public void incarnationSettled(BaseSnapshot baseSnapshot) {
     if (leader != null) {
       // An era of our own is settled before its term begins: this one is another's.
-      election.deposed("another era has begun");
+      election.stepDown("another era has begun");
     }
-    submissions.renew();
-    if (base.since() > 0) {
-      typesBook.keep();
+    submissions.storeIncarnationChanged();
+    if (baseSnapshot.since() > 0) {
+      machineTypeCatalog.store();
     }
   }
 
   @Override
-  public boolean heardAll() {
-    return alive.heardAll();
+  public boolean allPeersHeard() {
+    return peerLiveness.allHeard();
   }
 
   @Override
   public void dataLost(String why) {
-    election.deposed("the state service has lost data");
+    election.stepDown("the state service has lost data");
     sendBeats();
   }
 
   @Override
-  public Copy copy() {
-    return former == null ? null : former.copy();
+  public Copy lastLeaderSnapshot() {
+    return formerLeader == null ? null : formerLeader.copy();
   }
 
   @Override
-  public Copy kept() {
+  public Copy newestStoredSnapshot() {
     return snapshots.newest();
   }
 
   @Override
-  public Future<HttpResponse> elsewhere(byte[] body, double withinS) {
-    String node = alive.nextWithState();
-    return node == null ? null : questions.ask(node, id -> new Frame.ForwardedSubmission(id, body), withinS);
+  public Future<HttpResponse> submitElsewhere(byte[] body, double withinS) {
+    String node = peerLiveness.nextWithStore();
+    return node == null ? null : pendingRequests.send(node, id -> new Frame.ForwardedSubmission(id, body), withinS);
   }
 
   @Override
   public Future<HttpResponse> poll(String ref) {
-    return inquiries.poll(ref);
+    return jobQueries.poll(ref);
   }
 
   @Override
   public Future<HttpResponse> abort(String ref) {
-    return inquiries.abort(ref);
+    return jobQueries.abort(ref);
   }
 
   @Override
   public Future<HttpResponse> overview() {
-    return forward(Frame.ForwardedRequest.Kind.OVERVIEW, "", settings.workers().reportS()).map(a -> HttpResponse.of(200, Json.bytes(overview(a))));
+    return forward(Frame.ForwardedRequest.Kind.OVERVIEW, "", settings.workers().heartbeatIntervalS()).map(a -> HttpResponse.of(200, Json.bytes(overview(a))));
   }
 
   private ObjectNode overview(HttpResponse cluster) {
     ObjectNode o = Json.object();
     o.put("node", settings.node());
-    o.put("steward", followed.node());
-    o.put("live", leader != null && election.live());
-    o.put("state_ok", env.store().failingForS() == 0);
-    o.put("era", eras.name()).put("sound", eras.sound()).put("losses", eras.losses());
-    o.put("part", part.size());
+    o.put("steward", leaderObserver.node());
+    o.put("live", leader != null && election.isLeaseValid());
+    o.put("state_ok", context.store().failingForS() == 0);
+    o.put("era", incarnations.name()).put("sound", incarnations.isIntact()).put("losses", incarnations.losses());
+    o.put("part", localPartition.size());
     var peersNode = o.putArray("peers");
-    alive.live().forEach(peersNode::add);
+    peerLiveness.live().forEach(peersNode::add);
     if (cluster.status() == 200) {
       o.set("cluster", Json.parseObject(cluster.body()));
     }
@@ -230,33 +230,33 @@
       leader.tell(new LeaderMessage.UserRequest(what, ref, reply));
       return reply.future();
     }
-    if (followed.node() == null || !alive.isLive(followed.node())) {
+    if (leaderObserver.node() == null || !peerLiveness.isLive(leaderObserver.node())) {
       return Future.succeededFuture(HttpResponse.later("no steward is known"));
     }
-    return questions.ask(followed.node(), id -> new Frame.ForwardedRequest(id, what, ref), withinS);
+    return pendingRequests.send(leaderObserver.node(), id -> new Frame.ForwardedRequest(id, what, ref), withinS);
   }
 
   @Override
-  public Future<HttpResponse> report(Heartbeat report) {
-    return leader == null ? reception.report(report) : own(report);
+  public Future<HttpResponse> handleHeartbeat(Heartbeat heartbeat) {
+    return leader == null ? heartbeatForwarder.handleHeartbeat(heartbeat) : handleAsLeader(heartbeat);
   }
 
-  private Future<HttpResponse> own(Heartbeat report) {
-    return own(report, 0);
+  private Future<HttpResponse> handleAsLeader(Heartbeat heartbeat) {
+    return handleAsLeader(heartbeat, 0);
   }
 
-  private Future<HttpResponse> own(Heartbeat report, long via) {
-    if (leader == null || election.unprovenForS() > leader.holdS()) {
+  private Future<HttpResponse> handleAsLeader(Heartbeat heartbeat, long via) {
+    if (leader == null || election.leaseUnprovenForS() > leader.gracePeriodS()) {
       return Future.succeededFuture(HttpResponse.later("leadership is not proven"));
     }
     Promise<byte[]> reply = Promise.promise();
-    leader.tell(new LeaderMessage.HeartbeatReceived(report, via, reply));
+    leader.tell(new LeaderMessage.HeartbeatReceived(heartbeat, via, reply));
     return reply.future().map(b -> b == null ? HeartbeatForwarder.misdirected(null) : HttpResponse.of(200, b));
   }
 
   @Override
   public Future<HttpResponse> ask(String node, LongFunction<Frame> question, double withinS) {
-    return questions.ask(node, question, withinS);
+    return pendingRequests.send(node, question, withinS);
   }
 
   @Override
@@ -265,124 +265,124 @@
   }
 
   @Override
-  public boolean badlyPlaced() {
-    return env.store().failingForS() > 0 && (alive.live().isEmpty() || alive.firstWithState() != null);
+  public boolean isPartitionedFromStore() {
+    return context.store().failingForS() > 0 && (peerLiveness.live().isEmpty() || peerLiveness.firstWithStore() != null);
   }
 
   // ---- leadership
 
   @Override
-  public void acquired(long epoch, long stamp) {
-    env.store().leading(true);
-    former = null;
-    leader = new Leader(env, this, epoch, stamp, types.values(), eras.base(), eras.begunWith(), reception.waiting());
-    reception.recent().forEach(r -> leader.tell(new LeaderMessage.HeartbeatHandedOver(r)));
-    reception.unpark(this::own);
+  public void leadershipAcquired(long epoch, long modRevision) {
+    context.store().setLeading(true);
+    formerLeader = null;
+    leader = new Leader(context, this, epoch, modRevision, types.values(), incarnations.base(), incarnations.takeInitialSnapshot(), heartbeatForwarder.controllersDelayingCancellations());
+    heartbeatForwarder.recentHeartbeats().forEach(r -> leader.tell(new LeaderMessage.HeartbeatHandedOver(r)));
+    heartbeatForwarder.releaseParked(this::handleAsLeader);
     leader.start();
     sendBeats();
   }
 
   @Override
-  public void lost(String why) {
-    env.store().leading(false);
+  public void leadershipLost(String why) {
+    context.store().setLeading(false);
     if (leader != null) {
       leader.stop();
-      former = leader;
+      formerLeader = leader;
       leader = null;
     }
-    followed.is(null, 0);
-    reception.leaderIs(null, 0, false);
+    leaderObserver.update(null, 0);
+    heartbeatForwarder.leaderChanged(null, 0, false);
   }
 
   @Override
-  public void leaderIs(String node, long epoch, boolean relays) {
-    followed.is(node, epoch);
-    if (former != null && epoch > former.epoch()) {
-      former = null;
+  public void leaderChanged(String node, long epoch, boolean relays) {
+    leaderObserver.update(node, epoch);
+    if (formerLeader != null && epoch > formerLeader.epoch()) {
+      formerLeader = null;
     }
-    reception.leaderIs(node, epoch, relays);
+    heartbeatForwarder.leaderChanged(node, epoch, relays);
   }
 
   @Override
   public boolean isLive(String node) {
-    return alive.isLive(node);
+    return peerLiveness.isLive(node);
   }
 
   @Override
-  public boolean yieldFirst() {
-    return types.isEmpty() || (!settings.members().isEmpty() && alive.live().isEmpty());
+  public boolean shouldYield() {
+    return types.isEmpty() || (!settings.members().isEmpty() && peerLiveness.live().isEmpty());
   }
 
   @Override
-  public boolean live() {
-    return election.live();
+  public boolean isLeaseValid() {
+    return election.isLeaseValid();
   }
 
   @Override
-  public void outranked(String why) {
-    election.deposed(why);
+  public void superseded(String why) {
+    election.stepDown(why);
   }
 
   @Override
-  public PartitionViews post() {
-    return post;
+  public PartitionViews partitionViews() {
+    return partitionViews;
   }
 
   @Override
-  public void seenEpoch(long epoch) {
-    eras.seenEpoch(epoch);
+  public void observeEpoch(long epoch) {
+    incarnations.observeEpoch(epoch);
   }
 
   @Override
   public void resign(String why) {
-    if (!alive.live().isEmpty()) {
+    if (!peerLiveness.live().isEmpty()) {
       election.resign(why, settings.workers().leaseS() / 2);
     }
   }
 
   @Override
-  public void ended(String ref, JobPhase phase, int tasks, int done) {
+  public void jobCompleted(String ref, JobPhase phase, int tasks, int done) {
     ended.put(ref, phase, done);
   }
 
   @Override
-  public void tellAll(Frame frame) {
+  public void broadcast(Frame frame) {
     if (frame instanceof Frame.ImageInventoryUpdate f) {
-      images.heard(f);
+      imageInventory.update(f);
     }
     settings.members().forEach(m -> peers.send(m.node(), frame));
   }
 
   @Override
-  public List<String> images(String machine) {
-    return images.of(machine);
+  public List<String> lastKnownImages(String machine) {
+    return imageInventory.of(machine);
   }
 
-  private void beat() {
-    keeper.alive();
+  private void tick() {
+    leaseRenewer.coreAlive();
     sendBeats();
-    reception.beat();
+    heartbeatForwarder.sendDelegateHeartbeat();
     if (leader != null) {
-      eras.probe(leader.stamp());
-      snapshots.tick(eras.name(), leader::copy);
+      incarnations.probe(leader.modRevision());
+      snapshots.tick(incarnations.name(), leader::copy);
     }
-    for (String silent : alive.newlySilent()) {
+    for (String silent : peerLiveness.takeNewlyUnresponsive()) {
       peers.renew(silent);
     }
-    env.timers().after(settings.workers().reportS() / 3, this::beat);
+    context.timers().after(settings.workers().heartbeatIntervalS() / 3, this::tick);
   }
 
   private void sendBeats() {
-    boolean leads = leader != null && election.live();
-    beats.send(leads ? settings.node() : followed.node(), leads ? election.epoch() : followed.epoch());
+    boolean leads = leader != null && election.isLeaseValid();
+    peerHeartbeats.send(leads ? settings.node() : leaderObserver.node(), leads ? election.epoch() : leaderObserver.epoch());
   }
 
-  private void frame(Frame frame, PeerLink.ReplyChannel back) {
+  private void handleFrame(Frame frame, PeerLink.ReplyChannel back) {
     if (frame instanceof Frame.PeerHeartbeat f) {
-      heard(f);
+      handlePeerHeartbeat(f);
     } else if (frame instanceof Frame.JobAccepted f) {
       if (leader != null) {
-        JobAnnouncements.heard(f.value(), eras.name(), env.store(), leader::tell);
+        JobAnnouncements.received(f.value(), incarnations.name(), context.store(), leader::tell);
       }
     } else if (frame instanceof Frame.ForwardedRequest f) {
       Promise<HttpResponse> reply = Promise.promise();
@@ -394,28 +394,28 @@
       }
     } else if (frame instanceof Frame.ForwardedHeartbeat f) {
       if (f.id() != 0) {
-        own(f.report(), ProcessIncarnation.of(f.id())).onSuccess(a -> back.send(new Frame.Response(f.id(), a.status(), a.retryAfterS(), a.body())));
+        handleAsLeader(f.heartbeat(), ProcessIncarnation.of(f.id())).onSuccess(a -> back.send(new Frame.Response(f.id(), a.status(), a.retryAfterS(), a.body())));
       } else if (leader != null) {
-        leader.tell(new LeaderMessage.HeartbeatHandedOver(f.report()));
+        leader.tell(new LeaderMessage.HeartbeatHandedOver(f.heartbeat()));
       }
     } else if (frame instanceof Frame.DelegateHeartbeat f) {
       if (leader != null) {
-        back.send(leader.heard(f));
+        back.send(leader.delegateHeartbeatReceived(f));
       }
     } else if (frame instanceof Frame.DelegateHeartbeatAck f) {
-      reception.noted(f);
+      heartbeatForwarder.delegateHeartbeatAcknowledged(f);
     } else if (frame instanceof Frame.ForwardedSubmission f) {
       submissions
-          .passedOn(f.body())
+          .handleForwarded(f.body())
           .onSuccess(a -> back.send(new Frame.Response(f.id(), a.status(), a.retryAfterS(), a.body())));
     } else if (frame instanceof Frame.Response f) {
-      questions.told(f);
+      pendingRequests.complete(f);
     } else if (frame instanceof Frame.MachineViewUpdate f) {
-      part.put(f.epoch(), f.view());
+      localPartition.put(f.epoch(), f.view());
     } else if (frame instanceof Frame.ImageInventoryUpdate f) {
-      images.heard(f);
+      imageInventory.update(f);
     } else if (frame instanceof Frame.MachineViewRemoval f) {
-      part.forget(f.epoch(), f.machine());
+      localPartition.forget(f.epoch(), f.machine());
     } else if (frame instanceof Frame.RestartProposals f) {
       if (leader != null && leader.epoch() == f.epoch()) {
         leader.tell(new LeaderMessage.RestartsProposed(f.from(), f.restarts()));
@@ -423,32 +423,32 @@
     }
   }
 
-  private void heard(Frame.PeerHeartbeat f) {
-    alive.heard(f.node(), f.stateOk());
-    eras.heard(f.node(), f.leader(), f.leaderEpoch());
+  private void handlePeerHeartbeat(Frame.PeerHeartbeat f) {
+    peerLiveness.recordHeartbeat(f.node(), f.storeReachable());
+    incarnations.peerHeartbeatReceived(f.node(), f.leader(), f.leaderEpoch());
     boolean leads = f.node().equals(f.leader());
-    if (leads && election.holding() && f.leaderEpoch() > election.epoch()) {
-      election.deposed(f.node() + " is steward since epoch " + f.leaderEpoch());
+    if (leads && election.holdsKey() && f.leaderEpoch() > election.epoch()) {
+      election.stepDown(f.node() + " is steward since epoch " + f.leaderEpoch());
     }
-    if (leads && followed.told(f.node(), f.leaderEpoch())) {
+    if (leads && leaderObserver.observeClaim(f.node(), f.leaderEpoch())) {
       // Whether it takes reports stands in its key; without the store, workers go to it by themselves.
-      boolean willKnow = env.store().failingForS() == 0;
-      reception.leaderIs(willKnow ? null : f.node(), willKnow ? 0 : f.leaderEpoch(), false);
+      boolean willKnow = context.store().failingForS() == 0;
+      heartbeatForwarder.leaderChanged(willKnow ? null : f.node(), willKnow ? 0 : f.leaderEpoch(), false);
     }
   }
 
   @Override
   public Set<String> controllers() {
-    Set<String> out = new TreeSet<>(alive.live());
+    Set<String> out = new TreeSet<>(peerLiveness.live());
     out.add(settings.node());
     return out;
   }
 
-  private void propose(List<Restart> restarts) {
-    if (leader != null && leader.epoch() == part.epoch()) {
+  private void proposeRestarts(List<Restart> restarts) {
+    if (leader != null && leader.epoch() == localPartition.epoch()) {
       leader.tell(new LeaderMessage.RestartsProposed(settings.node(), restarts));
-    } else if (followed.node() != null) {
-      peers.send(followed.node(), new Frame.RestartProposals(settings.node(), part.epoch(), restarts));
+    } else if (leaderObserver.node() != null) {
+      peers.send(leaderObserver.node(), new Frame.RestartProposals(settings.node(), localPartition.epoch(), restarts));
     }
   }
 }
--- a/src/main/java/io/embernotch/controller/JobAnnouncements.java
+++ b/src/main/java/io/embernotch/controller/JobAnnouncements.java
@@ -20,19 +20,19 @@
   private JobAnnouncements() {}
 
   /** A job's key was written at revision {@code epoch} of that era. */
-  static Frame of(ObjectNode value, String era, long epoch) {
-    return new Frame.JobAccepted(Json.bytes(IncarnationCodec.told(value, era, epoch)));
+  static Frame of(ObjectNode value, String incarnation, long epoch) {
+    return new Frame.JobAccepted(Json.bytes(IncarnationCodec.told(value, incarnation, epoch)));
   }
 
   /** Reads it; {@code era}: the one that the leader knows. */
-  static void heard(byte[] value, String era, StoreClient store, Consumer<LeaderMessage> leader) {
+  static void received(byte[] value, String incarnation, StoreClient store, Consumer<LeaderMessage> leader) {
     try {
       ObjectNode o = Json.parseObject(value);
       LeaderMessage.JobAccepted job =
-          new LeaderMessage.JobAccepted(JobProgressCodec.readJob(o), JobProgressCodec.readPiece(o));
-      if (!era.isEmpty() && era.equals(IncarnationCodec.toldEra(o))) {
+          new LeaderMessage.JobAccepted(JobProgressCodec.readJob(o), JobProgressCodec.readShardSize(o));
+      if (!incarnation.isEmpty() && incarnation.equals(IncarnationCodec.toldIncarnation(o))) {
         // Contents that were put back to just before it would else be taken for present.
-        store.told(JobProgressCodec.JOB + job.job().spec.ref(), IncarnationCodec.toldEpoch(o));
+        store.noteRevision(JobProgressCodec.JOB + job.job().spec.ref(), IncarnationCodec.toldEpoch(o));
       }
       leader.accept(job);
     } catch (MalformedInputException e) {
--- a/src/main/java/io/embernotch/controller/JobQueries.java
+++ b/src/main/java/io/embernotch/controller/JobQueries.java
@@ -23,9 +23,9 @@
     Future<HttpResponse> ask(Frame.ForwardedRequest.Kind what, String ref, double withinS);
   }
 
-  private final ControllerContext env;
+  private final ControllerContext context;
   private final CompletedJobCache ended;
-  private final StoreIncarnationTracker eras;
+  private final StoreIncarnationTracker incarnations;
   private final PersistedStatus stored;
   private final Predicate<String> accepted;
   private final ToLeader leader;
@@ -33,14 +33,14 @@
   /** A flood of polls costs other nodes and the state service nothing, and workers little. */
   private final PollRateLimiter turns;
 
-  JobQueries(ControllerContext env, CompletedJobCache ended, StoreIncarnationTracker eras, Predicate<String> accepted, ToLeader leader) {
-    this.env = env;
+  JobQueries(ControllerContext context, CompletedJobCache ended, StoreIncarnationTracker incarnations, Predicate<String> accepted, ToLeader leader) {
+    this.context = context;
     this.ended = ended;
-    this.eras = eras;
-    this.stored = new PersistedStatus(env, ended, eras::base);
+    this.incarnations = incarnations;
+    this.stored = new PersistedStatus(context, ended, incarnations::base);
     this.accepted = accepted;
     this.leader = leader;
-    this.turns = new PollRateLimiter(env.clock(), env.timers(), env.settings());
+    this.turns = new PollRateLimiter(context.clock(), context.timers(), context.settings());
   }
 
   public Future<HttpResponse> poll(String ref) {
@@ -65,19 +65,19 @@
 
   private Future<HttpResponse> status(String ref) {
     return leader
-        .ask(Frame.ForwardedRequest.Kind.POLL, ref, env.settings().workers().reportS() / 6)
+        .ask(Frame.ForwardedRequest.Kind.POLL, ref, context.settings().workers().heartbeatIntervalS() / 6)
         .compose(a -> a.status() == 503 ? readStatus(ref) : answer(a));
   }
 
   /** What the state service tells, if it does so in time: users wait two seconds at most. */
   private Future<HttpResponse> readStatus(String ref) {
-    if (!eras.tells()) {
+    if (!incarnations.mayAnswerFromStore()) {
       return answer(HttpResponse.later("what the state service holds is not known yet"));
     }
-    if (env.store().failingForS() > env.settings().workers().reportS() / 6) {
+    if (context.store().failingForS() > context.settings().workers().heartbeatIntervalS() / 6) {
       return answer(HttpResponse.later("the state service does not answer"));
     }
-    if (env.store().readWaitS() > env.settings().workers().reportS() / 12) {
+    if (context.store().readWaitS() > context.settings().workers().heartbeatIntervalS() / 12) {
       // A read that waits for its turn is answered after its user has gone, and the next ones too.
       return answer(HttpResponse.later("more is asked than the state service takes"));
     }
@@ -92,7 +92,7 @@
     HttpResponse known = ended.brief(ref);
     return known != null
         ? answer(known)
-        : leader.ask(Frame.ForwardedRequest.Kind.ABORT, ref, env.settings().workers().reportS());
+        : leader.ask(Frame.ForwardedRequest.Kind.ABORT, ref, context.settings().workers().heartbeatIntervalS());
   }
 
   /**
@@ -105,7 +105,7 @@
       return a;
     }
     if (acceptedBefore) {
-      eras.missing(ref);
+      incarnations.acceptedJobMissing(ref);
     }
     return HttpResponse.later("what the state service holds is not known yet");
   }
--- a/src/main/java/io/embernotch/controller/MachineTypeCatalog.java
+++ b/src/main/java/io/embernotch/controller/MachineTypeCatalog.java
@@ -16,19 +16,19 @@
   private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
   private static final String TYPES = "types";
 
-  private final ControllerContext env;
+  private final ControllerContext context;
   private final Map<String, MachineType> types;
   private final Runnable known;
 
-  MachineTypeCatalog(ControllerContext env, Map<String, MachineType> types, Runnable known) {
-    this.env = env;
+  MachineTypeCatalog(ControllerContext context, Map<String, MachineType> types, Runnable known) {
+    this.context = context;
     this.types = types;
     this.known = known;
   }
 
   /** Tries until they are known. */
-  void learn() {
-    env.store()
+  void load() {
+    context.store()
         .get(TYPES)
         .onComplete(
             r -> {
@@ -41,7 +41,7 @@
   }
 
   /** Writes them where they were lost. */
-  void keep() {
+  void store() {
     if (!types.isEmpty()) {
       write(List.copyOf(types.values()));
     }
@@ -49,20 +49,20 @@
 
   private void write(List<MachineType> list) {
     ObjectNode value = CloudCodec.writeTypes(list);
-    if (Json.bytes(value).length <= env.settings().stateFloor().valueKb() * 1024) {
-      env.store().commit(new Transaction().when(TYPES, 0).write(TYPES, value));
+    if (Json.bytes(value).length <= context.settings().minStoreLimits().valueKb() * 1024) {
+      context.store().commit(new Transaction().when(TYPES, 0).write(TYPES, value));
     }
   }
 
   private void askCloud() {
-    env.cloud()
+    context.cloud()
         .types()
         .onSuccess(
             list -> {
               take(list);
               write(list);
             })
-        .onFailure(e -> env.timers().after(env.settings().workers().reportS() / 3, this::learn));
+        .onFailure(e -> context.timers().after(context.settings().workers().heartbeatIntervalS() / 3, this::load));
   }
 
   private void take(List<MachineType> list) {
--- a/src/main/java/io/embernotch/controller/PeerHeartbeats.java
+++ b/src/main/java/io/embernotch/controller/PeerHeartbeats.java
@@ -10,14 +10,14 @@
  * What a controller tells the others of itself, a few times in a report period and when it matters.
  */
 final class PeerHeartbeats {
-  private final ControllerContext env;
+  private final ControllerContext context;
   private final PeerLink peers;
-  private final StoreIncarnationTracker eras;
+  private final StoreIncarnationTracker incarnations;
 
-  PeerHeartbeats(ControllerContext env, PeerLink peers, StoreIncarnationTracker eras) {
-    this.env = env;
+  PeerHeartbeats(ControllerContext context, PeerLink peers, StoreIncarnationTracker incarnations) {
+    this.context = context;
     this.peers = peers;
-    this.eras = eras;
+    this.incarnations = incarnations;
   }
 
   /**
@@ -25,12 +25,12 @@
    * term's.
    */
   void send(String leader, long epoch) {
-    Settings s = env.settings();
-    boolean served = env.store().failingForS() == 0;
+    Settings s = context.settings();
+    boolean served = context.store().failingForS() == 0;
     // While data is lost, no leader and an epoch that the store can't reach tell the others so.
     Frame.PeerHeartbeat beat =
-        eras.lost()
-            ? new Frame.PeerHeartbeat(s.node(), null, eras.lostMark(), served)
+        incarnations.lost()
+            ? new Frame.PeerHeartbeat(s.node(), null, incarnations.lossEpoch(), served)
             : new Frame.PeerHeartbeat(s.node(), leader, epoch, served);
     s.members().forEach(m -> peers.send(m.node(), beat));
   }
--- a/src/main/java/io/embernotch/election/Candidacy.java
+++ b/src/main/java/io/embernotch/election/Candidacy.java
@@ -10,32 +10,32 @@
    * @param floor added to the key's stamp to get the epoch
    * @param waitS seconds for which a leader from before the loss may yet count itself live
    */
-  record Claim(String era, long floor, double waitS) {}
+  record Claim(String incarnation, long epochFloor, double waitS) {}
 
   /** The contents are ours, or ready to be made ours. */
   boolean mayClaim();
 
   /** Data is lost: whoever the leader's key names is none, and a claim takes its place. */
-  boolean beginsAnew();
+  boolean startsNewIncarnation();
 
   /** Added to a leader's stamp in the present era to get its epoch. */
-  long floor();
+  long epochFloor();
 
   /** Adds to a claim what begins an era, if one is to begin with it. */
   Claim claim(Transaction txn);
 
   /** The last claim was made, at this stamp. */
-  void claimed(long stamp);
+  void claimSucceeded(long modRevision);
 
   /** The last claim was not made. */
-  void refused();
+  void claimRefused();
 
   /** The leader's key names this era: "" if a version before eras leads, null if nobody does. */
-  void named(String era);
+  void incarnationNamed(String incarnation);
 
   /** The leader's key is ours though our lease is not: is what the service holds still ours? */
   void probe();
 
   /** The leader's key stands there though the lease is gone that it hangs on: leases are lost. */
-  void orphaned(String holder);
+  void leaderKeyOrphaned(String holder);
 }
--- a/src/main/java/io/embernotch/election/LeaderElection.java
+++ b/src/main/java/io/embernotch/election/LeaderElection.java
@@ -8,7 +8,7 @@
 import io.embernotch.settings.Settings;
 import io.embernotch.store.VersionedEntry;
 import io.embernotch.store.LeaseRenewer;
-import io.embernotch.store.RateLimiter.Rank;
+import io.embernotch.store.RateLimiter.RequestPriority;
 import io.embernotch.store.StoreClient;
 import io.embernotch.store.StoreException;
 import io.embernotch.store.Transaction;
@@ -30,15 +30,15 @@
      * This node is leader; {@code stamp} is that of the key, {@code epoch} names the term
      * in all eras.
      */
-    void acquired(long epoch, long stamp);
+    void leadershipAcquired(long epoch, long modRevision);
 
-    void lost(String why);
+    void leadershipLost(String why);
 
     /**
      * The leader is {@code node} now, or nobody if null; whether it takes reports that others pass
      * on.
      */
-    void leaderIs(String node, long epoch, boolean relays);
+    void leaderChanged(String node, long epoch, boolean relays);
 
     /** The controller has been heard from lately. */
     boolean isLive(String node);
@@ -46,74 +46,74 @@
     /**
      * True if another controller is better placed to contend, so that this one lets it go first.
      */
-    boolean yieldFirst();
+    boolean shouldYield();
   }
 
   private enum State {
-    FOLLOWING,
-    CONTENDING,
-    HOLDING
+    FOLLOWER,
+    CANDIDATE,
+    LEADER
   }
 
   private final String node;
   private final StoreClient store;
   private final Clock clock;
   private final Timers timers;
-  private final double lifeS;
-  private final LeaseRenewer keeper;
+  private final double leaseTtlS;
+  private final LeaseRenewer leaseRenewer;
   private final Listener listener;
-  private final Candidacy terms;
-  private State state = State.FOLLOWING;
-  private long permit;
+  private final Candidacy candidacy;
+  private State state = State.FOLLOWER;
+  private long leaseId;
   private long epoch;
-  private double actsFrom;
-  private long watchedStamp;
+  private double leadsFrom;
+  private long watchedModRevision;
   private double watchedSince;
 
   /** A key of ours that is still there once its lease has been ended hangs on no lease. */
-  private long revokedStamp = -1;
+  private long revokedModRevision = -1;
 
   private double avoidUntil = -1;
-  private boolean looking;
+  private boolean reading;
 
   public LeaderElection(
       Settings settings,
       StoreClient store,
-      LeaseRenewer keeper,
+      LeaseRenewer leaseRenewer,
       Clock clock,
       Timers timers,
-      Candidacy terms,
+      Candidacy candidacy,
       Listener listener) {
-    this.terms = terms;
+    this.candidacy = candidacy;
     this.node = settings.node();
     this.store = store;
     this.clock = clock;
     this.timers = timers;
-    this.keeper = keeper;
-    this.lifeS = keeper.lifeS();
+    this.leaseRenewer = leaseRenewer;
+    this.leaseTtlS = leaseRenewer.leaseTtlS();
     this.listener = listener;
   }
 
   public void start() {
-    look();
+    readKey();
   }
 
-  public boolean holding() {
-    return state == State.HOLDING;
+  public boolean holdsKey() {
+    return state == State.LEADER;
   }
 
   /**
    * True while nobody else can be leader: counted by the steady clock from the sending of the last
    * good renewal, less drift.
    */
-  public boolean live() {
+  public boolean isLeaseValid() {
     double now = clock.now();
-    return state == State.HOLDING && now >= actsFrom && now < keeper.provenUntil();
+    return state == State.LEADER && now >= leadsFrom && now < leaseRenewer.provenUntil();
   }
 
   /** Seconds since the lease could last be proven; at most 0 while it can be. */
-  public double unprovenForS() {
-    return clock.now() - keeper.provenUntil();
+  public double leaseUnprovenForS() {
+    return clock.now() - leaseRenewer.provenUntil();
   }
 
   public long epoch() {
@@ -123,62 +123,62 @@
   /** Gives leadership up, and does not contend again for a while. */
   public void resign(String why, double avoidS) {
     avoidUntil = clock.now() + avoidS;
-    if (state == State.HOLDING) {
-      store.revoke(permit);
-      lose(why);
+    if (state == State.LEADER) {
+      store.revoke(leaseId);
+      loseLeadership(why);
     }
   }
 
   /** Another leader has been seen: a newer token, or a commit that failed on our key. */
-  public void deposed(String why) {
-    if (state == State.HOLDING) {
-      lose(why);
+  public void stepDown(String why) {
+    if (state == State.LEADER) {
+      loseLeadership(why);
     }
   }
 
   /** Looks at the key at once: there is reason to think that it has changed. */
   public void nudge() {
-    if (state == State.FOLLOWING && !looking) {
-      look();
+    if (state == State.FOLLOWER && !reading) {
+      readKey();
     }
   }
 
-  private void lose(String why) {
+  private void loseLeadership(String why) {
     LOG.info("no longer steward: {}", why);
-    state = State.FOLLOWING;
-    keeper.letGo();
-    listener.lost(why);
-    look();
+    state = State.FOLLOWER;
+    leaseRenewer.release();
+    listener.leadershipLost(why);
+    readKey();
   }
 
-  private void look() {
-    if (state != State.FOLLOWING || looking) {
+  private void readKey() {
+    if (state != State.FOLLOWER || reading) {
       return;
     }
-    looking = true;
+    reading = true;
     store
         .get(KEY)
         .onSuccess(
             entry -> {
-              looking = false;
-              seen(entry);
+              reading = false;
+              keyRead(entry);
             })
         .onFailure(
             e -> {
-              looking = false;
-              timers.after(lifeS / 8, this::look);
+              reading = false;
+              timers.after(leaseTtlS / 8, this::readKey);
             });
   }
 
-  private void seen(VersionedEntry entry) {
-    if (state != State.FOLLOWING) {
+  private void keyRead(VersionedEntry entry) {
+    if (state != State.FOLLOWER) {
       return;
     }
-    boolean anew = terms.beginsAnew();
-    terms.named(entry.present() ? entry.value().path("era").asText("") : null);
-    if ((anew || !entry.present()) && !terms.mayClaim()) {
-      listener.leaderIs(null, 0, false);
-      timers.after(lifeS / 8, this::look);
+    boolean anew = candidacy.startsNewIncarnation();
+    candidacy.incarnationNamed(entry.present() ? entry.value().path("era").asText("") : null);
+    if ((anew || !entry.present()) && !candidacy.mayClaim()) {
+      listener.leaderChanged(null, 0, false);
+      timers.after(leaseTtlS / 8, this::readKey);
       return;
     }
     if (anew) {
@@ -186,12 +186,12 @@
       return;
     }
     if (!entry.present()) {
-      listener.leaderIs(null, 0, false);
-      double wait = Math.max(avoidUntil - clock.now(), listener.yieldFirst() ? lifeS / 4 : 0);
+      listener.leaderChanged(null, 0, false);
+      double wait = Math.max(avoidUntil - clock.now(), listener.shouldYield() ? leaseTtlS / 4 : 0);
       if (wait > 0) {
         // After the pause somebody else may have it, so look again rather than contend blindly.
         avoidUntil = Math.min(avoidUntil, clock.now());
-        timers.after(wait, this::lookOrContend);
+        timers.after(wait, this::readKeyOrContend);
       } else {
         contend(entry);
       }
@@ -203,92 +203,92 @@
       // back,
       // in which case there may be no lease that could end, and no answer that shows how old the
       // key is.
-      if (entry.stamp() == revokedStamp) {
-        terms.orphaned(node);
+      if (entry.modRevision() == revokedModRevision) {
+        candidacy.leaderKeyOrphaned(node);
       }
-      terms.probe();
+      candidacy.probe();
       store
           .revoke(entry.value().path("permit").asLong())
-          .onSuccess(r -> revokedStamp = entry.stamp())
-          .onComplete(r -> timers.after(0.01, this::look));
+          .onSuccess(r -> revokedModRevision = entry.modRevision())
+          .onComplete(r -> timers.after(0.01, this::readKey));
       return;
     }
-    watchOver(entry, holder);
-    listener.leaderIs(
+    watchHolder(entry, holder);
+    listener.leaderChanged(
         holder,
-        entry.value().path("floor").asLong(0) + entry.stamp(),
+        entry.value().path("floor").asLong(0) + entry.modRevision(),
         entry.value().path("relay").asBoolean());
     store
-        .watch(KEY, entry.stamp(), 2 * lifeS)
-        .onComplete(r -> timers.after(r.failed() ? lifeS / 8 : 0.001, this::look));
+        .watch(KEY, entry.modRevision(), 2 * leaseTtlS)
+        .onComplete(r -> timers.after(r.failed() ? leaseTtlS / 8 : 0.001, this::readKey));
   }
 
   /**
    * A key whose lease is gone without it would never be dropped, and nobody could ever lead. So
    * when its holder is not heard for far longer than its lease lasts, the lease is looked for.
    */
-  private void watchOver(VersionedEntry entry, String holder) {
+  private void watchHolder(VersionedEntry entry, String holder) {
     double now = clock.now();
-    if (entry.stamp() != watchedStamp || listener.isLive(holder)) {
-      watchedStamp = entry.stamp();
+    if (entry.modRevision() != watchedModRevision || listener.isLive(holder)) {
+      watchedModRevision = entry.modRevision();
       watchedSince = now;
-    } else if (now - watchedSince > 4 * lifeS) {
+    } else if (now - watchedSince > 4 * leaseTtlS) {
       watchedSince = now;
       store
-          .leaseThere(entry.value().path("permit").asLong())
+          .renewIfPresent(entry.value().path("permit").asLong())
           .onSuccess(
               there -> {
                 if (!there) {
-                  terms.orphaned(holder);
+                  candidacy.leaderKeyOrphaned(holder);
                 }
               });
     }
   }
 
-  private void lookOrContend() {
-    if (state != State.FOLLOWING || looking) {
+  private void readKeyOrContend() {
+    if (state != State.FOLLOWER || reading) {
       return;
     }
     store
         .get(KEY)
         .onSuccess(
             entry -> {
-              if (entry.present() || !terms.mayClaim()) {
-                seen(entry);
-              } else if (state == State.FOLLOWING) {
+              if (entry.present() || !candidacy.mayClaim()) {
+                keyRead(entry);
+              } else if (state == State.FOLLOWER) {
                 contend(entry);
               }
             })
-        .onFailure(e -> timers.after(lifeS / 8, this::look));
+        .onFailure(e -> timers.after(leaseTtlS / 8, this::readKey));
   }
 
   /** Takes a lease and claims the key, which is absent, or left from before a loss. */
   private void contend(VersionedEntry there) {
-    state = State.CONTENDING;
+    state = State.CANDIDATE;
     double sentAt = clock.now();
     store
-        .grant(lifeS)
+        .grant(leaseTtlS)
         .onSuccess(granted -> claim(there, granted, sentAt))
-        .onFailure(e -> follow(lifeS / 8));
+        .onFailure(e -> follow(leaseTtlS / 8));
   }
 
   private void claim(VersionedEntry there, long granted, double sentAt) {
-    if (!terms.mayClaim() || (there.present() && !terms.beginsAnew())) {
+    if (!candidacy.mayClaim() || (there.present() && !candidacy.startsNewIncarnation())) {
       store.revoke(granted);
       follow(0.001);
       return;
     }
-    Transaction txn = new Transaction().when(KEY, there.stamp());
-    Candidacy.Claim claim = terms.claim(txn);
+    Transaction txn = new Transaction().when(KEY, there.modRevision());
+    Candidacy.Claim claim = candidacy.claim(txn);
     ObjectNode value =
         Json.object()
             .put("node", node)
             .put("permit", granted)
             .put("relay", true)
-            .put("era", claim.era())
-            .put("floor", claim.floor());
+            .put("era", claim.incarnation())
+            .put("floor", claim.epochFloor());
     store
-        .commit(txn.write(KEY, value, granted), Rank.URGENT)
+        .commit(txn.write(KEY, value, granted), RequestPriority.URGENT)
         .onSuccess(
             commit -> {
               if (commit.applied()) {
@@ -296,85 +296,85 @@
                   // Whoever held the key before can prove its lease no longer.
                   store.revoke(there.value().path("permit").asLong());
                 }
-                hold(granted, commit.epoch(), claim, sentAt);
+                becomeLeader(granted, commit.revision(), claim, sentAt);
               } else {
                 store.revoke(granted);
-                terms.refused();
+                candidacy.claimRefused();
                 follow(0.001);
               }
             })
         .onFailure(
             e -> {
               if (StoreException.kindOf(e) == StoreException.Kind.UNKNOWN) {
-                confirm(granted, claim, sentAt);
+                confirmClaim(granted, claim, sentAt);
               } else {
                 store.revoke(granted);
-                terms.refused();
-                follow(lifeS / 8);
+                candidacy.claimRefused();
+                follow(leaseTtlS / 8);
               }
             });
   }
 
   /** The claim was not answered: only the key itself tells whether it was made. */
-  private void confirm(long granted, Candidacy.Claim claim, double sentAt) {
+  private void confirmClaim(long granted, Candidacy.Claim claim, double sentAt) {
     store
         .get(KEY)
         .onSuccess(
             entry -> {
               if (entry.present() && entry.value().path("permit").asLong() == granted) {
-                hold(granted, entry.stamp(), claim, sentAt);
+                becomeLeader(granted, entry.modRevision(), claim, sentAt);
               } else {
                 // With its lease gone, the late claim can no longer be applied.
-                store.revoke(granted).onComplete(r -> refused());
+                store.revoke(granted).onComplete(r -> claimRefused());
               }
             })
-        .onFailure(e -> store.revoke(granted).onComplete(r -> refused()));
+        .onFailure(e -> store.revoke(granted).onComplete(r -> claimRefused()));
   }
 
-  private void refused() {
-    terms.refused();
-    follow(lifeS / 8);
+  private void claimRefused() {
+    candidacy.claimRefused();
+    follow(leaseTtlS / 8);
   }
 
   private void follow(double afterS) {
-    state = State.FOLLOWING;
-    timers.after(afterS, this::look);
+    state = State.FOLLOWER;
+    timers.after(afterS, this::readKey);
   }
 
-  private void hold(long granted, long stamp, Candidacy.Claim claim, double sentAt) {
-    state = State.HOLDING;
-    permit = granted;
-    epoch = claim.floor() + stamp;
-    actsFrom = clock.now() + claim.waitS();
-    keeper.keep(granted, sentAt, this::ended);
-    terms.claimed(stamp);
+  private void becomeLeader(long granted, long modRevision, Candidacy.Claim claim, double sentAt) {
+    state = State.LEADER;
+    leaseId = granted;
+    epoch = claim.epochFloor() + modRevision;
+    leadsFrom = clock.now() + claim.waitS();
+    leaseRenewer.keep(granted, sentAt, this::leaseEnded);
+    candidacy.claimSucceeded(modRevision);
     if (claim.waitS() <= 0) {
-      act(granted, stamp);
+      startLeading(granted, modRevision);
     } else {
       LOG.info(
           "steward of a new era in {} s, when one from before cannot be live any more",
           claim.waitS());
-      timers.after(claim.waitS(), () -> act(granted, stamp));
+      timers.after(claim.waitS(), () -> startLeading(granted, modRevision));
     }
   }
 
-  private void act(long granted, long stamp) {
-    if (state != State.HOLDING || permit != granted) {
+  private void startLeading(long granted, long modRevision) {
+    if (state != State.LEADER || leaseId != granted) {
       return;
     }
-    if (terms.beginsAnew()) {
+    if (candidacy.startsNewIncarnation()) {
       // Data was lost while the claim was under way: it stands in contents that are no more.
-      lose("the claim was of contents that are lost");
+      loseLeadership("the claim was of contents that are lost");
       return;
     }
     LOG.info("steward since epoch {}", epoch);
-    listener.leaderIs(node, epoch, true);
-    listener.acquired(epoch, stamp);
+    listener.leaderChanged(node, epoch, true);
+    listener.leadershipAcquired(epoch, modRevision);
   }
 
-  private void ended(long which) {
-    if (state == State.HOLDING && permit == which) {
-      lose("the lease has ended");
+  private void leaseEnded(long which) {
+    if (state == State.LEADER && leaseId == which) {
+      loseLeadership("the lease has ended");
     }
   }
 }
--- a/src/main/java/io/embernotch/election/LeaderObserver.java
+++ b/src/main/java/io/embernotch/election/LeaderObserver.java
@@ -8,7 +8,7 @@
 public final class LeaderObserver {
   private String node;
   private long epoch;
-  private long over;
+  private long endedEpoch;
 
   /** Null if nobody is known. */
   public String node() {
@@ -20,17 +20,17 @@
   }
 
   /** The key was read, or a term here has ended; null: nobody is leader. */
-  public void is(String newNode, long newEpoch) {
+  public void update(String newNode, long newEpoch) {
     if (newNode == null) {
-      over = Math.max(over, epoch);
+      endedEpoch = Math.max(endedEpoch, epoch);
     }
     node = newNode;
     epoch = newEpoch;
   }
 
   /** A controller says that it is leader; false if that is no news, or known to be over. */
-  public boolean told(String newNode, long newEpoch) {
-    if (newEpoch <= Math.max(epoch, over)) {
+  public boolean observeClaim(String newNode, long newEpoch) {
+    if (newEpoch <= Math.max(epoch, endedEpoch)) {
       return false;
     }
     node = newNode;
--- a/src/main/java/io/embernotch/election/PeerLiveness.java
+++ b/src/main/java/io/embernotch/election/PeerLiveness.java
@@ -11,41 +11,41 @@
 
 /** Which of the other controllers have been heard from lately, and what they say of the store. */
 public final class PeerLiveness {
-  private record Heard(double at, boolean stateOk) {}
+  private record Heard(double at, boolean storeReachable) {}
 
   private final Clock clock;
   private final double liveS;
   private final double renewS;
-  private final Map<String, Heard> heard = new HashMap<>();
+  private final Map<String, Heard> recordHeartbeat = new HashMap<>();
   private int turn;
   private final Map<String, Double> renewedAt = new HashMap<>();
 
   public PeerLiveness(Settings settings, Clock clock) {
     this.clock = clock;
-    this.liveS = settings.workers().reportS();
-    this.renewS = settings.workers().reportS();
+    this.liveS = settings.workers().heartbeatIntervalS();
+    this.renewS = settings.workers().heartbeatIntervalS();
     for (Settings.Member m : settings.members()) {
       renewedAt.put(m.node(), clock.now());
     }
   }
 
-  public void heard(String node, boolean stateOk) {
-    heard.put(node, new Heard(clock.now(), stateOk));
+  public void recordHeartbeat(String node, boolean storeReachable) {
+    recordHeartbeat.put(node, new Heard(clock.now(), storeReachable));
   }
 
   /** Every other controller has been heard from. */
-  public boolean heardAll() {
-    return heard.keySet().containsAll(renewedAt.keySet());
+  public boolean allHeard() {
+    return recordHeartbeat.keySet().containsAll(renewedAt.keySet());
   }
 
   public boolean isLive(String node) {
-    Heard h = heard.get(node);
+    Heard h = recordHeartbeat.get(node);
     return h != null && clock.now() - h.at < liveS;
   }
 
   public Set<String> live() {
     Set<String> out = new TreeSet<>();
-    for (String node : heard.keySet()) {
+    for (String node : recordHeartbeat.keySet()) {
       if (isLive(node)) {
         out.add(node);
       }
@@ -54,9 +54,9 @@
   }
 
   /** Some other controller that is served by the state service; null if none is known to be. */
-  public String firstWithState() {
+  public String firstWithStore() {
     for (String node : live()) {
-      if (heard.get(node).stateOk) {
+      if (recordHeartbeat.get(node).storeReachable) {
         return node;
       }
     }
@@ -64,13 +64,13 @@
   }
 
   /** Like {@link #firstWithState}, each in turn. */
-  public String nextWithState() {
-    List<String> served = live().stream().filter(n -> heard.get(n).stateOk).toList();
+  public String nextWithStore() {
+    List<String> served = live().stream().filter(n -> recordHeartbeat.get(n).storeReachable).toList();
     return served.isEmpty() ? null : served.get(turn++ % served.size());
   }
 
   /** Nodes whose connection is worth renewing now: it may hang behind a cut that is over. */
-  public List<String> newlySilent() {
+  public List<String> takeNewlyUnresponsive() {
     List<String> out = new ArrayList<>();
     for (Map.Entry<String, Double> e : renewedAt.entrySet()) {
       if (!isLive(e.getKey()) && clock.now() - e.getValue() > renewS) {
--- a/src/main/java/io/embernotch/fleet/FailureDetector.java
+++ b/src/main/java/io/embernotch/fleet/FailureDetector.java
@@ -23,10 +23,10 @@
   private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
 
   /** Reports come a quarter late at most: after so many periods a machine is asked itself. */
-  private static final double PROBE_REPORTS = 1.5;
+  private static final double PROBE_HEARTBEATS = 1.5;
 
   /** Report periods of silence after which a machine that did not answer a probe is given up. */
-  private static final double SILENT_REPORTS = 2.2;
+  private static final double SILENT_HEARTBEATS = 2.2;
 
   /**
    * So large a share of the machines must be silent for us to be the ones who are cut off. A zone
@@ -38,36 +38,36 @@
   /** Share of a worker's lease for which a silent machine with live services is waited for. */
   private static final double PATIENCE = 0.9;
 
-  private final ControllerContext env;
-  private final ClusterState ledger;
-  private final AgentReconciler workers;
-  private final FleetManager.Outcome outcome;
-  private final Consumer<Machine> giveBack;
+  private final ControllerContext context;
+  private final ClusterState state;
+  private final AgentReconciler agents;
+  private final FleetManager.Listener listener;
+  private final Consumer<Machine> scaleIn;
   private final FailureRates rates;
   private final double startedAt;
-  private Set<String> cutZones = Set.of();
+  private Set<String> partitionedZones = Set.of();
 
   /** When zones were last back from a cut. */
   private final Map<String, Double> backAt = new HashMap<>();
 
   FailureDetector(
-      ControllerContext env,
-      ClusterState ledger,
-      AgentReconciler workers,
-      FleetManager.Outcome outcome,
-      Consumer<Machine> giveBack,
+      ControllerContext context,
+      ClusterState state,
+      AgentReconciler agents,
+      FleetManager.Listener listener,
+      Consumer<Machine> scaleIn,
       FailureRates rates) {
-    this.env = env;
-    this.ledger = ledger;
-    this.workers = workers;
-    this.outcome = outcome;
-    this.giveBack = giveBack;
+    this.context = context;
+    this.state = state;
+    this.agents = agents;
+    this.listener = listener;
+    this.scaleIn = scaleIn;
     this.rates = rates;
-    this.startedAt = env.clock().now();
+    this.startedAt = context.clock().now();
   }
 
-  boolean isCut(String zone) {
-    return cutZones.contains(zone);
+  boolean isPartitioned(String zone) {
+    return partitionedZones.contains(zone);
   }
 
   /**
@@ -79,9 +79,9 @@
    * was back.
    */
   private double lastSign(Machine m) {
-    double report = env.settings().workers().reportS();
-    double back = backAt.getOrDefault(m.zone, -1e9) + report;
-    return Math.max(back, m.up() ? m.aliveAt() : Math.max(startedAt, m.listedUpAt) + report);
+    double heartbeat = context.settings().workers().heartbeatIntervalS();
+    double back = backAt.getOrDefault(m.zone, -1e9) + heartbeat;
+    return Math.max(back, m.up() ? m.lastSignOfLifeAt() : Math.max(startedAt, m.listedUpAt) + heartbeat);
   }
 
   /**
@@ -89,11 +89,11 @@
    * Two reports that did not come and a probe without an answer are enough; one alone may be ours.
    */
   void watch(double now) {
-    double report = env.settings().workers().reportS();
-    double quiet = PROBE_REPORTS * report;
+    double heartbeat = context.settings().workers().heartbeatIntervalS();
+    double quiet = PROBE_HEARTBEATS * heartbeat;
     List<Machine> silent = new ArrayList<>();
     int up = 0;
-    for (Machine m : ledger.machines.values()) {
+    for (Machine m : state.machines.values()) {
       if (!mayBeUp(m)) {
         continue;
       }
@@ -103,30 +103,30 @@
       }
     }
     if (silent.size() >= 3 && silent.size() > DEAF_SHARE * up) {
-      if (now - startedAt > 4 * report) {
-        outcome.deaf();
+      if (now - startedAt > 4 * heartbeat) {
+        listener.controllerPartitioned();
       }
       return;
     }
-    cutZones = cutZones(silent);
+    partitionedZones = partitionedZones(silent);
     for (Machine m : silent) {
-      workers.probe(m);
-      double limit = m.probeFailedAt > lastSign(m) ? SILENT_REPORTS : SILENT_REPORTS + 1;
-      if (now - lastSign(m) > limit * report && !worthWaitingFor(m, now)) {
+      agents.probe(m);
+      double limit = m.probeFailedAt > lastSign(m) ? SILENT_HEARTBEATS : SILENT_HEARTBEATS + 1;
+      if (now - lastSign(m) > limit * heartbeat && !worthWaitingFor(m, now)) {
         LOG.info(
             "machine {} has been silent for {} s with {} tasks, {}",
             m.name,
             Math.round(now - lastSign(m)),
-            m.open.size(),
+            m.openAttempts.size(),
             m.probeConnected ? "takes connections" : "takes no connection");
         rates.machineFailed();
-        giveBack.accept(m);
+        scaleIn.accept(m);
       }
     }
   }
 
   private static boolean mayBeUp(Machine m) {
-    return !m.deleting && (m.up() || m.listedUpAt >= 0 || !m.open.isEmpty());
+    return !m.deleting && (m.up() || m.listedUpAt >= 0 || !m.openAttempts.isEmpty());
   }
 
   /**
@@ -134,28 +134,28 @@
    * renews their workers for as long as it may, so what runs there is let run, and nothing new is
    * rented.
    */
-  private Set<String> cutZones(List<Machine> silent) {
-    Set<String> live = outcome.controllers();
+  private Set<String> partitionedZones(List<Machine> silent) {
+    Set<String> live = listener.controllers();
     Set<String> out = new HashSet<>();
-    for (Settings.Member c : env.settings().members()) {
+    for (Settings.Member c : context.settings().members()) {
       if (live.contains(c.node()) || out.contains(c.location())) {
         continue;
       }
       long gone = silent.stream().filter(m -> c.location().equals(m.zone)).count();
       long there =
-          ledger.machines.values().stream()
+          state.machines.values().stream()
               .filter(m -> c.location().equals(m.zone) && mayBeUp(m))
               .count();
       if (gone * 2 > there) {
         out.add(c.location());
       }
     }
-    if (!out.equals(cutZones)) {
+    if (!out.equals(partitionedZones)) {
       LOG.info("zones that are cut off: {}", out);
-      out.stream().filter(z -> !cutZones.contains(z)).forEach(z -> rates.zoneFailed());
-      cutZones.stream()
+      out.stream().filter(z -> !partitionedZones.contains(z)).forEach(z -> rates.zoneFailed());
+      partitionedZones.stream()
           .filter(z -> !out.contains(z))
-          .forEach(z -> backAt.put(z, env.clock().now()));
+          .forEach(z -> backAt.put(z, context.clock().now()));
     }
     return out;
   }
@@ -171,12 +171,12 @@
     if (m.probeConnected && m.probeFailedAt > lastSign(m)) {
       return false;
     }
-    if (cutZones.contains(m.zone)) {
+    if (partitionedZones.contains(m.zone)) {
       return now - lastSign(m)
-          < env.settings().holdS() + PATIENCE * env.settings().workers().leaseS();
+          < context.settings().gracePeriodS() + PATIENCE * context.settings().workers().leaseS();
     }
     return m.load().pinned
-        && m.provenAt >= 0
-        && now - m.renewedAt < PATIENCE * env.settings().workers().leaseS();
+        && m.confirmedAliveAt >= 0
+        && now - m.leaseRenewedAt < PATIENCE * context.settings().workers().leaseS();
   }
 }
--- a/src/main/java/io/embernotch/fleet/FailureRates.java
+++ b/src/main/java/io/embernotch/fleet/FailureRates.java
@@ -37,9 +37,9 @@
     this.settings = settings;
   }
 
-  void tick(ClusterState ledger, double now) {
+  void tick(ClusterState state, double now) {
     if (countedAt >= 0) {
-      double up = ledger.machines.values().stream().filter(Machine::up).count();
+      double up = state.machines.values().stream().filter(Machine::up).count();
       machineS += up * (now - countedAt);
       zoneS += settings.zones().size() * (now - countedAt);
     }
--- a/src/main/java/io/embernotch/fleet/FleetManager.java
+++ b/src/main/java/io/embernotch/fleet/FleetManager.java
@@ -26,31 +26,31 @@
   static final double COUNTED_BOOTS = 1.6;
 
   /** What is told of the fleet. */
-  public interface Outcome {
+  public interface Listener {
     /** The machine and all that was on it are gone. */
     void machineGone(Machine m);
 
-    void changed();
+    void clusterChanged();
 
     /** Controllers that have been heard from lately, this one included. */
     Set<String> controllers();
 
     /** The attempt's start does not reach its machine. */
-    void unreachable(Attempt a);
+    void startUnreachable(Attempt a);
 
     /** So many machines are silent at once that it is rather we who are cut off. */
-    void deaf();
+    void controllerPartitioned();
   }
 
-  private final ControllerContext env;
-  private final ClusterState ledger;
-  private final AgentReconciler workers;
-  private final Outcome outcome;
-  private final ScaleOut rentals;
-  private final FailureDetector silence;
+  private final ControllerContext context;
+  private final ClusterState state;
+  private final AgentReconciler agents;
+  private final Listener listener;
+  private final ScaleOut scaleOut;
+  private final FailureDetector failureDetector;
   private final FailureRates rates;
-  private final OneWayPartitions unreached;
-  private final ScaleIn returns;
+  private final OneWayPartitions oneWayPartitions;
+  private final ScaleIn scaleIn;
   private final double startedAt;
   private double listedAt = -1e9;
   private boolean answering;
@@ -58,17 +58,17 @@
   private boolean listedOnce;
   private double typesAt = -1e9;
 
-  public FleetManager(ControllerContext env, ClusterState ledger, AgentReconciler workers, long epoch, Outcome outcome) {
-    this.env = env;
-    this.ledger = ledger;
-    this.workers = workers;
-    this.outcome = outcome;
-    this.rentals = new ScaleOut(env, ledger, workers, epoch, outcome::changed);
-    this.returns = new ScaleIn(env, ledger, outcome::machineGone);
-    this.rates = new FailureRates(env.settings());
-    this.silence = new FailureDetector(env, ledger, workers, outcome, returns::giveBack, rates);
-    this.unreached = new OneWayPartitions(env, ledger, workers, outcome, returns::giveBack);
-    this.startedAt = env.clock().now();
+  public FleetManager(ControllerContext context, ClusterState state, AgentReconciler agents, long epoch, Listener listener) {
+    this.context = context;
+    this.state = state;
+    this.agents = agents;
+    this.listener = listener;
+    this.scaleOut = new ScaleOut(context, state, agents, epoch, listener::clusterChanged);
+    this.scaleIn = new ScaleIn(context, state, listener::machineGone);
+    this.rates = new FailureRates(context.settings());
+    this.failureDetector = new FailureDetector(context, state, agents, listener, scaleIn::release, rates);
+    this.oneWayPartitions = new OneWayPartitions(context, state, agents, listener, scaleIn::release);
+    this.startedAt = context.clock().now();
   }
 
   public boolean listedOnce() {
@@ -79,17 +79,17 @@
    * True while the cloud answers. What is idle when it does not is kept: it could not be returned
    * now, nor replaced, and a deletion that was tried may be carried out at any later time.
    */
-  public boolean answers() {
+  public boolean cloudAnswers() {
     return answering;
   }
 
   private double listEveryS() {
-    return Math.max(env.settings().cloudLimits().listLagS(), env.settings().workers().reportS());
+    return Math.max(context.settings().cloudLimits().listLagS(), context.settings().workers().heartbeatIntervalS());
   }
 
   /** What is being rented. */
   public List<FleetView.Expected> expected() {
-    return rentals.expected();
+    return scaleOut.expected();
   }
 
   /** How often machines and zones fail, as far as is known. */
@@ -98,34 +98,34 @@
   }
 
   public boolean exhausted(String type, String zone, boolean spot) {
-    return silence.isCut(zone) || rentals.full(type, zone, spot);
+    return failureDetector.isPartitioned(zone) || scaleOut.full(type, zone, spot);
   }
 
   /** See {@link ScaleOut#rent}. */
-  public void rent(SchedulingPlan.Buy buy) {
-    rentals.rent(buy);
+  public void rent(SchedulingPlan.ScaleOutRequest buy) {
+    scaleOut.rent(buy);
   }
 
   public void tick() {
-    double now = env.clock().now();
+    double now = context.clock().now();
     if (!listing && now - listedAt > listEveryS()) {
       list();
     }
-    if (now - typesAt > 20 * env.settings().workers().reportS()) {
+    if (now - typesAt > 20 * context.settings().workers().heartbeatIntervalS()) {
       typesAt = now;
-      env.cloud().types().onSuccess(list -> list.forEach(t -> ledger.types.put(t.name(), t)));
+      context.cloud().types().onSuccess(list -> list.forEach(t -> state.types.put(t.name(), t)));
     }
-    rates.tick(ledger, now);
+    rates.tick(state, now);
     watchBoots(now);
-    silence.watch(now);
-    unreached.watch(now);
-    returns.send(now);
+    failureDetector.watch(now);
+    oneWayPartitions.watch(now);
+    scaleIn.send(now);
   }
 
   private void list() {
     listing = true;
-    listedAt = env.clock().now();
-    env.cloud()
+    listedAt = context.clock().now();
+    context.cloud()
         .list()
         .onComplete(
             r -> {
@@ -144,30 +144,30 @@
    * never end anything here. Silence does, followed by a deletion whose answer is proof.
    */
   private void listed(List<Listed> list) {
-    double now = env.clock().now();
+    double now = context.clock().now();
     boolean news = !listedOnce;
     listedOnce = true;
     answering = true;
     for (Listed l : list) {
-      Machine m = ledger.machines.get(l.name());
+      Machine m = state.machines.get(l.name());
       if (m == null) {
-        if (workers.wasDeleted(l.name())) {
+        if (agents.wasDeleted(l.name())) {
           continue;
         }
-        m = ledger.machine(l.name(), workers.base());
+        m = state.machine(l.name(), agents.tokenBase());
         news = true;
       }
       if (!m.up()) {
-        m.type = ledger.types.getOrDefault(l.type(), m.type);
+        m.type = state.types.getOrDefault(l.type(), m.type);
         m.zone = l.zone();
         m.spot = l.spot();
         m.address = l.address() == null ? m.address : l.address();
-        m.bornAt = Math.min(m.bornAt == 0 ? now : m.bornAt, now - l.ageS());
+        m.rentedAt = Math.min(m.rentedAt == 0 ? now : m.rentedAt, now - l.ageS());
         // One that ran under an earlier leader is given time to find us.
         double findUs =
-            l.phase().equals("running") ? startedAt + env.settings().workers().leaseS() / 2 : 0;
+            l.phase().equals("running") ? startedAt + context.settings().workers().leaseS() / 2 : 0;
         double boot = m.type == null ? 0 : COUNTED_BOOTS * m.type.bootS();
-        m.countUntil = Math.max(m.countUntil, Math.max(findUs, m.bornAt + boot));
+        m.expectedUntil = Math.max(m.expectedUntil, Math.max(findUs, m.rentedAt + boot));
       }
       if (l.phase().equals("running")) {
         m.listedUpAt = m.listedUpAt < 0 ? now : m.listedUpAt;
@@ -177,12 +177,12 @@
         LOG.info("machine {} has failed", m.name);
         m.failed = true;
         rates.machineFailed();
-        giveBack(m);
+        scaleIn(m);
         news = true;
       }
     }
     if (news) {
-      outcome.changed();
+      listener.clusterChanged();
     }
   }
 
@@ -191,40 +191,40 @@
    * themselves, nothing could be started on them.
    */
   private void find(Machine m) {
-    workers.find(m);
+    agents.find(m);
   }
 
   private void watchBoots(double now) {
-    for (Machine m : ledger.machines.values()) {
+    for (Machine m : state.machines.values()) {
       if (m.up() || m.deleting || m.type == null) {
         continue;
       }
       // Machines that were up under an earlier leader need time to find us.
-      double since = Math.max(m.bornAt, startedAt - m.type.bootS());
-      if (now - since > HOPELESS_BOOTS * m.type.bootS() + env.settings().workers().reportS()
-          && now - startedAt > env.settings().workers().leaseS() / 2) {
+      double since = Math.max(m.rentedAt, startedAt - m.type.bootS());
+      if (now - since > HOPELESS_BOOTS * m.type.bootS() + context.settings().workers().heartbeatIntervalS()
+          && now - startedAt > context.settings().workers().leaseS() / 2) {
         LOG.info("machine {} has not come up", m.name);
-        giveBack(m);
+        scaleIn(m);
       }
     }
   }
 
   /** Returns a machine. Nothing more is placed on it, and what is on it ends with it. */
-  public void giveBack(Machine m) {
-    returns.giveBack(m);
+  public void scaleIn(Machine m) {
+    scaleIn.release(m);
   }
 
   /** Tasks on machines whose worker's lease must have run out are gone, deleted or not. */
-  public List<Attempt> expired() {
+  public List<Attempt> attemptsWithExpiredLease() {
     List<Attempt> out = new ArrayList<>();
-    double now = env.clock().now();
-    for (Machine m : ledger.machines.values()) {
-      if (m.open.isEmpty() || (m.up() && now - m.heardAt < env.settings().workers().leaseS())) {
+    double now = context.clock().now();
+    for (Machine m : state.machines.values()) {
+      if (m.openAttempts.isEmpty() || (m.up() && now - m.lastHeartbeatAt < context.settings().workers().leaseS())) {
         continue;
       }
-      if (workers.leaseOver(m)) {
-        for (Attempt a : m.open.values()) {
-          if (a.start != Attempt.LaunchState.SENDING) {
+      if (agents.leaseExpired(m)) {
+        for (Attempt a : m.openAttempts.values()) {
+          if (a.launchState != Attempt.LaunchState.SENDING) {
             out.add(a);
           }
         }
--- a/src/main/java/io/embernotch/fleet/OneWayPartitions.java
+++ b/src/main/java/io/embernotch/fleet/OneWayPartitions.java
@@ -25,59 +25,59 @@
   private static final double PATIENCE = 0.9;
 
   /** Report periods from the last answer that was heard until a machine is taken for deaf. */
-  private static final double NOTICED_REPORTS = 2;
+  private static final double NOTICED_HEARTBEATS = 2;
 
-  private final ControllerContext env;
-  private final ClusterState ledger;
-  private final AgentReconciler workers;
-  private final FleetManager.Outcome outcome;
-  private final Consumer<Machine> giveBack;
+  private final ControllerContext context;
+  private final ClusterState state;
+  private final AgentReconciler agents;
+  private final FleetManager.Listener listener;
+  private final Consumer<Machine> scaleIn;
 
   OneWayPartitions(
-      ControllerContext env,
-      ClusterState ledger,
-      AgentReconciler workers,
-      FleetManager.Outcome outcome,
-      Consumer<Machine> giveBack) {
-    this.env = env;
-    this.ledger = ledger;
-    this.workers = workers;
-    this.outcome = outcome;
-    this.giveBack = giveBack;
+      ControllerContext context,
+      ClusterState state,
+      AgentReconciler agents,
+      FleetManager.Listener listener,
+      Consumer<Machine> scaleIn) {
+    this.context = context;
+    this.state = state;
+    this.agents = agents;
+    this.listener = listener;
+    this.scaleIn = scaleIn;
   }
 
   void watch(double now) {
     List<Machine> deaf =
-        ledger.machines.values().stream().filter(m -> m.deafSince >= 0 && !m.deleting).toList();
+        state.machines.values().stream().filter(m -> m.unreachableSince >= 0 && !m.deleting).toList();
     if (deaf.isEmpty()) {
       return;
     }
-    long up = ledger.machines.values().stream().filter(Machine::up).count();
+    long up = state.machines.values().stream().filter(Machine::up).count();
     boolean ours = deaf.size() >= 3 && deaf.size() > OURS * up;
     for (Machine m : deaf) {
-      workers.probe(m);
+      agents.probe(m);
       withdraw(m);
-      if (!ours && m.probeFailedAt > m.deafSince && !worthWaitingFor(m, now)) {
-        giveBack.accept(m);
+      if (!ours && m.probeFailedAt > m.unreachableSince && !worthWaitingFor(m, now)) {
+        scaleIn.accept(m);
       }
     }
   }
 
   private void withdraw(Machine m) {
-    for (Attempt a : List.copyOf(m.open.values())) {
-      boolean begun = a.start == Attempt.LaunchState.HELD || a.start == Attempt.LaunchState.SENDING;
+    for (Attempt a : List.copyOf(m.openAttempts.values())) {
+      boolean begun = a.launchState == Attempt.LaunchState.CONFIRMED || a.launchState == Attempt.LaunchState.SENDING;
       if (!begun && !a.stopping) {
-        outcome.unreachable(a);
+        listener.startUnreachable(a);
       }
     }
   }
 
   private boolean worthWaitingFor(Machine m, double now) {
     boolean runs =
-        m.open.values().stream().anyMatch(a -> a.start == Attempt.LaunchState.HELD && !a.stopping);
+        m.openAttempts.values().stream().anyMatch(a -> a.launchState == Attempt.LaunchState.CONFIRMED && !a.stopping);
     double left =
-        PATIENCE * env.settings().workers().leaseS()
-            - NOTICED_REPORTS * env.settings().workers().reportS();
-    return runs && now - m.deafSince < left;
+        PATIENCE * context.settings().workers().leaseS()
+            - NOTICED_HEARTBEATS * context.settings().workers().heartbeatIntervalS();
+    return runs && now - m.unreachableSince < left;
   }
 }
--- a/src/main/java/io/embernotch/fleet/ScaleIn.java
+++ b/src/main/java/io/embernotch/fleet/ScaleIn.java
@@ -17,43 +17,43 @@
 final class ScaleIn {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
 
-  private final ControllerContext env;
-  private final ClusterState ledger;
+  private final ControllerContext context;
+  private final ClusterState state;
   private final Consumer<Machine> gone;
   private final Set<Machine> leaving = new LinkedHashSet<>();
   private boolean urgentDelete;
   private boolean idleDelete;
 
   /** {@code gone} is told of each machine that is gone with all that was on it. */
-  ScaleIn(ControllerContext env, ClusterState ledger, Consumer<Machine> gone) {
-    this.env = env;
-    this.ledger = ledger;
+  ScaleIn(ControllerContext context, ClusterState state, Consumer<Machine> gone) {
+    this.context = context;
+    this.state = state;
     this.gone = gone;
   }
 
   /** Returns a machine. Nothing more is placed on it, and what is on it ends with it. */
-  void giveBack(Machine m) {
+  void release(Machine m) {
     if (!m.deleting) {
       m.deleting = true;
       m.deleteRetryAt = 0;
       leaving.add(m);
-      if (!m.open.isEmpty()) {
-        send(env.clock().now());
+      if (!m.openAttempts.isEmpty()) {
+        send(context.clock().now());
       }
     }
   }
 
   void send(double now) {
-    boolean urgent = leaving.stream().anyMatch(m -> !m.open.isEmpty() && m.deleteRetryAt <= now);
+    boolean urgent = leaving.stream().anyMatch(m -> !m.openAttempts.isEmpty() && m.deleteRetryAt <= now);
     // Proofs that tasks wait for are never behind a call that only saves money.
     if (urgent ? urgentDelete : urgentDelete || idleDelete) {
       return;
     }
     List<Machine> batch = new ArrayList<>();
     List<String> names = new ArrayList<>();
-    leaving.removeIf(m -> ledger.machines.get(m.name) != m);
+    leaving.removeIf(m -> state.machines.get(m.name) != m);
     for (Machine m : leaving) {
-      if (m.deleteRetryAt <= now && batch.size() < Settings.Cloud.MAX_DELETE && !m.doInFlight) {
+      if (m.deleteRetryAt <= now && batch.size() < Settings.CloudLimits.MAX_DELETE && !m.commandInFlight) {
         batch.add(m);
         names.add(m.name);
         m.deleteRetryAt = Double.MAX_VALUE;
@@ -63,7 +63,7 @@
       return;
     }
     deleteBusy(urgent, true);
-    env.cloud()
+    context.cloud()
         .delete(names, urgent)
         .onComplete(
             r -> {
@@ -77,7 +77,7 @@
                 batch.forEach(
                     m ->
                         m.deleteRetryAt =
-                            env.clock().now() + env.settings().workers().reportS() / 3);
+                            context.clock().now() + context.settings().workers().heartbeatIntervalS() / 3);
               }
             });
   }
--- a/src/main/java/io/embernotch/fleet/ScaleOut.java
+++ b/src/main/java/io/embernotch/fleet/ScaleOut.java
@@ -23,9 +23,9 @@
 
   private record Booking(String name, String type, String zone, boolean spot, int number) {}
 
-  private final ControllerContext env;
-  private final ClusterState ledger;
-  private final AgentReconciler workers;
+  private final ControllerContext context;
+  private final ClusterState state;
+  private final AgentReconciler agents;
   private final Runnable changed;
   private final String bookingPrefix;
   private final Map<String, Booking> open = new LinkedHashMap<>();
@@ -33,10 +33,10 @@
   private int bookings;
 
   /** {@code changed}: machines have come, or will not. */
-  ScaleOut(ControllerContext env, ClusterState ledger, AgentReconciler workers, long epoch, Runnable changed) {
-    this.env = env;
-    this.ledger = ledger;
-    this.workers = workers;
+  ScaleOut(ControllerContext context, ClusterState state, AgentReconciler agents, long epoch, Runnable changed) {
+    this.context = context;
+    this.state = state;
+    this.agents = agents;
     this.changed = changed;
     // The epoch is new with each term, so no booking name is ever used twice.
     this.bookingPrefix = "r-" + epoch + "-";
@@ -52,7 +52,7 @@
 
   /** The cloud has lately had too few machines of this kind. */
   boolean full(String type, String zone, boolean spot) {
-    return fullUntil.getOrDefault(pool(type, zone, spot), -1.0) > env.clock().now();
+    return fullUntil.getOrDefault(pool(type, zone, spot), -1.0) > context.clock().now();
   }
 
   private static String pool(String type, String zone, boolean spot) {
@@ -64,14 +64,14 @@
    * waits and comes with the next plan, unless it fills a call. A call for each plan's few machines
    * used to take up all that the cloud allows.
    */
-  void rent(SchedulingPlan.Buy buy) {
+  void rent(SchedulingPlan.ScaleOutRequest buy) {
     int left = buy.number();
     boolean underWay = open.values().stream().anyMatch(b -> samePool(b, buy));
-    while (left > 0 && open.size() < env.settings().cloudLimits().rps()) {
-      if (underWay && left < Settings.Cloud.MAX_RENT) {
+    while (left > 0 && open.size() < context.settings().cloudLimits().rps()) {
+      if (underWay && left < Settings.CloudLimits.MAX_RENT) {
         return;
       }
-      int n = Math.min(left, Settings.Cloud.MAX_RENT);
+      int n = Math.min(left, Settings.CloudLimits.MAX_RENT);
       Booking b = new Booking(bookingPrefix + ++bookings, buy.type(), buy.zone(), buy.spot(), n);
       open.put(b.name, b);
       LOG.info("renting {} {} in {}{}", n, b.type, b.zone, b.spot ? " (spot)" : "");
@@ -80,34 +80,34 @@
     }
   }
 
-  private static boolean samePool(Booking b, SchedulingPlan.Buy buy) {
+  private static boolean samePool(Booking b, SchedulingPlan.ScaleOutRequest buy) {
     return b.type.equals(buy.type()) && b.zone.equals(buy.zone()) && b.spot == buy.spot();
   }
 
   private void book(Booking b) {
-    env.cloud()
+    context.cloud()
         .rent(b.name, b.type, b.zone, b.spot, b.number)
         .onSuccess(r -> booked(b, r))
         .onFailure(
             e -> {
               // Perhaps it was executed: the same name gives the same answer and rents nothing.
               LOG.debug("booking {}: {}", b.name, e.getMessage());
-              env.timers().after(env.settings().workers().reportS() / 3, () -> book(b));
+              context.timers().after(context.settings().workers().heartbeatIntervalS() / 3, () -> book(b));
             });
   }
 
   private void booked(Booking b, Rented r) {
     open.remove(b.name);
-    double now = env.clock().now();
-    MachineType type = ledger.types.get(b.type);
+    double now = context.clock().now();
+    MachineType type = state.types.get(b.type);
     for (String name : r.machines()) {
-      Machine m = ledger.machine(name, workers.base());
+      Machine m = state.machine(name, agents.tokenBase());
       if (!m.up()) {
         m.type = type;
         m.zone = b.zone;
         m.spot = b.spot;
-        m.bornAt = now;
-        m.countUntil = now + FleetManager.COUNTED_BOOTS * type.bootS();
+        m.rentedAt = now;
+        m.expectedUntil = now + FleetManager.COUNTED_BOOTS * type.bootS();
       }
     }
     if (r.refused() || r.machines().size() < b.number) {
@@ -118,7 +118,7 @@
           b.spot ? " (spot)" : "",
           r.machines().size(),
           b.number);
-      fullUntil.put(pool(b.type, b.zone, b.spot), now + 5 * env.settings().workers().reportS());
+      fullUntil.put(pool(b.type, b.zone, b.spot), now + 5 * context.settings().workers().heartbeatIntervalS());
     }
     changed.run();
   }
--- a/src/main/java/io/embernotch/forwarding/DelegatedRenewal.java
+++ b/src/main/java/io/embernotch/forwarding/DelegatedRenewal.java
@@ -22,7 +22,7 @@
 public final class DelegatedRenewal {
   private static final int REMEMBERED = 64;
 
-  private final ControllerContext env;
+  private final ControllerContext context;
   private final Map<Long, Double> sentAt = new LeastRecentlyUsed<>(REMEMBERED);
   private long seq;
   private long ack;
@@ -39,26 +39,26 @@
   /** When each worker was last sent to look for the leader itself. */
   private final Map<String, Double> awayAt;
 
-  public DelegatedRenewal(ControllerContext env) {
-    this.env = env;
-    this.contactAt = env.clock().now();
-    this.awayAt = new LeastRecentlyUsed<>(env.settings().quota().maxConnections());
-    this.seq = ProcessIncarnation.begin(env.names());
+  public DelegatedRenewal(ControllerContext context) {
+    this.context = context;
+    this.contactAt = context.clock().now();
+    this.awayAt = new LeastRecentlyUsed<>(context.settings().quota().maxConnections());
+    this.seq = ProcessIncarnation.begin(context.names());
   }
 
-  public Frame.DelegateHeartbeat here() {
-    double now = env.clock().now();
+  public Frame.DelegateHeartbeat nextHeartbeat() {
+    double now = context.clock().now();
     sentAt.put(++seq, now);
-    return new Frame.DelegateHeartbeat(env.settings().node(), seq, ack, renewedAt < 0 ? -1 : now - renewedAt);
+    return new Frame.DelegateHeartbeat(context.settings().node(), seq, ack, renewedAt < 0 ? -1 : now - renewedAt);
   }
 
-  public void noted(Frame.DelegateHeartbeatAck n) {
+  public void acknowledged(Frame.DelegateHeartbeatAck n) {
     Double sent = sentAt.get(n.seq());
     if (sent == null) {
       return;
     }
     ack = Math.max(ack, n.seq());
-    if (env.clock().now() - contactAt > env.settings().contactS()) {
+    if (context.clock().now() - contactAt > context.settings().contactTimeoutS()) {
       // The next cut is another one: a worker that is sent away before we have renewed it may lose
       // its lease.
       awayAt.clear();
@@ -74,16 +74,16 @@
    * give. Now and then, with a fresh lease, a worker is sent to look for the leader itself:
    * perhaps only we are cut off, and it would get no orders here.
    */
-  public HttpResponse renewal(Heartbeat r, String leader) {
-    double now = env.clock().now();
-    Settings s = env.settings();
-    boolean cutOff = now - contactAt > s.contactS() * (1 + Settings.DRIFT);
-    boolean granted = now - grantedAt < s.holdS() * (1 - Settings.DRIFT);
+  public HttpResponse renew(Heartbeat r, String leader) {
+    double now = context.clock().now();
+    Settings s = context.settings();
+    boolean cutOff = now - contactAt > s.contactTimeoutS() * (1 + Settings.DRIFT);
+    boolean granted = now - grantedAt < s.gracePeriodS() * (1 - Settings.DRIFT);
     if (!cutOff || !granted || r.token() == 0 || !s.location().equals(r.zone())) {
       return null;
     }
     Double away =
-        awayAt.putIfAbsent(r.machine(), now - s.workers().leaseS() / 2 + s.workers().reportS() / 4);
+        awayAt.putIfAbsent(r.machine(), now - s.workers().leaseS() / 2 + s.workers().heartbeatIntervalS() / 4);
     if (away != null && now - away > s.workers().leaseS() / 2) {
       awayAt.put(r.machine(), now);
       return HeartbeatForwarder.misdirected(leader);
--- a/src/main/java/io/embernotch/forwarding/HeartbeatForwarder.java
+++ b/src/main/java/io/embernotch/forwarding/HeartbeatForwarder.java
@@ -48,94 +48,94 @@
     void send(String node, Frame frame);
 
     /** The state service answers another controller, and not this one. */
-    boolean badlyPlaced();
+    boolean isPartitionedFromStore();
   }
 
   /** Compared by identity: a report can be long. */
   private static final class Parked {
-    final Heartbeat report;
+    final Heartbeat heartbeat;
     final Promise<HttpResponse> reply = Promise.promise();
 
-    Parked(Heartbeat report) {
-      this.report = report;
+    Parked(Heartbeat heartbeat) {
+      this.heartbeat = heartbeat;
     }
   }
 
-  private record Last(Heartbeat report, double at) {}
+  private record Last(Heartbeat heartbeat, double at) {}
 
-  private final ControllerContext env;
+  private final ControllerContext context;
   private final Host host;
   private final double withinS;
 
   /** So long a leader that does not answer is waited for. */
   private final double patienceS;
 
-  private final Map<String, Last> last;
+  private final Map<String, Last> lastHeartbeats;
   private final Set<Parked> parked = new LinkedHashSet<>();
   private String leader;
   private long epoch;
 
   /** The latest term that was ever known here. */
-  private long newest;
+  private long newestEpoch;
 
-  private boolean relays;
+  private boolean leaderAcceptsForwarded;
   private double changedAt;
 
   /** The first report passed on since the leader last answered one; below 0 if there is none. */
   private double unansweredSince = -1;
 
   private double tryAt;
-  private final DelegatedRenewal standby;
-  private final Set<String> waiting = new HashSet<>();
+  private final DelegatedRenewal delegatedRenewal;
+  private final Set<String> controllersDelayingCancellations = new HashSet<>();
 
-  public HeartbeatForwarder(ControllerContext env, Host host) {
-    this.env = env;
+  public HeartbeatForwarder(ControllerContext context, Host host) {
+    this.context = context;
     this.host = host;
     this.withinS = PATIENCE_S;
-    this.patienceS = env.settings().workers().leaseS() / 4;
-    this.last = new LeastRecentlyUsed<>(env.settings().quota().maxConnections());
-    this.changedAt = env.clock().now();
-    this.standby = new DelegatedRenewal(env);
+    this.patienceS = context.settings().workers().leaseS() / 4;
+    this.lastHeartbeats = new LeastRecentlyUsed<>(context.settings().quota().maxConnections());
+    this.changedAt = context.clock().now();
+    this.delegatedRenewal = new DelegatedRenewal(context);
   }
 
   /**
    * Another leader is known, or none. {@code takesReports} tells of a version that is passed
    * reports.
    */
-  public void leaderIs(String node, long newEpoch, boolean takesReports) {
+  public void leaderChanged(String node, long newEpoch, boolean takesHeartbeats) {
     boolean same = Objects.equals(node, leader) && newEpoch == epoch;
-    if (same && takesReports == relays) {
+    if (same && takesHeartbeats == leaderAcceptsForwarded) {
       return;
     }
     if (!same) {
-      changedAt = env.clock().now();
+      changedAt = context.clock().now();
       unansweredSince = -1;
     }
     leader = node;
     epoch = newEpoch;
-    newest = Math.max(newest, newEpoch);
-    relays = takesReports;
-    if (node != null && takesReports && !node.equals(env.settings().node())) {
+    newestEpoch = Math.max(newestEpoch, newEpoch);
+    leaderAcceptsForwarded = takesHeartbeats;
+    if (node != null && takesHeartbeats && !node.equals(context.settings().node())) {
       Set<String> waiting =
-          parked.stream().map(p -> p.report.machine()).collect(Collectors.toSet());
-      handOver(recent().stream().filter(r -> !waiting.contains(r.machine())).toList(), 0, newEpoch);
+          parked.stream().map(p -> p.heartbeat.machine()).collect(Collectors.toSet());
+      handOver(recentHeartbeats().stream().filter(r -> !waiting.contains(r.machine())).toList(), 0, newEpoch);
     }
-    if (node != null && !node.equals(env.settings().node())) {
-      unpark(this::report);
+    if (node != null && !node.equals(context.settings().node())) {
+      releaseParked(this::handleHeartbeat);
     }
   }
 
   /** Tells the leader that we are here; called a few times in a report period. */
-  public void beat() {
-    if (leader != null && relays && !leader.equals(env.settings().node())) {
-      host.send(leader, standby.here());
+  public void sendDelegateHeartbeat() {
+    if (leader != null && leaderAcceptsForwarded && !leader.equals(context.settings().node())) {
+      host.send(leader, delegatedRenewal.nextHeartbeat());
     }
   }
 
-  public void noted(Frame.DelegateHeartbeatAck n) {
+  public void delegateHeartbeatAcknowledged(Frame.DelegateHeartbeatAck n) {
     if (n.epoch() == epoch && leader != null) {
-      waiting.add(leader);
-      standby.noted(n);
+      controllersDelayingCancellations.add(leader);
+      delegatedRenewal.acknowledged(n);
     }
   }
 
@@ -143,60 +143,60 @@
    * Controllers that are known to be of a version that waits with cancellations; see {@code
    * Delegations}.
    */
-  public Set<String> waiting() {
-    return waiting;
+  public Set<String> controllersDelayingCancellations() {
+    return controllersDelayingCancellations;
   }
 
   /** What workers said within a report period or so. */
-  public List<Heartbeat> recent() {
+  public List<Heartbeat> recentHeartbeats() {
     List<Heartbeat> out = new ArrayList<>();
-    double since = env.clock().now() - 1.5 * env.settings().workers().reportS();
-    for (Last l : last.values()) {
+    double since = context.clock().now() - 1.5 * context.settings().workers().heartbeatIntervalS();
+    for (Last l : lastHeartbeats.values()) {
       if (l.at >= since) {
-        out.add(l.report);
+        out.add(l.heartbeat);
       }
     }
     return out;
   }
 
-  private void handOver(List<Heartbeat> reports, int from, long to) {
+  private void handOver(List<Heartbeat> heartbeats, int from, long to) {
     if (epoch != to) {
       return;
     }
-    int end = Math.min(reports.size(), from + SLICE);
-    for (Heartbeat r : reports.subList(from, end)) {
+    int end = Math.min(heartbeats.size(), from + SLICE);
+    for (Heartbeat r : heartbeats.subList(from, end)) {
       host.send(leader, new Frame.ForwardedHeartbeat(0, r));
     }
-    if (end < reports.size()) {
-      env.timers()
-          .after(env.settings().workers().reportS() / 200, () -> handOver(reports, end, to));
+    if (end < heartbeats.size()) {
+      context.timers()
+          .after(context.settings().workers().heartbeatIntervalS() / 200, () -> handOver(heartbeats, end, to));
     }
   }
 
   /** A worker reports to this controller while another one, or none, is leader. */
-  public Future<HttpResponse> report(Heartbeat r) {
-    double now = env.clock().now();
-    Last before = last.get(r.machine());
-    if (before == null || r.newerThan(before.report.session(), before.report.seq())) {
+  public Future<HttpResponse> handleHeartbeat(Heartbeat r) {
+    double now = context.clock().now();
+    Last before = lastHeartbeats.get(r.machine());
+    if (before == null || r.newerThan(before.heartbeat.agentEpoch(), before.heartbeat.seq())) {
       // A copy of an older one is no sign of life, and must not be handed to the next leader as
       // one.
-      last.put(r.machine(), new Last(r, now));
+      lastHeartbeats.put(r.machine(), new Last(r, now));
     }
-    if (FencingTokens.epochOf(r.token()) > newest && host.badlyPlaced()) {
+    if (FencingTokens.epochOf(r.token()) > newestEpoch && host.isPartitionedFromStore()) {
       // A leader that we know nothing of has reached this worker, and serves it elsewhere.
       return Future.succeededFuture(misdirected(null));
     }
-    HttpResponse renewal = standby.renewal(r, leader);
+    HttpResponse renewal = delegatedRenewal.renew(r, leader);
     if (renewal != null) {
       return Future.succeededFuture(renewal);
     }
     if (leader == null) {
       // Elsewhere a leader may be known: a node that is cut off must not keep its workers.
-      boolean leave = now - changedAt > patienceS && host.badlyPlaced();
+      boolean leave = now - changedAt > patienceS && host.isPartitionedFromStore();
       return leave ? Future.succeededFuture(misdirected(null)) : park(r);
     }
     boolean deaf = unansweredSince >= 0 && now - unansweredSince > patienceS;
-    if (!relays || (deaf && now < tryAt)) {
+    if (!leaderAcceptsForwarded || (deaf && now < tryAt)) {
       return Future.succeededFuture(misdirected(leader));
     }
     if (deaf) {
@@ -222,7 +222,7 @@
   private Future<HttpResponse> park(Heartbeat r) {
     Parked p = new Parked(r);
     parked.add(p);
-    env.timers()
+    context.timers()
         .after(
             withinS,
             () -> {
@@ -234,10 +234,10 @@
   }
 
   /** A leader is known, here or elsewhere: those who wait are answered by it. */
-  public void unpark(Function<Heartbeat, Future<HttpResponse>> by) {
+  public void releaseParked(Function<Heartbeat, Future<HttpResponse>> by) {
     List<Parked> all = List.copyOf(parked);
     parked.clear();
-    all.forEach(p -> by.apply(p.report).onSuccess(p.reply::complete));
+    all.forEach(p -> by.apply(p.heartbeat).onSuccess(p.reply::complete));
   }
 
   private static HttpResponse stay() {
--- a/src/main/java/io/embernotch/forwarding/PendingRequests.java
+++ b/src/main/java/io/embernotch/forwarding/PendingRequests.java
@@ -34,7 +34,7 @@
    *
    * @param question makes the frame that carries the given number
    */
-  public Future<HttpResponse> ask(String node, LongFunction<Frame> question, double withinS) {
+  public Future<HttpResponse> send(String node, LongFunction<Frame> question, double withinS) {
     Promise<HttpResponse> reply = Promise.promise();
     long id = ++next;
     asked.put(id, reply);
@@ -51,7 +51,7 @@
   }
 
   /** A controller has answered; what nobody waits for any more is dropped. */
-  public void told(Frame.Response f) {
+  public void complete(Frame.Response f) {
     Promise<HttpResponse> p = asked.remove(f.id());
     if (p != null) {
       p.tryComplete(new HttpResponse(f.status(), f.body(), f.retryAfterS()));
--- a/src/main/java/io/embernotch/http/HttpApiServer.java
+++ b/src/main/java/io/embernotch/http/HttpApiServer.java
@@ -48,7 +48,7 @@
   /**
    * Seconds after which a worker, a poller and one who submits have given up ("Users", "Workers").
    */
-  private static final double REPORT_S = 4;
+  private static final double HEARTBEAT_INTERVAL_S = 4;
 
   private static final double POLL_S = 2;
   private static final double SUBMIT_S = 5;
@@ -81,7 +81,7 @@
     this.clock = clock;
     this.timers = timers;
     this.logEveryS = settings.workers().leaseS();
-    this.crowd = settings.quota().crowd();
+    this.crowd = settings.quota().connectionPressureThreshold();
     this.backlog = settings.quota().maxConnections();
   }
 
@@ -212,7 +212,7 @@
     String method = request.method().name();
     try {
       if (path.equals("/hello")) {
-        return method.equals("POST") ? report(body) : wrongMethod("POST");
+        return method.equals("POST") ? heartbeat(body) : wrongMethod("POST");
       }
       if (path.equals("/ready")) {
         return method.equals("GET") ? ready() : wrongMethod("GET");
@@ -239,14 +239,14 @@
     }
   }
 
-  private Future<HttpResponse> report(byte[] body) {
-    Heartbeat report;
+  private Future<HttpResponse> heartbeat(byte[] body) {
+    Heartbeat heartbeat;
     try {
-      report = WorkerCodec.read(body);
+      heartbeat = WorkerCodec.read(body);
     } catch (MalformedInputException e) {
       return Future.succeededFuture(HttpResponse.error(400, e.getMessage()));
     }
-    return ask(REPORT_S, () -> door.report(report));
+    return ask(HEARTBEAT_INTERVAL_S, () -> door.handleHeartbeat(heartbeat));
   }
 
   /** Has the core answer, unless it comes to it too late; the future completes on this loop. */
--- a/src/main/java/io/embernotch/http/RequestHandler.java
+++ b/src/main/java/io/embernotch/http/RequestHandler.java
@@ -11,7 +11,7 @@
 
   Future<HttpResponse> abort(String ref);
 
-  Future<HttpResponse> report(Heartbeat report);
+  Future<HttpResponse> handleHeartbeat(Heartbeat heartbeat);
 
   HttpResponse ready();
 
--- a/src/main/java/io/embernotch/incarnation/StoreIncarnationTracker.java
+++ b/src/main/java/io/embernotch/incarnation/StoreIncarnationTracker.java
@@ -26,7 +26,7 @@
  * <p>A loss is noticed by a revision that falls, by the era's key that is not there, or by another era in
  * its place that was not made from ours. An era that was made from ours is taken over.
  */
-public final class StoreIncarnationTracker implements StoreClient.Witness, Candidacy {
+public final class StoreIncarnationTracker implements StoreClient.LossListener, Candidacy {
   private static final Logger LOG = LoggerFactory.getLogger(StoreIncarnationTracker.class);
 
   /** Epochs are raised by so much over the highest that we know: others may have seen higher ones than we. */
@@ -35,10 +35,10 @@
   /** What is told of it. */
   public interface Host {
     /** The state service holds our data. {@code base} is what the present era began with. */
-    void settled(BaseSnapshot base);
+    void incarnationSettled(BaseSnapshot baseSnapshot);
 
     /** Every other controller has been heard from since this process started. */
-    boolean heardAll();
+    boolean allPeersHeard();
 
     /** Data is lost: whoever is leader here stops. */
     void dataLost(String why);
@@ -46,68 +46,68 @@
 
   private enum State {
     UNREAD,
-    SOUND,
+    INTACT,
     LOST
   }
 
-  private final ControllerContext env;
+  private final ControllerContext context;
   private final Host host;
-  private final double lifeS;
-  private final double againS;
+  private final double leaseTtlS;
+  private final double retryS;
   private final StoreRestorer.Source source;
   private final StoreRestorer restore;
   private State state = State.UNREAD;
   /** The era that we know; null if there was none yet. */
   private StoreIncarnation known;
-  private BaseSnapshot base = BaseSnapshot.EMPTY;
+  private BaseSnapshot baseSnapshot = BaseSnapshot.EMPTY;
   /** The copy that the present era was begun with, if this node's next leader is its first. */
-  private Copy begunWith;
+  private Copy takeInitialSnapshot;
   /** The highest epoch that anybody here has seen. */
-  private long highest;
-  private long lostMark;
+  private long highestEpoch;
+  private long lossEpoch;
   /** Stamp of the pointer when it was last read, 0 if it was absent; what it named, null if nothing that can be read. */
-  private long pointerStamp;
+  private long pointerModRevision;
   private StoreIncarnation pointed;
   /** The era that a claim under way begins; null if it goes on with the present one. */
   private StoreIncarnation claimed;
-  private boolean formerLeads;
+  private boolean legacyLeaderPresent;
   private final double startedAt;
   /** The pointer has been read since data was last seen to be lost. */
   private boolean pointerRead;
-  private boolean reading;
-  private boolean armed;
+  private boolean readingPointer;
+  private boolean retryScheduled;
   private int losses;
 
   /** @param lifeS life of a leader's lease in seconds */
-  public StoreIncarnationTracker(ControllerContext env, Host host, StoreRestorer.Source source, double lifeS) {
-    this.env = env;
+  public StoreIncarnationTracker(ControllerContext context, Host host, StoreRestorer.Source source, double leaseTtlS) {
+    this.context = context;
     this.host = host;
-    this.lifeS = lifeS;
-    this.againS = lifeS / 4;
-    this.startedAt = env.clock().now();
+    this.leaseTtlS = leaseTtlS;
+    this.retryS = leaseTtlS / 4;
+    this.startedAt = context.clock().now();
     this.source = source;
-    this.restore = new StoreRestorer(env, source, lifeS, () -> state == State.LOST);
-    env.store().witness(this);
+    this.restore = new StoreRestorer(context, source, leaseTtlS, () -> state == State.LOST);
+    context.store().setLossListener(this);
   }
 
   public void start() {
-    read();
+    readPointer();
   }
 
   /**
    * The contents are known to be ours, so that what they lack was never there. A process that is started
    * into contents without an era knows nothing of them, unless a version before eras leads.
    */
-  public boolean sound() {
-    return state == State.SOUND && (known != null || (formerLeads && !behind()));
+  public boolean isIntact() {
+    return state == State.INTACT && (known != null || (legacyLeaderPresent && !behind()));
   }
 
   /**
    * What the store alone says of a job may be told. A process that was just started can't tell contents
    * that were put back from present ones; by now whoever was up before has found that out.
    */
-  public boolean tells() {
-    return sound() && !behind() && env.clock().now() - startedAt > 2 * lifeS;
+  public boolean mayAnswerFromStore() {
+    return isIntact() && !behind() && context.clock().now() - startedAt > 2 * leaseTtlS;
   }
 
   /**
@@ -115,20 +115,20 @@
    * is still written to them, and that the next era is above. Fixed at the loss, so that controllers which
    * hear of each other's do not drive it up.
    */
-  public long lostMark() {
-    return lostMark;
+  public long lossEpoch() {
+    return lossEpoch;
   }
 
   /** A job that is known to have been accepted is not there. */
-  public void missing(String ref) {
-    if (state == State.SOUND) {
+  public void acceptedJobMissing(String ref) {
+    if (state == State.INTACT) {
       lost("job " + ref + ", which was accepted, is not there");
     }
   }
 
   /** Somebody has seen an epoch that these contents have not reached, as far as we have seen them. */
   private boolean behind() {
-    return highest > floor() + env.store().seen();
+    return highestEpoch > epochFloor() + context.store().highestRevisionSeen();
   }
 
   /** Data is lost, and no era has begun since. */
@@ -147,22 +147,22 @@
   }
 
   public BaseSnapshot base() {
-    return base;
+    return baseSnapshot;
   }
 
   /**
    * What the store held when the term that follows began, if that began the era: for as long as it
    * has not read the store it knows no more than this. Given once; null if others may have written since.
    */
-  public Copy begunWith() {
-    Copy given = begunWith;
-    begunWith = null;
+  public Copy takeInitialSnapshot() {
+    Copy given = takeInitialSnapshot;
+    takeInitialSnapshot = null;
     return given;
   }
 
   /** Another has seen so high an epoch; the next leader's is to be above it. */
-  public void seenEpoch(long epoch) {
-    highest = Math.max(highest, epoch);
+  public void observeEpoch(long epoch) {
+    highestEpoch = Math.max(highestEpoch, epoch);
   }
 
   /**
@@ -170,106 +170,106 @@
    * reached tells that it has found data lost. A leader must not go on as if nothing were: a follower that alone
    * had seen the one change that was gone once began an era without what the leader knew.
    */
-  public void heard(String node, String leader, long epoch) {
-    seenEpoch(epoch);
-    if (leader == null && state == State.SOUND && known != null && epoch > floor() + env.store().seen() + LEAP / 2) {
+  public void peerHeartbeatReceived(String node, String leader, long epoch) {
+    observeEpoch(epoch);
+    if (leader == null && state == State.INTACT && known != null && epoch > epochFloor() + context.store().highestRevisionSeen() + LEAP / 2) {
       lost(node + " says so");
     }
   }
 
   /** The leader's key names this era. */
-  public void named(String era) {
-    formerLeads = era != null && era.isEmpty();
-    if (state != State.UNREAD && era != null && !era.equals(name())) {
-      read();
+  public void incarnationNamed(String incarnation) {
+    legacyLeaderPresent = incarnation != null && incarnation.isEmpty();
+    if (state != State.UNREAD && incarnation != null && !incarnation.equals(name())) {
+      readPointer();
     }
   }
 
   /** A leader's question, now and then, whether the contents are still ours; {@code stamp}: its key's. */
-  public void probe(long stamp) {
-    if (state == State.SOUND && known != null) {
-      env.store().stillThere(JobProgressCodec.LEADER, stamp);
+  public void probe(long modRevision) {
+    if (state == State.INTACT && known != null) {
+      context.store().verifyUnchanged(JobProgressCodec.LEADER, modRevision);
     }
   }
 
   @Override
   public void probe() {
-    if (state == State.SOUND && known != null) {
-      env.store().commit(new Transaction());
+    if (state == State.INTACT && known != null) {
+      context.store().commit(new Transaction());
     }
   }
 
   @Override
-  public void fell(long seen, long now) {
+  public void revisionFell(long seen, long now) {
     lost("its revision fell from " + seen + " to " + now);
   }
 
   @Override
-  public void fenced() {
-    read();
+  public void fenceFailed() {
+    readPointer();
   }
 
   private void lost(String why) {
-    highest = Math.max(highest, floor() + env.store().seen());
-    env.store().newLife();
+    highestEpoch = Math.max(highestEpoch, epochFloor() + context.store().highestRevisionSeen());
+    context.store().discardIncarnation();
     claimed = null;
     losses++;
     if (state != State.LOST) {
       LOG.warn("the state service has lost data: {}", why);
       state = State.LOST;
-      lostMark = highest + LEAP;
+      lossEpoch = highestEpoch + LEAP;
       host.dataLost(why);
     } else {
       LOG.warn("the state service has lost data again: {}", why);
     }
     pointerRead = false;
     restore.begin();
-    read();
+    readPointer();
   }
 
-  private void again() {
-    if (!armed) {
-      armed = true;
-      env.timers().after(againS, () -> {
-        armed = false;
-        read();
+  private void retryLater() {
+    if (!retryScheduled) {
+      retryScheduled = true;
+      context.timers().after(retryS, () -> {
+        retryScheduled = false;
+        readPointer();
       });
     }
   }
 
   // ---- reading the pointer
 
-  private void read() {
-    if (reading) {
+  private void readPointer() {
+    if (readingPointer) {
       return;
     }
-    reading = true;
-    env.store()
+    readingPointer = true;
+    context.store()
         .get(IncarnationCodec.POINTER)
         .onComplete(
             r -> {
-              reading = false;
+              readingPointer = false;
               if (r.succeeded()) {
                 pointerRead = true;
-                seen(r.result());
+                pointerSeen(r.result());
               }
               if (r.failed() || state == State.LOST) {
-                again();
+                retryLater();
               }
             });
   }
 
-  private void seen(VersionedEntry entry) {
+  private void pointerSeen(VersionedEntry entry) {
     StoreIncarnation there = null;
     try {
-      there = entry.present() ? IncarnationCodec.read(entry.value(), entry.stamp()) : null;
+      there = entry.present() ? IncarnationCodec.read(entry.value(), entry.modRevision()) : null;
     } catch (MalformedInputException e) {
       LOG.warn("the era's key is unreadable: {}", e.getMessage());
     }
-    pointerStamp = entry.stamp();
+    pointerModRevision = entry.modRevision();
     pointed = there;
-    boolean same = known != null && there != null && there.name().equals(known.name()) && there.stamp() == known.stamp();
-    Copy kept = state == State.UNREAD && there == null ? source.kept() : null;
+    boolean same = known != null && there != null && there.name().equals(known.name()) && there.modRevision() == known.modRevision();
+    Copy kept = state == State.UNREAD && there == null ? source.newestStoredSnapshot() : null;
     if (kept != null) {
       lost("it holds no era, and there is a snapshot of epoch " + kept.getEpoch());
       return;
@@ -290,20 +290,20 @@
     if (known == null || there.follows(known)) {
       return true;
     }
-    return !there.name().equals(known.name()) && !known.follows(there) && !restore.knows();
+    return !there.name().equals(known.name()) && !known.follows(there) && !restore.hasSource();
   }
 
   private void adopt(StoreIncarnation there, boolean same) {
     if (there == null || same) {
-      settle(there, base);
+      settle(there, baseSnapshot);
       return;
     }
-    if (there.base() == null) {
+    if (there.snapshotName() == null) {
       settle(there, BaseSnapshot.EMPTY);
       return;
     }
-    String prefix = IncarnationCodec.blocks(there.base());
-    env.store()
+    String prefix = IncarnationCodec.blocks(there.snapshotName());
+    context.store()
         .list(prefix)
         .onSuccess(
             found -> {
@@ -311,71 +311,71 @@
                 settle(there, new BaseSnapshot(unpack(there, found).unpack(), there.since()));
               } catch (MalformedInputException e) {
                 LOG.error("era {} can't be used: {}", there.name(), e.getMessage());
-                again();
+                retryLater();
               }
             })
-        .onFailure(e -> again());
+        .onFailure(e -> retryLater());
   }
 
-  private static SnapshotBlocks unpack(StoreIncarnation era, WatchEvents found) {
+  private static SnapshotBlocks unpack(StoreIncarnation incarnation, WatchEvents found) {
     List<byte[]> blocks = new ArrayList<>();
     for (VersionedEntry e : found.events()) {
       byte[] block = IncarnationCodec.readBlock(e.value());
-      if (!e.key().equals(IncarnationCodec.block(era.base(), blocks.size())) || SnapshotBlocks.sum(block) != IncarnationCodec.readCrc(e.value())) {
+      if (!e.key().equals(IncarnationCodec.block(incarnation.snapshotName(), blocks.size())) || SnapshotBlocks.sum(block) != IncarnationCodec.readCrc(e.value())) {
         throw new MalformedInputException("block " + blocks.size() + " is missing or damaged");
       }
       blocks.add(block);
     }
-    if (blocks.size() != era.blocks()) {
-      throw new MalformedInputException("it has " + blocks.size() + " of " + era.blocks() + " blocks");
+    if (blocks.size() != incarnation.blockCount()) {
+      throw new MalformedInputException("it has " + blocks.size() + " of " + incarnation.blockCount() + " blocks");
     }
-    return new SnapshotBlocks(blocks, era.crc());
+    return new SnapshotBlocks(blocks, incarnation.crc());
   }
 
   private void settle(StoreIncarnation there, BaseSnapshot itsBase) {
     boolean news = there != null && (known == null || !there.name().equals(known.name()));
     State before = state;
     if (there != null) {
-      env.store().fence(IncarnationCodec.fence(there), there.stamp());
+      context.store().setFence(IncarnationCodec.fence(there), there.modRevision());
     }
     known = there;
-    base = itsBase;
-    state = State.SOUND;
-    if (before != State.SOUND || news) {
-      LOG.info("era {}, epochs from {}", name(), floor());
-      host.settled(base);
+    baseSnapshot = itsBase;
+    state = State.INTACT;
+    if (before != State.INTACT || news) {
+      LOG.info("era {}, epochs from {}", name(), epochFloor());
+      host.incarnationSettled(baseSnapshot);
     }
   }
 
   // ---- the terms of leadership
 
   @Override
-  public long floor() {
-    return known == null ? 0 : known.floor();
+  public long epochFloor() {
+    return known == null ? 0 : known.epochFloor();
   }
 
   @Override
   public boolean mayClaim() {
-    if (state == State.SOUND) {
+    if (state == State.INTACT) {
       // Whoever was up before knows whether contents without an era are new, or emptied; and has
       // restored them by then if they are. A process that was started anew into emptied contents once
       // began a first era there, while another still held all that was lost.
-      double upS = env.clock().now() - startedAt;
+      double upS = context.clock().now() - startedAt;
       return known != null
-          || (behind() ? upS > env.settings().workers().leaseS() / 2 : host.heardAll() || upS > env.settings().workers().reportS());
+          || (behind() ? upS > context.settings().workers().leaseS() / 2 : host.allPeersHeard() || upS > context.settings().workers().heartbeatIntervalS());
     }
     return state == State.LOST && pointerRead && restore.prepared() != null;
   }
 
   @Override
-  public void orphaned(String holder) {
-    if (state == State.SOUND) {
+  public void leaderKeyOrphaned(String holder) {
+    if (state == State.INTACT) {
       lost("the steward's key names " + holder + ", and its lease is gone");
     }
   }
 
   @Override
-  public boolean beginsAnew() {
+  public boolean startsNewIncarnation() {
     return state == State.LOST;
   }
 
@@ -384,63 +384,63 @@
     claimed = null;
     if (state == State.LOST) {
       StoreRestorer.Prepared p = restore.prepared();
-      highest = Math.max(highest, p.copy().getEpoch());
-      claimed = new StoreIncarnation(p.name(), 0, highest + LEAP, p.name(), p.blocks(), p.crc(), 0, before());
+      highestEpoch = Math.max(highestEpoch, p.copy().getEpoch());
+      claimed = new StoreIncarnation(p.name(), 0, highestEpoch + LEAP, p.name(), p.blocks(), p.crc(), 0, before());
     } else if (known == null) {
-      claimed = new StoreIncarnation(env.names().get(), 0, behind() ? highest + LEAP : 0, null, 0, 0, 0, List.of());
-    } else if (highest > floor() + env.store().seen()) {
-      claimed = new StoreIncarnation(env.names().get(), 0, highest + LEAP, known.base(), known.blocks(), known.crc(), known.since(), known.line());
+      claimed = new StoreIncarnation(context.names().get(), 0, behind() ? highestEpoch + LEAP : 0, null, 0, 0, 0, List.of());
+    } else if (highestEpoch > epochFloor() + context.store().highestRevisionSeen()) {
+      claimed = new StoreIncarnation(context.names().get(), 0, highestEpoch + LEAP, known.snapshotName(), known.blockCount(), known.crc(), known.since(), known.lineage());
     }
     if (claimed == null) {
-      return new Claim(name(), floor(), 0);
+      return new Claim(name(), epochFloor(), 0);
     }
-    txn.unfenced().when(IncarnationCodec.POINTER, pointerStamp);
+    txn.unfenced().when(IncarnationCodec.POINTER, pointerModRevision);
     if (state == State.LOST) {
       // Lost again since they were written, the blocks would be missing: contents that hold the last hold all.
       StoreRestorer.Prepared p = restore.prepared();
-      txn.when(IncarnationCodec.block(p.name(), p.blocks() - 1), p.lastStamp());
+      txn.when(IncarnationCodec.block(p.name(), p.blocks() - 1), p.lastModRevision());
     }
     if (pointed != null) {
       txn.drop(IncarnationCodec.fence(pointed));
     }
     txn.write(IncarnationCodec.POINTER, IncarnationCodec.write(claimed)).write(IncarnationCodec.fence(claimed), IncarnationCodec.write(claimed));
-    return new Claim(claimed.name(), claimed.floor(), state == State.LOST ? restore.othersMayLeadS() : 0);
+    return new Claim(claimed.name(), claimed.epochFloor(), state == State.LOST ? restore.formerLeaderGraceS() : 0);
   }
 
   /** The names that came before an era that is begun now, whatever is there besides what we knew. */
   private List<String> before() {
-    List<String> out = new ArrayList<>(known == null ? List.of() : known.line());
+    List<String> out = new ArrayList<>(known == null ? List.of() : known.lineage());
     if (pointed != null) {
-      pointed.line().stream().filter(n -> !out.contains(n)).forEach(out::add);
+      pointed.lineage().stream().filter(n -> !out.contains(n)).forEach(out::add);
     }
     return out;
   }
 
   @Override
-  public void claimed(long stamp) {
+  public void claimSucceeded(long modRevision) {
     if (claimed == null) {
       return;
     }
-    StoreIncarnation begun = claimed.at(stamp);
+    StoreIncarnation begun = claimed.at(modRevision);
     claimed = null;
-    BaseSnapshot with = state == State.LOST ? new BaseSnapshot(restore.prepared().copy(), stamp) : base;
+    BaseSnapshot with = state == State.LOST ? new BaseSnapshot(restore.prepared().copy(), modRevision) : baseSnapshot;
     if (state == State.LOST) {
-      begunWith = restore.prepared().copy();
-      LOG.info("restored: {} blocks, complete {}", begun.blocks(), with.complete());
-      restore.over();
+      takeInitialSnapshot = restore.prepared().copy();
+      LOG.info("restored: {} blocks, complete {}", begun.blockCount(), with.complete());
+      restore.finish();
     }
-    pointerStamp = stamp;
+    pointerModRevision = modRevision;
     pointed = begun;
     settle(begun, with);
   }
 
   @Override
-  public void refused() {
+  public void claimRefused() {
     if (claimed == null) {
       return;
     }
     claimed = null;
-    read();
+    readPointer();
     if (state == State.LOST) {
       // The blocks are lost too, or somebody has begun an era: then there is no more need of ours.
       restore.begin();
--- a/src/main/java/io/embernotch/incarnation/StoreRestorer.java
+++ b/src/main/java/io/embernotch/incarnation/StoreRestorer.java
@@ -8,7 +8,7 @@
 import io.embernotch.copy.proto.CopyFile.Copy;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.settings.Settings;
-import io.embernotch.store.RateLimiter.Rank;
+import io.embernotch.store.RateLimiter.RequestPriority;
 import io.embernotch.store.StoreClient;
 import io.embernotch.store.Transaction;
 import java.util.function.BooleanSupplier;
@@ -29,18 +29,18 @@
      * What this node was leader of when the data was lost; null if it was not, or another has been
      * since.
      */
-    Copy copy();
+    Copy lastLeaderSnapshot();
 
     /** The newest snapshot that may be used; null if there is none. Blocks. */
-    Copy kept();
+    Copy newestStoredSnapshot();
   }
 
   /** A copy that lies in the state service. */
-  record Prepared(String name, Copy copy, int blocks, long crc, long lastStamp) {}
+  record Prepared(String name, Copy copy, int blocks, long crc, long lastModRevision) {}
 
-  private final ControllerContext env;
+  private final ControllerContext context;
   private final Source source;
-  private final double lifeS;
+  private final double leaseTtlS;
   private final BooleanSupplier needed;
   private Prepared prepared;
   private boolean ownTerm;
@@ -51,10 +51,10 @@
   /**
    * @param lifeS life of a leader's lease in seconds
    */
-  StoreRestorer(ControllerContext env, Source source, double lifeS, BooleanSupplier needed) {
-    this.env = env;
+  StoreRestorer(ControllerContext context, Source source, double leaseTtlS, BooleanSupplier needed) {
+    this.context = context;
     this.source = source;
-    this.lifeS = lifeS;
+    this.leaseTtlS = leaseTtlS;
     this.needed = needed;
   }
 
@@ -64,13 +64,13 @@
   }
 
   /** This node has a copy of its own. */
-  boolean knows() {
+  boolean hasSource() {
     return ownTerm;
   }
 
   /** A leader from before the loss may count itself live for so long after a claim. */
-  double othersMayLeadS() {
-    return ownTerm ? 0 : lifeS * (1 + 2 * Settings.DRIFT);
+  double formerLeaderGraceS() {
+    return ownTerm ? 0 : leaseTtlS * (1 + 2 * Settings.DRIFT);
   }
 
   /**
@@ -80,20 +80,20 @@
   void begin() {
     prepared = null;
     int mine = ++attempt;
-    Copy copy = source.copy();
+    Copy copy = source.lastLeaderSnapshot();
     ownTerm = copy != null;
     if (copy != null) {
       lead(mine, copy);
       return;
     }
-    env.timers()
+    context.timers()
         .after(
-            env.settings().workers().leaseS() / 3,
+            context.settings().workers().leaseS() / 3,
             () -> {
               if (mine == attempt && needed.getAsBoolean()) {
                 // Tasks may run of which nobody here knows, so nothing that was left is started for
                 // long.
-                Copy kept = source.kept();
+                Copy kept = source.newestStoredSnapshot();
                 LOG.warn(
                     "nobody who was steward has restored the state service's data: going on with what is left there and {}",
                     kept == null ? "no snapshot" : "a snapshot of epoch " + kept.getEpoch());
@@ -105,7 +105,7 @@
 
   /** Neither a snapshot nor what is left in the store need be the newer one: both count. */
   private void leadWithRemains(int mine, Copy kept) {
-    StoreClient store = env.store();
+    StoreClient store = context.store();
     store
         .list(JobProgressCodec.JOB)
         .compose(
@@ -115,7 +115,7 @@
                     .compose(
                         runs ->
                             store
-                                .list(JobProgressCodec.PART)
+                                .list(JobProgressCodec.REFINED_SHARD)
                                 .compose(
                                     parts ->
                                         store
@@ -124,9 +124,9 @@
         .onSuccess(left -> lead(mine, SnapshotMerge.of(left, kept)))
         .onFailure(
             e ->
-                env.timers()
+                context.timers()
                     .after(
-                        lifeS / 4,
+                        leaseTtlS / 4,
                         () -> {
                           if (mine == attempt && needed.getAsBoolean()) {
                             leadWithRemains(mine, kept);
@@ -134,14 +134,14 @@
                         }));
   }
 
-  void over() {
+  void finish() {
     attempt++;
     prepared = null;
   }
 
   private void lead(int mine, Copy copy) {
-    String name = env.names().get();
-    SnapshotBlocks packed = SnapshotBlocks.pack(copy, (int) (env.settings().stateFloor().valueKb() * 1024));
+    String name = context.names().get();
+    SnapshotBlocks packed = SnapshotBlocks.pack(copy, (int) (context.settings().minStoreLimits().valueKb() * 1024));
     LOG.info(
         "restoring {} jobs and {} ends in {} blocks",
         copy.getJobCount(),
@@ -161,7 +161,7 @@
     Transaction txn = new Transaction().unfenced();
     int bytes = 0;
     int to = from;
-    for (; to < packed.blocks().size() && to - from < env.settings().stateFloor().txnOps(); to++) {
+    for (; to < packed.blocks().size() && to - from < context.settings().minStoreLimits().txnOps(); to++) {
       byte[] block = packed.blocks().get(to);
       bytes += block.length * 4 / 3 + 200;
       if (to > from && bytes > Transaction.MAX_BYTES) {
@@ -171,11 +171,11 @@
     }
     int next = to;
     // Written again after an answer that did not come, it is the same.
-    env.store()
-        .commit(txn, Rank.FIRST)
+    context.store()
+        .commit(txn, RequestPriority.HIGH)
         .onSuccess(
             c ->
-                write(mine, new Prepared(p.name, p.copy, p.blocks, p.crc, c.epoch()), packed, next))
-        .onFailure(e -> env.timers().after(lifeS / 16, () -> write(mine, p, packed, from)));
+                write(mine, new Prepared(p.name, p.copy, p.blocks, p.crc, c.revision()), packed, next))
+        .onFailure(e -> context.timers().after(leaseTtlS / 16, () -> write(mine, p, packed, from)));
   }
 }
