--- a/src/main/java/io/embernotch/jobs/AttemptOutcomes.java
+++ b/src/main/java/io/embernotch/jobs/AttemptOutcomes.java
@@ -20,15 +20,15 @@
 public final class AttemptOutcomes {
   private static final Logger LOG = LoggerFactory.getLogger(AttemptOutcomes.class);
 
-  private final ControllerContext env;
-  private final ClusterState ledger;
-  private final StateWriter committer;
-  private final JobCompletions endings;
-  private final FailureAttribution blame;
+  private final ControllerContext context;
+  private final ClusterState state;
+  private final StateWriter stateWriter;
+  private final JobCompletions completions;
+  private final FailureAttribution failureAttribution;
   private final int remembered;
   private final Consumer<Job> closed;
   private final Runnable changed;
-  private TaskStopper stops;
+  private TaskStopper stopper;
 
   /**
    * @param remembered finished tasks that a machine's performance is counted from
@@ -36,38 +36,38 @@
    *     plan
    */
   public AttemptOutcomes(
-      ControllerContext env,
-      ClusterState ledger,
-      StateWriter committer,
-      JobCompletions endings,
+      ControllerContext context,
+      ClusterState state,
+      StateWriter stateWriter,
+      JobCompletions completions,
       int remembered,
       Consumer<Job> closed,
       Runnable changed) {
-    this.env = env;
-    this.ledger = ledger;
-    this.committer = committer;
-    this.endings = endings;
-    this.blame = new FailureAttribution(env, ledger);
+    this.context = context;
+    this.state = state;
+    this.stateWriter = stateWriter;
+    this.completions = completions;
+    this.failureAttribution = new FailureAttribution(context, state);
     this.remembered = remembered;
     this.closed = closed;
     this.changed = changed;
   }
 
   /** Stopping an attempt may end it, and an end may stop others, so each has to know the other. */
-  public void stopBy(TaskStopper stops) {
-    this.stops = stops;
+  public void setStopper(TaskStopper stopper) {
+    this.stopper = stopper;
   }
 
   /** What an earlier leader has decided goes on, and what it has not finished is finished. */
-  public void takeOver() {
-    endings.takeOver();
-    for (Job job : ledger.jobs.values()) {
-      if (job.end == JobPhase.CANCELLED) {
-        List.copyOf(job.open.values()).forEach(a -> stops.want(a, 0));
+  public void resume() {
+    completions.resume();
+    for (Job job : state.jobs.values()) {
+      if (job.finalPhase == JobPhase.CANCELLED) {
+        List.copyOf(job.openAttempts.values()).forEach(a -> stopper.requestStop(a, 0));
       } else if (job.spec.shape() == JobShape.GANG
-          && job.open.size() < job.spec.tasks()
-          && !job.open.isEmpty()) {
-        stops.breakGang(job, 0);
+          && job.openAttempts.size() < job.spec.tasks()
+          && !job.openAttempts.isEmpty()) {
+        stopper.stopGang(job, 0);
       }
     }
   }
@@ -75,7 +75,7 @@
   /** An attempt has exited on its machine. */
   public void exited(Attempt a, Machine m, ExitCause cause, boolean saved) {
     Job job = a.job;
-    double now = env.clock().now();
+    double now = context.clock().now();
     if (LOG.isDebugEnabled()) {
       LOG.debug(
           "{} exited: {}{}; {} s after its start, {} s of them running, {} s expected",
@@ -96,26 +96,26 @@
 
   private void finished(Attempt a, Machine m, double now) {
     Job job = a.job;
-    if (a.runningAt >= 0 && !job.restarted.get(a.task) && !job.done.get(a.task)) {
+    if (a.runningAt >= 0 && !job.restartedTasks.get(a.task) && !job.done.get(a.task)) {
       double ran = Math.max(0.1, now - a.runningAt);
       job.finishedSumS += ran;
       job.finishedCount++;
-      m.finished(job.meanS() / ran, remembered);
+      m.recordFinished(job.meanS() / ran, remembered);
     }
-    boolean ended = job.end != null;
+    boolean ended = job.finalPhase != null;
     if (!ended && job.spec.shape() == JobShape.GANG) {
       // A gang completes together: when one task is done, every task is.
       job.done.set(0, job.spec.tasks());
     } else if (!ended) {
       job.done.set(a.task);
     }
-    blame.cleared(job, m);
+    failureAttribution.cleared(job, m);
     if (ended) {
       return;
     }
     if (job.remaining() == 0) {
-      endings.decide(job, JobPhase.DONE);
-      for (Attempt other : job.open.values()) {
+      completions.decide(job, JobPhase.DONE);
+      for (Attempt other : job.openAttempts.values()) {
         other.stopping = false;
         touched(other);
       }
@@ -124,41 +124,41 @@
 
   private void failed(Attempt a, Machine m, ExitCause cause, double now) {
     Job job = a.job;
-    double report = env.settings().workers().reportS();
+    double heartbeat = context.settings().workers().heartbeatIntervalS();
     switch (cause) {
-      case ERROR -> blame.failed(a, m, now);
-      case NO_ROOM, BUSY -> m.avoidUntil = now + report;
-      case UNKNOWN -> job.backoffUntil = now + report / 3;
+      case ERROR -> failureAttribution.failed(a, m, now);
+      case NO_ROOM, BUSY -> m.avoidUntil = now + heartbeat;
+      case UNKNOWN -> job.backoffUntil = now + heartbeat / 3;
       default -> {}
     }
-    if (job.spec.shape() == JobShape.GANG && job.end == null) {
-      stops.breakGang(job, a.stopping ? a.stopGraceS : 0);
+    if (job.spec.shape() == JobShape.GANG && job.finalPhase == null) {
+      stopper.stopGang(job, a.stopping ? a.stopGraceS : 0);
     }
   }
 
   /** An attempt is proven gone without an exit. */
   public void gone(Attempt a, Machine m, String why) {
     LOG.info("{} is gone: {}", a, why);
-    if (a.job.spec.shape() == JobShape.GANG && a.job.end == null) {
-      stops.breakGang(a.job, 0);
+    if (a.job.spec.shape() == JobShape.GANG && a.job.finalPhase == null) {
+      stopper.stopGang(a.job, 0);
     }
     close(a);
   }
 
   private void touched(Attempt a) {
-    Machine m = ledger.machines.get(a.machine);
+    Machine m = state.machines.get(a.machine);
     if (m != null) {
-      m.touched();
+      m.attemptsChanged();
     }
   }
 
   /** An attempt is over: its place is free, and what the store is to hold has changed. */
   public void close(Attempt a) {
-    ledger.close(a, env.clock().now());
-    if (a.start != Attempt.LaunchState.UNCOMMITTED && a.start != Attempt.LaunchState.READY) {
-      a.job.restarted.set(a.task);
+    state.closeAttempt(a, context.clock().now());
+    if (a.launchState != Attempt.LaunchState.UNCOMMITTED && a.launchState != Attempt.LaunchState.READY) {
+      a.job.restartedTasks.set(a.task);
     }
-    committer.later(a.job, a.task);
+    stateWriter.writeLater(a.job, a.task);
     closed.accept(a.job);
     changed.run();
   }
--- a/src/main/java/io/embernotch/jobs/Cancellations.java
+++ b/src/main/java/io/embernotch/jobs/Cancellations.java
@@ -11,7 +11,7 @@
 import io.embernotch.model.JobPhase;
 import io.embernotch.persistence.StateWriter;
 import io.embernotch.settings.Settings;
-import io.embernotch.store.RateLimiter.Rank;
+import io.embernotch.store.RateLimiter.RequestPriority;
 import io.vertx.core.Promise;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -28,62 +28,62 @@
  * a cancelled job once started on a machine that had hung, seconds after its user had been told.
  */
 public final class Cancellations {
-  private final ControllerContext env;
-  private final ClusterState ledger;
-  private final StateWriter committer;
-  private final JobCompletions endings;
-  private final AgentReconciler workers;
-  private final Map<Job, List<Promise<HttpResponse>>> asked = new LinkedHashMap<>();
+  private final ControllerContext context;
+  private final ClusterState state;
+  private final StateWriter stateWriter;
+  private final JobCompletions completions;
+  private final AgentReconciler agents;
+  private final Map<Job, List<Promise<HttpResponse>>> requested = new LinkedHashMap<>();
 
-  public Cancellations(ControllerContext env, ClusterState ledger, StateWriter committer, JobCompletions endings, AgentReconciler workers) {
-    this.env = env;
-    this.ledger = ledger;
-    this.committer = committer;
-    this.endings = endings;
-    this.workers = workers;
+  public Cancellations(ControllerContext context, ClusterState state, StateWriter stateWriter, JobCompletions completions, AgentReconciler agents) {
+    this.context = context;
+    this.state = state;
+    this.stateWriter = stateWriter;
+    this.completions = completions;
+    this.agents = agents;
   }
 
   /** A user wants the job cancelled; its tasks have been told to stop. */
-  public void ask(Job job, Promise<HttpResponse> reply) {
-    asked.computeIfAbsent(job, j -> new ArrayList<>()).add(reply);
-    env.timers()
+  public void request(Job job, Promise<HttpResponse> reply) {
+    requested.computeIfAbsent(job, j -> new ArrayList<>()).add(reply);
+    context.timers()
         .after(
-            env.settings().workers().reportS() / 2,
+            context.settings().workers().heartbeatIntervalS() / 2,
             () -> reply.tryComplete(HttpResponse.later("tasks of it cannot be reached yet")));
     check(job);
   }
 
   public void checkAll() {
-    List.copyOf(asked.keySet()).forEach(this::check);
+    List.copyOf(requested.keySet()).forEach(this::check);
   }
 
   /** Something of the job may have ended. */
   public void check(Job job) {
-    List<Promise<HttpResponse>> replies = asked.get(job);
+    List<Promise<HttpResponse>> replies = requested.get(job);
     if (replies == null) {
       return;
     }
-    if (job.end == null) {
+    if (job.finalPhase == null) {
       if (!allGoneInTime(job)) {
         return;
       }
-      endings.decide(job, JobPhase.CANCELLED);
+      completions.decide(job, JobPhase.CANCELLED);
     }
-    asked.remove(job);
-    HttpResponse answer = HttpResponse.of(200, JobCodec.brief(job.spec.ref(), job.end));
-    if (job.endKept) {
+    requested.remove(job);
+    HttpResponse answer = HttpResponse.of(200, JobCodec.brief(job.spec.ref(), job.finalPhase));
+    if (job.endPersisted) {
       replies.forEach(r -> r.tryComplete(answer));
     } else {
-      committer.now(job, 0, Rank.FIRST, () -> replies.forEach(r -> r.tryComplete(answer)));
+      stateWriter.writeNow(job, 0, RequestPriority.HIGH, () -> replies.forEach(r -> r.tryComplete(answer)));
     }
   }
 
   private boolean allGoneInTime(Job job) {
     // What the commit and its answer may take counts as well: a tenth is far more than they do.
-    double by = env.clock().now() + env.settings().workers().cancelS() * (0.9 - Settings.DRIFT);
-    for (Attempt a : job.open.values()) {
-      Machine m = ledger.machines.get(a.machine);
-      if (m == null || workers.goneBy(m) > by || a.mayYetStart(workers.base())) {
+    double by = context.clock().now() + context.settings().workers().cancelS() * (0.9 - Settings.DRIFT);
+    for (Attempt a : job.openAttempts.values()) {
+      Machine m = state.machines.get(a.machine);
+      if (m == null || agents.leaseExpiresBy(m) > by || a.mayYetStart(agents.tokenBase())) {
         return false;
       }
     }
--- a/src/main/java/io/embernotch/jobs/DependencyGraph.java
+++ b/src/main/java/io/embernotch/jobs/DependencyGraph.java
@@ -28,7 +28,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(DependencyGraph.class);
 
   /** What becomes of jobs that waited. */
-  public interface Sink {
+  public interface Listener {
     /** Every job before it is done. */
     void released(Job job);
 
@@ -36,12 +36,12 @@
     void cancelled(Job job);
 
     /** A job that another one names, and that nobody has told the leader of. */
-    void found(VersionedEntry entry);
+    void jobFound(VersionedEntry entry);
   }
 
-  private final ControllerContext env;
-  private final ClusterState ledger;
-  private final Sink sink;
+  private final ControllerContext context;
+  private final ClusterState state;
+  private final Listener sink;
 
   /** The jobs that name a job, by the id of the named one, while that has not ended. */
   private final Map<String, Set<Job>> needing = new HashMap<>();
@@ -52,9 +52,9 @@
   private final Set<String> lookingUp = new LinkedHashSet<>();
   private boolean changed;
 
-  public DependencyGraph(ControllerContext env, ClusterState ledger, Sink sink) {
-    this.env = env;
-    this.ledger = ledger;
+  public DependencyGraph(ControllerContext context, ClusterState state, Listener sink) {
+    this.context = context;
+    this.state = state;
     this.sink = sink;
   }
 
@@ -62,7 +62,7 @@
   public void rebuild() {
     needing.clear();
     unknown.clear();
-    List.copyOf(ledger.jobs.values()).forEach(this::add);
+    List.copyOf(state.jobs.values()).forEach(this::add);
   }
 
   /** A job has become known; it waits from now on if it has to. */
@@ -70,40 +70,40 @@
     changed = true;
     unknown.remove(job.spec.ref());
     boolean doomed = false;
-    for (String ref : job.end == null ? job.spec.awaits() : List.<String>of()) {
-      ClusterState.Ended ended = ended(ref);
+    for (String ref : job.finalPhase == null ? job.spec.dependencies() : List.<String>of()) {
+      ClusterState.EndedJob ended = ended(ref);
       if (ended == null) {
-        job.waitingFor.add(ref);
+        job.unmetDependencies.add(ref);
         needing.computeIfAbsent(ref, r -> new LinkedHashSet<>()).add(job);
-        if (!ledger.jobs.containsKey(ref)) {
+        if (!state.jobs.containsKey(ref)) {
           unknown.add(ref);
         }
       } else if (ended.phase() == JobPhase.CANCELLED) {
         doomed = true;
       } else {
-        job.sinceMs = Math.max(job.sinceMs, ended.atMs());
+        job.eligibleSinceMs = Math.max(job.eligibleSinceMs, ended.atMs());
       }
     }
     if (doomed) {
       cancel(job);
     }
-    lookUp();
+    resolveUnknown();
   }
 
   /** The end of a job as the store holds it; null while it has none there. */
-  private ClusterState.Ended ended(String ref) {
-    ClusterState.Ended ended = ledger.ended.get(ref);
+  private ClusterState.EndedJob ended(String ref) {
+    ClusterState.EndedJob ended = state.endedJobs.get(ref);
     if (ended != null) {
       return ended;
     }
-    Job job = ledger.jobs.get(ref);
-    return job != null && job.endKept ? ClusterState.Ended.of(job) : null;
+    Job job = state.jobs.get(ref);
+    return job != null && job.endPersisted ? ClusterState.EndedJob.of(job) : null;
   }
 
   /** The store holds the end of a job. */
   public void ended(Job job) {
     Set<Job> after = needing.remove(job.spec.ref());
-    if (job.end == JobPhase.CANCELLED) {
+    if (job.finalPhase == JobPhase.CANCELLED) {
       changed = true;
     }
     if (after == null) {
@@ -111,16 +111,16 @@
     }
     changed = true;
     for (Job next : after) {
-      if (next.end != null) {
+      if (next.finalPhase != null) {
         continue;
       }
-      if (job.end == JobPhase.CANCELLED) {
+      if (job.finalPhase == JobPhase.CANCELLED) {
         cancel(next);
         continue;
       }
-      next.waitingFor.remove(job.spec.ref());
-      next.sinceMs = Math.max(next.sinceMs, job.endedMs);
-      if (!next.held()) {
+      next.unmetDependencies.remove(job.spec.ref());
+      next.eligibleSinceMs = Math.max(next.eligibleSinceMs, job.endedMs);
+      if (!next.blocked()) {
         sink.released(next);
       }
     }
@@ -131,12 +131,12 @@
     Deque<Job> left = new ArrayDeque<>(List.of(first));
     while (!left.isEmpty()) {
       Job job = left.poll();
-      if (job.endKept) {
+      if (job.endPersisted) {
         continue;
       }
-      job.end = JobPhase.CANCELLED;
-      job.endKept = true;
-      job.endedMs = env.clock().wallMs();
+      job.finalPhase = JobPhase.CANCELLED;
+      job.endPersisted = true;
+      job.endedMs = context.clock().wallMs();
       sink.cancelled(job);
       Set<Job> after = needing.remove(job.spec.ref());
       if (after != null) {
@@ -146,14 +146,14 @@
   }
 
   /** Asks the store for named jobs that the leader has not heard of, a few at a time. */
-  public void lookUp() {
-    int most = (int) Math.max(1, env.settings().stateFloor().rps() / 20);
+  public void resolveUnknown() {
+    int most = (int) Math.max(1, context.settings().minStoreLimits().rps() / 20);
     for (String ref : List.copyOf(unknown)) {
       if (lookingUp.size() >= most) {
         return;
       }
       if (lookingUp.add(ref)) {
-        env.store()
+        context.store()
             .get(JobProgressCodec.JOB + ref)
             .onComplete(
                 r -> {
@@ -162,8 +162,8 @@
                     return;
                   }
                   if (r.result().present()) {
-                    lookUp();
-                    sink.found(r.result());
+                    resolveUnknown();
+                    sink.jobFound(r.result());
                   } else {
                     // Its node read it before accepting the job that names it, so this cannot be.
                     LOG.error("job {} is awaited, and is not in the store", ref);
@@ -177,17 +177,17 @@
    * Has jobs inherit the priority and the latest start of all that need them. To be called before a
    * plan; does nothing unless the graph has changed.
    */
-  public void inherit() {
+  public void propagateUrgency() {
     if (!changed) {
       return;
     }
     changed = false;
-    for (Job job : ledger.jobs.values()) {
-      job.rank = job.spec.priority();
-      job.startByMs = ownStartBy(job);
+    for (Job job : state.jobs.values()) {
+      job.effectivePriority = job.spec.priority();
+      job.latestStartMs = ownStartBy(job);
     }
-    for (Job job : ledger.jobs.values()) {
-      if (job.end == null && !job.spec.awaits().isEmpty()) {
+    for (Job job : state.jobs.values()) {
+      if (job.finalPhase == null && !job.spec.dependencies().isEmpty()) {
         pass(job);
       }
     }
@@ -198,17 +198,17 @@
     while (!left.isEmpty()) {
       Job job = left.poll();
       // Nothing takes the place of a live service by being needed.
-      Priority rank = job.rank == Priority.PRODUCTION ? Priority.HIGH : job.rank;
-      for (String ref : job.waitingFor) {
-        Job before = ledger.jobs.get(ref);
-        if (before == null || before.end != null) {
+      Priority rank = job.effectivePriority == Priority.PRODUCTION ? Priority.HIGH : job.effectivePriority;
+      for (String ref : job.unmetDependencies) {
+        Job before = state.jobs.get(ref);
+        if (before == null || before.finalPhase != null) {
           continue;
         }
         long startBy =
-            job.startByMs == Long.MAX_VALUE ? Long.MAX_VALUE : job.startByMs - runMs(before);
-        if (before.rank.compareTo(rank) < 0 || startBy < before.startByMs) {
-          before.rank = before.rank.compareTo(rank) < 0 ? rank : before.rank;
-          before.startByMs = Math.min(before.startByMs, startBy);
+            job.latestStartMs == Long.MAX_VALUE ? Long.MAX_VALUE : job.latestStartMs - runMs(before);
+        if (before.effectivePriority.compareTo(rank) < 0 || startBy < before.latestStartMs) {
+          before.effectivePriority = before.effectivePriority.compareTo(rank) < 0 ? rank : before.effectivePriority;
+          before.latestStartMs = Math.min(before.latestStartMs, startBy);
           left.add(before);
         }
       }
@@ -225,10 +225,10 @@
     return Math.round(job.spec.expectS() * 1000);
   }
 
-  public int waiting() {
+  public int blockedCount() {
     int n = 0;
-    for (Job job : ledger.jobs.values()) {
-      n += job.end == null && job.held() ? 1 : 0;
+    for (Job job : state.jobs.values()) {
+      n += job.finalPhase == null && job.blocked() ? 1 : 0;
     }
     return n;
   }
--- a/src/main/java/io/embernotch/jobs/FailoverRecovery.java
+++ b/src/main/java/io/embernotch/jobs/FailoverRecovery.java
@@ -31,56 +31,56 @@
 public final class FailoverRecovery {
   private static final Logger LOG = LoggerFactory.getLogger(FailoverRecovery.class);
 
-  private final ControllerContext env;
-  private final ClusterState ledger;
-  private final StateWriter committer;
-  private final ShardLayout layout;
-  private final DependencyGraph chains;
-  private final DemandForecast demand;
-  private final long baseToken;
+  private final ControllerContext context;
+  private final ClusterState state;
+  private final StateWriter stateWriter;
+  private final ShardLayout shardLayout;
+  private final DependencyGraph dependencyGraph;
+  private final DemandForecast demandForecast;
+  private final long tokenBase;
   private final double acquiredAt;
-  private final BaseSnapshot base;
+  private final BaseSnapshot baseSnapshot;
 
   public FailoverRecovery(
-      ControllerContext env,
-      ClusterState ledger,
-      StateWriter committer,
-      ShardLayout layout,
-      DependencyGraph chains,
-      DemandForecast demand,
-      long baseToken,
+      ControllerContext context,
+      ClusterState state,
+      StateWriter stateWriter,
+      ShardLayout shardLayout,
+      DependencyGraph dependencyGraph,
+      DemandForecast demandForecast,
+      long tokenBase,
       double acquiredAt,
-      BaseSnapshot base) {
-    this.env = env;
-    this.ledger = ledger;
-    this.committer = committer;
-    this.layout = layout;
-    this.chains = chains;
-    this.demand = demand;
-    this.baseToken = baseToken;
+      BaseSnapshot baseSnapshot) {
+    this.context = context;
+    this.state = state;
+    this.stateWriter = stateWriter;
+    this.shardLayout = shardLayout;
+    this.dependencyGraph = dependencyGraph;
+    this.demandForecast = demandForecast;
+    this.tokenBase = tokenBase;
     this.acquiredAt = acquiredAt;
-    this.base = base;
+    this.baseSnapshot = baseSnapshot;
   }
 
-  public void read(WatchEvents jobs, WatchEvents runs, WatchEvents parts) {
-    ledger.jobs.clear();
-    ledger.ended.clear();
-    ledger.machines.clear();
-    ledger.ended.putAll(base.allEnded());
+  public void load(WatchEvents jobs, WatchEvents runs, WatchEvents parts) {
+    state.jobs.clear();
+    state.endedJobs.clear();
+    state.machines.clear();
+    state.endedJobs.putAll(baseSnapshot.allEnded());
     Map<String, Job> all = new LinkedHashMap<>();
     Map<String, Integer> sizes = new HashMap<>();
-    ledger.unreadable.clear();
+    state.unreadable.clear();
     for (VersionedEntry e : jobs.events()) {
       String ref = e.key().substring(JobProgressCodec.JOB.length());
       if (!readable(
           e,
           () -> {
             Job job = JobProgressCodec.readJob(e.value());
-            sizes.put(ref, JobProgressCodec.readPiece(e.value()));
+            sizes.put(ref, JobProgressCodec.readShardSize(e.value()));
             all.put(ref, job);
-            job.again |= e.stamp() <= base.since();
+            job.restoredAfterLoss |= e.modRevision() <= baseSnapshot.since();
           })) {
-        ledger.unreadable.add(ref);
+        state.unreadable.add(ref);
       }
     }
     for (VersionedEntry e : runs.events()) {
@@ -89,9 +89,9 @@
       if (job != null
           && !readable(
               e,
-              () -> JobProgressCodec.readRun(e.value(), job, sizes.get(ref), JobProgressCodec.pieceOf(e.key())))) {
+              () -> JobProgressCodec.readRun(e.value(), job, sizes.get(ref), JobProgressCodec.shardOf(e.key())))) {
         // What runs of it is not known, so it waits until nothing can.
-        job.notBefore = acquiredAt + WorkerLeases.longestS(env.settings());
+        job.notBefore = acquiredAt + WorkerLeases.longestLeaseS(context.settings());
       }
     }
     Map<String, List<ProgressShard>> partsOf = new HashMap<>();
@@ -103,25 +103,25 @@
         (ref, list) -> {
           Job job = all.get(ref);
           if (job != null) {
-            committer.limitsAreLowered();
+            stateWriter.limitsLowered();
             ProgressShard.add(job, list);
-            list.forEach(p -> layout.knowPart(ref, p.size()));
+            list.forEach(p -> shardLayout.recordRefinedSize(ref, p.size()));
           }
         });
     Stream.concat(runs.events().stream(), parts.events().stream())
-        .filter(e -> isLeft(all.get(e.key().split("/")[1])))
-        .forEach(e -> committer.know(e.key(), e.stamp()));
+        .filter(e -> mayStillBeWritten(all.get(e.key().split("/")[1])))
+        .forEach(e -> stateWriter.recordModRevision(e.key(), e.modRevision()));
     all.values().stream()
         .sorted(Comparator.comparingLong(j -> j.submittedMs))
-        .forEach(j -> take(j, sizes.get(j.spec.ref())));
-    chains.rebuild();
+        .forEach(j -> adopt(j, sizes.get(j.spec.ref())));
+    dependencyGraph.rebuild();
     all.values().stream()
-        .filter(j -> !j.held())
-        .sorted(Comparator.comparingLong(j -> j.sinceMs))
+        .filter(j -> !j.blocked())
+        .sorted(Comparator.comparingLong(j -> j.eligibleSinceMs))
         .forEach(
             j ->
-                demand.seen(
-                    j.spec, acquiredAt - Math.max(0, env.clock().wallMs() - j.sinceMs) / 1000.0));
+                demandForecast.seen(
+                    j.spec, acquiredAt - Math.max(0, context.clock().wallMs() - j.eligibleSinceMs) / 1000.0));
   }
 
   /**
@@ -139,41 +139,41 @@
   }
 
   /** Something of the job may yet be written. */
-  private static boolean isLeft(Job job) {
-    return job != null && (job.end == null || !job.open.isEmpty());
+  private static boolean mayStillBeWritten(Job job) {
+    return job != null && (job.finalPhase == null || !job.openAttempts.isEmpty());
   }
 
   /**
    * After a loss of which no leader's copy is left, tasks that were started before it may run
    * where nobody knows. They are over once no worker can have been renewed for them any more.
    */
-  public void waitIfUnsure(Job job) {
-    if (job.again && !base.complete()) {
-      job.notBefore = acquiredAt + WorkerLeases.longestS(env.settings());
+  public void delayIfProgressUncertain(Job job) {
+    if (job.restoredAfterLoss && !baseSnapshot.complete()) {
+      job.notBefore = acquiredAt + WorkerLeases.longestLeaseS(context.settings());
     }
   }
 
-  private void take(Job job, int pieceSize) {
+  private void adopt(Job job, int shardSize) {
     String ref = job.spec.ref();
-    if (job.end != null && job.open.isEmpty()) {
-      ledger.ended.put(ref, ClusterState.Ended.of(job));
+    if (job.finalPhase != null && job.openAttempts.isEmpty()) {
+      state.endedJobs.put(ref, ClusterState.EndedJob.of(job));
       return;
     }
-    layout.know(ref, pieceSize);
+    shardLayout.recordShardSize(ref, shardSize);
     // Numbers of attempts are never used twice, whatever an earlier leader left unwritten.
-    job.nextAttempt = Math.max(job.nextAttempt, baseToken);
-    ledger.jobs.put(ref, job);
-    job.storedDone.or(job.done);
-    waitIfUnsure(job);
-    for (Attempt a : job.open.values()) {
-      Machine m = ledger.machine(a.machine, baseToken);
+    job.nextAttempt = Math.max(job.nextAttempt, tokenBase);
+    state.jobs.put(ref, job);
+    job.persistedDone.or(job.done);
+    delayIfProgressUncertain(job);
+    for (Attempt a : job.openAttempts.values()) {
+      Machine m = state.machine(a.machine, tokenBase);
       m.zone = a.zone;
-      m.open.put(Machine.taskKey(ref, a.task), a);
-      m.touched();
-      a.startToken = baseToken - 1;
+      m.openAttempts.put(Machine.taskKey(ref, a.task), a);
+      m.attemptsChanged();
+      a.startToken = tokenBase - 1;
       a.inherited = true;
       a.createdAt = acquiredAt;
-      job.restarted.set(a.task);
+      job.restartedTasks.set(a.task);
     }
   }
 }
--- a/src/main/java/io/embernotch/jobs/JobCompletions.java
+++ b/src/main/java/io/embernotch/jobs/JobCompletions.java
@@ -5,7 +5,7 @@
 import io.embernotch.model.Job;
 import io.embernotch.model.JobPhase;
 import io.embernotch.persistence.StateWriter;
-import io.embernotch.store.RateLimiter.Rank;
+import io.embernotch.store.RateLimiter.RequestPriority;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
@@ -16,74 +16,74 @@
  * left.
  */
 public final class JobCompletions {
-  private final ControllerContext env;
-  private final ClusterState ledger;
-  private final StateWriter committer;
-  private final DependencyGraph chains;
+  private final ControllerContext context;
+  private final ClusterState state;
+  private final StateWriter stateWriter;
+  private final DependencyGraph dependencyGraph;
 
   /** Is told of ends with nothing open or unwritten behind them. */
-  private final BiConsumer<String, ClusterState.Ended> letGo;
+  private final BiConsumer<String, ClusterState.EndedJob> evicted;
 
   /** Jobs whose end is decided, until nothing of them is open or unwritten. */
-  private final Set<Job> ending = new LinkedHashSet<>();
+  private final Set<Job> completing = new LinkedHashSet<>();
 
   public JobCompletions(
-      ControllerContext env,
-      ClusterState ledger,
-      StateWriter committer,
-      DependencyGraph chains,
-      BiConsumer<String, ClusterState.Ended> letGo) {
-    this.env = env;
-    this.ledger = ledger;
-    this.committer = committer;
-    this.chains = chains;
-    this.letGo = letGo;
+      ControllerContext context,
+      ClusterState state,
+      StateWriter stateWriter,
+      DependencyGraph dependencyGraph,
+      BiConsumer<String, ClusterState.EndedJob> letGo) {
+    this.context = context;
+    this.state = state;
+    this.stateWriter = stateWriter;
+    this.dependencyGraph = dependencyGraph;
+    this.evicted = letGo;
   }
 
   /** Ends that an earlier leader has decided. */
-  public void takeOver() {
-    ending.clear();
-    ledger.jobs.values().stream().filter(j -> j.end != null).forEach(ending::add);
+  public void resume() {
+    completing.clear();
+    state.jobs.values().stream().filter(j -> j.finalPhase != null).forEach(completing::add);
   }
 
   /** Decides an end. Jobs that need this one learn of it when it is committed, not before. */
   public void decide(Job job, JobPhase end) {
-    job.end = end;
-    job.endedMs = env.clock().wallMs();
-    ending.add(job);
-    committer.now(
+    job.finalPhase = end;
+    job.endedMs = context.clock().wallMs();
+    completing.add(job);
+    stateWriter.writeNow(
         job,
         0,
-        Rank.FIRST,
+        RequestPriority.HIGH,
         () -> {
-          job.endKept = true;
-          chains.ended(job);
+          job.endPersisted = true;
+          dependencyGraph.ended(job);
         });
   }
 
   /** The end of a job follows from one that is kept; it is written for those who read the store. */
-  public void follows(Job job) {
-    ending.add(job);
-    committer.soon(job, 0);
+  public void completedByDependency(Job job) {
+    completing.add(job);
+    stateWriter.writeSoon(job, 0);
   }
 
   /** Nothing of a job that is told to be cancelled is left in a zone. */
-  public boolean clear(String zone) {
-    return ending.stream()
-        .filter(j -> j.end == JobPhase.CANCELLED)
-        .allMatch(j -> j.open.values().stream().noneMatch(a -> a.zone.equals(zone)));
+  public boolean zoneHasNoCancelledTasks(String zone) {
+    return completing.stream()
+        .filter(j -> j.finalPhase == JobPhase.CANCELLED)
+        .allMatch(j -> j.openAttempts.values().stream().noneMatch(a -> a.zone.equals(zone)));
   }
 
   /** Lets go of jobs that have ended, once nothing of them is open or unwritten. */
-  public void retire() {
-    for (Job job : List.copyOf(ending)) {
-      if (job.open.isEmpty() && !committer.isDirty(job)) {
+  public void evict() {
+    for (Job job : List.copyOf(completing)) {
+      if (job.openAttempts.isEmpty() && !stateWriter.isDirty(job)) {
         String ref = job.spec.ref();
-        ClusterState.Ended end = ClusterState.Ended.of(job);
-        ending.remove(job);
-        ledger.jobs.remove(ref);
-        ledger.ended.put(ref, end);
-        letGo.accept(ref, end);
+        ClusterState.EndedJob end = ClusterState.EndedJob.of(job);
+        completing.remove(job);
+        state.jobs.remove(ref);
+        state.endedJobs.put(ref, end);
+        evicted.accept(ref, end);
       }
     }
   }
--- a/src/main/java/io/embernotch/jobs/StoreLoader.java
+++ b/src/main/java/io/embernotch/jobs/StoreLoader.java
@@ -21,14 +21,14 @@
     void read(WatchEvents jobs, WatchEvents runs, WatchEvents parts, List<VersionedEntry> shared);
   }
 
-  private final ControllerContext env;
-  private final BaseSnapshot base;
+  private final ControllerContext context;
+  private final BaseSnapshot baseSnapshot;
   private final BooleanSupplier over;
 
   /** {@code base} stands beneath what the store holds; {@code over}: nobody needs it any more. */
-  public StoreLoader(ControllerContext env, BaseSnapshot base, BooleanSupplier over) {
-    this.env = env;
-    this.base = base;
+  public StoreLoader(ControllerContext context, BaseSnapshot baseSnapshot, BooleanSupplier over) {
+    this.context = context;
+    this.baseSnapshot = baseSnapshot;
     this.over = over;
   }
 
@@ -36,7 +36,7 @@
     if (over.getAsBoolean()) {
       return;
     }
-    StoreClient store = env.store();
+    StoreClient store = context.store();
     store
         .list(JobProgressCodec.JOB)
         .compose(
@@ -46,7 +46,7 @@
                     .compose(
                         runs ->
                             store
-                                .list(JobProgressCodec.PART)
+                                .list(JobProgressCodec.REFINED_SHARD)
                                 .compose(
                                     parts ->
                                         store
@@ -55,17 +55,17 @@
                                                 shared -> {
                                                   if (!over.getAsBoolean()) {
                                                     sink.read(
-                                                        base.beneath(JobProgressCodec.JOB, jobs),
-                                                        base.beneath(JobProgressCodec.RUN, runs),
-                                                        base.beneath(JobProgressCodec.PART, parts),
-                                                        base.beneathShared(shared));
+                                                        baseSnapshot.beneath(JobProgressCodec.JOB, jobs),
+                                                        baseSnapshot.beneath(JobProgressCodec.RUN, runs),
+                                                        baseSnapshot.beneath(JobProgressCodec.REFINED_SHARD, parts),
+                                                        baseSnapshot.beneathShared(shared));
                                                   }
                                                   return null;
                                                 }))))
         .onFailure(
             e -> {
               LOG.info("reading the store failed: {}", e.getMessage());
-              env.timers().after(env.settings().workers().reportS() / 10, () -> read(sink));
+              context.timers().after(context.settings().workers().heartbeatIntervalS() / 10, () -> read(sink));
             });
   }
 }
--- a/src/main/java/io/embernotch/leader/HeartbeatQueue.java
+++ b/src/main/java/io/embernotch/leader/HeartbeatQueue.java
@@ -67,10 +67,10 @@
       take.accept(m);
       return;
     }
-    String machine = m.report().machine();
+    String machine = m.heartbeat().machine();
     Long place = places.get(machine);
     LeaderMessage.HeartbeatReceived before = place == null ? null : queue.get(place).message;
-    if (before != null && !m.report().newerThan(before.report().session(), before.report().seq())) {
+    if (before != null && !m.heartbeat().newerThan(before.heartbeat().agentEpoch(), before.heartbeat().seq())) {
       // A copy that came late, or one of another life: it must not displace the one that is waited
       // for.
       drop.accept(m);
@@ -109,7 +109,7 @@
   }
 
   /** Reports wait for their turn for longer than a worker would notice. */
-  public boolean pressed() {
+  public boolean isUnderPressure() {
     return !queue.isEmpty() && waitedS(clock.now()) > LONG_S / 4;
   }
 
@@ -119,7 +119,7 @@
 
   private LeaderMessage.HeartbeatReceived remove(long place) {
     LeaderMessage.HeartbeatReceived m = queue.remove(place).message;
-    places.remove(m.report().machine());
+    places.remove(m.heartbeat().machine());
     return m;
   }
 }
--- a/src/main/java/io/embernotch/leader/ImageInventory.java
+++ b/src/main/java/io/embernotch/leader/ImageInventory.java
@@ -26,7 +26,7 @@
   }
 
   /** What a leader of that epoch says; one that follows starts from what the last one said. */
-  public void heard(Frame.ImageInventoryUpdate f) {
+  public void update(Frame.ImageInventoryUpdate f) {
     if (f.epoch() < epoch) {
       return;
     }
@@ -53,17 +53,17 @@
     }
 
     /** Another life of a controller knows nothing of what the one before was told. */
-    void again() {
+    void republishAll() {
       told.clear();
     }
 
-    void gone(String machine, long epoch, Consumer<Frame> send) {
+    void machineRemoved(String machine, long epoch, Consumer<Frame> send) {
       if (told.remove(machine) != null) {
         send.accept(new Frame.ImageInventoryUpdate(epoch, machine, List.of()));
       }
     }
 
-    void tell(Collection<Machine> machines, long epoch, double now, Consumer<Frame> send) {
+    void publish(Collection<Machine> machines, long epoch, double now, Consumer<Frame> send) {
       if (now - lastAt < everyS) {
         return;
       }
--- a/src/main/java/io/embernotch/leader/Leader.java
+++ b/src/main/java/io/embernotch/leader/Leader.java
@@ -51,108 +51,108 @@
  * The one that writes, for one term: it owns the ledger, and lives from the moment its node
  * acquires the key until it loses it.
  */
-public final class Leader extends Actor<LeaderMessage> implements AgentReconciler.Outcome, FleetManager.Outcome {
+public final class Leader extends Actor<LeaderMessage> implements AgentReconciler.Listener, FleetManager.Listener {
   private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
 
-  private final ControllerContext env;
+  private final ControllerContext context;
   private final LeaderContext host;
   private final long epoch;
-  private final long stamp;
-  private final ClusterState ledger = new ClusterState();
-  private final StateWriter committer;
-  private final AgentReconciler workers;
-  private final FleetManager fleet;
-  private final MachineViewPublisher feed;
-  private final SchedulingLoop planning;
-  private final RestartReviewer restarts;
-  private final AttemptOutcomes outcomes;
-  private final ImageInventory.Publisher images;
-  private final DemandForecast demand;
-  private final ShardLayout layout;
-  private final DependencyGraph chains;
-  private final JobCompletions endings;
-  private final JobRequestHandler users;
+  private final long modRevision;
+  private final ClusterState state = new ClusterState();
+  private final StateWriter stateWriter;
+  private final AgentReconciler agents;
+  private final FleetManager fleetManager;
+  private final MachineViewPublisher machineViewPublisher;
+  private final SchedulingLoop schedulingLoop;
+  private final RestartReviewer restartReviewer;
+  private final AttemptOutcomes attemptOutcomes;
+  private final ImageInventory.Publisher imagePublisher;
+  private final DemandForecast demandForecast;
+  private final ShardLayout shardLayout;
+  private final DependencyGraph dependencyGraph;
+  private final JobCompletions completions;
+  private final JobRequestHandler jobRequests;
   private final RenewalDelegations delegations;
-  private final Cancellations cancels;
-  private final TaskStopper stops;
-  private final TaskLauncher starts;
-  private final HeartbeatQueue reports;
+  private final Cancellations cancellations;
+  private final TaskStopper stopper;
+  private final TaskLauncher launcher;
+  private final HeartbeatQueue heartbeatQueue;
   private final double acquiredAt;
-  private final BaseSnapshot base;
+  private final BaseSnapshot baseSnapshot;
   private Copy begunWith;
-  private FailoverRecovery takeover;
+  private FailoverRecovery failoverRecovery;
   private final List<LeaderMessage> waiting = new ArrayList<>();
-  private final PendingHeartbeats early = new PendingHeartbeats();
+  private final PendingHeartbeats pendingHeartbeats = new PendingHeartbeats();
   private boolean loaded;
   private double loadedAt;
   private boolean stopped;
-  private final StatusLogger minutes;
-  private final SharedStateServices facts;
+  private final StatusLogger statusLogger;
+  private final SharedStateServices sharedState;
 
   /** {@code stamp} is that of the leader's key, {@code base} and {@code begunWith} as in {@code StoreIncarnationTracker}, {@code waiting} as in {@link RenewalDelegations}. */
-  public Leader(ControllerContext env, LeaderContext host, long epoch, long stamp, Collection<MachineType> types, BaseSnapshot base, Copy begunWith, Set<String> waiting) {
-    super(env.loop());
-    this.env = env;
+  public Leader(ControllerContext context, LeaderContext host, long epoch, long modRevision, Collection<MachineType> types, BaseSnapshot baseSnapshot, Copy begunWith, Set<String> waiting) {
+    super(context.loop());
+    this.context = context;
     this.host = host;
     this.epoch = epoch;
-    this.stamp = stamp;
-    this.demand = new DemandForecast(spec -> Scheduler.patient(env.settings(), spec));
-    this.acquiredAt = env.clock().now();
-    this.base = base;
+    this.modRevision = modRevision;
+    this.demandForecast = new DemandForecast(spec -> Scheduler.mayWaitForCapacity(context.settings(), spec));
+    this.acquiredAt = context.clock().now();
+    this.baseSnapshot = baseSnapshot;
     this.begunWith = begunWith;
-    types.forEach(t -> ledger.types.put(t.name(), t));
-    this.layout = new ShardLayout(JobProgressCodec.piece(env.settings().stateFloor().valueKb(), env.settings().zones()));
-    this.committer = new StateWriter(
-        env.settings(), layout, env.store(), env.clock(), env.timers(), env.work(), stamp,
-        () -> host.outranked("a commit failed on the steward's key"));
+    types.forEach(t -> state.types.put(t.name(), t));
+    this.shardLayout = new ShardLayout(JobProgressCodec.shard(context.settings().minStoreLimits().valueKb(), context.settings().zones()));
+    this.stateWriter = new StateWriter(
+        context.settings(), shardLayout, context.store(), context.clock(), context.timers(), context.profile(), modRevision,
+        () -> host.superseded("a commit failed on the steward's key"));
     Hooks hooks = new Hooks();
-    this.chains = new DependencyGraph(env, ledger, hooks);
-    this.endings = new JobCompletions(env, ledger, committer, chains, (ref, e) -> host.ended(ref, e.phase(), e.tasks(), e.done()));
-    this.users = new JobRequestHandler(env, ledger, committer, host::live, hooks);
-    this.delegations = new RenewalDelegations(env.settings(), acquiredAt, waiting);
-    this.workers = new AgentReconciler(env, ledger, epoch, delegations, this);
-    this.cancels = new Cancellations(env, ledger, committer, endings, workers);
-    this.outcomes = new AttemptOutcomes(env, ledger, committer, endings, MachineViewPublisher.LATELY, cancels::check, this::changed);
-    this.stops = new TaskStopper(env, ledger, workers, outcomes::close, () -> loaded);
-    outcomes.stopBy(stops);
-    this.reports = new HeartbeatQueue(env.clock(), env.timers(), m -> env.work().run("Report", () -> report(m)), Leader::refuse);
-    this.starts = new TaskLauncher(env, ledger, committer, workers, acquiredAt, this::leads);
-    this.fleet = new FleetManager(env, ledger, workers, epoch, this);
-    this.feed = new MachineViewPublisher(env, ledger,
-        (node, v) -> host.post().view(node, epoch, v), (node, m) -> host.post().forget(node, epoch, m));
-    this.facts = new SharedStateServices(env, ledger, epoch, stamp, j -> committer.later(j, 0), () -> host.outranked("a fact failed on the steward's key"));
-    this.planning = new SchedulingLoop(
-        env, ledger, chains, demand, fleet, starts, stops, facts, acquiredAt, this::leads, reports::pressed,
+    this.dependencyGraph = new DependencyGraph(context, state, hooks);
+    this.completions = new JobCompletions(context, state, stateWriter, dependencyGraph, (ref, e) -> host.jobCompleted(ref, e.phase(), e.tasks(), e.done()));
+    this.jobRequests = new JobRequestHandler(context, state, stateWriter, host::isLeaseValid, hooks);
+    this.delegations = new RenewalDelegations(context.settings(), acquiredAt, waiting);
+    this.agents = new AgentReconciler(context, state, epoch, delegations, this);
+    this.cancellations = new Cancellations(context, state, stateWriter, completions, agents);
+    this.attemptOutcomes = new AttemptOutcomes(context, state, stateWriter, completions, MachineViewPublisher.LATELY, cancellations::check, this::clusterChanged);
+    this.stopper = new TaskStopper(context, state, agents, attemptOutcomes::close, () -> loaded);
+    attemptOutcomes.setStopper(stopper);
+    this.heartbeatQueue = new HeartbeatQueue(context.clock(), context.timers(), m -> context.profile().run("Report", () -> heartbeat(m)), Leader::refuse);
+    this.launcher = new TaskLauncher(context, state, stateWriter, agents, acquiredAt, this::isLeading);
+    this.fleetManager = new FleetManager(context, state, agents, epoch, this);
+    this.machineViewPublisher = new MachineViewPublisher(context, state,
+        (node, v) -> host.partitionViews().view(node, epoch, v), (node, m) -> host.partitionViews().forget(node, epoch, m));
+    this.sharedState = new SharedStateServices(context, state, epoch, modRevision, j -> stateWriter.writeLater(j, 0), () -> host.superseded("a fact failed on the steward's key"));
+    this.schedulingLoop = new SchedulingLoop(
+        context, state, dependencyGraph, demandForecast, fleetManager, launcher, stopper, sharedState, acquiredAt, this::isLeading, heartbeatQueue::isUnderPressure,
             () -> tell(new LeaderMessage.RunScheduler()));
-    this.restarts = new RestartReviewer(env, ledger, committer, stops);
-    this.images = new ImageInventory.Publisher(env.operator().roundS());
-    this.minutes = new StatusLogger(env, ledger, planning, committer);
-    ledger.imagesOf(m -> host.images(m).isEmpty() ? facts.images(m) : host.images(m));
+    this.restartReviewer = new RestartReviewer(context, state, stateWriter, stopper);
+    this.imagePublisher = new ImageInventory.Publisher(context.operator().roundS());
+    this.statusLogger = new StatusLogger(context, state, schedulingLoop, stateWriter);
+    state.setImageLookup(m -> host.lastKnownImages(m).isEmpty() ? sharedState.images(m) : host.lastKnownImages(m));
   }
 
   public void start() {
-    takeover = new FailoverRecovery(env, ledger, committer, layout, chains, demand, workers.base(), acquiredAt, base);
-    new StoreLoader(env, base, () -> stopped).read((jobs, runs, parts, shared) -> {
-      facts.load(shared);
-      takeover.read(jobs, runs, parts);
-      outcomes.takeOver();
-      begin(jobs.epoch());
+    failoverRecovery = new FailoverRecovery(context, state, stateWriter, shardLayout, dependencyGraph, demandForecast, agents.tokenBase(), acquiredAt, baseSnapshot);
+    new StoreLoader(context, baseSnapshot, () -> stopped).read((jobs, runs, parts, shared) -> {
+      sharedState.load(shared);
+      failoverRecovery.load(jobs, runs, parts);
+      attemptOutcomes.resume();
+      startServing(jobs.revision());
     });
     scheduleTick();
   }
 
   public void stop() {
     stopped = true;
-    planning.close();
-    committer.close();
-    facts.close();
+    schedulingLoop.close();
+    stateWriter.close();
+    sharedState.close();
     waiting.forEach(Leader::refuse);
     waiting.clear();
-    early.refuse();
+    pendingHeartbeats.refuse();
   }
 
-  public long stamp() {
-    return stamp;
+  public long modRevision() {
+    return modRevision;
   }
 
   public long epoch() {
@@ -160,7 +160,7 @@
   }
 
   private void scheduleTick() {
-    env.timers().after(env.settings().workers().reportS() / 8, () -> {
+    context.timers().after(context.settings().workers().heartbeatIntervalS() / 8, () -> {
       if (!stopped) {
         tell(new LeaderMessage.Tick());
         scheduleTick();
@@ -170,56 +170,56 @@
 
   // ---- taking over
 
-  private void begin(long jobsEpoch) {
+  private void startServing(long jobsEpoch) {
     loaded = true;
     begunWith = null;
-    loadedAt = env.clock().now();
-    planning.begin();
+    loadedAt = context.clock().now();
+    schedulingLoop.begin();
     LOG.info(
         "took over {} jobs, {} ended, {} machines with tasks after {} ms",
-        ledger.jobs.size(), ledger.ended.size(), ledger.machines.size(),
-        Math.round((env.clock().now() - acquiredAt) * 1000));
-    new SubmissionWatcher(env, (job, piece) -> tell(new LeaderMessage.JobAccepted(job, piece)), () -> stopped).from(jobsEpoch);
+        state.jobs.size(), state.endedJobs.size(), state.machines.size(),
+        Math.round((context.clock().now() - acquiredAt) * 1000));
+    new SubmissionWatcher(context, (job, shard) -> tell(new LeaderMessage.JobAccepted(job, shard)), () -> stopped).from(jobsEpoch);
     List<LeaderMessage> held = new ArrayList<>(waiting);
     waiting.clear();
     held.forEach(this::receive);
-    early.drain(env.loop(), this::receive);
-    planning.soon();
+    pendingHeartbeats.drain(context.loop(), this::receive);
+    schedulingLoop.scheduleSoon();
   }
 
   // ---- messages
 
   @Override
   protected void receive(LeaderMessage message) {
-    env.work().run(message.getClass().getSimpleName(), () -> take(message));
+    context.profile().run(message.getClass().getSimpleName(), () -> handle(message));
   }
 
-  private void take(LeaderMessage message) {
+  private void handle(LeaderMessage message) {
     if (stopped) {
       refuse(message);
     } else if (!loaded && message instanceof LeaderMessage.HeartbeatReceived m) {
-      early.add(m, env.timers());
+      pendingHeartbeats.add(m, context.timers());
     } else if (!loaded && message instanceof LeaderMessage.HeartbeatHandedOver m) {
-      early.add(m.report());
+      pendingHeartbeats.add(m.heartbeat());
     } else if (!loaded && message instanceof LeaderMessage.UserRequest m) {
       // Its user would have gone before the store is read.
       refuse(m);
     } else if (!loaded && !(message instanceof LeaderMessage.Tick)) {
       waiting.add(message);
     } else if (message instanceof LeaderMessage.HeartbeatReceived m) {
-      reports.add(m);
+      heartbeatQueue.add(m);
     } else if (message instanceof LeaderMessage.HeartbeatHandedOver m) {
-      heard(m.report());
+      delegateHeartbeatReceived(m.heartbeat());
     } else if (message instanceof LeaderMessage.UserRequest m) {
       ask(m);
     } else if (message instanceof LeaderMessage.JobAccepted m) {
-      jobCreated(m.job(), m.piece());
+      jobCreated(m.job(), m.shard());
     } else if (message instanceof LeaderMessage.RestartsProposed m) {
-      restarts.propose(m.from(), m.restarts());
+      restartReviewer.propose(m.from(), m.restarts());
     } else if (message instanceof LeaderMessage.Tick) {
       tick();
     } else if (message instanceof LeaderMessage.RunScheduler) {
-      planning.make();
+      schedulingLoop.runScheduler();
     }
   }
 
@@ -231,143 +231,143 @@
     }
   }
 
-  private void heard(Heartbeat report) {
-    if (!stopped && workers.learn(report)) {
-      planning.soon();
+  private void delegateHeartbeatReceived(Heartbeat heartbeat) {
+    if (!stopped && agents.processForwarded(heartbeat)) {
+      schedulingLoop.scheduleSoon();
     }
   }
 
-  private void report(LeaderMessage.HeartbeatReceived m) {
+  private void heartbeat(LeaderMessage.HeartbeatReceived m) {
     if (stopped) {
       refuse(m);
       return;
     }
-    Machine known = ledger.machines.get(m.report().machine());
-    int openBefore = known == null ? 0 : known.open.size();
-    byte[] body = workers.report(m.report(), host.live(), m.via());
+    Machine known = state.machines.get(m.heartbeat().machine());
+    int openBefore = known == null ? 0 : known.openAttempts.size();
+    byte[] body = agents.processHeartbeat(m.heartbeat(), host.isLeaseValid(), m.via());
     m.reply().complete(body);
-    Machine now = ledger.machines.get(m.report().machine());
-    if (now != null && now.open.size() != openBefore) {
-      planning.soon();
+    Machine now = state.machines.get(m.heartbeat().machine());
+    if (now != null && now.openAttempts.size() != openBefore) {
+      schedulingLoop.scheduleSoon();
     }
   }
 
-  private void jobCreated(Job job, int piece) {
+  private void jobCreated(Job job, int shard) {
     String ref = job.spec.ref();
-    if (ledger.jobs.containsKey(ref) || ledger.ended.containsKey(ref)) {
+    if (state.jobs.containsKey(ref) || state.endedJobs.containsKey(ref)) {
       return;
     }
-    ledger.jobs.put(ref, job);
-    takeover.waitIfUnsure(job);
-    layout.know(ref, piece);
-    chains.add(job);
-    if (!job.held()) {
-      demand.seen(job.spec, env.clock().now());
+    state.jobs.put(ref, job);
+    failoverRecovery.delayIfProgressUncertain(job);
+    shardLayout.recordShardSize(ref, shard);
+    dependencyGraph.add(job);
+    if (!job.blocked()) {
+      demandForecast.seen(job.spec, context.clock().now());
     }
     LOG.debug("job {}: {} x {} of {}", ref, job.spec.tasks(), job.spec.shape(), job.spec.team());
-    planning.soon();
+    schedulingLoop.scheduleSoon();
   }
 
   private void ask(LeaderMessage.UserRequest m) {
     switch (m.what()) {
-      case POLL -> users.poll(m.ref(), m.reply());
-      case ABORT -> users.abort(m.ref(), m.reply());
+      case POLL -> jobRequests.poll(m.ref(), m.reply());
+      case ABORT -> jobRequests.abort(m.ref(), m.reply());
       case OVERVIEW -> m.reply().complete(HttpResponse.of(200, Json.bytes(overview())));
     }
   }
 
   /** The jobs that waited, and what users ask for. */
-  private final class Hooks implements DependencyGraph.Sink, JobRequestHandler.Host {
+  private final class Hooks implements DependencyGraph.Listener, JobRequestHandler.Host {
     @Override
     public void released(Job job) {
-      demand.seen(job.spec, env.clock().now());
-      planning.now();
+      demandForecast.seen(job.spec, context.clock().now());
+      schedulingLoop.scheduleNow();
     }
 
     @Override
     public void cancelled(Job job) {
-      endings.follows(job);
-      List.copyOf(job.open.values()).forEach(a -> stops.want(a, 0));
+      completions.completedByDependency(job);
+      List.copyOf(job.openAttempts.values()).forEach(a -> stopper.requestStop(a, 0));
     }
 
     @Override
-    public void found(VersionedEntry entry) {
+    public void jobFound(VersionedEntry entry) {
       if (!stopped) {
-        jobCreated(JobProgressCodec.readJob(entry.value()), JobProgressCodec.readPiece(entry.value()));
+        jobCreated(JobProgressCodec.readJob(entry.value()), JobProgressCodec.readShardSize(entry.value()));
       }
     }
 
     @Override
     public void cancel(Job job, Promise<HttpResponse> reply) {
       LOG.debug("job {} is to be cancelled", job.spec.ref());
-      job.cancelling = true;
-      List.copyOf(job.open.values()).forEach(a -> stops.want(a, 0));
-      cancels.ask(job, reply);
-      planning.soon();
+      job.cancelRequested = true;
+      List.copyOf(job.openAttempts.values()).forEach(a -> stopper.requestStop(a, 0));
+      cancellations.request(job, reply);
+      schedulingLoop.scheduleSoon();
     }
 
     @Override
-    public boolean over() {
+    public boolean isStopped() {
       return stopped;
     }
 
     @Override
     public void describe(Job job, ObjectNode into) {
-      facts.describe(job, into);
+      sharedState.describe(job, into);
     }
   }
 
   // ---- what workers tell
 
   @Override
-  public void running(Attempt a, Machine m) {}
+  public void taskRunning(Attempt a, Machine m) {}
 
   @Override
-  public void exited(Attempt a, Machine m, ExitCause cause, boolean saved) {
-    outcomes.exited(a, m, cause, saved);
+  public void taskExited(Attempt a, Machine m, ExitCause cause, boolean saved) {
+    attemptOutcomes.exited(a, m, cause, saved);
   }
 
   @Override
-  public void gone(Attempt a, Machine m, String why) {
-    outcomes.gone(a, m, why);
+  public void attemptGone(Attempt a, Machine m, String why) {
+    attemptOutcomes.gone(a, m, why);
   }
 
   @Override
-  public void outranked(long token) {
-    host.seenEpoch(FencingTokens.epochOf(token));
-    host.outranked("a worker has seen token " + token);
+  public void superseded(long token) {
+    host.observeEpoch(FencingTokens.epochOf(token));
+    host.superseded("a worker has seen token " + token);
   }
 
   @Override
-  public void changed() {
-    planning.soon();
+  public void clusterChanged() {
+    schedulingLoop.scheduleSoon();
   }
 
   @Override
-  public boolean leads() {
-    return !stopped && host.live();
+  public boolean isLeading() {
+    return !stopped && host.isLeaseValid();
   }
 
   @Override
-  public boolean settled(String ref, int task) {
-    Job job = ledger.jobs.get(ref);
-    return job == null || !(committer.isDirty(job, task) || committer.isDirty(job, 0));
+  public boolean isOutcomePersisted(String ref, int task) {
+    Job job = state.jobs.get(ref);
+    return job == null || !(stateWriter.isDirty(job, task) || stateWriter.isDirty(job, 0));
   }
 
   // ---- what the fleet tells
 
   @Override
   public void machineGone(Machine m) {
-    if (ledger.machines.get(m.name) != m) {
+    if (state.machines.get(m.name) != m) {
       return;
     }
-    for (Attempt a : List.copyOf(m.open.values())) {
-      gone(a, m, "its machine was returned");
+    for (Attempt a : List.copyOf(m.openAttempts.values())) {
+      attemptGone(a, m, "its machine was returned");
     }
-    ledger.machines.remove(m.name);
-    images.gone(m.name, epoch, host::tellAll);
-    workers.deleted(m.name);
-    planning.soon();
+    state.machines.remove(m.name);
+    imagePublisher.machineRemoved(m.name, epoch, host::broadcast);
+    agents.markDeleted(m.name);
+    schedulingLoop.scheduleSoon();
   }
 
   @Override
@@ -376,70 +376,70 @@
   }
 
   /** Another controller is there. */
-  public Frame.DelegateHeartbeatAck heard(Frame.DelegateHeartbeat here) {
-    if (delegations.another(here)) {
-      images.again();
+  public Frame.DelegateHeartbeatAck delegateHeartbeatReceived(Frame.DelegateHeartbeat here) {
+    if (delegations.isNewProcess(here)) {
+      imagePublisher.republishAll();
     }
-    boolean may = loaded && host.live() && endings.clear(delegations.zoneOf(here.node()));
-    return delegations.heard(here, epoch, may, env.clock().now());
+    boolean may = loaded && host.isLeaseValid() && completions.zoneHasNoCancelledTasks(delegations.zoneOf(here.node()));
+    return delegations.heartbeatReceived(here, epoch, may, context.clock().now());
   }
 
   /** How long workers are renewed without a proven lease. */
-  public double holdS() {
-    return delegations.ownHoldS();
+  public double gracePeriodS() {
+    return delegations.ownGracePeriodS();
   }
 
   @Override
-  public void unreachable(Attempt a) {
-    stops.one(a, 0);
+  public void startUnreachable(Attempt a) {
+    stopper.stopWithGang(a, 0);
   }
 
   @Override
-  public void deaf() {
+  public void controllerPartitioned() {
     host.resign("most machines are silent");
   }
 
   // ---- time
 
   private void tick() {
-    if (!loaded || !host.live()) {
+    if (!loaded || !host.isLeaseValid()) {
       return;
     }
-    double now = env.clock().now();
-    for (Attempt a : fleet.expired()) {
-      gone(a, ledger.machines.get(a.machine), "the worker's lease is over");
+    double now = context.clock().now();
+    for (Attempt a : fleetManager.attemptsWithExpiredLease()) {
+      attemptGone(a, state.machines.get(a.machine), "the worker's lease is over");
     }
-    for (Machine m : List.copyOf(ledger.machines.values())) {
-      if (stops.drained(m)) {
-        fleet.giveBack(m);
+    for (Machine m : List.copyOf(state.machines.values())) {
+      if (stopper.drained(m)) {
+        fleetManager.scaleIn(m);
       }
-      workers.flush(m);
+      agents.sendDueCommands(m);
     }
-    fleet.tick();
-    cancels.checkAll();
-    chains.lookUp();
-    restarts.carryOut();
-    if (now - loadedAt > env.settings().workers().reportS()) {
+    fleetManager.tick();
+    cancellations.checkAll();
+    dependencyGraph.resolveUnknown();
+    restartReviewer.commitDue();
+    if (now - loadedAt > context.settings().workers().heartbeatIntervalS()) {
       // Right after a takeover nothing may take time from live services that does not serve them.
-      endings.retire();
-      feed.flush(host.controllers());
-      images.tell(ledger.machines.values(), epoch, now, host::tellAll);
+      completions.evict();
+      machineViewPublisher.publish(host.controllers());
+      imagePublisher.publish(state.machines.values(), epoch, now, host::broadcast);
     }
-    facts.tick();
-    minutes.tick(now);
-    planning.tick(now);
+    sharedState.tick();
+    statusLogger.tick(now);
+    schedulingLoop.tick(now);
   }
 
   private ObjectNode overview() {
-    return facts.overview(ClusterOverview.of(ledger, chains.waiting())).put("epoch", epoch).put("plans", planning.made()).put("views", feed.sent());
+    return sharedState.overview(ClusterOverview.of(state, dependencyGraph.blockedCount())).put("epoch", epoch).put("plans", schedulingLoop.planCount()).put("views", machineViewPublisher.sentCount());
   }
 
   /** All that is known here of jobs, whether or not the store has it yet; null before it is known. */
   public Copy copy() {
-    return loaded ? StateSnapshot.of(ledger, layout::size, facts.copy(), epoch, env.clock().wallMs()) : begunWith;
+    return loaded ? StateSnapshot.of(state, shardLayout::shardSize, sharedState.copy(), epoch, context.clock().wallMs()) : begunWith;
   }
 
-  public ClusterState ledger() {
-    return ledger;
+  public ClusterState state() {
+    return state;
   }
 }
--- a/src/main/java/io/embernotch/leader/LeaderContext.java
+++ b/src/main/java/io/embernotch/leader/LeaderContext.java
@@ -8,26 +8,26 @@
 
 /** What a leader needs of its controller. */
 public interface LeaderContext {
-  boolean live();
+  boolean isLeaseValid();
 
   Set<String> controllers();
 
   /** Brings views to the controllers that own them. */
-  PartitionViews post();
+  PartitionViews partitionViews();
 
-  void outranked(String why);
+  void superseded(String why);
 
   /** Somebody has seen the token of a leader with this epoch. */
-  void seenEpoch(long epoch);
+  void observeEpoch(long epoch);
 
   /** Gives leadership up, since this node is badly placed for it. */
   void resign(String why);
 
-  void ended(String ref, JobPhase phase, int tasks, int done);
+  void jobCompleted(String ref, JobPhase phase, int tasks, int done);
 
   /** Says something to all other controllers. */
-  void tellAll(Frame frame);
+  void broadcast(Frame frame);
 
   /** What an earlier leader said of a machine's images. */
-  List<String> images(String machine);
+  List<String> lastKnownImages(String machine);
 }
--- a/src/main/java/io/embernotch/leader/LeaderMessage.java
+++ b/src/main/java/io/embernotch/leader/LeaderMessage.java
@@ -14,17 +14,17 @@
    * A worker reports, by the controller whose life {@code via} is; {@code reply} gets the body of
    * the 200, or null if it must not get one.
    */
-  record HeartbeatReceived(Heartbeat report, long via, Promise<byte[]> reply) implements LeaderMessage {}
+  record HeartbeatReceived(Heartbeat heartbeat, long via, Promise<byte[]> reply) implements LeaderMessage {}
 
   /**
    * What a worker reported to another controller before there was a leader; nobody waits for an
    * answer.
    */
-  record HeartbeatHandedOver(Heartbeat report) implements LeaderMessage {}
+  record HeartbeatHandedOver(Heartbeat heartbeat) implements LeaderMessage {}
 
   record UserRequest(Frame.ForwardedRequest.Kind what, String ref, Promise<HttpResponse> reply) implements LeaderMessage {}
 
-  record JobAccepted(Job job, int piece) implements LeaderMessage {}
+  record JobAccepted(Job job, int shard) implements LeaderMessage {}
 
   record RestartsProposed(String from, List<Restart> restarts) implements LeaderMessage {}
 
--- a/src/main/java/io/embernotch/leader/PendingHeartbeats.java
+++ b/src/main/java/io/embernotch/leader/PendingHeartbeats.java
@@ -25,7 +25,7 @@
 
   /** A report whose worker waits; told to stay unless {@link #drain} comes first. */
   void add(LeaderMessage.HeartbeatReceived m, Timers timers) {
-    String machine = m.report().machine();
+    String machine = m.heartbeat().machine();
     LeaderMessage.HeartbeatReceived before = waiting.put(machine, m);
     if (before != null) {
       before.reply().tryComplete(WorkerCodec.stay());
@@ -34,14 +34,14 @@
         HeartbeatForwarder.PATIENCE_S,
         () -> {
           if (waiting.remove(machine, m)) {
-            add(m.report());
+            add(m.heartbeat());
             m.reply().tryComplete(WorkerCodec.stay());
           }
         });
   }
 
   void add(Heartbeat r) {
-    latest.merge(r.machine(), r, (old, now) -> now.newerThan(old.session(), old.seq()) ? now : old);
+    latest.merge(r.machine(), r, (old, now) -> now.newerThan(old.agentEpoch(), old.seq()) ? now : old);
   }
 
   /** Hands over those that wait for an answer, and then what else was heard, a slice a turn. */
--- a/src/main/java/io/embernotch/leader/SchedulingLoop.java
+++ b/src/main/java/io/embernotch/leader/SchedulingLoop.java
@@ -27,14 +27,14 @@
   /** So much more room is kept for live services of a release that is near. */
   private static final double NEAR = 1.5;
 
-  private final ControllerContext env;
-  private final ClusterState ledger;
-  private final DependencyGraph chains;
-  private final DemandForecast demand;
-  private final FleetManager fleet;
-  private final TaskLauncher starts;
-  private final TaskStopper stops;
-  private final SharedStateServices facts;
+  private final ControllerContext context;
+  private final ClusterState state;
+  private final DependencyGraph dependencyGraph;
+  private final DemandForecast demandForecast;
+  private final FleetManager fleetManager;
+  private final TaskLauncher launcher;
+  private final TaskStopper stopper;
+  private final SharedStateServices sharedState;
   private final double acquiredAt;
   private final BooleanSupplier live;
   private final BooleanSupplier pressed;
@@ -57,37 +57,37 @@
    * leader's own.
    */
   SchedulingLoop(
-      ControllerContext env,
-      ClusterState ledger,
-      DependencyGraph chains,
-      DemandForecast demand,
-      FleetManager fleet,
-      TaskLauncher starts,
-      TaskStopper stops,
-      SharedStateServices facts,
+      ControllerContext context,
+      ClusterState state,
+      DependencyGraph dependencyGraph,
+      DemandForecast demandForecast,
+      FleetManager fleetManager,
+      TaskLauncher launcher,
+      TaskStopper stopper,
+      SharedStateServices sharedState,
       double acquiredAt,
       BooleanSupplier live,
       BooleanSupplier pressed,
       Runnable ask) {
-    this.env = env;
-    this.ledger = ledger;
-    this.chains = chains;
-    this.demand = demand;
-    this.fleet = fleet;
-    this.starts = starts;
-    this.stops = stops;
-    this.facts = facts;
+    this.context = context;
+    this.state = state;
+    this.dependencyGraph = dependencyGraph;
+    this.demandForecast = demandForecast;
+    this.fleetManager = fleetManager;
+    this.launcher = launcher;
+    this.stopper = stopper;
+    this.sharedState = sharedState;
     this.acquiredAt = acquiredAt;
     this.live = live;
     this.pressed = pressed;
     this.ask = ask;
-    this.planner = new Scheduler(env.settings(), env.operator());
+    this.planner = new Scheduler(context.settings(), context.operator());
   }
 
   /** The store is read: from now on plans are made. */
   void begin() {
-    loadedAt = env.clock().now();
-    env.timers().after(firstS(), this::soon);
+    loadedAt = context.clock().now();
+    context.timers().after(firstS(), this::scheduleSoon);
   }
 
   void close() {
@@ -95,24 +95,24 @@
   }
 
   /** How many plans were made. */
-  long made() {
+  long planCount() {
     return planned;
   }
 
   /** How long plans took since the last line; null if none was made. */
-  String line() {
+  String statusLine() {
     return plans.line();
   }
 
   /** Time goes by: a plan is due now and then even if nothing is known to have changed. */
   void tick(double now) {
-    if (now - plannedAt > env.settings().workers().reportS() / 3) {
-      soon();
+    if (now - plannedAt > context.settings().workers().heartbeatIntervalS() / 3) {
+      scheduleSoon();
     }
   }
 
   /** A plan in a turn of its own, whatever the pace of plans: few jobs are let go in a second. */
-  void now() {
+  void scheduleNow() {
     if (!asked) {
       asked = true;
       ask.run();
@@ -120,7 +120,7 @@
   }
 
   /** A plan is made in a moment, at the pace that plans allow. */
-  void soon() {
+  void scheduleSoon() {
     if (!armed && loadedAt >= 0 && !closed) {
       armed = true;
       // However long a plan takes, most of the time stays for reports. While these wait for their
@@ -128,69 +128,69 @@
       // by our share of the processor: four times as long as the last one took left plans half of
       // it after a takeover.
       double pause =
-          pressed.getAsBoolean() ? 3 * tookS / env.settings().quota().cpuShare() : 4 * tookS;
-      double spacing = Math.max(env.settings().workers().reportS() / 60, pause);
-      double wait = Math.max(0.001, plannedAt + spacing - env.clock().now());
-      env.timers().after(wait, ask);
+          pressed.getAsBoolean() ? 3 * tookS / context.settings().quota().cpuShare() : 4 * tookS;
+      double spacing = Math.max(context.settings().workers().heartbeatIntervalS() / 60, pause);
+      double wait = Math.max(0.001, plannedAt + spacing - context.clock().now());
+      context.timers().after(wait, ask);
     }
   }
 
   /** Makes a plan, and has it carried out. */
-  void make() {
+  void runScheduler() {
     armed = false;
     asked = false;
-    double now = env.clock().now();
+    double now = context.clock().now();
     if (!live.getAsBoolean()
-        || (!fleet.listedOnce()
-            && now - acquiredAt < env.settings().workers().reportS()
-            && ledger.machines.isEmpty())) {
+        || (!fleetManager.listedOnce()
+            && now - acquiredAt < context.settings().workers().heartbeatIntervalS()
+            && state.machines.isEmpty())) {
       return;
     }
     plannedAt = now;
     planned++;
-    chains.inherit();
+    dependencyGraph.propagateUrgency();
     boolean liveFirst = liveWaits(now);
-    long wallMs = env.clock().wallMs();
-    facts.calendar().apply(wallMs);
+    long wallMs = context.clock().wallMs();
+    sharedState.calendar().apply(wallMs);
     List<FleetView.Headroom> room =
-        demand.headroom(env.operator(), ledger.types.values(), ledger.jobs.values(), now).stream()
+        demandForecast.headroom(context.operator(), state.types.values(), state.jobs.values(), now).stream()
             .map(
                 h ->
-                    facts.calendar().near(h.like(), wallMs)
+                    sharedState.calendar().near(h.like(), wallMs)
                         ? new FleetView.Headroom(h.like(), (int) Math.ceil(NEAR * h.count()))
                         : h)
             .toList();
-    ReservationView held = facts.holds().holds(room);
+    ReservationView held = sharedState.holds().holds(room);
     SchedulingInput at =
         new SchedulingInput(
             now,
             wallMs,
-            ledger.jobs.values(),
-            ledger.machines.values(),
-            ledger.types,
-            fleet::exhausted,
-            fleet.expected(),
+            state.jobs.values(),
+            state.machines.values(),
+            state.types,
+            fleetManager::exhausted,
+            fleetManager.expected(),
             room,
             held,
-            fleet.risk());
+            fleetManager.risk());
     SchedulingPlan plan = liveFirst ? planner.liveOnly(at) : planner.plan(at);
-    facts.holds().planned(plan.held);
-    tookS = env.clock().now() - now;
+    sharedState.holds().planned(plan.held);
+    tookS = context.clock().now() - now;
     plans.record(liveFirst ? "live plan" : "plan", tookS);
     for (SchedulingPlan.Stop s : plan.stops) {
       LOG.info("stopping {}: {}", s.attempt(), s.why());
-      stops.one(s.attempt(), s.graceS());
+      stopper.stopWithGang(s.attempt(), s.graceS());
     }
     for (SchedulingPlan.Start s : plan.starts) {
-      starts.begin(s, now);
+      launcher.launch(s, now);
     }
-    if (fleet.listedOnce()) {
-      plan.buys.forEach(fleet::rent);
+    if (fleetManager.listedOnce()) {
+      plan.scaleOuts.forEach(fleetManager::rent);
     }
-    if (fleet.answers()) {
-      for (Machine m : plan.returns) {
+    if (fleetManager.cloudAnswers()) {
+      for (Machine m : plan.scaleIns) {
         LOG.debug("machine {} is idle", m.name);
-        fleet.giveBack(m);
+        fleetManager.scaleIn(m);
       }
     }
   }
@@ -202,12 +202,12 @@
    */
   private boolean liveWaits(double now) {
     return now - loadedAt < firstS()
-        && ledger.jobs.values().stream()
+        && state.jobs.values().stream()
             .anyMatch(j -> j.spec.priority() == Priority.PRODUCTION && j.pendingCount() > 0);
   }
 
   /** So long after a takeover live services come before what else there is to do. */
   private double firstS() {
-    return env.settings().workers().reportS() / 2;
+    return context.settings().workers().heartbeatIntervalS() / 2;
   }
 }
--- a/src/main/java/io/embernotch/leader/SharedStateServices.java
+++ b/src/main/java/io/embernotch/leader/SharedStateServices.java
@@ -27,12 +27,12 @@
   private final Clock clock;
 
   /** {@code rewritten} has a job's progress written anew. */
-  SharedStateServices(ControllerContext env, ClusterState ledger, long epoch, long stamp, Consumer<Job> rewritten, Runnable deposed) {
-    this.clock = env.clock();
-    this.shared = new SharedState(env, stamp, FencingTokens.base(epoch), deposed);
-    this.holds = new ReservationManager(env, ledger, shared);
-    this.calendar = new ReleaseCalendar(env, ledger, shared, rewritten);
-    this.weights = new ImageLocality(env, ledger, shared);
+  SharedStateServices(ControllerContext context, ClusterState state, long epoch, long modRevision, Consumer<Job> rewritten, Runnable deposed) {
+    this.clock = context.clock();
+    this.shared = new SharedState(context, modRevision, FencingTokens.base(epoch), deposed);
+    this.holds = new ReservationManager(context, state, shared);
+    this.calendar = new ReleaseCalendar(context, state, shared, rewritten);
+    this.weights = new ImageLocality(context, state, shared);
   }
 
   void load(List<VersionedEntry> entries) {
--- a/src/main/java/io/embernotch/leader/StatusLogger.java
+++ b/src/main/java/io/embernotch/leader/StatusLogger.java
@@ -11,29 +11,29 @@
 final class StatusLogger {
   private static final Logger LOG = LoggerFactory.getLogger(StatusLogger.class);
 
-  private final ControllerContext env;
-  private final ClusterState ledger;
-  private final SchedulingLoop planning;
-  private final StateWriter committer;
+  private final ControllerContext context;
+  private final ClusterState state;
+  private final SchedulingLoop schedulingLoop;
+  private final StateWriter stateWriter;
   private double writtenAt = -1e9;
 
-  StatusLogger(ControllerContext env, ClusterState ledger, SchedulingLoop planning, StateWriter committer) {
-    this.env = env;
-    this.ledger = ledger;
-    this.planning = planning;
-    this.committer = committer;
+  StatusLogger(ControllerContext context, ClusterState state, SchedulingLoop schedulingLoop, StateWriter stateWriter) {
+    this.context = context;
+    this.state = state;
+    this.schedulingLoop = schedulingLoop;
+    this.stateWriter = stateWriter;
   }
 
   void tick(double now) {
-    if (now - writtenAt <= env.settings().workers().leaseS() / 2) {
+    if (now - writtenAt <= context.settings().workers().leaseS() / 2) {
       return;
     }
     writtenAt = now;
-    LOG.info("{}", ClusterSummary.of(ledger));
-    line("planned", planning.line());
-    env.work().log();
-    line("written", committer.line());
-    line("waits of the largest", ledger.largest.line(ledger.jobs.values(), env.clock().wallMs()));
+    LOG.info("{}", ClusterSummary.of(state));
+    line("planned", schedulingLoop.statusLine());
+    context.profile().log();
+    line("written", stateWriter.statusLine());
+    line("waits of the largest", state.largestJobWaits.line(state.jobs.values(), context.clock().wallMs()));
   }
 
   private static void line(String what, String text) {
--- a/src/main/java/io/embernotch/model/Attempt.java
+++ b/src/main/java/io/embernotch/model/Attempt.java
@@ -14,11 +14,11 @@
     /** A direct command is on the way. */
     SENDING,
     /** Given in the response to a report: executed before the next report, or never. */
-    IN_RESPONSE,
+    IN_HEARTBEAT_RESPONSE,
     /** A direct command went unanswered: only a report under a newer token tells. */
-    UNSURE,
+    UNCONFIRMED,
     /** The worker has been seen to hold it. */
-    HELD
+    CONFIRMED
   }
 
   public final Job job;
@@ -30,7 +30,7 @@
   /** Highest token under which its start may have left. */
   public long startToken;
 
-  public LaunchState start = LaunchState.UNCOMMITTED;
+  public LaunchState launchState = LaunchState.UNCOMMITTED;
   public TaskState state;
 
   /** An earlier leader opened it. */
@@ -43,7 +43,7 @@
 
   public boolean stopping;
   public double stopGraceS;
-  public double stopAskedAt = -1;
+  public double stopRequestedAt = -1;
   public double stopSentAt = -1;
 
   public Attempt(Job job, int task, long number, String machine, String zone, long startToken) {
@@ -61,10 +61,10 @@
    * tells since when.
    */
   public boolean mayYetStart(long base) {
-    return switch (start) {
-      case SENDING, IN_RESPONSE -> true;
-      case UNSURE -> startToken >= base;
-      case HELD -> state == null || state == TaskState.FETCHING;
+    return switch (launchState) {
+      case SENDING, IN_HEARTBEAT_RESPONSE -> true;
+      case UNCONFIRMED -> startToken >= base;
+      case CONFIRMED -> state == null || state == TaskState.FETCHING;
       case UNCOMMITTED, READY -> false;
     };
   }
@@ -78,7 +78,7 @@
     if (state != null) {
       return state == TaskState.RUNNING || state == TaskState.SAVING;
     }
-    return inherited || start == LaunchState.UNSURE || start == LaunchState.IN_RESPONSE;
+    return inherited || launchState == LaunchState.UNCONFIRMED || launchState == LaunchState.IN_HEARTBEAT_RESPONSE;
   }
 
   @Override
--- a/src/main/java/io/embernotch/model/Heartbeat.java
+++ b/src/main/java/io/embernotch/model/Heartbeat.java
@@ -9,14 +9,14 @@
     String type,
     String zone,
     boolean spot,
-    long session,
+    long agentEpoch,
     long seq,
     long token,
-    Double recallS,
+    Double reclaimInS,
     List<TaskStatus> tasks) {
 
   /** True if this report was made after the one with the given session and sequence number. */
   public boolean newerThan(long otherSession, long otherSeq) {
-    return session > otherSession || (session == otherSession && seq > otherSeq);
+    return agentEpoch > otherSession || (agentEpoch == otherSession && seq > otherSeq);
   }
 }
--- a/src/main/java/io/embernotch/model/Job.java
+++ b/src/main/java/io/embernotch/model/Job.java
@@ -18,41 +18,41 @@
   public final long submittedMs;
 
   /** DONE or CANCELLED once that is decided, else null. */
-  public JobPhase end;
+  public JobPhase finalPhase;
 
   /**
    * The store is known to hold the end, or one that implies it (a job before this one is
    * cancelled): only then may anybody be told, and from then on always.
    */
-  public boolean endKept;
+  public boolean endPersisted;
 
   /**
    * Its user wants it cancelled: nothing of it starts any more, and it ends once that can be told.
    */
-  public boolean cancelling;
+  public boolean cancelRequested;
 
   /** It was accepted before data was lost, so what is known of its progress may lack starts. */
-  public boolean again;
+  public boolean restoredAfterLoss;
 
   /** When the end was decided, by the time of day. */
   public long endedMs;
 
   /** Jobs that must be done before any task of this one starts, and are not yet known to be. */
-  public final Set<String> waitingFor = new HashSet<>();
+  public final Set<String> unmetDependencies = new HashSet<>();
 
   /**
    * When it could first have started: its submission, or the end of the last job that it awaits.
    */
-  public long sinceMs;
+  public long eligibleSinceMs;
 
   /** Its own priority, or a higher one of a job that needs it. */
-  public Priority rank;
+  public Priority effectivePriority;
 
   /**
    * Latest start by which it, and what needs it, can meet their deadlines; no deadline: {@link
    * Long#MAX_VALUE}.
    */
-  public long startByMs = Long.MAX_VALUE;
+  public long latestStartMs = Long.MAX_VALUE;
 
   /**
    * The coming out of a release that it is for, as RELEASE/DATE; null if that is not settled, or it
@@ -64,16 +64,16 @@
    * By when it is to be done for its release, by the time of day; {@link Long#MAX_VALUE}: there is
    * no such time.
    */
-  public long releaseByMs = Long.MAX_VALUE;
+  public long releaseDeadlineMs = Long.MAX_VALUE;
 
   /** How long it still needs once it has started. */
-  public long restMs;
+  public long remainingRunMs;
 
   /** Set by the planner: it can't be done for its release together with others that take less. */
-  public boolean behind;
+  public boolean missesDeadline;
 
   /** Set by the planner: the earlier, the sooner its turn among its like. */
-  public long urgentMs;
+  public long urgencyMs;
 
   public final BitSet done = new BitSet();
 
@@ -81,9 +81,9 @@
    * Those of them that the store is known to hold: what users are told of, so that whoever reads
    * the store tells no less.
    */
-  public final BitSet storedDone = new BitSet();
+  public final BitSet persistedDone = new BitSet();
 
-  public final Map<Integer, Attempt> open = new TreeMap<>();
+  public final Map<Integer, Attempt> openAttempts = new TreeMap<>();
   public long nextAttempt = 1;
 
   /** Nothing of it may start before this time: tasks of it may run of which nothing is known. */
@@ -96,10 +96,10 @@
   public final Set<String> errorMachines = new LinkedHashSet<>();
 
   /** The log says that it fails. */
-  public boolean toldFailing;
+  public boolean failureLogged;
 
   /** Tasks that have run before: their last run does not tell how long a whole one takes. */
-  public final BitSet restarted = new BitSet();
+  public final BitSet restartedTasks = new BitSet();
 
   /** The gang's present attempt lost a task: the rest must end before the next one. */
   public boolean gangBroken;
@@ -108,26 +108,26 @@
   public int finishedCount;
 
   /** Machines a straggling task is to go to next, by task. */
-  public final Map<Integer, String> wishes = new TreeMap<>();
+  public final Map<Integer, String> preferredMachines = new TreeMap<>();
 
   /** Set by the planner: the job fits its team's guarantee with the team's earlier jobs. */
-  public boolean guaranteed;
+  public boolean withinGuarantee;
 
   public Job(JobSpec spec, long submittedMs) {
     this.spec = spec;
     this.submittedMs = submittedMs;
-    this.sinceMs = submittedMs;
-    this.rank = spec.priority();
+    this.eligibleSinceMs = submittedMs;
+    this.effectivePriority = spec.priority();
   }
 
   /** It fails wherever it goes, most likely by a mistake in its submission. */
-  public boolean fails() {
+  public boolean failsEverywhere() {
     return errorMachines.size() >= MANY_MACHINES;
   }
 
   /** It waits for other jobs: nothing of it may start, and it takes part in nothing. */
-  public boolean held() {
-    return !waitingFor.isEmpty();
+  public boolean blocked() {
+    return !unmetDependencies.isEmpty();
   }
 
   public int remaining() {
@@ -152,20 +152,20 @@
 
   private int pendingFrom(int from) {
     int task = done.nextClearBit(from);
-    while (open.containsKey(task)) {
+    while (openAttempts.containsKey(task)) {
       task = done.nextClearBit(task + 1);
     }
     return task;
   }
 
   public int pendingCount() {
-    return end != null || cancelling || held() ? 0 : remaining() - open.size();
+    return finalPhase != null || cancelRequested || blocked() ? 0 : remaining() - openAttempts.size();
   }
 
   /** Tasks that run, or may run: users may have been told so by whoever reads the store. */
-  public int running() {
+  public int runningCount() {
     int n = 0;
-    for (Attempt a : open.values()) {
+    for (Attempt a : openAttempts.values()) {
       if (a.mayRun()) {
         n++;
       }
@@ -178,8 +178,8 @@
    * sentBefore} may have arrived.
    */
   public boolean mayRun(double sentBefore) {
-    return open.values().stream()
+    return openAttempts.values().stream()
         .anyMatch(
-            a -> a.mayRun() || (a.start == Attempt.LaunchState.SENDING && a.createdAt < sentBefore));
+            a -> a.mayRun() || (a.launchState == Attempt.LaunchState.SENDING && a.createdAt < sentBefore));
   }
 }
--- a/src/main/java/io/embernotch/model/JobSpec.java
+++ b/src/main/java/io/embernotch/model/JobSpec.java
@@ -27,7 +27,7 @@
     double checkpointS,
     double saveS,
     Double dueS,
-    List<String> awaits) {
+    List<String> dependencies) {
 
   public boolean allows(String type, String inZone, boolean onSpot) {
     return (types == null || types.contains(type))
@@ -58,7 +58,7 @@
         checkpointS,
         saveS,
         dueS,
-        awaits);
+        dependencies);
   }
 
   /** The same job with tasks that take only a part of what they take. */
@@ -84,7 +84,7 @@
         checkpointS,
         saveS,
         dueS,
-        awaits);
+        dependencies);
   }
 
   /** Most tasks that may be in one zone when the job must be spread. */
--- a/src/main/java/io/embernotch/model/Machine.java
+++ b/src/main/java/io/embernotch/model/Machine.java
@@ -17,10 +17,10 @@
   public String address;
 
   /** Rented at about this time. */
-  public double bornAt;
+  public double rentedAt;
 
   /** Until then it is counted on to come up, or to find us. */
-  public double countUntil;
+  public double expectedUntil;
 
   /**
    * When the cloud first listed it as running, though its worker may not have found us yet; below 0
@@ -29,66 +29,66 @@
   public double listedUpAt = -1;
 
   /** Last report of any age, and last one that we answered with 200; below 0 if none. */
-  public double heardAt = -1;
+  public double lastHeartbeatAt = -1;
 
-  public double renewedAt = -1;
-  public long session;
-  public long seq;
+  public double leaseRenewedAt = -1;
+  public long agentEpoch;
+  public long heartbeatSeq;
 
   /** The token that our messages to it carry. */
   public long token;
 
   /** Highest token it has reported. */
-  public long seenToken;
+  public long highestReportedToken;
 
   /** After it has begun another life: reports under lower tokens may be of the former one. */
-  public long lifeToken;
+  public long incarnationToken;
 
   /** Highest token under which a start was sent straight to it. */
-  public long sentToken;
+  public long highestSentToken;
 
   /**
    * The token that its last report was answered with, and the highest that it has shown in reports;
    * 0 if none.
    */
-  public long toldToken;
+  public long lastAnsweredToken;
 
-  public long shownToken;
+  public long acknowledgedToken;
 
   /** A controller that nothing has come by. */
-  public static final long NOWHERE = -1;
+  public static final long NO_FORWARDER = -1;
 
   /** The controller by which its last report came, and how often in a row that was another one. */
-  public long reportedVia = NOWHERE;
+  public long lastForwarder = NO_FORWARDER;
 
-  public int moves;
+  public int forwarderChanges;
 
   /** Signs in a row that it does not hear us; whether a call is one of them. */
-  public int unheard;
+  public int missedAcknowledgements;
 
-  public boolean callUnheard;
+  public boolean callUnanswered;
 
   /** Since when it is taken for deaf; below 0 while it is not. */
-  public double deafSince = -1;
+  public double unreachableSince = -1;
 
   /**
    * When it was last proven to hear us, and so to be alive in this term; below 0 if it was
    * not.
    */
-  public double provenAt = -1;
+  public double confirmedAliveAt = -1;
 
   /** When it was first heard. */
   public double upAt = -1;
 
   /** Highest token of a direct command that went unanswered. */
-  public long unsureToken;
+  public long unconfirmedToken;
 
-  public boolean doInFlight;
-  public double doFailedAt = -1e9;
+  public boolean commandInFlight;
+  public double commandFailedAt = -1e9;
   public boolean probing;
 
   /** When it was last asked because of a report that was no news. */
-  public double askedAt = -1e9;
+  public double statusRequestedAt = -1e9;
 
   /** When it last did not answer a probe, and whether it took the connection then. */
   public double probeFailedAt = -1e9;
@@ -96,7 +96,7 @@
   public boolean probeConnected;
 
   /** The cloud takes it at this time; below 0 without notice. */
-  public double recallAt = -1;
+  public double reclaimAt = -1;
 
   /** Nothing new is put here; it is returned once empty. */
   public boolean cordoned;
@@ -114,13 +114,13 @@
   /** Empty since this time. */
   public double idleSince;
 
-  public final Map<String, Attempt> open = new LinkedHashMap<>();
+  public final Map<String, Attempt> openAttempts = new LinkedHashMap<>();
 
   /** What is held free here for reservations. */
-  public double keptCpus;
+  public double reservedCpus;
 
-  public double keptGpus;
-  public double keptMemGb;
+  public double reservedGpus;
+  public double reservedMemGb;
   private MachineLoad load;
   private double performance;
 
@@ -138,25 +138,25 @@
   }
 
   /** Something of its open attempts has changed. */
-  public void touched() {
+  public void attemptsChanged() {
     load = null;
     version++;
   }
 
   public MachineLoad load() {
     if (load == null) {
-      load = new MachineLoad(open.values());
+      load = new MachineLoad(openAttempts.values());
     }
     return load;
   }
 
   public boolean up() {
-    return heardAt >= 0;
+    return lastHeartbeatAt >= 0;
   }
 
   /** Nothing new is started where commands may not arrive. */
-  public boolean doubted() {
-    return deafSince >= 0 || callUnheard;
+  public boolean suspectedUnreachable() {
+    return unreachableSince >= 0 || callUnanswered;
   }
 
   /**
@@ -164,8 +164,8 @@
    * ours, or answered, only its first report counts: copies of what it said before it ended may go
    * on coming.
    */
-  public double aliveAt() {
-    return provenAt >= 0 ? heardAt : upAt;
+  public double lastSignOfLifeAt() {
+    return confirmedAliveAt >= 0 ? lastHeartbeatAt : upAt;
   }
 
   public static String taskKey(String ref, int task) {
@@ -173,7 +173,7 @@
   }
 
   /** Notes how fast a finished run was; the last {@code lately} count. */
-  public void finished(double ratio, int lately) {
+  public void recordFinished(double ratio, int lately) {
     ratios.addLast(ratio);
     while (ratios.size() > lately) {
       ratios.removeFirst();
--- a/src/main/java/io/embernotch/model/MachineLoad.java
+++ b/src/main/java/io/embernotch/model/MachineLoad.java
@@ -23,7 +23,7 @@
   public final boolean pinned;
 
   /** Least priority of what is not being stopped, or null if nothing is. */
-  public final Priority least;
+  public final Priority lowestPriority;
 
   /** Images that are being fetched. */
   public final Set<String> fetching;
@@ -64,7 +64,7 @@
     freeingGpus = fg;
     freeingMemGb = fm;
     pinned = service;
-    least = low;
+    lowestPriority = low;
     fetching = images;
   }
 }
--- a/src/main/java/io/embernotch/model/StoreIncarnation.java
+++ b/src/main/java/io/embernotch/model/StoreIncarnation.java
@@ -20,13 +20,13 @@
  */
 public record StoreIncarnation(
     String name,
-    long stamp,
-    long floor,
-    String base,
-    int blocks,
+    long modRevision,
+    long epochFloor,
+    String snapshotName,
+    int blockCount,
     long crc,
     long since,
-    List<String> after) {
+    List<String> predecessors) {
   /** Eras before one that are remembered: far more than there are between two looks at it. */
   private static final int REMEMBERED = 32;
 
@@ -35,23 +35,23 @@
    * held.
    */
   public boolean follows(StoreIncarnation other) {
-    return after.contains(other.name);
+    return predecessors.contains(other.name);
   }
 
   /** The names that an era after this one remembers. */
-  public List<String> line() {
+  public List<String> lineage() {
     List<String> out = new ArrayList<>(List.of(name));
-    out.addAll(after);
+    out.addAll(predecessors);
     return out.subList(0, Math.min(out.size(), REMEMBERED));
   }
 
   @Override
   public long since() {
-    return since == 0 ? stamp : since;
+    return since == 0 ? modRevision : since;
   }
 
   /** The same, begun at this stamp. */
-  public StoreIncarnation at(long newStamp) {
-    return new StoreIncarnation(name, newStamp, floor, base, blocks, crc, since, after);
+  public StoreIncarnation at(long newModRevision) {
+    return new StoreIncarnation(name, newModRevision, epochFloor, snapshotName, blockCount, crc, since, predecessors);
   }
 }
--- a/src/main/java/io/embernotch/peer/Frame.java
+++ b/src/main/java/io/embernotch/peer/Frame.java
@@ -8,7 +8,7 @@
 /** What controllers say to each other. */
 public sealed interface Frame {
   /** Who is there, whom it takes for the leader, and whether the state service answers it. */
-  record PeerHeartbeat(String node, String leader, long leaderEpoch, boolean stateOk) implements Frame {}
+  record PeerHeartbeat(String node, String leader, long leaderEpoch, boolean storeReachable) implements Frame {}
 
   /** A job was accepted: the value of its {@code job/} key. */
   record JobAccepted(byte[] value) implements Frame {}
@@ -43,7 +43,7 @@
    * Only a leader whose key says that it takes them may be sent one: the former version drops the
    * connection.
    */
-  record ForwardedHeartbeat(long id, Heartbeat report) implements Frame {}
+  record ForwardedHeartbeat(long id, Heartbeat heartbeat) implements Frame {}
 
   /**
    * A controller is there, for a leader that takes reports: the number of this message, the
--- a/src/main/java/io/embernotch/peer/FrameCodec.java
+++ b/src/main/java/io/embernotch/peer/FrameCodec.java
@@ -33,7 +33,7 @@
   private static final byte PROPOSE = 7;
   private static final byte SUBMIT = 8;
   private static final byte IMAGES = 9;
-  private static final byte REPORT = 10;
+  private static final byte HEARTBEAT = 10;
   private static final byte HERE = 11;
   private static final byte NOTED = 12;
 
@@ -60,7 +60,7 @@
       text(b, f.node());
       text(b, f.leader());
       b.putLong(f.leaderEpoch());
-      flag(b, f.stateOk());
+      flag(b, f.storeReachable());
     } else if (frame instanceof Frame.JobAccepted f) {
       b.put(JOB_CREATED);
       blob(b, f.value());
@@ -81,8 +81,8 @@
       text(b, f.machine());
       texts(b, f.images());
     } else if (frame instanceof Frame.ForwardedHeartbeat f) {
-      b.put(REPORT).putLong(f.id());
-      report(b, f.report());
+      b.put(HEARTBEAT).putLong(f.id());
+      heartbeat(b, f.heartbeat());
     } else if (frame instanceof Frame.DelegateHeartbeat f) {
       b.put(HERE);
       text(b, f.node());
@@ -129,7 +129,7 @@
             case VIEW -> new Frame.MachineViewUpdate(b.getLong(), view(b));
             case HERE -> new Frame.DelegateHeartbeat(text(b), b.getLong(), b.getLong(), b.getDouble());
             case NOTED -> new Frame.DelegateHeartbeatAck(b.getLong(), b.getLong(), flag(b));
-            case REPORT -> new Frame.ForwardedHeartbeat(b.getLong(), report(b));
+            case HEARTBEAT -> new Frame.ForwardedHeartbeat(b.getLong(), heartbeat(b));
             case IMAGES -> new Frame.ImageInventoryUpdate(b.getLong(), text(b), texts(b));
             case FORGET -> new Frame.MachineViewRemoval(b.getLong(), text(b));
             case PROPOSE -> new Frame.RestartProposals(text(b), b.getLong(), restarts(b));
@@ -144,14 +144,14 @@
     }
   }
 
-  private static void report(ByteBuffer b, Heartbeat r) {
+  private static void heartbeat(ByteBuffer b, Heartbeat r) {
     text(b, r.machine());
     text(b, r.address());
     text(b, r.type());
     text(b, r.zone());
     flag(b, r.spot());
-    b.putLong(r.session()).putLong(r.seq()).putLong(r.token());
-    b.putDouble(r.recallS() == null ? -1 : r.recallS());
+    b.putLong(r.agentEpoch()).putLong(r.seq()).putLong(r.token());
+    b.putDouble(r.reclaimInS() == null ? -1 : r.reclaimInS());
     b.putShort((short) r.tasks().size());
     for (TaskStatus t : r.tasks()) {
       text(b, t.ref());
@@ -161,7 +161,7 @@
     }
   }
 
-  private static Heartbeat report(ByteBuffer b) {
+  private static Heartbeat heartbeat(ByteBuffer b) {
     String machine = text(b);
     String address = text(b);
     String type = text(b);
--- a/src/main/java/io/embernotch/peer/VertxPeerLink.java
+++ b/src/main/java/io/embernotch/peer/VertxPeerLink.java
@@ -34,7 +34,7 @@
 
   public VertxPeerLink(Vertx vertx, Timers timers, Settings settings) {
     this.timers = timers;
-    this.retryS = settings.workers().reportS() / 3;
+    this.retryS = settings.workers().heartbeatIntervalS() / 3;
     NetClientOptions options = new NetClientOptions();
     options.setConnectTimeout((int) (retryS * 1000)).setTcpNoDelay(true);
     this.client = vertx.createNetClient(options);
--- a/src/main/java/io/embernotch/persistence/DirtyShard.java
+++ b/src/main/java/io/embernotch/persistence/DirtyShard.java
@@ -1,6 +1,6 @@
 package io.embernotch.persistence;
 
-import io.embernotch.store.RateLimiter.Rank;
+import io.embernotch.store.RateLimiter.RequestPriority;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
@@ -10,16 +10,16 @@
   /** Somebody who waits for a task's change to be in the store. */
   record Waiter(int task, Runnable durable) {}
 
-  final ShardLayout.Piece piece;
+  final ShardLayout.Shard shard;
 
   /** Its tasks that differ; what concerns the job as a whole goes with task 0. */
   final BitSet tasks = new BitSet();
 
-  Rank rank;
+  RequestPriority priority;
   double due;
 
   /** When somebody first began to wait for it, below 0 if nobody does. */
-  double awaitedSince = -1;
+  double waitingSince = -1;
 
   List<Waiter> waiters = new ArrayList<>();
 
@@ -35,15 +35,15 @@
    */
   private final BitSet unknown = new BitSet();
 
-  DirtyShard(ShardLayout.Piece piece, Rank rank, double due) {
-    this.piece = piece;
-    this.rank = rank;
+  DirtyShard(ShardLayout.Shard shard, RequestPriority priority, double due) {
+    this.shard = shard;
+    this.priority = priority;
     this.due = due;
   }
 
   /** A transaction with the piece as it is now leaves. */
   void sent() {
-    underWay = within(piece.job().done);
+    underWay = within(shard.job().done);
   }
 
   /**
@@ -51,7 +51,7 @@
    * before it did.
    */
   void stored() {
-    piece.job().storedDone.or(underWay);
+    shard.job().persistedDone.or(underWay);
     underWay = new BitSet();
     unknown.clear();
   }
@@ -70,7 +70,7 @@
   /**
    * The same piece, or a larger one, was marked before: takes over what the store may hold of it.
    */
-  void follows(DirtyShard former) {
+  void supersedes(DirtyShard former) {
     unknown.or(within(former.unknown));
   }
 
@@ -78,20 +78,20 @@
   boolean mayBeStored() {
     BitSet marks = (BitSet) unknown.clone();
     marks.or(underWay);
-    marks.andNot(piece.job().storedDone);
+    marks.andNot(shard.job().persistedDone);
     return !marks.isEmpty();
   }
 
   private BitSet within(BitSet marks) {
-    int end = piece.from() + piece.size();
+    int end = shard.from() + shard.size();
     BitSet ours = (BitSet) marks.clone();
-    ours.clear(0, piece.from());
+    ours.clear(0, shard.from());
     ours.clear(end, Math.max(end, ours.length()));
     return ours;
   }
 
-  void hurry(Rank to, double by) {
-    rank = to.compareTo(rank) < 0 ? to : rank;
+  void expedite(RequestPriority to, double by) {
+    priority = to.compareTo(priority) < 0 ? to : priority;
     due = Math.min(due, by);
   }
 }
--- a/src/main/java/io/embernotch/persistence/PersistedJob.java
+++ b/src/main/java/io/embernotch/persistence/PersistedJob.java
@@ -17,12 +17,12 @@
    * What the store and the base of its era hold of a job's submission; an absent entry if it was
    * never accepted.
    */
-  public static Future<VersionedEntry> submission(StoreClient store, BaseSnapshot base, String ref) {
+  public static Future<VersionedEntry> submission(StoreClient store, BaseSnapshot baseSnapshot, String ref) {
     return store
-        .getSurely(JobProgressCodec.JOB + ref)
+        .getConfirmed(JobProgressCodec.JOB + ref)
         .map(
             e ->
-                base.beneath(ref, JobProgressCodec.JOB, present(e)).stream()
+                baseSnapshot.beneath(ref, JobProgressCodec.JOB, present(e)).stream()
                     .findFirst()
                     .orElse(new VersionedEntry(e.key(), null, 0)));
   }
@@ -31,8 +31,8 @@
    * Reads a job, its first piece and its parts; null if it was never accepted. Three reads at most.
    * Not for one of which the base knows only the end.
    */
-  public static Future<Job> read(StoreClient store, BaseSnapshot base, String ref) {
-    return submission(store, base, ref)
+  public static Future<Job> read(StoreClient store, BaseSnapshot baseSnapshot, String ref) {
+    return submission(store, baseSnapshot, ref)
         .compose(
             entry -> {
               if (!entry.present()) {
@@ -42,7 +42,7 @@
               return store
                   .get(JobProgressCodec.RUN + ref)
                   .compose(
-                      run -> progress(store, base, job, run, JobProgressCodec.readPiece(entry.value())));
+                      run -> progress(store, baseSnapshot, job, run, JobProgressCodec.readShardSize(entry.value())));
             });
   }
 
@@ -51,19 +51,19 @@
   }
 
   private static Future<Job> progress(
-      StoreClient store, BaseSnapshot base, Job job, VersionedEntry stored, int pieceSize) {
-    for (VersionedEntry run : base.beneath(job.spec.ref(), JobProgressCodec.RUN, present(stored))) {
-      JobProgressCodec.readRun(run.value(), job, pieceSize, JobProgressCodec.pieceOf(run.key()));
+      StoreClient store, BaseSnapshot baseSnapshot, Job job, VersionedEntry stored, int shardSize) {
+    for (VersionedEntry run : baseSnapshot.beneath(job.spec.ref(), JobProgressCodec.RUN, present(stored))) {
+      JobProgressCodec.readRun(run.value(), job, shardSize, JobProgressCodec.shardOf(run.key()));
     }
-    if (job.end != null) {
+    if (job.finalPhase != null) {
       return Future.succeededFuture(job);
     }
     // Parts are only made of pieces that were there, or of a job's very first write.
     return store
-        .list(JobProgressCodec.PART + job.spec.ref() + "/")
+        .list(JobProgressCodec.REFINED_SHARD + job.spec.ref() + "/")
         .map(
             found -> {
-              List<VersionedEntry> parts = base.beneath(job.spec.ref(), JobProgressCodec.PART, found.events());
+              List<VersionedEntry> parts = baseSnapshot.beneath(job.spec.ref(), JobProgressCodec.REFINED_SHARD, found.events());
               ProgressShard.add(job, parts.stream().map(ProgressShard::of).toList());
               return job;
             });
--- a/src/main/java/io/embernotch/persistence/ShardLayout.java
+++ b/src/main/java/io/embernotch/persistence/ShardLayout.java
@@ -13,7 +13,7 @@
  */
 public final class ShardLayout {
   /** So many tasks of a job, kept under one key. */
-  public record Piece(Job job, int size, int index, boolean part) {
+  public record Shard(Job job, int size, int index, boolean part) {
     String key() {
       String ref = job.spec.ref();
       return part ? JobProgressCodec.partKey(ref, size, index) : JobProgressCodec.key(ref, index);
@@ -38,29 +38,29 @@
     this.usualSize = usualSize;
   }
 
-  public void know(String ref, int size) {
+  public void recordShardSize(String ref, int size) {
     sizes.put(ref, size);
   }
 
   /** The store holds parts of this size; the smallest ones count. */
-  public void knowPart(String ref, int size) {
+  public void recordRefinedSize(String ref, int size) {
     parts.merge(ref, size, Math::min);
   }
 
-  public int size(String ref) {
+  public int shardSize(String ref) {
     Integer part = parts.get(ref);
     return part != null ? part : sizes.getOrDefault(ref, usualSize);
   }
 
-  public Piece of(Job job, int task) {
+  public Shard shardOf(Job job, int task) {
     String ref = job.spec.ref();
-    int size = size(ref);
-    return new Piece(job, size, task / size, parts.containsKey(ref));
+    int size = shardSize(ref);
+    return new Shard(job, size, task / size, parts.containsKey(ref));
   }
 
   /** Has the job go over to smaller parts; false if there are none smaller. */
   public boolean refine(String ref) {
-    int now = size(ref);
+    int now = shardSize(ref);
     if (now <= 1) {
       return false;
     }
--- a/src/main/java/io/embernotch/persistence/StateWriter.java
+++ b/src/main/java/io/embernotch/persistence/StateWriter.java
@@ -12,7 +12,7 @@
 import io.embernotch.settings.Settings;
 import io.embernotch.store.TransactionResult;
 import io.embernotch.store.VersionedEntry;
-import io.embernotch.store.RateLimiter.Rank;
+import io.embernotch.store.RateLimiter.RequestPriority;
 import io.embernotch.store.StoreClient;
 import io.embernotch.store.StoreException;
 import io.embernotch.store.Transaction;
@@ -41,7 +41,7 @@
   private final StoreClient store;
   private final Clock clock;
   private final Timers timers;
-  private final long stamp;
+  private final long modRevision;
   private final int maxChanges;
   private final double lazyS;
   private final double overdueS;
@@ -51,36 +51,36 @@
   /** The store has refused what would have fitted its former limits. */
   private boolean lowered;
   private boolean saidSo;
-  private final ShardLayout layout;
+  private final ShardLayout shardLayout;
   private final Runnable deposed;
-  private final EventLoopProfile work;
-  private final Map<String, Long> stamps = new HashMap<>();
+  private final EventLoopProfile profile;
+  private final Map<String, Long> modRevisions = new HashMap<>();
   private final Map<String, DirtyShard> dirty = new LinkedHashMap<>();
   private Map<String, DirtyShard> inFlight = Map.of();
   private boolean busy;
   private boolean closed;
   private double armedFor = Double.MAX_VALUE;
   /** The most urgent rank for which a turn has been asked, or null. */
-  private Rank asked;
+  private RequestPriority asked;
   private long turns;
   private final LatencyRecorder latencies = new LatencyRecorder();
   private long transactions;
   private long changes;
 
   public StateWriter(
-      Settings settings, ShardLayout layout, StoreClient store, Clock clock, Timers timers, EventLoopProfile work, long stamp,
+      Settings settings, ShardLayout shardLayout, StoreClient store, Clock clock, Timers timers, EventLoopProfile profile, long modRevision,
       Runnable deposed) {
-    this.layout = layout;
+    this.shardLayout = shardLayout;
     this.store = store;
     this.clock = clock;
     this.timers = timers;
-    this.work = work;
-    this.stamp = stamp;
-    this.maxChanges = settings.stateFloor().txnOps();
-    this.lazyS = settings.workers().reportS();
+    this.profile = profile;
+    this.modRevision = modRevision;
+    this.maxChanges = settings.minStoreLimits().txnOps();
+    this.lazyS = settings.workers().heartbeatIntervalS();
     this.overdueS = settings.workers().leaseS() / 2;
-    this.retryS = settings.workers().reportS() / 15;
-    this.safeBytes = (int) (settings.stateFloor().valueKb() * 1024);
+    this.retryS = settings.workers().heartbeatIntervalS() / 15;
+    this.safeBytes = (int) (settings.minStoreLimits().valueKb() * 1024);
     this.deposed = deposed;
   }
 
@@ -90,47 +90,47 @@
   }
 
   /** The store holds parts, which were only made since its limits are lowered. */
-  public void limitsAreLowered() {
+  public void limitsLowered() {
     lowered = true;
   }
 
   /** Takes over what the store holds of a job's piece. */
-  public void know(String key, long stamp) {
-    stamps.put(key, stamp);
+  public void recordModRevision(String key, long modRevision) {
+    modRevisions.put(key, modRevision);
   }
 
   public boolean isDirty(Job job, int task) {
-    String key = layout.of(job, task).key();
+    String key = shardLayout.shardOf(job, task).key();
     return dirty.containsKey(key) || inFlight.containsKey(key);
   }
 
   public boolean isDirty(Job job) {
-    int size = layout.size(job.spec.ref());
+    int size = shardLayout.shardSize(job.spec.ref());
     return IntStream.range(0, (job.spec.tasks() + size - 1) / size).anyMatch(k -> isDirty(job, k * size));
   }
 
   /** The piece with {@code task} has changed; it waits for company and for a quiet moment. */
-  public void later(Job job, int task) {
-    mark(job, task, Rank.SPARE, clock.now() + lazyS, null);
+  public void writeLater(Job job, int task) {
+    mark(job, task, RequestPriority.BACKGROUND, clock.now() + lazyS, null);
   }
 
   /** The piece with {@code task} has changed; {@code durable} runs once that is committed. */
-  public void now(Job job, int task, Rank rank, Runnable durable) {
-    mark(job, task, rank, clock.now(), durable);
+  public void writeNow(Job job, int task, RequestPriority priority, Runnable durable) {
+    mark(job, task, priority, clock.now(), durable);
   }
 
   /** Runs {@code then} once the piece with {@code task}, as it is now, is in the store; false if it is. */
   public boolean whenWritten(Job job, int task, Runnable then) {
-    String key = layout.of(job, task).key();
+    String key = shardLayout.shardOf(job, task).key();
     DirtyShard d = dirty.getOrDefault(key, inFlight.get(key));
     return d != null && d.waiters.add(new Waiter(task, then));
   }
 
   /** Runs {@code then} once it is known whether the store, and so whoever reads it, has the done marks last sent; false if it is known. */
-  public boolean whenDoneMarksAreKnown(Job job, Runnable then) {
-    int size = layout.size(job.spec.ref());
+  public boolean whenDoneMarksSettled(Job job, Runnable then) {
+    int size = shardLayout.shardSize(job.spec.ref());
     for (int task = 0; task < job.spec.tasks(); task += size) {
-      String key = layout.of(job, task).key();
+      String key = shardLayout.shardOf(job, task).key();
       for (DirtyShard d : Arrays.asList(inFlight.get(key), dirty.get(key))) {
         if (d != null && d.mayBeStored()) {
           d.waiters.add(new Waiter(task, then));
@@ -142,12 +142,12 @@
   }
 
   /** Like {@link #now}, before everything else of usual rank. */
-  public void soon(Job job, int task) {
-    mark(job, task, Rank.USUAL, clock.now() - overdueS, null);
+  public void writeSoon(Job job, int task) {
+    mark(job, task, RequestPriority.NORMAL, clock.now() - overdueS, null);
   }
 
   /** From decision to commit, what was written since the last line, and what waits; null if nothing was. */
-  public String line() {
+  public String statusLine() {
     String delays = latencies.line();
     if (delays == null) {
       return null;
@@ -158,14 +158,14 @@
     return out;
   }
 
-  private void mark(Job job, int task, Rank rank, double due, Runnable durable) {
-    ShardLayout.Piece piece = layout.of(job, task);
-    DirtyShard d = dirty.computeIfAbsent(piece.key(), k -> new DirtyShard(piece, rank, due));
-    d.hurry(rank, due);
+  private void mark(Job job, int task, RequestPriority priority, double due, Runnable durable) {
+    ShardLayout.Shard shard = shardLayout.shardOf(job, task);
+    DirtyShard d = dirty.computeIfAbsent(shard.key(), k -> new DirtyShard(shard, priority, due));
+    d.expedite(priority, due);
     d.tasks.set(task);
     if (durable != null) {
       d.waiters.add(new Waiter(task, durable));
-      d.awaitedSince = d.awaitedSince < 0 ? clock.now() : d.awaitedSince;
+      d.waitingSince = d.waitingSince < 0 ? clock.now() : d.waitingSince;
     }
     arm(d);
   }
@@ -176,7 +176,7 @@
     }
     double now = clock.now();
     if (d.due <= now + 0.001) {
-      ask(d.rank);
+      ask(d.priority);
     } else if (d.due < armedFor) {
       armedFor = d.due;
       timers.after(d.due - now, () -> {
@@ -196,10 +196,10 @@
     DirtyShard first = null;
     DirtyShard soonest = null;
     for (DirtyShard d : dirty.values()) {
-      if (d.rank == Rank.SPARE && now - d.due > overdueS) {
-        d.rank = Rank.USUAL;
+      if (d.priority == RequestPriority.BACKGROUND && now - d.due > overdueS) {
+        d.priority = RequestPriority.NORMAL;
       }
-      if (d.due <= now + 0.001 && (first == null || d.rank.compareTo(first.rank) < 0)) {
+      if (d.due <= now + 0.001 && (first == null || d.priority.compareTo(first.priority) < 0)) {
         first = d;
       }
       if (soonest == null || d.due < soonest.due) {
@@ -207,42 +207,42 @@
       }
     }
     if (first != null) {
-      ask(first.rank);
+      ask(first.priority);
     } else if (soonest != null) {
       arm(soonest);
     }
   }
 
-  private void ask(Rank rank) {
-    if (asked != null && asked.compareTo(rank) <= 0) {
+  private void ask(RequestPriority priority) {
+    if (asked != null && asked.compareTo(priority) <= 0) {
       return;
     }
-    asked = rank;
+    asked = priority;
     long turn = ++turns;
     // Under pressure a transaction waits to be worth its request, unless a live service needs it.
-    int least = rank == Rank.FIRST ? 1 : Math.max(1, Math.min(dirty.size(), maxChanges / 4));
-    store.turn(least, rank, () -> {
-      work.run("write", () -> store.turnOver(least, turn == turns && !busy && !closed ? write(least, rank) : 0));
+    int least = priority == RequestPriority.HIGH ? 1 : Math.max(1, Math.min(dirty.size(), maxChanges / 4));
+    store.requestWriteSlot(least, priority, () -> {
+      profile.run("write", () -> store.releaseWriteSlot(least, turn == turns && !busy && !closed ? write(least, priority) : 0));
     });
   }
 
   /** Puts what is due into one transaction, most urgent first; tells how many changes it made. */
-  private int write(int least, Rank rank) {
+  private int write(int least, RequestPriority priority) {
     asked = null;
     double now = clock.now();
-    int most = (int) Math.min(maxChanges, least + Math.max(0, Math.floor(store.credit())));
-    boolean spare = rank == Rank.SPARE || store.spare();
+    int most = (int) Math.min(maxChanges, least + Math.max(0, Math.floor(store.writeCredit())));
+    boolean spare = priority == RequestPriority.BACKGROUND || store.hasSpareWrites();
     List<Map.Entry<String, DirtyShard>> order = new ArrayList<>();
     for (Map.Entry<String, DirtyShard> e : dirty.entrySet()) {
       DirtyShard d = e.getValue();
-      if (d.due <= now + 0.001 && (spare || d.rank != Rank.SPARE)) {
+      if (d.due <= now + 0.001 && (spare || d.priority != RequestPriority.BACKGROUND)) {
         order.add(e);
       }
     }
     order.sort(
-        Comparator.comparing((Map.Entry<String, DirtyShard> e) -> e.getValue().rank)
+        Comparator.comparing((Map.Entry<String, DirtyShard> e) -> e.getValue().priority)
             .thenComparingDouble(e -> e.getValue().due));
-    Transaction txn = new Transaction().when(JobProgressCodec.LEADER, stamp);
+    Transaction txn = new Transaction().when(JobProgressCodec.LEADER, modRevision);
     Map<String, DirtyShard> batch = new LinkedHashMap<>();
     List<Job> tooLarge = new ArrayList<>();
     int bytes = 0;
@@ -254,17 +254,17 @@
       if (d.suspect && !batch.isEmpty()) {
         continue;
       }
-      ObjectNode value = d.piece.value();
+      ObjectNode value = d.shard.value();
       int size = Json.bytes(value).length;
-      if (lowered && size > safeBytes && layout.of(d.piece.job(), 0).size() > 1) {
-        tooLarge.add(d.piece.job());
+      if (lowered && size > safeBytes && shardLayout.shardOf(d.shard.job(), 0).size() > 1) {
+        tooLarge.add(d.shard.job());
         continue;
       }
       bytes += size + 2 * e.getKey().length() + 100;
       if (bytes > Transaction.MAX_BYTES && !batch.isEmpty()) {
         break;
       }
-      txn.when(e.getKey(), stamps.getOrDefault(e.getKey(), 0L)).write(e.getKey(), value);
+      txn.when(e.getKey(), modRevisions.getOrDefault(e.getKey(), 0L)).write(e.getKey(), value);
       batch.put(e.getKey(), d);
       if (d.suspect) {
         break;
@@ -282,8 +282,8 @@
     transactions++;
     changes += batch.size();
     store
-        .commitInTurn(txn, rank)
-        .onSuccess(c -> work.run("committed", () -> answered(c, batch)))
+        .commitInWriteSlot(txn, priority)
+        .onSuccess(c -> profile.run("committed", () -> answered(c, batch)))
         .onFailure(e -> unanswered(e, batch));
     return batch.size();
   }
@@ -293,25 +293,25 @@
       return;
     }
     if (commit.applied()) {
-      batch.keySet().forEach(key -> stamps.put(key, commit.epoch()));
+      batch.keySet().forEach(key -> modRevisions.put(key, commit.revision()));
       inFlight = Map.of();
       busy = false;
       batch.values().forEach(DirtyShard::stored);
       for (DirtyShard d : batch.values()) {
-        if (d.awaitedSince >= 0) {
-          latencies.record(d.rank == Rank.FIRST ? "urgent commit" : "commit", clock.now() - d.awaitedSince);
+        if (d.waitingSince >= 0) {
+          latencies.record(d.priority == RequestPriority.HIGH ? "urgent commit" : "commit", clock.now() - d.waitingSince);
         }
         d.waiters.forEach(w -> w.durable().run());
       }
       next();
       return;
     }
-    if (commit.failed().contains(JobProgressCodec.LEADER)) {
+    if (commit.conflicts().contains(JobProgressCodec.LEADER)) {
       closed = true;
       deposed.run();
       return;
     }
-    LOG.info("commit failed on {}", commit.failed());
+    LOG.info("commit failed on {}", commit.conflicts());
     batch.values().forEach(DirtyShard::refused);
     reread(batch);
   }
@@ -349,8 +349,8 @@
   private void explain(Map<String, DirtyShard> batch, String answer) {
     Set<Job> large = new LinkedHashSet<>();
     for (DirtyShard d : batch.values()) {
-      if (Json.bytes(d.piece.value()).length > safeBytes) {
-        large.add(d.piece.job());
+      if (Json.bytes(d.shard.value()).length > safeBytes) {
+        large.add(d.shard.job());
       }
     }
     if (!large.isEmpty() && !lowered) {
@@ -368,7 +368,7 @@
       DirtyShard d = dirty.get(e.getKey());
       if (batch.size() > 1) {
         d.suspect = true;
-      } else if (!refine(d.piece.job())) {
+      } else if (!refine(d.shard.job())) {
         d.due = clock.now() + lazyS;
         if (!saidSo) {
           saidSo = true;
@@ -382,22 +382,22 @@
   private boolean refine(Job job) {
     String ref = job.spec.ref();
     List<DirtyShard> old = new ArrayList<>();
-    dirty.values().stream().filter(d -> d.piece.job() == job).forEach(old::add);
-    if (!layout.refine(ref)) {
+    dirty.values().stream().filter(d -> d.shard.job() == job).forEach(old::add);
+    if (!shardLayout.refine(ref)) {
       return false;
     }
-    LOG.info("job {} goes on in parts of {} tasks", ref, layout.size(ref));
+    LOG.info("job {} goes on in parts of {} tasks", ref, shardLayout.shardSize(ref));
     for (DirtyShard d : old) {
-      dirty.remove(d.piece.key());
+      dirty.remove(d.shard.key());
       for (int task = d.tasks.nextSetBit(0); task >= 0; task = d.tasks.nextSetBit(task + 1)) {
-        ShardLayout.Piece piece = layout.of(job, task);
-        DirtyShard part = dirty.computeIfAbsent(piece.key(), k -> new DirtyShard(piece, d.rank, d.due));
-        part.hurry(d.rank, d.due);
+        ShardLayout.Shard shard = shardLayout.shardOf(job, task);
+        DirtyShard part = dirty.computeIfAbsent(shard.key(), k -> new DirtyShard(shard, d.priority, d.due));
+        part.expedite(d.priority, d.due);
         part.tasks.set(task);
-        part.follows(d);
-        part.awaitedSince = d.awaitedSince;
+        part.supersedes(d);
+        part.waitingSince = d.waitingSince;
       }
-      d.waiters.forEach(w -> dirty.get(layout.of(job, w.task()).key()).waiters.add(w));
+      d.waiters.forEach(w -> dirty.get(shardLayout.shardOf(job, w.task()).key()).waiters.add(w));
     }
     return true;
   }
@@ -410,10 +410,10 @@
           if (newer == null) {
             dirty.put(key, d);
           } else {
-            newer.hurry(d.rank, d.due);
-            newer.awaitedSince = d.awaitedSince >= 0 ? d.awaitedSince : newer.awaitedSince;
+            newer.expedite(d.priority, d.due);
+            newer.waitingSince = d.waitingSince >= 0 ? d.waitingSince : newer.waitingSince;
             newer.tasks.or(d.tasks);
-            newer.follows(d);
+            newer.supersedes(d);
             newer.suspect |= d.suspect;
             List<Waiter> all = new ArrayList<>(d.waiters);
             all.addAll(newer.waiters);
@@ -440,7 +440,7 @@
         .get(keys.get(i))
         .onSuccess(
             (VersionedEntry entry) -> {
-              stamps.put(keys.get(i), entry.stamp());
+              modRevisions.put(keys.get(i), entry.modRevision());
               rereadNext(keys, i + 1, batch);
             })
         .onFailure(e -> timers.after(retryS, () -> rereadNext(keys, i, batch)));
--- a/src/main/java/io/embernotch/persistence/SubmissionWatcher.java
+++ b/src/main/java/io/embernotch/persistence/SubmissionWatcher.java
@@ -15,16 +15,16 @@
 
   /** Is told of each job, known or not. */
   public interface Sink {
-    void seen(Job job, int piece);
+    void seen(Job job, int shard);
   }
 
-  private final ControllerContext env;
+  private final ControllerContext context;
   private final Sink sink;
   private final BooleanSupplier over;
 
   /** {@code over}: nobody needs it any more. */
-  public SubmissionWatcher(ControllerContext env, Sink sink, BooleanSupplier over) {
-    this.env = env;
+  public SubmissionWatcher(ControllerContext context, Sink sink, BooleanSupplier over) {
+    this.context = context;
     this.sink = sink;
     this.over = over;
   }
@@ -33,20 +33,20 @@
     if (over.getAsBoolean()) {
       return;
     }
-    double hold = 3 * env.settings().workers().reportS();
-    env.store()
+    double hold = 3 * context.settings().workers().heartbeatIntervalS();
+    context.store()
         .watch(JobProgressCodec.JOB, epoch, hold)
         .onSuccess(
             changes -> {
               changes.events().forEach(this::tell);
-              from(Math.max(epoch, changes.epoch()));
+              from(Math.max(epoch, changes.revision()));
             })
         .onFailure(
             e -> {
               if (StoreException.kindOf(e) == StoreException.Kind.TOO_OLD) {
                 readAll();
               } else {
-                env.timers().after(env.settings().workers().reportS() / 6, () -> from(epoch));
+                context.timers().after(context.settings().workers().heartbeatIntervalS() / 6, () -> from(epoch));
               }
             });
   }
@@ -55,14 +55,14 @@
     if (over.getAsBoolean()) {
       return;
     }
-    env.store()
+    context.store()
         .list(JobProgressCodec.JOB)
         .onSuccess(
             jobs -> {
               jobs.events().forEach(this::tell);
-              from(jobs.epoch());
+              from(jobs.revision());
             })
-        .onFailure(e -> env.timers().after(env.settings().workers().reportS(), this::readAll));
+        .onFailure(e -> context.timers().after(context.settings().workers().heartbeatIntervalS(), this::readAll));
   }
 
   private void tell(VersionedEntry e) {
@@ -75,7 +75,7 @@
         LOG.error("the value of {} can't be read: {}", e.key(), bad.toString());
         return;
       }
-      sink.seen(job, JobProgressCodec.readPiece(e.value()));
+      sink.seen(job, JobProgressCodec.readShardSize(e.value()));
     }
   }
 }
--- a/src/main/java/io/embernotch/reservation/ReservationHeadroom.java
+++ b/src/main/java/io/embernotch/reservation/ReservationHeadroom.java
@@ -19,14 +19,14 @@
   private ReservationHeadroom() {}
 
   static List<Headroom> of(
-      Reservation r, List<Headroom> headroom, ClusterState ledger, OperatorSettings operator) {
+      Reservation r, List<Headroom> headroom, ClusterState state, OperatorSettings operator) {
     Resources used = Resources.ZERO;
     int tasks = 0;
     JobSpec like = null;
-    for (Job j : ledger.jobs.values()) {
-      if (j.end == null && r.serves(j.spec)) {
-        used = used.plus(Resources.of(j.spec), j.open.size());
-        tasks += j.open.size();
+    for (Job j : state.jobs.values()) {
+      if (j.finalPhase == null && r.serves(j.spec)) {
+        used = used.plus(Resources.of(j.spec), j.openAttempts.size());
+        tasks += j.openAttempts.size();
         like = j.spec;
       }
     }
@@ -52,17 +52,17 @@
       served += share;
     }
     if (r.fixed()) {
-      missing(r, used, like, served, ledger, out);
+      missing(r, used, like, served, state, out);
     }
     return out;
   }
 
   /** What is missing to a fixed amount beyond what is free anyway. */
   private static void missing(
-      Reservation r, Resources used, JobSpec like, double served, ClusterState ledger, List<Headroom> out) {
+      Reservation r, Resources used, JobSpec like, double served, ClusterState state, List<Headroom> out) {
     if (r.machines() > 0) {
       MachineType type =
-          ledger.types.values().stream()
+          state.types.values().stream()
               .filter(t -> r.allowsType(t.name()))
               .findFirst()
               .orElse(null);
--- a/src/main/java/io/embernotch/reservation/ReservationManager.java
+++ b/src/main/java/io/embernotch/reservation/ReservationManager.java
@@ -37,7 +37,7 @@
    * Facts that what is held for one reservation is spread over, so that a change rewrites a part of
    * it.
    */
-  private static final int PIECES = 4;
+  private static final int SHARDS = 4;
 
   /**
    * So much less or more than the store says is written at once, as a share of it; the rest by and
@@ -53,8 +53,8 @@
 
   private record Used(int version, int terms, Resources[] amounts) {}
 
-  private final ControllerContext env;
-  private final ClusterState ledger;
+  private final ControllerContext context;
+  private final ClusterState state;
   private final SharedState shared;
   private final Map<Machine, Used> usage = new HashMap<>();
   private final List<Machine> marked = new ArrayList<>();
@@ -74,11 +74,11 @@
   private double changedAt;
   private long told = -1;
 
-  public ReservationManager(ControllerContext env, ClusterState ledger, SharedState shared) {
-    this.env = env;
-    this.ledger = ledger;
+  public ReservationManager(ControllerContext context, ClusterState state, SharedState shared) {
+    this.context = context;
+    this.state = state;
     this.shared = shared;
-    OperatorSettings.Reserve own = env.operator().reserve();
+    OperatorSettings.Reserve own = context.operator().reserve();
     this.inForce =
         new EffectiveConfiguration<>(
             shared,
@@ -95,7 +95,7 @@
     inForce.load();
     use(inForce.value());
     wanted = kept;
-    loadedAt = env.clock().now();
+    loadedAt = context.clock().now();
     changedAt = loadedAt;
     // What of it is not seen yet is not to be given up before it had time to report.
     writtenAt = loadedAt;
@@ -107,8 +107,8 @@
 
   private void use(List<Reservation> now) {
     terms =
-        now.isEmpty() && env.operator().reserve().live()
-            ? List.of(env.operator().reserve().byDefault())
+        now.isEmpty() && context.operator().reserve().live()
+            ? List.of(context.operator().reserve().byDefault())
             : now;
     usage.clear();
     wanted = Map.of();
@@ -125,16 +125,16 @@
   private Map<String, Resources[]> stored() {
     Map<String, Resources[]> out = new TreeMap<>();
     for (int i = 0; i < terms.size(); i++) {
-      for (int k = 0; k < PIECES; k++) {
-        add(shared.get(piece(terms.get(i), k)), i, out);
+      for (int k = 0; k < SHARDS; k++) {
+        add(shared.get(shard(terms.get(i), k)), i, out);
       }
     }
     return out;
   }
 
-  private void add(ObjectNode piece, int term, Map<String, Resources[]> to) {
-    if (piece != null) {
-      ReservationCodec.readHeld(piece)
+  private void add(ObjectNode shard, int term, Map<String, Resources[]> to) {
+    if (shard != null) {
+      ReservationCodec.readHeld(shard)
           .forEach(
               (machine, a) -> {
                 Resources[] there = to.computeIfAbsent(machine, x -> nothing());
@@ -150,8 +150,8 @@
     }
     Map<String, Resources[]> out = stored();
     for (int i = 0; i < terms.size(); i++) {
-      for (int k = 0; k < PIECES; k++) {
-        add(shared.underWay(piece(terms.get(i), k)), i, out);
+      for (int k = 0; k < SHARDS; k++) {
+        add(shared.underWay(shard(terms.get(i), k)), i, out);
       }
     }
     perhaps = out;
@@ -166,7 +166,7 @@
     return out;
   }
 
-  private static String piece(Reservation r, int k) {
+  private static String shard(Reservation r, int k) {
     return HELD + r.name() + "/" + k;
   }
 
@@ -182,11 +182,11 @@
               Resources[] w = wanted.get(machine);
               held.put(machine, w == null ? there : max(there, w));
             });
-    usage.keySet().removeIf(m -> ledger.machines.get(m.name) != m);
+    usage.keySet().removeIf(m -> state.machines.get(m.name) != m);
     mark(held);
     lastTerms =
         terms.stream()
-            .map(r -> new ReservationView.Term(r, ReservationHeadroom.of(r, headroom, ledger, env.operator())))
+            .map(r -> new ReservationView.Term(r, ReservationHeadroom.of(r, headroom, state, context.operator())))
             .toList();
     return new ReservationView(lastTerms, held, this::used);
   }
@@ -197,7 +197,7 @@
     marked.clear();
     held.forEach(
         (name, amounts) -> {
-          Machine m = ledger.machines.get(name);
+          Machine m = state.machines.get(name);
           if (m != null) {
             Resources[] u = used(m);
             Resources free = Resources.ZERO;
@@ -211,9 +211,9 @@
   }
 
   private static void keep(Machine m, Resources free) {
-    m.keptCpus = free.cpus();
-    m.keptGpus = free.gpus();
-    m.keptMemGb = free.memGb();
+    m.reservedCpus = free.cpus();
+    m.reservedGpus = free.gpus();
+    m.reservedMemGb = free.memGb();
   }
 
   private static Resources[] max(Resources[] a, Resources[] b) {
@@ -239,7 +239,7 @@
 
   private Resources[] sum(Machine m) {
     Resources[] out = null;
-    for (Attempt a : m.open.values()) {
+    for (Attempt a : m.openAttempts.values()) {
       for (int i = 0; i < terms.size(); i++) {
         if (terms.get(i).serves(a.job.spec)) {
           out = out == null ? nothing() : out;
@@ -255,13 +255,13 @@
     if (terms.isEmpty() || held == null) {
       return;
     }
-    double now = env.clock().now();
+    double now = context.clock().now();
     Map<String, Resources[]> next = new TreeMap<>(held);
     wanted.forEach(
         (name, a) -> {
           if (!next.containsKey(name)
               && a.length == terms.size()
-              && mayComeBack(ledger.machines.get(name), now)) {
+              && mayComeBack(state.machines.get(name), now)) {
             next.put(name, a);
           }
         });
@@ -276,17 +276,17 @@
    */
   private boolean mayComeBack(Machine m, double now) {
     if (m == null) {
-      return now - loadedAt < env.settings().workers().leaseS();
+      return now - loadedAt < context.settings().workers().leaseS();
     }
     return !m.deleting
         && !m.failed
         && !m.cordoned
-        && m.recallAt < 0
-        && !Scheduler.usable(m, now, env.settings());
+        && m.reclaimAt < 0
+        && !Scheduler.usable(m, now, context.settings());
   }
 
   private void write(double now) {
-    double report = env.settings().workers().reportS();
+    double heartbeat = context.settings().workers().heartbeatIntervalS();
     double difference = 0;
     double size = 0;
     for (Map.Entry<String, Resources[]> e : wanted.entrySet()) {
@@ -302,13 +302,13 @@
       }
     }
     boolean due =
-        difference > NOTABLE * size ? now - writtenAt > report : now - writtenAt > PERIODS * report;
+        difference > NOTABLE * size ? now - writtenAt > heartbeat : now - writtenAt > PERIODS * heartbeat;
     if (difference <= 0 || !due) {
       return;
     }
     writtenAt = now;
     for (int i = 0; i < terms.size(); i++) {
-      for (int k = 0; k < PIECES; k++) {
+      for (int k = 0; k < SHARDS; k++) {
         writePiece(i, k);
       }
     }
@@ -320,16 +320,16 @@
 
   private void writePiece(int term, int k) {
     Map<String, double[]> held = new TreeMap<>();
-    int most = (int) (env.settings().stateFloor().valueKb() * 1024 / BYTES_PER_MACHINE);
+    int most = (int) (context.settings().minStoreLimits().valueKb() * 1024 / BYTES_PER_MACHINE);
     wanted.forEach(
         (name, a) -> {
-          if (Math.floorMod(name.hashCode(), PIECES) == k
+          if (Math.floorMod(name.hashCode(), SHARDS) == k
               && !a[term].isZero()
               && held.size() < most) {
             held.put(name, new double[] {a[term].cpus(), a[term].gpus(), a[term].memGb()});
           }
         });
-    String name = piece(terms.get(term), k);
+    String name = shard(terms.get(term), k);
     ObjectNode value = ReservationCodec.writeHeld(held);
     ObjectNode there = shared.get(name);
     boolean same = there == null ? held.isEmpty() : there.path("on").equals(value.path("on"));
@@ -341,7 +341,7 @@
           () -> {
             if (of == inForce.generation()) {
               kept = stored();
-              changedAt = env.clock().now();
+              changedAt = context.clock().now();
               say();
             }
           });
@@ -377,7 +377,7 @@
     int machines = 0;
     double idle = 0;
     for (Map.Entry<String, Resources[]> e : kept.entrySet()) {
-      Machine m = ledger.machines.get(e.getKey());
+      Machine m = state.machines.get(e.getKey());
       if (m == null || m.type == null || e.getValue()[term].isZero()) {
         continue;
       }
@@ -400,7 +400,7 @@
   public void overview(ObjectNode into) {
     into.put("generation", inForce.generation()).put("changes", shared.changes());
     ArrayNode list = into.putArray("reservations");
-    double now = env.clock().now();
+    double now = context.clock().now();
     for (int i = 0; i < terms.size(); i++) {
       Seen s = seen(i);
       ObjectNode o = list.addObject().put("name", terms.get(i).name()).put("machines", s.machines);
--- a/src/main/java/io/embernotch/rounds/MachineViewPublisher.java
+++ b/src/main/java/io/embernotch/rounds/MachineViewPublisher.java
@@ -44,8 +44,8 @@
   /** Finished runs that make up a machine's recent performance. */
   public static final int LATELY = 16;
 
-  private final ControllerContext env;
-  private final ClusterState ledger;
+  private final ControllerContext context;
+  private final ClusterState state;
   private final BiConsumer<String, MachineView> send;
   private final BiConsumer<String, String> forget;
   private final Map<String, Sent> sentTo = new HashMap<>();
@@ -54,12 +54,12 @@
   private int turn;
 
   public MachineViewPublisher(
-      ControllerContext env,
-      ClusterState ledger,
+      ControllerContext context,
+      ClusterState state,
       BiConsumer<String, MachineView> send,
       BiConsumer<String, String> forget) {
-    this.env = env;
-    this.ledger = ledger;
+    this.context = context;
+    this.state = state;
     this.send = send;
     this.forget = forget;
   }
@@ -68,21 +68,21 @@
    * Sends what has changed, each machine at most once a round: a finished task changes its job's
    * mean and so the views of all machines that run the job, many times between two rounds.
    */
-  public void flush(Set<String> controllers) {
-    double now = env.clock().now();
+  public void publish(Set<String> controllers) {
+    double now = context.clock().now();
     boolean moved = !controllers.equals(lastControllers);
     lastControllers = controllers;
     turn = (turn + 1) % TURNS;
-    for (Machine m : ledger.machines.values()) {
+    for (Machine m : state.machines.values()) {
       if (!moved && Math.floorMod(m.name.hashCode(), TURNS) != turn) {
         continue;
       }
-      Sent sent = sent(m, controllers, moved);
-      if (sent == null || now - sent.at < env.operator().roundS()) {
+      Sent sent = sentCount(m, controllers, moved);
+      if (sent == null || now - sent.at < context.operator().roundS()) {
         continue;
       }
       int hash = fingerprint(m);
-      if (sent.hash != hash || now - sent.at > REPEAT_ROUNDS * env.operator().roundS()) {
+      if (sent.hash != hash || now - sent.at > REPEAT_ROUNDS * context.operator().roundS()) {
         sent.hash = hash;
         sent.at = now;
         messages++;
@@ -93,7 +93,7 @@
         .entrySet()
         .removeIf(
             e -> {
-              boolean gone = !ledger.machines.containsKey(e.getKey());
+              boolean gone = !state.machines.containsKey(e.getKey());
               if (gone) {
                 forget.accept(e.getValue().owner, e.getKey());
               }
@@ -102,11 +102,11 @@
   }
 
   /** Views sent so far. */
-  public long sent() {
+  public long sentCount() {
     return messages;
   }
 
-  private Sent sent(Machine m, Set<String> controllers, boolean moved) {
+  private Sent sentCount(Machine m, Set<String> controllers, boolean moved) {
     Sent sent = sentTo.get(m.name);
     if (sent == null) {
       if (!m.up() || m.type == null) {
@@ -128,7 +128,7 @@
   /** Changes with whatever a round would see differently, save for time passing. */
   private static int fingerprint(Machine m) {
     int h = m.ratios.hashCode() * 31 + (usable(m) ? 1 : 0);
-    for (Attempt a : m.open.values()) {
+    for (Attempt a : m.openAttempts.values()) {
       h = h * 31 + a.job.spec.ref().hashCode();
       h = h * 31 + a.task;
       h = h * 31 + (int) a.number;
@@ -140,16 +140,16 @@
   }
 
   private static boolean usable(Machine m) {
-    return !m.cordoned && !m.deleting && !m.failed && m.recallAt < 0 && m.errorStreak == 0;
+    return !m.cordoned && !m.deleting && !m.failed && m.reclaimAt < 0 && m.errorStreak == 0;
   }
 
   private static MachineView view(Machine m, double now) {
-    double cpus = m.type.cpus() - m.keptCpus;
-    double gpus = m.type.gpus() - m.keptGpus;
-    double mem = m.type.memGb() - m.keptMemGb;
+    double cpus = m.type.cpus() - m.reservedCpus;
+    double gpus = m.type.gpus() - m.reservedGpus;
+    double mem = m.type.memGb() - m.reservedMemGb;
     int busy = 0;
     List<TaskView> tasks = new ArrayList<>();
-    for (Attempt a : m.open.values()) {
+    for (Attempt a : m.openAttempts.values()) {
       JobSpec j = a.job.spec;
       cpus -= j.cpus();
       gpus -= j.gpus();
--- a/src/main/java/io/embernotch/rounds/PartitionViews.java
+++ b/src/main/java/io/embernotch/rounds/PartitionViews.java
@@ -11,21 +11,21 @@
  */
 public final class PartitionViews {
   private final String node;
-  private final LocalPartition part;
+  private final LocalPartition localPartition;
   private final PeerLink peers;
 
   /**
    * @param part this controller's own, {@code node} its name
    */
-  public PartitionViews(String node, LocalPartition part, PeerLink peers) {
+  public PartitionViews(String node, LocalPartition localPartition, PeerLink peers) {
     this.node = node;
-    this.part = part;
+    this.localPartition = localPartition;
     this.peers = peers;
   }
 
   public void view(String controller, long epoch, MachineView view) {
     if (controller.equals(node)) {
-      part.put(epoch, view);
+      localPartition.put(epoch, view);
     } else {
       peers.send(controller, new Frame.MachineViewUpdate(epoch, view));
     }
@@ -33,7 +33,7 @@
 
   public void forget(String controller, long epoch, String machine) {
     if (controller.equals(node)) {
-      part.forget(epoch, machine);
+      localPartition.forget(epoch, machine);
     } else {
       peers.send(controller, new Frame.MachineViewRemoval(epoch, machine));
     }
--- a/src/main/java/io/embernotch/rounds/RestartReviewer.java
+++ b/src/main/java/io/embernotch/rounds/RestartReviewer.java
@@ -10,7 +10,7 @@
 import io.embernotch.model.JobShape;
 import io.embernotch.model.TaskState;
 import io.embernotch.persistence.StateWriter;
-import io.embernotch.store.RateLimiter.Rank;
+import io.embernotch.store.RateLimiter.RequestPriority;
 import io.embernotch.straggler.Restart;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -25,18 +25,18 @@
 public final class RestartReviewer {
   private static final Logger LOG = LoggerFactory.getLogger(RestartReviewer.class);
 
-  private final ControllerContext env;
-  private final ClusterState ledger;
-  private final StateWriter committer;
-  private final TaskStopper stops;
+  private final ControllerContext context;
+  private final ClusterState state;
+  private final StateWriter stateWriter;
+  private final TaskStopper stopper;
   private final Map<String, Deque<List<Restart>>> proposed = new HashMap<>();
   private final Map<String, Double> nextAt = new HashMap<>();
 
-  public RestartReviewer(ControllerContext env, ClusterState ledger, StateWriter committer, TaskStopper stops) {
-    this.env = env;
-    this.ledger = ledger;
-    this.committer = committer;
-    this.stops = stops;
+  public RestartReviewer(ControllerContext context, ClusterState state, StateWriter stateWriter, TaskStopper stopper) {
+    this.context = context;
+    this.state = state;
+    this.stateWriter = stateWriter;
+    this.stopper = stopper;
   }
 
   /**
@@ -44,7 +44,7 @@
    * one.
    */
   public void propose(String from, List<Restart> restarts) {
-    int batch = Math.max(1, env.settings().stateFloor().txnOps() - 1);
+    int batch = Math.max(1, context.settings().minStoreLimits().txnOps() - 1);
     Deque<List<Restart>> queue = new ArrayDeque<>();
     for (int i = 0; i < restarts.size(); i += batch) {
       queue.add(restarts.subList(i, Math.min(restarts.size(), i + batch)));
@@ -55,34 +55,34 @@
   /**
    * Commits what is due, and has it stopped where it runs; it starts anew where the round wished.
    */
-  public void carryOut() {
+  public void commitDue() {
     due().forEach(this::restart);
   }
 
   private void restart(Restart r) {
-    Job job = ledger.jobs.get(r.ref());
-    Attempt a = job.open.get(r.task());
+    Job job = state.jobs.get(r.ref());
+    Attempt a = job.openAttempts.get(r.task());
     LOG.info(
         "restarting slow task {} on {} (gain {})", a, r.target(), String.format("%.4f", r.gain()));
-    job.wishes.put(r.task(), r.target());
-    committer.now(
+    job.preferredMachines.put(r.task(), r.target());
+    stateWriter.writeNow(
         job,
         r.task(),
-        Rank.USUAL,
+        RequestPriority.NORMAL,
         () -> {
-          if (ClusterState.isOpen(a) && !a.stopping && job.end == null) {
-            stops.want(a, a.job.spec.checkpointS() > 0 ? a.job.spec.saveS() : 0);
+          if (ClusterState.isOpen(a) && !a.stopping && job.finalPhase == null) {
+            stopper.requestStop(a, a.job.spec.checkpointS() > 0 ? a.job.spec.saveS() : 0);
           }
         });
   }
 
   private List<Restart> due() {
-    double now = env.clock().now();
+    double now = context.clock().now();
     List<Restart> out = new ArrayList<>();
     proposed.forEach(
         (from, queue) -> {
           if (!queue.isEmpty() && now >= nextAt.getOrDefault(from, -1e9)) {
-            nextAt.put(from, now + 1 / env.operator().batchesPerS());
+            nextAt.put(from, now + 1 / context.operator().batchesPerS());
             for (Restart r : queue.poll()) {
               if (valid(r)) {
                 out.add(r);
@@ -97,16 +97,16 @@
    * The world may have moved since the round: the task must still run there, and the room be free.
    */
   private boolean valid(Restart r) {
-    Job job = ledger.jobs.get(r.ref());
-    Machine target = ledger.machines.get(r.target());
+    Job job = state.jobs.get(r.ref());
+    Machine target = state.machines.get(r.target());
     if (job == null
-        || job.end != null
+        || job.finalPhase != null
         || job.spec.shape() != JobShape.ARRAY
         || target == null
         || target.type == null) {
       return false;
     }
-    Attempt a = job.open.get(r.task());
+    Attempt a = job.openAttempts.get(r.task());
     JobSpec spec = job.spec;
     return a != null
         && a.number == r.attempt()
@@ -116,18 +116,18 @@
         && target.up()
         && !target.deleting
         && !target.cordoned
-        && target.recallAt < 0
+        && target.reclaimAt < 0
         && spec.allows(target.type.name(), target.zone, target.spot)
-        && (!spec.oneZone() || job.open.size() == 1 || a.zone.equals(target.zone))
+        && (!spec.oneZone() || job.openAttempts.size() == 1 || a.zone.equals(target.zone))
         && roomOn(target, spec);
   }
 
   private static boolean roomOn(Machine m, JobSpec spec) {
     // Reserved capacity takes no restart.
-    double cpus = m.type.cpus() - m.keptCpus;
-    double gpus = m.type.gpus() - m.keptGpus;
-    double mem = m.type.memGb() - m.keptMemGb;
-    for (Attempt a : m.open.values()) {
+    double cpus = m.type.cpus() - m.reservedCpus;
+    double gpus = m.type.gpus() - m.reservedGpus;
+    double mem = m.type.memGb() - m.reservedMemGb;
+    for (Attempt a : m.openAttempts.values()) {
       cpus -= a.job.spec.cpus();
       gpus -= a.job.spec.gpus();
       mem -= a.job.spec.memGb();
--- a/src/main/java/io/embernotch/rounds/StragglerRounds.java
+++ b/src/main/java/io/embernotch/rounds/StragglerRounds.java
@@ -15,29 +15,29 @@
 public final class StragglerRounds {
   private static final Logger LOG = LoggerFactory.getLogger(StragglerRounds.class);
 
-  private final ControllerContext env;
-  private final LocalPartition part;
+  private final ControllerContext context;
+  private final LocalPartition localPartition;
   private final StragglerRound round;
   private final Consumer<List<Restart>> propose;
 
-  public StragglerRounds(ControllerContext env, LocalPartition part, Consumer<List<Restart>> propose) {
-    this.env = env;
-    this.part = part;
+  public StragglerRounds(ControllerContext context, LocalPartition localPartition, Consumer<List<Restart>> propose) {
+    this.context = context;
+    this.localPartition = localPartition;
     this.propose = propose;
     this.round =
-        new StragglerRound(env.operator().flagRatio(), env.operator().beta(), env.operator().roundS());
+        new StragglerRound(context.operator().flagRatio(), context.operator().beta(), context.operator().roundS());
   }
 
   public void start() {
-    env.timers().after(env.operator().roundS(), this::run);
+    context.timers().after(context.operator().roundS(), this::run);
   }
 
   private void run() {
     start();
-    if (!env.operator().stragglerEnabled()) {
+    if (!context.operator().stragglerEnabled()) {
       return;
     }
-    Collection<MachineView> views = part.current();
+    Collection<MachineView> views = localPartition.current();
     List<Restart> restarts = round.run(views);
     if (!restarts.isEmpty()) {
       LOG.info("part of {} machines: {} restarts proposed", views.size(), restarts.size());
--- a/src/main/java/io/embernotch/scheduling/BootQueueing.java
+++ b/src/main/java/io/embernotch/scheduling/BootQueueing.java
@@ -36,13 +36,13 @@
   BootQueueing(Collection<Job> jobs, Map<String, MachineType> types) {
     this.types = types;
     for (Job j : jobs) {
-      if (j.held()) {
+      if (j.blocked()) {
         continue;
       }
       Kind k = kinds.computeIfAbsent(j.spec.jobClass(), c -> new Kind());
       k.expectS += j.spec.expectS();
       k.jobs++;
-      k.placed += j.open.size();
+      k.placed += j.openAttempts.size();
       k.pending += j.pendingCount();
     }
   }
--- a/src/main/java/io/embernotch/scheduling/CandidateMachine.java
+++ b/src/main/java/io/embernotch/scheduling/CandidateMachine.java
@@ -78,7 +78,7 @@
     s.freeingGpus = l.freeingGpus;
     s.freeingMem = l.freeingMemGb;
     s.pinned = l.pinned;
-    s.least = l.least;
+    s.least = l.lowestPriority;
     s.fetching = l.fetching;
     return s;
   }
--- a/src/main/java/io/embernotch/scheduling/CandidateMachines.java
+++ b/src/main/java/io/embernotch/scheduling/CandidateMachines.java
@@ -173,11 +173,11 @@
         || m.deleting
         || m.failed
         || m.cordoned
-        || m.recallAt >= 0) {
+        || m.reclaimAt >= 0) {
       return null;
     }
     if (!m.up()) {
-      return now < m.countUntil ? CandidateMachine.of(CandidateMachine.Kind.COMING, m) : null;
+      return now < m.expectedUntil ? CandidateMachine.of(CandidateMachine.Kind.COMING, m) : null;
     }
     return CandidateMachine.of(CandidateMachine.Kind.READY, m);
   }
--- a/src/main/java/io/embernotch/scheduling/Deadlines.java
+++ b/src/main/java/io/embernotch/scheduling/Deadlines.java
@@ -45,27 +45,27 @@
     return late;
   }
 
-  /** The same of jobs, on machines with so many GPUs and CPUs for them; sets {@link Job#behind}. */
+  /** The same of jobs, on machines with so many GPUs and CPUs for them; sets {@link Job#missesDeadline}. */
   static void mark(List<Job> jobs, Resources room, long wallMs) {
     List<Item> items = new ArrayList<>();
     for (Job j : jobs) {
-      j.behind = false;
-      if (j.releaseByMs != Long.MAX_VALUE && j.end == null) {
+      j.missesDeadline = false;
+      if (j.releaseDeadlineMs != Long.MAX_VALUE && j.finalPhase == null) {
         double share =
             Math.max(ratio(j.spec.gpus(), room.gpus()), ratio(j.spec.cpus(), room.cpus()));
         int left = j.spec.shape() == JobShape.GANG ? j.spec.tasks() : j.remaining();
-        double runS = j.restMs / 1000.0;
+        double runS = j.remainingRunMs / 1000.0;
         // Nothing is done before one of its tasks has run, however many machines there are.
         items.add(
             new Item(
                 j.spec.ref(),
                 share * left * runS,
-                (j.releaseByMs - wallMs) / 1000.0 - runS * (1 - Math.min(1, share * left))));
+                (j.releaseDeadlineMs - wallMs) / 1000.0 - runS * (1 - Math.min(1, share * left))));
       }
     }
     Set<String> late = late(items);
     for (Job j : jobs) {
-      j.behind = late.contains(j.spec.ref());
+      j.missesDeadline = late.contains(j.spec.ref());
     }
   }
 
--- a/src/main/java/io/embernotch/scheduling/GangAccumulation.java
+++ b/src/main/java/io/embernotch/scheduling/GangAccumulation.java
@@ -61,7 +61,7 @@
   }
 
   private double waitedLeases(Job job) {
-    return (wallMs - job.sinceMs) / 1000.0 / settings.workers().leaseS();
+    return (wallMs - job.eligibleSinceMs) / 1000.0 / settings.workers().leaseS();
   }
 
   /** Holds machines for the gangs among these jobs that need it, in this order. */
@@ -70,7 +70,7 @@
     boolean first = true;
     for (Job job : order) {
       boolean waits =
-          job.spec.shape() == JobShape.GANG && job.open.isEmpty() && !job.fails() && aged(job);
+          job.spec.shape() == JobShape.GANG && job.openAttempts.isEmpty() && !job.failsEverywhere() && aged(job);
       if (waits
           && (left > 0 || first)
           && settings.zones().stream().noneMatch(z -> market.canBuy(job.spec, z))) {
@@ -141,7 +141,7 @@
 
   /** Seconds until there is room for one such task. */
   private double emptyInS(CandidateMachine s, JobSpec spec) {
-    List<Attempt> there = new ArrayList<>(s.machine.open.values());
+    List<Attempt> there = new ArrayList<>(s.machine.openAttempts.values());
     there.sort(Comparator.comparingDouble(this::leftS));
     Resources kept = s.keptFrom(spec);
     double cpus = s.cpus - spec.cpus() - kept.cpus();
--- a/src/main/java/io/embernotch/scheduling/JobOrdering.java
+++ b/src/main/java/io/embernotch/scheduling/JobOrdering.java
@@ -32,9 +32,9 @@
    */
   private static final Comparator<Job> ORDER =
       Comparator.comparing((Job j) -> j.spec.priority() != Priority.PRODUCTION)
-          .thenComparing(j -> !j.guaranteed)
-          .thenComparing(j -> j.rank, Comparator.reverseOrder())
-          .thenComparingLong(j -> j.urgentMs)
+          .thenComparing(j -> !j.withinGuarantee)
+          .thenComparing(j -> j.effectivePriority, Comparator.reverseOrder())
+          .thenComparingLong(j -> j.urgencyMs)
           .thenComparing(j -> j.spec.ref());
 
   private JobOrdering() {}
@@ -44,15 +44,15 @@
     long leaseMs = Math.round(settings.workers().leaseS() * 1000);
     List<Job> order = new ArrayList<>();
     for (Job j : jobs) {
-      if (j.end == null && j.pendingCount() > 0) {
+      if (j.finalPhase == null && j.pendingCount() > 0) {
         order.add(j);
       }
     }
-    if (order.stream().anyMatch(j -> j.releaseByMs != Long.MAX_VALUE)) {
+    if (order.stream().anyMatch(j -> j.releaseDeadlineMs != Long.MAX_VALUE)) {
       Deadlines.mark(order, slots.together(), wallMs);
     }
     for (Job j : order) {
-      j.urgentMs = urgentMs(j, leaseMs, wallMs);
+      j.urgencyMs = urgentMs(j, leaseMs, wallMs);
     }
     order.sort(ORDER);
     return order;
@@ -64,16 +64,16 @@
    * can be in time together with others; and whatever has waited for too long goes before all.
    */
   private static long urgentMs(Job j, long leaseMs, long wallMs) {
-    long byAge = j.sinceMs + leaseMs;
-    if (wallMs - j.sinceMs > STARVED_LEASES * leaseMs) {
-      return j.sinceMs - FIRST;
+    long byAge = j.eligibleSinceMs + leaseMs;
+    if (wallMs - j.eligibleSinceMs > STARVED_LEASES * leaseMs) {
+      return j.eligibleSinceMs - FIRST;
     }
-    if (j.releaseByMs == Long.MAX_VALUE) {
-      return Math.min(j.startByMs, byAge);
+    if (j.releaseDeadlineMs == Long.MAX_VALUE) {
+      return Math.min(j.latestStartMs, byAge);
     }
-    long lastStart = Math.min(j.startByMs, j.releaseByMs - j.restMs);
-    if (j.behind) {
-      return j.sinceMs + STARVED_LEASES * leaseMs;
+    long lastStart = Math.min(j.latestStartMs, j.releaseDeadlineMs - j.remainingRunMs);
+    if (j.missesDeadline) {
+      return j.eligibleSinceMs + STARVED_LEASES * leaseMs;
     }
     return lastStart - wallMs < NEAR_LEASES * leaseMs ? lastStart - FIRST : lastStart;
   }
--- a/src/main/java/io/embernotch/scheduling/Preemption.java
+++ b/src/main/java/io/embernotch/scheduling/Preemption.java
@@ -74,7 +74,7 @@
    * its team's.
    */
   int giveGuarantee(Job job, int wanted, ZoneConstraints zones) {
-    if (!job.guaranteed || ++looks > MOST_LOOKS) {
+    if (!job.withinGuarantee || ++looks > MOST_LOOKS) {
       return 0;
     }
     if (lenders == null) {
@@ -92,8 +92,8 @@
   }
 
   private static boolean runsBeyond(CandidateMachine s) {
-    for (Attempt a : s.machine.open.values()) {
-      if (!a.job.guaranteed && a.job.spec.priority() != Priority.PRODUCTION) {
+    for (Attempt a : s.machine.openAttempts.values()) {
+      if (!a.job.withinGuarantee && a.job.spec.priority() != Priority.PRODUCTION) {
         return true;
       }
     }
@@ -101,7 +101,7 @@
   }
 
   private boolean beyond(Job other, Job job) {
-    if (other.guaranteed
+    if (other.withinGuarantee
         || other.spec.priority() == Priority.PRODUCTION
         || other.spec.team().equals(job.spec.team())) {
       return false;
@@ -179,7 +179,7 @@
     double cpus = s.cpus + s.freeingCpus - spec.cpus() - kept.cpus();
     double gpus = s.gpus + s.freeingGpus - spec.gpus() - kept.gpus();
     double mem = s.mem + s.freeingMem - spec.memGb() - kept.memGb();
-    for (Attempt a : s.machine.open.values()) {
+    for (Attempt a : s.machine.openAttempts.values()) {
       if (!a.stopping && !stopped.contains(a) && may.test(a)) {
         out.add(a);
         cpus += a.job.spec.cpus();
@@ -212,7 +212,7 @@
     double share = Double.MAX_VALUE;
     MachineLoad there =
         new MachineLoad(
-            s.machine.open.values().stream()
+            s.machine.openAttempts.values().stream()
                 .filter(a -> !a.stopping && !stopped.contains(a) && may.test(a))
                 .toList());
     Resources kept = s.keptFrom(spec);
--- a/src/main/java/io/embernotch/scheduling/QuotaUsage.java
+++ b/src/main/java/io/embernotch/scheduling/QuotaUsage.java
@@ -20,7 +20,7 @@
   QuotaUsage(Map<String, Settings.Team> teams, Collection<Job> jobs) {
     this.teams = teams;
     for (Job j : jobs) {
-      take(j.spec, j.open.size());
+      take(j.spec, j.openAttempts.size());
     }
   }
 
@@ -55,19 +55,19 @@
   void markGuaranteed(Collection<Job> jobs) {
     Map<String, List<Job>> byTeam =
         jobs.stream()
-            .filter(j -> j.end == null && !j.held())
+            .filter(j -> j.finalPhase == null && !j.blocked())
             .collect(Collectors.groupingBy(j -> j.spec.team()));
     byTeam.forEach(
         (name, list) -> {
           Settings.Team team = teams.get(name);
           list.sort(
-              Comparator.comparingLong((Job j) -> j.sinceMs).thenComparing(j -> j.spec.ref()));
+              Comparator.comparingLong((Job j) -> j.eligibleSinceMs).thenComparing(j -> j.spec.ref()));
           double cpus = 0;
           double gpus = 0;
           for (Job j : list) {
             cpus += j.spec.cpus() * j.remaining();
             gpus += j.spec.gpus() * j.remaining();
-            j.guaranteed = team != null && within(team.cpus(), cpus, team.gpus(), gpus);
+            j.withinGuarantee = team != null && within(team.cpus(), cpus, team.gpus(), gpus);
           }
         });
   }
--- a/src/main/java/io/embernotch/scheduling/ReservationPlanner.java
+++ b/src/main/java/io/embernotch/scheduling/ReservationPlanner.java
@@ -83,7 +83,7 @@
     for (CandidateMachine s : slots.all()) {
       if (s.hold != null
           && n < most
-          && s.machine.open.isEmpty() == onEmpty
+          && s.machine.openAttempts.isEmpty() == onEmpty
           && s.hold.free(term).holds(unit) > 0) {
         n += Math.min(s.hold.free(term).holds(unit), s.freeLater().holds(unit));
         s.claimed = true;
@@ -118,7 +118,7 @@
             like,
             s ->
                 !s.spot
-                    && (emptyToo || !s.machine.open.isEmpty())
+                    && (emptyToo || !s.machine.openAttempts.isEmpty())
                     && r.allowsType(s.type.name())
                     && (zone == null || zone.equals(s.zone)),
             s -> -PlacementScore.PACK_S * s.used() - (s.machine == null ? 0 : s.machine.images.size()))) {
--- a/src/main/java/io/embernotch/scheduling/ScaleOutPlanner.java
+++ b/src/main/java/io/embernotch/scheduling/ScaleOutPlanner.java
@@ -13,7 +13,7 @@
   private final Map<String, MachineType> types;
   private final FleetView.Pools pools;
   private final CandidateMachines slots;
-  private final Map<SchedulingPlan.Buy, Integer> bought = new LinkedHashMap<>();
+  private final Map<SchedulingPlan.ScaleOutRequest, Integer> bought = new LinkedHashMap<>();
   private int left;
 
   ScaleOutPlanner(Map<String, MachineType> types, FleetView.Pools pools, CandidateMachines slots, int most) {
@@ -53,7 +53,7 @@
     }
     if (best != null) {
       left--;
-      bought.merge(new SchedulingPlan.Buy(best.type.name(), best.zone, best.spot, 0), 1, Integer::sum);
+      bought.merge(new SchedulingPlan.ScaleOutRequest(best.type.name(), best.zone, best.spot, 0), 1, Integer::sum);
       slots.add(best);
     }
     return best;
@@ -88,6 +88,6 @@
   }
 
   void collect(SchedulingPlan plan) {
-    bought.forEach((b, n) -> plan.buys.add(new SchedulingPlan.Buy(b.type(), b.zone(), b.spot(), n)));
+    bought.forEach((b, n) -> plan.scaleOuts.add(new SchedulingPlan.ScaleOutRequest(b.type(), b.zone(), b.spot(), n)));
   }
 }
--- a/src/main/java/io/embernotch/scheduling/Scheduler.java
+++ b/src/main/java/io/embernotch/scheduling/Scheduler.java
@@ -45,7 +45,7 @@
     this.settings = settings;
     this.operator = operator;
     // More could not be asked for in a second.
-    this.mostNew = (int) Math.max(1, settings.cloudLimits().rps()) * Settings.Cloud.MAX_RENT;
+    this.mostNew = (int) Math.max(1, settings.cloudLimits().rps()) * Settings.CloudLimits.MAX_RENT;
   }
 
   public SchedulingPlan plan(SchedulingInput at) {
@@ -97,7 +97,7 @@
 
   /** Something may be started there now, if there is room. */
   public static boolean usable(Machine m, double now, Settings settings) {
-    return m.avoidUntil <= now && !m.doubted() && now - m.aliveAt() < 2 * settings.workers().reportS();
+    return m.avoidUntil <= now && !m.suspectedUnreachable() && now - m.lastSignOfLifeAt() < 2 * settings.workers().heartbeatIntervalS();
   }
 
   private void place(Job job) {
@@ -114,7 +114,7 @@
   private void placeTasks(Job job) {
     JobSpec spec = job.spec;
     // One task is enough to see whether a job that fails everywhere still does.
-    int most = job.fails() ? Math.min(1, job.pendingCount()) : job.pendingCount();
+    int most = job.failsEverywhere() ? Math.min(1, job.pendingCount()) : job.pendingCount();
     int wanted = Math.min(most, usage.room(spec));
     if (wanted <= 0) {
       return;
@@ -141,7 +141,7 @@
           }
         };
     int claimed = 0;
-    if (spec.priority() == Priority.PRODUCTION && spec.shape() == JobShape.SERVICE && job.restarted.get(job.firstPending())) {
+    if (spec.priority() == Priority.PRODUCTION && spec.shape() == JobShape.SERVICE && job.restartedTasks.get(job.firstPending())) {
       claimed = bringBack(spec, wanted, zones, start);
     }
     fill(spec, Room.NOW, wanted - placed[0] - claimed, zones, start);
@@ -168,12 +168,12 @@
   /** Tasks that the straggler rounds have sent to a machine go there if they still can; tells which. */
   private BitSet grantWishes(Job job, int wanted, ZoneConstraints zones, List<SchedulingPlan.Placement> placements) {
     BitSet granted = new BitSet();
-    if (job.wishes.isEmpty()) {
+    if (job.preferredMachines.isEmpty()) {
       return granted;
     }
     for (PrimitiveIterator.OfInt tasks = job.pending(); tasks.hasNext() && placements.size() < wanted; ) {
       int task = tasks.nextInt();
-      String wish = job.wishes.get(task);
+      String wish = job.preferredMachines.get(task);
       if (wish == null) {
         continue;
       }
@@ -198,7 +198,7 @@
    * Nothing of this was promised to anybody: it takes what there is and what is cheap. A guest's array of
    * thousands of tasks once had every machine of the cloud rented, and then there was none for the others.
    */
-  public static boolean patient(Settings settings, JobSpec spec) {
+  public static boolean mayWaitForCapacity(Settings settings, JobSpec spec) {
     return spec.priority() == Priority.LOW || (spec.priority() != Priority.PRODUCTION && settings.guest(spec.team()));
   }
 
@@ -260,7 +260,7 @@
     Taken nothing = (s, n) -> {};
     int done = fill(spec, Room.COMING, wanted, zones, nothing);
     done += fill(spec, Room.NEW, wanted - done, zones, nothing);
-    boolean cheapOnly = patient(settings, spec) && spec.spot() && (slots.anySpot() || market.spotToBeHad(spec));
+    boolean cheapOnly = mayWaitForCapacity(settings, spec) && spec.spot() && (slots.anySpot() || market.spotToBeHad(spec));
     boolean ordinaryToo = !cheapOnly && queueing.worthOrdinary(spec);
     while (done < wanted) {
       CandidateMachine s = market.buy(spec, zones, ordinaryToo);
@@ -317,7 +317,7 @@
   /** All tasks start or none: what can't start now holds its claims until the rest is there. */
   private void placeGang(Job job) {
     JobSpec spec = job.spec;
-    if (!job.open.isEmpty()) {
+    if (!job.openAttempts.isEmpty()) {
       return;
     }
     if (usage.room(spec) < spec.tasks()) {
@@ -404,9 +404,9 @@
     for (CandidateMachine s : slots.all()) {
       if (s.kind == CandidateMachine.Kind.READY
           && !s.claimed
-          && s.machine.open.isEmpty()
+          && s.machine.openAttempts.isEmpty()
           && now - s.machine.idleSince > operator.keepIdleBoots() * s.type.bootS()) {
-        plan.returns.add(s.machine);
+        plan.scaleIns.add(s.machine);
       }
     }
   }
--- a/src/main/java/io/embernotch/scheduling/SchedulingPlan.java
+++ b/src/main/java/io/embernotch/scheduling/SchedulingPlan.java
@@ -19,15 +19,15 @@
   public record Stop(Attempt attempt, double graceS, String why) {}
 
   /** Machines to be rented. */
-  public record Buy(String type, String zone, boolean spot, int number) {}
+  public record ScaleOutRequest(String type, String zone, boolean spot, int number) {}
 
   public final List<Start> starts = new ArrayList<>();
   public final List<Stop> stops = new ArrayList<>();
-  public final List<Buy> buys = new ArrayList<>();
+  public final List<ScaleOutRequest> scaleOuts = new ArrayList<>();
 
   /** What is to be held on machines for each reservation, by name; null: as before. */
   public Map<String, Resources[]> held;
 
   /** Idle machines that nothing waits for. */
-  public final List<Machine> returns = new ArrayList<>();
+  public final List<Machine> scaleIns = new ArrayList<>();
 }
--- a/src/main/java/io/embernotch/scheduling/TopologySpread.java
+++ b/src/main/java/io/embernotch/scheduling/TopologySpread.java
@@ -68,7 +68,7 @@
   /** Replicas of the service on a machine. */
   static int on(CandidateMachine s, JobSpec spec) {
     int n = 0;
-    for (Attempt a : s.machine.open.values()) {
+    for (Attempt a : s.machine.openAttempts.values()) {
       n += a.job.spec.ref().equals(spec.ref()) ? 1 : 0;
     }
     return n;
--- a/src/main/java/io/embernotch/scheduling/ZoneConstraints.java
+++ b/src/main/java/io/embernotch/scheduling/ZoneConstraints.java
@@ -26,7 +26,7 @@
 
   static ZoneConstraints of(Job job) {
     ZoneConstraints z = new ZoneConstraints(job.spec, null);
-    for (Attempt a : job.open.values()) {
+    for (Attempt a : job.openAttempts.values()) {
       z.put(a.zone, 1);
     }
     return z;
--- a/src/main/java/io/embernotch/settings/OperatorSettings.java
+++ b/src/main/java/io/embernotch/settings/OperatorSettings.java
@@ -20,7 +20,7 @@
     double serviceSpare,
     double gangSpare,
     double arraySpare,
-    double leaseReports,
+    double leaseHeartbeats,
     double leaseShare,
     Snapshots snapshots,
     Reserve reserve,
--- a/src/main/java/io/embernotch/settings/Settings.java
+++ b/src/main/java/io/embernotch/settings/Settings.java
@@ -8,18 +8,18 @@
     String node,
     String location,
     HostPort clientListen,
-    HostPort back,
+    HostPort peerListen,
     List<Member> members,
-    HostPort cloud,
-    HostPort state,
+    HostPort cloudAddress,
+    HostPort storeAddress,
     List<String> zones,
     double timeBoundMs,
     Map<String, Team> teams,
     List<Objective> objectives,
-    Workers workers,
-    State stateLimits,
-    State stateNext,
-    Cloud cloudLimits,
+    WorkerTimings workers,
+    StoreLimits storeLimits,
+    StoreLimits nextStoreLimits,
+    CloudLimits cloudLimits,
     Quota quota) {
 
   /** Another controller. */
@@ -43,14 +43,14 @@
   public record Objective(String kind, String jobClass, double withinS, double share) {}
 
   /** Times that the workers go by, in seconds. */
-  public record Workers(
-      double reportS, double leaseS, double gangWaitS, double gangPeerS, double cancelS) {}
+  public record WorkerTimings(
+      double heartbeatIntervalS, double leaseS, double gangWaitS, double gangPeerS, double cancelS) {}
 
   /** Limits of the state service; {@code stateNext} are those that it will have, or the same. */
-  public record State(double rps, double writeRps, double valueKb, int txnOps) {}
+  public record StoreLimits(double rps, double writeRps, double valueKb, int txnOps) {}
 
   /** Limits of the cloud: requests a second, and by how many seconds its lists lag. */
-  public record Cloud(double rps, double listLagS) {
+  public record CloudLimits(double rps, double listLagS) {
     /**
      * Most machines that one request may rent, and most names that one may delete ("Cloud" in the
      * protocol).
@@ -75,12 +75,12 @@
      * beside our own calls must do for users, health checks and other controllers, however many
      * workers there are.
      */
-    public int crowd() {
+    public int connectionPressureThreshold() {
       return (maxConnections - directCalls()) * 3 / 4;
     }
 
     /** More jobs than users ask a node about, for what is remembered of each. */
-    public int polled() {
+    public int rememberedJobs() {
       return 32 * maxConnections;
     }
 
@@ -88,7 +88,7 @@
      * More machines than a fleet has whose workers share this many connections; for what is
      * remembered of each.
      */
-    public int machines() {
+    public int rememberedMachines() {
       return 4 * maxConnections;
     }
   }
@@ -97,12 +97,12 @@
    * What fits the state service now and once its limits have been lowered, which it does without
    * notice: everything that is written, and how fast, goes by the smaller of both.
    */
-  public State stateFloor() {
-    return new State(
-        Math.min(stateLimits.rps(), stateNext.rps()),
-        Math.min(stateLimits.writeRps(), stateNext.writeRps()),
-        Math.min(stateLimits.valueKb(), stateNext.valueKb()),
-        Math.min(stateLimits.txnOps(), stateNext.txnOps()));
+  public StoreLimits minStoreLimits() {
+    return new StoreLimits(
+        Math.min(storeLimits.rps(), nextStoreLimits.rps()),
+        Math.min(storeLimits.writeRps(), nextStoreLimits.writeRps()),
+        Math.min(storeLimits.valueKb(), nextStoreLimits.valueKb()),
+        Math.min(storeLimits.txnOps(), nextStoreLimits.txnOps()));
   }
 
   /** Steady clocks of two machines drift apart by at most this share, with some to spare. */
@@ -110,8 +110,8 @@
 
   /** Life of the leader's state lease in seconds. */
   public double leaderLeaseS(OperatorSettings operator) {
-    return operator.leaseReports() > 0
-        ? workers.reportS() * operator.leaseReports()
+    return operator.leaseHeartbeats() > 0
+        ? workers.heartbeatIntervalS() * operator.leaseHeartbeats()
         : workers.leaseS() * operator.leaseShare();
   }
 
@@ -121,20 +121,20 @@
    * lease longer than {@link #formerHoldS}; so a cancellation is only told once each task of the
    * job is proven gone, or must be in time whoever renews ("ran_cancelled" in ARCHITECTURE).
    */
-  public double holdS() {
-    return formerHoldS() + workers.leaseS();
+  public double gracePeriodS() {
+    return legacyGracePeriodS() + workers.leaseS();
   }
 
   /**
    * The same while a controller of the version before may take over, which tells cancellations at
    * once: this hold and a worker lease together stay below {@code cancel_s}.
    */
-  public double formerHoldS() {
+  public double legacyGracePeriodS() {
     return 0.8 * Math.max(0, workers.cancelS() - workers.leaseS());
   }
 
   /** A controller that has had no answer of the leader for so long is out of contact with it. */
-  public double contactS() {
+  public double contactTimeoutS() {
     return workers.leaseS() / 4;
   }
 }
--- a/src/main/java/io/embernotch/settings/SettingsReader.java
+++ b/src/main/java/io/embernotch/settings/SettingsReader.java
@@ -50,19 +50,19 @@
             cluster.number("time_bound_ms", 0),
             teams(cluster),
             objectives(cluster),
-            new Settings.Workers(
+            new Settings.WorkerTimings(
                 workers.positive("report_s"),
                 workers.positive("lease_s"),
                 workers.positive("gang_wait_s"),
                 workers.positive("gang_peer_s"),
                 workers.positive("cancel_s")),
-            new Settings.State(
+            new Settings.StoreLimits(
                 state.positive("rps"),
                 state.positive("write_rps"),
                 state.positive("value_kb"),
                 state.count("txn_ops")),
             next(state),
-            new Settings.Cloud(cloud.positive("rps"), cloud.number("list_lag_s", 0)),
+            new Settings.CloudLimits(cloud.positive("rps"), cloud.number("list_lag_s", 0)),
             new Settings.Quota(
                 quota.positive("cpu_share"),
                 quota.positive("memory_mb"),
@@ -72,13 +72,13 @@
   }
 
   private static void check(Settings s) {
-    if (s.stateLimits().txnOps() < 2) {
+    if (s.storeLimits().txnOps() < 2) {
       throw new SettingsException("cluster.state.txn_ops: must be at least 2");
     }
-    if (s.stateNext().txnOps() < 2) {
+    if (s.nextStoreLimits().txnOps() < 2) {
       throw new SettingsException("cluster.state.next.txn_ops: must be at least 2");
     }
-    if (s.workers().leaseS() <= 2 * s.workers().reportS()) {
+    if (s.workers().leaseS() <= 2 * s.workers().heartbeatIntervalS()) {
       throw new SettingsException("cluster.workers.lease_s: must exceed two report periods");
     }
     if (s.workers().cancelS() <= s.workers().leaseS()) {
@@ -92,9 +92,9 @@
   }
 
   /** The limits to come; what is not named stays as it is. */
-  private static Settings.State next(Table state) {
+  private static Settings.StoreLimits next(Table state) {
     Table next = state.has("next") ? state.table("next") : state;
-    return new Settings.State(
+    return new Settings.StoreLimits(
         (next.has("rps") ? next : state).positive("rps"),
         (next.has("write_rps") ? next : state).positive("write_rps"),
         (next.has("value_kb") ? next : state).positive("value_kb"),
--- a/src/main/java/io/embernotch/shared/SharedState.java
+++ b/src/main/java/io/embernotch/shared/SharedState.java
@@ -7,7 +7,7 @@
 import io.embernotch.context.ControllerContext;
 import io.embernotch.store.TransactionResult;
 import io.embernotch.store.VersionedEntry;
-import io.embernotch.store.RateLimiter.Rank;
+import io.embernotch.store.RateLimiter.RequestPriority;
 import io.embernotch.store.StoreException;
 import io.embernotch.store.Transaction;
 import java.util.ArrayList;
@@ -35,12 +35,12 @@
   /** Share of the changes that the store takes that facts may use. */
   static final double SHARE = 0.05;
 
-  private record Fact(ObjectNode value, long stamp) {}
+  private record Fact(ObjectNode value, long modRevision) {}
 
   private record Change(ObjectNode value, List<Runnable> durable) {}
 
-  private final ControllerContext env;
-  private final long stamp;
+  private final ControllerContext context;
+  private final long modRevision;
   private final long firstVersion;
   private final int mostChanges;
   private final Runnable deposed;
@@ -59,12 +59,12 @@
    * @param firstVersion of what this term writes: above those of all before it
    * @param deposed told when a commit fails on the leader's key
    */
-  public SharedState(ControllerContext env, long stamp, long firstVersion, Runnable deposed) {
-    this.env = env;
-    this.stamp = stamp;
+  public SharedState(ControllerContext context, long modRevision, long firstVersion, Runnable deposed) {
+    this.context = context;
+    this.modRevision = modRevision;
     this.firstVersion = firstVersion;
     this.version = firstVersion;
-    this.mostChanges = Math.max(1, env.settings().stateFloor().txnOps() / 2);
+    this.mostChanges = Math.max(1, context.settings().minStoreLimits().txnOps() / 2);
     this.deposed = deposed;
   }
 
@@ -74,7 +74,7 @@
     facts.clear();
     for (VersionedEntry e : entries) {
       if (e.present()) {
-        facts.put(e.key().substring(JobProgressCodec.SHARED.length()), new Fact(e.value(), e.stamp()));
+        facts.put(e.key().substring(JobProgressCodec.SHARED.length()), new Fact(e.value(), e.modRevision()));
         version = Math.max(version, Versions.of(e.value()));
       }
     }
@@ -151,9 +151,9 @@
       return;
     }
     armed = true;
-    env.timers()
+    context.timers()
         .after(
-            Math.max(0.001, nextAt - env.clock().now()),
+            Math.max(0.001, nextAt - context.clock().now()),
             () -> {
               armed = false;
               write();
@@ -164,7 +164,7 @@
     if (busy || closed || wanted.isEmpty()) {
       return;
     }
-    Transaction txn = new Transaction().when(JobProgressCodec.LEADER, stamp);
+    Transaction txn = new Transaction().when(JobProgressCodec.LEADER, modRevision);
     Map<String, Change> batch = new LinkedHashMap<>();
     int bytes = 0;
     for (Map.Entry<String, Change> e : wanted.entrySet()) {
@@ -174,12 +174,12 @@
       }
       Fact f = facts.get(e.getKey());
       String key = JobProgressCodec.SHARED + e.getKey();
-      txn.when(key, f == null ? 0 : f.stamp).write(key, e.getValue().value);
+      txn.when(key, f == null ? 0 : f.modRevision).write(key, e.getValue().value);
       batch.put(e.getKey(), e.getValue());
     }
     busy = true;
-    env.store()
-        .commit(txn, Rank.USUAL)
+    context.store()
+        .commit(txn, RequestPriority.NORMAL)
         .onSuccess(c -> answered(c, batch))
         .onFailure(e -> unanswered(e, batch));
   }
@@ -189,7 +189,7 @@
       return;
     }
     if (!commit.applied()) {
-      if (commit.failed().contains(JobProgressCodec.LEADER)) {
+      if (commit.conflicts().contains(JobProgressCodec.LEADER)) {
         closed = true;
         deposed.run();
         return;
@@ -198,9 +198,9 @@
       return;
     }
     changes += batch.size();
-    double perS = SHARE * env.settings().stateFloor().writeRps();
-    nextAt = env.clock().now() + batch.size() / perS;
-    batch.forEach((name, c) -> facts.put(name, new Fact(c.value, commit.epoch())));
+    double perS = SHARE * context.settings().minStoreLimits().writeRps();
+    nextAt = context.clock().now() + batch.size() / perS;
+    batch.forEach((name, c) -> facts.put(name, new Fact(c.value, commit.revision())));
     busy = false;
     settle();
     arm();
@@ -229,9 +229,9 @@
   }
 
   private void later(Runnable what) {
-    env.timers()
+    context.timers()
         .after(
-            env.settings().workers().reportS() / 6,
+            context.settings().workers().heartbeatIntervalS() / 6,
             () -> {
               if (!closed) {
                 what.run();
@@ -244,7 +244,7 @@
    * from then on.
    */
   private void reread() {
-    env.store()
+    context.store()
         .list(JobProgressCodec.SHARED)
         .onSuccess(
             read -> {
@@ -256,7 +256,7 @@
               // What stands beneath the store's keys in this era is in none of them.
               base.forEach(
                   (name, f) -> {
-                    if (f.stamp == 0) {
+                    if (f.modRevision == 0) {
                       facts.putIfAbsent(name, f);
                     }
                   });
@@ -278,7 +278,7 @@
               Fact f = facts.get(e.getKey());
               boolean there =
                   f != null
-                      && f.stamp > 0
+                      && f.modRevision > 0
                       && Versions.of(f.value) >= Versions.of(e.getValue().value);
               if (there) {
                 durable.addAll(e.getValue().durable);
--- a/src/main/java/io/embernotch/snapshot/BaseSnapshot.java
+++ b/src/main/java/io/embernotch/snapshot/BaseSnapshot.java
@@ -33,7 +33,7 @@
   /** Packed: jobs that nobody asks for are never taken apart. */
   private final Map<String, byte[]> jobs = new LinkedHashMap<>();
 
-  private final Map<String, ClusterState.Ended> ended = new HashMap<>();
+  private final Map<String, ClusterState.EndedJob> ended = new HashMap<>();
   private final Map<String, ObjectNode> shared = new TreeMap<>();
 
   /**
@@ -68,11 +68,11 @@
   }
 
   /** The end of a job of which nothing else is left; null if it is not such a one. */
-  public ClusterState.Ended ended(String ref) {
+  public ClusterState.EndedJob ended(String ref) {
     return ended.get(ref);
   }
 
-  public Map<String, ClusterState.Ended> allEnded() {
+  public Map<String, ClusterState.EndedJob> allEnded() {
     return ended;
   }
 
@@ -86,7 +86,7 @@
       lay(job, prefix, out);
     }
     stored.events().forEach(e -> over(e, out));
-    return new WatchEvents(stored.epoch(), List.copyOf(out.values()));
+    return new WatchEvents(stored.revision(), List.copyOf(out.values()));
   }
 
   /**
@@ -105,7 +105,7 @@
             e.key(),
             below == null
                 ? e
-                : new VersionedEntry(e.key(), Versions.later(below.value(), e.value()), e.stamp()));
+                : new VersionedEntry(e.key(), Versions.later(below.value(), e.value()), e.modRevision()));
       }
     }
     return List.copyOf(out.values());
@@ -138,11 +138,11 @@
     if (ended.containsKey(ref)) {
       return;
     }
-    if (!jobs.containsKey(ref) || e.stamp() > since) {
+    if (!jobs.containsKey(ref) || e.modRevision() > since) {
       out.put(e.key(), e);
     } else if (out.containsKey(e.key())) {
       // Older than the base, but whoever writes it next conditions on its stamp.
-      out.put(e.key(), new VersionedEntry(e.key(), out.get(e.key()).value(), e.stamp()));
+      out.put(e.key(), new VersionedEntry(e.key(), out.get(e.key()).value(), e.modRevision()));
     }
   }
 }
--- a/src/main/java/io/embernotch/snapshot/ProgressShard.java
+++ b/src/main/java/io/embernotch/snapshot/ProgressShard.java
@@ -10,7 +10,7 @@
 /** A part of a job's progress by its key. */
 public record ProgressShard(String ref, int size, int index, VersionedEntry entry) {
   public static ProgressShard of(VersionedEntry entry) {
-    String[] names = entry.key().substring(JobProgressCodec.PART.length()).split("/");
+    String[] names = entry.key().substring(JobProgressCodec.REFINED_SHARD.length()).split("/");
     return new ProgressShard(names[0], Integer.parseInt(names[1]), Integer.parseInt(names[2]), entry);
   }
 
--- a/src/main/java/io/embernotch/snapshot/StateSnapshot.java
+++ b/src/main/java/io/embernotch/snapshot/StateSnapshot.java
@@ -45,15 +45,15 @@
    * @param shared facts beside jobs, by name
    */
   public static Copy of(
-      ClusterState ledger,
-      ToIntFunction<String> pieceOf,
+      ClusterState state,
+      ToIntFunction<String> shardOf,
       Map<String, ObjectNode> shared,
       long epoch,
       long wallMs) {
     Copy.Builder out = Copy.newBuilder().setEpoch(epoch).setWallMs(wallMs).setComplete(true);
     shared.forEach((name, value) -> out.addShared(fact(name, value)));
-    ledger.jobs.forEach((ref, job) -> out.addJob(job(job, pieceOf.applyAsInt(ref))));
-    ledger.ended.forEach((ref, e) -> out.addEnded(ended(ref, e)));
+    state.jobs.forEach((ref, job) -> out.addJob(job(job, shardOf.applyAsInt(ref))));
+    state.endedJobs.forEach((ref, e) -> out.addEnded(ended(ref, e)));
     return out.build();
   }
 
@@ -68,7 +68,7 @@
         jobs,
         e -> {
           Job job = JobProgressCodec.readJob(e.value());
-          sizes.put(job.spec.ref(), JobProgressCodec.readPiece(e.value()));
+          sizes.put(job.spec.ref(), JobProgressCodec.readShardSize(e.value()));
           all.put(job.spec.ref(), job);
         });
     read(
@@ -76,7 +76,7 @@
         e -> {
           Job job = all.get(e.key().split("/")[1]);
           if (job != null) {
-            JobProgressCodec.readRun(e.value(), job, sizes.get(job.spec.ref()), JobProgressCodec.pieceOf(e.key()));
+            JobProgressCodec.readRun(e.value(), job, sizes.get(job.spec.ref()), JobProgressCodec.shardOf(e.key()));
           }
         });
     Map<String, List<ProgressShard>> partsOf = new LinkedHashMap<>();
@@ -118,17 +118,17 @@
     }
   }
 
-  private static JobCopy job(Job job, int piece) {
+  private static JobCopy job(Job job, int shard) {
     JobCopy.Builder b =
         JobCopy.newBuilder()
             .setRef(job.spec.ref())
-            .setValue(ByteString.copyFrom(Json.bytes(JobProgressCodec.writeJob(job, piece))))
+            .setValue(ByteString.copyFrom(Json.bytes(JobProgressCodec.writeJob(job, shard))))
             .setNextAttempt(job.nextAttempt)
             .setDone(ByteString.copyFrom(job.done.toByteArray()));
-    if (job.end != null) {
-      b.setEnd(end(job.end)).setEndedMs(job.endedMs);
+    if (job.finalPhase != null) {
+      b.setEnd(end(job.finalPhase)).setEndedMs(job.endedMs);
     }
-    for (Attempt a : job.open.values()) {
+    for (Attempt a : job.openAttempts.values()) {
       b.addOpen(
           OpenCopy.newBuilder()
               .setTask(a.task)
@@ -137,7 +137,7 @@
               .setZone(a.zone));
     }
     // A wish outlives the attempt that it is about, until the task is placed anew.
-    job.wishes.forEach(
+    job.preferredMachines.forEach(
         (task, machine) -> {
           for (OpenCopy.Builder o : b.getOpenBuilderList()) {
             if (o.getTask() == task) {
@@ -148,7 +148,7 @@
     return b.build();
   }
 
-  private static EndedCopy ended(String ref, ClusterState.Ended e) {
+  private static EndedCopy ended(String ref, ClusterState.EndedJob e) {
     return EndedCopy.newBuilder()
         .setRef(ref)
         .setEnd(end(e.phase()))
@@ -166,8 +166,8 @@
     return end == End.DONE ? JobPhase.DONE : JobPhase.CANCELLED;
   }
 
-  static ClusterState.Ended ended(EndedCopy e) {
-    return new ClusterState.Ended(phase(e.getEnd()), e.getTasks(), e.getDone(), e.getAtMs());
+  static ClusterState.EndedJob ended(EndedCopy e) {
+    return new ClusterState.EndedJob(phase(e.getEnd()), e.getTasks(), e.getDone(), e.getAtMs());
   }
 
   /**
@@ -177,10 +177,10 @@
   static List<VersionedEntry> entries(JobCopy c) {
     var value = Json.parseObject(c.getValue().toByteArray());
     Job job = JobProgressCodec.readJob(value);
-    int piece = JobProgressCodec.readPiece(value);
+    int shard = JobProgressCodec.readShardSize(value);
     job.nextAttempt = c.getNextAttempt();
     if (c.hasEnd()) {
-      job.end = phase(c.getEnd());
+      job.finalPhase = phase(c.getEnd());
       job.endedMs = c.getEndedMs();
     }
     job.done.or(BitSet.valueOf(c.getDone().toByteArray()));
@@ -190,17 +190,17 @@
       if (o.getTask() >= job.spec.tasks()) {
         continue;
       }
-      job.open.put(
+      job.openAttempts.put(
           o.getTask(),
           new Attempt(job, o.getTask(), o.getNumber(), o.getMachine(), o.getZone(), 0));
       if (o.hasWish()) {
-        job.wishes.put(o.getTask(), o.getWish());
+        job.preferredMachines.put(o.getTask(), o.getWish());
       }
     }
     List<VersionedEntry> out = new ArrayList<>();
     out.add(new VersionedEntry(JobProgressCodec.JOB + c.getRef(), value, 0));
-    for (int k = 0; k * piece < job.spec.tasks(); k++) {
-      out.add(new VersionedEntry(JobProgressCodec.key(c.getRef(), k), JobProgressCodec.writeRun(job, piece, k), 0));
+    for (int k = 0; k * shard < job.spec.tasks(); k++) {
+      out.add(new VersionedEntry(JobProgressCodec.key(c.getRef(), k), JobProgressCodec.writeRun(job, shard, k), 0));
     }
     return out;
   }
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotArchive.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotArchive.java
@@ -55,12 +55,12 @@
   }
 
   /** Writes a copy that belongs to an era; leaves {@code out} open. */
-  public static void write(Copy copy, String era, OutputStream out) throws IOException {
+  public static void write(Copy copy, String incarnation, OutputStream out) throws IOException {
     List<byte[]> parts = parts(copy);
     SnapshotHead head =
         SnapshotHead.newBuilder()
             .setVersion(VERSION)
-            .setEra(era)
+            .setEra(incarnation)
             .setEpoch(copy.getEpoch())
             .setWallMs(copy.getWallMs())
             .setJobs(copy.getJobCount())
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotDirectory.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotDirectory.java
@@ -40,7 +40,7 @@
   }
 
   /** Writes one, drops the oldest beyond those that are kept, and returns its file. */
-  public Path write(Copy copy, String era) throws IOException {
+  public Path write(Copy copy, String incarnation) throws IOException {
     String name = String.format("%016d-%015d", copy.getEpoch(), copy.getWallMs());
     Path unfinished = directory.resolve(name + UNFINISHED);
     Path file = directory.resolve(name + END);
@@ -51,7 +51,7 @@
             StandardOpenOption.TRUNCATE_EXISTING,
             StandardOpenOption.WRITE)) {
       OutputStream out = new BufferedOutputStream(Channels.newOutputStream(channel));
-      SnapshotArchive.write(copy, era, out);
+      SnapshotArchive.write(copy, incarnation, out);
       out.flush();
       channel.force(true);
     }
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotScheduler.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotScheduler.java
@@ -17,7 +17,7 @@
   /** So many intervals without a new snapshot are said in the log. */
   private static final int LATE = 3;
 
-  private final ControllerContext env;
+  private final ControllerContext context;
   private final OperatorSettings.Snapshots settings;
   private final SnapshotDirectory directory;
   private final LatencyRecorder took = new LatencyRecorder();
@@ -25,22 +25,22 @@
   private double triedAt;
   private boolean writing;
 
-  public SnapshotScheduler(ControllerContext env) {
-    this.env = env;
-    this.settings = env.operator().snapshots();
+  public SnapshotScheduler(ControllerContext context) {
+    this.context = context;
+    this.settings = context.operator().snapshots();
     this.directory =
         settings.directory() == null
             ? null
             : new SnapshotDirectory(settings.directory(), settings.keep());
-    this.takenAt = env.clock().now();
+    this.takenAt = context.clock().now();
     this.triedAt = takenAt;
   }
 
   /**
    * Time has gone by on a leader; {@code copy}: what it knows, null if it knows too little yet.
    */
-  public void tick(String era, Supplier<Copy> copy) {
-    double now = env.clock().now();
+  public void tick(String incarnation, Supplier<Copy> copy) {
+    double now = context.clock().now();
     if (directory == null || writing || now - triedAt < settings.everyS()) {
       return;
     }
@@ -49,27 +49,27 @@
     if (taken == null) {
       return;
     }
-    took.record("copy", env.clock().now() - now);
+    took.record("copy", context.clock().now() - now);
     writing = true;
-    env.blocking()
+    context.blocking()
         .execute(
             () -> {
               String failure = null;
               Path file = null;
               try {
-                file = directory.write(taken, era);
+                file = directory.write(taken, incarnation);
               } catch (IOException e) {
                 failure = e.toString();
               }
               Path written = file;
               String why = failure;
-              env.loop().execute(() -> written(written, taken, why));
+              context.loop().execute(() -> written(written, taken, why));
             });
   }
 
   private void written(Path file, Copy copy, String failure) {
     writing = false;
-    double now = env.clock().now();
+    double now = context.clock().now();
     if (failure == null) {
       takenAt = now;
       LOG.info(
--- a/src/main/java/io/embernotch/state/ClusterOverview.java
+++ b/src/main/java/io/embernotch/state/ClusterOverview.java
@@ -11,15 +11,15 @@
 public final class ClusterOverview {
   private ClusterOverview() {}
 
-  public static ObjectNode of(ClusterState ledger, int waiting) {
+  public static ObjectNode of(ClusterState state, int waiting) {
     ObjectNode o = Json.object();
     Map<String, int[]> classes = new TreeMap<>();
-    for (Job j : ledger.jobs.values()) {
+    for (Job j : state.jobs.values()) {
       int[] c = classes.computeIfAbsent(j.spec.jobClass(), k -> new int[4]);
       c[0]++;
       c[1] += j.pendingCount();
-      c[2] += j.running();
-      c[3] += j.open.size();
+      c[2] += j.runningCount();
+      c[3] += j.openAttempts.size();
     }
     ObjectNode queue = o.putObject("queue");
     classes.forEach(
@@ -31,7 +31,7 @@
                 .put("running", c[2])
                 .put("placed", c[3]));
     ObjectNode machines = o.putObject("machines");
-    for (Machine m : ledger.machines.values()) {
+    for (Machine m : state.machines.values()) {
       ObjectNode n = machines.putObject(m.name);
       n.put("type", m.type == null ? null : m.type.name()).put("zone", m.zone).put("spot", m.spot);
       n.put(
@@ -39,10 +39,10 @@
           m.deleting
               ? "returning"
               : m.failed ? "failed" : !m.up() ? "booting" : m.cordoned ? "cordoned" : "up");
-      n.put("tasks", m.open.size());
+      n.put("tasks", m.openAttempts.size());
     }
     o.put("waiting_for_others", waiting);
-    o.put("ended", ledger.ended.size());
+    o.put("ended", state.endedJobs.size());
     return o;
   }
 }
--- a/src/main/java/io/embernotch/state/ClusterState.java
+++ b/src/main/java/io/embernotch/state/ClusterState.java
@@ -17,16 +17,16 @@
 /** Everything the leader knows: jobs, machines and the open attempts that tie them. */
 public final class ClusterState {
   /** A job that has ended, and whose every attempt is proven gone. */
-  public record Ended(JobPhase phase, int tasks, int done, long atMs) {
-    public static Ended of(Job job) {
-      return new Ended(job.end, job.spec.tasks(), job.done.cardinality(), job.endedMs);
+  public record EndedJob(JobPhase phase, int tasks, int done, long atMs) {
+    public static EndedJob of(Job job) {
+      return new EndedJob(job.finalPhase, job.spec.tasks(), job.done.cardinality(), job.endedMs);
     }
   }
 
   /** Jobs that have not ended, or still have open attempts. */
   public final Map<String, Job> jobs = new LinkedHashMap<>();
 
-  public final Map<String, Ended> ended = new HashMap<>();
+  public final Map<String, EndedJob> endedJobs = new HashMap<>();
 
   /**
    * Jobs that were accepted and whose description can't be read: they stay known, and can't run.
@@ -36,7 +36,7 @@
   public final Map<String, Machine> machines = new TreeMap<>();
   public final Map<String, MachineType> types = new LinkedHashMap<>();
 
-  public final LargestJobWaitTimes largest = new LargestJobWaitTimes();
+  public final LargestJobWaitTimes largestJobWaits = new LargestJobWaitTimes();
 
   /** Sizes of images in GB, as far as jobs that need them have been seen to run. */
   public final Map<String, Double> imageGb = new HashMap<>();
@@ -44,7 +44,7 @@
   private Function<String, List<String>> images = n -> List.of();
 
   /** Where to learn which images a machine has that was rented before. */
-  public void imagesOf(Function<String, List<String>> known) {
+  public void setImageLookup(Function<String, List<String>> known) {
     images = known;
   }
 
@@ -60,29 +60,29 @@
   }
 
   /** Opens an attempt; the job's pieces must then be committed before its start may be sent. */
-  public Attempt open(Job job, int task, long number, Machine m, double now) {
+  public Attempt openAttempt(Job job, int task, long number, Machine m, double now) {
     Attempt a = new Attempt(job, task, number, m.name, m.zone, m.token);
     a.createdAt = now;
-    job.open.put(task, a);
-    m.open.put(Machine.taskKey(job.spec.ref(), task), a);
-    m.touched();
+    job.openAttempts.put(task, a);
+    m.openAttempts.put(Machine.taskKey(job.spec.ref(), task), a);
+    m.attemptsChanged();
     return a;
   }
 
-  public void close(Attempt a, double now) {
-    if (a.job.open.get(a.task) == a) {
-      a.job.open.remove(a.task);
+  public void closeAttempt(Attempt a, double now) {
+    if (a.job.openAttempts.get(a.task) == a) {
+      a.job.openAttempts.remove(a.task);
     }
     Machine m = machines.get(a.machine);
-    if (m != null && m.open.remove(Machine.taskKey(a.job.spec.ref(), a.task), a)) {
-      m.touched();
-      if (m.open.isEmpty()) {
+    if (m != null && m.openAttempts.remove(Machine.taskKey(a.job.spec.ref(), a.task), a)) {
+      m.attemptsChanged();
+      if (m.openAttempts.isEmpty()) {
         m.idleSince = now;
       }
     }
   }
 
   public static boolean isOpen(Attempt a) {
-    return a.job.open.get(a.task) == a;
+    return a.job.openAttempts.get(a.task) == a;
   }
 }
--- a/src/main/java/io/embernotch/state/ClusterSummary.java
+++ b/src/main/java/io/embernotch/state/ClusterSummary.java
@@ -9,13 +9,13 @@
 public final class ClusterSummary {
   private ClusterSummary() {}
 
-  public static String of(ClusterState ledger) {
+  public static String of(ClusterState state) {
     int[][] kinds = new int[2][5];
-    for (Machine m : ledger.machines.values()) {
+    for (Machine m : state.machines.values()) {
       int[] k = kinds[m.spot ? 1 : 0];
       if (!m.up()) {
         k[0]++;
-      } else if (m.open.isEmpty()) {
+      } else if (m.openAttempts.isEmpty()) {
         k[1]++;
       } else if (has(m, JobShape.SERVICE)) {
         k[2]++;
@@ -27,9 +27,9 @@
     }
     int pending = 0;
     int open = 0;
-    for (Job j : ledger.jobs.values()) {
+    for (Job j : state.jobs.values()) {
       pending += j.pendingCount();
-      open += j.open.size();
+      open += j.openAttempts.size();
     }
     return "machines: ordinary "
         + line(kinds[0])
@@ -56,7 +56,7 @@
   }
 
   private static boolean has(Machine m, JobShape shape) {
-    for (Attempt a : m.open.values()) {
+    for (Attempt a : m.openAttempts.values()) {
       if (a.job.spec.shape() == shape) {
         return true;
       }
--- a/src/main/java/io/embernotch/state/DemandForecast.java
+++ b/src/main/java/io/embernotch/state/DemandForecast.java
@@ -58,7 +58,7 @@
   public List<Headroom> headroom(
       OperatorSettings operator, Collection<MachineType> types, Collection<Job> jobs, double now) {
     Map<String, Integer> placed = new HashMap<>();
-    jobs.forEach(j -> placed.merge(j.spec.jobClass(), j.open.size(), Integer::sum));
+    jobs.forEach(j -> placed.merge(j.spec.jobClass(), j.openAttempts.size(), Integer::sum));
     List<Headroom> out = new ArrayList<>();
     for (Kind k : kinds.values()) {
       double boot = bootS(k.latest, types);
