--- a/src/main/java/io/embernotch/state/FailureAttribution.java
+++ b/src/main/java/io/embernotch/state/FailureAttribution.java
@@ -35,32 +35,32 @@
   /** As often must a job that succeeds elsewhere fail on a machine to be enough by itself. */
   private static final int OFTEN = 3;
 
-  private final ControllerContext env;
-  private final ClusterState ledger;
+  private final ControllerContext context;
+  private final ClusterState state;
 
-  public FailureAttribution(ControllerContext env, ClusterState ledger) {
-    this.env = env;
-    this.ledger = ledger;
+  public FailureAttribution(ControllerContext context, ClusterState state) {
+    this.context = context;
+    this.state = state;
   }
 
   public void failed(Attempt a, Machine m, double now) {
     Job job = a.job;
-    double report = env.settings().workers().reportS();
+    double heartbeat = context.settings().workers().heartbeatIntervalS();
     m.failures.merge(job.spec.ref(), 1, Integer::sum);
     if (!succeeds(job)) {
       job.errorMachines.add(m.name);
     }
-    if (job.fails()) {
+    if (job.failsEverywhere()) {
       // Tried again with one task at a time, so what that costs is bounded however large the job
       // is.
       int again = job.errorMachines.size() - Job.MANY_MACHINES;
       job.backoffUntil =
-          now + Math.min(env.settings().workers().leaseS(), report * (1 << Math.min(5, again)));
+          now + Math.min(context.settings().workers().leaseS(), heartbeat * (1 << Math.min(5, again)));
       excuse(job);
       return;
     }
     m.errorStreak++;
-    m.avoidUntil = now + report * (1 << Math.min(4, m.errorStreak));
+    m.avoidUntil = now + heartbeat * (1 << Math.min(4, m.errorStreak));
     judge(m);
   }
 
@@ -80,7 +80,7 @@
   }
 
   private List<Machine> machines(Job job) {
-    return job.errorMachines.stream().map(ledger.machines::get).filter(Objects::nonNull).toList();
+    return job.errorMachines.stream().map(state.machines::get).filter(Objects::nonNull).toList();
   }
 
   private static boolean succeeds(Job job) {
@@ -91,8 +91,8 @@
   private double against(Machine m) {
     double sum = EPS;
     for (Map.Entry<String, Integer> e : m.failures.entrySet()) {
-      Job job = ledger.jobs.get(e.getKey());
-      if (job != null && !job.fails()) {
+      Job job = state.jobs.get(e.getKey());
+      if (job != null && !job.failsEverywhere()) {
         sum += !succeeds(job) ? UNKNOWN : e.getValue() >= OFTEN ? 1 : SOUND;
       }
     }
@@ -106,9 +106,9 @@
     LOG.info("machine {} fails what it starts: {}", m.name, m.failures.keySet());
     m.cordoned = true;
     for (String ref : m.failures.keySet()) {
-      Job job = ledger.jobs.get(ref);
+      Job job = state.jobs.get(ref);
       // That it failed here is not its fault.
-      if (job != null && job.errorMachines.remove(m.name) && !job.fails()) {
+      if (job != null && job.errorMachines.remove(m.name) && !job.failsEverywhere()) {
         job.backoffUntil = 0;
       }
     }
@@ -116,8 +116,8 @@
 
   /** The machines that this job failed on are as good as without it. */
   private void excuse(Job job) {
-    if (!job.toldFailing) {
-      job.toldFailing = true;
+    if (!job.failureLogged) {
+      job.failureLogged = true;
       LOG.info("job {} fails wherever it goes: {}", job.spec.ref(), job.errorMachines);
     }
     for (Machine m : machines(job)) {
--- a/src/main/java/io/embernotch/state/LargestJobWaitTimes.java
+++ b/src/main/java/io/embernotch/state/LargestJobWaitTimes.java
@@ -31,7 +31,7 @@
     Kind k = kinds.computeIfAbsent(job.spec.jobClass(), c -> new Kind());
     k.sizes.recordValue(Math.min(MOST_TASKS, Math.max(1, job.spec.tasks())));
     if (k.large(job)) {
-      k.waits.recordValue(Math.min(MOST_MS, Math.max(0, wallMs - job.sinceMs)));
+      k.waits.recordValue(Math.min(MOST_MS, Math.max(0, wallMs - job.eligibleSinceMs)));
     }
   }
 
@@ -41,9 +41,9 @@
     for (Job j : jobs) {
       Kind k = kinds.get(j.spec.jobClass());
       boolean waits =
-          j.pendingCount() > 0 && j.open.isEmpty() && j.done.isEmpty() && j.restarted.isEmpty();
+          j.pendingCount() > 0 && j.openAttempts.isEmpty() && j.done.isEmpty() && j.restartedTasks.isEmpty();
       if (k != null && waits && k.large(j)) {
-        waiting.merge(j.spec.jobClass(), wallMs - j.sinceMs, Math::max);
+        waiting.merge(j.spec.jobClass(), wallMs - j.eligibleSinceMs, Math::max);
       }
     }
     StringBuilder s = new StringBuilder();
--- a/src/main/java/io/embernotch/store/IncarnationGuard.java
+++ b/src/main/java/io/embernotch/store/IncarnationGuard.java
@@ -16,13 +16,13 @@
  */
 final class IncarnationGuard {
   /** What a request may assume, fixed as it is sent. */
-  record Mark(int life, long least) {}
+  record Mark(int generation, long least) {}
 
   /** So many keys are looked for in contents that may have been put back. */
   private static final int WITNESSES = 8;
 
-  private int life;
-  private long seen;
+  private int generation;
+  private long highestRevision;
   private final Map<String, Long> written =
       new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
@@ -33,25 +33,25 @@
         }
       };
   private String fence;
-  private long fenceStamp;
+  private long fenceModRevision;
 
   Mark mark() {
-    return new Mark(life, seen);
+    return new Mark(generation, highestRevision);
   }
 
   /**
    * False if the contents that the request meant are no more; {@code epoch} is then meaningless.
    */
   boolean isOf(Mark m) {
-    return m.life == life;
+    return m.generation == generation;
   }
 
   /** Takes note of a revision that an answer shows; false if that proves a loss. */
-  boolean saw(Mark m, long epoch) {
-    if (epoch < m.least) {
+  boolean observe(Mark m, long revision) {
+    if (revision < m.least) {
       return false;
     }
-    seen = Math.max(seen, epoch);
+    highestRevision = Math.max(highestRevision, revision);
     return true;
   }
 
@@ -59,15 +59,15 @@
    * A transaction that wrote {@code key} was answered: a change raises the revision. False if that
    * proves a loss.
    */
-  boolean wrote(Mark m, String key, long epoch) {
-    if (epoch <= m.least) {
+  boolean recordWrite(Mark m, String key, long revision) {
+    if (revision <= m.least) {
       return false;
     }
     Long before = written.get(key);
-    if (before == null || before < epoch) {
-      written.put(key, epoch);
+    if (before == null || before < revision) {
+      written.put(key, revision);
     }
-    return saw(m, epoch);
+    return observe(m, revision);
   }
 
   /** Keys that were written lately, and the stamps that they have at least. */
@@ -76,20 +76,20 @@
   }
 
   /** The highest revision seen in this life. */
-  long seen() {
-    return seen;
+  long highestRevision() {
+    return highestRevision;
   }
 
   /** All that was known of revisions holds no longer. */
-  void over() {
-    life++;
-    seen = 0;
+  void discard() {
+    generation++;
+    highestRevision = 0;
     written.clear();
   }
 
-  void fence(String key, long stamp) {
+  void fence(String key, long modRevision) {
     fence = key;
-    fenceStamp = stamp;
+    fenceModRevision = modRevision;
   }
 
   boolean isFence(String key) {
@@ -101,6 +101,6 @@
   }
 
   Transaction guard(Transaction txn) {
-    return fence != null && txn.fenced() ? txn.when(fence, fenceStamp) : txn;
+    return fence != null && txn.fenced() ? txn.when(fence, fenceModRevision) : txn;
   }
 }
--- a/src/main/java/io/embernotch/store/LeaseRenewer.java
+++ b/src/main/java/io/embernotch/store/LeaseRenewer.java
@@ -19,7 +19,7 @@
   private static final int GONE = 404;
 
   /** The lease cannot have ended before {@code until}. */
-  private record Proof(long permit, double until) {}
+  private record Proof(long leaseId, double until) {}
 
   private final HttpCaller caller;
   private final HostPort state;
@@ -27,14 +27,14 @@
   private final Timers timers;
   private final Executor loop;
   private final Executor core;
-  private final double lifeS;
+  private final double leaseTtlS;
   private final double driftless;
   private final double stuckS;
   private final AtomicReference<Proof> proof = new AtomicReference<>();
   private volatile double coreAliveAt;
 
   /** The lease that is kept, 0 if none; owned by the keeper's loop. */
-  private long permit;
+  private long leaseId;
 
   /**
    * @param loop runs the keeper, {@code caller} and {@code timers}; {@code core} is told what
@@ -50,7 +50,7 @@
       Timers timers,
       Executor loop,
       Executor core,
-      double lifeS,
+      double leaseTtlS,
       double drift,
       double stuckS) {
     this.caller = caller;
@@ -59,13 +59,13 @@
     this.timers = timers;
     this.loop = loop;
     this.core = core;
-    this.lifeS = lifeS;
-    this.driftless = lifeS * (1 - drift);
+    this.leaseTtlS = leaseTtlS;
+    this.driftless = leaseTtlS * (1 - drift);
     this.stuckS = stuckS;
   }
 
-  public double lifeS() {
-    return lifeS;
+  public double leaseTtlS() {
+    return leaseTtlS;
   }
 
   /**
@@ -78,7 +78,7 @@
   }
 
   /** The core is at work. */
-  public void alive() {
+  public void coreAlive() {
     coreAliveAt = clock.now();
   }
 
@@ -87,53 +87,53 @@
    * ended.
    */
   public void keep(long granted, double sentAt, LongConsumer ended) {
-    alive();
+    coreAlive();
     proof.set(new Proof(granted, sentAt + driftless));
     loop.execute(
         () -> {
-          permit = granted;
+          leaseId = granted;
           renew(granted, ended);
         });
   }
 
   /** Keeps no lease any more. */
-  public void letGo() {
+  public void release() {
     proof.set(null);
-    loop.execute(() -> permit = 0);
+    loop.execute(() -> leaseId = 0);
   }
 
   private void renew(long which, LongConsumer ended) {
-    if (permit != which) {
+    if (leaseId != which) {
       return;
     }
     double sentAt = clock.now();
     if (sentAt - coreAliveAt > stuckS) {
-      timers.after(lifeS / 3, () -> renew(which, ended));
+      timers.after(leaseTtlS / 3, () -> renew(which, ended));
       return;
     }
     caller
-        .call("POST", state, "/leases/" + which + "/extend", null, lifeS / 3)
+        .call("POST", state, "/leases/" + which + "/extend", null, leaseTtlS / 3)
         .onSuccess(
             reply -> {
-              if (permit != which) {
+              if (leaseId != which) {
                 return;
               }
               if (reply.status() == GONE) {
-                permit = 0;
+                leaseId = 0;
                 core.execute(() -> ended.accept(which));
               } else if (reply.status() == 200) {
                 // An answer about a lease that was let go meanwhile proves nothing of the next one.
                 proof.updateAndGet(
                     p ->
-                        p != null && p.permit == which
+                        p != null && p.leaseId == which
                             ? new Proof(which, Math.max(p.until, sentAt + driftless))
                             : p);
                 timers.after(
-                    Math.max(0, sentAt + lifeS / 3 - clock.now()), () -> renew(which, ended));
+                    Math.max(0, sentAt + leaseTtlS / 3 - clock.now()), () -> renew(which, ended));
               } else {
-                timers.after(lifeS / 15, () -> renew(which, ended));
+                timers.after(leaseTtlS / 15, () -> renew(which, ended));
               }
             })
-        .onFailure(e -> timers.after(lifeS / 15, () -> renew(which, ended)));
+        .onFailure(e -> timers.after(leaseTtlS / 15, () -> renew(which, ended)));
   }
 }
--- a/src/main/java/io/embernotch/store/RateLimiter.java
+++ b/src/main/java/io/embernotch/store/RateLimiter.java
@@ -11,25 +11,25 @@
  */
 public final class RateLimiter {
   /** How urgent something is. */
-  public enum Rank {
+  public enum RequestPriority {
     /** Goes at once, and may overdraw: what keeps leadership and proofs alive. */
     URGENT,
     /** What a live service or a user who cancelled waits for. */
-    FIRST,
-    USUAL,
+    HIGH,
+    NORMAL,
     /** Only once half of the burst is there, so that it never stands in the way of the rest. */
-    SPARE
+    BACKGROUND
   }
 
-  private record Waiting(Rank rank, long order, double cost, Runnable go) {}
+  private record Waiting(RequestPriority priority, long order, double cost, Runnable go) {}
 
   private final Clock clock;
   private final Timers timers;
   private final double burstS;
-  private double rate;
+  private double setRate;
   private double burst;
   private final PriorityQueue<Waiting> queue =
-      new PriorityQueue<>(Comparator.comparing(Waiting::rank).thenComparingLong(Waiting::order));
+      new PriorityQueue<>(Comparator.comparing(Waiting::priority).thenComparingLong(Waiting::order));
   private double tokens;
   private double filledAt;
   private long order;
@@ -40,27 +40,27 @@
     this.timers = timers;
     this.burstS = burstS;
     this.filledAt = clock.now();
-    rate(rate);
+    setRate(rate);
     this.tokens = burst;
   }
 
   /** Goes on at another rate. */
-  public final void rate(double perS) {
+  public final void setRate(double perS) {
     fill();
-    rate = perS;
-    burst = Math.max(1, rate * burstS);
+    setRate = perS;
+    burst = Math.max(1, setRate * burstS);
     tokens = Math.min(tokens, burst);
   }
 
   /** Runs {@code go} as soon as {@code cost} may be spent, and spends it. */
-  public void pass(double cost, Rank rank, Runnable go) {
+  public void acquire(double cost, RequestPriority priority, Runnable go) {
     fill();
-    if (cost <= 0 || rank == Rank.URGENT || (mayGo(cost, rank) && nobodyBefore(rank))) {
+    if (cost <= 0 || priority == RequestPriority.URGENT || (mayGo(cost, priority) && nobodyBefore(priority))) {
       tokens -= Math.max(0, cost);
       go.run();
       return;
     }
-    queue.add(new Waiting(rank, order++, cost, go));
+    queue.add(new Waiting(priority, order++, cost, go));
     arm();
   }
 
@@ -69,37 +69,37 @@
     fill();
     double before = 1;
     for (Waiting w : queue) {
-      before += w.rank == Rank.SPARE ? 0 : w.cost;
+      before += w.priority == RequestPriority.BACKGROUND ? 0 : w.cost;
     }
-    return Math.max(0, (before - tokens) / rate);
+    return Math.max(0, (before - tokens) / setRate);
   }
 
   /** What could be spent now. */
-  public double credit() {
+  public double available() {
     fill();
     return tokens;
   }
 
-  private boolean nobodyBefore(Rank rank) {
-    return queue.isEmpty() || queue.peek().rank.compareTo(rank) > 0;
+  private boolean nobodyBefore(RequestPriority priority) {
+    return queue.isEmpty() || queue.peek().priority.compareTo(priority) > 0;
   }
 
-  private double needed(double cost, Rank rank) {
-    return Math.min(rank == Rank.SPARE ? Math.max(cost, burst / 2) : cost, burst);
+  private double needed(double cost, RequestPriority priority) {
+    return Math.min(priority == RequestPriority.BACKGROUND ? Math.max(cost, burst / 2) : cost, burst);
   }
 
-  private boolean mayGo(double cost, Rank rank) {
-    return tokens >= needed(cost, rank);
+  private boolean mayGo(double cost, RequestPriority priority) {
+    return tokens >= needed(cost, priority);
   }
 
   private void fill() {
     double now = clock.now();
-    tokens = Math.min(burst, tokens + (now - filledAt) * rate);
+    tokens = Math.min(burst, tokens + (now - filledAt) * setRate);
     filledAt = now;
   }
 
   /** Takes back what was spent on a turn that is not used. */
-  public void giveBack(double cost) {
+  public void refund(double cost) {
     tokens += cost;
   }
 
@@ -107,8 +107,8 @@
     if (queue.isEmpty()) {
       return;
     }
-    double missing = needed(queue.peek().cost, queue.peek().rank) - tokens;
-    double wait = Math.max(0.001, missing / rate);
+    double missing = needed(queue.peek().cost, queue.peek().priority) - tokens;
+    double wait = Math.max(0.001, missing / setRate);
     double at = clock.now() + wait;
     if (at < armedFor) {
       armedFor = at;
@@ -122,7 +122,7 @@
     }
     armedFor = Double.MAX_VALUE;
     fill();
-    while (!queue.isEmpty() && mayGo(queue.peek().cost, queue.peek().rank)) {
+    while (!queue.isEmpty() && mayGo(queue.peek().cost, queue.peek().priority)) {
       Waiting w = queue.poll();
       tokens -= w.cost;
       w.go.run();
--- a/src/main/java/io/embernotch/store/StoreClient.java
+++ b/src/main/java/io/embernotch/store/StoreClient.java
@@ -10,7 +10,7 @@
 import io.embernotch.http.HttpCaller;
 import io.embernotch.http.HttpReply;
 import io.embernotch.settings.Settings;
-import io.embernotch.store.RateLimiter.Rank;
+import io.embernotch.store.RateLimiter.RequestPriority;
 import io.embernotch.store.StoreException.Kind;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
@@ -26,12 +26,12 @@
 /** The state service, paced under its limits. Futures fail with {@link StoreException} only. */
 public final class StoreClient {
   /** Is told what shows that the service's contents are not the ones we knew. Called before the answer is. */
-  public interface Witness {
+  public interface LossListener {
     /** The revision fell from {@code seen} to {@code now}: data is lost. */
-    void fell(long seen, long now);
+    void revisionFell(long seen, long now);
 
     /** The key of our era is not there as we know it. */
-    void fenced();
+    void fenceFailed();
   }
 
   /**
@@ -69,8 +69,8 @@
   private final RateLimiter requests;
   private final RateLimiter writes;
   private final double timeoutS;
-  private final IncarnationGuard lives = new IncarnationGuard();
-  private Witness witness;
+  private final IncarnationGuard guard = new IncarnationGuard();
+  private LossListener setLossListener;
   private double answeredAt = -1e9;
   private double failingSince = -1;
 
@@ -82,39 +82,39 @@
     this.clock = clock;
     this.timers = timers;
     this.settings = settings;
-    this.requests = new RateLimiter(clock, timers, settings.stateFloor().rps() * FOLLOWING_REQUESTS, 0.5);
-    this.writes = new RateLimiter(clock, timers, settings.stateFloor().writeRps() * FOLLOWING_SHARE, WRITE_BURST_S);
-    this.timeoutS = settings.workers().reportS() / 2;
+    this.requests = new RateLimiter(clock, timers, settings.minStoreLimits().rps() * FOLLOWING_REQUESTS, 0.5);
+    this.writes = new RateLimiter(clock, timers, settings.minStoreLimits().writeRps() * FOLLOWING_SHARE, WRITE_BURST_S);
+    this.timeoutS = settings.workers().heartbeatIntervalS() / 2;
   }
 
   /** This controller is leader from now on, or no longer. */
-  public void leading(boolean leads) {
-    writes.rate(settings.stateFloor().writeRps() * (leads ? LEADING_SHARE : FOLLOWING_SHARE));
-    requests.rate(settings.stateFloor().rps() * (leads ? LEADING_REQUESTS : FOLLOWING_REQUESTS));
+  public void setLeading(boolean leads) {
+    writes.setRate(settings.minStoreLimits().writeRps() * (leads ? LEADING_SHARE : FOLLOWING_SHARE));
+    requests.setRate(settings.minStoreLimits().rps() * (leads ? LEADING_REQUESTS : FOLLOWING_REQUESTS));
   }
 
-  public void witness(Witness w) {
-    witness = w;
+  public void setLossListener(LossListener w) {
+    setLossListener = w;
   }
 
   /** Every transaction conditions on this key from now on, unless it says that it belongs to no era. */
-  public void fence(String key, long stamp) {
-    lives.fence(key, stamp);
+  public void setFence(String key, long modRevision) {
+    guard.fence(key, modRevision);
   }
 
   /** The contents that were known are no more: nothing that was asked of them is answered. */
-  public void newLife() {
-    lives.over();
+  public void discardIncarnation() {
+    guard.discard();
   }
 
   /** Another controller wrote this key at this revision of the present contents. */
-  public void told(String key, long epoch) {
-    lives.wrote(new IncarnationGuard.Mark(0, 0), key, epoch);
+  public void noteRevision(String key, long revision) {
+    guard.recordWrite(new IncarnationGuard.Mark(0, 0), key, revision);
   }
 
   /** The highest revision seen since the last loss. */
-  public long seen() {
-    return lives.seen();
+  public long highestRevisionSeen() {
+    return guard.highestRevision();
   }
 
   /** When the service last answered anything but a refusal. */
@@ -128,11 +128,11 @@
   }
 
   public Future<VersionedEntry> get(String key) {
-    return send("GET", "/store/" + key, null, 0, Rank.USUAL, timeoutS)
+    return send("GET", "/store/" + key, null, 0, RequestPriority.NORMAL, timeoutS)
         .compose(
             got ->
                 switch (got.reply.status()) {
-                  case 200 -> parsed(got, o -> entry(o), VersionedEntry::stamp, true);
+                  case 200 -> parsed(got, o -> entry(o), VersionedEntry::modRevision, true);
                   case 404 -> parsed(got, o -> Json.whole(o, "epoch"), e -> e, false).map(e -> new VersionedEntry(key, null, 0));
                   default -> odd(got.reply);
                 });
@@ -142,11 +142,11 @@
    * Like {@link #get}; that a key is absent is said only if our era still stands after it was looked for.
    * New contents may have overtaken the revisions that this node has seen.
    */
-  public Future<VersionedEntry> getSurely(String key) {
+  public Future<VersionedEntry> getConfirmed(String key) {
     return get(key)
         .compose(
             entry ->
-                entry.present() || !lives.fenced()
+                entry.present() || !guard.fenced()
                     ? Future.succeededFuture(entry)
                     : commit(new Transaction()).map(c -> entry));
   }
@@ -156,7 +156,7 @@
     return listFrom(prefix, null, new ArrayList<>(), -1);
   }
 
-  private Future<WatchEvents> listFrom(String prefix, String after, List<VersionedEntry> sofar, long firstEpoch) {
+  private Future<WatchEvents> listFrom(String prefix, String after, List<VersionedEntry> sofar, long firstRevision) {
     String path = "/store?starts=" + prefix + (after == null ? "" : "&after=" + after) + "&page=" + PAGE;
     return page(path, PAGE_TRIES)
         .compose(
@@ -170,27 +170,27 @@
                         for (JsonNode p : Json.need(o, "pairs")) {
                           sofar.add(entry((ObjectNode) p));
                         }
-                        long epoch = firstEpoch >= 0 ? firstEpoch : Json.whole(o, "epoch");
+                        long revision = firstRevision >= 0 ? firstRevision : Json.whole(o, "epoch");
                         if (Json.flagOr(o, "truncated", false) && !sofar.isEmpty()) {
-                          return listFrom(prefix, sofar.get(sofar.size() - 1).key(), sofar, epoch);
+                          return listFrom(prefix, sofar.get(sofar.size() - 1).key(), sofar, revision);
                         }
-                        return Future.succeededFuture(new WatchEvents(epoch, sofar));
+                        return Future.succeededFuture(new WatchEvents(revision, sofar));
                       });
             });
   }
 
   /** One page. One that fails is asked for again, so that what was read before it is not read anew. */
   private Future<Got> page(String path, int tries) {
-    return send("GET", path, null, 0, Rank.FIRST, timeoutS * 2)
+    return send("GET", path, null, 0, RequestPriority.HIGH, timeoutS * 2)
         .recover(e -> tries > 1 ? page(path, tries - 1) : Future.failedFuture(e));
   }
 
   public Future<TransactionResult> commit(Transaction txn) {
-    return commit(txn, Rank.USUAL);
+    return commit(txn, RequestPriority.NORMAL);
   }
 
-  public Future<TransactionResult> commit(Transaction txn, Rank rank) {
-    return answered(txn, send("POST", "/commit", lives.guard(txn).bytes(), txn.changes(), rank, timeoutS));
+  public Future<TransactionResult> commit(Transaction txn, RequestPriority priority) {
+    return answered(txn, send("POST", "/commit", guard.guard(txn).bytes(), txn.changes(), priority, timeoutS));
   }
 
   private Future<TransactionResult> answered(Transaction txn, Future<Got> sent) {
@@ -198,10 +198,10 @@
         .compose(
             got ->
                 switch (got.reply.status()) {
-                  case 200 -> parsed(got, o -> new TransactionResult(true, Json.whole(o, "epoch"), Set.of()), TransactionResult::epoch, false)
+                  case 200 -> parsed(got, o -> new TransactionResult(true, Json.whole(o, "epoch"), Set.of()), TransactionResult::revision, false)
                       .compose(c -> made(got, txn, c));
-                  case 409 -> parsed(got, o -> new TransactionResult(false, Json.whole(o, "epoch"), failedKeys(o)), TransactionResult::epoch, false)
-                      .compose(this::inOurEra);
+                  case 409 -> parsed(got, o -> new TransactionResult(false, Json.whole(o, "epoch"), failedKeys(o)), TransactionResult::revision, false)
+                      .compose(this::inOurIncarnation);
                   case 400 -> new String(got.reply.body()).contains("no such lease")
                       ? Future.failedFuture(new StoreException(Kind.NO_LEASE, "no such lease"))
                       : Future.failedFuture(new StoreException(Kind.MALFORMED, new String(got.reply.body())));
@@ -210,14 +210,14 @@
   }
 
   private Future<TransactionResult> made(Got got, Transaction txn, TransactionResult c) {
-    return txn.lastKey() == null || lives.wrote(got.mark, txn.lastKey(), c.epoch())
+    return txn.lastKey() == null || guard.recordWrite(got.mark, txn.lastKey(), c.revision())
         ? Future.succeededFuture(c)
-        : fell(got.mark.least(), c.epoch());
+        : fell(got.mark.least(), c.revision());
   }
 
-  private <T> Future<T> fell(long least, long epoch) {
-    if (witness != null) {
-      witness.fell(least, epoch);
+  private <T> Future<T> fell(long least, long revision) {
+    if (setLossListener != null) {
+      setLossListener.revisionFell(least, revision);
     }
     return lost();
   }
@@ -229,33 +229,33 @@
    * @param key a key that tells whether anybody else may have written since: it is there at {@code stamp}
    * @return whether that key is as it was; it fails if data is lost
    */
-  public Future<Boolean> stillThere(String key, long stamp) {
-    Map<String, Long> written = new HashMap<>(lives.written());
+  public Future<Boolean> verifyUnchanged(String key, long modRevision) {
+    Map<String, Long> written = new HashMap<>(guard.written());
     written.remove(key);
-    Transaction txn = new Transaction().when(key, stamp);
+    Transaction txn = new Transaction().when(key, modRevision);
     written.forEach(txn::when);
     return commit(txn)
         .compose(
             c -> {
-              if (c.applied() || c.failed().contains(key)) {
+              if (c.applied() || c.conflicts().contains(key)) {
                 return Future.succeededFuture(c.applied());
               }
-              return Future.all(c.failed().stream().map(k -> atLeast(k, written.get(k))).toList()).map(true);
+              return Future.all(c.conflicts().stream().map(k -> atLeast(k, written.get(k))).toList()).map(true);
             });
   }
 
   /** A write of ours whose answer is under way may have raised the stamp; nothing lowers it but a loss. */
-  private Future<Boolean> atLeast(String key, long stamp) {
+  private Future<Boolean> atLeast(String key, long modRevision) {
     return get(key)
-        .compose(e -> e.present() && e.stamp() >= stamp ? Future.succeededFuture(true) : fell(stamp, e.stamp()));
+        .compose(e -> e.present() && e.modRevision() >= modRevision ? Future.succeededFuture(true) : fell(modRevision, e.modRevision()));
   }
 
-  private Future<TransactionResult> inOurEra(TransactionResult refused) {
-    if (refused.failed().stream().noneMatch(lives::isFence)) {
+  private Future<TransactionResult> inOurIncarnation(TransactionResult refused) {
+    if (refused.conflicts().stream().noneMatch(guard::isFence)) {
       return Future.succeededFuture(refused);
     }
-    if (witness != null) {
-      witness.fenced();
+    if (setLossListener != null) {
+      setLossListener.fenceFailed();
     }
     return lost();
   }
@@ -268,17 +268,17 @@
    * Runs {@code go} when {@code least} changes may be made. What is written is decided only then, so
    * that what has become urgent meanwhile goes first.
    */
-  public void turn(int least, Rank rank, Runnable go) {
-    writes.pass(least, rank, go);
+  public void requestWriteSlot(int least, RequestPriority priority, Runnable go) {
+    writes.acquire(least, priority, go);
   }
 
   /** How many more changes than its turn gave may be made now; half a burst of them is spare. */
-  public double credit() {
-    return writes.credit();
+  public double writeCredit() {
+    return writes.available();
   }
 
   /** Seconds that a change of usual rank would wait for its turn. */
-  public double waitS() {
+  public double writeWaitS() {
     return writes.waitS();
   }
 
@@ -287,29 +287,29 @@
     return requests.waitS();
   }
 
-  public boolean spare() {
-    return writes.credit() >= settings.stateFloor().writeRps() * LEADING_SHARE * WRITE_BURST_S / 2;
+  public boolean hasSpareWrites() {
+    return writes.available() >= settings.minStoreLimits().writeRps() * LEADING_SHARE * WRITE_BURST_S / 2;
   }
 
   /** Ends a turn of {@code least} changes that wrote {@code made}. */
-  public void turnOver(int least, int made) {
-    writes.giveBack(least - made);
+  public void releaseWriteSlot(int least, int made) {
+    writes.refund(least - made);
   }
 
   /** Commits within a turn. */
-  public Future<TransactionResult> commitInTurn(Transaction txn, Rank rank) {
+  public Future<TransactionResult> commitInWriteSlot(Transaction txn, RequestPriority priority) {
     Promise<Got> promise = Promise.promise();
-    lives.guard(txn);
+    guard.guard(txn);
     double until = clock.now() + timeoutS;
     // Its changes are paid for; if it is refused for being too many, it queues like any other.
-    requests.pass(
-        1, Rank.FIRST, () -> callOnce("POST", "/commit", txn.bytes(), txn.changes(), rank, until, promise));
+    requests.acquire(
+        1, RequestPriority.HIGH, () -> callOnce("POST", "/commit", txn.bytes(), txn.changes(), priority, until, promise));
     return answered(txn, promise.future());
   }
 
-  public Future<Long> grant(double lifeS) {
-    byte[] body = Json.bytes(Json.object().put("life_ms", Math.round(lifeS * 1000)));
-    return send("POST", "/leases", body, 0, Rank.URGENT, timeoutS)
+  public Future<Long> grant(double leaseTtlS) {
+    byte[] body = Json.bytes(Json.object().put("life_ms", Math.round(leaseTtlS * 1000)));
+    return send("POST", "/leases", body, 0, RequestPriority.URGENT, timeoutS)
         .map(Got::reply)
         .compose(
             reply ->
@@ -317,58 +317,58 @@
   }
 
   /** Whether a lease exists; if so, it is renewed by this. */
-  public Future<Boolean> leaseThere(long permit) {
-    return send("POST", "/leases/" + permit + "/extend", null, 0, Rank.USUAL, timeoutS)
+  public Future<Boolean> renewIfPresent(long leaseId) {
+    return send("POST", "/leases/" + leaseId + "/extend", null, 0, RequestPriority.NORMAL, timeoutS)
         .map(Got::reply)
         .compose(r -> r.status() == 200 || r.status() == 404 ? Future.succeededFuture(r.status() == 200) : odd(r));
   }
 
-  public Future<Void> revoke(long permit) {
-    return send("DELETE", "/leases/" + permit, null, 0, Rank.URGENT, timeoutS).mapEmpty();
+  public Future<Void> revoke(long leaseId) {
+    return send("DELETE", "/leases/" + leaseId, null, 0, RequestPriority.URGENT, timeoutS).mapEmpty();
   }
 
   /** Waits until something under the prefix has changed after {@code epoch}, or the time is out. */
-  public Future<WatchEvents> watch(String prefix, long epoch, double holdS) {
+  public Future<WatchEvents> watch(String prefix, long revision, double longPollS) {
     String path =
-        "/changes?starts=" + prefix + "&after=" + epoch + "&hold_ms=" + Math.round(holdS * 1000);
-    return send("GET", path, null, 0, Rank.USUAL, holdS + timeoutS)
+        "/changes?starts=" + prefix + "&after=" + revision + "&hold_ms=" + Math.round(longPollS * 1000);
+    return send("GET", path, null, 0, RequestPriority.NORMAL, longPollS + timeoutS)
         .compose(
             got ->
                 switch (got.reply.status()) {
-                  case 200 -> parsed(got, StoreClient::changes, WatchEvents::epoch, false);
+                  case 200 -> parsed(got, StoreClient::changes, WatchEvents::revision, false);
                   case 410 -> Future.failedFuture(new StoreException(Kind.TOO_OLD, "too old"));
                   default -> odd(got.reply);
                 });
   }
 
   private Future<Got> send(
-      String method, String path, byte[] body, int changes, Rank rank, double withinS) {
+      String method, String path, byte[] body, int changes, RequestPriority priority, double withinS) {
     Promise<Got> promise = Promise.promise();
-    attempt(method, path, body, changes, rank, clock.now() + withinS, promise);
+    attempt(method, path, body, changes, priority, clock.now() + withinS, promise);
     return promise.future();
   }
 
   private void attempt(
-      String method, String path, byte[] body, int changes, Rank rank, double until, Promise<Got> promise) {
-    Runnable call = () -> callOnce(method, path, body, changes, rank, until, promise);
-    requests.pass(1, rank, () -> writes.pass(changes, rank, call));
+      String method, String path, byte[] body, int changes, RequestPriority priority, double until, Promise<Got> promise) {
+    Runnable call = () -> callOnce(method, path, body, changes, priority, until, promise);
+    requests.acquire(1, priority, () -> writes.acquire(changes, priority, call));
   }
 
   private void callOnce(
-      String method, String path, byte[] body, int changes, Rank rank, double until, Promise<Got> promise) {
+      String method, String path, byte[] body, int changes, RequestPriority priority, double until, Promise<Got> promise) {
     double left = until - clock.now();
     if (left <= 0) {
       promise.fail(new StoreException(Kind.REFUSED, "not sent in time"));
       return;
     }
-    IncarnationGuard.Mark mark = lives.mark();
+    IncarnationGuard.Mark mark = guard.mark();
     caller
-        .call(method, settings.state(), path, body, left)
+        .call(method, settings.storeAddress(), path, body, left)
         .onSuccess(
             reply -> {
               if (reply.status() == THROTTLED) {
                 // Not executed. Wait for some of a second's worth to come free, then try again.
-                timers.after(0.1, () -> attempt(method, path, body, changes, rank, until, promise));
+                timers.after(0.1, () -> attempt(method, path, body, changes, priority, until, promise));
               } else if (reply.status() == 503) {
                 failing();
                 promise.fail(new StoreException(Kind.REFUSED, "state service answers 503"));
@@ -396,21 +396,21 @@
    * @param epochOf the revision that the answer shows; {@code atLeast}: it shows one that the present one
    *     is not below, so a low one proves nothing
    */
-  private <T> Future<T> parsed(Got got, Function<ObjectNode, T> read, ToLongFunction<T> epochOf, boolean atLeast) {
+  private <T> Future<T> parsed(Got got, Function<ObjectNode, T> read, ToLongFunction<T> revisionOf, boolean atLeast) {
     T value;
     try {
       value = read.apply(got.reply.json());
     } catch (MalformedInputException e) {
       return Future.failedFuture(new StoreException(Kind.UNKNOWN, "unreadable answer: " + e.getMessage()));
     }
-    if (!lives.isOf(got.mark)) {
+    if (!guard.isOf(got.mark)) {
       return lost();
     }
-    long epoch = epochOf.applyAsLong(value);
+    long revision = revisionOf.applyAsLong(value);
     if (atLeast) {
-      lives.saw(new IncarnationGuard.Mark(0, 0), epoch);
-    } else if (!lives.saw(got.mark, epoch)) {
-      return fell(got.mark.least(), epoch);
+      guard.observe(new IncarnationGuard.Mark(0, 0), revision);
+    } else if (!guard.observe(got.mark, revision)) {
+      return fell(got.mark.least(), revision);
     }
     return Future.succeededFuture(value);
   }
--- a/src/main/java/io/embernotch/store/Transaction.java
+++ b/src/main/java/io/embernotch/store/Transaction.java
@@ -15,8 +15,8 @@
   private boolean fenced = true;
   private String lastKey;
 
-  public Transaction when(String key, long stamp) {
-    when.addObject().put("key", key).put("stamp", stamp);
+  public Transaction when(String key, long modRevision) {
+    when.addObject().put("key", key).put("stamp", modRevision);
     return this;
   }
 
@@ -26,11 +26,11 @@
     return this;
   }
 
-  public Transaction write(String key, ObjectNode value, long permit) {
+  public Transaction write(String key, ObjectNode value, long leaseId) {
     lastKey = key;
     ObjectNode o = apply.addObject().put("write", key);
     o.set("v", value);
-    o.put("permit", permit);
+    o.put("permit", leaseId);
     return this;
   }
 
--- a/src/main/java/io/embernotch/weights/ImageLocality.java
+++ b/src/main/java/io/embernotch/weights/ImageLocality.java
@@ -28,7 +28,7 @@
  */
 public final class ImageLocality {
   private static final String PREFIX = "weights/";
-  private static final int PIECES = 8;
+  private static final int SHARDS = 8;
 
   /** Report periods between two pieces. */
   private static final double PERIODS = 1;
@@ -36,16 +36,16 @@
   /** Bytes that a machine takes in a piece: its name, a few numbers. */
   private static final int BYTES_PER_MACHINE = 32;
 
-  private final ControllerContext env;
-  private final ClusterState ledger;
+  private final ControllerContext context;
+  private final ClusterState state;
   private final SharedState shared;
   private final Map<String, List<String>> known = new HashMap<>();
-  private int piece;
+  private int shard;
   private double writtenAt;
 
-  public ImageLocality(ControllerContext env, ClusterState ledger, SharedState shared) {
-    this.env = env;
-    this.ledger = ledger;
+  public ImageLocality(ControllerContext context, ClusterState state, SharedState shared) {
+    this.context = context;
+    this.state = state;
     this.shared = shared;
   }
 
@@ -79,13 +79,13 @@
   }
 
   public void tick(double now) {
-    if (now - writtenAt < PERIODS * env.settings().workers().reportS()) {
+    if (now - writtenAt < PERIODS * context.settings().workers().heartbeatIntervalS()) {
       return;
     }
     writtenAt = now;
-    piece = (piece + 1) % PIECES;
-    String name = PREFIX + piece;
-    ObjectNode value = piece(piece, worthKeeping());
+    shard = (shard + 1) % SHARDS;
+    String name = PREFIX + shard;
+    ObjectNode value = shard(shard, worthKeeping());
     ObjectNode there = shared.get(name);
     boolean same =
         there == null
@@ -99,15 +99,15 @@
 
   private Set<String> worthKeeping() {
     Set<String> out = new HashSet<>();
-    for (Job j : ledger.jobs.values()) {
-      if (j.spec.shape() == JobShape.SERVICE && j.end == null && !out.contains(j.spec.image())) {
+    for (Job j : state.jobs.values()) {
+      if (j.spec.shape() == JobShape.SERVICE && j.finalPhase == null && !out.contains(j.spec.image())) {
         double fetchS =
-            ledger.types.values().stream()
+            state.types.values().stream()
                 .filter(t -> t.fits(j.spec))
                 .mapToDouble((MachineType t) -> t.fetchS(j.spec))
                 .min()
                 .orElse(0);
-        if (fetchS > env.settings().workers().reportS()) {
+        if (fetchS > context.settings().workers().heartbeatIntervalS()) {
           out.add(j.spec.image());
         }
       }
@@ -115,14 +115,14 @@
     return out;
   }
 
-  private ObjectNode piece(int k, Set<String> worth) {
+  private ObjectNode shard(int k, Set<String> worth) {
     ObjectNode o = Json.object();
     ArrayNode images = o.putArray("images");
     ObjectNode on = o.putObject("on");
     Map<String, Integer> numbers = new TreeMap<>();
-    int left = (int) (env.settings().stateFloor().valueKb() * 1024 * 3 / 4);
-    for (Machine m : ledger.machines.values()) {
-      if (Math.floorMod(m.name.hashCode(), PIECES) != k || m.deleting) {
+    int left = (int) (context.settings().minStoreLimits().valueKb() * 1024 * 3 / 4);
+    for (Machine m : state.machines.values()) {
+      if (Math.floorMod(m.name.hashCode(), SHARDS) != k || m.deleting) {
         continue;
       }
       ArrayNode list = null;
--- a/src/test/java/io/embernotch/actor/EventLoopProfileTest.java
+++ b/src/test/java/io/embernotch/actor/EventLoopProfileTest.java
@@ -7,7 +7,7 @@
 
 class EventLoopProfileTest {
   private long nanos;
-  private final EventLoopProfile work = new EventLoopProfile(() -> nanos);
+  private final EventLoopProfile profile = new EventLoopProfile(() -> nanos);
 
   private void pass(int ms) {
     nanos += ms * 1_000_000L;
@@ -15,30 +15,30 @@
 
   @Test
   void eachCauseHasWhatItTookWithoutWhatItRanForOthers() {
-    work.run(
+    profile.run(
         "report",
         () -> {
           pass(3);
-          work.run("command", () -> pass(20));
-          work.run("command", () -> pass(10));
+          profile.run("command", () -> pass(20));
+          profile.run("command", () -> pass(10));
           pass(2);
         });
-    work.run("report", () -> pass(1));
-    assertThat(work.line()).isEqualTo("command 2 in 30 ms, report 2 in 6 ms");
-    assertThat(work.line()).isNull();
+    profile.run("report", () -> pass(1));
+    assertThat(profile.line()).isEqualTo("command 2 in 30 ms, report 2 in 6 ms");
+    assertThat(profile.line()).isNull();
   }
 
   @Test
   void whatFailsIsCountedAndFailsAllTheSame() {
     assertThatThrownBy(
             () ->
-                work.run(
+                profile.run(
                     "plan",
                     () -> {
                       pass(7);
                       throw new IllegalStateException("no");
                     }))
         .hasMessage("no");
-    assertThat(work.line()).isEqualTo("plan 1 in 7 ms");
+    assertThat(profile.line()).isEqualTo("plan 1 in 7 ms");
   }
 }
--- a/src/test/java/io/embernotch/agents/AgentReconcilerTest.java
+++ b/src/test/java/io/embernotch/agents/AgentReconcilerTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Commands that wait for their turn. */
-class AgentReconcilerTest implements AgentReconciler.Outcome {
+class AgentReconcilerTest implements AgentReconciler.Listener {
   private static final long EPOCH = 7;
 
   private final FakeTime time = new FakeTime();
@@ -42,8 +42,8 @@
         answers.add(answer);
         return answer.future();
       };
-  private final ClusterState ledger = new ClusterState();
-  private final AgentReconciler workers =
+  private final ClusterState state = new ClusterState();
+  private final AgentReconciler agents =
       new AgentReconciler(
           new ControllerContext(
               settings,
@@ -57,7 +57,7 @@
               caller,
               null,
               null),
-          ledger,
+          state,
           EPOCH,
           new RenewalDelegations(settings, time.now(), new HashSet<>()),
           this);
@@ -68,36 +68,36 @@
 
   /** A machine that was just heard, with a committed start. */
   private Machine starting(int i) {
-    Machine m = ledger.machine("n-" + i, workers.base());
-    workers.learn(report(i, 1));
-    ledger.open(job, i, 1, m, time.now()).start = Attempt.LaunchState.READY;
+    Machine m = state.machine("n-" + i, agents.tokenBase());
+    agents.processForwarded(heartbeat(i, 1));
+    state.openAttempt(job, i, 1, m, time.now()).launchState = Attempt.LaunchState.READY;
     return m;
   }
 
-  private static Heartbeat report(int i, long seq) {
+  private static Heartbeat heartbeat(int i, long seq) {
     return new Heartbeat(
         "n-" + i, "10.0.1." + i + ":9000", "g8", "z1", false, 1, seq, 0, null, List.of());
   }
 
   @Test
-  void aStartThatWaitsGoesWithTheAnswerToAReportAndOnlyOnce() {
+  void aStartThatWaitsGoesWithTheAnswerToAHeartbeatAndOnlyOnce() {
     for (int i = 0; i < 5; i++) {
-      workers.flush(starting(i));
+      agents.sendDueCommands(starting(i));
     }
     // Half of the eight calls that may be under way.
     assertThat(called).hasSize(4).doesNotContain("10.0.1.4/do");
-    assertThat(new String(workers.report(report(4, 2), true, 0)))
+    assertThat(new String(agents.processHeartbeat(heartbeat(4, 2), true, 0)))
         .contains("\"run\"")
         .contains("j-1/4");
     answers.get(0).fail(new CallFailedException(true, "no answer in time"));
     assertThat(called).hasSize(4);
-    assertThat(new String(workers.report(report(3, 2), true, 0))).doesNotContain("\"run\"");
+    assertThat(new String(agents.processHeartbeat(heartbeat(3, 2), true, 0))).doesNotContain("\"run\"");
   }
 
   @Test
   void aStartThatWaitsIsSentWhenItsTurnComes() {
     for (int i = 0; i < 5; i++) {
-      workers.flush(starting(i));
+      agents.sendDueCommands(starting(i));
     }
     answers.get(0).fail(new CallFailedException(true, "no answer in time"));
     assertThat(called).hasSize(5).endsWith("10.0.1.4/do");
@@ -110,23 +110,23 @@
   @Test
   void whoLeadsNoMoreStartsNothingThatWaited() {
     for (int i = 0; i < 5; i++) {
-      workers.flush(starting(i));
+      agents.sendDueCommands(starting(i));
     }
     leads = false;
     answers.get(0).fail(new CallFailedException(true, "no answer in time"));
     assertThat(called).hasSize(4);
-    workers.flush(starting(5));
+    agents.sendDueCommands(starting(5));
     assertThat(called).hasSize(4);
   }
 
   @Test
   void machinesThatWillFindUsAreAskedAFewAtATime() {
     for (int i = 0; i < 3; i++) {
-      ledger.machine("n-" + i, workers.base()).address = "10.0.1." + i + ":9000";
-      workers.find(ledger.machines.get("n-" + i));
+      state.machine("n-" + i, agents.tokenBase()).address = "10.0.1." + i + ":9000";
+      agents.find(state.machines.get("n-" + i));
     }
     assertThat(called).containsExactly("10.0.1.0/status");
-    workers.learn(report(1, 1));
+    agents.processForwarded(heartbeat(1, 1));
     answers.get(0).fail(new CallFailedException(true, "no answer in time"));
     assertThat(called).containsExactly("10.0.1.0/status", "10.0.1.2/status");
   }
@@ -138,38 +138,38 @@
   @Test
   void anAttemptThatIsToEndHasEndedOnceNothingOfItsStartIsOnTheWay() {
     Machine m = starting(1);
-    m.doFailedAt = time.now();
-    Attempt a = m.open.values().iterator().next();
-    assertThat(new String(workers.report(report(1, 2), true, 0))).contains("\"run\"");
+    m.commandFailedAt = time.now();
+    Attempt a = m.openAttempts.values().iterator().next();
+    assertThat(new String(agents.processHeartbeat(heartbeat(1, 2), true, 0))).contains("\"run\"");
     a.stopping = true;
-    workers.report(report(1, 3), true, 0);
+    agents.processHeartbeat(heartbeat(1, 3), true, 0);
     assertThat(gone).containsExactly(a);
   }
 
   @Override
-  public void running(Attempt a, Machine m) {}
+  public void taskRunning(Attempt a, Machine m) {}
 
   @Override
-  public void exited(Attempt a, Machine m, ExitCause cause, boolean saved) {}
+  public void taskExited(Attempt a, Machine m, ExitCause cause, boolean saved) {}
 
   @Override
-  public void gone(Attempt a, Machine m, String why) {
+  public void attemptGone(Attempt a, Machine m, String why) {
     gone.add(a);
   }
 
   @Override
-  public void outranked(long token) {}
+  public void superseded(long token) {}
 
   @Override
-  public void changed() {}
+  public void clusterChanged() {}
 
   @Override
-  public boolean leads() {
+  public boolean isLeading() {
     return leads;
   }
 
   @Override
-  public boolean settled(String ref, int task) {
+  public boolean isOutcomePersisted(String ref, int task) {
     return false;
   }
 }
--- a/src/test/java/io/embernotch/agents/CallConcurrencyLimiterTest.java
+++ b/src/test/java/io/embernotch/agents/CallConcurrencyLimiterTest.java
@@ -8,16 +8,16 @@
 import org.junit.jupiter.api.Test;
 
 class CallConcurrencyLimiterTest {
-  private final CallConcurrencyLimiter lanes = new CallConcurrencyLimiter(8);
+  private final CallConcurrencyLimiter callLimiter = new CallConcurrencyLimiter(8);
   private final List<String> begun = new ArrayList<>();
 
-  private void call(String name, CallConcurrencyLimiter.Need need) {
+  private void call(String name, CallConcurrencyLimiter.CallClass callClass) {
     Machine m = new Machine(name);
-    call(m, need);
+    call(m, callClass);
   }
 
-  private void call(Machine m, CallConcurrencyLimiter.Need need) {
-    if (lanes.enter(m, need, () -> call(m, need))) {
+  private void call(Machine m, CallConcurrencyLimiter.CallClass callClass) {
+    if (callLimiter.tryEnter(m, callClass, () -> call(m, callClass))) {
       begun.add(m.name);
     }
   }
@@ -28,34 +28,34 @@
   @Test
   void liveServicesGoBeforeWhatWaitsAndSilentMachinesTakeAQuarterAtMost() {
     for (int i = 0; i < 5; i++) {
-      call("silent-" + i, CallConcurrencyLimiter.Need.SILENT);
+      call("silent-" + i, CallConcurrencyLimiter.CallClass.UNRESPONSIVE);
     }
     assertThat(begun).containsExactly("silent-0", "silent-1");
     for (int i = 0; i < 5; i++) {
-      call("usual-" + i, CallConcurrencyLimiter.Need.USUAL);
+      call("usual-" + i, CallConcurrencyLimiter.CallClass.NORMAL);
     }
     assertThat(begun).endsWith("usual-0", "usual-1").hasSize(4);
     for (int i = 0; i < 5; i++) {
-      call("live-" + i, CallConcurrencyLimiter.Need.LIVE);
+      call("live-" + i, CallConcurrencyLimiter.CallClass.LIVE);
     }
     assertThat(begun).endsWith("live-2", "live-3").hasSize(8);
-    lanes.leave();
+    callLimiter.leave();
     assertThat(begun).endsWith("live-4").hasSize(9);
     for (int i = 0; i < 4; i++) {
-      lanes.leave();
+      callLimiter.leave();
     }
     assertThat(begun).hasSize(9);
-    lanes.leave();
+    callLimiter.leave();
     assertThat(begun).endsWith("usual-2").hasSize(10);
   }
 
   @Test
   void whoHasNothingToSayAnyMoreMakesWayForTheNext() {
     Machine m = new Machine("gone");
-    lanes.enter(new Machine("a"), CallConcurrencyLimiter.Need.FIND, () -> {});
-    assertThat(lanes.enter(m, CallConcurrencyLimiter.Need.FIND, () -> begun.add("nothing"))).isFalse();
-    call("next", CallConcurrencyLimiter.Need.FIND);
-    lanes.leave();
+    callLimiter.tryEnter(new Machine("a"), CallConcurrencyLimiter.CallClass.DISCOVERY, () -> {});
+    assertThat(callLimiter.tryEnter(m, CallConcurrencyLimiter.CallClass.DISCOVERY, () -> begun.add("nothing"))).isFalse();
+    call("next", CallConcurrencyLimiter.CallClass.DISCOVERY);
+    callLimiter.leave();
     assertThat(begun).containsExactly("nothing", "next");
   }
 
@@ -63,12 +63,12 @@
   void tellsWhichCommandsWait() {
     Machine m = new Machine("m");
     for (int i = 0; i < 4; i++) {
-      call("usual-" + i, CallConcurrencyLimiter.Need.USUAL);
+      call("usual-" + i, CallConcurrencyLimiter.CallClass.NORMAL);
     }
-    assertThat(lanes.waits(m)).isFalse();
-    call(m, CallConcurrencyLimiter.Need.USUAL);
-    assertThat(lanes.waits(m)).isTrue();
-    lanes.leave();
-    assertThat(lanes.waits(m)).isFalse();
+    assertThat(callLimiter.waits(m)).isFalse();
+    call(m, CallConcurrencyLimiter.CallClass.NORMAL);
+    assertThat(callLimiter.waits(m)).isTrue();
+    callLimiter.leave();
+    assertThat(callLimiter.waits(m)).isFalse();
   }
 }
--- a/src/test/java/io/embernotch/agents/LateHeartbeatCopiesTest.java
+++ b/src/test/java/io/embernotch/agents/LateHeartbeatCopiesTest.java
@@ -32,7 +32,7 @@
    * long ago as it says.
    */
   private double backAfter(double copiesLateS, Node to) {
-    List<byte[]> said = List.copyOf(world.reportsOf(dead.name));
+    List<byte[]> said = List.copyOf(world.heartbeatsOf(dead.name));
     int next = Math.max(0, said.size() - (int) copiesLateS);
     for (double t = 0; t < 90; t += 0.5) {
       if (world.running("j-1").values().stream().filter(w -> !w.cut).count() == 16) {
@@ -68,7 +68,7 @@
     double with = other.afterADeath(40);
     assertThat(other.world.broken()).isEmpty();
     assertThat(with)
-        .isLessThanOrEqualTo(without + other.world.nodes.get(0).settings.workers().reportS());
+        .isLessThanOrEqualTo(without + other.world.nodes.get(0).settings.workers().heartbeatIntervalS());
   }
 
   private double afterATakeover(double copiesLateS) {
@@ -87,14 +87,14 @@
     LateHeartbeatCopiesTest other = new LateHeartbeatCopiesTest();
     double with = other.afterATakeover(40);
     assertThat(other.world.broken()).isEmpty();
-    assertThat(with).isLessThanOrEqualTo(without + world.nodes.get(0).settings.workers().reportS());
+    assertThat(with).isLessThanOrEqualTo(without + world.nodes.get(0).settings.workers().heartbeatIntervalS());
   }
 
   /** A machine that the former leader returned is reported to the next one, by a copy. */
   @Test
   void aCopyOfAReturnedMachineTakesNoWorkForLong() {
     service();
-    List<byte[]> said = List.copyOf(world.reportsOf(dead.name));
+    List<byte[]> said = List.copyOf(world.heartbeatsOf(dead.name));
     world.workers.remove(dead.name);
     world.cloud.deleted.add(dead.name);
     world.pass(60);
@@ -119,7 +119,7 @@
     dead = world.workers.get(name);
     long seq = dead.seq;
     dead.session = 2;
-    byte[] former = dead.report();
+    byte[] former = dead.heartbeat();
     dead.back(true);
     dead.seq = laterSeq == 0 ? 0 : seq + laterSeq;
     world.directFate = Fate.HELD;
@@ -179,7 +179,7 @@
     w.cut = false;
     w.session = 4;
     world.pass(4);
-    byte[] former = world.reportsOf(name).get(world.reportsOf(name).size() - 1);
+    byte[] former = world.heartbeatsOf(name).get(world.heartbeatsOf(name).size() - 1);
     w.back(true);
     world.pass(8);
     world.directFate = Fate.HELD;
--- a/src/test/java/io/embernotch/api/SubmissionHandlerTest.java
+++ b/src/test/java/io/embernotch/api/SubmissionHandlerTest.java
@@ -79,7 +79,7 @@
     // As many as its connections could ask in a report period are passed on, the rest knows at
     // once.
     double most =
-        follower.settings.quota().maxConnections() / follower.settings.workers().reportS();
+        follower.settings.quota().maxConnections() / follower.settings.workers().heartbeatIntervalS();
     long refused =
         answers.stream().filter(f -> f.isComplete() && f.result().status() == 503).count();
     assertThat(refused).isGreaterThanOrEqualTo(10_000 - (long) most - 1);
--- a/src/test/java/io/embernotch/codec/CodecTest.java
+++ b/src/test/java/io/embernotch/codec/CodecTest.java
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void readsAReport() {
+  void readsAHeartbeat() {
     Heartbeat r =
         WorkerCodec.read(
             utf(
@@ -75,7 +75,7 @@
                     + "\"tenure\":2,\"tick\":88,\"baton\":41,\"new_field\":1,\"shards\":["
                     + "{\"shard\":\"j-4/3\",\"try\":2,\"phase\":\"running\"},"
                     + "{\"shard\":\"j-3/0\",\"try\":1,\"phase\":\"exited\",\"cause\":\"halted\",\"stored\":true}]}"));
-    assertThat(r.recallS()).isNull();
+    assertThat(r.reclaimInS()).isNull();
     assertThat(r.tasks().get(0).state()).isEqualTo(TaskState.RUNNING);
     assertThat(r.tasks().get(1).cause()).isEqualTo(ExitCause.STOPPED);
     assertThat(r.tasks().get(1).saved()).isTrue();
@@ -88,11 +88,11 @@
   void progressOfTheLargestJobFitsInPieces() {
     JobSpec spec = read(job("j-1", "array", 100_000));
     Job job = new Job(spec, 1);
-    int size = JobProgressCodec.piece(8, java.util.List.of("a-rather-long-zone"));
+    int size = JobProgressCodec.shard(8, java.util.List.of("a-rather-long-zone"));
     job.done.set(0, 100_000);
     for (int t = 0; t < 2 * size; t++) {
       Attempt a = new Attempt(job, t, 1L << 50, "n-000123456", "a-rather-long-zone", 0);
-      job.open.put(t, a);
+      job.openAttempts.put(t, a);
     }
     assertThat(Json.bytes(JobProgressCodec.writeRun(job, size, 1)).length).isLessThanOrEqualTo(8 * 1024);
     assertThat(Json.bytes(JobProgressCodec.writeRun(job, size, 0)).length).isLessThanOrEqualTo(8 * 1024);
@@ -105,25 +105,25 @@
     job.done.set(1);
     job.done.set(7);
     job.nextAttempt = 5;
-    job.open.put(3, new Attempt(job, 3, 4, "n-1", "z1", 9));
-    job.open.put(8, new Attempt(job, 8, 4, "n-2", "z2", 9));
-    job.wishes.put(3, "n-9");
+    job.openAttempts.put(3, new Attempt(job, 3, 4, "n-1", "z1", 9));
+    job.openAttempts.put(8, new Attempt(job, 8, 4, "n-2", "z2", 9));
+    job.preferredMachines.put(3, "n-9");
     Job back = JobProgressCodec.readJob(JobProgressCodec.writeJob(job, 4));
-    for (int piece = 0; piece < 3; piece++) {
-      JobProgressCodec.readRun(JobProgressCodec.writeRun(job, 4, piece), back, 4, piece);
+    for (int shard = 0; shard < 3; shard++) {
+      JobProgressCodec.readRun(JobProgressCodec.writeRun(job, 4, shard), back, 4, shard);
     }
     assertThat(back.submittedMs).isEqualTo(77);
     assertThat(back.done).isEqualTo(job.done);
-    assertThat(back.open.keySet()).containsExactly(3, 8);
-    assertThat(back.open.get(8).zone).isEqualTo("z2");
-    assertThat(back.wishes).containsEntry(3, "n-9");
-    job.end = JobPhase.CANCELLED;
+    assertThat(back.openAttempts.keySet()).containsExactly(3, 8);
+    assertThat(back.openAttempts.get(8).zone).isEqualTo("z2");
+    assertThat(back.preferredMachines).containsEntry(3, "n-9");
+    job.finalPhase = JobPhase.CANCELLED;
     ObjectNode o = JobProgressCodec.writeRun(job, 4, 0);
     assertThat(JobProgressCodec.readEnd(o)).isEqualTo(JobPhase.CANCELLED);
   }
 
   @Test
-  void aReportThatLacksAFieldIsRefused() {
+  void aHeartbeatThatLacksAFieldIsRefused() {
     for (String body : new String[] {"{\"hearth\":", "{\"hearth\":\"n-1\"}", "[]"}) {
       assertThatThrownBy(() -> WorkerCodec.read(utf(body))).isInstanceOf(MalformedInputException.class);
     }
--- a/src/test/java/io/embernotch/controller/FaultSequencesTest.java
+++ b/src/test/java/io/embernotch/controller/FaultSequencesTest.java
@@ -106,7 +106,7 @@
             () -> {
               int s = second[0]++;
               for (FakeWorker w : List.copyOf(world.workers.values())) {
-                List<byte[]> said = world.reportsOf(w.name);
+                List<byte[]> said = world.heartbeatsOf(w.name);
                 if (said.size() > 45) {
                   world.late(
                       world.nodes.get((s + w.name.hashCode() % 3 + 3) % 3),
--- a/src/test/java/io/embernotch/controller/HeartbeatForwardingTest.java
+++ b/src/test/java/io/embernotch/controller/HeartbeatForwardingTest.java
@@ -52,8 +52,8 @@
     assertThat(world.workers).hasSize(count);
   }
 
-  private HttpResponse report(Node n, FakeWorker w) {
-    return world.await(n.controller.report(WorkerCodec.read(w.report())));
+  private HttpResponse heartbeat(Node n, FakeWorker w) {
+    return world.await(n.controller.handleHeartbeat(WorkerCodec.read(w.heartbeat())));
   }
 
   private long moves() {
@@ -96,7 +96,7 @@
     world.nodes.forEach(n -> n.noState = n != old);
     old.kill();
     world.pass(4);
-    HttpResponse a = report(follower, w);
+    HttpResponse a = heartbeat(follower, w);
     assertThat(a.status()).isEqualTo(200);
     assertThat(Json.parseObject(a.body()).has("baton")).isFalse();
     assertThat(moves()).isZero();
@@ -116,7 +116,7 @@
   }
 
   @Test
-  void aLeaderOfTheFormerVersionIsNotPassedReports() {
+  void aLeaderOfTheFormerVersionIsNotPassedHeartbeats() {
     Node old = world.settle(2);
     world.nodes.forEach(Node::kill);
     world.pass(5);
@@ -128,7 +128,7 @@
     world.pass(1);
     world.boot("g8", "z1", true);
     world.pass(world.cloud.bootS + 0.3);
-    HttpResponse a = report(follower, world.workers.firstEntry().getValue());
+    HttpResponse a = heartbeat(follower, world.workers.firstEntry().getValue());
     assertThat(a.status()).isEqualTo(421);
     assertThat(Json.parseObject(a.body()).get("steward").asText()).isEqualTo("c9");
   }
@@ -184,7 +184,7 @@
             .findFirst()
             .orElseThrow();
     for (Node n : new Node[] {next, now}) {
-      HttpResponse a = report(n, w);
+      HttpResponse a = heartbeat(n, w);
       assertThat(a.status()).isEqualTo(200);
       assertThat(Json.parseObject(a.body()).has("baton")).isFalse();
       assertThat(world.poll(n.index, "j-77").status()).isIn(404, 503);
@@ -193,11 +193,11 @@
     world.pass(8);
     assertThat(world.leader()).isNotNull();
     // The pages that were read are not asked for again, and what was reported meanwhile is known.
-    assertThat(Json.parseObject(report(now, w).body()).has("baton")).isTrue();
+    assertThat(Json.parseObject(heartbeat(now, w).body()).has("baton")).isTrue();
   }
 
   @Test
-  void aFloodOfReportsLeavesTurnsToEverythingElse() {
+  void aFloodOfHeartbeatsLeavesTurnsToEverythingElse() {
     FakeTime time = new FakeTime();
     List<String> order = new ArrayList<>();
     HeartbeatQueue queue = new HeartbeatQueue(time, time, m -> order.add("report"), m -> {});
@@ -226,7 +226,7 @@
    * gone on.
    */
   @Test
-  void whereMoreReportsComeThanCanBeTakenOnlyThoseThatAreWaitedForAreTaken() {
+  void whereMoreHeartbeatsComeThanCanBeTakenOnlyThoseThatAreWaitedForAreTaken() {
     FakeTime time = new FakeTime();
     double[] at = new double[1000];
     List<Double> ages = new ArrayList<>();
@@ -235,7 +235,7 @@
             time,
             (after, task) -> time.after(after + 0.1, task),
             m -> {
-              int machine = Integer.parseInt(m.report().machine().substring(2));
+              int machine = Integer.parseInt(m.heartbeat().machine().substring(2));
               ages.add(time.now() - at[machine]);
             },
             m -> {});
@@ -259,7 +259,7 @@
   @Test
   void aCopyOfWhatWasReportedLongAgoIsNotHandedOn() {
     FakeTime time = new FakeTime();
-    ControllerContext env =
+    ControllerContext context =
         new ControllerContext(
             world.nodes.get(0).settings,
             OperatorSettings.DEFAULTS,
@@ -272,28 +272,28 @@
             null,
             () -> "x",
             null);
-    HeartbeatForwarder reception = new HeartbeatForwarder(env, null);
-    reception.leaderIs("c1", 1, false);
-    reception.report(reported(1, 7).report());
+    HeartbeatForwarder heartbeatForwarder = new HeartbeatForwarder(context, null);
+    heartbeatForwarder.leaderChanged("c1", 1, false);
+    heartbeatForwarder.handleHeartbeat(reported(1, 7).heartbeat());
     time.pass(40);
-    reception.report(reported(1, 6).report());
-    assertThat(reception.recent()).isEmpty();
-    reception.report(reported(1, 8).report());
-    assertThat(reception.recent()).hasSize(1);
+    heartbeatForwarder.handleHeartbeat(reported(1, 6).heartbeat());
+    assertThat(heartbeatForwarder.recentHeartbeats()).isEmpty();
+    heartbeatForwarder.handleHeartbeat(reported(1, 8).heartbeat());
+    assertThat(heartbeatForwarder.recentHeartbeats()).hasSize(1);
   }
 
   @Test
-  void aReportThatWasOvertakenStopsAndForgetsNothing() {
+  void aHeartbeatThatWasOvertakenStopsAndForgetsNothing() {
     Node n = world.settle(2);
     machines(1, n);
     FakeWorker w = world.workers.firstEntry().getValue();
     world.submit(0, job("j-4", "array", 2));
     world.pass(3);
     assertThat(w.alive()).hasSize(2);
-    Heartbeat old = WorkerCodec.read(w.report());
+    Heartbeat old = WorkerCodec.read(w.heartbeat());
     world.finish("j-4");
     world.pass(3);
-    String answer = new String(world.await(n.controller.report(old)).body());
+    String answer = new String(world.await(n.controller.handleHeartbeat(old)).body());
     assertThat(answer).contains("\"orders\":[]");
   }
 }
--- a/src/test/java/io/embernotch/controller/ProcessIncarnationsRandomizedTest.java
+++ b/src/test/java/io/embernotch/controller/ProcessIncarnationsRandomizedTest.java
@@ -96,7 +96,7 @@
   private static void copies(SimulatedCluster world, SplittableRandom random) {
     List<String> names = List.copyOf(world.workers.keySet());
     if (!names.isEmpty()) {
-      List<byte[]> said = world.reportsOf(names.get(random.nextInt(names.size())));
+      List<byte[]> said = world.heartbeatsOf(names.get(random.nextInt(names.size())));
       for (int i = 0; i < 5 && !said.isEmpty(); i++) {
         world.late(world.nodes.get(random.nextInt(3)), said.get(random.nextInt(said.size())));
       }
--- a/src/test/java/io/embernotch/controller/ProcessIncarnationsTest.java
+++ b/src/test/java/io/embernotch/controller/ProcessIncarnationsTest.java
@@ -92,14 +92,14 @@
    */
   @Test
   void aBeatOfATermThatIsOverIsNotBelieved() {
-    LeaderObserver followed = new LeaderObserver();
-    assertThat(followed.told("c1", 7)).isTrue();
-    followed.is(null, 0);
-    assertThat(followed.told("c1", 7)).isFalse();
-    assertThat(followed.node()).isNull();
-    assertThat(followed.told("c2", 9)).isTrue();
-    followed.is("c2", 9);
-    assertThat(followed.told("c1", 8)).isFalse();
+    LeaderObserver leaderObserver = new LeaderObserver();
+    assertThat(leaderObserver.observeClaim("c1", 7)).isTrue();
+    leaderObserver.update(null, 0);
+    assertThat(leaderObserver.observeClaim("c1", 7)).isFalse();
+    assertThat(leaderObserver.node()).isNull();
+    assertThat(leaderObserver.observeClaim("c2", 9)).isTrue();
+    leaderObserver.update("c2", 9);
+    assertThat(leaderObserver.observeClaim("c1", 8)).isFalse();
   }
 
   /** Once a worker had been let forget an attempt, a repeated start ran it once more. */
--- a/src/test/java/io/embernotch/controller/ScaleTest.java
+++ b/src/test/java/io/embernotch/controller/ScaleTest.java
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void reportsThatBringNothingNewCostNoTransactionNoCommandAndNoPlanOfTheirOwn() {
+  void heartbeatsThatBringNothingNewCostNoTransactionNoCommandAndNoPlanOfTheirOwn() {
     fill();
     world.pass(10);
     int commits = world.state.commits;
--- a/src/test/java/io/embernotch/faultcombinations/ConfirmedCancellationTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/ConfirmedCancellationTest.java
@@ -131,7 +131,7 @@
     former.noPeers = true;
     world.directFate = Fate.LOST;
     double askedAt = world.time.now();
-    while (!told(world, "j-0") && world.time.now() - askedAt < former.settings.holdS()) {
+    while (!told(world, "j-0") && world.time.now() - askedAt < former.settings.gracePeriodS()) {
       world.askCancel(world.other(former).index, "j-0");
       world.pass(0.5);
     }
--- a/src/test/java/io/embernotch/faultcombinations/FaultCombinationsRandomizedTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/FaultCombinationsRandomizedTest.java
@@ -89,7 +89,7 @@
         }
         case 5 -> {
           return new Trouble(
-              "late reports", () -> world.lateReports = 0.4, () -> world.lateReports = 0);
+              "late reports", () -> world.lateHeartbeats = 0.4, () -> world.lateHeartbeats = 0);
         }
         case 6 -> {
           List<FakeWorker> hit = some(0.4);
@@ -191,8 +191,8 @@
         case 17 -> {
           return new Trouble(
               "reports kept for the next leader",
-              () -> world.reportsForNext = 0.5,
-              () -> world.reportsForNext = 0);
+              () -> world.heartbeatsForNext = 0.5,
+              () -> world.heartbeatsForNext = 0);
         }
         case 18 -> {
           double lost = random.nextDouble(0.6);
--- a/src/test/java/io/embernotch/faultcombinations/FaultCombinationsTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/FaultCombinationsTest.java
@@ -89,13 +89,13 @@
    * Row 2. What a worker had said before the new leader had it stopped arrives there afterwards.
    */
   @Test
-  void aReportIsHeldBackUntilTheNextLeaderHasActed() {
+  void aHeartbeatIsHeldBackUntilTheNextLeaderHasActed() {
     large();
     Node leader = world.settle(3);
     told.submit(0, "j-1", "array", 4);
     world.pass(12);
     Map<String, FakeWorker> on = world.running("j-1");
-    List<byte[]> before = on.values().stream().distinct().map(FakeWorker::report).toList();
+    List<byte[]> before = on.values().stream().distinct().map(FakeWorker::heartbeat).toList();
     leader.kill();
     world.pass(8);
     leader.start();
@@ -150,7 +150,7 @@
     world.workers.values().forEach(w -> w.node = former.index);
     former.noState = true;
     former.noPeers = true;
-    double until = world.time.now() + former.settings.holdS() + leaseS() + 10;
+    double until = world.time.now() + former.settings.gracePeriodS() + leaseS() + 10;
     while (world.time.now() < until) {
       world.askCancel(world.other(former).index, "j-1");
       world.askCancel(former.index, "j-1");
@@ -611,15 +611,15 @@
 
   /** Row 18. Of another session, and of another attempt of the same task on the same machine. */
   @Test
-  void oldReportsArriveAfterNewerOnes() {
+  void oldHeartbeatsArriveAfterNewerOnes() {
     large();
     Node leader = world.settle(3);
     told.submit(0, "j-1", "array", 8);
     told.submit(0, "j-2", "standing", 4);
     world.pass(12);
-    world.lateReports = 0.3;
+    world.lateHeartbeats = 0.3;
     FakeWorker w = world.running("j-1").get("j-1/0");
-    List<byte[]> first = List.copyOf(world.reportsOf(w.name));
+    List<byte[]> first = List.copyOf(world.heartbeatsOf(w.name));
     w.exit("j-1/0", "error");
     world.pass(10);
     Map<String, FakeWorker> running = world.running("j-1");
--- a/src/test/java/io/embernotch/faultcombinations/FaultScenario.java
+++ b/src/test/java/io/embernotch/faultcombinations/FaultScenario.java
@@ -91,11 +91,11 @@
     world.commitFate = Fate.ARRIVES;
     world.holdFrames = false;
     world.lateWrites = 0;
-    world.lateReports = 0;
+    world.lateHeartbeats = 0;
     world.lateCommands = 0;
     world.lostAnswers = 0;
     world.lostReads = 0;
-    world.reportsForNext = 0;
+    world.heartbeatsForNext = 0;
     world.stateSlowS = 0;
     world.userDelayS = 0;
     world.cutZone = null;
--- a/src/test/java/io/embernotch/faultcombinations/InvariantCheckerTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/InvariantCheckerTest.java
@@ -54,7 +54,7 @@
     rules.heard(ref, HttpResponse.of(200, JobCodec.status(ref, phase, 0, 0)), now, now);
   }
 
-  private void reports(String what) {
+  private void heartbeats(String what) {
     assertThat(rules.broken()).hasSize(1).first().asString().contains(what);
   }
 
@@ -78,7 +78,7 @@
     accept(job("j-1", "array", 1));
     start(machine("z1", true), "j-1/0", 1);
     start(machine("z2", true), "j-1/0", 2);
-    reports("while it is on n-0");
+    heartbeats("while it is on n-0");
   }
 
   @Test
@@ -87,7 +87,7 @@
     for (int i = 0; i < 25; i++) {
       start(i % 8 == 0 ? machine("z1", true) : machines.get(i / 8), "j-1/" + i, 1);
     }
-    reports("over its limit");
+    heartbeats("over its limit");
   }
 
   @Test
@@ -132,7 +132,7 @@
     rules.cancelAsked("j-1", 2);
     told("j-1", JobPhase.CANCELLED, 4);
     start(machine("z1", true), "j-1/0", 60);
-    reports("starts later than cancel_s");
+    heartbeats("starts later than cancel_s");
   }
 
   @Test
@@ -153,7 +153,7 @@
     accept(job("j-1", "array", 2));
     rules.exited("j-1/0", "done");
     told("j-1", JobPhase.DONE, 2);
-    reports("before all of its tasks");
+    heartbeats("before all of its tasks");
     accept(job("j-2", "array", 2));
     told("j-2", JobPhase.CANCELLED, 2);
     assertThat(rules.broken()).hasSize(2);
@@ -185,7 +185,7 @@
     accept(job("j-1", "array", 1));
     assertThat(rules.broken()).isEmpty();
     asked("j-1", HttpResponse.error(404, "x"), 0.01, 0.02);
-    reports("UNKNOWN");
+    heartbeats("UNKNOWN");
   }
 
   @Test
@@ -193,7 +193,7 @@
     accept(job("j-1", "array", 4));
     asked("j-1", running("j-1", 3), 5, 5.1);
     asked("j-1", running("j-1", 2), 5.2, 5.3);
-    reports("done=3");
+    heartbeats("done=3");
   }
 
   @Test
@@ -202,7 +202,7 @@
     rules.cancelAsked("j-1", 1);
     told("j-1", JobPhase.CANCELLED, 2);
     asked("j-1", running("j-1", 0), 2.001, 2.01);
-    reports("ENDED");
+    heartbeats("ENDED");
   }
 
   @Test
@@ -215,14 +215,14 @@
     asked("j-1", queued, 2.05, 2.2);
     assertThat(rules.broken()).isEmpty();
     asked("j-1", queued, 2.3, 2.4);
-    reports("runs on, and is told to be queued");
+    heartbeats("runs on, and is told to be queued");
   }
 
   @Test
   void aJobThatIsCreatedTwice() {
     accept(job("j-1", "array", 2));
     accept(job("j-1", "array", 2));
-    reports("created twice");
+    heartbeats("created twice");
   }
 
   @Test
@@ -233,7 +233,7 @@
         HttpResponse.of(201, JobCodec.brief("j-1", JobPhase.QUEUED)),
         0,
         0);
-    reports("lacks something");
+    heartbeats("lacks something");
   }
 
   @Test
@@ -245,7 +245,7 @@
     rules.look(machines, 90);
     assertThat(rules.broken()).isEmpty();
     rules.look(machines, 91);
-    reports("beside room");
+    heartbeats("beside room");
   }
 
   @Test
--- a/src/test/java/io/embernotch/faultcombinations/SmallJobsTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/SmallJobsTest.java
@@ -65,7 +65,7 @@
     }
     if (!troubles) {
       double mean = world.rules.cancelWaits.stream().mapToDouble(w -> w).average().orElseThrow();
-      assertThat(mean).isLessThan(scenario.settings().workers().reportS());
+      assertThat(mean).isLessThan(scenario.settings().workers().heartbeatIntervalS());
       // Jobs that have ended are let go: what the leader knows does not grow with the minutes.
       assertThat(mostKnown).isLessThan(3 * RUNS_FOR);
     }
--- a/src/test/java/io/embernotch/faultcombinations/StaleHeartbeatTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/StaleHeartbeatTest.java
@@ -17,31 +17,31 @@
   private final FaultScenario scenario = FaultScenario.large();
   private final SimulatedCluster world = scenario.world;
 
-  private void atEveryNode(byte[] report, byte[] another) {
+  private void atEveryNode(byte[] heartbeat, byte[] another) {
     for (Node n : world.nodes) {
-      world.late(n, n.index == 1 ? another : report);
+      world.late(n, n.index == 1 ? another : heartbeat);
     }
   }
 
   /** {@code afterS}: before the leader has claimed, as it reads, and once it leads. */
   @ParameterizedTest
   @CsvSource({"0", "1.5", "2.9", "3.05", "3.1", "3.2", "3.5", "5"})
-  void oldReportsAtEveryNodeAsANewLeaderBegins(double afterS) {
+  void oldHeartbeatsAtEveryNodeAsANewLeaderBegins(double afterS) {
     Node leader = world.settle(3);
     scenario.told.submit(0, "j-0", "standing", 2);
     world.pass(12);
     FakeWorker first = scenario.machinesOf("j-0").get(0);
-    byte[] beforeStart = first.report();
+    byte[] beforeStart = first.heartbeat();
     scenario.told.submit(0, "j-1", "array", 6);
     scenario.told.submit(1, "j-2", "group", 4);
     world.pass(6);
     List<FakeWorker> machines = List.copyOf(world.workers.values());
-    List<byte[]> running = machines.stream().map(FakeWorker::report).toList();
+    List<byte[]> running = machines.stream().map(FakeWorker::heartbeat).toList();
     // Another attempt of a task of j-1, and one that has ended for good.
     world.running("j-1").get("j-1/0").exit("j-1/0", "error");
     world.running("j-1").get("j-1/1").exit("j-1/1", "done");
     world.pass(8);
-    List<byte[]> after = machines.stream().map(FakeWorker::report).toList();
+    List<byte[]> after = machines.stream().map(FakeWorker::heartbeat).toList();
     world.workers.values().forEach(w -> w.mute = true);
     leader.kill();
     world.pass(afterS);
@@ -67,12 +67,12 @@
    */
   @ParameterizedTest
   @CsvSource({"3.2", "4", "6"})
-  void aReportFromBeforeTheStartProvesNothingToTheNextLeader(double afterS) {
+  void aHeartbeatFromBeforeTheStartProvesNothingToTheNextLeader(double afterS) {
     Node leader = world.settle(3);
     scenario.told.submit(0, "j-0", "standing", 2);
     world.pass(12);
     List<FakeWorker> machines = List.copyOf(world.workers.values());
-    List<byte[]> before = machines.stream().map(FakeWorker::report).toList();
+    List<byte[]> before = machines.stream().map(FakeWorker::heartbeat).toList();
     scenario.told.submit(0, "j-1", "array", 6);
     world.pass(6);
     var running = world.running("j-1");
@@ -97,7 +97,7 @@
   void copiesKeptForTheNextLeader(long seed) {
     world.random = new java.util.SplittableRandom(seed);
     world.settle(3);
-    world.reportsForNext = 0.5;
+    world.heartbeatsForNext = 0.5;
     for (int i = 0; i < 5; i++) {
       scenario.told.submit(i % 3, "j-" + i, List.of("array", "group", "standing").get(i % 3), 4);
       world.pass(9);
--- a/src/test/java/io/embernotch/forwarding/DelegatedRenewalTest.java
+++ b/src/test/java/io/embernotch/forwarding/DelegatedRenewalTest.java
@@ -82,7 +82,7 @@
   void eachCutRenewsWorkersBeforeItSendsThemAway() {
     FakeTime time = new FakeTime();
     Settings far = world.nodes.get(2).settings;
-    DelegatedRenewal standby =
+    DelegatedRenewal delegatedRenewal =
         new DelegatedRenewal(
             new ControllerContext(
                 far,
@@ -96,14 +96,14 @@
                 null,
                 () -> "x",
                 null));
-    Heartbeat report =
+    Heartbeat heartbeat =
         new Heartbeat("n-1", "10.0.0.9:9", "g8", "z2", false, 1, 1, 5, null, List.of());
     for (int cut = 0; cut < 2; cut++) {
-      standby.noted(new Frame.DelegateHeartbeatAck(1, standby.here().seq(), true));
-      time.pass(far.contactS() * 1.1);
-      assertThat(standby.renewal(report, "c0").status()).isEqualTo(200);
+      delegatedRenewal.acknowledged(new Frame.DelegateHeartbeatAck(1, delegatedRenewal.nextHeartbeat().seq(), true));
+      time.pass(far.contactTimeoutS() * 1.1);
+      assertThat(delegatedRenewal.renew(heartbeat, "c0").status()).isEqualTo(200);
       time.pass(far.workers().leaseS() / 2);
-      assertThat(standby.renewal(report, "c0").status()).isEqualTo(421);
+      assertThat(delegatedRenewal.renew(heartbeat, "c0").status()).isEqualTo(421);
       time.pass(far.workers().leaseS() / 2);
     }
   }
@@ -129,7 +129,7 @@
     world.cutZone = "z2";
     world.cloud.down = true;
     // The renewals end, and then the leases; the checker sees to it that nothing starts before.
-    world.pass(settings.holdS() + settings.workers().leaseS() + 5);
+    world.pass(settings.gracePeriodS() + settings.workers().leaseS() + 5);
     assertThat(anyInZ2("j-1")).isFalse();
     world.cutZone = null;
     world.cloud.down = false;
@@ -152,7 +152,7 @@
     while (world.abort(1, "j-1").status() != 200) {
       world.pass(1);
       waited += 1;
-      assertThat(waited).isLessThan(settings.holdS());
+      assertThat(waited).isLessThan(settings.gracePeriodS());
     }
     assertThat(anyInZ2("j-1")).isTrue();
     world.pass(settings.workers().cancelS() - 1);
@@ -176,7 +176,7 @@
     world.leader().kill();
     world.pass(10);
     world.nodes.stream().filter(n -> n.down).forEach(Node::start);
-    world.pass(settings.holdS() + 10);
+    world.pass(settings.gracePeriodS() + 10);
     world.cutZone = "z2";
     world.pass(settings.workers().leaseS() + 4);
     assertThat(anyInZ2("j-1")).isFalse();
@@ -207,40 +207,40 @@
                             null,
                             () -> name,
                             null)))
-            .map(DelegatedRenewal::here)
+            .map(DelegatedRenewal::nextHeartbeat)
             .toList();
     assertThat(first.get(0).seq()).isNotEqualTo(first.get(1).seq());
     RenewalDelegations delegations = new RenewalDelegations(far, 100, new HashSet<>());
-    delegations.heard(first.get(0), 7, true, 200);
-    assertThat(delegations.another(first.get(0))).isFalse();
-    assertThat(delegations.another(first.get(1))).isTrue();
+    delegations.heartbeatReceived(first.get(0), 7, true, 200);
+    assertThat(delegations.isNewProcess(first.get(0))).isFalse();
+    assertThat(delegations.isNewProcess(first.get(1))).isTrue();
   }
 
   @Test
   void theLeaderKnowsUntilWhenAControllerMayHaveRenewed() {
     Settings s = SettingsReader.parse(SimulatedCluster.toml(0));
     RenewalDelegations delegations = new RenewalDelegations(s, 100, new HashSet<>());
-    double hold = s.holdS() * (1 + Settings.DRIFT);
+    double hold = s.gracePeriodS() * (1 + Settings.DRIFT);
     // Nothing heard: it may hold a right of an earlier leader.
     assertThat(delegations.renewedUntil("z2", 110)).isEqualTo(110);
     assertThat(delegations.renewedUntil("z2", 500)).isEqualTo(100 + hold);
-    assertThat(delegations.heard(new Frame.DelegateHeartbeat("c2", 1, 0, -1), 7, true, 200).granted()).isFalse();
-    assertThat(delegations.heard(new Frame.DelegateHeartbeat("c1", 1, 0, -1), 7, true, 200).granted()).isTrue();
-    assertThat(delegations.heard(new Frame.DelegateHeartbeat("c2", 2, 1, -1), 7, true, 202).granted()).isTrue();
-    delegations.heard(new Frame.DelegateHeartbeat("c2", 3, 2, -1), 7, true, 204);
+    assertThat(delegations.heartbeatReceived(new Frame.DelegateHeartbeat("c2", 1, 0, -1), 7, true, 200).granted()).isFalse();
+    assertThat(delegations.heartbeatReceived(new Frame.DelegateHeartbeat("c1", 1, 0, -1), 7, true, 200).granted()).isTrue();
+    assertThat(delegations.heartbeatReceived(new Frame.DelegateHeartbeat("c2", 2, 1, -1), 7, true, 202).granted()).isTrue();
+    delegations.heartbeatReceived(new Frame.DelegateHeartbeat("c2", 3, 2, -1), 7, true, 204);
     // 3 acknowledges 2, which acknowledged 1, answered at 200: until contactS after that it renewed
     // nothing.
-    assertThat(delegations.renewedUntil("z2", 200 + s.contactS())).isEqualTo(100 + hold);
+    assertThat(delegations.renewedUntil("z2", 200 + s.contactTimeoutS())).isEqualTo(100 + hold);
     // From then on it may have, until the right that it was given at 204 ends.
     assertThat(delegations.renewedUntil("z2", 220)).isEqualTo(220);
     assertThat(delegations.renewedUntil("z2", 900)).isEqualTo(204 + hold);
     // It owns up to a renewal, and is in contact again.
     for (int i = 4; i < 8; i++) {
-      delegations.heard(new Frame.DelegateHeartbeat("c2", i, i - 1, 10 + 2 * i), 7, true, 230 + 2 * i);
+      delegations.heartbeatReceived(new Frame.DelegateHeartbeat("c2", i, i - 1, 10 + 2 * i), 7, true, 230 + 2 * i);
     }
     assertThat(delegations.renewedUntil("z2", 245)).isEqualTo(220);
     // A new process knows nothing of what the one before it did.
-    delegations.heard(new Frame.DelegateHeartbeat("c2", 50, 0, -1), 7, true, 260);
+    delegations.heartbeatReceived(new Frame.DelegateHeartbeat("c2", 50, 0, -1), 7, true, 260);
     assertThat(delegations.renewedUntil("z2", 300)).isGreaterThanOrEqualTo(260);
   }
 }
--- a/src/test/java/io/embernotch/forwarding/IsolatedControllerTest.java
+++ b/src/test/java/io/embernotch/forwarding/IsolatedControllerTest.java
@@ -89,7 +89,7 @@
     world.pass(8);
     assertThat(world.leader()).isNotNull().isNotEqualTo(n);
     world.state.outage = true;
-    world.pass(n.settings.holdS() + 0.6 * n.settings.workers().leaseS());
+    world.pass(n.settings.gracePeriodS() + 0.6 * n.settings.workers().leaseS());
     assertThat(world.running("j-1")).isEqualTo(before);
     world.state.recover();
     alone(n, false);
@@ -124,7 +124,7 @@
     world.pass(6);
     List<FakeWorker> reached =
         world.workers.values().stream()
-            .filter(w -> w.node == n.index && w.token >= FencingTokens.base(world.state.stamp("steward")))
+            .filter(w -> w.node == n.index && w.token >= FencingTokens.base(world.state.modRevision("steward")))
             .toList();
     world.pass(1.5);
     assertThat(reached).noneMatch(w -> w.node == n.index);
--- a/src/test/java/io/embernotch/http/HttpApiServerTest.java
+++ b/src/test/java/io/embernotch/http/HttpApiServerTest.java
@@ -120,7 +120,7 @@
    */
   @Test
   void inACrowdWorkersTakeTurns() throws Exception {
-    String report =
+    String heartbeat =
         "{\"hearth\":\"n-1\",\"address\":\"10.0.0.9:9\",\"flavor\":\"g8\",\"room\":\"z1\",\"loaner\":false,"
             + "\"tenure\":1,\"tick\":1,\"baton\":0,\"recall_s\":null,\"shards\":[]}";
     // A client that nobody holds any more closes its connections.
@@ -130,7 +130,7 @@
       crowd.add(one);
       Future<Boolean> parts =
           one.request(HttpMethod.POST, port, "127.0.0.1", "/hello")
-              .compose(r -> r.send(report))
+              .compose(r -> r.send(heartbeat))
               .map(r -> "close".equals(r.getHeader("connection")));
       runNext();
       // Three quarters of what is left beside eight calls of our own.
@@ -140,7 +140,7 @@
   }
 
   @Test
-  void aMalformedReportIsRefusedWithoutTheCore() throws Exception {
+  void aMalformedHeartbeatIsRefusedWithoutTheCore() throws Exception {
     assertThat(await(ask(HttpMethod.POST, "/hello", "{\"hearth\":"))).isEqualTo(400);
     assertThat(core).isEmpty();
     assertThat(reported).isZero();
@@ -163,7 +163,7 @@
   }
 
   @Override
-  public Future<HttpResponse> report(Heartbeat report) {
+  public Future<HttpResponse> handleHeartbeat(Heartbeat heartbeat) {
     reported++;
     return Future.succeededFuture(HttpResponse.of(200, new byte[0]));
   }
--- a/src/test/java/io/embernotch/incarnation/DataLossTest.java
+++ b/src/test/java/io/embernotch/incarnation/DataLossTest.java
@@ -142,7 +142,7 @@
   }
 
   @Test
-  void goneBetweenACommitAndItsAnswerWhichArrivesInTheNextEra() {
+  void goneBetweenACommitAndItsAnswerWhichArrivesInTheNextIncarnation() {
     work();
     world.commitFate = Fate.HELD;
     world.submit(1, job("j-6", "array", 2));
@@ -172,21 +172,21 @@
   }
 
   @Test
-  void aTransactionFromBeforeTheLossIsNotAppliedThoughItsStampsCoincide() {
+  void aTransactionFromBeforeTheLossIsNotAppliedThoughItsModRevisionsCoincide() {
     aLateSubmission();
     assertThat(world.state.value("job/j-6")).isNull();
     allIsServedAgain(1);
   }
 
   @Test
-  void itIsTheConditionOnTheEraThatRefusesIt() {
+  void itIsTheConditionOnTheIncarnationThatRefusesIt() {
     world.state.blindTo = "era/";
     aLateSubmission();
     assertThat(world.state.value("job/j-6")).isNotNull();
   }
 
   @Test
-  void aWorkerThatHasSeenAHigherTokenThanAnybodyKnowsIsServedInAnEraAboveIt() {
+  void aWorkerThatHasSeenAHigherTokenThanAnybodyKnowsIsServedInAnIncarnationAboveIt() {
     work();
     FakeWorker w = world.running("j-2").values().iterator().next();
     w.token = 1L << 50;
@@ -248,7 +248,7 @@
   }
 
   @Test
-  void aControllerThatWasAwayDuringTheLossGoesOverToTheNewEra() {
+  void aControllerThatWasAwayDuringTheLossGoesOverToTheNewIncarnation() {
     work();
     Node other = world.other(leader);
     other.noState = true;
--- a/src/test/java/io/embernotch/jobs/DependencyGraphTest.java
+++ b/src/test/java/io/embernotch/jobs/DependencyGraphTest.java
@@ -21,9 +21,9 @@
 import org.junit.jupiter.api.Test;
 
 /** What jobs inherit from those that need them, and when they are let go. */
-class DependencyGraphTest implements DependencyGraph.Sink {
+class DependencyGraphTest implements DependencyGraph.Listener {
   private final FakeTime time = new FakeTime();
-  private final ControllerContext env =
+  private final ControllerContext context =
       new ControllerContext(
           SettingsReader.parse(SimulatedCluster.toml(0)),
           OperatorSettings.DEFAULTS,
@@ -36,8 +36,8 @@
           null,
           null,
           null);
-  private final ClusterState ledger = new ClusterState();
-  private final DependencyGraph chains = new DependencyGraph(env, ledger, this);
+  private final ClusterState state = new ClusterState();
+  private final DependencyGraph dependencyGraph = new DependencyGraph(context, state, this);
   private final List<String> released = new ArrayList<>();
   private final List<String> cancelled = new ArrayList<>();
 
@@ -52,22 +52,22 @@
   }
 
   @Override
-  public void found(VersionedEntry entry) {
+  public void jobFound(VersionedEntry entry) {
     throw new AssertionError();
   }
 
   private Job add(String json) {
     Job job = new Job(JobCodec.read(Json.parseObject(json.getBytes())), 1000);
-    ledger.jobs.put(job.spec.ref(), job);
-    chains.add(job);
+    state.jobs.put(job.spec.ref(), job);
+    dependencyGraph.add(job);
     return job;
   }
 
   private void end(Job job, JobPhase phase, long atMs) {
-    job.end = phase;
-    job.endKept = true;
+    job.finalPhase = phase;
+    job.endPersisted = true;
     job.endedMs = atMs;
-    chains.ended(job);
+    dependencyGraph.ended(job);
   }
 
   private static String with(String json, String rank, double due) {
@@ -80,19 +80,19 @@
     Job left = add(after("j-2", 1, "j-1"));
     Job right = add(after("j-3", 1, "j-1").replace("\"expect_s\":30.0", "\"expect_s\":50.0"));
     Job last = add(with(after("j-4", 1, "j-2", "j-3"), "high", 300));
-    chains.inherit();
+    dependencyGraph.propagateUrgency();
     // Submitted at 1 s and due 300 s later; each stage takes its own estimate.
-    assertThat(last.startByMs).isEqualTo(1_000 + 300_000 - 30_000);
-    assertThat(left.startByMs).isEqualTo(last.startByMs - 30_000);
-    assertThat(right.startByMs).isEqualTo(last.startByMs - 50_000);
-    assertThat(first.startByMs).isEqualTo(right.startByMs - 30_000);
-    assertThat(List.of(first.rank, left.rank, right.rank)).containsOnly(Priority.HIGH);
+    assertThat(last.latestStartMs).isEqualTo(1_000 + 300_000 - 30_000);
+    assertThat(left.latestStartMs).isEqualTo(last.latestStartMs - 30_000);
+    assertThat(right.latestStartMs).isEqualTo(last.latestStartMs - 50_000);
+    assertThat(first.latestStartMs).isEqualTo(right.latestStartMs - 30_000);
+    assertThat(List.of(first.effectivePriority, left.effectivePriority, right.effectivePriority)).containsOnly(Priority.HIGH);
     assertThat(first.spec.priority()).isEqualTo(Priority.LOW);
     // Once the last one is cancelled, nobody needs them any more.
     end(last, JobPhase.CANCELLED, 2_000);
-    chains.inherit();
-    assertThat(first.rank).isEqualTo(Priority.NORMAL);
-    assertThat(first.startByMs).isEqualTo(Long.MAX_VALUE);
+    dependencyGraph.propagateUrgency();
+    assertThat(first.effectivePriority).isEqualTo(Priority.NORMAL);
+    assertThat(first.latestStartMs).isEqualTo(Long.MAX_VALUE);
   }
 
   @Test
@@ -102,8 +102,8 @@
         after("j-2", 1, "j-1")
             .replace("standard", "production")
             .replace("\"array\"", "\"standing\""));
-    chains.inherit();
-    assertThat(before.rank).isEqualTo(Priority.HIGH);
+    dependencyGraph.propagateUrgency();
+    assertThat(before.effectivePriority).isEqualTo(Priority.HIGH);
   }
 
   @Test
@@ -115,11 +115,11 @@
     assertThat(released).isEmpty();
     end(two, JobPhase.DONE, 40_000);
     assertThat(released).containsExactly("j-3");
-    assertThat(last.sinceMs).isEqualTo(50_000);
+    assertThat(last.eligibleSinceMs).isEqualTo(50_000);
     // One that comes when all is over, or after a takeover, comes to the same.
     Job late = add(after("j-4", 1, "j-1", "j-2"));
-    assertThat(late.held()).isFalse();
-    assertThat(late.sinceMs).isEqualTo(50_000);
+    assertThat(late.blocked()).isFalse();
+    assertThat(late.eligibleSinceMs).isEqualTo(50_000);
   }
 
   @Test
--- a/src/test/java/io/embernotch/leader/ImageInventoryTest.java
+++ b/src/test/java/io/embernotch/leader/ImageInventoryTest.java
@@ -16,24 +16,24 @@
     List<Frame> sent = new ArrayList<>();
     Machine m = new Machine("n-1");
     m.images.add("a");
-    teller.tell(List.of(m), 7, 100, sent::add);
-    teller.tell(List.of(m), 7, 110, sent::add);
+    teller.publish(List.of(m), 7, 100, sent::add);
+    teller.publish(List.of(m), 7, 110, sent::add);
     assertThat(sent).hasSize(1);
     m.images.add("b");
-    teller.tell(List.of(m), 7, 112, sent::add);
+    teller.publish(List.of(m), 7, 112, sent::add);
     assertThat(sent).hasSize(1);
-    teller.tell(List.of(m), 7, 116, sent::add);
-    sent.forEach(f -> follower.heard((Frame.ImageInventoryUpdate) f));
+    teller.publish(List.of(m), 7, 116, sent::add);
+    sent.forEach(f -> follower.update((Frame.ImageInventoryUpdate) f));
     assertThat(follower.of("n-1")).containsExactly("a", "b");
     // What a deposed leader still says changes nothing.
-    follower.heard(new Frame.ImageInventoryUpdate(6, "n-1", List.of("old")));
+    follower.update(new Frame.ImageInventoryUpdate(6, "n-1", List.of("old")));
     assertThat(follower.of("n-1")).containsExactly("a", "b");
     // A follower that is back with nothing is told again, though nothing has changed.
-    teller.again();
+    teller.republishAll();
     ImageInventory next = new ImageInventory(4);
-    teller.tell(List.of(m), 7, 122, f -> next.heard((Frame.ImageInventoryUpdate) f));
+    teller.publish(List.of(m), 7, 122, f -> next.update((Frame.ImageInventoryUpdate) f));
     assertThat(next.of("n-1")).containsExactly("a", "b");
-    teller.gone("n-1", 7, f -> follower.heard((Frame.ImageInventoryUpdate) f));
+    teller.machineRemoved("n-1", 7, f -> follower.update((Frame.ImageInventoryUpdate) f));
     assertThat(follower.of("n-1")).isEmpty();
   }
 }
--- a/src/test/java/io/embernotch/peer/FrameTest.java
+++ b/src/test/java/io/embernotch/peer/FrameTest.java
@@ -35,7 +35,7 @@
               new MachineView.TaskView(
                   "j-2", 8, 4, 13, 0, 5, 1, 27, false, "z1", List.of("g8", "h9"))));
 
-  private static final Heartbeat REPORT =
+  private static final Heartbeat HEARTBEAT =
       new Heartbeat(
           "n-1",
           "10.1.0.2:9000",
@@ -57,7 +57,7 @@
         new Frame.MachineViewUpdate(44, VIEW),
         new Frame.MachineViewRemoval(44, "n-1"),
         new Frame.ImageInventoryUpdate(44, "n-1", List.of("img-1", "img-2")),
-        new Frame.ForwardedHeartbeat(3, REPORT),
+        new Frame.ForwardedHeartbeat(3, HEARTBEAT),
         new Frame.DelegateHeartbeat("c2", 9, 8, -1),
         new Frame.DelegateHeartbeatAck(44, 9, true),
         new Frame.RestartProposals("c2", 44, List.of(new Restart("j-1", 2, 3, "n-7", 0.25))));
--- a/src/test/java/io/embernotch/rounds/MachineViewPublisherTest.java
+++ b/src/test/java/io/embernotch/rounds/MachineViewPublisherTest.java
@@ -19,9 +19,9 @@
 
 class MachineViewPublisherTest {
   private final FakeTime time = new FakeTime();
-  private final ClusterState ledger = new ClusterState();
+  private final ClusterState state = new ClusterState();
   private final List<MachineView> views = new ArrayList<>();
-  private final MachineViewPublisher feed =
+  private final MachineViewPublisher machineViewPublisher =
       new MachineViewPublisher(
           new ControllerContext(
               SettingsReader.parse(SimulatedCluster.toml(0)),
@@ -35,7 +35,7 @@
               null,
               null,
               null),
-          ledger,
+          state,
           (owner, view) -> views.add(view),
           (owner, machine) -> {});
 
@@ -43,15 +43,15 @@
   @Test
   void heldRoomIsShownToNoRoundAndEveryMachineIsSeenInARound() {
     for (int i = 0; i < 40; i++) {
-      Machine m = ledger.machine("n-" + i, 1);
+      Machine m = state.machine("n-" + i, 1);
       m.type = new MachineType("g8", 48, 8, 288, 100, 1, 12, 4, 60, List.of("z1"));
       m.zone = "z1";
-      m.heardAt = time.now();
-      m.keptGpus = 3;
-      m.keptCpus = 12;
+      m.lastHeartbeatAt = time.now();
+      m.reservedGpus = 3;
+      m.reservedCpus = 12;
     }
     for (double t = 0; t < OperatorSettings.DEFAULTS.roundS(); t += 0.4) {
-      feed.flush(Set.of("c0", "c1", "c2"));
+      machineViewPublisher.publish(Set.of("c0", "c1", "c2"));
       time.pass(0.4);
     }
     assertThat(views).hasSize(40);
--- a/src/test/java/io/embernotch/scheduling/DeadlinesTest.java
+++ b/src/test/java/io/embernotch/scheduling/DeadlinesTest.java
@@ -83,8 +83,8 @@
       Machine m = new Machine("n-" + i);
       m.type = G8;
       m.zone = "z1";
-      m.heardAt = 1e9;
-      m.provenAt = 1;
+      m.lastHeartbeatAt = 1e9;
+      m.confirmedAliveAt = 1;
       d.machines.add(m);
     }
     double gpus = 12 * 8;
@@ -96,10 +96,10 @@
           Attempt a = e.getKey();
           d.ends.remove(a);
           a.job.done.set(a.task);
-          a.job.open.remove(a.task);
+          a.job.openAttempts.remove(a.task);
           Machine m = d.machines.get(Integer.parseInt(a.machine.substring(2)));
-          m.open.remove(Machine.taskKey(a.job.spec.ref(), a.task));
-          m.touched();
+          m.openAttempts.remove(Machine.taskKey(a.job.spec.ref(), a.task));
+          m.attemptsChanged();
           if (a.job.remaining() == 0) {
             d.doneAt.put(a.job, d.now);
           }
@@ -124,7 +124,7 @@
         if (j.spec.jobClass().equals("wire")) {
           d.dueAt.put(j, due);
           order.accept(j, due);
-          j.restMs = Math.round(1500 * estimate);
+          j.remainingRunMs = Math.round(1500 * estimate);
         } else {
           d.dueAt.put(j, Double.MAX_VALUE);
         }
@@ -147,10 +147,10 @@
       for (SchedulingPlan.Start s : plan.starts) {
         for (SchedulingPlan.Placement p : s.placements()) {
           Attempt a = new Attempt(s.job(), p.task(), 1, p.machine().name, "z1", 0);
-          a.start = Attempt.LaunchState.HELD;
-          s.job().open.put(p.task(), a);
-          p.machine().open.put(Machine.taskKey(s.job().spec.ref(), p.task()), a);
-          p.machine().touched();
+          a.launchState = Attempt.LaunchState.CONFIRMED;
+          s.job().openAttempts.put(p.task(), a);
+          p.machine().openAttempts.put(Machine.taskKey(s.job().spec.ref(), p.task()), a);
+          p.machine().attemptsChanged();
           d.ends.put(a, d.now + 20 + (s.job().spec.ref().hashCode() & 31) + 8);
         }
       }
@@ -187,8 +187,8 @@
   void theCalendarServesMoreMembersInTimeThanArrivalOrDeadlinesAlone() {
     BiConsumer<Job, Double> arrival = (j, due) -> {};
     BiConsumer<Job, Double> own =
-        (j, due) -> j.startByMs = Math.round(due * 1000 - j.spec.expectS() * 1000);
-    BiConsumer<Job, Double> calendar = (j, due) -> j.releaseByMs = Math.round(due * 1000);
+        (j, due) -> j.latestStartMs = Math.round(due * 1000 - j.spec.expectS() * 1000);
+    BiConsumer<Job, Double> calendar = (j, due) -> j.releaseDeadlineMs = Math.round(due * 1000);
     for (double load : new double[] {0.7, 1.0, 1.5}) {
       double byArrival = mean(load, arrival, 0);
       double byOwn = mean(load, own, 0);
--- a/src/test/java/io/embernotch/scheduling/SchedulerTest.java
+++ b/src/test/java/io/embernotch/scheduling/SchedulerTest.java
@@ -66,8 +66,8 @@
     m.type = G8;
     m.zone = "z1";
     m.spot = spot;
-    m.heardAt = 999;
-    m.provenAt = 999;
+    m.lastHeartbeatAt = 999;
+    m.confirmedAliveAt = 999;
     m.idleSince = 999;
     machines.add(m);
     return m;
@@ -97,11 +97,11 @@
           Attempt a = e.getKey();
           ends.remove(a);
           small.done.set(a.task);
-          small.open.remove(a.task);
+          small.openAttempts.remove(a.task);
           Machine m =
               machines.stream().filter(x -> x.name.equals(a.machine)).findFirst().orElseThrow();
-          m.open.remove(Machine.taskKey("j-1", a.task));
-          m.touched();
+          m.openAttempts.remove(Machine.taskKey("j-1", a.task));
+          m.attemptsChanged();
         }
       }
       for (SchedulingPlan.Start start : plan().starts) {
@@ -110,8 +110,8 @@
         }
         for (SchedulingPlan.Placement p : start.placements()) {
           run(small, p.task(), p.machine());
-          p.machine().touched();
-          ends.put(small.open.get(p.task()), s + 15 + (p.task() * 7) % 11);
+          p.machine().attemptsChanged();
+          ends.put(small.openAttempts.get(p.task()), s + 15 + (p.task() * 7) % 11);
         }
       }
     }
@@ -126,10 +126,10 @@
 
   private void run(Job j, int task, Machine m) {
     Attempt a = new Attempt(j, task, 1, m.name, m.zone, 0);
-    a.start = Attempt.LaunchState.HELD;
+    a.launchState = Attempt.LaunchState.CONFIRMED;
     a.runningAt = 900;
-    j.open.put(task, a);
-    m.open.put(Machine.taskKey(j.spec.ref(), task), a);
+    j.openAttempts.put(task, a);
+    m.openAttempts.put(Machine.taskKey(j.spec.ref(), task), a);
   }
 
   private static String gang(String ref) {
@@ -167,8 +167,8 @@
     SchedulingPlan plan = plan();
     // What need not go stays, and what can save may.
     assertThat(plan.stops).hasSize(8).allMatch(s -> s.attempt().job == array && s.graceS() > 0);
-    array.open.values().forEach(a -> a.stopping = true);
-    m.touched();
+    array.openAttempts.values().forEach(a -> a.stopping = true);
+    m.attemptsChanged();
     assertThat(plan().stops).isEmpty();
   }
 
@@ -184,14 +184,14 @@
     machine("n-1", true);
     SchedulingPlan plan = plan();
     assertThat(plan.starts.get(0).placements()).hasSize(8);
-    assertThat(plan.buys).isEmpty();
+    assertThat(plan.scaleOuts).isEmpty();
     machines.clear();
     // Where there are none at all, they would else wait for ever.
-    assertThat(plan().buys).isNotEmpty();
-    array.cancelling = true;
+    assertThat(plan().scaleOuts).isNotEmpty();
+    array.cancelRequested = true;
     add(job("j-2", "array", 50));
     machine("n-2", true);
-    assertThat(plan().buys).isNotEmpty();
+    assertThat(plan().scaleOuts).isNotEmpty();
   }
 
   @Test
@@ -244,7 +244,7 @@
     SchedulingPlan first = planner.liveOnly(situation());
     assertThat(all.starts).extracting(s -> s.job()).containsExactly(live, array);
     assertThat(first.starts).containsExactly(all.starts.get(0));
-    assertThat(first.returns).isEmpty();
+    assertThat(first.scaleIns).isEmpty();
     assertThat(first.stops).isEmpty();
   }
 
@@ -291,8 +291,8 @@
     run(first, 0, machine("n-2", false));
     add(gang("j-3"));
     SchedulingPlan p = plan();
-    assertThat(array.guaranteed).isTrue();
-    assertThat(jobs.get(2).guaranteed).isFalse();
+    assertThat(array.withinGuarantee).isTrue();
+    assertThat(jobs.get(2).withinGuarantee).isFalse();
     assertThat(p.stops).isEmpty();
   }
 
@@ -305,8 +305,8 @@
     SchedulingPlan p = plan();
     assertThat(p.starts).hasSize(1);
     assertThat(p.starts.get(0).placements()).hasSize(7).allMatch(x -> x.machine() == pinned);
-    assertThat(p.buys).containsExactly(new SchedulingPlan.Buy("g8", p.buys.get(0).zone(), true, 1));
-    assertThat(idle.open).isEmpty();
+    assertThat(p.scaleOuts).containsExactly(new SchedulingPlan.ScaleOutRequest("g8", p.scaleOuts.get(0).zone(), true, 1));
+    assertThat(idle.openAttempts).isEmpty();
   }
 
   @Test
@@ -321,9 +321,9 @@
   @Test
   void anIdleMachineIsReturnedAfterAWhile() {
     Machine m = machine("n-1", true);
-    assertThat(plan().returns).isEmpty();
+    assertThat(plan().scaleIns).isEmpty();
     m.idleSince = 900;
-    assertThat(plan().returns).containsExactly(m);
+    assertThat(plan().scaleIns).containsExactly(m);
   }
 
   @Test
@@ -335,9 +335,9 @@
             .replace("\"one_zone\":false", "\"one_zone\":true"));
     SchedulingPlan p = plan();
     assertThat(p.starts).isEmpty();
-    assertThat(p.buys).hasSize(1);
-    assertThat(p.buys.get(0).zone()).isEqualTo("z1");
-    assertThat(p.buys.get(0).number()).isEqualTo(2);
+    assertThat(p.scaleOuts).hasSize(1);
+    assertThat(p.scaleOuts.get(0).zone()).isEqualTo("z1");
+    assertThat(p.scaleOuts.get(0).number()).isEqualTo(2);
   }
 
   @Test
@@ -356,12 +356,12 @@
                 .replace("\"loaner\":true", "\"loaner\":false"));
     // A new service takes the empty machine; nobody is stopped for an image.
     assertThat(plan().starts.get(0).placements().get(0).machine()).isSameAs(empty);
-    service.restarted.set(0);
+    service.restartedTasks.set(0);
     SchedulingPlan p = plan();
     assertThat(p.starts).isEmpty();
     assertThat(p.stops).hasSize(1);
     p.stops.get(0).attempt().stopping = true;
-    cached.touched();
+    cached.attemptsChanged();
     // Until the room is there the replica keeps its claim, and no second one is stopped.
     SchedulingPlan later = plan();
     assertThat(later.starts).isEmpty();
@@ -373,10 +373,10 @@
     // Machines boot in 60 s and the tasks run 30: two in a row wait no longer than for another
     // boot.
     add(job("j-1", "array", 24));
-    assertThat(plan().buys.stream().mapToInt(SchedulingPlan.Buy::number).sum()).isEqualTo(1);
+    assertThat(plan().scaleOuts.stream().mapToInt(SchedulingPlan.ScaleOutRequest::number).sum()).isEqualTo(1);
     jobs.clear();
     add(job("j-2", "array", 24).replace("\"expect_s\":30.0", "\"expect_s\":300.0"));
-    assertThat(plan().buys.stream().mapToInt(SchedulingPlan.Buy::number).sum()).isEqualTo(3);
+    assertThat(plan().scaleOuts.stream().mapToInt(SchedulingPlan.ScaleOutRequest::number).sum()).isEqualTo(3);
   }
 
   @Test
@@ -388,10 +388,10 @@
       run(running, t, m);
     }
     add(job("j-2", "array", 6));
-    assertThat(plan().buys).isEmpty();
+    assertThat(plan().scaleOuts).isEmpty();
     // More than will have ended by then are worth one.
     add(job("j-3", "array", 6));
-    assertThat(plan().buys).hasSize(1);
+    assertThat(plan().scaleOuts).hasSize(1);
   }
 
   private static String small(String ref, int tasks) {
@@ -412,7 +412,7 @@
     SchedulingPlan p = plan();
     assertThat(p.starts).hasSize(1);
     assertThat(p.starts.get(0).placements()).hasSize(4).allMatch(x -> x.machine() == taken);
-    assertThat(p.buys).isEmpty();
+    assertThat(p.scaleOuts).isEmpty();
     // The gang takes 4 CPUs here, so 22 such tasks have room beside it.
     jobs.remove(1);
     add(small("j-3", 30));
@@ -429,12 +429,12 @@
     // Nine tasks each: none is within the team's guarantee, which would come first.
     add(job("j-1", "array", 9));
     Job early = add(job("j-2", "array", 9));
-    early.startByMs = 5;
+    early.latestStartMs = 5;
     Job high = add(job("j-3", "array", 9));
-    high.rank = Priority.HIGH;
+    high.effectivePriority = Priority.HIGH;
     Job waiting = add(job("j-4", "array", 9));
-    waiting.rank = Priority.HIGH;
-    waiting.waitingFor.add("j-1");
+    waiting.effectivePriority = Priority.HIGH;
+    waiting.unmetDependencies.add("j-1");
     List<String> order = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       SchedulingPlan p = plan();
--- a/src/test/java/io/embernotch/scheduling/TopologySpreadTest.java
+++ b/src/test/java/io/embernotch/scheduling/TopologySpreadTest.java
@@ -39,8 +39,8 @@
     Machine m = new Machine(String.format("n-%03d", next++));
     m.type = G8;
     m.zone = zone;
-    m.heardAt = 1e9;
-    m.provenAt = 1;
+    m.lastHeartbeatAt = 1e9;
+    m.confirmedAliveAt = 1;
     m.images.addAll(List.of(images));
     machines.add(m);
     return m;
@@ -160,9 +160,9 @@
         }
       }
       for (Machine m : dead) {
-        for (Attempt a : List.copyOf(m.open.values())) {
-          a.job.open.remove(a.task);
-          a.job.restarted.set(a.task);
+        for (Attempt a : List.copyOf(m.openAttempts.values())) {
+          a.job.openAttempts.remove(a.task);
+          a.job.restartedTasks.set(a.task);
           readyAt.remove(a);
         }
         t.machines.remove(m);
@@ -171,10 +171,10 @@
       for (SchedulingPlan.Start s : t.plan(risk).starts) {
         for (SchedulingPlan.Placement p : s.placements()) {
           Attempt a = new Attempt(s.job(), p.task(), 1, p.machine().name, p.machine().zone, 0);
-          a.start = Attempt.LaunchState.HELD;
-          s.job().open.put(p.task(), a);
-          p.machine().open.put(Machine.taskKey(s.job().spec.ref(), p.task()), a);
-          p.machine().touched();
+          a.launchState = Attempt.LaunchState.CONFIRMED;
+          s.job().openAttempts.put(p.task(), a);
+          p.machine().openAttempts.put(Machine.taskKey(s.job().spec.ref(), p.task()), a);
+          p.machine().attemptsChanged();
           boolean has = p.machine().images.remove(s.job().spec.image());
           p.machine().images.add(s.job().spec.image());
           double gb = s.job().spec.imageGb();
@@ -191,7 +191,7 @@
       for (Job j : t.jobs) {
         int down = 0;
         for (int k = 0; k < j.spec.tasks(); k++) {
-          Attempt a = j.open.get(k);
+          Attempt a = j.openAttempts.get(k);
           down += a == null || readyAt.getOrDefault(a, 0.0) > t.now ? 1 : 0;
         }
         // Past the first start: what was lost again.
--- a/src/test/java/io/embernotch/settings/SettingsTest.java
+++ b/src/test/java/io/embernotch/settings/SettingsTest.java
@@ -15,16 +15,16 @@
     assertThat(s.node()).isEqualTo("c1");
     assertThat(s.members()).extracting(Settings.Member::node).containsExactly("c0", "c2");
     assertThat(s.teams().get("red").gpusMax()).isEqualTo(24);
-    assertThat(s.stateLimits().txnOps()).isEqualTo(12);
+    assertThat(s.storeLimits().txnOps()).isEqualTo(12);
   }
 
   @Test
   void whatIsWrittenGoesByTheSmallerOfPresentAndComingLimits() {
     Settings same = SettingsReader.parse(SimulatedCluster.toml(1));
-    assertThat(same.stateFloor()).isEqualTo(same.stateLimits());
+    assertThat(same.minStoreLimits()).isEqualTo(same.storeLimits());
     String next = "txn_ops = 12\n[cluster.state.next]\ntxn_ops = 4\nwrite_rps = 200.0\n";
     Settings s = SettingsReader.parse(SimulatedCluster.toml(1).replace("txn_ops = 12\n", next));
-    assertThat(s.stateFloor()).isEqualTo(new Settings.State(250, 100, 8, 4));
+    assertThat(s.minStoreLimits()).isEqualTo(new Settings.StoreLimits(250, 100, 8, 4));
   }
 
   @ParameterizedTest
--- a/src/test/java/io/embernotch/state/FailureAttributionTest.java
+++ b/src/test/java/io/embernotch/state/FailureAttributionTest.java
@@ -18,8 +18,8 @@
 /** Jobs with a mistake, sick machines, and both at once. */
 class FailureAttributionTest {
   private final FakeTime time = new FakeTime();
-  private final ClusterState ledger = new ClusterState();
-  private final FailureAttribution blame =
+  private final ClusterState state = new ClusterState();
+  private final FailureAttribution failureAttribution =
       new FailureAttribution(
           new ControllerContext(
               SettingsReader.parse(SimulatedCluster.toml(0)),
@@ -33,27 +33,27 @@
               null,
               null,
               null),
-          ledger);
+          state);
 
   private Job job(int i) {
-    return ledger.jobs.computeIfAbsent(
+    return state.jobs.computeIfAbsent(
         "j-" + i,
         ref -> new Job(JobCodec.read(Json.parseObject(SimulatedCluster.job(ref, "array", 40).getBytes())), 0));
   }
 
   private Machine machine(int i) {
-    return ledger.machine("n-" + i, 0);
+    return state.machine("n-" + i, 0);
   }
 
   private void fail(int job, int machine) {
     Machine m = machine(machine);
     m.zone = "z1";
-    blame.failed(ledger.open(job(job), job(job).open.size(), 1, m, time.now()), m, time.now());
+    failureAttribution.failed(state.openAttempt(job(job), job(job).openAttempts.size(), 1, m, time.now()), m, time.now());
   }
 
   private void succeed(int job, int machine) {
     job(job).done.set(39);
-    blame.cleared(job(job), machine(machine));
+    failureAttribution.cleared(job(job), machine(machine));
   }
 
   /** A gang with a mistake had each machine returned on which its tasks failed three times. */
@@ -63,9 +63,9 @@
       for (int task = 0; task < 12; task++) {
         fail(job, task / 3 + job);
       }
-      assertThat(job(job).fails()).isTrue();
+      assertThat(job(job).failsEverywhere()).isTrue();
     }
-    assertThat(ledger.machines.values()).noneMatch(m -> m.cordoned || m.avoidUntil > time.now());
+    assertThat(state.machines.values()).noneMatch(m -> m.cordoned || m.avoidUntil > time.now());
   }
 
   @Test
@@ -91,10 +91,10 @@
         fail(1, m);
       }
     }
-    assertThat(job(1).fails()).isTrue();
+    assertThat(job(1).failsEverywhere()).isTrue();
     assertThat(job(1).backoffUntil).isGreaterThan(time.now());
     succeed(1, 9);
-    assertThat(job(1).fails()).isFalse();
+    assertThat(job(1).failsEverywhere()).isFalse();
     assertThat(job(1).backoffUntil).isZero();
     assertThat(IntStream.range(1, 6)).allMatch(m -> machine(m).cordoned);
     assertThat(machine(9).cordoned).isFalse();
--- a/src/test/java/io/embernotch/state/LargestJobWaitTimesTest.java
+++ b/src/test/java/io/embernotch/state/LargestJobWaitTimesTest.java
@@ -17,15 +17,15 @@
 
   @Test
   void onlyTheLargestTenthOfAClassCountsAndWhatStillWaitsIsTold() {
-    LargestJobWaitTimes largest = new LargestJobWaitTimes();
-    assertThat(largest.line(List.of(), 0)).isNull();
+    LargestJobWaitTimes largestJobWaits = new LargestJobWaitTimes();
+    assertThat(largestJobWaits.line(List.of(), 0)).isNull();
     for (int i = 0; i < 100; i++) {
-      largest.begins(job(i, 1 + i % 10), 2000);
+      largestJobWaits.begins(job(i, 1 + i % 10), 2000);
     }
-    largest.begins(job(200, 40), 61_000);
-    assertThat(largest.line(List.of(job(300, 2), job(301, 50)), 31_000))
+    largestJobWaits.begins(job(200, 40), 61_000);
+    assertThat(largestJobWaits.line(List.of(job(300, 2), job(301, 50)), 31_000))
         .contains("max 60")
         .endsWith("one waits since 30000 ms");
-    assertThat(largest.line(List.of(job(300, 2)), 31_000)).doesNotContain("waits since");
+    assertThat(largestJobWaits.line(List.of(job(300, 2)), 31_000)).doesNotContain("waits since");
   }
 }
--- a/src/test/java/io/embernotch/store/LeaseRenewerTest.java
+++ b/src/test/java/io/embernotch/store/LeaseRenewerTest.java
@@ -27,7 +27,7 @@
   /** What the core is told waits here, as if the core were busy. */
   private final List<Runnable> core = new ArrayList<>();
 
-  private final LeaseRenewer keeper =
+  private final LeaseRenewer leaseRenewer =
       new LeaseRenewer(
           (method, to, path, body, timeout) -> {
             asked.add(path);
@@ -48,30 +48,30 @@
           8);
 
   private double left() {
-    return keeper.provenUntil() - time.now();
+    return leaseRenewer.provenUntil() - time.now();
   }
 
   @Test
   void itIsRenewedThoughTheCoreIsBusyButNotForEver() {
-    keeper.keep(7, time.now(), ended::add);
+    leaseRenewer.keep(7, time.now(), ended::add);
     time.pass(7);
     assertThat(left()).isGreaterThan(LIFE_S / 2);
     // No sign of the core for longer than it may be busy: somebody else is to lead.
     time.pass(8);
     assertThat(left()).isNegative();
-    keeper.alive();
+    leaseRenewer.coreAlive();
     time.pass(2);
     assertThat(left()).isPositive();
   }
 
   @Test
   void aRenewalCountsFromItsSendingAndOneWithoutAnswerNotAtAll() {
-    keeper.keep(7, time.now(), ended::add);
+    leaseRenewer.keep(7, time.now(), ended::add);
     time.pass(0.5);
-    double proven = keeper.provenUntil();
+    double proven = leaseRenewer.provenUntil();
     status = 0;
     time.pass(2);
-    assertThat(keeper.provenUntil()).isEqualTo(proven);
+    assertThat(leaseRenewer.provenUntil()).isEqualTo(proven);
     status = 503;
     time.pass(2);
     assertThat(left()).isNegative();
@@ -87,17 +87,17 @@
   @Test
   void anAnswerAboutAFormerLeaseProvesNothingOfTheNextOne() {
     late = Promise.promise();
-    keeper.keep(7, time.now(), ended::add);
+    leaseRenewer.keep(7, time.now(), ended::add);
     time.pass(0.1);
     Promise<HttpReply> old = late;
     late = Promise.promise();
-    keeper.letGo();
-    assertThat(keeper.provenUntil()).isNegative();
-    keeper.keep(8, time.now() - 2, ended::add);
-    double proven = keeper.provenUntil();
+    leaseRenewer.release();
+    assertThat(leaseRenewer.provenUntil()).isNegative();
+    leaseRenewer.keep(8, time.now() - 2, ended::add);
+    double proven = leaseRenewer.provenUntil();
     old.complete(new HttpReply(200, new byte[0]));
     time.pass(0.1);
-    assertThat(keeper.provenUntil()).isEqualTo(proven);
+    assertThat(leaseRenewer.provenUntil()).isEqualTo(proven);
     assertThat(asked).last().isEqualTo("/leases/8/extend");
   }
 }
--- a/src/test/java/io/embernotch/store/StoreClientTest.java
+++ b/src/test/java/io/embernotch/store/StoreClientTest.java
@@ -6,7 +6,7 @@
 import io.embernotch.http.HttpReply;
 import io.embernotch.settings.Settings;
 import io.embernotch.settings.SettingsReader;
-import io.embernotch.store.RateLimiter.Rank;
+import io.embernotch.store.RateLimiter.RequestPriority;
 import io.embernotch.testkit.FakeTime;
 import io.embernotch.testkit.SimulatedCluster;
 import io.vertx.core.Future;
@@ -33,17 +33,17 @@
             time,
             time,
             settings);
-    store.leading(true);
+    store.setLeading(true);
     for (int i = 0; i < 500; i++) {
       String key = "job/" + i;
-      store.turn(
+      store.requestWriteSlot(
           1,
-          Rank.USUAL,
-          () -> store.commitInTurn(new Transaction().when(key, 0).write(key, Json.object()), Rank.USUAL));
+          RequestPriority.NORMAL,
+          () -> store.commitInWriteSlot(new Transaction().when(key, 0).write(key, Json.object()), RequestPriority.NORMAL));
     }
     time.pass(5);
     assertThat(calls[0])
-        .isLessThanOrEqualTo((int) (settings.stateLimits().writeRps() * 0.7 * 5.5) + 1);
+        .isLessThanOrEqualTo((int) (settings.storeLimits().writeRps() * 0.7 * 5.5) + 1);
     assertThat(calls[0]).isGreaterThan(100);
   }
 
@@ -51,10 +51,10 @@
   void theUrgentPassesTheUsualAndTheSpareWaitsForHalfOfTheBurst() {
     RateLimiter pacer = new RateLimiter(time, time, 10, 1);
     List<String> order = new ArrayList<>();
-    pacer.pass(10, Rank.USUAL, () -> order.add("burst"));
-    pacer.pass(1, Rank.SPARE, () -> order.add("spare"));
-    pacer.pass(1, Rank.USUAL, () -> order.add("usual"));
-    pacer.pass(1, Rank.FIRST, () -> order.add("first"));
+    pacer.acquire(10, RequestPriority.NORMAL, () -> order.add("burst"));
+    pacer.acquire(1, RequestPriority.BACKGROUND, () -> order.add("spare"));
+    pacer.acquire(1, RequestPriority.NORMAL, () -> order.add("usual"));
+    pacer.acquire(1, RequestPriority.HIGH, () -> order.add("first"));
     time.pass(0.25);
     assertThat(order).containsExactly("burst", "first", "usual");
     time.pass(0.3);
--- a/src/test/java/io/embernotch/testkit/FakeStore.java
+++ b/src/test/java/io/embernotch/testkit/FakeStore.java
@@ -19,14 +19,14 @@
 
 /** The state service of PROTOCOL, in memory. */
 public final class FakeStore {
-  private record Value(ObjectNode v, long stamp, long permit) {}
+  private record Value(ObjectNode v, long modRevision, long leaseId) {}
 
-  private record Change(String key, ObjectNode v, long stamp) {}
+  private record Change(String key, ObjectNode v, long modRevision) {}
 
   private record Watch(String prefix, long after, Promise<HttpReply> promise) {}
 
   private static final class Lease {
-    double lifeS;
+    double leaseTtlS;
     double until;
   }
 
@@ -103,9 +103,9 @@
             });
   }
 
-  private void dropAttached(long permit) {
+  private void dropAttached(long leaseId) {
     for (String key : List.copyOf(data.keySet())) {
-      if (data.get(key).permit == permit) {
+      if (data.get(key).leaseId == leaseId) {
         epoch++;
         data.remove(key);
         changed(key, null);
@@ -116,7 +116,7 @@
   /** Ends an outage: every lease gets its full time again. */
   public void recover() {
     outage = false;
-    leases.values().forEach(l -> l.until = time.now() + l.lifeS);
+    leases.values().forEach(l -> l.until = time.now() + l.leaseTtlS);
   }
 
   /** Everything is gone: keys, leases, changes; revisions and the names of leases begin anew. */
@@ -140,7 +140,7 @@
     data.clear();
     then.data.forEach((k, v) -> data.put(k, (Value) v));
     epoch = then.epoch;
-    changes.removeIf(c -> c.stamp > epoch);
+    changes.removeIf(c -> c.modRevision > epoch);
     if (!withLeases) {
       leases.clear();
     }
@@ -182,9 +182,9 @@
     return v == null ? null : v.v;
   }
 
-  public long stamp(String key) {
+  public long modRevision(String key) {
     Value v = data.get(key);
-    return v == null ? 0 : v.stamp;
+    return v == null ? 0 : v.modRevision;
   }
 
   public Future<HttpReply> handle(String method, String path, byte[] body) {
@@ -210,21 +210,21 @@
     }
     if (path.equals("/leases")) {
       Lease l = new Lease();
-      l.lifeS = Json.parseObject(body).get("life_ms").asDouble() / 1000;
-      l.until = time.now() + l.lifeS;
+      l.leaseTtlS = Json.parseObject(body).get("life_ms").asDouble() / 1000;
+      l.until = time.now() + l.leaseTtlS;
       leases.put(nextLease, l);
       return reply(200, Json.object().put("permit", nextLease++));
     }
-    long permit = Long.parseLong(path.split("/")[2]);
-    Lease l = leases.get(permit);
+    long leaseId = Long.parseLong(path.split("/")[2]);
+    Lease l = leases.get(leaseId);
     if (l == null) {
       return reply(404, Json.object());
     }
     if (method.equals("DELETE")) {
-      leases.remove(permit);
-      dropAttached(permit);
+      leases.remove(leaseId);
+      dropAttached(leaseId);
     } else {
-      l.until = time.now() + l.lifeS;
+      l.until = time.now() + l.leaseTtlS;
     }
     return reply(200, Json.object());
   }
@@ -234,7 +234,7 @@
     if (v == null) {
       return reply(404, Json.object().put("epoch", epoch));
     }
-    ObjectNode o = Json.object().put("key", key).put("stamp", v.stamp);
+    ObjectNode o = Json.object().put("key", key).put("stamp", v.modRevision);
     o.set("v", v.v);
     return reply(200, o);
   }
@@ -246,7 +246,7 @@
         .forEach(
             (k, v) -> {
               if (k.startsWith(prefix) && (after == null || k.compareTo(after) > 0)) {
-                ObjectNode p = pairs.addObject().put("key", k).put("stamp", v.stamp);
+                ObjectNode p = pairs.addObject().put("key", k).put("stamp", v.modRevision);
                 p.set("v", v.v);
               }
             });
@@ -275,7 +275,7 @@
     ArrayNode failed = Json.object().putArray("failed");
     for (JsonNode w : o.get("when")) {
       boolean seen = blindTo == null || !w.get("key").asText().startsWith(blindTo);
-      if (seen && stamp(w.get("key").asText()) != w.get("stamp").asLong()) {
+      if (seen && modRevision(w.get("key").asText()) != w.get("stamp").asLong()) {
         failed.add(w.get("key").asText());
       }
     }
@@ -324,16 +324,16 @@
     }
   }
 
-  private Future<HttpReply> watch(String prefix, long after, double holdS) {
+  private Future<HttpReply> watch(String prefix, long after, double gracePeriodS) {
     Promise<HttpReply> promise = Promise.promise();
-    boolean any = changes.stream().anyMatch(c -> c.stamp > after && c.key.startsWith(prefix));
+    boolean any = changes.stream().anyMatch(c -> c.modRevision > after && c.key.startsWith(prefix));
     if (any) {
       promise.complete(events(prefix, after));
     } else {
       Watch w = new Watch(prefix, after, promise);
       watches.add(w);
       time.after(
-          holdS,
+          gracePeriodS,
           () -> {
             watches.remove(w);
             promise.tryComplete(events(prefix, after));
@@ -346,9 +346,9 @@
     ObjectNode o = Json.object().put("epoch", epoch);
     ArrayNode list = o.putArray("events");
     for (Change c : changes) {
-      if (c.stamp > after && c.key.startsWith(prefix)) {
+      if (c.modRevision > after && c.key.startsWith(prefix)) {
         ObjectNode e =
-            list.addObject().put(c.v == null ? "drop" : "write", c.key).put("stamp", c.stamp);
+            list.addObject().put(c.v == null ? "drop" : "write", c.key).put("stamp", c.modRevision);
         if (c.v != null) {
           e.set("v", c.v);
         }
--- a/src/test/java/io/embernotch/testkit/FakeWorker.java
+++ b/src/test/java/io/embernotch/testkit/FakeWorker.java
@@ -69,7 +69,7 @@
   /** Is told of each task that is no longer on the machine, however it ended. */
   Consumer<String> onLeave = t -> {};
 
-  double reportsAgainAt;
+  double heartbeatsAgainAt;
 
   /** Starts that were sent to it while it was deaf. */
   public int startsLost;
@@ -158,7 +158,7 @@
     }
   }
 
-  public byte[] report() {
+  public byte[] heartbeat() {
     seq++;
     ObjectNode o = Json.object();
     o.put("hearth", name)
@@ -198,11 +198,11 @@
   public HttpReply direct(byte[] body) {
     ObjectNode o = Json.parseObject(body);
     if (o.get("baton").asLong() < token || o.get("tenure").asLong() != session) {
-      return new HttpReply(409, report());
+      return new HttpReply(409, heartbeat());
     }
     token = o.get("baton").asLong();
     obey(o.get("orders"));
-    return new HttpReply(200, report());
+    return new HttpReply(200, heartbeat());
   }
 
   private void obey(JsonNode orders) {
--- a/src/test/java/io/embernotch/testkit/InvariantChecker.java
+++ b/src/test/java/io/embernotch/testkit/InvariantChecker.java
@@ -158,7 +158,7 @@
       boolean byItself =
           !cancelAskedAt.containsKey(ref)
               && sent.contains(ref)
-              && (spec == null || spec.awaits().isEmpty());
+              && (spec == null || spec.dependencies().isEmpty());
       if (byItself) {
         breaks(ref + " is called cancelled, and nobody asked for it");
       }
@@ -186,7 +186,7 @@
    * just started do not count yet.
    */
   private void presence(String ref, String phase, double askedAt, double now) {
-    double knownS = settings.workers().reportS() / 6;
+    double knownS = settings.workers().heartbeatIntervalS() / 6;
     if (onMachines.getOrDefault(ref, 0) == 0
         || askedAt - startedAt.getOrDefault(ref, 0.0) < knownS) {
       return;
@@ -333,7 +333,7 @@
       boolean waits =
           !ends.containsKey(ref)
               && !cancelAskedAt.containsKey(ref)
-              && s.awaits().isEmpty()
+              && s.dependencies().isEmpty()
               && (gang ? on.getOrDefault(ref, 0) == 0 && !allDone(ref, s) : left > 0);
       double max = settings.teams().get(s.team()).gpusMax();
       int need = gang ? s.tasks() : 1;
--- a/src/test/java/io/embernotch/testkit/SimulatedCluster.java
+++ b/src/test/java/io/embernotch/testkit/SimulatedCluster.java
@@ -69,7 +69,7 @@
   /** Frames arrive with {@link #releaseHeld()}, at whoever has the receiver's name then. */
   public boolean holdFrames;
 
-  private final Map<String, List<byte[]>> reports = new HashMap<>();
+  private final Map<String, List<byte[]>> heartbeats = new HashMap<>();
 
   /**
    * The least that was left of a lease, as a share of it, when a worker that had gone on was
@@ -98,7 +98,7 @@
   /**
    * Of this share of the reports a copy arrives again, up to two leases later, at any controller.
    */
-  public double lateReports;
+  public double lateHeartbeats;
 
   /** This share of transactions is carried out at once, and gets no answer. */
   public double lostAnswers;
@@ -118,7 +118,7 @@
    * Of this share of the reports a copy is kept, and arrives at every controller as the next leader
    * begins.
    */
-  public double reportsForNext;
+  public double heartbeatsForNext;
 
   private final List<byte[]> keptForNext = new ArrayList<>();
 
@@ -161,7 +161,7 @@
       FakeTimeOf clock = new FakeTimeOf(this, mine);
       HttpCaller caller =
           (method, to, path, body, timeout) -> call(this, mine, method, to, path, body, timeout);
-      ControllerContext env =
+      ControllerContext context =
           new ControllerContext(
               settings,
               operator,
@@ -174,18 +174,18 @@
               caller,
               () -> settings.node() + "-" + ++names,
               Runnable::run);
-      LeaseRenewer keeper =
+      LeaseRenewer leaseRenewer =
           new LeaseRenewer(
               caller,
-              settings.state(),
+              settings.storeAddress(),
               time,
               clock,
               clock,
               clock,
               settings.leaderLeaseS(OperatorSettings.DEFAULTS),
               Settings.DRIFT,
-              settings.contactS());
-      controller = new Controller(env, new Link(this), keeper);
+              settings.contactTimeoutS());
+      controller = new Controller(context, new Link(this), leaseRenewer);
       controller.start();
     }
 
@@ -578,10 +578,10 @@
 
   private Future<HttpReply> arrive(Node from, String method, HostPort to, String path, byte[] body) {
     if (from.settings.location().equals(cutZone)
-        && (to.equals(from.settings.state()) || to.equals(from.settings.cloud()))) {
+        && (to.equals(from.settings.storeAddress()) || to.equals(from.settings.cloudAddress()))) {
       return null;
     }
-    if (to.equals(from.settings.state())) {
+    if (to.equals(from.settings.storeAddress())) {
       if (from.noState) {
         return from.silentState
             ? null
@@ -618,7 +618,7 @@
       }
       return state.handle(method, path, body);
     }
-    if (to.equals(from.settings.cloud())) {
+    if (to.equals(from.settings.cloudAddress())) {
       return Future.succeededFuture(cloud.handle(method, path, body));
     }
     FakeWorker w = at(to);
@@ -661,7 +661,7 @@
     if (path.equals("/do")) {
       copies.add(() -> w.direct(body));
     }
-    return Future.succeededFuture(path.equals("/do") ? w.direct(body) : new HttpReply(200, w.report()));
+    return Future.succeededFuture(path.equals("/do") ? w.direct(body) : new HttpReply(200, w.heartbeat()));
   }
 
   /**
@@ -680,10 +680,10 @@
   private void deliverKept() {
     List<byte[]> kept = List.copyOf(keptForNext);
     keptForNext.clear();
-    for (byte[] report : kept) {
+    for (byte[] heartbeat : kept) {
       for (Node to : nodes) {
         // Before the leader has read the store, while it reads, and after.
-        time.after(random.nextDouble(2), () -> late(to, report));
+        time.after(random.nextDouble(2), () -> late(to, heartbeat));
       }
     }
   }
@@ -712,14 +712,14 @@
   public int frames;
 
   /** All that a machine has reported so far, the oldest first. */
-  public List<byte[]> reportsOf(String machine) {
-    return reports.getOrDefault(machine, List.of());
+  public List<byte[]> heartbeatsOf(String machine) {
+    return heartbeats.getOrDefault(machine, List.of());
   }
 
   /** A copy of a report arrives at a controller, whatever its age. */
-  public void late(Node to, byte[] report) {
+  public void late(Node to, byte[] heartbeat) {
     if (!to.down) {
-      to.controller.report(WorkerCodec.read(report));
+      to.controller.handleHeartbeat(WorkerCodec.read(heartbeat));
     }
   }
 
@@ -743,7 +743,7 @@
     w.onStart = t -> rules.started(w, t, described(t), workers.values(), time.now());
     w.onExit = rules::exited;
     w.onLeave = rules::left;
-    reportLoop(w);
+    heartbeatLoop(w);
     leaseLoop(w);
   }
 
@@ -755,14 +755,14 @@
 
   // ---- workers
 
-  private void reportLoop(FakeWorker w) {
+  private void heartbeatLoop(FakeWorker w) {
     if (workers.get(w.name) != w) {
       return;
     }
-    if (!w.cut && !w.hung && !w.mute && time.now() >= w.reportsAgainAt) {
-      report(w, 0);
+    if (!w.cut && !w.hung && !w.mute && time.now() >= w.heartbeatsAgainAt) {
+      heartbeat(w, 0);
     }
-    time.after(1.0, () -> reportLoop(w));
+    time.after(1.0, () -> heartbeatLoop(w));
   }
 
   private void leaseLoop(FakeWorker w) {
@@ -772,7 +772,7 @@
     time.after(0.1, () -> leaseLoop(w));
   }
 
-  private void report(FakeWorker w, int hops) {
+  private void heartbeat(FakeWorker w, int hops) {
     Node n = nodes.get(w.node);
     if (n.down || n.noWorkers || apart(n.settings.location(), w.zone)) {
       w.node = (w.node + 1) % nodes.size();
@@ -782,18 +782,18 @@
     double sentAt = time.now();
     int life = n.life;
     long session = w.session;
-    byte[] said = w.report();
-    reports.computeIfAbsent(w.name, k -> new ArrayList<>()).add(said);
+    byte[] said = w.heartbeat();
+    heartbeats.computeIfAbsent(w.name, k -> new ArrayList<>()).add(said);
     copies.add(
         () -> {
           if (!n.down) {
-            n.controller.report(WorkerCodec.read(said));
+            n.controller.handleHeartbeat(WorkerCodec.read(said));
           }
         });
-    if (reportsForNext > 0 && random.nextDouble() < reportsForNext) {
+    if (heartbeatsForNext > 0 && random.nextDouble() < heartbeatsForNext) {
       keptForNext.add(said);
     }
-    if (random.nextDouble() < lateReports) {
+    if (random.nextDouble() < lateHeartbeats) {
       int to = random.nextInt(nodes.size());
       time.after(
           LATE_LEAST_S + random.nextDouble(2 * n.settings.workers().leaseS()),
@@ -802,10 +802,10 @@
     if (w.deaf) {
       // It waits four seconds for the answer, and a second more.
       w.node = (w.node + 1) % nodes.size();
-      w.reportsAgainAt = time.now() + 5;
+      w.heartbeatsAgainAt = time.now() + 5;
     }
     n.controller
-        .report(WorkerCodec.read(said))
+        .handleHeartbeat(WorkerCodec.read(said))
         .onSuccess(
             a -> {
               boolean late = time.now() - sentAt > ANSWER_S;
@@ -838,7 +838,7 @@
                 w.node =
                     to.isEmpty() ? (w.node + 1) % nodes.size() : Integer.parseInt(to.substring(1));
                 if (!to.isEmpty() && hops < 2) {
-                  report(w, hops + 1);
+                  heartbeat(w, hops + 1);
                 }
               }
             });
