--- a/src/main/java/io/embernotch/agents/AgentReconciler.java
+++ b/src/main/java/io/embernotch/agents/AgentReconciler.java
@@ -34,13 +34,13 @@
 
   /** What is told of attempts. */
   public interface Listener {
-    void taskRunning(Attempt a, Machine m);
+    void taskRunning(Attempt attempt, Machine machine);
 
     /** The attempt has exited on its machine; it is still open. */
-    void taskExited(Attempt a, Machine m, ExitCause cause, boolean saved);
+    void taskExited(Attempt attempt, Machine machine, ExitCause cause, boolean saved);
 
     /** The attempt is proven gone without an exit. */
-    void attemptGone(Attempt a, Machine m, String why);
+    void attemptGone(Attempt attempt, Machine machine, String why);
 
     /** A worker has seen a token newer than ours. */
     void superseded(long token);
@@ -104,110 +104,110 @@
    *
    * @param via the life of the controller that it was sent to; see {@link ReachabilityTracker}
    */
-  public byte[] processHeartbeat(Heartbeat r, boolean trusted, long via) {
-    if (wasDeleted(r.machine())) {
+  public byte[] processHeartbeat(Heartbeat heartbeat, boolean trusted, long via) {
+    if (wasDeleted(heartbeat.machine())) {
       return null;
     }
-    Machine m = state.machine(r.machine(), tokenBase);
-    boolean unsure = r.token() < m.incarnationToken;
-    boolean newer = !unsure && r.newerThan(m.agentEpoch, m.heartbeatSeq) && r.token() >= m.highestReportedToken;
-    if (m.deleting && !newer) {
+    Machine machine = state.machine(heartbeat.machine(), tokenBase);
+    boolean unsure = heartbeat.token() < machine.incarnationToken;
+    boolean newer = !unsure && heartbeat.newerThan(machine.agentEpoch, machine.heartbeatSeq) && heartbeat.token() >= machine.highestReportedToken;
+    if (machine.deleting && !newer) {
       return null;
     }
     double now = context.clock().now();
-    if (!newer && !unsure && now - m.lastHeartbeatAt > ANSWERABLE_S) {
+    if (!newer && !unsure && now - machine.lastHeartbeatAt > ANSWERABLE_S) {
       // A copy, or another life that counts anew. Nobody takes an answer to it: its worker has given up on it
       // before what we have heard since was made. So it renews nothing; taken for news, copies of what a dead
       // machine had said kept its lease assumed, and its services down, for as long as they came.
-      prober.probeAtMostOncePerInterval(m);
+      prober.probeAtMostOncePerInterval(machine);
       return WorkerCodec.stay();
     }
     if (newer) {
-      reachability.heartbeatReceived(m, r, via, now);
+      reachability.heartbeatReceived(machine, heartbeat, via, now);
     }
-    if (!reconcileCurrentIncarnation(r, m)) {
+    if (!reconcileCurrentIncarnation(heartbeat, machine)) {
       return null;
     }
-    m.leaseRenewedAt = now;
-    List<AgentCommand> orders = responder.commandsFor(m, r, trusted);
-    reachability.answering(m);
-    return WorkerCodec.response(m.token, orders);
+    machine.leaseRenewedAt = now;
+    List<AgentCommand> orders = responder.commandsFor(machine, heartbeat, trusted);
+    reachability.answering(machine);
+    return WorkerCodec.response(machine.token, orders);
   }
 
   /** Learns from a report that was answered without a token; false if it tells us nothing. */
-  public boolean processForwarded(Heartbeat r) {
-    return !wasDeleted(r.machine()) && reconcileCurrentIncarnation(r, state.machine(r.machine(), tokenBase));
+  public boolean processForwarded(Heartbeat heartbeat) {
+    return !wasDeleted(heartbeat.machine()) && reconcileCurrentIncarnation(heartbeat, state.machine(heartbeat.machine(), tokenBase));
   }
 
   /**
    * Takes what a report tells. Of a machine that has begun another life, only what shows that it is of this one: a
    * copy of the former life's with a later session once would have proven gone what had just been started.
    */
-  private boolean reconcileCurrentIncarnation(Heartbeat r, Machine m) {
-    return r.token() < m.incarnationToken || reconcile(r, m);
+  private boolean reconcileCurrentIncarnation(Heartbeat heartbeat, Machine machine) {
+    return heartbeat.token() < machine.incarnationToken || reconcile(heartbeat, machine);
   }
 
   /** Learns from a report, whichever way it came. False if it shows us to be outranked. */
-  public boolean reconcile(Heartbeat r, Machine m) {
-    if (r.token() > m.token) {
-      if (FencingTokens.epochOf(r.token()) > FencingTokens.epochOf(tokenBase)) {
-        listener.superseded(r.token());
+  public boolean reconcile(Heartbeat heartbeat, Machine machine) {
+    if (heartbeat.token() > machine.token) {
+      if (FencingTokens.epochOf(heartbeat.token()) > FencingTokens.epochOf(tokenBase)) {
+        listener.superseded(heartbeat.token());
         return false;
       }
-      m.token = r.token();
+      machine.token = heartbeat.token();
     }
-    boolean newer = r.newerThan(m.agentEpoch, m.heartbeatSeq);
-    if (!newer || r.token() < m.highestReportedToken) {
+    boolean newer = heartbeat.newerThan(machine.agentEpoch, machine.heartbeatSeq);
+    if (!newer || heartbeat.token() < machine.highestReportedToken) {
       // Tokens that a worker has seen only rise, so where they and the order of messages contradict each other
       // it is of another life, before or after.
-      if (newer || r.token() != m.highestReportedToken) {
+      if (newer || heartbeat.token() != machine.highestReportedToken) {
         // Late, or of another life of the machine, which counts anew: an answer made from now on tells.
-        prober.probeAtMostOncePerInterval(m);
+        prober.probeAtMostOncePerInterval(machine);
       }
       return true;
     }
     double now = context.clock().now();
-    boolean first = !m.up();
+    boolean first = !machine.up();
     if (first) {
-      m.upAt = now;
-      m.idleSince = now;
-      m.rentedAt = m.rentedAt == 0 ? now : m.rentedAt;
-      LOG.debug("machine {} is up after {} s", m.name, Math.round(now - m.rentedAt));
-    }
-    m.type = state.types.getOrDefault(r.type(), m.type);
-    m.zone = r.zone();
-    m.spot = r.spot();
-    m.address = r.address();
-    boolean newSession = r.agentEpoch() > m.agentEpoch;
-    if (newSession && m.agentEpoch > 0) {
-      m.images.clear();
-    }
-    m.lastHeartbeatAt = now;
-    m.highestReportedToken = r.token();
-    if (r.token() >= tokenBase && m.confirmedAliveAt < 0) {
+      machine.upAt = now;
+      machine.idleSince = now;
+      machine.rentedAt = machine.rentedAt == 0 ? now : machine.rentedAt;
+      LOG.debug("machine {} is up after {} s", machine.name, Math.round(now - machine.rentedAt));
+    }
+    machine.type = state.types.getOrDefault(heartbeat.type(), machine.type);
+    machine.zone = heartbeat.zone();
+    machine.spot = heartbeat.spot();
+    machine.address = heartbeat.address();
+    boolean newSession = heartbeat.agentEpoch() > machine.agentEpoch;
+    if (newSession && machine.agentEpoch > 0) {
+      machine.images.clear();
+    }
+    machine.lastHeartbeatAt = now;
+    machine.highestReportedToken = heartbeat.token();
+    if (heartbeat.token() >= tokenBase && machine.confirmedAliveAt < 0) {
       // Made after this term began: no copy from before it.
-      m.confirmedAliveAt = now;
+      machine.confirmedAliveAt = now;
     }
-    if (r.reclaimInS() != null && m.reclaimAt < 0) {
-      LOG.info("machine {} is taken back in {} s", m.name, r.reclaimInS());
-      m.reclaimAt = now + r.reclaimInS();
+    if (heartbeat.reclaimInS() != null && machine.reclaimAt < 0) {
+      LOG.info("machine {} is taken back in {} s", machine.name, heartbeat.reclaimInS());
+      machine.reclaimAt = now + heartbeat.reclaimInS();
       listener.clusterChanged();
     }
-    long oldSession = m.agentEpoch;
-    m.agentEpoch = r.agentEpoch();
-    m.heartbeatSeq = r.seq();
+    long oldSession = machine.agentEpoch;
+    machine.agentEpoch = heartbeat.agentEpoch();
+    machine.heartbeatSeq = heartbeat.seq();
     Set<String> listed = new HashSet<>();
-    for (TaskStatus t : r.tasks()) {
+    for (TaskStatus t : heartbeat.tasks()) {
       String key = Machine.taskKey(t.ref(), t.task());
-      Attempt a = m.openAttempts.get(key);
-      if (a != null && a.number == t.attempt()) {
+      Attempt attempt = machine.openAttempts.get(key);
+      if (attempt != null && attempt.number == t.attempt()) {
         listed.add(key);
-        reconcilePresent(a, m, t, now);
+        reconcilePresent(attempt, machine, t, now);
       }
     }
-    for (Attempt a : List.copyOf(m.openAttempts.values())) {
-      if (!listed.contains(Machine.taskKey(a.job.spec.ref(), a.task))) {
-        reconcileAbsent(a, m, r, newSession && oldSession > 0);
+    for (Attempt attempt : List.copyOf(machine.openAttempts.values())) {
+      if (!listed.contains(Machine.taskKey(attempt.job.spec.ref(), attempt.task))) {
+        reconcileAbsent(attempt, machine, heartbeat, newSession && oldSession > 0);
       }
     }
     if (first || newSession) {
@@ -216,61 +216,61 @@
     return true;
   }
 
-  private void reconcilePresent(Attempt a, Machine m, TaskStatus t, double now) {
-    a.launchState = LaunchState.CONFIRMED;
-    TaskState before = a.state;
+  private void reconcilePresent(Attempt attempt, Machine machine, TaskStatus t, double now) {
+    attempt.launchState = LaunchState.CONFIRMED;
+    TaskState before = attempt.state;
     if (t.state() == TaskState.EXITED) {
       boolean hadImage = before != null && before != TaskState.FETCHING;
       if (hadImage || t.cause() == ExitCause.DONE) {
-        rememberImage(m, a.job.spec);
+        rememberImage(machine, attempt.job.spec);
       }
-      listener.taskExited(a, m, t.cause(), t.saved());
+      listener.taskExited(attempt, machine, t.cause(), t.saved());
       return;
     }
     if (before != t.state()) {
-      a.state = t.state();
-      m.attemptsChanged();
+      attempt.state = t.state();
+      machine.attemptsChanged();
       if (t.state() != TaskState.FETCHING) {
-        rememberImage(m, a.job.spec);
+        rememberImage(machine, attempt.job.spec);
       }
     }
-    if (t.state() == TaskState.RUNNING && a.runningAt < 0) {
-      a.runningAt = now;
-      listener.taskRunning(a, m);
+    if (t.state() == TaskState.RUNNING && attempt.runningAt < 0) {
+      attempt.runningAt = now;
+      listener.taskRunning(attempt, machine);
     }
   }
 
   /** Remembers the image, and forgets the least recently used ones that no longer fit. */
-  private void rememberImage(Machine m, JobSpec spec) {
-    m.images.remove(spec.image());
-    m.images.add(spec.image());
+  private void rememberImage(Machine machine, JobSpec spec) {
+    machine.images.remove(spec.image());
+    machine.images.add(spec.image());
     state.imageGb.put(spec.image(), spec.imageGb());
-    double held = m.images.stream().mapToDouble(i -> state.imageGb.getOrDefault(i, 0.0)).sum();
-    while (m.images.size() > 1 && (m.images.size() > MOST_IMAGES || (m.type != null && m.type.cacheGb() > 0 && held > m.type.cacheGb()))) {
-      String oldest = m.images.iterator().next();
-      m.images.remove(oldest);
+    double held = machine.images.stream().mapToDouble(i -> state.imageGb.getOrDefault(i, 0.0)).sum();
+    while (machine.images.size() > 1 && (machine.images.size() > MOST_IMAGES || (machine.type != null && machine.type.cacheGb() > 0 && held > machine.type.cacheGb()))) {
+      String oldest = machine.images.iterator().next();
+      machine.images.remove(oldest);
       held -= state.imageGb.getOrDefault(oldest, 0.0);
     }
   }
 
-  private void reconcileAbsent(Attempt a, Machine m, Heartbeat r, boolean newSession) {
-    switch (a.launchState) {
+  private void reconcileAbsent(Attempt attempt, Machine machine, Heartbeat heartbeat, boolean newSession) {
+    switch (attempt.launchState) {
       case CONFIRMED -> {
-        if (newSession || r.token() > a.startToken) {
-          listener.attemptGone(a, m, newSession ? "new session" : "no longer reported");
+        if (newSession || heartbeat.token() > attempt.startToken) {
+          listener.attemptGone(attempt, machine, newSession ? "new session" : "no longer reported");
         } else {
           // A machine that is back without its tasks would carry out a copy of the start that comes only now.
-          a.launchState = LaunchState.UNCONFIRMED;
-          fenceOff(m, a.startToken);
+          attempt.launchState = LaunchState.UNCONFIRMED;
+          fenceOff(machine, attempt.startToken);
         }
       }
       // A response is executed before the next report or dropped, so this start never happened.
-      case IN_HEARTBEAT_RESPONSE -> launchNeverSent(a, m);
+      case IN_HEARTBEAT_RESPONSE -> launchNeverSent(attempt, machine);
       case UNCONFIRMED -> {
         // The late command carries at most startToken: a worker past it refuses the command. In a
         // later session than the one it named it is refused as well.
-        if (r.token() > a.startToken || (newSession && a.startToken >= tokenBase)) {
-          listener.attemptGone(a, m, "never started");
+        if (heartbeat.token() > attempt.startToken || (newSession && attempt.startToken >= tokenBase)) {
+          listener.attemptGone(attempt, machine, "never started");
         }
       }
       case UNCOMMITTED, READY, SENDING -> {
@@ -283,17 +283,17 @@
    * Nothing of the attempt's start is on the way any more. One that is to end has ended with that: it once stayed
    * open for good, and kept its gang from starting again.
    */
-  private void launchNeverSent(Attempt a, Machine m) {
-    a.launchState = LaunchState.READY;
-    if (a.stopping) {
-      listener.attemptGone(a, m, "never started");
+  private void launchNeverSent(Attempt attempt, Machine machine) {
+    attempt.launchState = LaunchState.READY;
+    if (attempt.stopping) {
+      listener.attemptGone(attempt, machine, "never started");
     }
   }
 
   /** Sends what is due straight to the machine, unless something is already on the way. */
-  public void sendDueCommands(Machine m) {
+  public void sendDueCommands(Machine machine) {
     double now = context.clock().now();
-    if (m.commandInFlight || m.address == null || m.agentEpoch == 0 || now - m.commandFailedAt < callS) {
+    if (machine.commandInFlight || machine.address == null || machine.agentEpoch == 0 || now - machine.commandFailedAt < callS) {
       return;
     }
     List<AgentCommand> orders = new ArrayList<>();
@@ -301,142 +301,142 @@
     List<Attempt> stopping = new ArrayList<>();
     // A command may have waited for its turn, or for the answer to another, while leadership was lost.
     boolean mayStart = listener.isLeading();
-    for (Attempt a : m.openAttempts.values()) {
-      if (a.launchState == LaunchState.READY && !a.stopping && mayStart) {
-        orders.add(HeartbeatResponder.start(a));
-        starting.add(a);
-      } else if (HeartbeatResponder.stopDue(a) && now - a.stopSentAt > context.settings().workers().heartbeatIntervalS()) {
-        orders.add(HeartbeatResponder.stop(a));
-        stopping.add(a);
+    for (Attempt attempt : machine.openAttempts.values()) {
+      if (attempt.launchState == LaunchState.READY && !attempt.stopping && mayStart) {
+        orders.add(HeartbeatResponder.start(attempt));
+        starting.add(attempt);
+      } else if (HeartbeatResponder.stopDue(attempt) && now - attempt.stopSentAt > context.settings().workers().heartbeatIntervalS()) {
+        orders.add(HeartbeatResponder.stop(attempt));
+        stopping.add(attempt);
       }
     }
-    if (orders.isEmpty() || !callLimiter.tryEnter(m, need(m, starting, now), () -> sendDueCommands(m))) {
+    if (orders.isEmpty() || !callLimiter.tryEnter(machine, need(machine, starting, now), () -> sendDueCommands(machine))) {
       return;
     }
-    for (Attempt a : starting) {
-      a.launchState = LaunchState.SENDING;
-      a.startToken = m.token;
-      m.highestSentToken = m.token;
+    for (Attempt attempt : starting) {
+      attempt.launchState = LaunchState.SENDING;
+      attempt.startToken = machine.token;
+      machine.highestSentToken = machine.token;
     }
-    stopping.forEach(a -> a.stopSentAt = now);
-    sendCommand(m, orders, starting);
+    stopping.forEach(attempt -> attempt.stopSentAt = now);
+    sendCommand(machine, orders, starting);
   }
 
-  private CallConcurrencyLimiter.CallClass need(Machine m, List<Attempt> starting, double now) {
-    if (now - m.lastHeartbeatAt > 2 * context.settings().workers().heartbeatIntervalS()) {
+  private CallConcurrencyLimiter.CallClass need(Machine machine, List<Attempt> starting, double now) {
+    if (now - machine.lastHeartbeatAt > 2 * context.settings().workers().heartbeatIntervalS()) {
       return CallConcurrencyLimiter.CallClass.UNRESPONSIVE;
     }
-    boolean live = starting.stream().anyMatch(a -> a.job.spec.priority() == Priority.PRODUCTION);
+    boolean live = starting.stream().anyMatch(attempt -> attempt.job.spec.priority() == Priority.PRODUCTION);
     return live ? CallConcurrencyLimiter.CallClass.LIVE : CallConcurrencyLimiter.CallClass.NORMAL;
   }
 
-  private void sendCommand(Machine m, List<AgentCommand> orders, List<Attempt> starting) {
+  private void sendCommand(Machine machine, List<AgentCommand> orders, List<Attempt> starting) {
     HostPort to;
     try {
-      to = HostPort.parse(m.address);
+      to = HostPort.parse(machine.address);
     } catch (IllegalArgumentException e) {
-      LOG.info("machine {} has no usable address: {}", m.name, m.address);
-      m.commandFailedAt = context.clock().now();
-      starting.forEach(a -> launchNeverSent(a, m));
+      LOG.info("machine {} has no usable address: {}", machine.name, machine.address);
+      machine.commandFailedAt = context.clock().now();
+      starting.forEach(attempt -> launchNeverSent(attempt, machine));
       callLimiter.leave();
       return;
     }
-    long token = m.token;
-    m.commandInFlight = true;
+    long token = machine.token;
+    machine.commandInFlight = true;
     context.workers()
-        .call("POST", to, "/do", WorkerCodec.direct(token, m.agentEpoch, orders), callS)
+        .call("POST", to, "/do", WorkerCodec.direct(token, machine.agentEpoch, orders), callS)
         .onComplete(r -> context.profile().run("command", () -> {
           if (r.succeeded()) {
-            commandAnswered(m, token, starting, r.result());
+            commandAnswered(machine, token, starting, r.result());
           } else {
-            commandFailed(m, token, starting, r.cause());
+            commandFailed(machine, token, starting, r.cause());
           }
           callLimiter.leave();
         }));
   }
 
-  private void commandAnswered(Machine m, long token, List<Attempt> starting, HttpReply reply) {
-    m.commandInFlight = false;
-    if (state.machines.get(m.name) != m) {
+  private void commandAnswered(Machine machine, long token, List<Attempt> starting, HttpReply reply) {
+    machine.commandInFlight = false;
+    if (state.machines.get(machine.name) != machine) {
       return;
     }
-    reachability.callAnswered(m, context.clock().now());
+    reachability.callAnswered(machine, context.clock().now());
     boolean done = reply.status() == 200;
-    Heartbeat r;
+    Heartbeat heartbeat;
     try {
-      r = WorkerCodec.read(reply.body());
+      heartbeat = WorkerCodec.read(reply.body());
     } catch (MalformedInputException e) {
-      LOG.info("unreadable answer {} of {}: {}", reply.status(), m.name, e.getMessage());
-      commandFailed(m, token, starting, new CallFailedException(done, e.getMessage()));
+      LOG.info("unreadable answer {} of {}: {}", reply.status(), machine.name, e.getMessage());
+      commandFailed(machine, token, starting, new CallFailedException(done, e.getMessage()));
       return;
     }
-    for (Attempt a : starting) {
-      if (a.launchState == LaunchState.SENDING) {
+    for (Attempt attempt : starting) {
+      if (attempt.launchState == LaunchState.SENDING) {
         // Executed: it is listed, or was and has ended since. Refused: nothing of it is left.
         if (done) {
-          a.launchState = LaunchState.CONFIRMED;
+          attempt.launchState = LaunchState.CONFIRMED;
         } else {
-          launchNeverSent(a, m);
+          launchNeverSent(attempt, machine);
         }
       }
     }
     if (!done) {
-      m.commandFailedAt = context.clock().now();
+      machine.commandFailedAt = context.clock().now();
     }
-    if (done && !r.newerThan(m.agentEpoch, m.heartbeatSeq) && r.agentEpoch() == m.agentEpoch) {
+    if (done && !heartbeat.newerThan(machine.agentEpoch, machine.heartbeatSeq) && heartbeat.agentEpoch() == machine.agentEpoch) {
       // A newer report overtook this answer, and spoke before we knew of the starts in it.
       return;
     }
-    if (reconcile(r, m) && done) {
-      sendDueCommands(m);
+    if (reconcile(heartbeat, machine) && done) {
+      sendDueCommands(machine);
     }
   }
 
   /** A command under this token may yet arrive, even minutes late. Under a higher one the worker will refuse it. */
-  private static void fenceOff(Machine m, long token) {
-    m.unconfirmedToken = Math.max(m.unconfirmedToken, token);
-    m.token = Math.max(m.token, token + 1);
+  private static void fenceOff(Machine machine, long token) {
+    machine.unconfirmedToken = Math.max(machine.unconfirmedToken, token);
+    machine.token = Math.max(machine.token, token + 1);
   }
 
-  private void commandFailed(Machine m, long token, List<Attempt> starting, Throwable e) {
-    m.commandInFlight = false;
-    m.commandFailedAt = context.clock().now();
+  private void commandFailed(Machine machine, long token, List<Attempt> starting, Throwable e) {
+    machine.commandInFlight = false;
+    machine.commandFailedAt = context.clock().now();
     boolean sent = !(e instanceof CallFailedException f) || f.sent;
-    LOG.info("direct command to {} failed, sent {}: {}", m.name, sent, e.getMessage());
+    LOG.info("direct command to {} failed, sent {}: {}", machine.name, sent, e.getMessage());
     if (sent) {
-      fenceOff(m, token);
+      fenceOff(machine, token);
     }
     if (sent || !(e instanceof CallFailedException f) || f.tried) {
-      reachability.callUnanswered(m, context.clock().now());
+      reachability.callUnanswered(machine, context.clock().now());
     }
-    for (Attempt a : starting) {
-      if (a.launchState == LaunchState.SENDING) {
+    for (Attempt attempt : starting) {
+      if (attempt.launchState == LaunchState.SENDING) {
         if (sent) {
-          a.launchState = LaunchState.UNCONFIRMED;
+          attempt.launchState = LaunchState.UNCONFIRMED;
         } else {
-          launchNeverSent(a, m);
+          launchNeverSent(attempt, machine);
         }
       }
     }
   }
 
   /** See {@link WorkerLeases#expired}. */
-  public boolean leaseExpired(Machine m) {
-    return workerLeases.expired(m);
+  public boolean leaseExpired(Machine machine) {
+    return workerLeases.expired(machine);
   }
 
   /** See {@link WorkerLeases#goneBy}. */
-  public double leaseExpiresBy(Machine m) {
-    return workerLeases.leaseExpiresBy(m);
+  public double leaseExpiresBy(Machine machine) {
+    return workerLeases.leaseExpiresBy(machine);
   }
 
   /** See {@link StatusProber#probe}. */
-  public void probe(Machine m) {
-    prober.probe(m);
+  public void probe(Machine machine) {
+    prober.probe(machine);
   }
 
   /** See {@link StatusProber#find}. */
-  public void find(Machine m) {
-    prober.find(m);
+  public void find(Machine machine) {
+    prober.find(machine);
   }
 }
--- a/src/main/java/io/embernotch/agents/CallConcurrencyLimiter.java
+++ b/src/main/java/io/embernotch/agents/CallConcurrencyLimiter.java
@@ -47,12 +47,12 @@
    * True if a call may begin now; it ends with {@link #leave}. Else {@code again} asks once there
    * is room.
    */
-  public boolean tryEnter(Machine m, CallClass callClass, Runnable again) {
+  public boolean tryEnter(Machine machine, CallClass callClass, Runnable again) {
     if (hasRoom(callClass) && (draining || waiting.get(callClass).isEmpty())) {
       underWay++;
       return true;
     }
-    waiting.get(callClass).putIfAbsent(m, again);
+    waiting.get(callClass).putIfAbsent(machine, again);
     return false;
   }
 
@@ -65,17 +65,17 @@
     for (CallClass callClass : CallClass.values()) {
       Map<Machine, Runnable> queue = waiting.get(callClass);
       while (hasRoom(callClass) && !queue.isEmpty()) {
-        Machine m = queue.keySet().iterator().next();
+        Machine machine = queue.keySet().iterator().next();
         // It enters by itself, or has nothing to say any more.
-        queue.remove(m).run();
+        queue.remove(machine).run();
       }
     }
     draining = false;
   }
 
   /** True while a command to the machine waits for its turn. */
-  public boolean waits(Machine m) {
-    return waiting.get(CallClass.LIVE).containsKey(m) || waiting.get(CallClass.NORMAL).containsKey(m);
+  public boolean waits(Machine machine) {
+    return waiting.get(CallClass.LIVE).containsKey(machine) || waiting.get(CallClass.NORMAL).containsKey(machine);
   }
 
   private boolean hasRoom(CallClass callClass) {
--- a/src/main/java/io/embernotch/agents/HeartbeatResponder.java
+++ b/src/main/java/io/embernotch/agents/HeartbeatResponder.java
@@ -33,55 +33,55 @@
    * The orders; {@code trusted}: our lease is proven, so that more may be done than to stop what is
    * to end.
    */
-  List<AgentCommand> commandsFor(Machine m, Heartbeat r, boolean trusted) {
+  List<AgentCommand> commandsFor(Machine machine, Heartbeat heartbeat, boolean trusted) {
     List<AgentCommand> orders = new ArrayList<>();
-    if (r.agentEpoch() == m.agentEpoch) {
-      addStops(m, orders);
+    if (heartbeat.agentEpoch() == machine.agentEpoch) {
+      addStops(machine, orders);
     }
     // One that a newer report or answer has overtaken lists what has ended since as running.
-    if (trusted && r.agentEpoch() == m.agentEpoch && r.seq() == m.heartbeatSeq) {
-      addStarts(m, orders);
-      addReaps(m, r, orders);
+    if (trusted && heartbeat.agentEpoch() == machine.agentEpoch && heartbeat.seq() == machine.heartbeatSeq) {
+      addStarts(machine, orders);
+      addReaps(machine, heartbeat, orders);
     }
     return orders;
   }
 
-  private void addStops(Machine m, List<AgentCommand> orders) {
-    for (Attempt a : m.openAttempts.values()) {
-      if (stopDue(a)) {
-        orders.add(stop(a));
-        a.stopSentAt = context.clock().now();
+  private void addStops(Machine machine, List<AgentCommand> orders) {
+    for (Attempt attempt : machine.openAttempts.values()) {
+      if (stopDue(attempt)) {
+        orders.add(stop(attempt));
+        attempt.stopSentAt = context.clock().now();
       }
     }
   }
 
-  static boolean stopDue(Attempt a) {
-    return a.stopping
-        && (a.launchState == LaunchState.CONFIRMED || a.launchState == LaunchState.UNCONFIRMED || a.launchState == LaunchState.IN_HEARTBEAT_RESPONSE);
+  static boolean stopDue(Attempt attempt) {
+    return attempt.stopping
+        && (attempt.launchState == LaunchState.CONFIRMED || attempt.launchState == LaunchState.UNCONFIRMED || attempt.launchState == LaunchState.IN_HEARTBEAT_RESPONSE);
   }
 
-  static AgentCommand stop(Attempt a) {
-    return new AgentCommand(AgentCommand.Verb.STOP, a.job.spec.ref(), a.task, a.number, a.stopGraceS);
+  static AgentCommand stop(Attempt attempt) {
+    return new AgentCommand(AgentCommand.Verb.STOP, attempt.job.spec.ref(), attempt.task, attempt.number, attempt.stopGraceS);
   }
 
-  static AgentCommand start(Attempt a) {
-    return new AgentCommand(AgentCommand.Verb.START, a.job.spec.ref(), a.task, a.number, 0);
+  static AgentCommand start(Attempt attempt) {
+    return new AgentCommand(AgentCommand.Verb.START, attempt.job.spec.ref(), attempt.task, attempt.number, 0);
   }
 
   /**
    * Where the direct way has just failed, or is waited for, starts go out with the response
    * instead.
    */
-  private void addStarts(Machine m, List<AgentCommand> orders) {
-    boolean failed = context.clock().now() - m.commandFailedAt <= 2 * context.settings().workers().heartbeatIntervalS();
-    if (m.commandInFlight || !(failed || callLimiter.waits(m))) {
+  private void addStarts(Machine machine, List<AgentCommand> orders) {
+    boolean failed = context.clock().now() - machine.commandFailedAt <= 2 * context.settings().workers().heartbeatIntervalS();
+    if (machine.commandInFlight || !(failed || callLimiter.waits(machine))) {
       return;
     }
-    for (Attempt a : m.openAttempts.values()) {
-      if (a.launchState == LaunchState.READY && !a.stopping) {
-        orders.add(start(a));
-        a.launchState = LaunchState.IN_HEARTBEAT_RESPONSE;
-        a.startToken = m.token;
+    for (Attempt attempt : machine.openAttempts.values()) {
+      if (attempt.launchState == LaunchState.READY && !attempt.stopping) {
+        orders.add(start(attempt));
+        attempt.launchState = LaunchState.IN_HEARTBEAT_RESPONSE;
+        attempt.startToken = machine.token;
       }
     }
   }
@@ -92,21 +92,21 @@
    * Even a command that was answered may be repeated on its way, so the answer that forgets carries
    * a token above all that starts have left under; the worker takes the token first.
    */
-  private void addReaps(Machine m, Heartbeat r, List<AgentCommand> orders) {
-    boolean noLateStart = !m.commandInFlight && r.token() > m.unconfirmedToken && r.token() >= tokenBase;
-    for (TaskStatus t : r.tasks()) {
-      Attempt a = m.openAttempts.get(Machine.taskKey(t.ref(), t.task()));
-      boolean ours = a != null && a.number == t.attempt();
+  private void addReaps(Machine machine, Heartbeat heartbeat, List<AgentCommand> orders) {
+    boolean noLateStart = !machine.commandInFlight && heartbeat.token() > machine.unconfirmedToken && heartbeat.token() >= tokenBase;
+    for (TaskStatus t : heartbeat.tasks()) {
+      Attempt attempt = machine.openAttempts.get(Machine.taskKey(t.ref(), t.task()));
+      boolean ours = attempt != null && attempt.number == t.attempt();
       if (t.state() == TaskState.EXITED) {
         if (!ours && noLateStart && listener.isOutcomePersisted(t.ref(), t.task())) {
-          m.token = Math.max(m.token, m.highestSentToken + 1);
+          machine.token = Math.max(machine.token, machine.highestSentToken + 1);
           orders.add(new AgentCommand(AgentCommand.Verb.FORGET, t.ref(), t.task(), t.attempt(), 0));
         }
       } else if (!ours) {
         // Nothing that we let run is missing from the ledger, so this must not run.
         LOG.warn(
             "machine {} runs {}/{}#{}, which should be gone",
-            m.name,
+            machine.name,
             t.ref(),
             t.task(),
             t.attempt());
--- a/src/main/java/io/embernotch/agents/ReachabilityTracker.java
+++ b/src/main/java/io/embernotch/agents/ReachabilityTracker.java
@@ -48,58 +48,58 @@
    * A newer report came by the controller {@code via}, a number of its life. The state of {@code m}
    * is from before it.
    */
-  void heartbeatReceived(Machine m, Heartbeat r, long via, double now) {
-    boolean moved = m.lastForwarder != Machine.NO_FORWARDER && m.lastForwarder != via;
-    boolean answered = m.lastAnsweredToken > 0;
-    m.lastForwarder = via;
-    if (answered && r.token() < m.lastAnsweredToken) {
-      acknowledgementMissed(m, now);
-    } else if (r.token() > m.acknowledgedToken && r.token() >= tokenBase) {
-      confirmReachable(m, now);
+  void heartbeatReceived(Machine machine, Heartbeat heartbeat, long via, double now) {
+    boolean moved = machine.lastForwarder != Machine.NO_FORWARDER && machine.lastForwarder != via;
+    boolean answered = machine.lastAnsweredToken > 0;
+    machine.lastForwarder = via;
+    if (answered && heartbeat.token() < machine.lastAnsweredToken) {
+      acknowledgementMissed(machine, now);
+    } else if (heartbeat.token() > machine.acknowledgedToken && heartbeat.token() >= tokenBase) {
+      confirmReachable(machine, now);
     } else if (moved) {
       // Its first move may be because a controller has ended; the next one tells.
-      m.forwarderChanges++;
-      if (m.forwarderChanges >= ENOUGH) {
-        acknowledgementMissed(m, now);
-        probeWithNextToken(m);
+      machine.forwarderChanges++;
+      if (machine.forwarderChanges >= ENOUGH) {
+        acknowledgementMissed(machine, now);
+        probeWithNextToken(machine);
       }
     } else {
-      m.forwarderChanges = 0;
+      machine.forwarderChanges = 0;
     }
-    if (answered && r.agentEpoch() > m.agentEpoch && m.agentEpoch > 0) {
+    if (answered && heartbeat.agentEpoch() > machine.agentEpoch && machine.agentEpoch > 0) {
       // Its lease ran out while we answered.
-      acknowledgementMissed(m, now);
-      probeWithNextToken(m);
+      acknowledgementMissed(machine, now);
+      probeWithNextToken(machine);
     }
-    m.acknowledgedToken = Math.max(m.acknowledgedToken, r.token());
+    machine.acknowledgedToken = Math.max(machine.acknowledgedToken, heartbeat.token());
   }
 
   /** The next answer carries a token that the machine has not shown yet. */
-  private static void probeWithNextToken(Machine m) {
-    m.token = Math.max(m.token, Math.max(m.acknowledgedToken, m.lastAnsweredToken) + 1);
+  private static void probeWithNextToken(Machine machine) {
+    machine.token = Math.max(machine.token, Math.max(machine.acknowledgedToken, machine.lastAnsweredToken) + 1);
   }
 
   /** A report is being answered with the machine's token. */
-  void answering(Machine m) {
-    m.lastAnsweredToken = m.token;
+  void answering(Machine machine) {
+    machine.lastAnsweredToken = machine.token;
   }
 
   /** The machine has answered a call. */
-  void callAnswered(Machine m, double now) {
+  void callAnswered(Machine machine, double now) {
     answeredAt = now;
     accused.clear();
-    confirmReachable(m, now);
+    confirmReachable(machine, now);
   }
 
-  private static void confirmReachable(Machine m, double now) {
-    if (m.unreachableSince >= 0) {
-      LOG.info("machine {} hears us again after {} s", m.name, Math.round(now - m.unreachableSince));
+  private static void confirmReachable(Machine machine, double now) {
+    if (machine.unreachableSince >= 0) {
+      LOG.info("machine {} hears us again after {} s", machine.name, Math.round(now - machine.unreachableSince));
     }
-    m.confirmedAliveAt = now;
-    m.missedAcknowledgements = 0;
-    m.forwarderChanges = 0;
-    m.callUnanswered = false;
-    m.unreachableSince = -1;
+    machine.confirmedAliveAt = now;
+    machine.missedAcknowledgements = 0;
+    machine.forwarderChanges = 0;
+    machine.callUnanswered = false;
+    machine.unreachableSince = -1;
   }
 
   /**
@@ -107,22 +107,22 @@
    * through the other controllers, must not take each of them for deaf: their answers to reports
    * tell.
    */
-  void callUnanswered(Machine m, double now) {
-    probeWithNextToken(m);
-    accused.add(m);
+  void callUnanswered(Machine machine, double now) {
+    probeWithNextToken(machine);
+    accused.add(machine);
     if (accused.size() >= OURS && now - answeredAt > heartbeatIntervalS) {
       accused.forEach(a -> a.callUnanswered = false);
       return;
     }
-    m.callUnanswered = true;
-    acknowledgementMissed(m, now);
+    machine.callUnanswered = true;
+    acknowledgementMissed(machine, now);
   }
 
-  private static void acknowledgementMissed(Machine m, double now) {
-    m.missedAcknowledgements++;
-    if (m.missedAcknowledgements >= ENOUGH && m.unreachableSince < 0) {
-      m.unreachableSince = now;
-      LOG.info("machine {} does not hear us, with {} tasks", m.name, m.openAttempts.size());
+  private static void acknowledgementMissed(Machine machine, double now) {
+    machine.missedAcknowledgements++;
+    if (machine.missedAcknowledgements >= ENOUGH && machine.unreachableSince < 0) {
+      machine.unreachableSince = now;
+      LOG.info("machine {} does not hear us, with {} tasks", machine.name, machine.openAttempts.size());
     }
   }
 }
--- a/src/main/java/io/embernotch/agents/RenewalDelegations.java
+++ b/src/main/java/io/embernotch/agents/RenewalDelegations.java
@@ -63,7 +63,7 @@
    * only those that wrote counted, a state outage after such a cut ended all that ran.
    */
   public boolean allDelayCancellations() {
-    return settings.members().stream().allMatch(m -> waiting.contains(m.node()));
+    return settings.members().stream().allMatch(member -> waiting.contains(member.node()));
   }
 
   /** How long this leader renews workers without a proven lease. */
@@ -74,7 +74,7 @@
   /** The zone of a controller; null if the settings do not know it. */
   public String zoneOf(String node) {
     return settings.members().stream()
-        .filter(m -> m.node().equals(node))
+        .filter(member -> member.node().equals(node))
         .map(Settings.Member::location)
         .findFirst()
         .orElse(null);
@@ -82,8 +82,8 @@
 
   /** The message is of another life of its process than the one before, or the first at all. */
   public boolean isNewProcess(Frame.DelegateHeartbeat h) {
-    Delegation w = delegations.get(h.node());
-    return w == null || w.life != ProcessIncarnation.of(h.seq());
+    Delegation delegation = delegations.get(h.node());
+    return delegation == null || delegation.life != ProcessIncarnation.of(h.seq());
   }
 
   /**
@@ -92,26 +92,26 @@
    */
   public Frame.DelegateHeartbeatAck heartbeatReceived(Frame.DelegateHeartbeat h, long epoch, boolean may, double now) {
     waiting.add(h.node());
-    Delegation w = delegations.computeIfAbsent(h.node(), n -> new Delegation());
-    w.life = ProcessIncarnation.of(h.seq());
-    if (h.ack() == 0 || w.answeredAt.isEmpty()) {
+    Delegation delegation = delegations.computeIfAbsent(h.node(), n -> new Delegation());
+    delegation.life = ProcessIncarnation.of(h.seq());
+    if (h.ack() == 0 || delegation.answeredAt.isEmpty()) {
       // What its former process, or it under an earlier leader, has renewed, nobody owns up to.
-      w.renewedAt =
-          Math.max(w.renewedAt, Math.min(now, Math.max(acquiredAt + longestGracePeriodS(), w.grantEnds)));
+      delegation.renewedAt =
+          Math.max(delegation.renewedAt, Math.min(now, Math.max(acquiredAt + longestGracePeriodS(), delegation.grantEnds)));
     }
     if (h.renewedAgoS() >= 0) {
-      w.renewedAt = Math.max(w.renewedAt, now - h.renewedAgoS());
+      delegation.renewedAt = Math.max(delegation.renewedAt, now - h.renewedAgoS());
     }
-    Long before = w.acks.get(h.ack());
-    Double answered = before == null ? null : w.answeredAt.get(before);
+    Long before = delegation.acks.get(h.ack());
+    Double answered = before == null ? null : delegation.answeredAt.get(before);
     if (answered != null) {
-      w.safeUntil = Math.max(w.safeUntil, answered + settings.contactTimeoutS());
+      delegation.safeUntil = Math.max(delegation.safeUntil, answered + settings.contactTimeoutS());
     }
-    w.acks.put(h.seq(), h.ack());
-    w.answeredAt.put(h.seq(), now);
+    delegation.acks.put(h.seq(), h.ack());
+    delegation.answeredAt.put(h.seq(), now);
     boolean granted = may && allDelayCancellations();
     if (granted) {
-      w.grantEnds = now + longestGracePeriodS();
+      delegation.grantEnds = now + longestGracePeriodS();
     }
     return new Frame.DelegateHeartbeatAck(epoch, h.seq(), granted);
   }
@@ -122,32 +122,32 @@
    */
   public double renewedUntil(String zone, double now) {
     double latest = -1e9;
-    for (Settings.Member m : settings.members()) {
-      if (m.location().equals(zone)) {
-        latest = Math.max(latest, renewedUntil(delegations.get(m.node()), now));
+    for (Settings.Member member : settings.members()) {
+      if (member.location().equals(zone)) {
+        latest = Math.max(latest, renewedUntil(delegations.get(member.node()), now));
       }
     }
     return latest;
   }
 
-  private double renewedUntil(Delegation w, double now) {
+  private double renewedUntil(Delegation delegation, double now) {
     double others = acquiredAt + longestGracePeriodS();
-    if (w == null) {
+    if (delegation == null) {
       return Math.min(now, others);
     }
-    return now <= w.safeUntil
-        ? w.renewedAt
-        : Math.max(w.renewedAt, Math.min(now, Math.max(others, w.grantEnds)));
+    return now <= delegation.safeUntil
+        ? delegation.renewedAt
+        : Math.max(delegation.renewedAt, Math.min(now, Math.max(others, delegation.grantEnds)));
   }
 
   /** Renewals of this zone's workers that nobody else can stop end by this time. */
   public double renewalsEndBy(String zone) {
     double latest = -1e9;
-    for (Settings.Member m : settings.members()) {
-      if (m.location().equals(zone)) {
-        Delegation w = delegations.get(m.node());
+    for (Settings.Member member : settings.members()) {
+      if (member.location().equals(zone)) {
+        Delegation delegation = delegations.get(member.node());
         latest =
-            Math.max(latest, Math.max(acquiredAt + longestGracePeriodS(), w == null ? 0 : w.grantEnds));
+            Math.max(latest, Math.max(acquiredAt + longestGracePeriodS(), delegation == null ? 0 : delegation.grantEnds));
       }
     }
     return latest;
--- a/src/main/java/io/embernotch/agents/StatusProber.java
+++ b/src/main/java/io/embernotch/agents/StatusProber.java
@@ -42,29 +42,29 @@
    * Because of a report that was no news: copies may come by the hundred, so once in a report
    * period.
    */
-  void probeAtMostOncePerInterval(Machine m) {
+  void probeAtMostOncePerInterval(Machine machine) {
     double now = context.clock().now();
-    if (now - m.statusRequestedAt > context.settings().workers().heartbeatIntervalS()) {
-      m.statusRequestedAt = now;
-      probe(m);
+    if (now - machine.statusRequestedAt > context.settings().workers().heartbeatIntervalS()) {
+      machine.statusRequestedAt = now;
+      probe(machine);
     }
   }
 
   /** Asks a silent machine for its state; the answer counts as news, but renews nothing. */
-  void probe(Machine m) {
-    if (!m.probing && m.address != null && callLimiter.tryEnter(m, CallConcurrencyLimiter.CallClass.UNRESPONSIVE, () -> probe(m))) {
-      requestStatus(m);
+  void probe(Machine machine) {
+    if (!machine.probing && machine.address != null && callLimiter.tryEnter(machine, CallConcurrencyLimiter.CallClass.UNRESPONSIVE, () -> probe(machine))) {
+      requestStatus(machine);
     }
   }
 
   /** Looks for a machine that has not found us; in vain once it has. */
-  void find(Machine m) {
-    if (!m.up()
-        && !m.deleting
-        && !m.probing
-        && m.address != null
-        && callLimiter.tryEnter(m, CallConcurrencyLimiter.CallClass.DISCOVERY, () -> find(m))) {
-      requestStatus(m);
+  void find(Machine machine) {
+    if (!machine.up()
+        && !machine.deleting
+        && !machine.probing
+        && machine.address != null
+        && callLimiter.tryEnter(machine, CallConcurrencyLimiter.CallClass.DISCOVERY, () -> find(machine))) {
+      requestStatus(machine);
     }
   }
 
@@ -73,53 +73,53 @@
    * its name, which knows of no token, and holds what it lists. Without this all it says would be
    * taken for late.
    */
-  private static void resetForNewIncarnation(Machine m) {
-    LOG.info("machine {} counts anew", m.name);
-    m.agentEpoch = 0;
-    m.heartbeatSeq = 0;
-    m.highestReportedToken = 0;
-    m.lastAnsweredToken = 0;
-    m.acknowledgedToken = 0;
+  private static void resetForNewIncarnation(Machine machine) {
+    LOG.info("machine {} counts anew", machine.name);
+    machine.agentEpoch = 0;
+    machine.heartbeatSeq = 0;
+    machine.highestReportedToken = 0;
+    machine.lastAnsweredToken = 0;
+    machine.acknowledgedToken = 0;
     // No former life has seen this token, so what shows a lower one is of theirs, or says nothing
     // yet.
-    m.token++;
-    m.incarnationToken = m.token;
-    m.images.clear();
+    machine.token++;
+    machine.incarnationToken = machine.token;
+    machine.images.clear();
   }
 
-  private void requestStatus(Machine m) {
-    m.probing = true;
+  private void requestStatus(Machine machine) {
+    machine.probing = true;
     double since = context.clock().now();
-    long session = m.agentEpoch;
-    long seq = m.heartbeatSeq;
-    long seen = m.highestReportedToken;
+    long session = machine.agentEpoch;
+    long seq = machine.heartbeatSeq;
+    long seen = machine.highestReportedToken;
     context.workers()
-        .call("GET", HostPort.parse(m.address), "/status", null, callS)
+        .call("GET", HostPort.parse(machine.address), "/status", null, callS)
         .onSuccess(
             reply -> {
-              m.probing = false;
+              machine.probing = false;
               callLimiter.leave();
-              reachability.callAnswered(m, context.clock().now());
+              reachability.callAnswered(machine, context.clock().now());
               try {
-                Heartbeat r = WorkerCodec.read(reply.body());
-                if (!r.newerThan(session, seq) || r.token() < seen) {
-                  resetForNewIncarnation(m);
+                Heartbeat heartbeat = WorkerCodec.read(reply.body());
+                if (!heartbeat.newerThan(session, seq) || heartbeat.token() < seen) {
+                  resetForNewIncarnation(machine);
                 }
-                reconcile.accept(r, m);
+                reconcile.accept(heartbeat, machine);
               } catch (MalformedInputException e) {
-                LOG.info("unreadable status of {}: {}", m.name, e.getMessage());
+                LOG.info("unreadable status of {}: {}", machine.name, e.getMessage());
               }
             })
         .onFailure(
             e -> {
-              m.probing = false;
+              machine.probing = false;
               callLimiter.leave();
               if (!(e instanceof CallFailedException f) || f.tried) {
-                m.probeFailedAt = context.clock().now();
-                if (m.up() && m.lastHeartbeatAt > since) {
-                  reachability.callUnanswered(m, m.probeFailedAt);
+                machine.probeFailedAt = context.clock().now();
+                if (machine.up() && machine.lastHeartbeatAt > since) {
+                  reachability.callUnanswered(machine, machine.probeFailedAt);
                 }
-                m.probeConnected = e instanceof CallFailedException f && f.sent;
+                machine.probeConnected = e instanceof CallFailedException f && f.sent;
               }
             });
   }
--- a/src/main/java/io/embernotch/agents/TaskLauncher.java
+++ b/src/main/java/io/embernotch/agents/TaskLauncher.java
@@ -51,15 +51,15 @@
     long number = job.nextAttempt++;
     boolean live = job.spec.priority() == Priority.PRODUCTION;
     for (SchedulingPlan.Placement p : s.placements()) {
-      Attempt a = state.openAttempt(job, p.task(), number, p.machine(), now);
+      Attempt attempt = state.openAttempt(job, p.task(), number, p.machine(), now);
       job.preferredMachines.remove(p.task());
       stateWriter.writeNow(
           job,
           p.task(),
           live ? RequestPriority.HIGH : RequestPriority.NORMAL,
           () -> {
-            if (ClusterState.isOpen(a) && a.launchState == Attempt.LaunchState.UNCOMMITTED && job.finalPhase == null) {
-              a.launchState = Attempt.LaunchState.READY;
+            if (ClusterState.isOpen(attempt) && attempt.launchState == Attempt.LaunchState.UNCOMMITTED && job.finalPhase == null) {
+              attempt.launchState = Attempt.LaunchState.READY;
               flushSoon(p.machine());
               if (live && !liveStarted) {
                 liveStarted = true;
@@ -75,7 +75,7 @@
   }
 
   /** Gathers the starts of one commit, so that each machine gets one command. */
-  private void flushSoon(Machine m) {
+  private void flushSoon(Machine machine) {
     if (toFlush.isEmpty()) {
       context.loop()
           .execute(
@@ -87,6 +87,6 @@
                 }
               });
     }
-    toFlush.add(m);
+    toFlush.add(machine);
   }
 }
--- a/src/main/java/io/embernotch/agents/TaskStopper.java
+++ b/src/main/java/io/embernotch/agents/TaskStopper.java
@@ -30,39 +30,39 @@
   }
 
   /** Wants an attempt to end. One whose start has not left ends here and now. */
-  public void requestStop(Attempt a, double graceS) {
-    if (a.launchState == Attempt.LaunchState.UNCOMMITTED || a.launchState == Attempt.LaunchState.READY) {
-      close.accept(a);
+  public void requestStop(Attempt attempt, double graceS) {
+    if (attempt.launchState == Attempt.LaunchState.UNCOMMITTED || attempt.launchState == Attempt.LaunchState.READY) {
+      close.accept(attempt);
       return;
     }
-    if (!a.stopping || graceS < a.stopGraceS) {
-      a.stopping = true;
-      a.stopGraceS = graceS;
-      a.stopRequestedAt = context.clock().now();
-      a.stopSentAt = -1e9;
+    if (!attempt.stopping || graceS < attempt.stopGraceS) {
+      attempt.stopping = true;
+      attempt.stopGraceS = graceS;
+      attempt.stopRequestedAt = context.clock().now();
+      attempt.stopSentAt = -1e9;
     }
-    Machine m = state.machines.get(a.machine);
-    if (m != null && mayOrder.getAsBoolean()) {
-      m.attemptsChanged();
-      agents.sendDueCommands(m);
+    Machine machine = state.machines.get(attempt.machine);
+    if (machine != null && mayOrder.getAsBoolean()) {
+      machine.attemptsChanged();
+      agents.sendDueCommands(machine);
     }
   }
 
   /** Stops what is left of a gang's attempt; the next one starts when all of it has ended. */
   public void stopGang(Job job, double graceS) {
-    for (Attempt a : List.copyOf(job.openAttempts.values())) {
-      if (!a.stopping) {
-        requestStop(a, graceS);
+    for (Attempt attempt : List.copyOf(job.openAttempts.values())) {
+      if (!attempt.stopping) {
+        requestStop(attempt, graceS);
       }
     }
   }
 
   /** Stops an attempt, and with it the rest of its gang. */
-  public void stopWithGang(Attempt a, double graceS) {
-    if (a.job.spec.shape() == JobShape.GANG) {
-      stopGang(a.job, graceS);
+  public void stopWithGang(Attempt attempt, double graceS) {
+    if (attempt.job.spec.shape() == JobShape.GANG) {
+      stopGang(attempt.job, graceS);
     } else {
-      requestStop(a, graceS);
+      requestStop(attempt, graceS);
     }
   }
 
@@ -70,14 +70,14 @@
    * Empties a machine that the cloud takes back; true once one that is to hold nothing more is
    * empty.
    */
-  public boolean drained(Machine m) {
-    if (m.reclaimAt >= 0) {
-      for (Attempt a : List.copyOf(m.openAttempts.values())) {
-        if (!a.stopping && a.job.finalPhase == null) {
-          stopWithGang(a, a.job.spec.checkpointS() > 0 ? a.job.spec.saveS() : 0);
+  public boolean drained(Machine machine) {
+    if (machine.reclaimAt >= 0) {
+      for (Attempt attempt : List.copyOf(machine.openAttempts.values())) {
+        if (!attempt.stopping && attempt.job.finalPhase == null) {
+          stopWithGang(attempt, attempt.job.spec.checkpointS() > 0 ? attempt.job.spec.saveS() : 0);
         }
       }
     }
-    return (m.reclaimAt >= 0 || m.cordoned) && m.openAttempts.isEmpty() && m.up();
+    return (machine.reclaimAt >= 0 || machine.cordoned) && machine.openAttempts.isEmpty() && machine.up();
   }
 }
--- a/src/main/java/io/embernotch/agents/WorkerLeases.java
+++ b/src/main/java/io/embernotch/agents/WorkerLeases.java
@@ -40,8 +40,8 @@
   }
 
   /** An earlier leader may have renewed a worker that has not seen our token until then. */
-  private double formerLeaderRenewalsUntil(Machine m) {
-    return m.highestReportedToken >= tokenBase ? -1e9 : acquiredAt + settings.gracePeriodS() * (1 + Settings.DRIFT);
+  private double formerLeaderRenewalsUntil(Machine machine) {
+    return machine.highestReportedToken >= tokenBase ? -1e9 : acquiredAt + settings.gracePeriodS() * (1 + Settings.DRIFT);
   }
 
   /**
@@ -49,22 +49,22 @@
    * for longer than it lasts, neither an earlier leader nor a controller cut off with the
    * machine's zone.
    */
-  boolean expired(Machine m) {
+  boolean expired(Machine machine) {
     double now = clock.now();
     // Without its zone, any controller may have.
-    double delegatedUntil = m.zone == null ? now : delegations.renewedUntil(m.zone, now);
-    return now > Math.max(m.leaseRenewedAt, Math.max(formerLeaderRenewalsUntil(m), delegatedUntil)) + leaseTtlS(settings);
+    double delegatedUntil = machine.zone == null ? now : delegations.renewedUntil(machine.zone, now);
+    return now > Math.max(machine.leaseRenewedAt, Math.max(formerLeaderRenewalsUntil(machine), delegatedUntil)) + leaseTtlS(settings);
   }
 
   /**
    * What is on a machine that we never reach again is gone by this time, whoever else renews its
    * worker.
    */
-  double leaseExpiresBy(Machine m) {
-    if (m.zone == null) {
+  double leaseExpiresBy(Machine machine) {
+    if (machine.zone == null) {
       return Double.MAX_VALUE;
     }
-    return Math.max(m.leaseRenewedAt, Math.max(formerLeaderRenewalsUntil(m), delegations.renewalsEndBy(m.zone)))
+    return Math.max(machine.leaseRenewedAt, Math.max(formerLeaderRenewalsUntil(machine), delegations.renewalsEndBy(machine.zone)))
         + leaseTtlS(settings);
   }
 }
--- a/src/main/java/io/embernotch/api/AdmissionControl.java
+++ b/src/main/java/io/embernotch/api/AdmissionControl.java
@@ -21,8 +21,8 @@
       return "unknown team " + job.team();
     }
     boolean fits = false;
-    for (MachineType t : types) {
-      fits |= t.fits(job) && t.zones().stream().anyMatch(z -> job.allows(t.name(), z, false));
+    for (MachineType type : types) {
+      fits |= type.fits(job) && type.zones().stream().anyMatch(z -> job.allows(type.name(), z, false));
     }
     if (!fits) {
       return "a task fits no allowed machine type";
--- a/src/main/java/io/embernotch/api/SubmissionHandler.java
+++ b/src/main/java/io/embernotch/api/SubmissionHandler.java
@@ -176,12 +176,12 @@
                 context.store()
                     .commitInWriteSlot(new Transaction().when(key, 0).write(key, value), RequestPriority.NORMAL)
                     .onSuccess(
-                        c -> {
-                          if (c.applied()) {
+                        result -> {
+                          if (result.applied()) {
                             LOG.info(
                                 "job {} was accepted shortly before the loss, and is written again",
                                 ref);
-                            host.submissionAccepted(JobProgressCodec.readJob(value), value, c.revision());
+                            host.submissionAccepted(JobProgressCodec.readJob(value), value, result.revision());
                           }
                         })
                     .onFailure(
@@ -287,11 +287,11 @@
       context.store()
           .commitInWriteSlot(new Transaction().when(key, 0).write(key, value), RequestPriority.NORMAL)
           .onSuccess(
-              c -> {
-                if (c.applied()) {
+              result -> {
+                if (result.applied()) {
                   awaited.accepted(job.spec);
                   accepted.put(job.spec.ref(), Json.bytes(value));
-                  host.submissionAccepted(job, value, c.revision());
+                  host.submissionAccepted(job, value, result.revision());
                   reply.tryComplete(HttpResponse.of(201, JobCodec.brief(job.spec.ref(), JobPhase.QUEUED)));
                 } else {
                   host.poll(job.spec.ref())
--- a/src/main/java/io/embernotch/calendar/ReleaseCalendar.java
+++ b/src/main/java/io/embernotch/calendar/ReleaseCalendar.java
@@ -157,8 +157,8 @@
     }
     int inTime = served.getOrDefault(occurrence, Set.of()).size();
     int all = inTime;
-    for (Job j : state.jobs.values()) {
-      all += occurrence.equals(j.release) && j.finalPhase == null ? 1 : 0;
+    for (Job job : state.jobs.values()) {
+      all += occurrence.equals(job.release) && job.finalPhase == null ? 1 : 0;
     }
     Kept over = new Kept(k.generation(), k.atMs(), k.firstMs(), k.lifted(), all, inTime, true);
     int of = all;
@@ -175,34 +175,34 @@
       return;
     }
     refresh();
-    for (Job j : state.jobs.values()) {
-      if (j.release == null && j.finalPhase == null && j.spec.priority() != Priority.PRODUCTION) {
-        settle(j);
+    for (Job job : state.jobs.values()) {
+      if (job.release == null && job.finalPhase == null && job.spec.priority() != Priority.PRODUCTION) {
+        settle(job);
       }
-      Kept k = j.release == null ? null : kept.get(j.release);
-      j.releaseDeadlineMs = k == null || k.lifted() ? Long.MAX_VALUE : k.atMs() - leadMs(j);
-      j.remainingRunMs = Math.round(restS(j) * 1000);
-      if (k != null && j.finalPhase == JobPhase.DONE && j.endedMs <= k.atMs()) {
-        served.computeIfAbsent(j.release, x -> new HashSet<>()).add(j.spec.ref());
+      Kept k = job.release == null ? null : kept.get(job.release);
+      job.releaseDeadlineMs = k == null || k.lifted() ? Long.MAX_VALUE : k.atMs() - leadMs(job);
+      job.remainingRunMs = Math.round(restS(job) * 1000);
+      if (k != null && job.finalPhase == JobPhase.DONE && job.endedMs <= k.atMs()) {
+        served.computeIfAbsent(job.release, x -> new HashSet<>()).add(job.spec.ref());
       }
       if (k != null
-          && j.finalPhase == null
+          && job.finalPhase == null
           && !k.lifted()
           && !k.over()
-          && wallMs + j.remainingRunMs > j.releaseDeadlineMs
-          && atRisk.computeIfAbsent(j.release, x -> new HashSet<>()).add(j.spec.ref())) {
+          && wallMs + job.remainingRunMs > job.releaseDeadlineMs
+          && atRisk.computeIfAbsent(job.release, x -> new HashSet<>()).add(job.spec.ref())) {
         LOG.info(
             "release {} is at risk: {} needs {} s more, {} s are left",
-            j.release,
-            j.spec.ref(),
-            j.remainingRunMs / 1000,
-            (j.releaseDeadlineMs - wallMs) / 1000);
+            job.release,
+            job.spec.ref(),
+            job.remainingRunMs / 1000,
+            (job.releaseDeadlineMs - wallMs) / 1000);
       }
     }
   }
 
-  private long leadMs(Job j) {
-    String id = j.release.substring(0, j.release.indexOf('/'));
+  private long leadMs(Job job) {
+    String id = job.release.substring(0, job.release.indexOf('/'));
     return Math.round(
         1000
             * inForce.value().stream()
@@ -212,9 +212,9 @@
                 .orElse(0));
   }
 
-  private void settle(Job j) {
+  private void settle(Job job) {
     for (Release r : inForce.value()) {
-      if (!r.orders(j.spec)) {
+      if (!r.orders(job.spec)) {
         continue;
       }
       String best = null;
@@ -222,7 +222,7 @@
       for (Map.Entry<String, Kept> e : kept.entrySet()) {
         Kept k = e.getValue();
         if (e.getKey().startsWith(r.id() + "/")
-            && k.firstMs() > j.submittedMs
+            && k.firstMs() > job.submittedMs
             && k.firstMs() < bestMs
             && !k.lifted()) {
           best = e.getKey();
@@ -230,8 +230,8 @@
         }
       }
       if (best != null) {
-        j.release = best;
-        settled.accept(j);
+        job.release = best;
+        settled.accept(job);
       }
       return;
     }
@@ -241,16 +241,16 @@
    * Seconds that the job still needs once it starts: its run, estimates being what they are, and
    * its image's fetch.
    */
-  private double restS(Job j) {
-    double run = DOUBT * Math.max(j.spec.expectS(), 0);
-    run = j.meanS() > 0 ? Math.max(j.meanS(), run / DOUBT) : run;
+  private double restS(Job job) {
+    double run = DOUBT * Math.max(job.spec.expectS(), 0);
+    run = job.meanS() > 0 ? Math.max(job.meanS(), run / DOUBT) : run;
     double fetch =
         state.types.values().stream()
-            .filter(t -> t.fits(j.spec))
-            .mapToDouble(t -> t.fetchS(j.spec))
+            .filter(type -> type.fits(job.spec))
+            .mapToDouble(type -> type.fetchS(job.spec))
             .min()
             .orElse(0);
-    return run + (j.openAttempts.isEmpty() ? fetch : 0);
+    return run + (job.openAttempts.isEmpty() ? fetch : 0);
   }
 
   /**
@@ -263,7 +263,7 @@
     }
     double boot =
         state.types.values().stream()
-            .filter(t -> t.fits(like))
+            .filter(type -> type.fits(like))
             .mapToDouble(MachineType::bootS)
             .min()
             .orElse(0);
@@ -283,17 +283,17 @@
   }
 
   /** What a poll tells of the job's release. */
-  public void status(Job j, ObjectNode into, long wallMs) {
-    Kept k = j.release == null ? null : kept.get(j.release);
+  public void status(Job job, ObjectNode into, long wallMs) {
+    Kept k = job.release == null ? null : kept.get(job.release);
     if (k == null) {
       return;
     }
-    into.put("release", j.release);
+    into.put("release", job.release);
     if (k.lifted()) {
       into.put("lifted", true);
       return;
     }
-    long slack = j.releaseDeadlineMs - wallMs - j.remainingRunMs;
+    long slack = job.releaseDeadlineMs - wallMs - job.remainingRunMs;
     into.put("deadline", Instant.ofEpochMilli(k.atMs()).toString())
         .put("slack_s", Math.floorDiv(slack, 1000))
         .put("in_time", slack >= 0);
@@ -316,10 +316,10 @@
           }
           int jobs = 0;
           int late = 0;
-          for (Job j : state.jobs.values()) {
-            if (name.equals(j.release) && j.finalPhase == null) {
+          for (Job job : state.jobs.values()) {
+            if (name.equals(job.release) && job.finalPhase == null) {
               jobs++;
-              late += wallMs + j.remainingRunMs > j.releaseDeadlineMs ? 1 : 0;
+              late += wallMs + job.remainingRunMs > job.releaseDeadlineMs ? 1 : 0;
             }
           }
           o.put("jobs", jobs + served.getOrDefault(name, Set.of()).size()).put("at_risk", late);
--- a/src/main/java/io/embernotch/codec/CloudCodec.java
+++ b/src/main/java/io/embernotch/codec/CloudCodec.java
@@ -53,16 +53,16 @@
   public static ObjectNode writeTypes(Collection<MachineType> types) {
     ObjectNode o = Json.object();
     ArrayNode list = o.putArray("flavors");
-    for (MachineType t : types) {
+    for (MachineType type : types) {
       ObjectNode n = list.addObject();
-      n.put("name", t.name())
-          .put("cores", t.cpus())
-          .put("cards", t.gpus())
-          .put("mem_gb", t.memGb());
-      n.put("local_gb", t.cacheGb()).put("fetch_gb_per_s", t.fetchGbPerS());
-      n.put("rate", t.price()).put("market_price", t.spotPrice()).put("boot_s", t.bootS());
+      n.put("name", type.name())
+          .put("cores", type.cpus())
+          .put("cards", type.gpus())
+          .put("mem_gb", type.memGb());
+      n.put("local_gb", type.cacheGb()).put("fetch_gb_per_s", type.fetchGbPerS());
+      n.put("rate", type.price()).put("market_price", type.spotPrice()).put("boot_s", type.bootS());
       ArrayNode zones = n.putArray("rooms");
-      t.zones().forEach(zones::add);
+      type.zones().forEach(zones::add);
     }
     return o;
   }
--- a/src/main/java/io/embernotch/codec/JobCodec.java
+++ b/src/main/java/io/embernotch/codec/JobCodec.java
@@ -62,51 +62,51 @@
         dependencies(Json.opt(o, "awaits")));
   }
 
-  public static ObjectNode write(JobSpec j) {
+  public static ObjectNode write(JobSpec spec) {
     ObjectNode o = Json.object();
-    o.put("ref", j.ref());
-    o.put("jobclass", j.jobClass());
-    o.put("owner", j.team());
+    o.put("ref", spec.ref());
+    o.put("jobclass", spec.jobClass());
+    o.put("owner", spec.team());
     o.put(
         "shape",
-        switch (j.shape()) {
+        switch (spec.shape()) {
           case ARRAY -> "array";
           case GANG -> "group";
           case SERVICE -> "standing";
         });
     o.put(
         "rank",
-        switch (j.priority()) {
+        switch (spec.priority()) {
           case LOW -> "idle";
           case NORMAL -> "standard";
           case HIGH -> "high";
           case PRODUCTION -> "production";
         });
-    o.put("shards", j.tasks());
-    o.put("cores", j.cpus());
-    o.put("cards", j.gpus());
-    o.put("mem_gb", j.memGb());
-    o.put("bundle", j.image());
-    o.put("size_gb", j.imageGb());
-    if (j.types() != null) {
+    o.put("shards", spec.tasks());
+    o.put("cores", spec.cpus());
+    o.put("cards", spec.gpus());
+    o.put("mem_gb", spec.memGb());
+    o.put("bundle", spec.image());
+    o.put("size_gb", spec.imageGb());
+    if (spec.types() != null) {
       ArrayNode types = o.putArray("flavors");
-      j.types().forEach(types::add);
+      spec.types().forEach(types::add);
     }
-    if (j.zone() != null) {
-      o.put("room", j.zone());
+    if (spec.zone() != null) {
+      o.put("room", spec.zone());
     }
-    o.put("one_zone", j.oneZone());
-    o.put("scatter", j.spread());
-    o.put("loaner", j.spot());
-    o.put("expect_s", j.expectS());
-    o.put("snapshot_s", j.checkpointS());
-    o.put("flush_s", j.saveS());
-    if (j.dueS() != null) {
-      o.put("due_s", j.dueS());
+    o.put("one_zone", spec.oneZone());
+    o.put("scatter", spec.spread());
+    o.put("loaner", spec.spot());
+    o.put("expect_s", spec.expectS());
+    o.put("snapshot_s", spec.checkpointS());
+    o.put("flush_s", spec.saveS());
+    if (spec.dueS() != null) {
+      o.put("due_s", spec.dueS());
     }
-    if (!j.dependencies().isEmpty()) {
+    if (!spec.dependencies().isEmpty()) {
       ArrayNode dependencies = o.putArray("awaits");
-      j.dependencies().forEach(dependencies::add);
+      spec.dependencies().forEach(dependencies::add);
     }
     return o;
   }
--- a/src/main/java/io/embernotch/codec/JobProgressCodec.java
+++ b/src/main/java/io/embernotch/codec/JobProgressCodec.java
@@ -111,13 +111,13 @@
       }
     }
     ArrayNode open = null;
-    for (Attempt a : job.openAttempts.values()) {
-      if (a.task >= from && a.task < to) {
+    for (Attempt attempt : job.openAttempts.values()) {
+      if (attempt.task >= from && attempt.task < to) {
         if (open == null) {
           open = o.putArray("open");
         }
-        ArrayNode entry = open.addArray().add(a.task).add(a.number).add(a.machine).add(a.zone);
-        String wish = job.preferredMachines.get(a.task);
+        ArrayNode entry = open.addArray().add(attempt.task).add(attempt.number).add(attempt.machine).add(attempt.zone);
+        String wish = job.preferredMachines.get(attempt.task);
         if (wish != null) {
           entry.add(wish);
         }
--- a/src/main/java/io/embernotch/controller/Controller.java
+++ b/src/main/java/io/embernotch/controller/Controller.java
@@ -276,7 +276,7 @@
     context.store().setLeading(true);
     formerLeader = null;
     leader = new Leader(context, this, epoch, modRevision, types.values(), incarnations.base(), incarnations.takeInitialSnapshot(), heartbeatForwarder.controllersDelayingCancellations());
-    heartbeatForwarder.recentHeartbeats().forEach(r -> leader.tell(new LeaderMessage.HeartbeatHandedOver(r)));
+    heartbeatForwarder.recentHeartbeats().forEach(heartbeat -> leader.tell(new LeaderMessage.HeartbeatHandedOver(heartbeat)));
     heartbeatForwarder.releaseParked(this::handleAsLeader);
     leader.start();
     sendBeats();
@@ -350,7 +350,7 @@
     if (frame instanceof Frame.ImageInventoryUpdate f) {
       imageInventory.update(f);
     }
-    settings.members().forEach(m -> peers.send(m.node(), frame));
+    settings.members().forEach(member -> peers.send(member.node(), frame));
   }
 
   @Override
--- a/src/main/java/io/embernotch/controller/MachineTypeCatalog.java
+++ b/src/main/java/io/embernotch/controller/MachineTypeCatalog.java
@@ -66,7 +66,7 @@
   }
 
   private void take(List<MachineType> list) {
-    list.forEach(t -> types.put(t.name(), t));
+    list.forEach(type -> types.put(type.name(), type));
     LOG.info("machine types: {}", types.keySet());
     known.run();
   }
--- a/src/main/java/io/embernotch/controller/PeerHeartbeats.java
+++ b/src/main/java/io/embernotch/controller/PeerHeartbeats.java
@@ -32,6 +32,6 @@
         incarnations.lost()
             ? new Frame.PeerHeartbeat(s.node(), null, incarnations.lossEpoch(), served)
             : new Frame.PeerHeartbeat(s.node(), leader, epoch, served);
-    s.members().forEach(m -> peers.send(m.node(), beat));
+    s.members().forEach(member -> peers.send(member.node(), beat));
   }
 }
--- a/src/main/java/io/embernotch/election/PeerLiveness.java
+++ b/src/main/java/io/embernotch/election/PeerLiveness.java
@@ -24,8 +24,8 @@
     this.clock = clock;
     this.liveS = settings.workers().heartbeatIntervalS();
     this.renewS = settings.workers().heartbeatIntervalS();
-    for (Settings.Member m : settings.members()) {
-      renewedAt.put(m.node(), clock.now());
+    for (Settings.Member member : settings.members()) {
+      renewedAt.put(member.node(), clock.now());
     }
   }
 
--- a/src/main/java/io/embernotch/fleet/FailureDetector.java
+++ b/src/main/java/io/embernotch/fleet/FailureDetector.java
@@ -78,10 +78,10 @@
    * report. So is one whose zone is back from a cut: 238 were once returned as the first controller
    * was back.
    */
-  private double lastSign(Machine m) {
+  private double lastSign(Machine machine) {
     double heartbeat = context.settings().workers().heartbeatIntervalS();
-    double back = backAt.getOrDefault(m.zone, -1e9) + heartbeat;
-    return Math.max(back, m.up() ? m.lastSignOfLifeAt() : Math.max(startedAt, m.listedUpAt) + heartbeat);
+    double back = backAt.getOrDefault(machine.zone, -1e9) + heartbeat;
+    return Math.max(back, machine.up() ? machine.lastSignOfLifeAt() : Math.max(startedAt, machine.listedUpAt) + heartbeat);
   }
 
   /**
@@ -93,13 +93,13 @@
     double quiet = PROBE_HEARTBEATS * heartbeat;
     List<Machine> silent = new ArrayList<>();
     int up = 0;
-    for (Machine m : state.machines.values()) {
-      if (!mayBeUp(m)) {
+    for (Machine machine : state.machines.values()) {
+      if (!mayBeUp(machine)) {
         continue;
       }
       up++;
-      if (now - lastSign(m) > quiet) {
-        silent.add(m);
+      if (now - lastSign(machine) > quiet) {
+        silent.add(machine);
       }
     }
     if (silent.size() >= 3 && silent.size() > DEAF_SHARE * up) {
@@ -109,24 +109,24 @@
       return;
     }
     partitionedZones = partitionedZones(silent);
-    for (Machine m : silent) {
-      agents.probe(m);
-      double limit = m.probeFailedAt > lastSign(m) ? SILENT_HEARTBEATS : SILENT_HEARTBEATS + 1;
-      if (now - lastSign(m) > limit * heartbeat && !worthWaitingFor(m, now)) {
+    for (Machine machine : silent) {
+      agents.probe(machine);
+      double limit = machine.probeFailedAt > lastSign(machine) ? SILENT_HEARTBEATS : SILENT_HEARTBEATS + 1;
+      if (now - lastSign(machine) > limit * heartbeat && !worthWaitingFor(machine, now)) {
         LOG.info(
             "machine {} has been silent for {} s with {} tasks, {}",
-            m.name,
-            Math.round(now - lastSign(m)),
-            m.openAttempts.size(),
-            m.probeConnected ? "takes connections" : "takes no connection");
+            machine.name,
+            Math.round(now - lastSign(machine)),
+            machine.openAttempts.size(),
+            machine.probeConnected ? "takes connections" : "takes no connection");
         rates.machineFailed();
-        scaleIn.accept(m);
+        scaleIn.accept(machine);
       }
     }
   }
 
-  private static boolean mayBeUp(Machine m) {
-    return !m.deleting && (m.up() || m.listedUpAt >= 0 || !m.openAttempts.isEmpty());
+  private static boolean mayBeUp(Machine machine) {
+    return !machine.deleting && (machine.up() || machine.listedUpAt >= 0 || !machine.openAttempts.isEmpty());
   }
 
   /**
@@ -141,10 +141,10 @@
       if (live.contains(c.node()) || out.contains(c.location())) {
         continue;
       }
-      long gone = silent.stream().filter(m -> c.location().equals(m.zone)).count();
+      long gone = silent.stream().filter(machine -> c.location().equals(machine.zone)).count();
       long there =
           state.machines.values().stream()
-              .filter(m -> c.location().equals(m.zone) && mayBeUp(m))
+              .filter(machine -> c.location().equals(machine.zone) && mayBeUp(machine))
               .count();
       if (gone * 2 > there) {
         out.add(c.location());
@@ -167,16 +167,16 @@
    * nothing has proven alive in this term is not waited for: what was heard of it may be
    * copies of what it said before it ended.
    */
-  private boolean worthWaitingFor(Machine m, double now) {
-    if (m.probeConnected && m.probeFailedAt > lastSign(m)) {
+  private boolean worthWaitingFor(Machine machine, double now) {
+    if (machine.probeConnected && machine.probeFailedAt > lastSign(machine)) {
       return false;
     }
-    if (partitionedZones.contains(m.zone)) {
-      return now - lastSign(m)
+    if (partitionedZones.contains(machine.zone)) {
+      return now - lastSign(machine)
           < context.settings().gracePeriodS() + PATIENCE * context.settings().workers().leaseS();
     }
-    return m.load().pinned
-        && m.confirmedAliveAt >= 0
-        && now - m.leaseRenewedAt < PATIENCE * context.settings().workers().leaseS();
+    return machine.load().pinned
+        && machine.confirmedAliveAt >= 0
+        && now - machine.leaseRenewedAt < PATIENCE * context.settings().workers().leaseS();
   }
 }
--- a/src/main/java/io/embernotch/fleet/FleetManager.java
+++ b/src/main/java/io/embernotch/fleet/FleetManager.java
@@ -28,7 +28,7 @@
   /** What is told of the fleet. */
   public interface Listener {
     /** The machine and all that was on it are gone. */
-    void machineGone(Machine m);
+    void machineGone(Machine machine);
 
     void clusterChanged();
 
@@ -36,7 +36,7 @@
     Set<String> controllers();
 
     /** The attempt's start does not reach its machine. */
-    void startUnreachable(Attempt a);
+    void startUnreachable(Attempt attempt);
 
     /** So many machines are silent at once that it is rather we who are cut off. */
     void controllerPartitioned();
@@ -113,7 +113,7 @@
     }
     if (now - typesAt > 20 * context.settings().workers().heartbeatIntervalS()) {
       typesAt = now;
-      context.cloud().types().onSuccess(list -> list.forEach(t -> state.types.put(t.name(), t)));
+      context.cloud().types().onSuccess(list -> list.forEach(type -> state.types.put(type.name(), type)));
     }
     rates.tick(state, now);
     watchBoots(now);
@@ -149,35 +149,35 @@
     listedOnce = true;
     answering = true;
     for (Listed l : list) {
-      Machine m = state.machines.get(l.name());
-      if (m == null) {
+      Machine machine = state.machines.get(l.name());
+      if (machine == null) {
         if (agents.wasDeleted(l.name())) {
           continue;
         }
-        m = state.machine(l.name(), agents.tokenBase());
+        machine = state.machine(l.name(), agents.tokenBase());
         news = true;
       }
-      if (!m.up()) {
-        m.type = state.types.getOrDefault(l.type(), m.type);
-        m.zone = l.zone();
-        m.spot = l.spot();
-        m.address = l.address() == null ? m.address : l.address();
-        m.rentedAt = Math.min(m.rentedAt == 0 ? now : m.rentedAt, now - l.ageS());
+      if (!machine.up()) {
+        machine.type = state.types.getOrDefault(l.type(), machine.type);
+        machine.zone = l.zone();
+        machine.spot = l.spot();
+        machine.address = l.address() == null ? machine.address : l.address();
+        machine.rentedAt = Math.min(machine.rentedAt == 0 ? now : machine.rentedAt, now - l.ageS());
         // One that ran under an earlier leader is given time to find us.
         double findUs =
             l.phase().equals("running") ? startedAt + context.settings().workers().leaseS() / 2 : 0;
-        double boot = m.type == null ? 0 : COUNTED_BOOTS * m.type.bootS();
-        m.expectedUntil = Math.max(m.expectedUntil, Math.max(findUs, m.rentedAt + boot));
+        double boot = machine.type == null ? 0 : COUNTED_BOOTS * machine.type.bootS();
+        machine.expectedUntil = Math.max(machine.expectedUntil, Math.max(findUs, machine.rentedAt + boot));
       }
       if (l.phase().equals("running")) {
-        m.listedUpAt = m.listedUpAt < 0 ? now : m.listedUpAt;
-        find(m);
+        machine.listedUpAt = machine.listedUpAt < 0 ? now : machine.listedUpAt;
+        find(machine);
       }
-      if (l.phase().equals("failed") && !m.failed) {
-        LOG.info("machine {} has failed", m.name);
-        m.failed = true;
+      if (l.phase().equals("failed") && !machine.failed) {
+        LOG.info("machine {} has failed", machine.name);
+        machine.failed = true;
         rates.machineFailed();
-        scaleIn(m);
+        scaleIn(machine);
         news = true;
       }
     }
@@ -190,42 +190,42 @@
    * Machines that ran under an earlier leader are asked at once: until their workers find us by
    * themselves, nothing could be started on them.
    */
-  private void find(Machine m) {
-    agents.find(m);
+  private void find(Machine machine) {
+    agents.find(machine);
   }
 
   private void watchBoots(double now) {
-    for (Machine m : state.machines.values()) {
-      if (m.up() || m.deleting || m.type == null) {
+    for (Machine machine : state.machines.values()) {
+      if (machine.up() || machine.deleting || machine.type == null) {
         continue;
       }
       // Machines that were up under an earlier leader need time to find us.
-      double since = Math.max(m.rentedAt, startedAt - m.type.bootS());
-      if (now - since > HOPELESS_BOOTS * m.type.bootS() + context.settings().workers().heartbeatIntervalS()
+      double since = Math.max(machine.rentedAt, startedAt - machine.type.bootS());
+      if (now - since > HOPELESS_BOOTS * machine.type.bootS() + context.settings().workers().heartbeatIntervalS()
           && now - startedAt > context.settings().workers().leaseS() / 2) {
-        LOG.info("machine {} has not come up", m.name);
-        scaleIn(m);
+        LOG.info("machine {} has not come up", machine.name);
+        scaleIn(machine);
       }
     }
   }
 
   /** Returns a machine. Nothing more is placed on it, and what is on it ends with it. */
-  public void scaleIn(Machine m) {
-    scaleIn.release(m);
+  public void scaleIn(Machine machine) {
+    scaleIn.release(machine);
   }
 
   /** Tasks on machines whose worker's lease must have run out are gone, deleted or not. */
   public List<Attempt> attemptsWithExpiredLease() {
     List<Attempt> out = new ArrayList<>();
     double now = context.clock().now();
-    for (Machine m : state.machines.values()) {
-      if (m.openAttempts.isEmpty() || (m.up() && now - m.lastHeartbeatAt < context.settings().workers().leaseS())) {
+    for (Machine machine : state.machines.values()) {
+      if (machine.openAttempts.isEmpty() || (machine.up() && now - machine.lastHeartbeatAt < context.settings().workers().leaseS())) {
         continue;
       }
-      if (agents.leaseExpired(m)) {
-        for (Attempt a : m.openAttempts.values()) {
-          if (a.launchState != Attempt.LaunchState.SENDING) {
-            out.add(a);
+      if (agents.leaseExpired(machine)) {
+        for (Attempt attempt : machine.openAttempts.values()) {
+          if (attempt.launchState != Attempt.LaunchState.SENDING) {
+            out.add(attempt);
           }
         }
       }
--- a/src/main/java/io/embernotch/fleet/OneWayPartitions.java
+++ b/src/main/java/io/embernotch/fleet/OneWayPartitions.java
@@ -48,36 +48,36 @@
 
   void watch(double now) {
     List<Machine> deaf =
-        state.machines.values().stream().filter(m -> m.unreachableSince >= 0 && !m.deleting).toList();
+        state.machines.values().stream().filter(machine -> machine.unreachableSince >= 0 && !machine.deleting).toList();
     if (deaf.isEmpty()) {
       return;
     }
     long up = state.machines.values().stream().filter(Machine::up).count();
     boolean ours = deaf.size() >= 3 && deaf.size() > OURS * up;
-    for (Machine m : deaf) {
-      agents.probe(m);
-      withdraw(m);
-      if (!ours && m.probeFailedAt > m.unreachableSince && !worthWaitingFor(m, now)) {
-        scaleIn.accept(m);
+    for (Machine machine : deaf) {
+      agents.probe(machine);
+      withdraw(machine);
+      if (!ours && machine.probeFailedAt > machine.unreachableSince && !worthWaitingFor(machine, now)) {
+        scaleIn.accept(machine);
       }
     }
   }
 
-  private void withdraw(Machine m) {
-    for (Attempt a : List.copyOf(m.openAttempts.values())) {
-      boolean begun = a.launchState == Attempt.LaunchState.CONFIRMED || a.launchState == Attempt.LaunchState.SENDING;
-      if (!begun && !a.stopping) {
-        listener.startUnreachable(a);
+  private void withdraw(Machine machine) {
+    for (Attempt attempt : List.copyOf(machine.openAttempts.values())) {
+      boolean begun = attempt.launchState == Attempt.LaunchState.CONFIRMED || attempt.launchState == Attempt.LaunchState.SENDING;
+      if (!begun && !attempt.stopping) {
+        listener.startUnreachable(attempt);
       }
     }
   }
 
-  private boolean worthWaitingFor(Machine m, double now) {
+  private boolean worthWaitingFor(Machine machine, double now) {
     boolean runs =
-        m.openAttempts.values().stream().anyMatch(a -> a.launchState == Attempt.LaunchState.CONFIRMED && !a.stopping);
+        machine.openAttempts.values().stream().anyMatch(attempt -> attempt.launchState == Attempt.LaunchState.CONFIRMED && !attempt.stopping);
     double left =
         PATIENCE * context.settings().workers().leaseS()
             - NOTICED_HEARTBEATS * context.settings().workers().heartbeatIntervalS();
-    return runs && now - m.unreachableSince < left;
+    return runs && now - machine.unreachableSince < left;
   }
 }
--- a/src/main/java/io/embernotch/fleet/ScaleIn.java
+++ b/src/main/java/io/embernotch/fleet/ScaleIn.java
@@ -32,31 +32,31 @@
   }
 
   /** Returns a machine. Nothing more is placed on it, and what is on it ends with it. */
-  void release(Machine m) {
-    if (!m.deleting) {
-      m.deleting = true;
-      m.deleteRetryAt = 0;
-      leaving.add(m);
-      if (!m.openAttempts.isEmpty()) {
+  void release(Machine machine) {
+    if (!machine.deleting) {
+      machine.deleting = true;
+      machine.deleteRetryAt = 0;
+      leaving.add(machine);
+      if (!machine.openAttempts.isEmpty()) {
         send(context.clock().now());
       }
     }
   }
 
   void send(double now) {
-    boolean urgent = leaving.stream().anyMatch(m -> !m.openAttempts.isEmpty() && m.deleteRetryAt <= now);
+    boolean urgent = leaving.stream().anyMatch(machine -> !machine.openAttempts.isEmpty() && machine.deleteRetryAt <= now);
     // Proofs that tasks wait for are never behind a call that only saves money.
     if (urgent ? urgentDelete : urgentDelete || idleDelete) {
       return;
     }
     List<Machine> batch = new ArrayList<>();
     List<String> names = new ArrayList<>();
-    leaving.removeIf(m -> state.machines.get(m.name) != m);
-    for (Machine m : leaving) {
-      if (m.deleteRetryAt <= now && batch.size() < Settings.CloudLimits.MAX_DELETE && !m.commandInFlight) {
-        batch.add(m);
-        names.add(m.name);
-        m.deleteRetryAt = Double.MAX_VALUE;
+    leaving.removeIf(machine -> state.machines.get(machine.name) != machine);
+    for (Machine machine : leaving) {
+      if (machine.deleteRetryAt <= now && batch.size() < Settings.CloudLimits.MAX_DELETE && !machine.commandInFlight) {
+        batch.add(machine);
+        names.add(machine.name);
+        machine.deleteRetryAt = Double.MAX_VALUE;
       }
     }
     if (batch.isEmpty()) {
@@ -75,8 +75,8 @@
               } else {
                 LOG.debug("could not return {}: {}", names, r.cause().getMessage());
                 batch.forEach(
-                    m ->
-                        m.deleteRetryAt =
+                    machine ->
+                        machine.deleteRetryAt =
                             context.clock().now() + context.settings().workers().heartbeatIntervalS() / 3);
               }
             });
--- a/src/main/java/io/embernotch/fleet/ScaleOut.java
+++ b/src/main/java/io/embernotch/fleet/ScaleOut.java
@@ -101,13 +101,13 @@
     double now = context.clock().now();
     MachineType type = state.types.get(b.type);
     for (String name : r.machines()) {
-      Machine m = state.machine(name, agents.tokenBase());
-      if (!m.up()) {
-        m.type = type;
-        m.zone = b.zone;
-        m.spot = b.spot;
-        m.rentedAt = now;
-        m.expectedUntil = now + FleetManager.COUNTED_BOOTS * type.bootS();
+      Machine machine = state.machine(name, agents.tokenBase());
+      if (!machine.up()) {
+        machine.type = type;
+        machine.zone = b.zone;
+        machine.spot = b.spot;
+        machine.rentedAt = now;
+        machine.expectedUntil = now + FleetManager.COUNTED_BOOTS * type.bootS();
       }
     }
     if (r.refused() || r.machines().size() < b.number) {
--- a/src/main/java/io/embernotch/forwarding/DelegatedRenewal.java
+++ b/src/main/java/io/embernotch/forwarding/DelegatedRenewal.java
@@ -74,21 +74,21 @@
    * give. Now and then, with a fresh lease, a worker is sent to look for the leader itself:
    * perhaps only we are cut off, and it would get no orders here.
    */
-  public HttpResponse renew(Heartbeat r, String leader) {
+  public HttpResponse renew(Heartbeat heartbeat, String leader) {
     double now = context.clock().now();
     Settings s = context.settings();
     boolean cutOff = now - contactAt > s.contactTimeoutS() * (1 + Settings.DRIFT);
     boolean granted = now - grantedAt < s.gracePeriodS() * (1 - Settings.DRIFT);
-    if (!cutOff || !granted || r.token() == 0 || !s.location().equals(r.zone())) {
+    if (!cutOff || !granted || heartbeat.token() == 0 || !s.location().equals(heartbeat.zone())) {
       return null;
     }
     Double away =
-        awayAt.putIfAbsent(r.machine(), now - s.workers().leaseS() / 2 + s.workers().heartbeatIntervalS() / 4);
+        awayAt.putIfAbsent(heartbeat.machine(), now - s.workers().leaseS() / 2 + s.workers().heartbeatIntervalS() / 4);
     if (away != null && now - away > s.workers().leaseS() / 2) {
-      awayAt.put(r.machine(), now);
+      awayAt.put(heartbeat.machine(), now);
       return HeartbeatForwarder.misdirected(leader);
     }
     renewedAt = now;
-    return HttpResponse.of(200, WorkerCodec.response(r.token(), List.of()));
+    return HttpResponse.of(200, WorkerCodec.response(heartbeat.token(), List.of()));
   }
 }
--- a/src/main/java/io/embernotch/forwarding/HeartbeatForwarder.java
+++ b/src/main/java/io/embernotch/forwarding/HeartbeatForwarder.java
@@ -118,7 +118,7 @@
     if (node != null && takesHeartbeats && !node.equals(context.settings().node())) {
       Set<String> waiting =
           parked.stream().map(p -> p.heartbeat.machine()).collect(Collectors.toSet());
-      handOver(recentHeartbeats().stream().filter(r -> !waiting.contains(r.machine())).toList(), 0, newEpoch);
+      handOver(recentHeartbeats().stream().filter(heartbeat -> !waiting.contains(heartbeat.machine())).toList(), 0, newEpoch);
     }
     if (node != null && !node.equals(context.settings().node())) {
       releaseParked(this::handleHeartbeat);
@@ -164,8 +164,8 @@
       return;
     }
     int end = Math.min(heartbeats.size(), from + SLICE);
-    for (Heartbeat r : heartbeats.subList(from, end)) {
-      host.send(leader, new Frame.ForwardedHeartbeat(0, r));
+    for (Heartbeat heartbeat : heartbeats.subList(from, end)) {
+      host.send(leader, new Frame.ForwardedHeartbeat(0, heartbeat));
     }
     if (end < heartbeats.size()) {
       context.timers()
@@ -174,26 +174,26 @@
   }
 
   /** A worker reports to this controller while another one, or none, is leader. */
-  public Future<HttpResponse> handleHeartbeat(Heartbeat r) {
+  public Future<HttpResponse> handleHeartbeat(Heartbeat heartbeat) {
     double now = context.clock().now();
-    Last before = lastHeartbeats.get(r.machine());
-    if (before == null || r.newerThan(before.heartbeat.agentEpoch(), before.heartbeat.seq())) {
+    Last before = lastHeartbeats.get(heartbeat.machine());
+    if (before == null || heartbeat.newerThan(before.heartbeat.agentEpoch(), before.heartbeat.seq())) {
       // A copy of an older one is no sign of life, and must not be handed to the next leader as
       // one.
-      lastHeartbeats.put(r.machine(), new Last(r, now));
+      lastHeartbeats.put(heartbeat.machine(), new Last(heartbeat, now));
     }
-    if (FencingTokens.epochOf(r.token()) > newestEpoch && host.isPartitionedFromStore()) {
+    if (FencingTokens.epochOf(heartbeat.token()) > newestEpoch && host.isPartitionedFromStore()) {
       // A leader that we know nothing of has reached this worker, and serves it elsewhere.
       return Future.succeededFuture(misdirected(null));
     }
-    HttpResponse renewal = delegatedRenewal.renew(r, leader);
+    HttpResponse renewal = delegatedRenewal.renew(heartbeat, leader);
     if (renewal != null) {
       return Future.succeededFuture(renewal);
     }
     if (leader == null) {
       // Elsewhere a leader may be known: a node that is cut off must not keep its workers.
       boolean leave = now - changedAt > patienceS && host.isPartitionedFromStore();
-      return leave ? Future.succeededFuture(misdirected(null)) : park(r);
+      return leave ? Future.succeededFuture(misdirected(null)) : park(heartbeat);
     }
     boolean deaf = unansweredSince >= 0 && now - unansweredSince > patienceS;
     if (!leaderAcceptsForwarded || (deaf && now < tryAt)) {
@@ -205,7 +205,7 @@
     }
     unansweredSince = unansweredSince < 0 ? now : unansweredSince;
     long to = epoch;
-    return host.ask(leader, id -> new Frame.ForwardedHeartbeat(id, r), withinS)
+    return host.ask(leader, id -> new Frame.ForwardedHeartbeat(id, heartbeat), withinS)
         .map(
             a -> {
               if (a.status() == 503) {
@@ -219,8 +219,8 @@
   }
 
   /** Waits a moment for a leader, so that the worker's lease counts from this report. */
-  private Future<HttpResponse> park(Heartbeat r) {
-    Parked p = new Parked(r);
+  private Future<HttpResponse> park(Heartbeat heartbeat) {
+    Parked p = new Parked(heartbeat);
     parked.add(p);
     context.timers()
         .after(
--- a/src/main/java/io/embernotch/incarnation/StoreIncarnationTracker.java
+++ b/src/main/java/io/embernotch/incarnation/StoreIncarnationTracker.java
@@ -319,9 +319,9 @@
 
   private static SnapshotBlocks unpack(StoreIncarnation incarnation, WatchEvents found) {
     List<byte[]> blocks = new ArrayList<>();
-    for (VersionedEntry e : found.events()) {
-      byte[] block = IncarnationCodec.readBlock(e.value());
-      if (!e.key().equals(IncarnationCodec.block(incarnation.snapshotName(), blocks.size())) || SnapshotBlocks.sum(block) != IncarnationCodec.readCrc(e.value())) {
+    for (VersionedEntry entry : found.events()) {
+      byte[] block = IncarnationCodec.readBlock(entry.value());
+      if (!entry.key().equals(IncarnationCodec.block(incarnation.snapshotName(), blocks.size())) || SnapshotBlocks.sum(block) != IncarnationCodec.readCrc(entry.value())) {
         throw new MalformedInputException("block " + blocks.size() + " is missing or damaged");
       }
       blocks.add(block);
--- a/src/main/java/io/embernotch/incarnation/StoreRestorer.java
+++ b/src/main/java/io/embernotch/incarnation/StoreRestorer.java
@@ -174,8 +174,8 @@
     context.store()
         .commit(txn, RequestPriority.HIGH)
         .onSuccess(
-            c ->
-                write(mine, new Prepared(p.name, p.copy, p.blocks, p.crc, c.revision()), packed, next))
+            result ->
+                write(mine, new Prepared(p.name, p.copy, p.blocks, p.crc, result.revision()), packed, next))
         .onFailure(e -> context.timers().after(leaseTtlS / 16, () -> write(mine, p, packed, from)));
   }
 }
--- a/src/main/java/io/embernotch/jobs/AttemptOutcomes.java
+++ b/src/main/java/io/embernotch/jobs/AttemptOutcomes.java
@@ -63,7 +63,7 @@
     completions.resume();
     for (Job job : state.jobs.values()) {
       if (job.finalPhase == JobPhase.CANCELLED) {
-        List.copyOf(job.openAttempts.values()).forEach(a -> stopper.requestStop(a, 0));
+        List.copyOf(job.openAttempts.values()).forEach(attempt -> stopper.requestStop(attempt, 0));
       } else if (job.spec.shape() == JobShape.GANG
           && job.openAttempts.size() < job.spec.tasks()
           && !job.openAttempts.isEmpty()) {
@@ -73,43 +73,43 @@
   }
 
   /** An attempt has exited on its machine. */
-  public void exited(Attempt a, Machine m, ExitCause cause, boolean saved) {
-    Job job = a.job;
+  public void exited(Attempt attempt, Machine machine, ExitCause cause, boolean saved) {
+    Job job = attempt.job;
     double now = context.clock().now();
     if (LOG.isDebugEnabled()) {
       LOG.debug(
           "{} exited: {}{}; {} s after its start, {} s of them running, {} s expected",
-          a,
+          attempt,
           cause,
           saved ? ", saved" : "",
-          Math.round(now - a.createdAt),
-          a.runningAt < 0 ? 0 : Math.round(now - a.runningAt),
+          Math.round(now - attempt.createdAt),
+          attempt.runningAt < 0 ? 0 : Math.round(now - attempt.runningAt),
           Math.round(job.spec.expectS()));
     }
     if (cause == ExitCause.DONE && job.spec.shape() != JobShape.SERVICE) {
-      finished(a, m, now);
+      finished(attempt, machine, now);
     } else {
-      failed(a, m, cause, now);
+      failed(attempt, machine, cause, now);
     }
-    close(a);
+    close(attempt);
   }
 
-  private void finished(Attempt a, Machine m, double now) {
-    Job job = a.job;
-    if (a.runningAt >= 0 && !job.restartedTasks.get(a.task) && !job.done.get(a.task)) {
-      double ran = Math.max(0.1, now - a.runningAt);
+  private void finished(Attempt attempt, Machine machine, double now) {
+    Job job = attempt.job;
+    if (attempt.runningAt >= 0 && !job.restartedTasks.get(attempt.task) && !job.done.get(attempt.task)) {
+      double ran = Math.max(0.1, now - attempt.runningAt);
       job.finishedSumS += ran;
       job.finishedCount++;
-      m.recordFinished(job.meanS() / ran, remembered);
+      machine.recordFinished(job.meanS() / ran, remembered);
     }
     boolean ended = job.finalPhase != null;
     if (!ended && job.spec.shape() == JobShape.GANG) {
       // A gang completes together: when one task is done, every task is.
       job.done.set(0, job.spec.tasks());
     } else if (!ended) {
-      job.done.set(a.task);
+      job.done.set(attempt.task);
     }
-    failureAttribution.cleared(job, m);
+    failureAttribution.cleared(job, machine);
     if (ended) {
       return;
     }
@@ -122,44 +122,44 @@
     }
   }
 
-  private void failed(Attempt a, Machine m, ExitCause cause, double now) {
-    Job job = a.job;
+  private void failed(Attempt attempt, Machine machine, ExitCause cause, double now) {
+    Job job = attempt.job;
     double heartbeat = context.settings().workers().heartbeatIntervalS();
     switch (cause) {
-      case ERROR -> failureAttribution.failed(a, m, now);
-      case NO_ROOM, BUSY -> m.avoidUntil = now + heartbeat;
+      case ERROR -> failureAttribution.failed(attempt, machine, now);
+      case NO_ROOM, BUSY -> machine.avoidUntil = now + heartbeat;
       case UNKNOWN -> job.backoffUntil = now + heartbeat / 3;
       default -> {}
     }
     if (job.spec.shape() == JobShape.GANG && job.finalPhase == null) {
-      stopper.stopGang(job, a.stopping ? a.stopGraceS : 0);
+      stopper.stopGang(job, attempt.stopping ? attempt.stopGraceS : 0);
     }
   }
 
   /** An attempt is proven gone without an exit. */
-  public void gone(Attempt a, Machine m, String why) {
-    LOG.info("{} is gone: {}", a, why);
-    if (a.job.spec.shape() == JobShape.GANG && a.job.finalPhase == null) {
-      stopper.stopGang(a.job, 0);
+  public void gone(Attempt attempt, Machine machine, String why) {
+    LOG.info("{} is gone: {}", attempt, why);
+    if (attempt.job.spec.shape() == JobShape.GANG && attempt.job.finalPhase == null) {
+      stopper.stopGang(attempt.job, 0);
     }
-    close(a);
+    close(attempt);
   }
 
-  private void touched(Attempt a) {
-    Machine m = state.machines.get(a.machine);
-    if (m != null) {
-      m.attemptsChanged();
+  private void touched(Attempt attempt) {
+    Machine machine = state.machines.get(attempt.machine);
+    if (machine != null) {
+      machine.attemptsChanged();
     }
   }
 
   /** An attempt is over: its place is free, and what the store is to hold has changed. */
-  public void close(Attempt a) {
-    state.closeAttempt(a, context.clock().now());
-    if (a.launchState != Attempt.LaunchState.UNCOMMITTED && a.launchState != Attempt.LaunchState.READY) {
-      a.job.restartedTasks.set(a.task);
+  public void close(Attempt attempt) {
+    state.closeAttempt(attempt, context.clock().now());
+    if (attempt.launchState != Attempt.LaunchState.UNCOMMITTED && attempt.launchState != Attempt.LaunchState.READY) {
+      attempt.job.restartedTasks.set(attempt.task);
     }
-    stateWriter.writeLater(a.job, a.task);
-    closed.accept(a.job);
+    stateWriter.writeLater(attempt.job, attempt.task);
+    closed.accept(attempt.job);
     changed.run();
   }
 }
--- a/src/main/java/io/embernotch/jobs/Cancellations.java
+++ b/src/main/java/io/embernotch/jobs/Cancellations.java
@@ -45,7 +45,7 @@
 
   /** A user wants the job cancelled; its tasks have been told to stop. */
   public void request(Job job, Promise<HttpResponse> reply) {
-    requested.computeIfAbsent(job, j -> new ArrayList<>()).add(reply);
+    requested.computeIfAbsent(job, key -> new ArrayList<>()).add(reply);
     context.timers()
         .after(
             context.settings().workers().heartbeatIntervalS() / 2,
@@ -81,9 +81,9 @@
   private boolean allGoneInTime(Job job) {
     // What the commit and its answer may take counts as well: a tenth is far more than they do.
     double by = context.clock().now() + context.settings().workers().cancelS() * (0.9 - Settings.DRIFT);
-    for (Attempt a : job.openAttempts.values()) {
-      Machine m = state.machines.get(a.machine);
-      if (m == null || agents.leaseExpiresBy(m) > by || a.mayYetStart(agents.tokenBase())) {
+    for (Attempt attempt : job.openAttempts.values()) {
+      Machine machine = state.machines.get(attempt.machine);
+      if (machine == null || agents.leaseExpiresBy(machine) > by || attempt.mayYetStart(agents.tokenBase())) {
         return false;
       }
     }
--- a/src/main/java/io/embernotch/jobs/FailoverRecovery.java
+++ b/src/main/java/io/embernotch/jobs/FailoverRecovery.java
@@ -70,33 +70,33 @@
     Map<String, Job> all = new LinkedHashMap<>();
     Map<String, Integer> sizes = new HashMap<>();
     state.unreadable.clear();
-    for (VersionedEntry e : jobs.events()) {
-      String ref = e.key().substring(JobProgressCodec.JOB.length());
+    for (VersionedEntry entry : jobs.events()) {
+      String ref = entry.key().substring(JobProgressCodec.JOB.length());
       if (!readable(
-          e,
+          entry,
           () -> {
-            Job job = JobProgressCodec.readJob(e.value());
-            sizes.put(ref, JobProgressCodec.readShardSize(e.value()));
+            Job job = JobProgressCodec.readJob(entry.value());
+            sizes.put(ref, JobProgressCodec.readShardSize(entry.value()));
             all.put(ref, job);
-            job.restoredAfterLoss |= e.modRevision() <= baseSnapshot.since();
+            job.restoredAfterLoss |= entry.modRevision() <= baseSnapshot.since();
           })) {
         state.unreadable.add(ref);
       }
     }
-    for (VersionedEntry e : runs.events()) {
-      String ref = e.key().split("/")[1];
+    for (VersionedEntry entry : runs.events()) {
+      String ref = entry.key().split("/")[1];
       Job job = all.get(ref);
       if (job != null
           && !readable(
-              e,
-              () -> JobProgressCodec.readRun(e.value(), job, sizes.get(ref), JobProgressCodec.shardOf(e.key())))) {
+              entry,
+              () -> JobProgressCodec.readRun(entry.value(), job, sizes.get(ref), JobProgressCodec.shardOf(entry.key())))) {
         // What runs of it is not known, so it waits until nothing can.
         job.notBefore = acquiredAt + WorkerLeases.longestLeaseS(context.settings());
       }
     }
     Map<String, List<ProgressShard>> partsOf = new HashMap<>();
-    for (VersionedEntry e : parts.events()) {
-      ProgressShard part = ProgressShard.of(e);
+    for (VersionedEntry entry : parts.events()) {
+      ProgressShard part = ProgressShard.of(entry);
       partsOf.computeIfAbsent(part.ref(), r -> new ArrayList<>()).add(part);
     }
     partsOf.forEach(
@@ -109,31 +109,31 @@
           }
         });
     Stream.concat(runs.events().stream(), parts.events().stream())
-        .filter(e -> mayStillBeWritten(all.get(e.key().split("/")[1])))
-        .forEach(e -> stateWriter.recordModRevision(e.key(), e.modRevision()));
+        .filter(entry -> mayStillBeWritten(all.get(entry.key().split("/")[1])))
+        .forEach(entry -> stateWriter.recordModRevision(entry.key(), entry.modRevision()));
     all.values().stream()
-        .sorted(Comparator.comparingLong(j -> j.submittedMs))
-        .forEach(j -> adopt(j, sizes.get(j.spec.ref())));
+        .sorted(Comparator.comparingLong(job -> job.submittedMs))
+        .forEach(job -> adopt(job, sizes.get(job.spec.ref())));
     dependencyGraph.rebuild();
     all.values().stream()
-        .filter(j -> !j.blocked())
-        .sorted(Comparator.comparingLong(j -> j.eligibleSinceMs))
+        .filter(job -> !job.blocked())
+        .sorted(Comparator.comparingLong(job -> job.eligibleSinceMs))
         .forEach(
-            j ->
+            job ->
                 demandForecast.seen(
-                    j.spec, acquiredAt - Math.max(0, context.clock().wallMs() - j.eligibleSinceMs) / 1000.0));
+                    job.spec, acquiredAt - Math.max(0, context.clock().wallMs() - job.eligibleSinceMs) / 1000.0));
   }
 
   /**
    * One value that can't be read keeps no other from being taken over; a new leader once tried
    * again for good.
    */
-  private static boolean readable(VersionedEntry e, Runnable read) {
+  private static boolean readable(VersionedEntry entry, Runnable read) {
     try {
       read.run();
       return true;
     } catch (RuntimeException bad) {
-      LOG.error("the value of {} can't be read: {}", e.key(), bad.toString());
+      LOG.error("the value of {} can't be read: {}", entry.key(), bad.toString());
       return false;
     }
   }
@@ -165,15 +165,15 @@
     state.jobs.put(ref, job);
     job.persistedDone.or(job.done);
     delayIfProgressUncertain(job);
-    for (Attempt a : job.openAttempts.values()) {
-      Machine m = state.machine(a.machine, tokenBase);
-      m.zone = a.zone;
-      m.openAttempts.put(Machine.taskKey(ref, a.task), a);
-      m.attemptsChanged();
-      a.startToken = tokenBase - 1;
-      a.inherited = true;
-      a.createdAt = acquiredAt;
-      job.restartedTasks.set(a.task);
+    for (Attempt attempt : job.openAttempts.values()) {
+      Machine machine = state.machine(attempt.machine, tokenBase);
+      machine.zone = attempt.zone;
+      machine.openAttempts.put(Machine.taskKey(ref, attempt.task), attempt);
+      machine.attemptsChanged();
+      attempt.startToken = tokenBase - 1;
+      attempt.inherited = true;
+      attempt.createdAt = acquiredAt;
+      job.restartedTasks.set(attempt.task);
     }
   }
 }
--- a/src/main/java/io/embernotch/jobs/JobCompletions.java
+++ b/src/main/java/io/embernotch/jobs/JobCompletions.java
@@ -43,7 +43,7 @@
   /** Ends that an earlier leader has decided. */
   public void resume() {
     completing.clear();
-    state.jobs.values().stream().filter(j -> j.finalPhase != null).forEach(completing::add);
+    state.jobs.values().stream().filter(job -> job.finalPhase != null).forEach(completing::add);
   }
 
   /** Decides an end. Jobs that need this one learn of it when it is committed, not before. */
@@ -70,8 +70,8 @@
   /** Nothing of a job that is told to be cancelled is left in a zone. */
   public boolean zoneHasNoCancelledTasks(String zone) {
     return completing.stream()
-        .filter(j -> j.finalPhase == JobPhase.CANCELLED)
-        .allMatch(j -> j.openAttempts.values().stream().noneMatch(a -> a.zone.equals(zone)));
+        .filter(job -> job.finalPhase == JobPhase.CANCELLED)
+        .allMatch(job -> job.openAttempts.values().stream().noneMatch(attempt -> attempt.zone.equals(zone)));
   }
 
   /** Lets go of jobs that have ended, once nothing of them is open or unwritten. */
--- a/src/main/java/io/embernotch/leader/ImageInventory.java
+++ b/src/main/java/io/embernotch/leader/ImageInventory.java
@@ -68,11 +68,11 @@
         return;
       }
       lastAt = now;
-      for (Machine m : machines) {
-        int hash = m.images.hashCode();
-        Integer before = told.put(m.name, hash);
-        if (before == null ? !m.images.isEmpty() : before != hash) {
-          send.accept(new Frame.ImageInventoryUpdate(epoch, m.name, List.copyOf(m.images)));
+      for (Machine machine : machines) {
+        int hash = machine.images.hashCode();
+        Integer before = told.put(machine.name, hash);
+        if (before == null ? !machine.images.isEmpty() : before != hash) {
+          send.accept(new Frame.ImageInventoryUpdate(epoch, machine.name, List.copyOf(machine.images)));
         }
       }
     }
--- a/src/main/java/io/embernotch/leader/Leader.java
+++ b/src/main/java/io/embernotch/leader/Leader.java
@@ -100,7 +100,7 @@
     this.acquiredAt = context.clock().now();
     this.baseSnapshot = baseSnapshot;
     this.begunWith = begunWith;
-    types.forEach(t -> state.types.put(t.name(), t));
+    types.forEach(type -> state.types.put(type.name(), type));
     this.shardLayout = new ShardLayout(JobProgressCodec.shard(context.settings().minStoreLimits().valueKb(), context.settings().zones()));
     this.stateWriter = new StateWriter(
         context.settings(), shardLayout, context.store(), context.clock(), context.timers(), context.profile(), modRevision,
@@ -120,7 +120,7 @@
     this.fleetManager = new FleetManager(context, state, agents, epoch, this);
     this.machineViewPublisher = new MachineViewPublisher(context, state,
         (node, v) -> host.partitionViews().view(node, epoch, v), (node, m) -> host.partitionViews().forget(node, epoch, m));
-    this.sharedState = new SharedStateServices(context, state, epoch, modRevision, j -> stateWriter.writeLater(j, 0), () -> host.superseded("a fact failed on the steward's key"));
+    this.sharedState = new SharedStateServices(context, state, epoch, modRevision, job -> stateWriter.writeLater(job, 0), () -> host.superseded("a fact failed on the steward's key"));
     this.schedulingLoop = new SchedulingLoop(
         context, state, dependencyGraph, demandForecast, fleetManager, launcher, stopper, sharedState, acquiredAt, this::isLeading, heartbeatQueue::isUnderPressure,
             () -> tell(new LeaderMessage.RunScheduler()));
@@ -287,7 +287,7 @@
     @Override
     public void cancelled(Job job) {
       completions.completedByDependency(job);
-      List.copyOf(job.openAttempts.values()).forEach(a -> stopper.requestStop(a, 0));
+      List.copyOf(job.openAttempts.values()).forEach(attempt -> stopper.requestStop(attempt, 0));
     }
 
     @Override
@@ -301,7 +301,7 @@
     public void cancel(Job job, Promise<HttpResponse> reply) {
       LOG.debug("job {} is to be cancelled", job.spec.ref());
       job.cancelRequested = true;
-      List.copyOf(job.openAttempts.values()).forEach(a -> stopper.requestStop(a, 0));
+      List.copyOf(job.openAttempts.values()).forEach(attempt -> stopper.requestStop(attempt, 0));
       cancellations.request(job, reply);
       schedulingLoop.scheduleSoon();
     }
@@ -320,16 +320,16 @@
   // ---- what workers tell
 
   @Override
-  public void taskRunning(Attempt a, Machine m) {}
+  public void taskRunning(Attempt attempt, Machine machine) {}
 
   @Override
-  public void taskExited(Attempt a, Machine m, ExitCause cause, boolean saved) {
-    attemptOutcomes.exited(a, m, cause, saved);
+  public void taskExited(Attempt attempt, Machine machine, ExitCause cause, boolean saved) {
+    attemptOutcomes.exited(attempt, machine, cause, saved);
   }
 
   @Override
-  public void attemptGone(Attempt a, Machine m, String why) {
-    attemptOutcomes.gone(a, m, why);
+  public void attemptGone(Attempt attempt, Machine machine, String why) {
+    attemptOutcomes.gone(attempt, machine, why);
   }
 
   @Override
@@ -357,16 +357,16 @@
   // ---- what the fleet tells
 
   @Override
-  public void machineGone(Machine m) {
-    if (state.machines.get(m.name) != m) {
+  public void machineGone(Machine machine) {
+    if (state.machines.get(machine.name) != machine) {
       return;
     }
-    for (Attempt a : List.copyOf(m.openAttempts.values())) {
-      attemptGone(a, m, "its machine was returned");
+    for (Attempt attempt : List.copyOf(machine.openAttempts.values())) {
+      attemptGone(attempt, machine, "its machine was returned");
     }
-    state.machines.remove(m.name);
-    imagePublisher.machineRemoved(m.name, epoch, host::broadcast);
-    agents.markDeleted(m.name);
+    state.machines.remove(machine.name);
+    imagePublisher.machineRemoved(machine.name, epoch, host::broadcast);
+    agents.markDeleted(machine.name);
     schedulingLoop.scheduleSoon();
   }
 
@@ -390,8 +390,8 @@
   }
 
   @Override
-  public void startUnreachable(Attempt a) {
-    stopper.stopWithGang(a, 0);
+  public void startUnreachable(Attempt attempt) {
+    stopper.stopWithGang(attempt, 0);
   }
 
   @Override
@@ -406,14 +406,14 @@
       return;
     }
     double now = context.clock().now();
-    for (Attempt a : fleetManager.attemptsWithExpiredLease()) {
-      attemptGone(a, state.machines.get(a.machine), "the worker's lease is over");
+    for (Attempt attempt : fleetManager.attemptsWithExpiredLease()) {
+      attemptGone(attempt, state.machines.get(attempt.machine), "the worker's lease is over");
     }
-    for (Machine m : List.copyOf(state.machines.values())) {
-      if (stopper.drained(m)) {
-        fleetManager.scaleIn(m);
+    for (Machine machine : List.copyOf(state.machines.values())) {
+      if (stopper.drained(machine)) {
+        fleetManager.scaleIn(machine);
       }
-      agents.sendDueCommands(m);
+      agents.sendDueCommands(machine);
     }
     fleetManager.tick();
     cancellations.checkAll();
--- a/src/main/java/io/embernotch/leader/PendingHeartbeats.java
+++ b/src/main/java/io/embernotch/leader/PendingHeartbeats.java
@@ -40,14 +40,14 @@
         });
   }
 
-  void add(Heartbeat r) {
-    latest.merge(r.machine(), r, (old, now) -> now.newerThan(old.agentEpoch(), old.seq()) ? now : old);
+  void add(Heartbeat heartbeat) {
+    latest.merge(heartbeat.machine(), heartbeat, (old, now) -> now.newerThan(old.agentEpoch(), old.seq()) ? now : old);
   }
 
   /** Hands over those that wait for an answer, and then what else was heard, a slice a turn. */
   void drain(Executor loop, Consumer<LeaderMessage> to) {
     ArrayDeque<LeaderMessage> left = new ArrayDeque<>(waiting.values());
-    latest.values().forEach(r -> left.add(new LeaderMessage.HeartbeatHandedOver(r)));
+    latest.values().forEach(heartbeat -> left.add(new LeaderMessage.HeartbeatHandedOver(heartbeat)));
     waiting.clear();
     latest.clear();
     slice(left, loop, to);
--- a/src/main/java/io/embernotch/leader/SchedulingLoop.java
+++ b/src/main/java/io/embernotch/leader/SchedulingLoop.java
@@ -188,9 +188,9 @@
       plan.scaleOuts.forEach(fleetManager::rent);
     }
     if (fleetManager.cloudAnswers()) {
-      for (Machine m : plan.scaleIns) {
-        LOG.debug("machine {} is idle", m.name);
-        fleetManager.scaleIn(m);
+      for (Machine machine : plan.scaleIns) {
+        LOG.debug("machine {} is idle", machine.name);
+        fleetManager.scaleIn(machine);
       }
     }
   }
@@ -203,7 +203,7 @@
   private boolean liveWaits(double now) {
     return now - loadedAt < firstS()
         && state.jobs.values().stream()
-            .anyMatch(j -> j.spec.priority() == Priority.PRODUCTION && j.pendingCount() > 0);
+            .anyMatch(job -> job.spec.priority() == Priority.PRODUCTION && job.pendingCount() > 0);
   }
 
   /** So long after a takeover live services come before what else there is to do. */
--- a/src/main/java/io/embernotch/model/Job.java
+++ b/src/main/java/io/embernotch/model/Job.java
@@ -165,8 +165,8 @@
   /** Tasks that run, or may run: users may have been told so by whoever reads the store. */
   public int runningCount() {
     int n = 0;
-    for (Attempt a : openAttempts.values()) {
-      if (a.mayRun()) {
+    for (Attempt attempt : openAttempts.values()) {
+      if (attempt.mayRun()) {
         n++;
       }
     }
@@ -180,6 +180,6 @@
   public boolean mayRun(double sentBefore) {
     return openAttempts.values().stream()
         .anyMatch(
-            a -> a.mayRun() || (a.launchState == Attempt.LaunchState.SENDING && a.createdAt < sentBefore));
+            attempt -> attempt.mayRun() || (attempt.launchState == Attempt.LaunchState.SENDING && attempt.createdAt < sentBefore));
   }
 }
--- a/src/main/java/io/embernotch/model/MachineLoad.java
+++ b/src/main/java/io/embernotch/model/MachineLoad.java
@@ -39,22 +39,22 @@
     boolean service = false;
     Priority low = null;
     Set<String> images = Set.of();
-    for (Attempt a : open) {
-      JobSpec j = a.job.spec;
-      c += j.cpus();
-      g += j.gpus();
-      m += j.memGb();
-      service |= j.shape() == JobShape.SERVICE;
-      if (a.stopping) {
-        fc += j.cpus();
-        fg += j.gpus();
-        fm += j.memGb();
-      } else if (low == null || j.priority().compareTo(low) < 0) {
-        low = j.priority();
+    for (Attempt attempt : open) {
+      JobSpec spec = attempt.job.spec;
+      c += spec.cpus();
+      g += spec.gpus();
+      m += spec.memGb();
+      service |= spec.shape() == JobShape.SERVICE;
+      if (attempt.stopping) {
+        fc += spec.cpus();
+        fg += spec.gpus();
+        fm += spec.memGb();
+      } else if (low == null || spec.priority().compareTo(low) < 0) {
+        low = spec.priority();
       }
-      if (a.state == TaskState.FETCHING || a.state == null) {
+      if (attempt.state == TaskState.FETCHING || attempt.state == null) {
         images = images.isEmpty() ? new HashSet<>() : images;
-        images.add(j.image());
+        images.add(spec.image());
       }
     }
     cpus = c;
--- a/src/main/java/io/embernotch/peer/FrameCodec.java
+++ b/src/main/java/io/embernotch/peer/FrameCodec.java
@@ -144,16 +144,16 @@
     }
   }
 
-  private static void heartbeat(ByteBuffer b, Heartbeat r) {
-    text(b, r.machine());
-    text(b, r.address());
-    text(b, r.type());
-    text(b, r.zone());
-    flag(b, r.spot());
-    b.putLong(r.agentEpoch()).putLong(r.seq()).putLong(r.token());
-    b.putDouble(r.reclaimInS() == null ? -1 : r.reclaimInS());
-    b.putShort((short) r.tasks().size());
-    for (TaskStatus t : r.tasks()) {
+  private static void heartbeat(ByteBuffer b, Heartbeat heartbeat) {
+    text(b, heartbeat.machine());
+    text(b, heartbeat.address());
+    text(b, heartbeat.type());
+    text(b, heartbeat.zone());
+    flag(b, heartbeat.spot());
+    b.putLong(heartbeat.agentEpoch()).putLong(heartbeat.seq()).putLong(heartbeat.token());
+    b.putDouble(heartbeat.reclaimInS() == null ? -1 : heartbeat.reclaimInS());
+    b.putShort((short) heartbeat.tasks().size());
+    for (TaskStatus t : heartbeat.tasks()) {
       text(b, t.ref());
       b.putInt(t.task()).putLong(t.attempt()).put((byte) t.state().ordinal());
       b.put((byte) (t.cause() == null ? -1 : t.cause().ordinal()));
--- a/src/main/java/io/embernotch/peer/VertxPeerLink.java
+++ b/src/main/java/io/embernotch/peer/VertxPeerLink.java
@@ -38,8 +38,8 @@
     NetClientOptions options = new NetClientOptions();
     options.setConnectTimeout((int) (retryS * 1000)).setTcpNoDelay(true);
     this.client = vertx.createNetClient(options);
-    for (Settings.Member m : settings.members()) {
-      outgoing.put(m.node(), new Outgoing(m.address()));
+    for (Settings.Member member : settings.members()) {
+      outgoing.put(member.node(), new Outgoing(member.address()));
     }
   }
 
--- a/src/main/java/io/embernotch/persistence/PersistedJob.java
+++ b/src/main/java/io/embernotch/persistence/PersistedJob.java
@@ -21,10 +21,10 @@
     return store
         .getConfirmed(JobProgressCodec.JOB + ref)
         .map(
-            e ->
-                baseSnapshot.beneath(ref, JobProgressCodec.JOB, present(e)).stream()
+            entry ->
+                baseSnapshot.beneath(ref, JobProgressCodec.JOB, present(entry)).stream()
                     .findFirst()
-                    .orElse(new VersionedEntry(e.key(), null, 0)));
+                    .orElse(new VersionedEntry(entry.key(), null, 0)));
   }
 
   /**
@@ -46,8 +46,8 @@
             });
   }
 
-  private static List<VersionedEntry> present(VersionedEntry e) {
-    return e.present() ? List.of(e) : List.of();
+  private static List<VersionedEntry> present(VersionedEntry entry) {
+    return entry.present() ? List.of(entry) : List.of();
   }
 
   private static Future<Job> progress(
--- a/src/main/java/io/embernotch/persistence/StateWriter.java
+++ b/src/main/java/io/embernotch/persistence/StateWriter.java
@@ -122,8 +122,8 @@
   /** Runs {@code then} once the piece with {@code task}, as it is now, is in the store; false if it is. */
   public boolean whenWritten(Job job, int task, Runnable then) {
     String key = shardLayout.shardOf(job, task).key();
-    DirtyShard d = dirty.getOrDefault(key, inFlight.get(key));
-    return d != null && d.waiters.add(new Waiter(task, then));
+    DirtyShard dirtyShard = dirty.getOrDefault(key, inFlight.get(key));
+    return dirtyShard != null && dirtyShard.waiters.add(new Waiter(task, then));
   }
 
   /** Runs {@code then} once it is known whether the store, and so whoever reads it, has the done marks last sent; false if it is known. */
@@ -131,9 +131,9 @@
     int size = shardLayout.shardSize(job.spec.ref());
     for (int task = 0; task < job.spec.tasks(); task += size) {
       String key = shardLayout.shardOf(job, task).key();
-      for (DirtyShard d : Arrays.asList(inFlight.get(key), dirty.get(key))) {
-        if (d != null && d.mayBeStored()) {
-          d.waiters.add(new Waiter(task, then));
+      for (DirtyShard dirtyShard : Arrays.asList(inFlight.get(key), dirty.get(key))) {
+        if (dirtyShard != null && dirtyShard.mayBeStored()) {
+          dirtyShard.waiters.add(new Waiter(task, then));
           return true;
         }
       }
@@ -160,26 +160,26 @@
 
   private void mark(Job job, int task, RequestPriority priority, double due, Runnable durable) {
     ShardLayout.Shard shard = shardLayout.shardOf(job, task);
-    DirtyShard d = dirty.computeIfAbsent(shard.key(), k -> new DirtyShard(shard, priority, due));
-    d.expedite(priority, due);
-    d.tasks.set(task);
+    DirtyShard dirtyShard = dirty.computeIfAbsent(shard.key(), k -> new DirtyShard(shard, priority, due));
+    dirtyShard.expedite(priority, due);
+    dirtyShard.tasks.set(task);
     if (durable != null) {
-      d.waiters.add(new Waiter(task, durable));
-      d.waitingSince = d.waitingSince < 0 ? clock.now() : d.waitingSince;
+      dirtyShard.waiters.add(new Waiter(task, durable));
+      dirtyShard.waitingSince = dirtyShard.waitingSince < 0 ? clock.now() : dirtyShard.waitingSince;
     }
-    arm(d);
+    arm(dirtyShard);
   }
 
-  private void arm(DirtyShard d) {
+  private void arm(DirtyShard dirtyShard) {
     if (busy || closed) {
       return;
     }
     double now = clock.now();
-    if (d.due <= now + 0.001) {
-      ask(d.priority);
-    } else if (d.due < armedFor) {
-      armedFor = d.due;
-      timers.after(d.due - now, () -> {
+    if (dirtyShard.due <= now + 0.001) {
+      ask(dirtyShard.priority);
+    } else if (dirtyShard.due < armedFor) {
+      armedFor = dirtyShard.due;
+      timers.after(dirtyShard.due - now, () -> {
         // Timers may fire a little early: what is due is looked at anew, and armed again if need be.
         armedFor = Double.MAX_VALUE;
         next();
@@ -195,15 +195,15 @@
     double now = clock.now();
     DirtyShard first = null;
     DirtyShard soonest = null;
-    for (DirtyShard d : dirty.values()) {
-      if (d.priority == RequestPriority.BACKGROUND && now - d.due > overdueS) {
-        d.priority = RequestPriority.NORMAL;
+    for (DirtyShard dirtyShard : dirty.values()) {
+      if (dirtyShard.priority == RequestPriority.BACKGROUND && now - dirtyShard.due > overdueS) {
+        dirtyShard.priority = RequestPriority.NORMAL;
       }
-      if (d.due <= now + 0.001 && (first == null || d.priority.compareTo(first.priority) < 0)) {
-        first = d;
+      if (dirtyShard.due <= now + 0.001 && (first == null || dirtyShard.priority.compareTo(first.priority) < 0)) {
+        first = dirtyShard;
       }
-      if (soonest == null || d.due < soonest.due) {
-        soonest = d;
+      if (soonest == null || dirtyShard.due < soonest.due) {
+        soonest = dirtyShard;
       }
     }
     if (first != null) {
@@ -234,8 +234,8 @@
     boolean spare = priority == RequestPriority.BACKGROUND || store.hasSpareWrites();
     List<Map.Entry<String, DirtyShard>> order = new ArrayList<>();
     for (Map.Entry<String, DirtyShard> e : dirty.entrySet()) {
-      DirtyShard d = e.getValue();
-      if (d.due <= now + 0.001 && (spare || d.priority != RequestPriority.BACKGROUND)) {
+      DirtyShard dirtyShard = e.getValue();
+      if (dirtyShard.due <= now + 0.001 && (spare || dirtyShard.priority != RequestPriority.BACKGROUND)) {
         order.add(e);
       }
     }
@@ -250,14 +250,14 @@
       if (batch.size() >= most) {
         break;
       }
-      DirtyShard d = e.getValue();
-      if (d.suspect && !batch.isEmpty()) {
+      DirtyShard dirtyShard = e.getValue();
+      if (dirtyShard.suspect && !batch.isEmpty()) {
         continue;
       }
-      ObjectNode value = d.shard.value();
+      ObjectNode value = dirtyShard.shard.value();
       int size = Json.bytes(value).length;
-      if (lowered && size > safeBytes && shardLayout.shardOf(d.shard.job(), 0).size() > 1) {
-        tooLarge.add(d.shard.job());
+      if (lowered && size > safeBytes && shardLayout.shardOf(dirtyShard.shard.job(), 0).size() > 1) {
+        tooLarge.add(dirtyShard.shard.job());
         continue;
       }
       bytes += size + 2 * e.getKey().length() + 100;
@@ -265,8 +265,8 @@
         break;
       }
       txn.when(e.getKey(), modRevisions.getOrDefault(e.getKey(), 0L)).write(e.getKey(), value);
-      batch.put(e.getKey(), d);
-      if (d.suspect) {
+      batch.put(e.getKey(), dirtyShard);
+      if (dirtyShard.suspect) {
         break;
       }
     }
@@ -283,7 +283,7 @@
     changes += batch.size();
     store
         .commitInWriteSlot(txn, priority)
-        .onSuccess(c -> profile.run("committed", () -> answered(c, batch)))
+        .onSuccess(result -> profile.run("committed", () -> answered(result, batch)))
         .onFailure(e -> unanswered(e, batch));
     return batch.size();
   }
@@ -297,11 +297,11 @@
       inFlight = Map.of();
       busy = false;
       batch.values().forEach(DirtyShard::stored);
-      for (DirtyShard d : batch.values()) {
-        if (d.waitingSince >= 0) {
-          latencies.record(d.priority == RequestPriority.HIGH ? "urgent commit" : "commit", clock.now() - d.waitingSince);
+      for (DirtyShard dirtyShard : batch.values()) {
+        if (dirtyShard.waitingSince >= 0) {
+          latencies.record(dirtyShard.priority == RequestPriority.HIGH ? "urgent commit" : "commit", clock.now() - dirtyShard.waitingSince);
         }
-        d.waiters.forEach(w -> w.durable().run());
+        dirtyShard.waiters.forEach(w -> w.durable().run());
       }
       next();
       return;
@@ -348,9 +348,9 @@
    */
   private void explain(Map<String, DirtyShard> batch, String answer) {
     Set<Job> large = new LinkedHashSet<>();
-    for (DirtyShard d : batch.values()) {
-      if (Json.bytes(d.shard.value()).length > safeBytes) {
-        large.add(d.shard.job());
+    for (DirtyShard dirtyShard : batch.values()) {
+      if (Json.bytes(dirtyShard.shard.value()).length > safeBytes) {
+        large.add(dirtyShard.shard.job());
       }
     }
     if (!large.isEmpty() && !lowered) {
@@ -365,11 +365,11 @@
       return;
     }
     for (Map.Entry<String, DirtyShard> e : batch.entrySet()) {
-      DirtyShard d = dirty.get(e.getKey());
+      DirtyShard dirtyShard = dirty.get(e.getKey());
       if (batch.size() > 1) {
-        d.suspect = true;
-      } else if (!refine(d.shard.job())) {
-        d.due = clock.now() + lazyS;
+        dirtyShard.suspect = true;
+      } else if (!refine(dirtyShard.shard.job())) {
+        dirtyShard.due = clock.now() + lazyS;
         if (!saidSo) {
           saidSo = true;
           LOG.error("the state service does not take {}, which is tried again and again: {}", e.getKey(), answer);
@@ -382,22 +382,22 @@
   private boolean refine(Job job) {
     String ref = job.spec.ref();
     List<DirtyShard> old = new ArrayList<>();
-    dirty.values().stream().filter(d -> d.shard.job() == job).forEach(old::add);
+    dirty.values().stream().filter(dirtyShard -> dirtyShard.shard.job() == job).forEach(old::add);
     if (!shardLayout.refine(ref)) {
       return false;
     }
     LOG.info("job {} goes on in parts of {} tasks", ref, shardLayout.shardSize(ref));
-    for (DirtyShard d : old) {
-      dirty.remove(d.shard.key());
-      for (int task = d.tasks.nextSetBit(0); task >= 0; task = d.tasks.nextSetBit(task + 1)) {
+    for (DirtyShard dirtyShard : old) {
+      dirty.remove(dirtyShard.shard.key());
+      for (int task = dirtyShard.tasks.nextSetBit(0); task >= 0; task = dirtyShard.tasks.nextSetBit(task + 1)) {
         ShardLayout.Shard shard = shardLayout.shardOf(job, task);
-        DirtyShard part = dirty.computeIfAbsent(shard.key(), k -> new DirtyShard(shard, d.priority, d.due));
-        part.expedite(d.priority, d.due);
+        DirtyShard part = dirty.computeIfAbsent(shard.key(), k -> new DirtyShard(shard, dirtyShard.priority, dirtyShard.due));
+        part.expedite(dirtyShard.priority, dirtyShard.due);
         part.tasks.set(task);
-        part.supersedes(d);
-        part.waitingSince = d.waitingSince;
+        part.supersedes(dirtyShard);
+        part.waitingSince = dirtyShard.waitingSince;
       }
-      d.waiters.forEach(w -> dirty.get(shardLayout.shardOf(job, w.task()).key()).waiters.add(w));
+      dirtyShard.waiters.forEach(w -> dirty.get(shardLayout.shardOf(job, w.task()).key()).waiters.add(w));
     }
     return true;
   }
@@ -405,17 +405,17 @@
   private void putBack(Map<String, DirtyShard> batch) {
     inFlight = Map.of();
     batch.forEach(
-        (key, d) -> {
+        (key, dirtyShard) -> {
           DirtyShard newer = dirty.get(key);
           if (newer == null) {
-            dirty.put(key, d);
+            dirty.put(key, dirtyShard);
           } else {
-            newer.expedite(d.priority, d.due);
-            newer.waitingSince = d.waitingSince >= 0 ? d.waitingSince : newer.waitingSince;
-            newer.tasks.or(d.tasks);
-            newer.supersedes(d);
-            newer.suspect |= d.suspect;
-            List<Waiter> all = new ArrayList<>(d.waiters);
+            newer.expedite(dirtyShard.priority, dirtyShard.due);
+            newer.waitingSince = dirtyShard.waitingSince >= 0 ? dirtyShard.waitingSince : newer.waitingSince;
+            newer.tasks.or(dirtyShard.tasks);
+            newer.supersedes(dirtyShard);
+            newer.suspect |= dirtyShard.suspect;
+            List<Waiter> all = new ArrayList<>(dirtyShard.waiters);
             all.addAll(newer.waiters);
             newer.waiters = all;
           }
--- a/src/main/java/io/embernotch/persistence/SubmissionWatcher.java
+++ b/src/main/java/io/embernotch/persistence/SubmissionWatcher.java
@@ -65,17 +65,17 @@
         .onFailure(e -> context.timers().after(context.settings().workers().heartbeatIntervalS(), this::readAll));
   }
 
-  private void tell(VersionedEntry e) {
-    if (e.present()) {
+  private void tell(VersionedEntry entry) {
+    if (entry.present()) {
       Job job;
       try {
-        job = JobProgressCodec.readJob(e.value());
+        job = JobProgressCodec.readJob(entry.value());
       } catch (RuntimeException bad) {
         // The next leader marks it; the watch goes on.
-        LOG.error("the value of {} can't be read: {}", e.key(), bad.toString());
+        LOG.error("the value of {} can't be read: {}", entry.key(), bad.toString());
         return;
       }
-      sink.seen(job, JobProgressCodec.readShardSize(e.value()));
+      sink.seen(job, JobProgressCodec.readShardSize(entry.value()));
     }
   }
 }
--- a/src/main/java/io/embernotch/reservation/ReservationHeadroom.java
+++ b/src/main/java/io/embernotch/reservation/ReservationHeadroom.java
@@ -23,11 +23,11 @@
     Resources used = Resources.ZERO;
     int tasks = 0;
     JobSpec like = null;
-    for (Job j : state.jobs.values()) {
-      if (j.finalPhase == null && r.serves(j.spec)) {
-        used = used.plus(Resources.of(j.spec), j.openAttempts.size());
-        tasks += j.openAttempts.size();
-        like = j.spec;
+    for (Job job : state.jobs.values()) {
+      if (job.finalPhase == null && r.serves(job.spec)) {
+        used = used.plus(Resources.of(job.spec), job.openAttempts.size());
+        tasks += job.openAttempts.size();
+        like = job.spec;
       }
     }
     List<Headroom> out = new ArrayList<>();
@@ -63,7 +63,7 @@
     if (r.machines() > 0) {
       MachineType type =
           state.types.values().stream()
-              .filter(t -> r.allowsType(t.name()))
+              .filter(candidate -> r.allowsType(candidate.name()))
               .findFirst()
               .orElse(null);
       if (type != null) {
--- a/src/main/java/io/embernotch/reservation/ReservationManager.java
+++ b/src/main/java/io/embernotch/reservation/ReservationManager.java
@@ -182,7 +182,7 @@
               Resources[] w = wanted.get(machine);
               held.put(machine, w == null ? there : max(there, w));
             });
-    usage.keySet().removeIf(m -> state.machines.get(m.name) != m);
+    usage.keySet().removeIf(machine -> state.machines.get(machine.name) != machine);
     mark(held);
     lastTerms =
         terms.stream()
@@ -193,27 +193,27 @@
 
   /** Restarts keep off what is held free. */
   private void mark(Map<String, Resources[]> held) {
-    marked.forEach(m -> keep(m, Resources.ZERO));
+    marked.forEach(machine -> keep(machine, Resources.ZERO));
     marked.clear();
     held.forEach(
         (name, amounts) -> {
-          Machine m = state.machines.get(name);
-          if (m != null) {
-            Resources[] u = used(m);
+          Machine machine = state.machines.get(name);
+          if (machine != null) {
+            Resources[] u = used(machine);
             Resources free = Resources.ZERO;
             for (int i = 0; i < amounts.length; i++) {
               free = free.plus(u == null ? amounts[i] : amounts[i].less(u[i]), 1);
             }
-            keep(m, free);
-            marked.add(m);
+            keep(machine, free);
+            marked.add(machine);
           }
         });
   }
 
-  private static void keep(Machine m, Resources free) {
-    m.reservedCpus = free.cpus();
-    m.reservedGpus = free.gpus();
-    m.reservedMemGb = free.memGb();
+  private static void keep(Machine machine, Resources free) {
+    machine.reservedCpus = free.cpus();
+    machine.reservedGpus = free.gpus();
+    machine.reservedMemGb = free.memGb();
   }
 
   private static Resources[] max(Resources[] a, Resources[] b) {
@@ -228,22 +228,22 @@
    * What the work of each reservation takes of a machine; null if nothing. Summed up anew only when
    * that has changed.
    */
-  private Resources[] used(Machine m) {
-    Used u = usage.get(m);
-    if (u == null || u.version != m.version || u.terms != terms.size()) {
-      u = new Used(m.version, terms.size(), sum(m));
-      usage.put(m, u);
+  private Resources[] used(Machine machine) {
+    Used u = usage.get(machine);
+    if (u == null || u.version != machine.version || u.terms != terms.size()) {
+      u = new Used(machine.version, terms.size(), sum(machine));
+      usage.put(machine, u);
     }
     return u.amounts;
   }
 
-  private Resources[] sum(Machine m) {
+  private Resources[] sum(Machine machine) {
     Resources[] out = null;
-    for (Attempt a : m.openAttempts.values()) {
+    for (Attempt attempt : machine.openAttempts.values()) {
       for (int i = 0; i < terms.size(); i++) {
-        if (terms.get(i).serves(a.job.spec)) {
+        if (terms.get(i).serves(attempt.job.spec)) {
           out = out == null ? nothing() : out;
-          out[i] = out[i].plus(Resources.of(a.job.spec), 1);
+          out[i] = out[i].plus(Resources.of(attempt.job.spec), 1);
         }
       }
     }
@@ -274,15 +274,15 @@
    * takeover, it has not been heard yet. What is held on such machines was once given up by each
    * new leader, and lent when they reported.
    */
-  private boolean mayComeBack(Machine m, double now) {
-    if (m == null) {
+  private boolean mayComeBack(Machine machine, double now) {
+    if (machine == null) {
       return now - loadedAt < context.settings().workers().leaseS();
     }
-    return !m.deleting
-        && !m.failed
-        && !m.cordoned
-        && m.reclaimAt < 0
-        && !Scheduler.usable(m, now, context.settings());
+    return !machine.deleting
+        && !machine.failed
+        && !machine.cordoned
+        && machine.reclaimAt < 0
+        && !Scheduler.usable(machine, now, context.settings());
   }
 
   private void write(double now) {
@@ -377,11 +377,11 @@
     int machines = 0;
     double idle = 0;
     for (Map.Entry<String, Resources[]> e : kept.entrySet()) {
-      Machine m = state.machines.get(e.getKey());
-      if (m == null || m.type == null || e.getValue()[term].isZero()) {
+      Machine machine = state.machines.get(e.getKey());
+      if (machine == null || machine.type == null || e.getValue()[term].isZero()) {
         continue;
       }
-      Resources[] u = used(m);
+      Resources[] u = used(machine);
       Resources used = u == null ? Resources.ZERO : u[term];
       held = held.plus(e.getValue()[term], 1);
       filled = filled.plus(used, 1);
@@ -389,9 +389,9 @@
       Resources free = e.getValue()[term].less(used);
       double share =
           Math.max(
-              free.cpus() / Math.max(1, m.type.cpus()),
-              m.type.gpus() > 0 ? free.gpus() / m.type.gpus() : 0);
-      idle += m.type.price() * Math.min(1, share);
+              free.cpus() / Math.max(1, machine.type.cpus()),
+              machine.type.gpus() > 0 ? free.gpus() / machine.type.gpus() : 0);
+      idle += machine.type.price() * Math.min(1, share);
     }
     return new Seen(held, filled, machines, idle);
   }
--- a/src/main/java/io/embernotch/rounds/MachineViewPublisher.java
+++ b/src/main/java/io/embernotch/rounds/MachineViewPublisher.java
@@ -73,20 +73,20 @@
     boolean moved = !controllers.equals(lastControllers);
     lastControllers = controllers;
     turn = (turn + 1) % TURNS;
-    for (Machine m : state.machines.values()) {
-      if (!moved && Math.floorMod(m.name.hashCode(), TURNS) != turn) {
+    for (Machine machine : state.machines.values()) {
+      if (!moved && Math.floorMod(machine.name.hashCode(), TURNS) != turn) {
         continue;
       }
-      Sent sent = sentCount(m, controllers, moved);
+      Sent sent = sentCount(machine, controllers, moved);
       if (sent == null || now - sent.at < context.operator().roundS()) {
         continue;
       }
-      int hash = fingerprint(m);
+      int hash = fingerprint(machine);
       if (sent.hash != hash || now - sent.at > REPEAT_ROUNDS * context.operator().roundS()) {
         sent.hash = hash;
         sent.at = now;
         messages++;
-        send.accept(sent.owner, view(m, now));
+        send.accept(sent.owner, view(machine, now));
       }
     }
     sentTo
@@ -106,88 +106,88 @@
     return messages;
   }
 
-  private Sent sentCount(Machine m, Set<String> controllers, boolean moved) {
-    Sent sent = sentTo.get(m.name);
+  private Sent sentCount(Machine machine, Set<String> controllers, boolean moved) {
+    Sent sent = sentTo.get(machine.name);
     if (sent == null) {
-      if (!m.up() || m.type == null) {
+      if (!machine.up() || machine.type == null) {
         return null;
       }
-      sent = new Sent(MachinePartitions.owner(m.name, controllers));
-      sentTo.put(m.name, sent);
+      sent = new Sent(MachinePartitions.owner(machine.name, controllers));
+      sentTo.put(machine.name, sent);
     } else if (moved) {
-      String owner = MachinePartitions.owner(m.name, controllers);
+      String owner = MachinePartitions.owner(machine.name, controllers);
       if (!owner.equals(sent.owner)) {
-        forget.accept(sent.owner, m.name);
+        forget.accept(sent.owner, machine.name);
         sent = new Sent(owner);
-        sentTo.put(m.name, sent);
+        sentTo.put(machine.name, sent);
       }
     }
     return sent;
   }
 
   /** Changes with whatever a round would see differently, save for time passing. */
-  private static int fingerprint(Machine m) {
-    int h = m.ratios.hashCode() * 31 + (usable(m) ? 1 : 0);
-    for (Attempt a : m.openAttempts.values()) {
-      h = h * 31 + a.job.spec.ref().hashCode();
-      h = h * 31 + a.task;
-      h = h * 31 + (int) a.number;
-      h = h * 31 + (a.runningAt >= 0 ? 1 : 0);
-      h = h * 31 + (a.stopping ? 1 : 0);
-      h = h * 31 + a.job.finishedCount;
+  private static int fingerprint(Machine machine) {
+    int h = machine.ratios.hashCode() * 31 + (usable(machine) ? 1 : 0);
+    for (Attempt attempt : machine.openAttempts.values()) {
+      h = h * 31 + attempt.job.spec.ref().hashCode();
+      h = h * 31 + attempt.task;
+      h = h * 31 + (int) attempt.number;
+      h = h * 31 + (attempt.runningAt >= 0 ? 1 : 0);
+      h = h * 31 + (attempt.stopping ? 1 : 0);
+      h = h * 31 + attempt.job.finishedCount;
     }
     return h;
   }
 
-  private static boolean usable(Machine m) {
-    return !m.cordoned && !m.deleting && !m.failed && m.reclaimAt < 0 && m.errorStreak == 0;
+  private static boolean usable(Machine machine) {
+    return !machine.cordoned && !machine.deleting && !machine.failed && machine.reclaimAt < 0 && machine.errorStreak == 0;
   }
 
-  private static MachineView view(Machine m, double now) {
-    double cpus = m.type.cpus() - m.reservedCpus;
-    double gpus = m.type.gpus() - m.reservedGpus;
-    double mem = m.type.memGb() - m.reservedMemGb;
+  private static MachineView view(Machine machine, double now) {
+    double cpus = machine.type.cpus() - machine.reservedCpus;
+    double gpus = machine.type.gpus() - machine.reservedGpus;
+    double mem = machine.type.memGb() - machine.reservedMemGb;
     int busy = 0;
     List<TaskView> tasks = new ArrayList<>();
-    for (Attempt a : m.openAttempts.values()) {
-      JobSpec j = a.job.spec;
-      cpus -= j.cpus();
-      gpus -= j.gpus();
-      mem -= j.memGb();
+    for (Attempt attempt : machine.openAttempts.values()) {
+      JobSpec spec = attempt.job.spec;
+      cpus -= spec.cpus();
+      gpus -= spec.gpus();
+      mem -= spec.memGb();
       busy++;
-      if (j.shape() == JobShape.ARRAY
-          && a.state == TaskState.RUNNING
-          && a.runningAt >= 0
-          && !a.stopping) {
+      if (spec.shape() == JobShape.ARRAY
+          && attempt.state == TaskState.RUNNING
+          && attempt.runningAt >= 0
+          && !attempt.stopping) {
         tasks.add(
             new TaskView(
-                j.ref(),
-                a.task,
-                a.number,
-                now - a.runningAt,
-                a.job.meanS(),
-                j.cpus(),
-                j.gpus(),
-                j.memGb(),
-                j.spot(),
-                j.zone(),
-                j.types()));
+                spec.ref(),
+                attempt.task,
+                attempt.number,
+                now - attempt.runningAt,
+                attempt.job.meanS(),
+                spec.cpus(),
+                spec.gpus(),
+                spec.memGb(),
+                spec.spot(),
+                spec.zone(),
+                spec.types()));
       }
     }
-    double perS = (m.spot ? m.type.spotPrice() : m.type.price()) / 3600;
+    double perS = (machine.spot ? machine.type.spotPrice() : machine.type.price()) / 3600;
     return new MachineView(
-        m.name,
-        m.type.name(),
-        m.zone,
-        m.spot,
-        (int) Math.max(1, m.type.cpus()),
+        machine.name,
+        machine.type.name(),
+        machine.zone,
+        machine.spot,
+        (int) Math.max(1, machine.type.cpus()),
         perS,
-        usable(m),
+        usable(machine),
         cpus,
         gpus,
         mem,
         busy,
-        List.copyOf(m.ratios),
+        List.copyOf(machine.ratios),
         tasks);
   }
 }
--- a/src/main/java/io/embernotch/rounds/RestartReviewer.java
+++ b/src/main/java/io/embernotch/rounds/RestartReviewer.java
@@ -61,17 +61,17 @@
 
   private void restart(Restart r) {
     Job job = state.jobs.get(r.ref());
-    Attempt a = job.openAttempts.get(r.task());
+    Attempt attempt = job.openAttempts.get(r.task());
     LOG.info(
-        "restarting slow task {} on {} (gain {})", a, r.target(), String.format("%.4f", r.gain()));
+        "restarting slow task {} on {} (gain {})", attempt, r.target(), String.format("%.4f", r.gain()));
     job.preferredMachines.put(r.task(), r.target());
     stateWriter.writeNow(
         job,
         r.task(),
         RequestPriority.NORMAL,
         () -> {
-          if (ClusterState.isOpen(a) && !a.stopping && job.finalPhase == null) {
-            stopper.requestStop(a, a.job.spec.checkpointS() > 0 ? a.job.spec.saveS() : 0);
+          if (ClusterState.isOpen(attempt) && !attempt.stopping && job.finalPhase == null) {
+            stopper.requestStop(attempt, attempt.job.spec.checkpointS() > 0 ? attempt.job.spec.saveS() : 0);
           }
         });
   }
@@ -106,31 +106,31 @@
         || target.type == null) {
       return false;
     }
-    Attempt a = job.openAttempts.get(r.task());
+    Attempt attempt = job.openAttempts.get(r.task());
     JobSpec spec = job.spec;
-    return a != null
-        && a.number == r.attempt()
-        && a.state == TaskState.RUNNING
-        && !a.stopping
-        && !a.machine.equals(r.target())
+    return attempt != null
+        && attempt.number == r.attempt()
+        && attempt.state == TaskState.RUNNING
+        && !attempt.stopping
+        && !attempt.machine.equals(r.target())
         && target.up()
         && !target.deleting
         && !target.cordoned
         && target.reclaimAt < 0
         && spec.allows(target.type.name(), target.zone, target.spot)
-        && (!spec.oneZone() || job.openAttempts.size() == 1 || a.zone.equals(target.zone))
+        && (!spec.oneZone() || job.openAttempts.size() == 1 || attempt.zone.equals(target.zone))
         && roomOn(target, spec);
   }
 
-  private static boolean roomOn(Machine m, JobSpec spec) {
+  private static boolean roomOn(Machine machine, JobSpec spec) {
     // Reserved capacity takes no restart.
-    double cpus = m.type.cpus() - m.reservedCpus;
-    double gpus = m.type.gpus() - m.reservedGpus;
-    double mem = m.type.memGb() - m.reservedMemGb;
-    for (Attempt a : m.openAttempts.values()) {
-      cpus -= a.job.spec.cpus();
-      gpus -= a.job.spec.gpus();
-      mem -= a.job.spec.memGb();
+    double cpus = machine.type.cpus() - machine.reservedCpus;
+    double gpus = machine.type.gpus() - machine.reservedGpus;
+    double mem = machine.type.memGb() - machine.reservedMemGb;
+    for (Attempt attempt : machine.openAttempts.values()) {
+      cpus -= attempt.job.spec.cpus();
+      gpus -= attempt.job.spec.gpus();
+      mem -= attempt.job.spec.memGb();
     }
     return cpus >= spec.cpus() && gpus >= spec.gpus() && mem >= spec.memGb();
   }
--- a/src/main/java/io/embernotch/scheduling/BootQueueing.java
+++ b/src/main/java/io/embernotch/scheduling/BootQueueing.java
@@ -35,15 +35,15 @@
 
   BootQueueing(Collection<Job> jobs, Map<String, MachineType> types) {
     this.types = types;
-    for (Job j : jobs) {
-      if (j.blocked()) {
+    for (Job job : jobs) {
+      if (job.blocked()) {
         continue;
       }
-      Kind k = kinds.computeIfAbsent(j.spec.jobClass(), c -> new Kind());
-      k.expectS += j.spec.expectS();
+      Kind k = kinds.computeIfAbsent(job.spec.jobClass(), c -> new Kind());
+      k.expectS += job.spec.expectS();
       k.jobs++;
-      k.placed += j.openAttempts.size();
-      k.pending += j.pendingCount();
+      k.placed += job.openAttempts.size();
+      k.pending += job.pendingCount();
     }
   }
 
@@ -76,7 +76,7 @@
 
   private double bootS(JobSpec spec) {
     return types.values().stream()
-        .filter(t -> t.fits(spec))
+        .filter(type -> type.fits(spec))
         .mapToDouble(MachineType::bootS)
         .min()
         .orElse(0);
--- a/src/main/java/io/embernotch/scheduling/CandidateMachine.java
+++ b/src/main/java/io/embernotch/scheduling/CandidateMachine.java
@@ -68,23 +68,23 @@
     this.mem = type.memGb();
   }
 
-  static CandidateMachine of(Kind kind, Machine m) {
-    CandidateMachine s = new CandidateMachine(kind, m, m.type, m.zone, m.spot);
-    MachineLoad l = m.load();
-    s.cpus -= l.cpus;
-    s.gpus -= l.gpus;
-    s.mem -= l.memGb;
-    s.freeingCpus = l.freeingCpus;
-    s.freeingGpus = l.freeingGpus;
-    s.freeingMem = l.freeingMemGb;
-    s.pinned = l.pinned;
-    s.least = l.lowestPriority;
-    s.fetching = l.fetching;
-    return s;
+  static CandidateMachine of(Kind kind, Machine machine) {
+    CandidateMachine candidate = new CandidateMachine(kind, machine, machine.type, machine.zone, machine.spot);
+    MachineLoad l = machine.load();
+    candidate.cpus -= l.cpus;
+    candidate.gpus -= l.gpus;
+    candidate.mem -= l.memGb;
+    candidate.freeingCpus = l.freeingCpus;
+    candidate.freeingGpus = l.freeingGpus;
+    candidate.freeingMem = l.freeingMemGb;
+    candidate.pinned = l.pinned;
+    candidate.least = l.lowestPriority;
+    candidate.fetching = l.fetching;
+    return candidate;
   }
 
-  boolean allows(JobSpec j) {
-    return j.allows(type.name(), zone, spot);
+  boolean allows(JobSpec spec) {
+    return spec.allows(type.name(), zone, spot);
   }
 
   /** Nothing more can go there whatever it is. */
@@ -101,23 +101,23 @@
    * What this job would use there is paid for already: beside work that may not run on spot
    * machines, or beside work that has taken all GPUs.
    */
-  boolean paidFor(JobSpec j) {
-    return pinned || (j.gpus() <= 0 && gpusTaken());
+  boolean paidFor(JobSpec spec) {
+    return pinned || (spec.gpus() <= 0 && gpusTaken());
   }
 
   /** How many such tasks have room now, or once what is being stopped has ended. */
-  int count(JobSpec j, boolean later) {
+  int count(JobSpec spec, boolean later) {
     double n = 10_000;
-    Resources kept = keptFrom(j);
-    n = fits(n, (later ? cpus + freeingCpus : cpus) - kept.cpus(), j.cpus());
-    n = fits(n, (later ? gpus + freeingGpus : gpus) - kept.gpus(), j.gpus());
-    n = fits(n, (later ? mem + freeingMem : mem) - kept.memGb(), j.memGb());
+    Resources kept = keptFrom(spec);
+    n = fits(n, (later ? cpus + freeingCpus : cpus) - kept.cpus(), spec.cpus());
+    n = fits(n, (later ? gpus + freeingGpus : gpus) - kept.gpus(), spec.gpus());
+    n = fits(n, (later ? mem + freeingMem : mem) - kept.memGb(), spec.memGb());
     return (int) Math.max(0, n);
   }
 
   /** What is held here that such a job may not have. */
-  Resources keptFrom(JobSpec j) {
-    return hold == null ? Resources.ZERO : hold.keptFrom(j);
+  Resources keptFrom(JobSpec spec) {
+    return hold == null ? Resources.ZERO : hold.keptFrom(spec);
   }
 
   /** What nobody uses, or will not once what is being stopped has ended. */
@@ -132,19 +132,19 @@
     return each <= 0 ? most : Math.min(most, Math.floor((free + EPS) / each));
   }
 
-  void take(JobSpec j, int tasks) {
-    cpus -= j.cpus() * tasks;
-    gpus -= j.gpus() * tasks;
-    mem -= j.memGb() * tasks;
+  void take(JobSpec spec, int tasks) {
+    cpus -= spec.cpus() * tasks;
+    gpus -= spec.gpus() * tasks;
+    mem -= spec.memGb() * tasks;
     if (hold != null) {
-      hold.take(j, tasks);
+      hold.take(spec, tasks);
     }
   }
 
-  void willFree(JobSpec j) {
-    freeingCpus += j.cpus();
-    freeingGpus += j.gpus();
-    freeingMem += j.memGb();
+  void willFree(JobSpec spec) {
+    freeingCpus += spec.cpus();
+    freeingGpus += spec.gpus();
+    freeingMem += spec.memGb();
   }
 
   void fetches(String image) {
@@ -165,11 +165,11 @@
   }
 
   /** Seconds until the job's image is here. */
-  double fetchS(JobSpec j) {
-    if (machine != null && machine.images.contains(j.image())) {
+  double fetchS(JobSpec spec) {
+    if (machine != null && machine.images.contains(spec.image())) {
       return 0;
     }
-    double s = type.fetchS(j);
-    return fetching.contains(j.image()) ? s / 2 : s * (1 + fetching.size());
+    double s = type.fetchS(spec);
+    return fetching.contains(spec.image()) ? s / 2 : s * (1 + fetching.size());
   }
 }
--- a/src/main/java/io/embernotch/scheduling/CandidateMachines.java
+++ b/src/main/java/io/embernotch/scheduling/CandidateMachines.java
@@ -46,27 +46,27 @@
     return anySpot;
   }
 
-  void add(CandidateMachine s) {
-    all.add(s);
-    inZone.merge(s.zone, 1, Integer::sum);
-    anySpot |= s.spot;
-    if (!s.full()) {
-      if (!s.gpusTaken()) {
-        open(s).add(s);
-      } else if (s.kind == CandidateMachine.Kind.READY) {
-        bare.add(s);
+  void add(CandidateMachine candidate) {
+    all.add(candidate);
+    inZone.merge(candidate.zone, 1, Integer::sum);
+    anySpot |= candidate.spot;
+    if (!candidate.full()) {
+      if (!candidate.gpusTaken()) {
+        open(candidate).add(candidate);
+      } else if (candidate.kind == CandidateMachine.Kind.READY) {
+        bare.add(candidate);
       }
     }
   }
 
-  void add(FleetView.Expected e, MachineType t) {
-    for (int i = 0; t != null && i < e.number(); i++) {
-      add(new CandidateMachine(CandidateMachine.Kind.COMING, null, t, e.zone(), e.spot()));
+  void add(FleetView.Expected e, MachineType type) {
+    for (int i = 0; type != null && i < e.number(); i++) {
+      add(new CandidateMachine(CandidateMachine.Kind.COMING, null, type, e.zone(), e.spot()));
     }
   }
 
-  private List<CandidateMachine> open(CandidateMachine s) {
-    return switch (s.kind) {
+  private List<CandidateMachine> open(CandidateMachine candidate) {
+    return switch (candidate.kind) {
       case READY -> ready;
       case COMING -> coming;
       case NEW -> fresh;
@@ -88,8 +88,8 @@
   /** What all machines have together. */
   Resources together() {
     Resources sum = Resources.ZERO;
-    for (CandidateMachine s : all) {
-      sum = sum.plus(new Resources(s.type.cpus(), s.type.gpus(), s.type.memGb()), 1);
+    for (CandidateMachine candidate : all) {
+      sum = sum.plus(new Resources(candidate.type.cpus(), candidate.type.gpus(), candidate.type.memGb()), 1);
     }
     return sum;
   }
@@ -100,10 +100,10 @@
   }
 
   /** A slot may have room again, since something there is to be stopped. */
-  void reopen(CandidateMachine s) {
-    if (!ready.contains(s)) {
-      bare.remove(s);
-      ready.add(s);
+  void reopen(CandidateMachine candidate) {
+    if (!ready.contains(candidate)) {
+      bare.remove(candidate);
+      ready.add(candidate);
     }
   }
 
@@ -122,19 +122,19 @@
       add(bare, out, room, spec, allowed, score);
     }
     add(from, out, room, spec, allowed, score);
-    out.sort(Comparator.comparingDouble(s -> s.score));
+    out.sort(Comparator.comparingDouble(candidate -> candidate.score));
     return out;
   }
 
-  private boolean filledUp(CandidateMachine s) {
-    if (s.full()) {
+  private boolean filledUp(CandidateMachine candidate) {
+    if (candidate.full()) {
       return true;
     }
-    if (s.gpusTaken() && s.kind == CandidateMachine.Kind.READY) {
-      bare.add(s);
+    if (candidate.gpusTaken() && candidate.kind == CandidateMachine.Kind.READY) {
+      bare.add(candidate);
       return true;
     }
-    return s.gpusTaken();
+    return candidate.gpusTaken();
   }
 
   private static void add(
@@ -144,13 +144,13 @@
       JobSpec spec,
       Predicate<CandidateMachine> allowed,
       ToDoubleFunction<CandidateMachine> score) {
-    for (CandidateMachine s : from) {
-      if (s.count(spec, room == Room.FREEING) > 0
-          && s.allows(spec)
-          && GangAccumulation.lets(s, spec)
-          && allowed.test(s)) {
-        s.score = score.applyAsDouble(s);
-        out.add(s);
+    for (CandidateMachine candidate : from) {
+      if (candidate.count(spec, room == Room.FREEING) > 0
+          && candidate.allows(spec)
+          && GangAccumulation.lets(candidate, spec)
+          && allowed.test(candidate)) {
+        candidate.score = score.applyAsDouble(candidate);
+        out.add(candidate);
       }
     }
   }
@@ -158,38 +158,38 @@
   /** What is held on each machine now. */
   Map<String, Resources[]> held() {
     Map<String, Resources[]> out = new HashMap<>();
-    for (CandidateMachine s : all) {
-      Resources[] total = s.hold == null ? null : s.hold.total();
+    for (CandidateMachine candidate : all) {
+      Resources[] total = candidate.hold == null ? null : candidate.hold.total();
       if (total != null) {
-        out.put(s.machine.name, total);
+        out.put(candidate.machine.name, total);
       }
     }
     return out;
   }
 
-  static CandidateMachine slot(Machine m, double now) {
-    if (m.type == null
-        || m.zone == null
-        || m.deleting
-        || m.failed
-        || m.cordoned
-        || m.reclaimAt >= 0) {
+  static CandidateMachine slot(Machine machine, double now) {
+    if (machine.type == null
+        || machine.zone == null
+        || machine.deleting
+        || machine.failed
+        || machine.cordoned
+        || machine.reclaimAt >= 0) {
       return null;
     }
-    if (!m.up()) {
-      return now < m.expectedUntil ? CandidateMachine.of(CandidateMachine.Kind.COMING, m) : null;
+    if (!machine.up()) {
+      return now < machine.expectedUntil ? CandidateMachine.of(CandidateMachine.Kind.COMING, machine) : null;
     }
-    return CandidateMachine.of(CandidateMachine.Kind.READY, m);
+    return CandidateMachine.of(CandidateMachine.Kind.READY, machine);
   }
 
   static CandidateMachines of(
       Collection<Machine> machines, Predicate<Machine> usable, double now, ReservationView holds) {
     CandidateMachines out = new CandidateMachines();
-    for (Machine m : machines) {
-      CandidateMachine s = slot(m, now);
-      if (s != null && (s.kind != CandidateMachine.Kind.READY || usable.test(m))) {
-        s.hold = s.kind == CandidateMachine.Kind.READY && !s.spot && holds.concerns(m) ? holds.on(m) : null;
-        out.add(s);
+    for (Machine machine : machines) {
+      CandidateMachine candidate = slot(machine, now);
+      if (candidate != null && (candidate.kind != CandidateMachine.Kind.READY || usable.test(machine))) {
+        candidate.hold = candidate.kind == CandidateMachine.Kind.READY && !candidate.spot && holds.concerns(machine) ? holds.on(machine) : null;
+        out.add(candidate);
       }
     }
     return out;
--- a/src/main/java/io/embernotch/scheduling/Deadlines.java
+++ b/src/main/java/io/embernotch/scheduling/Deadlines.java
@@ -48,24 +48,24 @@
   /** The same of jobs, on machines with so many GPUs and CPUs for them; sets {@link Job#missesDeadline}. */
   static void mark(List<Job> jobs, Resources room, long wallMs) {
     List<Item> items = new ArrayList<>();
-    for (Job j : jobs) {
-      j.missesDeadline = false;
-      if (j.releaseDeadlineMs != Long.MAX_VALUE && j.finalPhase == null) {
+    for (Job job : jobs) {
+      job.missesDeadline = false;
+      if (job.releaseDeadlineMs != Long.MAX_VALUE && job.finalPhase == null) {
         double share =
-            Math.max(ratio(j.spec.gpus(), room.gpus()), ratio(j.spec.cpus(), room.cpus()));
-        int left = j.spec.shape() == JobShape.GANG ? j.spec.tasks() : j.remaining();
-        double runS = j.remainingRunMs / 1000.0;
+            Math.max(ratio(job.spec.gpus(), room.gpus()), ratio(job.spec.cpus(), room.cpus()));
+        int left = job.spec.shape() == JobShape.GANG ? job.spec.tasks() : job.remaining();
+        double runS = job.remainingRunMs / 1000.0;
         // Nothing is done before one of its tasks has run, however many machines there are.
         items.add(
             new Item(
-                j.spec.ref(),
+                job.spec.ref(),
                 share * left * runS,
-                (j.releaseDeadlineMs - wallMs) / 1000.0 - runS * (1 - Math.min(1, share * left))));
+                (job.releaseDeadlineMs - wallMs) / 1000.0 - runS * (1 - Math.min(1, share * left))));
       }
     }
     Set<String> late = late(items);
-    for (Job j : jobs) {
-      j.missesDeadline = late.contains(j.spec.ref());
+    for (Job job : jobs) {
+      job.missesDeadline = late.contains(job.spec.ref());
     }
   }
 
--- a/src/main/java/io/embernotch/scheduling/GangAccumulation.java
+++ b/src/main/java/io/embernotch/scheduling/GangAccumulation.java
@@ -66,7 +66,7 @@
 
   /** Holds machines for the gangs among these jobs that need it, in this order. */
   void hold(List<Job> order) {
-    left = (int) (MOST_SHARE * slots.all().stream().filter(s -> s.kind == CandidateMachine.Kind.READY).count());
+    left = (int) (MOST_SHARE * slots.all().stream().filter(candidate -> candidate.kind == CandidateMachine.Kind.READY).count());
     boolean first = true;
     for (Job job : order) {
       boolean waits =
@@ -127,11 +127,11 @@
 
   private List<Host> inOrder(JobSpec spec) {
     List<Host> out = new ArrayList<>();
-    for (CandidateMachine s : slots.all()) {
-      if (s.kind == CandidateMachine.Kind.READY && s.type.fits(spec)) {
-        double emptyInS = emptyInS(s, spec);
+    for (CandidateMachine candidate : slots.all()) {
+      if (candidate.kind == CandidateMachine.Kind.READY && candidate.type.fits(spec)) {
+        double emptyInS = emptyInS(candidate, spec);
         if (emptyInS < Double.MAX_VALUE) {
-          out.add(new Host(s, emptyInS));
+          out.add(new Host(candidate, emptyInS));
         }
       }
     }
@@ -140,44 +140,44 @@
   }
 
   /** Seconds until there is room for one such task. */
-  private double emptyInS(CandidateMachine s, JobSpec spec) {
-    List<Attempt> there = new ArrayList<>(s.machine.openAttempts.values());
+  private double emptyInS(CandidateMachine candidate, JobSpec spec) {
+    List<Attempt> there = new ArrayList<>(candidate.machine.openAttempts.values());
     there.sort(Comparator.comparingDouble(this::leftS));
-    Resources kept = s.keptFrom(spec);
-    double cpus = s.cpus - spec.cpus() - kept.cpus();
-    double gpus = s.gpus - spec.gpus() - kept.gpus();
-    double mem = s.mem - spec.memGb() - kept.memGb();
+    Resources kept = candidate.keptFrom(spec);
+    double cpus = candidate.cpus - spec.cpus() - kept.cpus();
+    double gpus = candidate.gpus - spec.gpus() - kept.gpus();
+    double mem = candidate.mem - spec.memGb() - kept.memGb();
     double at = 0;
-    for (Attempt a : there) {
+    for (Attempt attempt : there) {
       if (!Preemption.lacks(cpus, gpus, mem)) {
         break;
       }
-      at = leftS(a);
-      cpus += a.job.spec.cpus();
-      gpus += a.job.spec.gpus();
-      mem += a.job.spec.memGb();
+      at = leftS(attempt);
+      cpus += attempt.job.spec.cpus();
+      gpus += attempt.job.spec.gpus();
+      mem += attempt.job.spec.memGb();
     }
     return Preemption.lacks(cpus, gpus, mem) ? Double.MAX_VALUE : at;
   }
 
   /** Seconds that a task still has to run; a service has no end. */
-  private double leftS(Attempt a) {
-    if (a.stopping) {
-      return a.job.spec.saveS();
+  private double leftS(Attempt attempt) {
+    if (attempt.stopping) {
+      return attempt.job.spec.saveS();
     }
-    if (a.job.spec.shape() == JobShape.SERVICE) {
+    if (attempt.job.spec.shape() == JobShape.SERVICE) {
       return Double.MAX_VALUE;
     }
-    return Math.max(1, DOUBT * Math.max(a.job.spec.expectS(), a.job.meanS()) - (now - a.createdAt));
+    return Math.max(1, DOUBT * Math.max(attempt.job.spec.expectS(), attempt.job.meanS()) - (now - attempt.createdAt));
   }
 
   /**
    * Whether a task of this job may go to a machine that is held for another: it will have ended
    * before it is empty.
    */
-  static boolean lets(CandidateMachine s, JobSpec spec) {
-    return s.heldFor == null
-        || s.heldFor.equals(spec.ref())
-        || (spec.shape() == JobShape.ARRAY && spec.expectS() > 0 && DOUBT * spec.expectS() <= s.heldS);
+  static boolean lets(CandidateMachine candidate, JobSpec spec) {
+    return candidate.heldFor == null
+        || candidate.heldFor.equals(spec.ref())
+        || (spec.shape() == JobShape.ARRAY && spec.expectS() > 0 && DOUBT * spec.expectS() <= candidate.heldS);
   }
 }
--- a/src/main/java/io/embernotch/scheduling/JobOrdering.java
+++ b/src/main/java/io/embernotch/scheduling/JobOrdering.java
@@ -31,11 +31,11 @@
    * start.
    */
   private static final Comparator<Job> ORDER =
-      Comparator.comparing((Job j) -> j.spec.priority() != Priority.PRODUCTION)
-          .thenComparing(j -> !j.withinGuarantee)
-          .thenComparing(j -> j.effectivePriority, Comparator.reverseOrder())
-          .thenComparingLong(j -> j.urgencyMs)
-          .thenComparing(j -> j.spec.ref());
+      Comparator.comparing((Job job) -> job.spec.priority() != Priority.PRODUCTION)
+          .thenComparing(job -> !job.withinGuarantee)
+          .thenComparing(job -> job.effectivePriority, Comparator.reverseOrder())
+          .thenComparingLong(job -> job.urgencyMs)
+          .thenComparing(job -> job.spec.ref());
 
   private JobOrdering() {}
 
@@ -43,16 +43,16 @@
   static List<Job> of(Collection<Job> jobs, Settings settings, CandidateMachines slots, long wallMs) {
     long leaseMs = Math.round(settings.workers().leaseS() * 1000);
     List<Job> order = new ArrayList<>();
-    for (Job j : jobs) {
-      if (j.finalPhase == null && j.pendingCount() > 0) {
-        order.add(j);
+    for (Job job : jobs) {
+      if (job.finalPhase == null && job.pendingCount() > 0) {
+        order.add(job);
       }
     }
-    if (order.stream().anyMatch(j -> j.releaseDeadlineMs != Long.MAX_VALUE)) {
+    if (order.stream().anyMatch(job -> job.releaseDeadlineMs != Long.MAX_VALUE)) {
       Deadlines.mark(order, slots.together(), wallMs);
     }
-    for (Job j : order) {
-      j.urgencyMs = urgentMs(j, leaseMs, wallMs);
+    for (Job job : order) {
+      job.urgencyMs = urgentMs(job, leaseMs, wallMs);
     }
     order.sort(ORDER);
     return order;
@@ -63,17 +63,17 @@
    * did. One that is for a release goes before those once its last moment to start is near, if it
    * can be in time together with others; and whatever has waited for too long goes before all.
    */
-  private static long urgentMs(Job j, long leaseMs, long wallMs) {
-    long byAge = j.eligibleSinceMs + leaseMs;
-    if (wallMs - j.eligibleSinceMs > STARVED_LEASES * leaseMs) {
-      return j.eligibleSinceMs - FIRST;
+  private static long urgentMs(Job job, long leaseMs, long wallMs) {
+    long byAge = job.eligibleSinceMs + leaseMs;
+    if (wallMs - job.eligibleSinceMs > STARVED_LEASES * leaseMs) {
+      return job.eligibleSinceMs - FIRST;
     }
-    if (j.releaseDeadlineMs == Long.MAX_VALUE) {
-      return Math.min(j.latestStartMs, byAge);
+    if (job.releaseDeadlineMs == Long.MAX_VALUE) {
+      return Math.min(job.latestStartMs, byAge);
     }
-    long lastStart = Math.min(j.latestStartMs, j.releaseDeadlineMs - j.remainingRunMs);
-    if (j.missesDeadline) {
-      return j.eligibleSinceMs + STARVED_LEASES * leaseMs;
+    long lastStart = Math.min(job.latestStartMs, job.releaseDeadlineMs - job.remainingRunMs);
+    if (job.missesDeadline) {
+      return job.eligibleSinceMs + STARVED_LEASES * leaseMs;
     }
     return lastStart - wallMs < NEAR_LEASES * leaseMs ? lastStart - FIRST : lastStart;
   }
--- a/src/main/java/io/embernotch/scheduling/Preemption.java
+++ b/src/main/java/io/embernotch/scheduling/Preemption.java
@@ -64,9 +64,9 @@
         wanted,
         zones,
         slots.all(),
-        s -> s.least != null && s.least.compareTo(spec.priority()) < 0 && allowed.test(s),
-        a -> a.job.spec.priority().compareTo(spec.priority()) < 0,
-        a -> 0);
+        candidate -> candidate.least != null && candidate.least.compareTo(spec.priority()) < 0 && allowed.test(candidate),
+        attempt -> attempt.job.spec.priority().compareTo(spec.priority()) < 0,
+        attempt -> 0);
   }
 
   /**
@@ -79,21 +79,21 @@
     }
     if (lenders == null) {
       lenders =
-          slots.all().stream().filter(s -> s.kind == CandidateMachine.Kind.READY && runsBeyond(s)).toList();
+          slots.all().stream().filter(candidate -> candidate.kind == CandidateMachine.Kind.READY && runsBeyond(candidate)).toList();
     }
     return makeRoom(
         job.spec,
         wanted,
         zones,
         lenders,
-        s -> true,
-        a -> beyond(a.job, job),
-        a -> a.job.spec.checkpointS() > 0 ? a.job.spec.saveS() : 0);
+        candidate -> true,
+        attempt -> beyond(attempt.job, job),
+        attempt -> attempt.job.spec.checkpointS() > 0 ? attempt.job.spec.saveS() : 0);
   }
 
-  private static boolean runsBeyond(CandidateMachine s) {
-    for (Attempt a : s.machine.openAttempts.values()) {
-      if (!a.job.withinGuarantee && a.job.spec.priority() != Priority.PRODUCTION) {
+  private static boolean runsBeyond(CandidateMachine candidate) {
+    for (Attempt attempt : candidate.machine.openAttempts.values()) {
+      if (!attempt.job.withinGuarantee && attempt.job.spec.priority() != Priority.PRODUCTION) {
         return true;
       }
     }
@@ -122,44 +122,44 @@
       return 0;
     }
     List<CandidateMachine> hosts = new ArrayList<>();
-    for (CandidateMachine s : from) {
-      if (s.kind != CandidateMachine.Kind.READY
-          || !allowed.test(s)
-          || !s.allows(spec)
-          || zones.room(s.zone) == 0) {
+    for (CandidateMachine candidate : from) {
+      if (candidate.kind != CandidateMachine.Kind.READY
+          || !allowed.test(candidate)
+          || !candidate.allows(spec)
+          || zones.room(candidate.zone) == 0) {
         continue;
       }
-      List<Attempt> victims = victims(spec, s, may);
+      List<Attempt> victims = victims(spec, candidate, may);
       if (victims != null) {
         if (from == lenders && hosts.size() > ENOUGH * wanted) {
           break;
         }
-        s.score = s.fetchS(spec) + victims.stream().mapToDouble(this::lost).sum() / victims.size();
-        hosts.add(s);
+        candidate.score = candidate.fetchS(spec) + victims.stream().mapToDouble(this::lost).sum() / victims.size();
+        hosts.add(candidate);
       }
     }
     if (spec.shape() == JobShape.GANG
-        && hosts.stream().mapToInt(s -> most(spec, s, may)).sum() < wanted) {
+        && hosts.stream().mapToInt(candidate -> most(spec, candidate, may)).sum() < wanted) {
       // All of it starts or none does: half of its room would be stopped for nothing.
       return 0;
     }
-    hosts.sort(Comparator.comparingDouble(s -> s.score));
+    hosts.sort(Comparator.comparingDouble(candidate -> candidate.score));
     int made = 0;
-    for (CandidateMachine s : hosts) {
-      while (made < wanted && zones.room(s.zone) > 0) {
-        List<Attempt> victims = victims(spec, s, may);
+    for (CandidateMachine candidate : hosts) {
+      while (made < wanted && zones.room(candidate.zone) > 0) {
+        List<Attempt> victims = victims(spec, candidate, may);
         if (victims == null) {
           break;
         }
-        for (Attempt a : victims) {
-          stopped.add(a);
-          s.willFree(a.job.spec);
-          plan.stops.add(new SchedulingPlan.Stop(a, graceS.applyAsDouble(a), "room for " + spec.ref()));
+        for (Attempt attempt : victims) {
+          stopped.add(attempt);
+          candidate.willFree(attempt.job.spec);
+          plan.stops.add(new SchedulingPlan.Stop(attempt, graceS.applyAsDouble(attempt), "room for " + spec.ref()));
         }
-        s.take(spec, 1);
-        s.claimed = true;
-        slots.reopen(s);
-        zones.put(s.zone, 1);
+        candidate.take(spec, 1);
+        candidate.claimed = true;
+        slots.reopen(candidate);
+        zones.put(candidate.zone, 1);
         made++;
       }
     }
@@ -167,24 +167,24 @@
   }
 
   /** Seconds of progress that stopping this attempt loses or delays. */
-  private double lost(Attempt a) {
-    double ran = a.runningAt < 0 ? 0 : now - a.runningAt;
-    return a.job.spec.checkpointS() > 0 ? Math.min(ran, a.job.spec.checkpointS() / 2) : ran;
+  private double lost(Attempt attempt) {
+    double ran = attempt.runningAt < 0 ? 0 : now - attempt.runningAt;
+    return attempt.job.spec.checkpointS() > 0 ? Math.min(ran, attempt.job.spec.checkpointS() / 2) : ran;
   }
 
   /** What must go for one such task, and nothing besides; null if what may go is not enough. */
-  private List<Attempt> victims(JobSpec spec, CandidateMachine s, Predicate<Attempt> may) {
+  private List<Attempt> victims(JobSpec spec, CandidateMachine candidate, Predicate<Attempt> may) {
     List<Attempt> out = new ArrayList<>();
-    Resources kept = s.keptFrom(spec);
-    double cpus = s.cpus + s.freeingCpus - spec.cpus() - kept.cpus();
-    double gpus = s.gpus + s.freeingGpus - spec.gpus() - kept.gpus();
-    double mem = s.mem + s.freeingMem - spec.memGb() - kept.memGb();
-    for (Attempt a : s.machine.openAttempts.values()) {
-      if (!a.stopping && !stopped.contains(a) && may.test(a)) {
-        out.add(a);
-        cpus += a.job.spec.cpus();
-        gpus += a.job.spec.gpus();
-        mem += a.job.spec.memGb();
+    Resources kept = candidate.keptFrom(spec);
+    double cpus = candidate.cpus + candidate.freeingCpus - spec.cpus() - kept.cpus();
+    double gpus = candidate.gpus + candidate.freeingGpus - spec.gpus() - kept.gpus();
+    double mem = candidate.mem + candidate.freeingMem - spec.memGb() - kept.memGb();
+    for (Attempt attempt : candidate.machine.openAttempts.values()) {
+      if (!attempt.stopping && !stopped.contains(attempt) && may.test(attempt)) {
+        out.add(attempt);
+        cpus += attempt.job.spec.cpus();
+        gpus += attempt.job.spec.gpus();
+        mem += attempt.job.spec.memGb();
       }
     }
     if (out.isEmpty() || lacks(cpus, gpus, mem)) {
@@ -192,15 +192,15 @@
     }
     // What is worth most is spared first; tiny tasks beside large ones mostly need not go.
     out.sort(
-        Comparator.comparing((Attempt a) -> a.job.spec.priority())
-            .thenComparing(a -> a.job.spec.shape() == JobShape.GANG)
+        Comparator.comparing((Attempt attempt) -> attempt.job.spec.priority())
+            .thenComparing(attempt -> attempt.job.spec.shape() == JobShape.GANG)
             .thenComparingDouble(this::lost));
     for (int i = out.size() - 1; i >= 0; i--) {
-      JobSpec j = out.get(i).job.spec;
-      if (!lacks(cpus - j.cpus(), gpus - j.gpus(), mem - j.memGb())) {
-        cpus -= j.cpus();
-        gpus -= j.gpus();
-        mem -= j.memGb();
+      JobSpec victim = out.get(i).job.spec;
+      if (!lacks(cpus - victim.cpus(), gpus - victim.gpus(), mem - victim.memGb())) {
+        cpus -= victim.cpus();
+        gpus -= victim.gpus();
+        mem -= victim.memGb();
         out.remove(i);
       }
     }
@@ -208,32 +208,32 @@
   }
 
   /** How many such tasks there is room for once all that may go is gone. */
-  private int most(JobSpec spec, CandidateMachine s, Predicate<Attempt> may) {
+  private int most(JobSpec spec, CandidateMachine candidate, Predicate<Attempt> may) {
     double share = Double.MAX_VALUE;
     MachineLoad there =
         new MachineLoad(
-            s.machine.openAttempts.values().stream()
-                .filter(a -> !a.stopping && !stopped.contains(a) && may.test(a))
+            candidate.machine.openAttempts.values().stream()
+                .filter(attempt -> !attempt.stopping && !stopped.contains(attempt) && may.test(attempt))
                 .toList());
-    Resources kept = s.keptFrom(spec);
+    Resources kept = candidate.keptFrom(spec);
     share =
         Math.min(
             share,
             spec.cpus() <= 0
                 ? share
-                : (s.cpus + s.freeingCpus + there.cpus - kept.cpus()) / spec.cpus());
+                : (candidate.cpus + candidate.freeingCpus + there.cpus - kept.cpus()) / spec.cpus());
     share =
         Math.min(
             share,
             spec.gpus() <= 0
                 ? share
-                : (s.gpus + s.freeingGpus + there.gpus - kept.gpus()) / spec.gpus());
+                : (candidate.gpus + candidate.freeingGpus + there.gpus - kept.gpus()) / spec.gpus());
     share =
         Math.min(
             share,
             spec.memGb() <= 0
                 ? share
-                : (s.mem + s.freeingMem + there.memGb - kept.memGb()) / spec.memGb());
+                : (candidate.mem + candidate.freeingMem + there.memGb - kept.memGb()) / spec.memGb());
     return (int) Math.floor(Math.max(0, share) + EPS);
   }
 
--- a/src/main/java/io/embernotch/scheduling/QuotaUsage.java
+++ b/src/main/java/io/embernotch/scheduling/QuotaUsage.java
@@ -19,26 +19,26 @@
   /** Open attempts count until their end is proven, whatever has become of their job. */
   QuotaUsage(Map<String, Settings.Team> teams, Collection<Job> jobs) {
     this.teams = teams;
-    for (Job j : jobs) {
-      take(j.spec, j.openAttempts.size());
+    for (Job job : jobs) {
+      take(job.spec, job.openAttempts.size());
     }
   }
 
-  void take(JobSpec j, int tasks) {
-    double[] u = used.computeIfAbsent(j.team(), t -> new double[2]);
-    u[0] += j.cpus() * tasks;
-    u[1] += j.gpus() * tasks;
+  void take(JobSpec spec, int tasks) {
+    double[] u = used.computeIfAbsent(spec.team(), t -> new double[2]);
+    u[0] += spec.cpus() * tasks;
+    u[1] += spec.gpus() * tasks;
   }
 
   /** How many more tasks of this job its team may run. */
-  int room(JobSpec j) {
-    Settings.Team team = teams.get(j.team());
+  int room(JobSpec spec) {
+    Settings.Team team = teams.get(spec.team());
     if (team == null) {
       return 0;
     }
-    double[] u = used.getOrDefault(j.team(), new double[2]);
+    double[] u = used.getOrDefault(spec.team(), new double[2]);
     return (int)
-        Math.min(left(team.cpusMax(), u[0], j.cpus()), left(team.gpusMax(), u[1], j.gpus()));
+        Math.min(left(team.cpusMax(), u[0], spec.cpus()), left(team.gpusMax(), u[1], spec.gpus()));
   }
 
   private static double left(double max, double used, double each) {
@@ -55,19 +55,19 @@
   void markGuaranteed(Collection<Job> jobs) {
     Map<String, List<Job>> byTeam =
         jobs.stream()
-            .filter(j -> j.finalPhase == null && !j.blocked())
-            .collect(Collectors.groupingBy(j -> j.spec.team()));
+            .filter(job -> job.finalPhase == null && !job.blocked())
+            .collect(Collectors.groupingBy(job -> job.spec.team()));
     byTeam.forEach(
         (name, list) -> {
           Settings.Team team = teams.get(name);
           list.sort(
-              Comparator.comparingLong((Job j) -> j.eligibleSinceMs).thenComparing(j -> j.spec.ref()));
+              Comparator.comparingLong((Job job) -> job.eligibleSinceMs).thenComparing(job -> job.spec.ref()));
           double cpus = 0;
           double gpus = 0;
-          for (Job j : list) {
-            cpus += j.spec.cpus() * j.remaining();
-            gpus += j.spec.gpus() * j.remaining();
-            j.withinGuarantee = team != null && within(team.cpus(), cpus, team.gpus(), gpus);
+          for (Job job : list) {
+            cpus += job.spec.cpus() * job.remaining();
+            gpus += job.spec.gpus() * job.remaining();
+            job.withinGuarantee = team != null && within(team.cpus(), cpus, team.gpus(), gpus);
           }
         });
   }
--- a/src/main/java/io/embernotch/scheduling/ReservationPlanner.java
+++ b/src/main/java/io/embernotch/scheduling/ReservationPlanner.java
@@ -80,13 +80,13 @@
   /** How many such tasks what is held has room for now; the machines are claimed for that. */
   private int heldFor(int term, Resources unit, int most, boolean onEmpty) {
     int n = 0;
-    for (CandidateMachine s : slots.all()) {
-      if (s.hold != null
+    for (CandidateMachine candidate : slots.all()) {
+      if (candidate.hold != null
           && n < most
-          && s.machine.openAttempts.isEmpty() == onEmpty
-          && s.hold.free(term).holds(unit) > 0) {
-        n += Math.min(s.hold.free(term).holds(unit), s.freeLater().holds(unit));
-        s.claimed = true;
+          && candidate.machine.openAttempts.isEmpty() == onEmpty
+          && candidate.hold.free(term).holds(unit) > 0) {
+        n += Math.min(candidate.hold.free(term).holds(unit), candidate.freeLater().holds(unit));
+        candidate.claimed = true;
       }
     }
     return Math.max(0, Math.min(n, most));
@@ -94,8 +94,8 @@
 
   private int heldIn(int term, Resources unit, String zone) {
     return slots.all().stream()
-        .filter(s -> s.hold != null && s.zone.equals(zone))
-        .mapToInt(s -> s.hold.free(term).holds(unit))
+        .filter(candidate -> candidate.hold != null && candidate.zone.equals(zone))
+        .mapToInt(candidate -> candidate.hold.free(term).holds(unit))
         .sum();
   }
 
@@ -112,22 +112,22 @@
     if (wanted <= 0) {
       return 0;
     }
-    for (CandidateMachine s :
+    for (CandidateMachine candidate :
         slots.candidates(
             Room.NOW,
             like,
-            s ->
-                !s.spot
-                    && (emptyToo || !s.machine.openAttempts.isEmpty())
-                    && r.allowsType(s.type.name())
-                    && (zone == null || zone.equals(s.zone)),
-            s -> -PlacementScore.PACK_S * s.used() - (s.machine == null ? 0 : s.machine.images.size()))) {
-      int there = s.hold == null ? 0 : s.hold.free(term).holds(unit);
-      int n = Math.min(s.count(like, false) - there, wanted - done);
+            candidate ->
+                !candidate.spot
+                    && (emptyToo || !candidate.machine.openAttempts.isEmpty())
+                    && r.allowsType(candidate.type.name())
+                    && (zone == null || zone.equals(candidate.zone)),
+            candidate -> -PlacementScore.PACK_S * candidate.used() - (candidate.machine == null ? 0 : candidate.machine.images.size()))) {
+      int there = candidate.hold == null ? 0 : candidate.hold.free(term).holds(unit);
+      int n = Math.min(candidate.count(like, false) - there, wanted - done);
       if (n > 0) {
-        s.hold = s.hold == null ? holds.on(null) : s.hold;
-        s.hold.extend(term, unit, n);
-        s.claimed = true;
+        candidate.hold = candidate.hold == null ? holds.on(null) : candidate.hold;
+        candidate.hold.extend(term, unit, n);
+        candidate.claimed = true;
         done += n;
       }
       if (done == wanted) {
@@ -140,23 +140,23 @@
   private void giveUp(int term, Resources wanted) {
     List<CandidateMachine> held = new ArrayList<>();
     Resources all = Resources.ZERO;
-    for (CandidateMachine s : slots.all()) {
-      if (s.hold != null && !s.hold.free(term).isZero()) {
-        held.add(s);
-        all = all.plus(s.hold.free(term), 1);
+    for (CandidateMachine candidate : slots.all()) {
+      if (candidate.hold != null && !candidate.hold.free(term).isZero()) {
+        held.add(candidate);
+        all = all.plus(candidate.hold.free(term), 1);
       }
     }
     // What no task can use by itself is of no use to them either.
     held.sort(
-        Comparator.comparing((CandidateMachine s) -> s.hold.filled(term)).thenComparingDouble(s -> s.used()));
-    for (CandidateMachine s : held) {
-      Resources left = all.less(s.hold.free(term));
+        Comparator.comparing((CandidateMachine candidate) -> candidate.hold.filled(term)).thenComparingDouble(candidate -> candidate.used()));
+    for (CandidateMachine candidate : held) {
+      Resources left = all.less(candidate.hold.free(term));
       if (left.cpus() < wanted.cpus()
           || left.gpus() < wanted.gpus()
           || left.memGb() < wanted.memGb()) {
         continue;
       }
-      s.hold.giveUp(term);
+      candidate.hold.giveUp(term);
       all = left;
     }
   }
--- a/src/main/java/io/embernotch/scheduling/ReservationView.java
+++ b/src/main/java/io/embernotch/scheduling/ReservationView.java
@@ -17,21 +17,21 @@
  */
 public record ReservationView(
     List<Term> terms, Map<String, Resources[]> held, Function<Machine, Resources[]> used) {
-  public static final ReservationView NONE = new ReservationView(List.of(), Map.of(), m -> null);
+  public static final ReservationView NONE = new ReservationView(List.of(), Map.of(), machine -> null);
 
   /** One reservation, and how much is to be free for it. */
   public record Term(Reservation terms, List<FleetView.Headroom> spare) {}
 
   /** What is held on a machine; null: on one of which nothing is known yet. */
-  MachineReservation on(Machine m) {
-    Resources[] there = m == null ? null : used.apply(m);
-    Resources[] kept = m == null ? null : held.get(m.name);
+  MachineReservation on(Machine machine) {
+    Resources[] there = machine == null ? null : used.apply(machine);
+    Resources[] kept = machine == null ? null : held.get(machine.name);
     return new MachineReservation(terms, there == null ? MachineReservation.nothing(terms.size()) : there, kept);
   }
 
   /** Something is held on the machine, or used by those who may hold it. */
-  boolean concerns(Machine m) {
-    return held.containsKey(m.name) || used.apply(m) != null;
+  boolean concerns(Machine machine) {
+    return held.containsKey(machine.name) || used.apply(machine) != null;
   }
 
   /** One of the terms serves the job, so that room for it is kept by them. */
--- a/src/main/java/io/embernotch/scheduling/Resources.java
+++ b/src/main/java/io/embernotch/scheduling/Resources.java
@@ -7,8 +7,8 @@
   public static final Resources ZERO = new Resources(0, 0, 0);
   private static final double EPS = 1e-6;
 
-  public static Resources of(JobSpec j) {
-    return new Resources(j.cpus(), j.gpus(), j.memGb());
+  public static Resources of(JobSpec spec) {
+    return new Resources(spec.cpus(), spec.gpus(), spec.memGb());
   }
 
   public Resources plus(Resources o, double times) {
--- a/src/main/java/io/embernotch/scheduling/ScaleOutPlanner.java
+++ b/src/main/java/io/embernotch/scheduling/ScaleOutPlanner.java
@@ -29,24 +29,24 @@
       return null;
     }
     CandidateMachine best = null;
-    for (MachineType t : types.values()) {
-      if (!t.fits(spec)) {
+    for (MachineType type : types.values()) {
+      if (!type.fits(spec)) {
         continue;
       }
-      for (String zone : t.zones()) {
+      for (String zone : type.zones()) {
         for (boolean spot : KINDS) {
-          if (!spec.allows(t.name(), zone, spot)
+          if (!spec.allows(type.name(), zone, spot)
               || spot && spec.shape() != JobShape.ARRAY
               || !spot && !ordinaryToo
               || zones.room(zone) == 0
-              || pools.exhausted(t.name(), zone, spot)) {
+              || pools.exhausted(type.name(), zone, spot)) {
             continue;
           }
-          CandidateMachine s = new CandidateMachine(CandidateMachine.Kind.NEW, null, t, zone, spot);
-          double price = (spot ? t.spotPrice() : t.price()) / Math.max(1, s.count(spec, false));
-          s.score = price * (1 + 0.001 * slots.inZone(zone));
-          if (best == null || s.score < best.score) {
-            best = s;
+          CandidateMachine candidate = new CandidateMachine(CandidateMachine.Kind.NEW, null, type, zone, spot);
+          double price = (spot ? type.spotPrice() : type.price()) / Math.max(1, candidate.count(spec, false));
+          candidate.score = price * (1 + 0.001 * slots.inZone(zone));
+          if (best == null || candidate.score < best.score) {
+            best = candidate;
           }
         }
       }
@@ -60,10 +60,10 @@
   }
 
   boolean spotToBeHad(JobSpec spec) {
-    for (MachineType t : types.values()) {
-      if (t.fits(spec) && t.spotPrice() < t.price()) {
-        for (String zone : t.zones()) {
-          if (spec.allows(t.name(), zone, true) && !pools.exhausted(t.name(), zone, true)) {
+    for (MachineType type : types.values()) {
+      if (type.fits(spec) && type.spotPrice() < type.price()) {
+        for (String zone : type.zones()) {
+          if (spec.allows(type.name(), zone, true) && !pools.exhausted(type.name(), zone, true)) {
             return true;
           }
         }
@@ -73,12 +73,12 @@
   }
 
   boolean canBuy(JobSpec spec, String zone) {
-    for (MachineType t : types.values()) {
-      if (t.fits(spec) && t.zones().contains(zone)) {
+    for (MachineType type : types.values()) {
+      if (type.fits(spec) && type.zones().contains(zone)) {
         for (boolean spot : KINDS) {
-          if (spec.allows(t.name(), zone, spot)
+          if (spec.allows(type.name(), zone, spot)
               && !(spot && spec.shape() != JobShape.ARRAY)
-              && !pools.exhausted(t.name(), zone, spot)) {
+              && !pools.exhausted(type.name(), zone, spot)) {
             return true;
           }
         }
