--- a/src/main/java/io/embernotch/scheduling/Scheduler.java
+++ b/src/main/java/io/embernotch/scheduling/Scheduler.java
@@ -39,7 +39,7 @@
   private GangAccumulation gathering;
   private SchedulingPlan plan;
   /** Slots that may be filled at present. */
-  private Predicate<CandidateMachine> only = s -> true;
+  private Predicate<CandidateMachine> only = candidate -> true;
 
   public Scheduler(Settings settings, OperatorSettings operator) {
     this.settings = settings;
@@ -91,13 +91,13 @@
     return order.subList(live, order.size());
   }
 
-  private boolean usable(Machine m) {
-    return usable(m, now, settings);
+  private boolean usable(Machine machine) {
+    return usable(machine, now, settings);
   }
 
   /** Something may be started there now, if there is room. */
-  public static boolean usable(Machine m, double now, Settings settings) {
-    return m.avoidUntil <= now && !m.suspectedUnreachable() && now - m.lastSignOfLifeAt() < 2 * settings.workers().heartbeatIntervalS();
+  public static boolean usable(Machine machine, double now, Settings settings) {
+    return machine.avoidUntil <= now && !machine.suspectedUnreachable() && now - machine.lastSignOfLifeAt() < 2 * settings.workers().heartbeatIntervalS();
   }
 
   private void place(Job job) {
@@ -157,11 +157,11 @@
    * it anew would keep them down for longer than anything else does. Tells how many claim room so.
    */
   private int bringBack(JobSpec spec, int wanted, ZoneConstraints zones, Taken start) {
-    only = s -> s.fetchS(spec) == 0;
+    only = candidate -> candidate.fetchS(spec) == 0;
     int placed = fill(spec, Room.NOW, wanted, zones, start);
-    int claimed = fill(spec, Room.FREEING, wanted - placed, zones, (s, n) -> {});
+    int claimed = fill(spec, Room.FREEING, wanted - placed, zones, (candidate, n) -> {});
     claimed += preemption.makeRoom(spec, wanted - placed - claimed, zones, only);
-    only = s -> true;
+    only = candidate -> true;
     return claimed;
   }
 
@@ -177,12 +177,12 @@
       if (wish == null) {
         continue;
       }
-      for (CandidateMachine s : slots.candidates(Room.NOW, job.spec, s -> zones.room(s.zone) > 0, s -> 0)) {
-        if (s.machine.name.equals(wish)) {
-          take(s, job.spec, 1, zones);
+      for (CandidateMachine candidate : slots.candidates(Room.NOW, job.spec, candidate -> zones.room(candidate.zone) > 0, candidate -> 0)) {
+        if (candidate.machine.name.equals(wish)) {
+          take(candidate, job.spec, 1, zones);
           usage.take(job.spec, 1);
           granted.set(task);
-          placements.add(new SchedulingPlan.Placement(task, s.machine));
+          placements.add(new SchedulingPlan.Placement(task, candidate.machine));
           break;
         }
       }
@@ -204,7 +204,7 @@
 
   /** Gives up to {@code wanted} tasks such room, best slots first; tells how many got it. */
   private int fill(JobSpec spec, Room room, int wanted, ZoneConstraints zones, Taken taken) {
-    return fill(spec, room, wanted, zones, s -> PlacementScore.of(spec, s, zones), taken);
+    return fill(spec, room, wanted, zones, candidate -> PlacementScore.of(spec, candidate, zones), taken);
   }
 
   private int fill(
@@ -214,18 +214,18 @@
     }
     boolean keepOff = keepsOffOrdinary(spec);
     int done = 0;
-    List<CandidateMachine> found = slots.candidates(room, spec, s -> only.test(s) && zones.room(s.zone) > 0 && !(keepOff && dear(spec, s)), score);
+    List<CandidateMachine> found = slots.candidates(room, spec, candidate -> only.test(candidate) && zones.room(candidate.zone) > 0 && !(keepOff && dear(spec, candidate)), score);
     if (spec.shape() == JobShape.SERVICE && spec.tasks() > 1 && room == Room.NOW) {
-      return spread.place(found, spec, wanted, zones, score, s -> {
-        take(s, spec, 1, zones);
-        taken.by(s, 1);
+      return spread.place(found, spec, wanted, zones, score, candidate -> {
+        take(candidate, spec, 1, zones);
+        taken.by(candidate, 1);
       });
     }
-    for (CandidateMachine s : found) {
-      int n = Math.min(Math.min(s.count(spec, room == Room.FREEING), wanted - done), zones.room(s.zone));
+    for (CandidateMachine candidate : found) {
+      int n = Math.min(Math.min(candidate.count(spec, room == Room.FREEING), wanted - done), zones.room(candidate.zone));
       if (n > 0) {
-        take(s, spec, n, zones);
-        taken.by(s, n);
+        take(candidate, spec, n, zones);
+        taken.by(candidate, n);
         done += n;
       }
       if (done == wanted) {
@@ -235,19 +235,19 @@
     return done;
   }
 
-  private static void take(CandidateMachine s, JobSpec spec, int tasks, ZoneConstraints zones) {
-    s.take(spec, tasks);
-    s.claimed = true;
-    zones.put(s.zone, tasks);
+  private static void take(CandidateMachine candidate, JobSpec spec, int tasks, ZoneConstraints zones) {
+    candidate.take(spec, tasks);
+    candidate.claimed = true;
+    zones.put(candidate.zone, tasks);
   }
 
   /** Claims room that will be there: freed, made by stopping others, booting, or rented. */
   private int claimLater(Job job, int wanted, ZoneConstraints zones) {
     JobSpec spec = job.spec;
-    Taken nothing = (s, n) -> {};
+    Taken nothing = (candidate, n) -> {};
     int done = fill(spec, Room.FREEING, wanted, zones, nothing);
     if (done < wanted && spec.priority() == Priority.PRODUCTION) {
-      done += preemption.makeRoom(spec, wanted - done, zones, s -> true);
+      done += preemption.makeRoom(spec, wanted - done, zones, candidate -> true);
     }
     done += claimNew(queueing.waiting(spec), wanted - done, zones);
     if (done < wanted && settings.zones().stream().noneMatch(z -> zones.room(z) > 0 && market.canBuy(spec, z))) {
@@ -257,18 +257,18 @@
   }
 
   private int claimNew(JobSpec spec, int wanted, ZoneConstraints zones) {
-    Taken nothing = (s, n) -> {};
+    Taken nothing = (candidate, n) -> {};
     int done = fill(spec, Room.COMING, wanted, zones, nothing);
     done += fill(spec, Room.NEW, wanted - done, zones, nothing);
     boolean cheapOnly = mayWaitForCapacity(settings, spec) && spec.spot() && (slots.anySpot() || market.spotToBeHad(spec));
     boolean ordinaryToo = !cheapOnly && queueing.worthOrdinary(spec);
     while (done < wanted) {
-      CandidateMachine s = market.buy(spec, zones, ordinaryToo);
-      if (s == null) {
+      CandidateMachine candidate = market.buy(spec, zones, ordinaryToo);
+      if (candidate == null) {
         break;
       }
-      int n = Math.min(Math.min(s.count(spec, false), wanted - done), zones.room(s.zone));
-      take(s, spec, n, zones);
+      int n = Math.min(Math.min(candidate.count(spec, false), wanted - done), zones.room(candidate.zone));
+      take(candidate, spec, n, zones);
       done += n;
     }
     return done;
@@ -282,8 +282,8 @@
     return spec.spot() && spec.shape() == JobShape.ARRAY && market.spotToBeHad(spec);
   }
 
-  private static boolean dear(JobSpec spec, CandidateMachine s) {
-    return !s.spot && !s.paidFor(spec);
+  private static boolean dear(JobSpec spec, CandidateMachine candidate) {
+    return !candidate.spot && !candidate.paidFor(spec);
   }
 
   /** The zone where most tasks could start at once, then where most could start later. */
@@ -297,13 +297,13 @@
       double ready = 0;
       double coming = 0;
       ZoneConstraints here = new ZoneConstraints(spec, zone);
-      for (CandidateMachine s : slots.candidates(Room.FREEING, spec, s -> here.room(s.zone) > 0, s -> 0)) {
-        int n = s.count(spec, false);
+      for (CandidateMachine candidate : slots.candidates(Room.FREEING, spec, candidate -> here.room(candidate.zone) > 0, candidate -> 0)) {
+        int n = candidate.count(spec, false);
         // Room that is being made must decide the zone, or the next plan makes room in another.
         ready += n > 0 ? n : 0.9;
       }
-      for (CandidateMachine s : slots.candidates(Room.COMING, spec, s -> here.room(s.zone) > 0, s -> 0)) {
-        coming += s.count(spec, false);
+      for (CandidateMachine candidate : slots.candidates(Room.COMING, spec, candidate -> here.room(candidate.zone) > 0, candidate -> 0)) {
+        coming += candidate.count(spec, false);
       }
       double score = Math.min(ready, wanted) + Math.min(0.5, coming / 4) + (market.canBuy(spec, zone) ? 0.1 : 0);
       if (score > bestScore) {
@@ -343,31 +343,31 @@
       }
     }
     ZoneConstraints zones = new ZoneConstraints(spec, first);
-    int now = fill(spec, Room.NOW, spec.tasks(), zones, (s, n) -> {});
+    int now = fill(spec, Room.NOW, spec.tasks(), zones, (candidate, n) -> {});
     claimLater(job, spec.tasks() - now, zones);
   }
 
   private boolean startGang(Job job, String zone) {
     JobSpec spec = job.spec;
     ZoneConstraints zones = new ZoneConstraints(spec, zone);
-    List<CandidateMachine> hosts = slots.candidates(Room.NOW, spec, s -> zones.room(s.zone) > 0, s -> PlacementScore.of(spec, s, zones));
+    List<CandidateMachine> hosts = slots.candidates(Room.NOW, spec, candidate -> zones.room(candidate.zone) > 0, candidate -> PlacementScore.of(spec, candidate, zones));
     ZoneConstraints probe = new ZoneConstraints(spec, zone);
     int there = 0;
-    for (CandidateMachine s : hosts) {
-      int n = Math.min(Math.min(s.count(spec, false), spec.tasks() - there), probe.room(s.zone));
-      probe.put(s.zone, n);
+    for (CandidateMachine candidate : hosts) {
+      int n = Math.min(Math.min(candidate.count(spec, false), spec.tasks() - there), probe.room(candidate.zone));
+      probe.put(candidate.zone, n);
       there += n;
     }
     if (there < spec.tasks()) {
       return false;
     }
     List<SchedulingPlan.Placement> placements = new ArrayList<>();
-    for (CandidateMachine s : hosts) {
-      int n = Math.min(Math.min(s.count(spec, false), spec.tasks() - placements.size()), zones.room(s.zone));
+    for (CandidateMachine candidate : hosts) {
+      int n = Math.min(Math.min(candidate.count(spec, false), spec.tasks() - placements.size()), zones.room(candidate.zone));
       if (n > 0) {
-        take(s, spec, n, zones);
+        take(candidate, spec, n, zones);
         for (int i = 0; i < n; i++) {
-          placements.add(new SchedulingPlan.Placement(placements.size(), s.machine));
+          placements.add(new SchedulingPlan.Placement(placements.size(), candidate.machine));
         }
       }
     }
@@ -379,34 +379,34 @@
   private void keepFree(FleetView.Headroom h) {
     ZoneConstraints anywhere = ZoneConstraints.anywhere();
     // Nobody knows the next job's image, so machines that have many are kept, and young ones returned.
-    ToDoubleFunction<CandidateMachine> score = s -> -PlacementScore.PACK_S * s.used() - (s.machine == null ? 0 : s.machine.images.size());
-    int now = fill(h.like(), Room.NOW, h.count(), anywhere, score, (s, n) -> {});
+    ToDoubleFunction<CandidateMachine> score = candidate -> -PlacementScore.PACK_S * candidate.used() - (candidate.machine == null ? 0 : candidate.machine.images.size());
+    int now = fill(h.like(), Room.NOW, h.count(), anywhere, score, (candidate, n) -> {});
     if (h.like().shape() == JobShape.GANG) {
-      now += fill(h.like(), Room.FREEING, h.count() - now, anywhere, score, (s, n) -> {});
+      now += fill(h.like(), Room.FREEING, h.count() - now, anywhere, score, (candidate, n) -> {});
     }
     claimNew(h.like(), h.count() - now, anywhere);
   }
 
   @Override
   public int claimLater(JobSpec like, int n) {
-    int done = fill(like, Room.FREEING, n, ZoneConstraints.anywhere(), (s, k) -> {});
+    int done = fill(like, Room.FREEING, n, ZoneConstraints.anywhere(), (candidate, k) -> {});
     return done + claimNew(like, n - done, ZoneConstraints.anywhere());
   }
 
   @Override
   public void restore(JobSpec like, int n, Reservation r) {
     if (settings.zones().stream().noneMatch(z -> market.canBuy(like, z))) {
-      preemption.makeRoom(like, n, ZoneConstraints.anywhere(), s -> !s.spot && r.allowsType(s.type.name()));
+      preemption.makeRoom(like, n, ZoneConstraints.anywhere(), candidate -> !candidate.spot && r.allowsType(candidate.type.name()));
     }
   }
 
   private void collectReturns() {
-    for (CandidateMachine s : slots.all()) {
-      if (s.kind == CandidateMachine.Kind.READY
-          && !s.claimed
-          && s.machine.openAttempts.isEmpty()
-          && now - s.machine.idleSince > operator.keepIdleBoots() * s.type.bootS()) {
-        plan.scaleIns.add(s.machine);
+    for (CandidateMachine candidate : slots.all()) {
+      if (candidate.kind == CandidateMachine.Kind.READY
+          && !candidate.claimed
+          && candidate.machine.openAttempts.isEmpty()
+          && now - candidate.machine.idleSince > operator.keepIdleBoots() * candidate.type.bootS()) {
+        plan.scaleIns.add(candidate.machine);
       }
     }
   }
--- a/src/main/java/io/embernotch/scheduling/TopologySpread.java
+++ b/src/main/java/io/embernotch/scheduling/TopologySpread.java
@@ -41,9 +41,9 @@
   private List<CandidateMachine> holders(String image) {
     if (holders == null) {
       holders = new HashMap<>();
-      for (CandidateMachine s : slots.all()) {
-        if (s.kind == CandidateMachine.Kind.READY) {
-          s.machine.images.forEach(i -> holders.computeIfAbsent(i, x -> new ArrayList<>()).add(s));
+      for (CandidateMachine candidate : slots.all()) {
+        if (candidate.kind == CandidateMachine.Kind.READY) {
+          candidate.machine.images.forEach(i -> holders.computeIfAbsent(i, x -> new ArrayList<>()).add(candidate));
         }
       }
     }
@@ -66,10 +66,10 @@
   }
 
   /** Replicas of the service on a machine. */
-  static int on(CandidateMachine s, JobSpec spec) {
+  static int on(CandidateMachine candidate, JobSpec spec) {
     int n = 0;
-    for (Attempt a : s.machine.openAttempts.values()) {
-      n += a.job.spec.ref().equals(spec.ref()) ? 1 : 0;
+    for (Attempt attempt : candidate.machine.openAttempts.values()) {
+      n += attempt.job.spec.ref().equals(spec.ref()) ? 1 : 0;
     }
     return n;
   }
@@ -94,35 +94,35 @@
       Placed placed) {
     List<CandidateMachine> weighed = best.subList(0, Math.min(best.size(), WEIGHED * (wanted + 1)));
     Map<CandidateMachine, Integer> there = new HashMap<>();
-    weighed.forEach(s -> there.put(s, on(s, spec)));
+    weighed.forEach(candidate -> there.put(candidate, on(candidate, spec)));
     Set<String> zonesWith = new TreeSet<>();
     int holding = 0;
-    for (CandidateMachine s : holders(spec.image())) {
-      if (s.count(spec, false) > 0) {
+    for (CandidateMachine candidate : holders(spec.image())) {
+      if (candidate.count(spec, false) > 0) {
         holding++;
-        zonesWith.add(s.zone);
+        zonesWith.add(candidate.zone);
       }
     }
     int done = 0;
     while (done < wanted) {
       CandidateMachine to = null;
       double least = 0;
-      for (CandidateMachine s : weighed) {
-        if (zones.room(s.zone) > 0 && s.count(spec, false) > 0) {
-          boolean has = s.machine.images.contains(spec.image());
-          double fetchS = s.type.fetchS(spec);
+      for (CandidateMachine candidate : weighed) {
+        if (zones.room(candidate.zone) > 0 && candidate.count(spec, false) > 0) {
+          boolean has = candidate.machine.images.contains(spec.image());
+          double fetchS = candidate.type.fetchS(spec);
           double lost =
-              score.applyAsDouble(s)
+              score.applyAsDouble(candidate)
                   + lostS(
                       risk,
                       spec.tasks(),
                       fetchS,
-                      there.get(s),
-                      zones.in(s.zone),
+                      there.get(candidate),
+                      zones.in(candidate.zone),
                       holding > (has ? 1 : 0),
-                      zonesWith.size() > (zonesWith.contains(s.zone) ? 1 : 0));
+                      zonesWith.size() > (zonesWith.contains(candidate.zone) ? 1 : 0));
           if (to == null || lost < least) {
-            to = s;
+            to = candidate;
             least = lost;
           }
         }
--- a/src/main/java/io/embernotch/scheduling/ZoneConstraints.java
+++ b/src/main/java/io/embernotch/scheduling/ZoneConstraints.java
@@ -26,8 +26,8 @@
 
   static ZoneConstraints of(Job job) {
     ZoneConstraints z = new ZoneConstraints(job.spec, null);
-    for (Attempt a : job.openAttempts.values()) {
-      z.put(a.zone, 1);
+    for (Attempt attempt : job.openAttempts.values()) {
+      z.put(attempt.zone, 1);
     }
     return z;
   }
--- a/src/main/java/io/embernotch/settings/Selector.java
+++ b/src/main/java/io/embernotch/settings/Selector.java
@@ -6,11 +6,11 @@
 
 /** Which jobs something is about: all that is given must match; null: any. */
 public record Selector(Priority priority, JobShape shape, String team, String jobClass) {
-  public boolean matches(JobSpec j) {
-    return (priority == null || priority == j.priority())
-        && (shape == null || shape == j.shape())
-        && (team == null || team.equals(j.team()))
-        && (jobClass == null || jobClass.equals(j.jobClass()));
+  public boolean matches(JobSpec spec) {
+    return (priority == null || priority == spec.priority())
+        && (shape == null || shape == spec.shape())
+        && (team == null || team.equals(spec.team()))
+        && (jobClass == null || jobClass.equals(spec.jobClass()));
   }
 
   /** Some job may match both. */
--- a/src/main/java/io/embernotch/settings/SettingsReader.java
+++ b/src/main/java/io/embernotch/settings/SettingsReader.java
@@ -84,9 +84,9 @@
     if (s.workers().cancelS() <= s.workers().leaseS()) {
       throw new SettingsException("cluster.workers.cancel_s: must exceed cluster.workers.lease_s");
     }
-    for (Settings.Member m : s.members()) {
-      if (m.node().equals(s.node())) {
-        throw new SettingsException("members: names this node itself (" + m.node() + ")");
+    for (Settings.Member member : s.members()) {
+      if (member.node().equals(s.node())) {
+        throw new SettingsException("members: names this node itself (" + member.node() + ")");
       }
     }
   }
--- a/src/main/java/io/embernotch/shared/SharedState.java
+++ b/src/main/java/io/embernotch/shared/SharedState.java
@@ -72,10 +72,10 @@
   public void load(List<VersionedEntry> entries) {
     edition++;
     facts.clear();
-    for (VersionedEntry e : entries) {
-      if (e.present()) {
-        facts.put(e.key().substring(JobProgressCodec.SHARED.length()), new Fact(e.value(), e.modRevision()));
-        version = Math.max(version, Versions.of(e.value()));
+    for (VersionedEntry entry : entries) {
+      if (entry.present()) {
+        facts.put(entry.key().substring(JobProgressCodec.SHARED.length()), new Fact(entry.value(), entry.modRevision()));
+        version = Math.max(version, Versions.of(entry.value()));
       }
     }
   }
@@ -180,7 +180,7 @@
     busy = true;
     context.store()
         .commit(txn, RequestPriority.NORMAL)
-        .onSuccess(c -> answered(c, batch))
+        .onSuccess(result -> answered(result, batch))
         .onFailure(e -> unanswered(e, batch));
   }
 
--- a/src/main/java/io/embernotch/snapshot/BaseSnapshot.java
+++ b/src/main/java/io/embernotch/snapshot/BaseSnapshot.java
@@ -85,7 +85,7 @@
     for (byte[] job : jobs.values()) {
       lay(job, prefix, out);
     }
-    stored.events().forEach(e -> over(e, out));
+    stored.events().forEach(entry -> over(entry, out));
     return new WatchEvents(stored.revision(), List.copyOf(out.values()));
   }
 
@@ -98,14 +98,14 @@
     shared.forEach(
         (name, value) ->
             out.put(JobProgressCodec.SHARED + name, new VersionedEntry(JobProgressCodec.SHARED + name, value, 0)));
-    for (VersionedEntry e : stored.events()) {
-      if (e.present()) {
-        VersionedEntry below = out.get(e.key());
+    for (VersionedEntry entry : stored.events()) {
+      if (entry.present()) {
+        VersionedEntry below = out.get(entry.key());
         out.put(
-            e.key(),
+            entry.key(),
             below == null
-                ? e
-                : new VersionedEntry(e.key(), Versions.later(below.value(), e.value()), e.modRevision()));
+                ? entry
+                : new VersionedEntry(entry.key(), Versions.later(below.value(), entry.value()), entry.modRevision()));
       }
     }
     return List.copyOf(out.values());
@@ -117,15 +117,15 @@
     if (jobs.containsKey(ref)) {
       lay(jobs.get(ref), prefix, out);
     }
-    stored.forEach(e -> over(e, out));
+    stored.forEach(entry -> over(entry, out));
     return List.copyOf(out.values());
   }
 
   private static void lay(byte[] job, String prefix, Map<String, VersionedEntry> out) {
     try {
-      for (VersionedEntry e : StateSnapshot.entries(JobCopy.parseFrom(job))) {
-        if (e.key().startsWith(prefix)) {
-          out.put(e.key(), e);
+      for (VersionedEntry entry : StateSnapshot.entries(JobCopy.parseFrom(job))) {
+        if (entry.key().startsWith(prefix)) {
+          out.put(entry.key(), entry);
         }
       }
     } catch (InvalidProtocolBufferException e) {
@@ -133,16 +133,16 @@
     }
   }
 
-  private void over(VersionedEntry e, Map<String, VersionedEntry> out) {
-    String ref = e.key().split("/")[1];
+  private void over(VersionedEntry entry, Map<String, VersionedEntry> out) {
+    String ref = entry.key().split("/")[1];
     if (ended.containsKey(ref)) {
       return;
     }
-    if (!jobs.containsKey(ref) || e.modRevision() > since) {
-      out.put(e.key(), e);
-    } else if (out.containsKey(e.key())) {
+    if (!jobs.containsKey(ref) || entry.modRevision() > since) {
+      out.put(entry.key(), entry);
+    } else if (out.containsKey(entry.key())) {
       // Older than the base, but whoever writes it next conditions on its stamp.
-      out.put(e.key(), new VersionedEntry(e.key(), out.get(e.key()).value(), e.modRevision()));
+      out.put(entry.key(), new VersionedEntry(entry.key(), out.get(entry.key()).value(), entry.modRevision()));
     }
   }
 }
--- a/src/main/java/io/embernotch/snapshot/StateSnapshot.java
+++ b/src/main/java/io/embernotch/snapshot/StateSnapshot.java
@@ -66,24 +66,24 @@
     Map<String, Integer> sizes = new HashMap<>();
     read(
         jobs,
-        e -> {
-          Job job = JobProgressCodec.readJob(e.value());
-          sizes.put(job.spec.ref(), JobProgressCodec.readShardSize(e.value()));
+        entry -> {
+          Job job = JobProgressCodec.readJob(entry.value());
+          sizes.put(job.spec.ref(), JobProgressCodec.readShardSize(entry.value()));
           all.put(job.spec.ref(), job);
         });
     read(
         runs,
-        e -> {
-          Job job = all.get(e.key().split("/")[1]);
+        entry -> {
+          Job job = all.get(entry.key().split("/")[1]);
           if (job != null) {
-            JobProgressCodec.readRun(e.value(), job, sizes.get(job.spec.ref()), JobProgressCodec.shardOf(e.key()));
+            JobProgressCodec.readRun(entry.value(), job, sizes.get(job.spec.ref()), JobProgressCodec.shardOf(entry.key()));
           }
         });
     Map<String, List<ProgressShard>> partsOf = new LinkedHashMap<>();
     read(
         parts,
-        e -> {
-          ProgressShard part = ProgressShard.of(e);
+        entry -> {
+          ProgressShard part = ProgressShard.of(entry);
           if (all.containsKey(part.ref())) {
             partsOf.computeIfAbsent(part.ref(), r -> new ArrayList<>()).add(part);
           }
@@ -96,7 +96,7 @@
     Copy.Builder out = Copy.newBuilder().setComplete(false);
     shared.events().stream()
         .filter(VersionedEntry::present)
-        .forEach(e -> out.addShared(fact(e.key().substring(JobProgressCodec.SHARED.length()), e.value())));
+        .forEach(entry -> out.addShared(fact(entry.key().substring(JobProgressCodec.SHARED.length()), entry.value())));
     all.forEach((ref, job) -> out.addJob(job(job, sizes.get(ref))));
     return out.build();
   }
@@ -109,11 +109,11 @@
   }
 
   private static void read(WatchEvents entries, Consumer<VersionedEntry> take) {
-    for (VersionedEntry e : entries.events()) {
+    for (VersionedEntry entry : entries.events()) {
       try {
-        take.accept(e);
+        take.accept(entry);
       } catch (MalformedInputException | IllegalArgumentException bad) {
-        LOG.warn("what is left of {} can't be read: {}", e.key(), bad.getMessage());
+        LOG.warn("what is left of {} can't be read: {}", entry.key(), bad.getMessage());
       }
     }
   }
@@ -128,13 +128,13 @@
     if (job.finalPhase != null) {
       b.setEnd(end(job.finalPhase)).setEndedMs(job.endedMs);
     }
-    for (Attempt a : job.openAttempts.values()) {
+    for (Attempt attempt : job.openAttempts.values()) {
       b.addOpen(
           OpenCopy.newBuilder()
-              .setTask(a.task)
-              .setNumber(a.number)
-              .setMachine(a.machine)
-              .setZone(a.zone));
+              .setTask(attempt.task)
+              .setNumber(attempt.number)
+              .setMachine(attempt.machine)
+              .setZone(attempt.zone));
     }
     // A wish outlives the attempt that it is about, until the task is placed anew.
     job.preferredMachines.forEach(
--- a/src/main/java/io/embernotch/state/ClusterOverview.java
+++ b/src/main/java/io/embernotch/state/ClusterOverview.java
@@ -14,12 +14,12 @@
   public static ObjectNode of(ClusterState state, int waiting) {
     ObjectNode o = Json.object();
     Map<String, int[]> classes = new TreeMap<>();
-    for (Job j : state.jobs.values()) {
-      int[] c = classes.computeIfAbsent(j.spec.jobClass(), k -> new int[4]);
+    for (Job job : state.jobs.values()) {
+      int[] c = classes.computeIfAbsent(job.spec.jobClass(), k -> new int[4]);
       c[0]++;
-      c[1] += j.pendingCount();
-      c[2] += j.runningCount();
-      c[3] += j.openAttempts.size();
+      c[1] += job.pendingCount();
+      c[2] += job.runningCount();
+      c[3] += job.openAttempts.size();
     }
     ObjectNode queue = o.putObject("queue");
     classes.forEach(
@@ -31,15 +31,15 @@
                 .put("running", c[2])
                 .put("placed", c[3]));
     ObjectNode machines = o.putObject("machines");
-    for (Machine m : state.machines.values()) {
-      ObjectNode n = machines.putObject(m.name);
-      n.put("type", m.type == null ? null : m.type.name()).put("zone", m.zone).put("spot", m.spot);
+    for (Machine machine : state.machines.values()) {
+      ObjectNode n = machines.putObject(machine.name);
+      n.put("type", machine.type == null ? null : machine.type.name()).put("zone", machine.zone).put("spot", machine.spot);
       n.put(
           "state",
-          m.deleting
+          machine.deleting
               ? "returning"
-              : m.failed ? "failed" : !m.up() ? "booting" : m.cordoned ? "cordoned" : "up");
-      n.put("tasks", m.openAttempts.size());
+              : machine.failed ? "failed" : !machine.up() ? "booting" : machine.cordoned ? "cordoned" : "up");
+      n.put("tasks", machine.openAttempts.size());
     }
     o.put("waiting_for_others", waiting);
     o.put("ended", state.endedJobs.size());
--- a/src/main/java/io/embernotch/state/ClusterState.java
+++ b/src/main/java/io/embernotch/state/ClusterState.java
@@ -52,37 +52,37 @@
     return machines.computeIfAbsent(
         name,
         n -> {
-          Machine m = new Machine(n);
-          m.token = token;
-          m.images.addAll(images.apply(n));
-          return m;
+          Machine machine = new Machine(n);
+          machine.token = token;
+          machine.images.addAll(images.apply(n));
+          return machine;
         });
   }
 
   /** Opens an attempt; the job's pieces must then be committed before its start may be sent. */
-  public Attempt openAttempt(Job job, int task, long number, Machine m, double now) {
-    Attempt a = new Attempt(job, task, number, m.name, m.zone, m.token);
-    a.createdAt = now;
-    job.openAttempts.put(task, a);
-    m.openAttempts.put(Machine.taskKey(job.spec.ref(), task), a);
-    m.attemptsChanged();
-    return a;
+  public Attempt openAttempt(Job job, int task, long number, Machine machine, double now) {
+    Attempt attempt = new Attempt(job, task, number, machine.name, machine.zone, machine.token);
+    attempt.createdAt = now;
+    job.openAttempts.put(task, attempt);
+    machine.openAttempts.put(Machine.taskKey(job.spec.ref(), task), attempt);
+    machine.attemptsChanged();
+    return attempt;
   }
 
-  public void closeAttempt(Attempt a, double now) {
-    if (a.job.openAttempts.get(a.task) == a) {
-      a.job.openAttempts.remove(a.task);
+  public void closeAttempt(Attempt attempt, double now) {
+    if (attempt.job.openAttempts.get(attempt.task) == attempt) {
+      attempt.job.openAttempts.remove(attempt.task);
     }
-    Machine m = machines.get(a.machine);
-    if (m != null && m.openAttempts.remove(Machine.taskKey(a.job.spec.ref(), a.task), a)) {
-      m.attemptsChanged();
-      if (m.openAttempts.isEmpty()) {
-        m.idleSince = now;
+    Machine machine = machines.get(attempt.machine);
+    if (machine != null && machine.openAttempts.remove(Machine.taskKey(attempt.job.spec.ref(), attempt.task), attempt)) {
+      machine.attemptsChanged();
+      if (machine.openAttempts.isEmpty()) {
+        machine.idleSince = now;
       }
     }
   }
 
-  public static boolean isOpen(Attempt a) {
-    return a.job.openAttempts.get(a.task) == a;
+  public static boolean isOpen(Attempt attempt) {
+    return attempt.job.openAttempts.get(attempt.task) == attempt;
   }
 }
--- a/src/main/java/io/embernotch/state/ClusterSummary.java
+++ b/src/main/java/io/embernotch/state/ClusterSummary.java
@@ -11,15 +11,15 @@
 
   public static String of(ClusterState state) {
     int[][] kinds = new int[2][5];
-    for (Machine m : state.machines.values()) {
-      int[] k = kinds[m.spot ? 1 : 0];
-      if (!m.up()) {
+    for (Machine machine : state.machines.values()) {
+      int[] k = kinds[machine.spot ? 1 : 0];
+      if (!machine.up()) {
         k[0]++;
-      } else if (m.openAttempts.isEmpty()) {
+      } else if (machine.openAttempts.isEmpty()) {
         k[1]++;
-      } else if (has(m, JobShape.SERVICE)) {
+      } else if (has(machine, JobShape.SERVICE)) {
         k[2]++;
-      } else if (has(m, JobShape.GANG)) {
+      } else if (has(machine, JobShape.GANG)) {
         k[3]++;
       } else {
         k[4]++;
@@ -27,9 +27,9 @@
     }
     int pending = 0;
     int open = 0;
-    for (Job j : state.jobs.values()) {
-      pending += j.pendingCount();
-      open += j.openAttempts.size();
+    for (Job job : state.jobs.values()) {
+      pending += job.pendingCount();
+      open += job.openAttempts.size();
     }
     return "machines: ordinary "
         + line(kinds[0])
@@ -55,9 +55,9 @@
         + " with arrays";
   }
 
-  private static boolean has(Machine m, JobShape shape) {
-    for (Attempt a : m.openAttempts.values()) {
-      if (a.job.spec.shape() == shape) {
+  private static boolean has(Machine machine, JobShape shape) {
+    for (Attempt attempt : machine.openAttempts.values()) {
+      if (attempt.job.spec.shape() == shape) {
         return true;
       }
     }
--- a/src/main/java/io/embernotch/state/DemandForecast.java
+++ b/src/main/java/io/embernotch/state/DemandForecast.java
@@ -58,7 +58,7 @@
   public List<Headroom> headroom(
       OperatorSettings operator, Collection<MachineType> types, Collection<Job> jobs, double now) {
     Map<String, Integer> placed = new HashMap<>();
-    jobs.forEach(j -> placed.merge(j.spec.jobClass(), j.openAttempts.size(), Integer::sum));
+    jobs.forEach(job -> placed.merge(job.spec.jobClass(), job.openAttempts.size(), Integer::sum));
     List<Headroom> out = new ArrayList<>();
     for (Kind k : kinds.values()) {
       double boot = bootS(k.latest, types);
@@ -91,6 +91,6 @@
   }
 
   private static double bootS(JobSpec spec, Collection<MachineType> types) {
-    return types.stream().filter(t -> t.fits(spec)).mapToDouble(MachineType::bootS).min().orElse(0);
+    return types.stream().filter(type -> type.fits(spec)).mapToDouble(MachineType::bootS).min().orElse(0);
   }
 }
--- a/src/main/java/io/embernotch/state/FailureAttribution.java
+++ b/src/main/java/io/embernotch/state/FailureAttribution.java
@@ -43,12 +43,12 @@
     this.state = state;
   }
 
-  public void failed(Attempt a, Machine m, double now) {
-    Job job = a.job;
+  public void failed(Attempt attempt, Machine machine, double now) {
+    Job job = attempt.job;
     double heartbeat = context.settings().workers().heartbeatIntervalS();
-    m.failures.merge(job.spec.ref(), 1, Integer::sum);
+    machine.failures.merge(job.spec.ref(), 1, Integer::sum);
     if (!succeeds(job)) {
-      job.errorMachines.add(m.name);
+      job.errorMachines.add(machine.name);
     }
     if (job.failsEverywhere()) {
       // Tried again with one task at a time, so what that costs is bounded however large the job
@@ -59,17 +59,17 @@
       excuse(job);
       return;
     }
-    m.errorStreak++;
-    m.avoidUntil = now + heartbeat * (1 << Math.min(4, m.errorStreak));
-    judge(m);
+    machine.errorStreak++;
+    machine.avoidUntil = now + heartbeat * (1 << Math.min(4, machine.errorStreak));
+    judge(machine);
   }
 
   /**
    * A task was done: neither its machine nor its job is at fault. What failed the job elsewhere is.
    */
-  public void cleared(Job job, Machine m) {
-    m.errorStreak = 0;
-    m.failures.clear();
+  public void cleared(Job job, Machine machine) {
+    machine.errorStreak = 0;
+    machine.failures.clear();
     if (job.errorMachines.isEmpty()) {
       return;
     }
@@ -88,9 +88,9 @@
   }
 
   /** How much speaks against a machine; from 1 on it is enough. */
-  private double against(Machine m) {
+  private double against(Machine machine) {
     double sum = EPS;
-    for (Map.Entry<String, Integer> e : m.failures.entrySet()) {
+    for (Map.Entry<String, Integer> e : machine.failures.entrySet()) {
       Job job = state.jobs.get(e.getKey());
       if (job != null && !job.failsEverywhere()) {
         sum += !succeeds(job) ? UNKNOWN : e.getValue() >= OFTEN ? 1 : SOUND;
@@ -99,16 +99,16 @@
     return sum;
   }
 
-  private void judge(Machine m) {
-    if (m.cordoned || against(m) < 1) {
+  private void judge(Machine machine) {
+    if (machine.cordoned || against(machine) < 1) {
       return;
     }
-    LOG.info("machine {} fails what it starts: {}", m.name, m.failures.keySet());
-    m.cordoned = true;
-    for (String ref : m.failures.keySet()) {
+    LOG.info("machine {} fails what it starts: {}", machine.name, machine.failures.keySet());
+    machine.cordoned = true;
+    for (String ref : machine.failures.keySet()) {
       Job job = state.jobs.get(ref);
       // That it failed here is not its fault.
-      if (job != null && job.errorMachines.remove(m.name) && !job.failsEverywhere()) {
+      if (job != null && job.errorMachines.remove(machine.name) && !job.failsEverywhere()) {
         job.backoffUntil = 0;
       }
     }
@@ -120,12 +120,12 @@
       job.failureLogged = true;
       LOG.info("job {} fails wherever it goes: {}", job.spec.ref(), job.errorMachines);
     }
-    for (Machine m : machines(job)) {
-      double left = against(m);
-      m.cordoned &= left >= 1;
+    for (Machine machine : machines(job)) {
+      double left = against(machine);
+      machine.cordoned &= left >= 1;
       if (left <= EPS) {
-        m.errorStreak = 0;
-        m.avoidUntil = 0;
+        machine.errorStreak = 0;
+        machine.avoidUntil = 0;
       }
     }
   }
--- a/src/main/java/io/embernotch/state/LargestJobWaitTimes.java
+++ b/src/main/java/io/embernotch/state/LargestJobWaitTimes.java
@@ -19,8 +19,8 @@
     final Histogram sizes = new Histogram(MOST_TASKS, 2);
     final Histogram waits = new Histogram(MOST_MS, 2);
 
-    boolean large(Job j) {
-      return sizes.getTotalCount() == 0 || j.spec.tasks() >= sizes.getValueAtPercentile(PERCENTILE);
+    boolean large(Job job) {
+      return sizes.getTotalCount() == 0 || job.spec.tasks() >= sizes.getValueAtPercentile(PERCENTILE);
     }
   }
 
@@ -38,12 +38,12 @@
   /** One line on all classes, those that still wait included; null if none has begun. */
   public String line(Collection<Job> jobs, long wallMs) {
     Map<String, Long> waiting = new TreeMap<>();
-    for (Job j : jobs) {
-      Kind k = kinds.get(j.spec.jobClass());
+    for (Job job : jobs) {
+      Kind k = kinds.get(job.spec.jobClass());
       boolean waits =
-          j.pendingCount() > 0 && j.openAttempts.isEmpty() && j.done.isEmpty() && j.restartedTasks.isEmpty();
-      if (k != null && waits && k.large(j)) {
-        waiting.merge(j.spec.jobClass(), wallMs - j.eligibleSinceMs, Math::max);
+          job.pendingCount() > 0 && job.openAttempts.isEmpty() && job.done.isEmpty() && job.restartedTasks.isEmpty();
+      if (k != null && waits && k.large(job)) {
+        waiting.merge(job.spec.jobClass(), wallMs - job.eligibleSinceMs, Math::max);
       }
     }
     StringBuilder s = new StringBuilder();
--- a/src/main/java/io/embernotch/store/StoreClient.java
+++ b/src/main/java/io/embernotch/store/StoreClient.java
@@ -148,7 +148,7 @@
             entry ->
                 entry.present() || !guard.fenced()
                     ? Future.succeededFuture(entry)
-                    : commit(new Transaction()).map(c -> entry));
+                    : commit(new Transaction()).map(result -> entry));
   }
 
   /** Everything under a prefix, page by page, and the epoch of the first page. */
@@ -199,7 +199,7 @@
             got ->
                 switch (got.reply.status()) {
                   case 200 -> parsed(got, o -> new TransactionResult(true, Json.whole(o, "epoch"), Set.of()), TransactionResult::revision, false)
-                      .compose(c -> made(got, txn, c));
+                      .compose(result -> made(got, txn, result));
                   case 409 -> parsed(got, o -> new TransactionResult(false, Json.whole(o, "epoch"), failedKeys(o)), TransactionResult::revision, false)
                       .compose(this::inOurIncarnation);
                   case 400 -> new String(got.reply.body()).contains("no such lease")
@@ -209,10 +209,10 @@
                 });
   }
 
-  private Future<TransactionResult> made(Got got, Transaction txn, TransactionResult c) {
-    return txn.lastKey() == null || guard.recordWrite(got.mark, txn.lastKey(), c.revision())
-        ? Future.succeededFuture(c)
-        : fell(got.mark.least(), c.revision());
+  private Future<TransactionResult> made(Got got, Transaction txn, TransactionResult result) {
+    return txn.lastKey() == null || guard.recordWrite(got.mark, txn.lastKey(), result.revision())
+        ? Future.succeededFuture(result)
+        : fell(got.mark.least(), result.revision());
   }
 
   private <T> Future<T> fell(long least, long revision) {
@@ -236,18 +236,18 @@
     written.forEach(txn::when);
     return commit(txn)
         .compose(
-            c -> {
-              if (c.applied() || c.conflicts().contains(key)) {
-                return Future.succeededFuture(c.applied());
+            result -> {
+              if (result.applied() || result.conflicts().contains(key)) {
+                return Future.succeededFuture(result.applied());
               }
-              return Future.all(c.conflicts().stream().map(k -> atLeast(k, written.get(k))).toList()).map(true);
+              return Future.all(result.conflicts().stream().map(k -> atLeast(k, written.get(k))).toList()).map(true);
             });
   }
 
   /** A write of ours whose answer is under way may have raised the stamp; nothing lowers it but a loss. */
   private Future<Boolean> atLeast(String key, long modRevision) {
     return get(key)
-        .compose(e -> e.present() && e.modRevision() >= modRevision ? Future.succeededFuture(true) : fell(modRevision, e.modRevision()));
+        .compose(entry -> entry.present() && entry.modRevision() >= modRevision ? Future.succeededFuture(true) : fell(modRevision, entry.modRevision()));
   }
 
   private Future<TransactionResult> inOurIncarnation(TransactionResult refused) {
--- a/src/main/java/io/embernotch/weights/ImageLocality.java
+++ b/src/main/java/io/embernotch/weights/ImageLocality.java
@@ -99,16 +99,16 @@
 
   private Set<String> worthKeeping() {
     Set<String> out = new HashSet<>();
-    for (Job j : state.jobs.values()) {
-      if (j.spec.shape() == JobShape.SERVICE && j.finalPhase == null && !out.contains(j.spec.image())) {
+    for (Job job : state.jobs.values()) {
+      if (job.spec.shape() == JobShape.SERVICE && job.finalPhase == null && !out.contains(job.spec.image())) {
         double fetchS =
             state.types.values().stream()
-                .filter(t -> t.fits(j.spec))
-                .mapToDouble((MachineType t) -> t.fetchS(j.spec))
+                .filter(type -> type.fits(job.spec))
+                .mapToDouble((MachineType type) -> type.fetchS(job.spec))
                 .min()
                 .orElse(0);
         if (fetchS > context.settings().workers().heartbeatIntervalS()) {
-          out.add(j.spec.image());
+          out.add(job.spec.image());
         }
       }
     }
@@ -121,12 +121,12 @@
     ObjectNode on = o.putObject("on");
     Map<String, Integer> numbers = new TreeMap<>();
     int left = (int) (context.settings().minStoreLimits().valueKb() * 1024 * 3 / 4);
-    for (Machine m : state.machines.values()) {
-      if (Math.floorMod(m.name.hashCode(), SHARDS) != k || m.deleting) {
+    for (Machine machine : state.machines.values()) {
+      if (Math.floorMod(machine.name.hashCode(), SHARDS) != k || machine.deleting) {
         continue;
       }
       ArrayNode list = null;
-      for (String image : m.images) {
+      for (String image : machine.images) {
         if (worth.contains(image)) {
           Integer number = numbers.get(image);
           if (number == null) {
@@ -144,7 +144,7 @@
         break;
       }
       if (list != null) {
-        on.set(m.name, list);
+        on.set(machine.name, list);
       }
     }
     return o;
--- a/src/test/java/io/embernotch/agents/AgentReconcilerTest.java
+++ b/src/test/java/io/embernotch/agents/AgentReconcilerTest.java
@@ -68,10 +68,10 @@
 
   /** A machine that was just heard, with a committed start. */
   private Machine starting(int i) {
-    Machine m = state.machine("n-" + i, agents.tokenBase());
+    Machine machine = state.machine("n-" + i, agents.tokenBase());
     agents.processForwarded(heartbeat(i, 1));
-    state.openAttempt(job, i, 1, m, time.now()).launchState = Attempt.LaunchState.READY;
-    return m;
+    state.openAttempt(job, i, 1, machine, time.now()).launchState = Attempt.LaunchState.READY;
+    return machine;
   }
 
   private static Heartbeat heartbeat(int i, long seq) {
@@ -137,24 +137,24 @@
    */
   @Test
   void anAttemptThatIsToEndHasEndedOnceNothingOfItsStartIsOnTheWay() {
-    Machine m = starting(1);
-    m.commandFailedAt = time.now();
-    Attempt a = m.openAttempts.values().iterator().next();
+    Machine machine = starting(1);
+    machine.commandFailedAt = time.now();
+    Attempt attempt = machine.openAttempts.values().iterator().next();
     assertThat(new String(agents.processHeartbeat(heartbeat(1, 2), true, 0))).contains("\"run\"");
-    a.stopping = true;
+    attempt.stopping = true;
     agents.processHeartbeat(heartbeat(1, 3), true, 0);
-    assertThat(gone).containsExactly(a);
+    assertThat(gone).containsExactly(attempt);
   }
 
   @Override
-  public void taskRunning(Attempt a, Machine m) {}
+  public void taskRunning(Attempt attempt, Machine machine) {}
 
   @Override
-  public void taskExited(Attempt a, Machine m, ExitCause cause, boolean saved) {}
+  public void taskExited(Attempt attempt, Machine machine, ExitCause cause, boolean saved) {}
 
   @Override
-  public void attemptGone(Attempt a, Machine m, String why) {
-    gone.add(a);
+  public void attemptGone(Attempt attempt, Machine machine, String why) {
+    gone.add(attempt);
   }
 
   @Override
--- a/src/test/java/io/embernotch/agents/CallConcurrencyLimiterTest.java
+++ b/src/test/java/io/embernotch/agents/CallConcurrencyLimiterTest.java
@@ -12,13 +12,13 @@
   private final List<String> begun = new ArrayList<>();
 
   private void call(String name, CallConcurrencyLimiter.CallClass callClass) {
-    Machine m = new Machine(name);
-    call(m, callClass);
+    Machine machine = new Machine(name);
+    call(machine, callClass);
   }
 
-  private void call(Machine m, CallConcurrencyLimiter.CallClass callClass) {
-    if (callLimiter.tryEnter(m, callClass, () -> call(m, callClass))) {
-      begun.add(m.name);
+  private void call(Machine machine, CallConcurrencyLimiter.CallClass callClass) {
+    if (callLimiter.tryEnter(machine, callClass, () -> call(machine, callClass))) {
+      begun.add(machine.name);
     }
   }
 
@@ -51,9 +51,9 @@
 
   @Test
   void whoHasNothingToSayAnyMoreMakesWayForTheNext() {
-    Machine m = new Machine("gone");
+    Machine machine = new Machine("gone");
     callLimiter.tryEnter(new Machine("a"), CallConcurrencyLimiter.CallClass.DISCOVERY, () -> {});
-    assertThat(callLimiter.tryEnter(m, CallConcurrencyLimiter.CallClass.DISCOVERY, () -> begun.add("nothing"))).isFalse();
+    assertThat(callLimiter.tryEnter(machine, CallConcurrencyLimiter.CallClass.DISCOVERY, () -> begun.add("nothing"))).isFalse();
     call("next", CallConcurrencyLimiter.CallClass.DISCOVERY);
     callLimiter.leave();
     assertThat(begun).containsExactly("nothing", "next");
@@ -61,14 +61,14 @@
 
   @Test
   void tellsWhichCommandsWait() {
-    Machine m = new Machine("m");
+    Machine machine = new Machine("m");
     for (int i = 0; i < 4; i++) {
       call("usual-" + i, CallConcurrencyLimiter.CallClass.NORMAL);
     }
-    assertThat(callLimiter.waits(m)).isFalse();
-    call(m, CallConcurrencyLimiter.CallClass.NORMAL);
-    assertThat(callLimiter.waits(m)).isTrue();
+    assertThat(callLimiter.waits(machine)).isFalse();
+    call(machine, CallConcurrencyLimiter.CallClass.NORMAL);
+    assertThat(callLimiter.waits(machine)).isTrue();
     callLimiter.leave();
-    assertThat(callLimiter.waits(m)).isFalse();
+    assertThat(callLimiter.waits(machine)).isFalse();
   }
 }
--- a/src/test/java/io/embernotch/codec/CodecTest.java
+++ b/src/test/java/io/embernotch/codec/CodecTest.java
@@ -68,20 +68,20 @@
 
   @Test
   void readsAHeartbeat() {
-    Heartbeat r =
+    Heartbeat heartbeat =
         WorkerCodec.read(
             utf(
                 "{\"hearth\":\"n-1\",\"address\":\"10.1.0.2:9000\",\"flavor\":\"g8\",\"room\":\"a\",\"loaner\":true,"
                     + "\"tenure\":2,\"tick\":88,\"baton\":41,\"new_field\":1,\"shards\":["
                     + "{\"shard\":\"j-4/3\",\"try\":2,\"phase\":\"running\"},"
                     + "{\"shard\":\"j-3/0\",\"try\":1,\"phase\":\"exited\",\"cause\":\"halted\",\"stored\":true}]}"));
-    assertThat(r.reclaimInS()).isNull();
-    assertThat(r.tasks().get(0).state()).isEqualTo(TaskState.RUNNING);
-    assertThat(r.tasks().get(1).cause()).isEqualTo(ExitCause.STOPPED);
-    assertThat(r.tasks().get(1).saved()).isTrue();
-    assertThat(r.newerThan(2, 87)).isTrue();
-    assertThat(r.newerThan(2, 88)).isFalse();
-    assertThat(r.newerThan(3, 1)).isFalse();
+    assertThat(heartbeat.reclaimInS()).isNull();
+    assertThat(heartbeat.tasks().get(0).state()).isEqualTo(TaskState.RUNNING);
+    assertThat(heartbeat.tasks().get(1).cause()).isEqualTo(ExitCause.STOPPED);
+    assertThat(heartbeat.tasks().get(1).saved()).isTrue();
+    assertThat(heartbeat.newerThan(2, 87)).isTrue();
+    assertThat(heartbeat.newerThan(2, 88)).isFalse();
+    assertThat(heartbeat.newerThan(3, 1)).isFalse();
   }
 
   @Test
@@ -91,8 +91,8 @@
     int size = JobProgressCodec.shard(8, java.util.List.of("a-rather-long-zone"));
     job.done.set(0, 100_000);
     for (int t = 0; t < 2 * size; t++) {
-      Attempt a = new Attempt(job, t, 1L << 50, "n-000123456", "a-rather-long-zone", 0);
-      job.openAttempts.put(t, a);
+      Attempt attempt = new Attempt(job, t, 1L << 50, "n-000123456", "a-rather-long-zone", 0);
+      job.openAttempts.put(t, attempt);
     }
     assertThat(Json.bytes(JobProgressCodec.writeRun(job, size, 1)).length).isLessThanOrEqualTo(8 * 1024);
     assertThat(Json.bytes(JobProgressCodec.writeRun(job, size, 0)).length).isLessThanOrEqualTo(8 * 1024);
--- a/src/test/java/io/embernotch/leader/ImageInventoryTest.java
+++ b/src/test/java/io/embernotch/leader/ImageInventoryTest.java
@@ -14,15 +14,15 @@
     ImageInventory follower = new ImageInventory(4);
     ImageInventory.Publisher teller = new ImageInventory.Publisher(5);
     List<Frame> sent = new ArrayList<>();
-    Machine m = new Machine("n-1");
-    m.images.add("a");
-    teller.publish(List.of(m), 7, 100, sent::add);
-    teller.publish(List.of(m), 7, 110, sent::add);
+    Machine machine = new Machine("n-1");
+    machine.images.add("a");
+    teller.publish(List.of(machine), 7, 100, sent::add);
+    teller.publish(List.of(machine), 7, 110, sent::add);
     assertThat(sent).hasSize(1);
-    m.images.add("b");
-    teller.publish(List.of(m), 7, 112, sent::add);
+    machine.images.add("b");
+    teller.publish(List.of(machine), 7, 112, sent::add);
     assertThat(sent).hasSize(1);
-    teller.publish(List.of(m), 7, 116, sent::add);
+    teller.publish(List.of(machine), 7, 116, sent::add);
     sent.forEach(f -> follower.update((Frame.ImageInventoryUpdate) f));
     assertThat(follower.of("n-1")).containsExactly("a", "b");
     // What a deposed leader still says changes nothing.
@@ -31,7 +31,7 @@
     // A follower that is back with nothing is told again, though nothing has changed.
     teller.republishAll();
     ImageInventory next = new ImageInventory(4);
-    teller.publish(List.of(m), 7, 122, f -> next.update((Frame.ImageInventoryUpdate) f));
+    teller.publish(List.of(machine), 7, 122, f -> next.update((Frame.ImageInventoryUpdate) f));
     assertThat(next.of("n-1")).containsExactly("a", "b");
     teller.machineRemoved("n-1", 7, f -> follower.update((Frame.ImageInventoryUpdate) f));
     assertThat(follower.of("n-1")).isEmpty();
--- a/src/test/java/io/embernotch/rounds/MachineViewPublisherTest.java
+++ b/src/test/java/io/embernotch/rounds/MachineViewPublisherTest.java
@@ -43,12 +43,12 @@
   @Test
   void heldRoomIsShownToNoRoundAndEveryMachineIsSeenInARound() {
     for (int i = 0; i < 40; i++) {
-      Machine m = state.machine("n-" + i, 1);
-      m.type = new MachineType("g8", 48, 8, 288, 100, 1, 12, 4, 60, List.of("z1"));
-      m.zone = "z1";
-      m.lastHeartbeatAt = time.now();
-      m.reservedGpus = 3;
-      m.reservedCpus = 12;
+      Machine machine = state.machine("n-" + i, 1);
+      machine.type = new MachineType("g8", 48, 8, 288, 100, 1, 12, 4, 60, List.of("z1"));
+      machine.zone = "z1";
+      machine.lastHeartbeatAt = time.now();
+      machine.reservedGpus = 3;
+      machine.reservedCpus = 12;
     }
     for (double t = 0; t < OperatorSettings.DEFAULTS.roundS(); t += 0.4) {
       machineViewPublisher.publish(Set.of("c0", "c1", "c2"));
--- a/src/test/java/io/embernotch/scheduling/DeadlinesTest.java
+++ b/src/test/java/io/embernotch/scheduling/DeadlinesTest.java
@@ -80,12 +80,12 @@
     SplittableRandom random = new SplittableRandom(seed);
     Day d = new Day();
     for (int i = 0; i < 12; i++) {
-      Machine m = new Machine("n-" + i);
-      m.type = G8;
-      m.zone = "z1";
-      m.lastHeartbeatAt = 1e9;
-      m.confirmedAliveAt = 1;
-      d.machines.add(m);
+      Machine machine = new Machine("n-" + i);
+      machine.type = G8;
+      machine.zone = "z1";
+      machine.lastHeartbeatAt = 1e9;
+      machine.confirmedAliveAt = 1;
+      d.machines.add(machine);
     }
     double gpus = 12 * 8;
     int next = 0;
@@ -93,19 +93,19 @@
     for (; d.now < 1000 + 900; d.now += 1) {
       for (Map.Entry<Attempt, Double> e : Map.copyOf(d.ends).entrySet()) {
         if (e.getValue() <= d.now) {
-          Attempt a = e.getKey();
-          d.ends.remove(a);
-          a.job.done.set(a.task);
-          a.job.openAttempts.remove(a.task);
-          Machine m = d.machines.get(Integer.parseInt(a.machine.substring(2)));
-          m.openAttempts.remove(Machine.taskKey(a.job.spec.ref(), a.task));
-          m.attemptsChanged();
-          if (a.job.remaining() == 0) {
-            d.doneAt.put(a.job, d.now);
+          Attempt attempt = e.getKey();
+          d.ends.remove(attempt);
+          attempt.job.done.set(attempt.task);
+          attempt.job.openAttempts.remove(attempt.task);
+          Machine machine = d.machines.get(Integer.parseInt(attempt.machine.substring(2)));
+          machine.openAttempts.remove(Machine.taskKey(attempt.job.spec.ref(), attempt.task));
+          machine.attemptsChanged();
+          if (attempt.job.remaining() == 0) {
+            d.doneAt.put(attempt.job, d.now);
           }
         }
       }
-      d.jobs.removeIf(j -> j.remaining() == 0);
+      d.jobs.removeIf(job -> job.remaining() == 0);
       owed += d.now < 1600 ? load * gpus : 0;
       while (owed > 0) {
         int tasks = 1 + random.nextInt(16);
@@ -119,16 +119,16 @@
                 .replace(
                     "\"jobclass\":\"c\"",
                     "\"jobclass\":\"" + (next % 3 == 0 ? "rest" : "wire") + "\"");
-        Job j = new Job(JobCodec.read(Json.parseObject(json.getBytes())), Math.round(d.now * 1000));
+        Job job = new Job(JobCodec.read(Json.parseObject(json.getBytes())), Math.round(d.now * 1000));
         double due = d.now + run * 1.5 + random.nextInt(300);
-        if (j.spec.jobClass().equals("wire")) {
-          d.dueAt.put(j, due);
-          order.accept(j, due);
-          j.remainingRunMs = Math.round(1500 * estimate);
+        if (job.spec.jobClass().equals("wire")) {
+          d.dueAt.put(job, due);
+          order.accept(job, due);
+          job.remainingRunMs = Math.round(1500 * estimate);
         } else {
-          d.dueAt.put(j, Double.MAX_VALUE);
+          d.dueAt.put(job, Double.MAX_VALUE);
         }
-        d.jobs.add(j);
+        d.jobs.add(job);
         owed -= tasks * (double) run;
       }
       SchedulingPlan plan =
@@ -146,12 +146,12 @@
                   FailureRisk.NONE));
       for (SchedulingPlan.Start s : plan.starts) {
         for (SchedulingPlan.Placement p : s.placements()) {
-          Attempt a = new Attempt(s.job(), p.task(), 1, p.machine().name, "z1", 0);
-          a.launchState = Attempt.LaunchState.CONFIRMED;
-          s.job().openAttempts.put(p.task(), a);
-          p.machine().openAttempts.put(Machine.taskKey(s.job().spec.ref(), p.task()), a);
+          Attempt attempt = new Attempt(s.job(), p.task(), 1, p.machine().name, "z1", 0);
+          attempt.launchState = Attempt.LaunchState.CONFIRMED;
+          s.job().openAttempts.put(p.task(), attempt);
+          p.machine().openAttempts.put(Machine.taskKey(s.job().spec.ref(), p.task()), attempt);
           p.machine().attemptsChanged();
-          d.ends.put(a, d.now + 20 + (s.job().spec.ref().hashCode() & 31) + 8);
+          d.ends.put(attempt, d.now + 20 + (s.job().spec.ref().hashCode() & 31) + 8);
         }
       }
     }
@@ -185,10 +185,10 @@
    */
   @Test
   void theCalendarServesMoreMembersInTimeThanArrivalOrDeadlinesAlone() {
-    BiConsumer<Job, Double> arrival = (j, due) -> {};
+    BiConsumer<Job, Double> arrival = (job, due) -> {};
     BiConsumer<Job, Double> own =
-        (j, due) -> j.latestStartMs = Math.round(due * 1000 - j.spec.expectS() * 1000);
-    BiConsumer<Job, Double> calendar = (j, due) -> j.releaseDeadlineMs = Math.round(due * 1000);
+        (job, due) -> job.latestStartMs = Math.round(due * 1000 - job.spec.expectS() * 1000);
+    BiConsumer<Job, Double> calendar = (job, due) -> job.releaseDeadlineMs = Math.round(due * 1000);
     for (double load : new double[] {0.7, 1.0, 1.5}) {
       double byArrival = mean(load, arrival, 0);
       double byOwn = mean(load, own, 0);
--- a/src/test/java/io/embernotch/scheduling/SchedulerTest.java
+++ b/src/test/java/io/embernotch/scheduling/SchedulerTest.java
@@ -56,21 +56,21 @@
 
   private Job add(String json) {
     JobSpec spec = JobCodec.read(Json.parseObject(json.getBytes()));
-    Job j = new Job(spec, jobs.size());
-    jobs.add(j);
-    return j;
+    Job job = new Job(spec, jobs.size());
+    jobs.add(job);
+    return job;
   }
 
   private Machine machine(String name, boolean spot) {
-    Machine m = new Machine(name);
-    m.type = G8;
-    m.zone = "z1";
-    m.spot = spot;
-    m.lastHeartbeatAt = 999;
-    m.confirmedAliveAt = 999;
-    m.idleSince = 999;
-    machines.add(m);
-    return m;
+    Machine machine = new Machine(name);
+    machine.type = G8;
+    machine.zone = "z1";
+    machine.spot = spot;
+    machine.lastHeartbeatAt = 999;
+    machine.confirmedAliveAt = 999;
+    machine.idleSince = 999;
+    machines.add(machine);
+    return machine;
   }
 
   private static final String WHOLE =
@@ -94,14 +94,14 @@
       wallMs = 1000L * s;
       for (Map.Entry<Attempt, Integer> e : Map.copyOf(ends).entrySet()) {
         if (e.getValue() <= s) {
-          Attempt a = e.getKey();
-          ends.remove(a);
-          small.done.set(a.task);
-          small.openAttempts.remove(a.task);
-          Machine m =
-              machines.stream().filter(x -> x.name.equals(a.machine)).findFirst().orElseThrow();
-          m.openAttempts.remove(Machine.taskKey("j-1", a.task));
-          m.attemptsChanged();
+          Attempt attempt = e.getKey();
+          ends.remove(attempt);
+          small.done.set(attempt.task);
+          small.openAttempts.remove(attempt.task);
+          Machine machine =
+              machines.stream().filter(x -> x.name.equals(attempt.machine)).findFirst().orElseThrow();
+          machine.openAttempts.remove(Machine.taskKey("j-1", attempt.task));
+          machine.attemptsChanged();
         }
       }
       for (SchedulingPlan.Start start : plan().starts) {
@@ -124,12 +124,12 @@
     assertThat(gangBeginsAfter(400)).isLessThan(240);
   }
 
-  private void run(Job j, int task, Machine m) {
-    Attempt a = new Attempt(j, task, 1, m.name, m.zone, 0);
-    a.launchState = Attempt.LaunchState.CONFIRMED;
-    a.runningAt = 900;
-    j.openAttempts.put(task, a);
-    m.openAttempts.put(Machine.taskKey(j.spec.ref(), task), a);
+  private void run(Job job, int task, Machine machine) {
+    Attempt attempt = new Attempt(job, task, 1, machine.name, machine.zone, 0);
+    attempt.launchState = Attempt.LaunchState.CONFIRMED;
+    attempt.runningAt = 900;
+    job.openAttempts.put(task, attempt);
+    machine.openAttempts.put(Machine.taskKey(job.spec.ref(), task), attempt);
   }
 
   private static String gang(String ref) {
@@ -139,10 +139,10 @@
         .replace("\"owner\":\"red\"", "\"owner\":\"blue\"");
   }
 
-  private Job guests(String ref, int tasks, Machine m) {
+  private Job guests(String ref, int tasks, Machine machine) {
     Job array = add(job(ref, "array", tasks).replace("\"owner\":\"red\"", "\"owner\":\"guests\""));
     for (int i = 0; i < tasks; i++) {
-      run(array, i, m);
+      run(array, i, machine);
     }
     return array;
   }
@@ -152,23 +152,23 @@
    */
   @Test
   void whatIsGuaranteedHasGuestsStoppedOnceNoMachineIsToBeHad() {
-    Machine m = machine("n-1", false);
-    Job array = guests("j-1", 8, m);
+    Machine machine = machine("n-1", false);
+    Job array = guests("j-1", 8, machine);
     Job tiny =
         add(
             job("j-2", "array", 1)
                 .replace("\"owner\":\"red\"", "\"owner\":\"guests\"")
                 .replace("\"cards\":1.0", "\"cards\":0.0")
                 .replace("standard", "idle"));
-    run(tiny, 0, m);
+    run(tiny, 0, machine);
     add(gang("j-3").replace("\"cores\":4.0", "\"cores\":8.0"));
     assertThat(plan().stops).isEmpty();
     full = true;
     SchedulingPlan plan = plan();
     // What need not go stays, and what can save may.
     assertThat(plan.stops).hasSize(8).allMatch(s -> s.attempt().job == array && s.graceS() > 0);
-    array.openAttempts.values().forEach(a -> a.stopping = true);
-    m.attemptsChanged();
+    array.openAttempts.values().forEach(attempt -> attempt.stopping = true);
+    machine.attemptsChanged();
     assertThat(plan().stops).isEmpty();
   }
 
@@ -197,11 +197,11 @@
   @Test
   void aGangThatGuestsCannotMakeRoomForStopsNothingAndNeitherDoesWhatIsNotGuaranteed() {
     full = true;
-    Machine m = machine("n-1", false);
-    guests("j-1", 4, m);
+    Machine machine = machine("n-1", false);
+    guests("j-1", 4, machine);
     Job array = add(job("j-4", "array", 4));
     for (int i = 0; i < 4; i++) {
-      run(array, i, m);
+      run(array, i, machine);
     }
     Job two =
         add(
@@ -217,10 +217,10 @@
   @Test
   void whatIsGuaranteedIsNotStoppedForOthers() {
     full = true;
-    Machine m = machine("n-1", false);
+    Machine machine = machine("n-1", false);
     Job array = add(job("j-1", "array", 8));
     for (int i = 0; i < 8; i++) {
-      run(array, i, m);
+      run(array, i, machine);
     }
     add(gang("j-2"));
     assertThat(plan().stops).isEmpty();
@@ -251,10 +251,10 @@
   @Test
   void liveServicesHaveLesserWorkStoppedAtOnce() {
     full = true;
-    Machine m = machine("n-1", false);
+    Machine machine = machine("n-1", false);
     Job array = add(job("j-1", "array", 8));
     for (int t = 0; t < 8; t++) {
-      run(array, t, m);
+      run(array, t, machine);
     }
     add(
         job("j-2", "standing", 1)
@@ -269,10 +269,10 @@
   @Test
   void workOfEqualPriorityIsNeverStopped() {
     full = true;
-    Machine m = machine("n-1", false);
+    Machine machine = machine("n-1", false);
     Job array = add(job("j-1", "array", 8));
     for (int t = 0; t < 8; t++) {
-      run(array, t, m);
+      run(array, t, machine);
     }
     add(job("j-2", "standing", 1));
     assertThat(plan().stops).isEmpty();
@@ -282,10 +282,10 @@
   void guaranteedWorkIsNotStoppedForWorkThatComesAfterIt() {
     // It took the room back in the next plan and was stopped again, without end.
     full = true;
-    Machine m = machine("n-1", false);
+    Machine machine = machine("n-1", false);
     Job array = add(job("j-1", "array", 8));
     for (int t = 0; t < 8; t++) {
-      run(array, t, m);
+      run(array, t, machine);
     }
     Job first = add(gang("j-2"));
     run(first, 0, machine("n-2", false));
@@ -320,10 +320,10 @@
 
   @Test
   void anIdleMachineIsReturnedAfterAWhile() {
-    Machine m = machine("n-1", true);
+    Machine machine = machine("n-1", true);
     assertThat(plan().scaleIns).isEmpty();
-    m.idleSince = 900;
-    assertThat(plan().scaleIns).containsExactly(m);
+    machine.idleSince = 900;
+    assertThat(plan().scaleIns).containsExactly(machine);
   }
 
   @Test
@@ -382,10 +382,10 @@
   @Test
   void spotWorkThatSoonFindsRoomHasNoOrdinaryMachineRented() {
     spotFull = true;
-    Machine m = machine("n-1", true);
+    Machine machine = machine("n-1", true);
     Job running = add(job("j-1", "array", 8));
     for (int t = 0; t < 8; t++) {
-      run(running, t, m);
+      run(running, t, machine);
     }
     add(job("j-2", "array", 6));
     assertThat(plan().scaleOuts).isEmpty();
--- a/src/test/java/io/embernotch/scheduling/TopologySpreadTest.java
+++ b/src/test/java/io/embernotch/scheduling/TopologySpreadTest.java
@@ -36,14 +36,14 @@
   private int next;
 
   private Machine machine(String zone, String... images) {
-    Machine m = new Machine(String.format("n-%03d", next++));
-    m.type = G8;
-    m.zone = zone;
-    m.lastHeartbeatAt = 1e9;
-    m.confirmedAliveAt = 1;
-    m.images.addAll(List.of(images));
-    machines.add(m);
-    return m;
+    Machine machine = new Machine(String.format("n-%03d", next++));
+    machine.type = G8;
+    machine.zone = zone;
+    machine.lastHeartbeatAt = 1e9;
+    machine.confirmedAliveAt = 1;
+    machine.images.addAll(List.of(images));
+    machines.add(machine);
+    return machine;
   }
 
   private Job service(String ref, int replicas, double gb) {
@@ -54,9 +54,9 @@
             .replace("\"loaner\":true", "\"loaner\":false")
             .replace("\"bundle\":\"img\"", "\"bundle\":\"img-" + ref + "\"")
             .replace("\"size_gb\":1.0", "\"size_gb\":" + gb);
-    Job j = new Job(JobCodec.read(Json.parseObject(json.getBytes())), jobs.size());
-    jobs.add(j);
-    return j;
+    Job job = new Job(JobCodec.read(Json.parseObject(json.getBytes())), jobs.size());
+    jobs.add(job);
+    return job;
   }
 
   private SchedulingPlan plan(FailureRisk risk) {
@@ -124,7 +124,7 @@
     assertThat(placed(often(30))).hasSize(3);
     machine("z2", "img-j-1");
     FailureRisk zones = new FailureRisk(0, 0.01, 5 * LEASE_S, LEASE_S);
-    assertThat(placed(zones)).anySatisfy((m, n) -> assertThat(m.zone).isEqualTo("z2"));
+    assertThat(placed(zones)).anySatisfy((machine, n) -> assertThat(machine.zone).isEqualTo("z2"));
   }
 
   private static final class Day {
@@ -153,33 +153,33 @@
     Map<Attempt, Double> readyAt = new HashMap<>();
     for (int second = 0; second < 3600; second++, t.now++) {
       Set<Machine> dead = new HashSet<>();
-      for (Machine m : t.machines) {
+      for (Machine machine : t.machines) {
         if (random.nextInt(3600) < 2
-            || (second == 1800 && m.zone.equals("z1") && random.nextInt(5) == 0)) {
-          dead.add(m);
+            || (second == 1800 && machine.zone.equals("z1") && random.nextInt(5) == 0)) {
+          dead.add(machine);
         }
       }
-      for (Machine m : dead) {
-        for (Attempt a : List.copyOf(m.openAttempts.values())) {
-          a.job.openAttempts.remove(a.task);
-          a.job.restartedTasks.set(a.task);
-          readyAt.remove(a);
+      for (Machine machine : dead) {
+        for (Attempt attempt : List.copyOf(machine.openAttempts.values())) {
+          attempt.job.openAttempts.remove(attempt.task);
+          attempt.job.restartedTasks.set(attempt.task);
+          readyAt.remove(attempt);
         }
-        t.machines.remove(m);
-        t.machine(m.zone);
+        t.machines.remove(machine);
+        t.machine(machine.zone);
       }
       for (SchedulingPlan.Start s : t.plan(risk).starts) {
         for (SchedulingPlan.Placement p : s.placements()) {
-          Attempt a = new Attempt(s.job(), p.task(), 1, p.machine().name, p.machine().zone, 0);
-          a.launchState = Attempt.LaunchState.CONFIRMED;
-          s.job().openAttempts.put(p.task(), a);
-          p.machine().openAttempts.put(Machine.taskKey(s.job().spec.ref(), p.task()), a);
+          Attempt attempt = new Attempt(s.job(), p.task(), 1, p.machine().name, p.machine().zone, 0);
+          attempt.launchState = Attempt.LaunchState.CONFIRMED;
+          s.job().openAttempts.put(p.task(), attempt);
+          p.machine().openAttempts.put(Machine.taskKey(s.job().spec.ref(), p.task()), attempt);
           p.machine().attemptsChanged();
           boolean has = p.machine().images.remove(s.job().spec.image());
           p.machine().images.add(s.job().spec.image());
           double gb = s.job().spec.imageGb();
           d.fetchedGb += has ? 0 : gb;
-          readyAt.put(a, t.now + (has ? 0 : gb));
+          readyAt.put(attempt, t.now + (has ? 0 : gb));
           double held = p.machine().images.stream().mapToDouble(i -> t.gb(i)).sum();
           while (held > G8.cacheGb()) {
             String oldest = p.machine().images.iterator().next();
@@ -188,15 +188,15 @@
           }
         }
       }
-      for (Job j : t.jobs) {
+      for (Job job : t.jobs) {
         int down = 0;
-        for (int k = 0; k < j.spec.tasks(); k++) {
-          Attempt a = j.openAttempts.get(k);
-          down += a == null || readyAt.getOrDefault(a, 0.0) > t.now ? 1 : 0;
+        for (int k = 0; k < job.spec.tasks(); k++) {
+          Attempt attempt = job.openAttempts.get(k);
+          down += attempt == null || readyAt.getOrDefault(attempt, 0.0) > t.now ? 1 : 0;
         }
         // Past the first start: what was lost again.
         d.lost += second > 200 ? down : 0;
-        d.weighted += second > 200 ? down * (double) down / j.spec.tasks() : 0;
+        d.weighted += second > 200 ? down * (double) down / job.spec.tasks() : 0;
       }
     }
     return d;
@@ -204,8 +204,8 @@
 
   private double gb(String image) {
     return jobs.stream()
-        .filter(j -> j.spec.image().equals(image))
-        .mapToDouble(j -> j.spec.imageGb())
+        .filter(job -> job.spec.image().equals(image))
+        .mapToDouble(job -> job.spec.imageGb())
         .findFirst()
         .orElse(0);
   }
--- a/src/test/java/io/embernotch/state/FailureAttributionTest.java
+++ b/src/test/java/io/embernotch/state/FailureAttributionTest.java
@@ -45,10 +45,10 @@
     return state.machine("n-" + i, 0);
   }
 
-  private void fail(int job, int machine) {
-    Machine m = machine(machine);
-    m.zone = "z1";
-    failureAttribution.failed(state.openAttempt(job(job), job(job).openAttempts.size(), 1, m, time.now()), m, time.now());
+  private void fail(int job, int machineNumber) {
+    Machine machine = machine(machineNumber);
+    machine.zone = "z1";
+    failureAttribution.failed(state.openAttempt(job(job), job(job).openAttempts.size(), 1, machine, time.now()), machine, time.now());
   }
 
   private void succeed(int job, int machine) {
@@ -65,7 +65,7 @@
       }
       assertThat(job(job).failsEverywhere()).isTrue();
     }
-    assertThat(state.machines.values()).noneMatch(m -> m.cordoned || m.avoidUntil > time.now());
+    assertThat(state.machines.values()).noneMatch(machine -> machine.cordoned || machine.avoidUntil > time.now());
   }
 
   @Test
