--- a/src/main/java/io/embernotch/actor/EventLoopProfile.java
+++ b/src/main/java/io/embernotch/actor/EventLoopProfile.java
@@ -112,7 +112,7 @@
   /** Logs what there is since the last time, if anybody reads it. */
   public void log() {
     if (steadyNanos != null) {
-      LOG.info("turns: {}", line());
+      LOG.info("event loop: {}", line());
       LOG.info("process: {}", process());
     }
   }
--- a/src/main/java/io/embernotch/agents/AgentReconciler.java
+++ b/src/main/java/io/embernotch/agents/AgentReconciler.java
@@ -60,7 +60,7 @@
   private final Listener listener;
   private final long tokenBase;
   private final double callS;
-  /** A worker drops an answer that comes later than this after its report ("Workers"), whatever its clock's drift. */
+  /** A worker drops an answer that comes later than this after its heartbeat ("Workers"), whatever its clock's drift. */
   private static final double ANSWERABLE_S = 4 * (1 + 2 * Settings.DRIFT);
 
   /** Images of a machine that are remembered, whatever their size. */
@@ -100,7 +100,7 @@
   }
 
   /**
-   * Takes a report that a worker sent, and returns the body of the 200; null if it must not get one.
+   * Takes a heartbeat that a worker sent, and returns the body of the 200; null if it must not get one.
    *
    * @param via the life of the controller that it was sent to; see {@link ReachabilityTracker}
    */
@@ -116,7 +116,7 @@
     }
     double now = context.clock().now();
     if (!newer && !unsure && now - machine.lastHeartbeatAt > ANSWERABLE_S) {
-      // A copy, or another life that counts anew. Nobody takes an answer to it: its worker has given up on it
+      // A copy, or another incarnation that counts anew. Nobody takes an answer to it: its worker has given up on it
       // before what we have heard since was made. So it renews nothing; taken for news, copies of what a dead
       // machine had said kept its lease assumed, and its services down, for as long as they came.
       prober.probeAtMostOncePerInterval(machine);
@@ -134,20 +134,20 @@
     return WorkerCodec.response(machine.token, orders);
   }
 
-  /** Learns from a report that was answered without a token; false if it tells us nothing. */
+  /** Learns from a heartbeat that was answered without a token; false if it tells us nothing. */
   public boolean processForwarded(Heartbeat heartbeat) {
     return !wasDeleted(heartbeat.machine()) && reconcileCurrentIncarnation(heartbeat, state.machine(heartbeat.machine(), tokenBase));
   }
 
   /**
-   * Takes what a report tells. Of a machine that has begun another life, only what shows that it is of this one: a
-   * copy of the former life's with a later session once would have proven gone what had just been started.
+   * Takes what a heartbeat tells. Of a machine that has begun another incarnation, only what shows that it is of this one: a
+   * copy of the former incarnation's with a later session once would have proven gone what had just been started.
    */
   private boolean reconcileCurrentIncarnation(Heartbeat heartbeat, Machine machine) {
     return heartbeat.token() < machine.incarnationToken || reconcile(heartbeat, machine);
   }
 
-  /** Learns from a report, whichever way it came. False if it shows us to be outranked. */
+  /** Learns from a heartbeat, whichever way it came. False if it shows us to be outranked. */
   public boolean reconcile(Heartbeat heartbeat, Machine machine) {
     if (heartbeat.token() > machine.token) {
       if (FencingTokens.epochOf(heartbeat.token()) > FencingTokens.epochOf(tokenBase)) {
@@ -159,9 +159,9 @@
     boolean newer = heartbeat.newerThan(machine.agentEpoch, machine.heartbeatSeq);
     if (!newer || heartbeat.token() < machine.highestReportedToken) {
       // Tokens that a worker has seen only rise, so where they and the order of messages contradict each other
-      // it is of another life, before or after.
+      // it is of another incarnation, before or after.
       if (newer || heartbeat.token() != machine.highestReportedToken) {
-        // Late, or of another life of the machine, which counts anew: an answer made from now on tells.
+        // Late, or of another incarnation of the machine, which counts anew: an answer made from now on tells.
         prober.probeAtMostOncePerInterval(machine);
       }
       return true;
@@ -189,7 +189,7 @@
       machine.confirmedAliveAt = now;
     }
     if (heartbeat.reclaimInS() != null && machine.reclaimAt < 0) {
-      LOG.info("machine {} is taken back in {} s", machine.name, heartbeat.reclaimInS());
+      LOG.info("machine {} reclaimed by the cloud in {} s", machine.name, heartbeat.reclaimInS());
       machine.reclaimAt = now + heartbeat.reclaimInS();
       listener.clusterChanged();
     }
@@ -257,14 +257,14 @@
     switch (attempt.launchState) {
       case CONFIRMED -> {
         if (newSession || heartbeat.token() > attempt.startToken) {
-          listener.attemptGone(attempt, machine, newSession ? "new session" : "no longer reported");
+          listener.attemptGone(attempt, machine, newSession ? "new agent epoch" : "no longer in heartbeats");
         } else {
           // A machine that is back without its tasks would carry out a copy of the start that comes only now.
           attempt.launchState = LaunchState.UNCONFIRMED;
           fenceOff(machine, attempt.startToken);
         }
       }
-      // A response is executed before the next report or dropped, so this start never happened.
+      // A response is executed before the next heartbeat or dropped, so this start never happened.
       case IN_HEARTBEAT_RESPONSE -> launchNeverSent(attempt, machine);
       case UNCONFIRMED -> {
         // The late command carries at most startToken: a worker past it refuses the command. In a
@@ -384,7 +384,7 @@
       machine.commandFailedAt = context.clock().now();
     }
     if (done && !heartbeat.newerThan(machine.agentEpoch, machine.heartbeatSeq) && heartbeat.agentEpoch() == machine.agentEpoch) {
-      // A newer report overtook this answer, and spoke before we knew of the starts in it.
+      // A newer heartbeat overtook this answer, and spoke before we knew of the starts in it.
       return;
     }
     if (reconcile(heartbeat, machine) && done) {
@@ -402,7 +402,7 @@
     machine.commandInFlight = false;
     machine.commandFailedAt = context.clock().now();
     boolean sent = !(e instanceof CallFailedException f) || f.sent;
-    LOG.info("direct command to {} failed, sent {}: {}", machine.name, sent, e.getMessage());
+    LOG.info("command to {} failed, sent {}: {}", machine.name, sent, e.getMessage());
     if (sent) {
       fenceOff(machine, token);
     }
--- a/src/main/java/io/embernotch/agents/CallConcurrencyLimiter.java
+++ b/src/main/java/io/embernotch/agents/CallConcurrencyLimiter.java
@@ -9,7 +9,7 @@
  * Calls to machines that are under way, and what waits for its turn: live services first, machines
  * that are not heard last, so that a silent half of the fleet takes nothing from the other. After a
  * takeover a thousand probes and commands left at once; what did not find a connection was given up
- * for most of a report period, and live services were started behind all others.
+ * for most of a heartbeat interval, and live services were started behind all others.
  */
 public final class CallConcurrencyLimiter {
   /** Whom a call is for, and which share of all calls may be under way when one more begins. */
@@ -75,7 +75,8 @@
 
   /** True while a command to the machine waits for its turn. */
   public boolean waits(Machine machine) {
-    return waiting.get(CallClass.LIVE).containsKey(machine) || waiting.get(CallClass.NORMAL).containsKey(machine);
+    return waiting.get(CallClass.LIVE).containsKey(machine)
+        || waiting.get(CallClass.NORMAL).containsKey(machine);
   }
 
   private boolean hasRoom(CallClass callClass) {
--- a/src/main/java/io/embernotch/agents/HeartbeatResponder.java
+++ b/src/main/java/io/embernotch/agents/HeartbeatResponder.java
@@ -1,19 +1,19 @@
 package io.embernotch.agents;
 
 import io.embernotch.context.ControllerContext;
+import io.embernotch.model.AgentCommand;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Attempt.LaunchState;
+import io.embernotch.model.Heartbeat;
 import io.embernotch.model.Machine;
-import io.embernotch.model.AgentCommand;
-import io.embernotch.model.TaskStatus;
 import io.embernotch.model.TaskState;
-import io.embernotch.model.Heartbeat;
+import io.embernotch.model.TaskStatus;
 import java.util.ArrayList;
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What the answer to a worker's report has it do. */
+/** What the answer to a worker's heartbeat has it do. */
 final class HeartbeatResponder {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatResponder.class);
 
@@ -22,7 +22,11 @@
   private final long tokenBase;
   private final AgentReconciler.Listener listener;
 
-  HeartbeatResponder(ControllerContext context, CallConcurrencyLimiter callLimiter, long tokenBase, AgentReconciler.Listener listener) {
+  HeartbeatResponder(
+      ControllerContext context,
+      CallConcurrencyLimiter callLimiter,
+      long tokenBase,
+      AgentReconciler.Listener listener) {
     this.context = context;
     this.callLimiter = callLimiter;
     this.tokenBase = tokenBase;
@@ -38,8 +42,10 @@
     if (heartbeat.agentEpoch() == machine.agentEpoch) {
       addStops(machine, orders);
     }
-    // One that a newer report or answer has overtaken lists what has ended since as running.
-    if (trusted && heartbeat.agentEpoch() == machine.agentEpoch && heartbeat.seq() == machine.heartbeatSeq) {
+    // One that a newer heartbeat or answer has overtaken lists what has ended since as running.
+    if (trusted
+        && heartbeat.agentEpoch() == machine.agentEpoch
+        && heartbeat.seq() == machine.heartbeatSeq) {
       addStarts(machine, orders);
       addReaps(machine, heartbeat, orders);
     }
@@ -57,15 +63,23 @@
 
   static boolean stopDue(Attempt attempt) {
     return attempt.stopping
-        && (attempt.launchState == LaunchState.CONFIRMED || attempt.launchState == LaunchState.UNCONFIRMED || attempt.launchState == LaunchState.IN_HEARTBEAT_RESPONSE);
+        && (attempt.launchState == LaunchState.CONFIRMED
+            || attempt.launchState == LaunchState.UNCONFIRMED
+            || attempt.launchState == LaunchState.IN_HEARTBEAT_RESPONSE);
   }
 
   static AgentCommand stop(Attempt attempt) {
-    return new AgentCommand(AgentCommand.Verb.STOP, attempt.job.spec.ref(), attempt.task, attempt.number, attempt.stopGraceS);
+    return new AgentCommand(
+        AgentCommand.Verb.STOP,
+        attempt.job.spec.ref(),
+        attempt.task,
+        attempt.number,
+        attempt.stopGraceS);
   }
 
   static AgentCommand start(Attempt attempt) {
-    return new AgentCommand(AgentCommand.Verb.START, attempt.job.spec.ref(), attempt.task, attempt.number, 0);
+    return new AgentCommand(
+        AgentCommand.Verb.START, attempt.job.spec.ref(), attempt.task, attempt.number, 0);
   }
 
   /**
@@ -73,7 +87,9 @@
    * instead.
    */
   private void addStarts(Machine machine, List<AgentCommand> orders) {
-    boolean failed = context.clock().now() - machine.commandFailedAt <= 2 * context.settings().workers().heartbeatIntervalS();
+    boolean failed =
+        context.clock().now() - machine.commandFailedAt
+            <= 2 * context.settings().workers().heartbeatIntervalS();
     if (machine.commandInFlight || !(failed || callLimiter.waits(machine))) {
       return;
     }
@@ -93,7 +109,10 @@
    * a token above all that starts have left under; the worker takes the token first.
    */
   private void addReaps(Machine machine, Heartbeat heartbeat, List<AgentCommand> orders) {
-    boolean noLateStart = !machine.commandInFlight && heartbeat.token() > machine.unconfirmedToken && heartbeat.token() >= tokenBase;
+    boolean noLateStart =
+        !machine.commandInFlight
+            && heartbeat.token() > machine.unconfirmedToken
+            && heartbeat.token() >= tokenBase;
     for (TaskStatus t : heartbeat.tasks()) {
       Attempt attempt = machine.openAttempts.get(Machine.taskKey(t.ref(), t.task()));
       boolean ours = attempt != null && attempt.number == t.attempt();
@@ -103,7 +122,7 @@
           orders.add(new AgentCommand(AgentCommand.Verb.FORGET, t.ref(), t.task(), t.attempt(), 0));
         }
       } else if (!ours) {
-        // Nothing that we let run is missing from the ledger, so this must not run.
+        // Nothing that we let run is missing from the cluster state, so this must not run.
         LOG.warn(
             "machine {} runs {}/{}#{}, which should be gone",
             machine.name,
--- a/src/main/java/io/embernotch/agents/ReachabilityTracker.java
+++ b/src/main/java/io/embernotch/agents/ReachabilityTracker.java
@@ -1,30 +1,30 @@
 package io.embernotch.agents;
 
-import io.embernotch.model.Machine;
 import io.embernotch.model.Heartbeat;
+import io.embernotch.model.Machine;
 import java.util.LinkedHashSet;
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Whether a machine hears us. Its reports may arrive while neither answers nor commands reach it:
- * it is no more silent than any other, so it took starts again with each plan, each of them cost
- * commits, and a gang with a task there never began.
+ * Whether a machine hears us. Its heartbeats may arrive while neither answers nor commands reach
+ * it: it is no more silent than any other, so it took starts again with each plan, each of them
+ * cost commits, and a gang with a task there never began.
  *
  * <p>What proves hearing is a token of ours that the machine has not shown before, or an answer to
- * a call. What speaks against it: a report that still shows a lower token than the one before it
+ * a call. What speaks against it: a heartbeat that still shows a lower token than the one before it
  * was answered with; one that comes by another controller right after the last one did, since only
- * who gets no answer goes on; a lease that ran out although its reports were answered; a call that
- * was tried and not answered. Where nothing new was to be shown, the next answer carries a token
- * raised by one, and the report after it tells.
+ * who gets no answer goes on; a lease that ran out although its heartbeats were answered; a call
+ * that was tried and not answered. Where nothing new was to be shown, the next answer carries a
+ * token raised by one, and the heartbeat after it tells.
  */
 final class ReachabilityTracker {
   private static final Logger LOG = LoggerFactory.getLogger(ReachabilityTracker.class);
 
   /**
-   * So many signs in a row, and it is taken for deaf: one answer may be late, or a controller have
-   * ended.
+   * So many signs in a row, and it is taken for unreachable: one answer may be late, or a
+   * controller have ended.
    */
   static final int ENOUGH = 2;
 
@@ -45,8 +45,8 @@
   }
 
   /**
-   * A newer report came by the controller {@code via}, a number of its life. The state of {@code m}
-   * is from before it.
+   * A newer heartbeat came by the controller {@code via}, a number of its life. The state of {@code
+   * m} is from before it.
    */
   void heartbeatReceived(Machine machine, Heartbeat heartbeat, long via, double now) {
     boolean moved = machine.lastForwarder != Machine.NO_FORWARDER && machine.lastForwarder != via;
@@ -76,10 +76,11 @@
 
   /** The next answer carries a token that the machine has not shown yet. */
   private static void probeWithNextToken(Machine machine) {
-    machine.token = Math.max(machine.token, Math.max(machine.acknowledgedToken, machine.lastAnsweredToken) + 1);
+    machine.token =
+        Math.max(machine.token, Math.max(machine.acknowledgedToken, machine.lastAnsweredToken) + 1);
   }
 
-  /** A report is being answered with the machine's token. */
+  /** A heartbeat is being answered with the machine's token. */
   void answering(Machine machine) {
     machine.lastAnsweredToken = machine.token;
   }
@@ -93,7 +94,10 @@
 
   private static void confirmReachable(Machine machine, double now) {
     if (machine.unreachableSince >= 0) {
-      LOG.info("machine {} hears us again after {} s", machine.name, Math.round(now - machine.unreachableSince));
+      LOG.info(
+          "machine {} is reachable again after {} s",
+          machine.name,
+          Math.round(now - machine.unreachableSince));
     }
     machine.confirmedAliveAt = now;
     machine.missedAcknowledgements = 0;
@@ -104,8 +108,8 @@
 
   /**
    * A call that was tried got no answer. A leader that reaches no worker at all, and is heard
-   * through the other controllers, must not take each of them for deaf: their answers to reports
-   * tell.
+   * through the other controllers, must not take each of them for unreachable: their answers to
+   * heartbeats tell.
    */
   void callUnanswered(Machine machine, double now) {
     probeWithNextToken(machine);
@@ -122,7 +126,10 @@
     machine.missedAcknowledgements++;
     if (machine.missedAcknowledgements >= ENOUGH && machine.unreachableSince < 0) {
       machine.unreachableSince = now;
-      LOG.info("machine {} does not hear us, with {} tasks", machine.name, machine.openAttempts.size());
+      LOG.info(
+          "machine {} is unreachable (one-way partition), with {} tasks",
+          machine.name,
+          machine.openAttempts.size());
     }
   }
 }
--- a/src/main/java/io/embernotch/agents/RenewalDelegations.java
+++ b/src/main/java/io/embernotch/agents/RenewalDelegations.java
@@ -1,17 +1,17 @@
 package io.embernotch.agents;
 
-import io.embernotch.context.ProcessIncarnation;
 import io.embernotch.context.LeastRecentlyUsed;
-import io.embernotch.peer.Frame;
+import io.embernotch.context.ProcessIncarnation;
 import io.embernotch.forwarding.DelegatedRenewal;
+import io.embernotch.peer.Frame;
 import io.embernotch.settings.Settings;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
 
 /**
- * What the leader knows of the controllers that may renew workers of their zone when they are cut
- * off ({@link DelegatedRenewal}): until when each may have done so.
+ * What the leader knows of the controllers that may renew workers of their zone when they are
+ * partitioned ({@link DelegatedRenewal}): until when each may have done so.
  *
  * <p>A controller renews nothing before {@code contactS} after the sending of a message that we
  * have answered. Say its message n acknowledges our answer to k, and k acknowledged our answer to
@@ -19,9 +19,9 @@
  * nothing by itself but what n owns up to. All times are ours; held and late messages only make
  * them earlier.
  *
- * <p>Numbers are never those of another life ({@link ProcessIncarnation}), so a late message of a former one
- * proves the same: the life that followed had not begun when k was sent, and renews nothing for
- * {@code contactS} from its beginning.
+ * <p>Numbers are never those of another incarnation ({@link ProcessIncarnation}), so a late message
+ * of a former one proves the same: the life that followed had not begun when k was sent, and renews
+ * nothing for {@code contactS} from its beginning.
  */
 public final class RenewalDelegations {
   private static final int REMEMBERED = 64;
@@ -58,9 +58,9 @@
 
   /**
    * Every other controller is known to be of a version that waits with cancellations. While one may
-   * not be, nobody renews for longer than the former version counts on. A leader that was cut off
-   * alone writes to no successor; what it had answered as a leader tells its version as well. When
-   * only those that wrote counted, a state outage after such a cut ended all that ran.
+   * not be, nobody renews for longer than the former version counts on. A leader that was
+   * partitioned alone writes to no successor; what it had answered as a leader tells its version as
+   * well. When only those that wrote counted, a state outage after such a cut ended all that ran.
    */
   public boolean allDelayCancellations() {
     return settings.members().stream().allMatch(member -> waiting.contains(member.node()));
@@ -80,7 +80,9 @@
         .orElse(null);
   }
 
-  /** The message is of another life of its process than the one before, or the first at all. */
+  /**
+   * The message is of another incarnation of its process than the one before, or the first at all.
+   */
   public boolean isNewProcess(Frame.DelegateHeartbeat h) {
     Delegation delegation = delegations.get(h.node());
     return delegation == null || delegation.life != ProcessIncarnation.of(h.seq());
@@ -90,14 +92,17 @@
    * A controller has written. {@code may} be given the right if our lease is proven, and no job
    * whose cancellation was told has tasks left in its zone. Returns the answer to send at once.
    */
-  public Frame.DelegateHeartbeatAck heartbeatReceived(Frame.DelegateHeartbeat h, long epoch, boolean may, double now) {
+  public Frame.DelegateHeartbeatAck heartbeatReceived(
+      Frame.DelegateHeartbeat h, long epoch, boolean may, double now) {
     waiting.add(h.node());
     Delegation delegation = delegations.computeIfAbsent(h.node(), n -> new Delegation());
     delegation.life = ProcessIncarnation.of(h.seq());
     if (h.ack() == 0 || delegation.answeredAt.isEmpty()) {
       // What its former process, or it under an earlier leader, has renewed, nobody owns up to.
       delegation.renewedAt =
-          Math.max(delegation.renewedAt, Math.min(now, Math.max(acquiredAt + longestGracePeriodS(), delegation.grantEnds)));
+          Math.max(
+              delegation.renewedAt,
+              Math.min(now, Math.max(acquiredAt + longestGracePeriodS(), delegation.grantEnds)));
     }
     if (h.renewedAgoS() >= 0) {
       delegation.renewedAt = Math.max(delegation.renewedAt, now - h.renewedAgoS());
@@ -147,7 +152,11 @@
       if (member.location().equals(zone)) {
         Delegation delegation = delegations.get(member.node());
         latest =
-            Math.max(latest, Math.max(acquiredAt + longestGracePeriodS(), delegation == null ? 0 : delegation.grantEnds));
+            Math.max(
+                latest,
+                Math.max(
+                    acquiredAt + longestGracePeriodS(),
+                    delegation == null ? 0 : delegation.grantEnds));
       }
     }
     return latest;
--- a/src/main/java/io/embernotch/agents/StatusProber.java
+++ b/src/main/java/io/embernotch/agents/StatusProber.java
@@ -4,8 +4,8 @@
 import io.embernotch.codec.WorkerCodec;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.http.CallFailedException;
-import io.embernotch.model.Machine;
 import io.embernotch.model.Heartbeat;
+import io.embernotch.model.Machine;
 import io.embernotch.settings.HostPort;
 import java.util.function.BiConsumer;
 import org.slf4j.Logger;
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Because of a report that was no news: copies may come by the hundred, so once in a report
-   * period.
+   * Because of a heartbeat that was no news: copies may come by the hundred, so once in a heartbeat
+   * interval.
    */
   void probeAtMostOncePerInterval(Machine machine) {
     double now = context.clock().now();
@@ -52,7 +52,10 @@
 
   /** Asks a silent machine for its state; the answer counts as news, but renews nothing. */
   void probe(Machine machine) {
-    if (!machine.probing && machine.address != null && callLimiter.tryEnter(machine, CallConcurrencyLimiter.CallClass.UNRESPONSIVE, () -> probe(machine))) {
+    if (!machine.probing
+        && machine.address != null
+        && callLimiter.tryEnter(
+            machine, CallConcurrencyLimiter.CallClass.UNRESPONSIVE, () -> probe(machine))) {
       requestStatus(machine);
     }
   }
@@ -63,24 +66,26 @@
         && !machine.deleting
         && !machine.probing
         && machine.address != null
-        && callLimiter.tryEnter(machine, CallConcurrencyLimiter.CallClass.DISCOVERY, () -> find(machine))) {
+        && callLimiter.tryEnter(
+            machine, CallConcurrencyLimiter.CallClass.DISCOVERY, () -> find(machine))) {
       requestStatus(machine);
     }
   }
 
   /**
-   * What the machine says now counts from before what it has said: it has begun another life under
-   * its name, which knows of no token, and holds what it lists. Without this all it says would be
-   * taken for late.
+   * What the machine says now counts from before what it has said: it has begun another incarnation
+   * under its name, which knows of no token, and holds what it lists. Without this all it says
+   * would be taken for late.
    */
   private static void resetForNewIncarnation(Machine machine) {
-    LOG.info("machine {} counts anew", machine.name);
+    LOG.info("machine {} restarted its heartbeat sequence: new incarnation", machine.name);
     machine.agentEpoch = 0;
     machine.heartbeatSeq = 0;
     machine.highestReportedToken = 0;
     machine.lastAnsweredToken = 0;
     machine.acknowledgedToken = 0;
-    // No former life has seen this token, so what shows a lower one is of theirs, or says nothing
+    // No former incarnation has seen this token, so what shows a lower one is of theirs, or says
+    // nothing
     // yet.
     machine.token++;
     machine.incarnationToken = machine.token;
@@ -93,7 +98,8 @@
     long session = machine.agentEpoch;
     long seq = machine.heartbeatSeq;
     long seen = machine.highestReportedToken;
-    context.workers()
+    context
+        .workers()
         .call("GET", HostPort.parse(machine.address), "/status", null, callS)
         .onSuccess(
             reply -> {
--- a/src/main/java/io/embernotch/agents/TaskLauncher.java
+++ b/src/main/java/io/embernotch/agents/TaskLauncher.java
@@ -1,13 +1,13 @@
 package io.embernotch.agents;
 
 import io.embernotch.context.ControllerContext;
-import io.embernotch.state.ClusterState;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
 import io.embernotch.model.Machine;
 import io.embernotch.model.Priority;
-import io.embernotch.scheduling.SchedulingPlan;
 import io.embernotch.persistence.StateWriter;
+import io.embernotch.scheduling.SchedulingPlan;
+import io.embernotch.state.ClusterState;
 import io.embernotch.store.RateLimiter.RequestPriority;
 import java.util.ArrayDeque;
 import java.util.Set;
@@ -58,14 +58,16 @@
           p.task(),
           live ? RequestPriority.HIGH : RequestPriority.NORMAL,
           () -> {
-            if (ClusterState.isOpen(attempt) && attempt.launchState == Attempt.LaunchState.UNCOMMITTED && job.finalPhase == null) {
+            if (ClusterState.isOpen(attempt)
+                && attempt.launchState == Attempt.LaunchState.UNCOMMITTED
+                && job.finalPhase == null) {
               attempt.launchState = Attempt.LaunchState.READY;
               flushSoon(p.machine());
               if (live && !liveStarted) {
                 liveStarted = true;
                 double at = context.clock().now();
                 LOG.info(
-                    "first live start {} ms after the takeover, {} ms after it was planned",
+                    "first service start {} ms after the failover, {} ms after it was scheduled",
                     Math.round((at - acquiredAt) * 1000),
                     Math.round((at - now) * 1000));
               }
@@ -77,7 +79,8 @@
   /** Gathers the starts of one commit, so that each machine gets one command. */
   private void flushSoon(Machine machine) {
     if (toFlush.isEmpty()) {
-      context.loop()
+      context
+          .loop()
           .execute(
               () -> {
                 Set<Machine> all = Set.copyOf(toFlush);
--- a/src/main/java/io/embernotch/agents/TaskStopper.java
+++ b/src/main/java/io/embernotch/agents/TaskStopper.java
@@ -1,11 +1,11 @@
 package io.embernotch.agents;
 
 import io.embernotch.context.ControllerContext;
-import io.embernotch.state.ClusterState;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
-import io.embernotch.model.Machine;
 import io.embernotch.model.JobShape;
+import io.embernotch.model.Machine;
+import io.embernotch.state.ClusterState;
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
@@ -21,7 +21,11 @@
   private final BooleanSupplier mayOrder;
 
   public TaskStopper(
-      ControllerContext context, ClusterState state, AgentReconciler agents, Consumer<Attempt> close, BooleanSupplier mayOrder) {
+      ControllerContext context,
+      ClusterState state,
+      AgentReconciler agents,
+      Consumer<Attempt> close,
+      BooleanSupplier mayOrder) {
     this.context = context;
     this.state = state;
     this.agents = agents;
@@ -31,7 +35,8 @@
 
   /** Wants an attempt to end. One whose start has not left ends here and now. */
   public void requestStop(Attempt attempt, double graceS) {
-    if (attempt.launchState == Attempt.LaunchState.UNCOMMITTED || attempt.launchState == Attempt.LaunchState.READY) {
+    if (attempt.launchState == Attempt.LaunchState.UNCOMMITTED
+        || attempt.launchState == Attempt.LaunchState.READY) {
       close.accept(attempt);
       return;
     }
@@ -78,6 +83,8 @@
         }
       }
     }
-    return (machine.reclaimAt >= 0 || machine.cordoned) && machine.openAttempts.isEmpty() && machine.up();
+    return (machine.reclaimAt >= 0 || machine.cordoned)
+        && machine.openAttempts.isEmpty()
+        && machine.up();
   }
 }
--- a/src/main/java/io/embernotch/agents/WorkerLeases.java
+++ b/src/main/java/io/embernotch/agents/WorkerLeases.java
@@ -41,19 +41,26 @@
 
   /** An earlier leader may have renewed a worker that has not seen our token until then. */
   private double formerLeaderRenewalsUntil(Machine machine) {
-    return machine.highestReportedToken >= tokenBase ? -1e9 : acquiredAt + settings.gracePeriodS() * (1 + Settings.DRIFT);
+    return machine.highestReportedToken >= tokenBase
+        ? -1e9
+        : acquiredAt + settings.gracePeriodS() * (1 + Settings.DRIFT);
   }
 
   /**
    * True once the machine's worker must have killed everything: nobody can have renewed its lease
-   * for longer than it lasts, neither an earlier leader nor a controller cut off with the
+   * for longer than it lasts, neither an earlier leader nor a controller partitioned with the
    * machine's zone.
    */
   boolean expired(Machine machine) {
     double now = clock.now();
     // Without its zone, any controller may have.
-    double delegatedUntil = machine.zone == null ? now : delegations.renewedUntil(machine.zone, now);
-    return now > Math.max(machine.leaseRenewedAt, Math.max(formerLeaderRenewalsUntil(machine), delegatedUntil)) + leaseTtlS(settings);
+    double delegatedUntil =
+        machine.zone == null ? now : delegations.renewedUntil(machine.zone, now);
+    return now
+        > Math.max(
+                machine.leaseRenewedAt,
+                Math.max(formerLeaderRenewalsUntil(machine), delegatedUntil))
+            + leaseTtlS(settings);
   }
 
   /**
@@ -64,7 +71,9 @@
     if (machine.zone == null) {
       return Double.MAX_VALUE;
     }
-    return Math.max(machine.leaseRenewedAt, Math.max(formerLeaderRenewalsUntil(machine), delegations.renewalsEndBy(machine.zone)))
+    return Math.max(
+            machine.leaseRenewedAt,
+            Math.max(formerLeaderRenewalsUntil(machine), delegations.renewalsEndBy(machine.zone)))
         + leaseTtlS(settings);
   }
 }
--- a/src/main/java/io/embernotch/api/AdmissionControl.java
+++ b/src/main/java/io/embernotch/api/AdmissionControl.java
@@ -1,8 +1,8 @@
 package io.embernotch.api;
 
+import io.embernotch.model.JobShape;
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.MachineType;
-import io.embernotch.model.JobShape;
 import io.embernotch.settings.Settings;
 import java.util.Collection;
 import java.util.Map;
@@ -22,7 +22,8 @@
     }
     boolean fits = false;
     for (MachineType type : types) {
-      fits |= type.fits(job) && type.zones().stream().anyMatch(z -> job.allows(type.name(), z, false));
+      fits |=
+          type.fits(job) && type.zones().stream().anyMatch(z -> job.allows(type.name(), z, false));
     }
     if (!fits) {
       return "a task fits no allowed machine type";
--- a/src/main/java/io/embernotch/api/DependencyValidator.java
+++ b/src/main/java/io/embernotch/api/DependencyValidator.java
@@ -1,12 +1,12 @@
 package io.embernotch.api;
 
 import io.embernotch.codec.JobProgressCodec;
-import io.embernotch.snapshot.BaseSnapshot;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.context.LeastRecentlyUsed;
-import io.embernotch.model.JobSpec;
 import io.embernotch.model.JobShape;
+import io.embernotch.model.JobSpec;
 import io.embernotch.persistence.PersistedJob;
+import io.embernotch.snapshot.BaseSnapshot;
 import io.vertx.core.Future;
 import java.util.ArrayList;
 import java.util.List;
@@ -27,7 +27,7 @@
   /** Accepted jobs, and whether they are services. */
   private final Map<String, Boolean> accepted = new LeastRecentlyUsed<>(MOST);
 
-  /** {@code base}: what the present era began with. */
+  /** {@code base}: what the present incarnation began with. */
   public DependencyValidator(ControllerContext context, Supplier<BaseSnapshot> base) {
     this.context = context;
     this.base = base;
--- a/src/main/java/io/embernotch/api/PersistedStatus.java
+++ b/src/main/java/io/embernotch/api/PersistedStatus.java
@@ -1,13 +1,13 @@
 package io.embernotch.api;
 
 import io.embernotch.codec.JobCodec;
-import io.embernotch.snapshot.BaseSnapshot;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.http.HttpResponse;
-import io.embernotch.state.ClusterState;
 import io.embernotch.model.Job;
 import io.embernotch.model.JobPhase;
 import io.embernotch.persistence.PersistedJob;
+import io.embernotch.snapshot.BaseSnapshot;
+import io.embernotch.state.ClusterState;
 import io.vertx.core.Future;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -32,7 +32,8 @@
   private final CompletedJobCache ended;
   private final Supplier<BaseSnapshot> base;
 
-  public PersistedStatus(ControllerContext context, CompletedJobCache ended, Supplier<BaseSnapshot> base) {
+  public PersistedStatus(
+      ControllerContext context, CompletedJobCache ended, Supplier<BaseSnapshot> base) {
     this.base = base;
     this.context = context;
     this.ended = ended;
@@ -55,7 +56,10 @@
                 return answer(told(job, job.finalPhase));
               }
               return before(
-                  job, new ArrayDeque<>(job.spec.dependencies()), new HashSet<>(job.spec.dependencies()), 0);
+                  job,
+                  new ArrayDeque<>(job.spec.dependencies()),
+                  new HashSet<>(job.spec.dependencies()),
+                  0);
             })
         .otherwise(e -> HttpResponse.later("the state service does not answer"));
   }
@@ -87,7 +91,9 @@
               }
               // All that was before a job that is done is done too.
               List<String> more =
-                  other == null || other.finalPhase == JobPhase.DONE ? List.of() : other.spec.dependencies();
+                  other == null || other.finalPhase == JobPhase.DONE
+                      ? List.of()
+                      : other.spec.dependencies();
               more.stream().filter(seen::add).forEach(left::add);
               return before(job, left, seen, read + 1);
             });
@@ -98,7 +104,8 @@
       ended.put(job.spec.ref(), phase, job.done.cardinality());
     }
     int running = phase == JobPhase.RUNNING ? job.openAttempts.size() : 0;
-    return HttpResponse.of(200, JobCodec.status(job.spec.ref(), phase, job.done.cardinality(), running));
+    return HttpResponse.of(
+        200, JobCodec.status(job.spec.ref(), phase, job.done.cardinality(), running));
   }
 
   private static Future<HttpResponse> answer(HttpResponse a) {
--- a/src/main/java/io/embernotch/api/PollRateLimiter.java
+++ b/src/main/java/io/embernotch/api/PollRateLimiter.java
@@ -39,7 +39,8 @@
   public PollRateLimiter(Clock clock, Timers timers, Settings settings) {
     this.clock = clock;
     this.startedAt = clock.now();
-    this.perS = Math.max(1, settings.quota().maxConnections() / settings.workers().heartbeatIntervalS());
+    this.perS =
+        Math.max(1, settings.quota().maxConnections() / settings.workers().heartbeatIntervalS());
     this.pacer = new RateLimiter(clock, timers, perS, 1);
     this.toldAt = new LeastRecentlyUsed<>(settings.quota().rememberedJobs());
   }
@@ -50,7 +51,8 @@
     double now = clock.now();
     double most = MOST_SHARE * FORGOTTEN_S;
     double pressed = Math.max(0, 1 - credit / (EASY_SHARE * perS));
-    // Jobs that this life of the node has told nothing of are spread, or their turns would all come
+    // Jobs that this incarnation of the node has told nothing of are spread, or their turns would
+    // all come
     // at the same time.
     double told =
         toldAt.getOrDefault(ref, startedAt - most * ((ref.hashCode() * SPREAD) >>> 16) / 65536.0);
--- a/src/main/java/io/embernotch/api/SubmissionHandler.java
+++ b/src/main/java/io/embernotch/api/SubmissionHandler.java
@@ -1,18 +1,18 @@
 package io.embernotch.api;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.embernotch.codec.MalformedInputException;
 import io.embernotch.codec.JobCodec;
-import io.embernotch.codec.Json;
 import io.embernotch.codec.JobProgressCodec;
-import io.embernotch.snapshot.BaseSnapshot;
+import io.embernotch.codec.Json;
+import io.embernotch.codec.MalformedInputException;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.context.LeastRecentlyUsed;
 import io.embernotch.http.HttpResponse;
 import io.embernotch.model.Job;
+import io.embernotch.model.JobPhase;
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.MachineType;
-import io.embernotch.model.JobPhase;
+import io.embernotch.snapshot.BaseSnapshot;
 import io.embernotch.store.RateLimiter.RequestPriority;
 import io.embernotch.store.Transaction;
 import io.vertx.core.Future;
@@ -23,13 +23,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes submissions: any controller writes {@code job/REF} if it is absent. One that the state
- * service does not answer passes the submission on to another; both may write, and the key is
- * created once. Nobody is kept waiting for a state service that is away.
+ * Takes submissions: any controller writes {@code job/REF} if it is absent. One that the store does
+ * not answer passes the submission on to another; both may write, and the key is created once.
+ * Nobody is kept waiting for a store that is away.
  *
- * <p>More submissions than the state service takes changes are refused at once, with the time to
- * come back. When they were queued instead, their users gave up and came again, and the copies in
- * the queue left no change for starts.
+ * <p>More submissions than the store takes changes are refused at once, with the time to come back.
+ * When they were queued instead, their users gave up and came again, and the copies in the queue
+ * left no change for starts.
  */
 public final class SubmissionHandler {
   private static final Logger LOG = LoggerFactory.getLogger(SubmissionHandler.class);
@@ -39,19 +39,19 @@
     /** The job is in the store, by our own hand. */
     void submissionAccepted(Job job, ObjectNode value, long epoch);
 
-    /** What the state service holds is known to be ours, so that what it lacks was not accepted. */
+    /** What the store holds is known to be ours, so that what it lacks was not accepted. */
     boolean storeIsIntact();
 
-    /** The name of the present era. */
+    /** The name of the present incarnation. */
     String incarnationName();
 
-    /** What the present era began with. */
+    /** What the present incarnation began with. */
     BaseSnapshot base();
 
     /** The present state of a job: 200, 404 if it was never accepted, or 503. */
     Future<HttpResponse> poll(String ref);
 
-    /** The answer of another controller that the state service serves; null if there is none. */
+    /** The answer of another controller that the store serves; null if there is none. */
     Future<HttpResponse> submitElsewhere(byte[] body, double withinS);
   }
 
@@ -62,8 +62,8 @@
   private final DependencyValidator awaited;
 
   /**
-   * Descriptions that this node has lately written: a leader that knew nothing of them yet may
-   * lose them.
+   * Descriptions that this node has lately written: a leader that knew nothing of them yet may lose
+   * them.
    */
   private final Map<String, byte[]> accepted;
 
@@ -73,7 +73,8 @@
   /** After this time the user is told to come back. */
   private final double patienceS;
 
-  public SubmissionHandler(ControllerContext context, Map<String, MachineType> types, int shardSize, Host host) {
+  public SubmissionHandler(
+      ControllerContext context, Map<String, MachineType> types, int shardSize, Host host) {
     this.context = context;
     this.types = types;
     this.shardSize = shardSize;
@@ -83,7 +84,8 @@
         new LeastRecentlyUsed<>(
             (int)
                 Math.ceil(
-                    context.settings().minStoreLimits().writeRps() * context.settings().workers().leaseS()));
+                    context.settings().minStoreLimits().writeRps()
+                        * context.settings().workers().leaseS()));
     this.hedgeS = context.settings().workers().heartbeatIntervalS() / 20;
     this.patienceS = context.settings().workers().heartbeatIntervalS() / 3;
   }
@@ -137,7 +139,8 @@
     double waitS = context.store().writeWaitS();
     if (waitS > patienceS / 2) {
       HttpResponse refusal =
-          HttpResponse.later("more is submitted than the state service takes", (int) Math.ceil(waitS));
+          HttpResponse.later(
+              "more is submitted than the state service takes", (int) Math.ceil(waitS));
       return mayPassOn ? handOn(body, refusal) : Future.succeededFuture(refusal);
     }
     Job job = new Job(spec, context.clock().wallMs());
@@ -156,7 +159,7 @@
     return accepted.containsKey(ref) || awaited.knows(ref);
   }
 
-  /** A new era has begun: what was accepted here and is not in it is written once more. */
+  /** A new incarnation has begun: what was accepted here and is not in it is written once more. */
   public void storeIncarnationChanged() {
     for (Map.Entry<String, byte[]> e : accepted.entrySet()) {
       if (!host.base().has(e.getKey())) {
@@ -168,25 +171,30 @@
   private void again(String ref, ObjectNode value) {
     String key = JobProgressCodec.JOB + ref;
     String name = host.incarnationName();
-    context.store()
+    context
+        .store()
         .requestWriteSlot(
             1,
             RequestPriority.NORMAL,
             () ->
-                context.store()
-                    .commitInWriteSlot(new Transaction().when(key, 0).write(key, value), RequestPriority.NORMAL)
+                context
+                    .store()
+                    .commitInWriteSlot(
+                        new Transaction().when(key, 0).write(key, value), RequestPriority.NORMAL)
                     .onSuccess(
                         result -> {
                           if (result.applied()) {
                             LOG.info(
                                 "job {} was accepted shortly before the loss, and is written again",
                                 ref);
-                            host.submissionAccepted(JobProgressCodec.readJob(value), value, result.revision());
+                            host.submissionAccepted(
+                                JobProgressCodec.readJob(value), value, result.revision());
                           }
                         })
                     .onFailure(
                         e ->
-                            context.timers()
+                            context
+                                .timers()
                                 .after(
                                     patienceS,
                                     () -> {
@@ -244,7 +252,8 @@
     }
 
     Future<HttpResponse> go() {
-      context.timers()
+      context
+          .timers()
           .after(
               patienceS,
               () -> reply.tryComplete(HttpResponse.later("the state service does not answer")));
@@ -264,7 +273,8 @@
                 if (why == null) {
                   context.store().requestWriteSlot(1, RequestPriority.NORMAL, this::write);
                 } else {
-                  refuse(job.spec.ref(), HttpResponse.error(422, why)).onSuccess(reply::tryComplete);
+                  refuse(job.spec.ref(), HttpResponse.error(422, why))
+                      .onSuccess(reply::tryComplete);
                 }
               })
           .onFailure(e -> failed());
@@ -284,15 +294,18 @@
       }
       context.timers().after(hedgeS, this::passOn);
       String key = JobProgressCodec.JOB + job.spec.ref();
-      context.store()
-          .commitInWriteSlot(new Transaction().when(key, 0).write(key, value), RequestPriority.NORMAL)
+      context
+          .store()
+          .commitInWriteSlot(
+              new Transaction().when(key, 0).write(key, value), RequestPriority.NORMAL)
           .onSuccess(
               result -> {
                 if (result.applied()) {
                   awaited.accepted(job.spec);
                   accepted.put(job.spec.ref(), Json.bytes(value));
                   host.submissionAccepted(job, value, result.revision());
-                  reply.tryComplete(HttpResponse.of(201, JobCodec.brief(job.spec.ref(), JobPhase.QUEUED)));
+                  reply.tryComplete(
+                      HttpResponse.of(201, JobCodec.brief(job.spec.ref(), JobPhase.QUEUED)));
                 } else {
                   host.poll(job.spec.ref())
                       .map(a -> a.status() == 404 ? HttpResponse.later("not accepted yet") : a)
--- a/src/main/java/io/embernotch/app/RehearseCommand.java
+++ b/src/main/java/io/embernotch/app/RehearseCommand.java
@@ -14,9 +14,9 @@
 import picocli.CommandLine.Command;
 
 /**
- * Runs a controller on loopback for a moment, against something that answers like an empty state
- * service and cloud. A class archive that the JVM writes at the end of this holds what a start
- * needs, and starting is what costs a controller with a share of a core most.
+ * Runs a controller on loopback for a moment, against something that answers like an empty store
+ * and cloud. A class archive that the JVM writes at the end of this holds what a start needs, and
+ * starting is what costs a controller with a share of a core most.
  */
 @Command(
     name = "rehearse",
--- a/src/main/java/io/embernotch/app/Server.java
+++ b/src/main/java/io/embernotch/app/Server.java
@@ -1,17 +1,17 @@
 package io.embernotch.app;
 
+import io.embernotch.actor.EventLoopProfile;
 import io.embernotch.actor.SystemClock;
 import io.embernotch.actor.Timers;
 import io.embernotch.actor.VertxTimers;
-import io.embernotch.actor.EventLoopProfile;
 import io.embernotch.cloud.CloudClient;
 import io.embernotch.context.ControllerContext;
+import io.embernotch.controller.Controller;
 import io.embernotch.http.HttpApiServer;
 import io.embernotch.http.VertxHttpCaller;
 import io.embernotch.peer.VertxPeerLink;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.Settings;
-import io.embernotch.controller.Controller;
 import io.embernotch.store.LeaseRenewer;
 import io.embernotch.store.StoreClient;
 import io.vertx.core.Context;
@@ -58,7 +58,8 @@
     VertxHttpCaller cloud = new VertxHttpCaller(vertx, clock, timers, 4, 1, heartbeat / 3, KEEP_S);
     // Each worker has a connection to us already: ours to them are few at a time, and short-lived.
     int direct = settings.quota().directCalls();
-    VertxHttpCaller workers = new VertxHttpCaller(vertx, clock, timers, 1, direct, heartbeat / 3, heartbeat / 3);
+    VertxHttpCaller workers =
+        new VertxHttpCaller(vertx, clock, timers, 1, direct, heartbeat / 3, heartbeat / 3);
     VertxPeerLink peers = new VertxPeerLink(vertx, timers, settings);
     ControllerContext context =
         new ControllerContext(
@@ -97,7 +98,14 @@
     Settings settings = context.settings();
     VertxTimers timers = new VertxTimers(vertx, lease);
     VertxHttpCaller caller =
-        new VertxHttpCaller(vertx, context.clock(), timers, 1, 1, settings.workers().heartbeatIntervalS() / 3, KEEP_S);
+        new VertxHttpCaller(
+            vertx,
+            context.clock(),
+            timers,
+            1,
+            1,
+            settings.workers().heartbeatIntervalS() / 3,
+            KEEP_S);
     return new LeaseRenewer(
         caller,
         settings.storeAddress(),
@@ -110,7 +118,8 @@
         settings.contactTimeoutS());
   }
 
-  private static void listen(Vertx vertx, ControllerContext context, VertxPeerLink peers, Controller controller) {
+  private static void listen(
+      Vertx vertx, ControllerContext context, VertxPeerLink peers, Controller controller) {
     Settings settings = context.settings();
     vertx
         .deployVerticle((Deployable) front -> front(vertx, front, context, controller))
@@ -132,7 +141,8 @@
   }
 
   /** A deployment is given a loop of its own while there is one. */
-  private static Future<?> front(Vertx vertx, Context loop, ControllerContext context, Controller controller) {
+  private static Future<?> front(
+      Vertx vertx, Context loop, ControllerContext context, Controller controller) {
     Settings settings = context.settings();
     return new HttpApiServer(
             controller, context.loop(), context.clock(), new VertxTimers(vertx, loop), settings)
--- a/src/main/java/io/embernotch/app/SnapshotCommand.java
+++ b/src/main/java/io/embernotch/app/SnapshotCommand.java
@@ -100,7 +100,8 @@
   private int diff() throws IOException {
     List<ObjectNode> lines =
         SnapshotDiff.of(
-            SnapshotDirectory.read(files.get(0)).copy(), SnapshotDirectory.read(files.get(1)).copy());
+            SnapshotDirectory.read(files.get(0)).copy(),
+            SnapshotDirectory.read(files.get(1)).copy());
     lines.forEach(this::say);
     return lines.isEmpty() ? 0 : 1;
   }
--- a/src/main/java/io/embernotch/calendar/ReleaseCalendar.java
+++ b/src/main/java/io/embernotch/calendar/ReleaseCalendar.java
@@ -3,20 +3,20 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.calendar.Occurrences.Occurrence;
-import io.embernotch.codec.MalformedInputException;
 import io.embernotch.codec.CalendarCodec;
 import io.embernotch.codec.CalendarCodec.Kept;
+import io.embernotch.codec.MalformedInputException;
 import io.embernotch.context.ControllerContext;
-import io.embernotch.state.ClusterState;
 import io.embernotch.model.Job;
+import io.embernotch.model.JobPhase;
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.MachineType;
-import io.embernotch.model.JobPhase;
 import io.embernotch.model.Priority;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.Release;
 import io.embernotch.shared.EffectiveConfiguration;
 import io.embernotch.shared.SharedState;
+import io.embernotch.state.ClusterState;
 import java.time.Instant;
 import java.time.LocalDate;
 import java.util.HashMap;
@@ -67,7 +67,8 @@
    * {@code settled} is told of each job whose release has been settled: it is to be written with
    * the job.
    */
-  public ReleaseCalendar(ControllerContext context, ClusterState state, SharedState shared, Consumer<Job> settled) {
+  public ReleaseCalendar(
+      ControllerContext context, ClusterState state, SharedState shared, Consumer<Job> settled) {
     this.context = context;
     this.state = state;
     this.shared = shared;
@@ -176,7 +177,9 @@
     }
     refresh();
     for (Job job : state.jobs.values()) {
-      if (job.release == null && job.finalPhase == null && job.spec.priority() != Priority.PRODUCTION) {
+      if (job.release == null
+          && job.finalPhase == null
+          && job.spec.priority() != Priority.PRODUCTION) {
         settle(job);
       }
       Kept k = job.release == null ? null : kept.get(job.release);
--- a/src/main/java/io/embernotch/cloud/CloudClient.java
+++ b/src/main/java/io/embernotch/cloud/CloudClient.java
@@ -40,7 +40,11 @@
   }
 
   public Future<Rented> rent(String booking, String type, String zone, boolean spot, int number) {
-    return send("POST", "/machines", CloudCodec.rent(booking, type, zone, spot, number), RequestPriority.NORMAL)
+    return send(
+            "POST",
+            "/machines",
+            CloudCodec.rent(booking, type, zone, spot, number),
+            RequestPriority.NORMAL)
         .compose(
             r -> {
               if (r.status() == 200) {
@@ -54,7 +58,10 @@
 
   public Future<Void> delete(List<String> names, boolean urgent) {
     return send(
-            "POST", "/machines/delete", CloudCodec.delete(names), urgent ? RequestPriority.HIGH : RequestPriority.BACKGROUND)
+            "POST",
+            "/machines/delete",
+            CloudCodec.delete(names),
+            urgent ? RequestPriority.HIGH : RequestPriority.BACKGROUND)
         .compose(r -> r.status() == 200 ? Future.succeededFuture() : odd(r));
   }
 
@@ -76,12 +83,14 @@
             });
   }
 
-  private Future<HttpReply> send(String method, String path, byte[] body, RequestPriority priority) {
+  private Future<HttpReply> send(
+      String method, String path, byte[] body, RequestPriority priority) {
     Promise<HttpReply> promise = Promise.promise();
     pacer.acquire(
         1,
         priority,
-        () -> caller.call(method, settings.cloudAddress(), path, body, timeoutS).onComplete(promise));
+        () ->
+            caller.call(method, settings.cloudAddress(), path, body, timeoutS).onComplete(promise));
     return promise.future();
   }
 
--- a/src/main/java/io/embernotch/codec/IncarnationCodec.java
+++ b/src/main/java/io/embernotch/codec/IncarnationCodec.java
@@ -9,9 +9,9 @@
 import java.util.List;
 
 /**
- * Eras as the state service keeps them: {@code era} tells the present one, {@code era/NAME} is
- * there as long as it lasts, and {@code block/NAME/K} is the K-th block of the copy that it began
- * with.
+ * Incarnations as the store keeps them: {@code incarnation} tells the present one, {@code
+ * incarnation/NAME} is there as long as it lasts, and {@code block/NAME/K} is the K-th block of the
+ * copy that it began with.
  */
 public final class IncarnationCodec {
   public static final String POINTER = "era";
@@ -20,12 +20,12 @@
 
   private IncarnationCodec() {}
 
-  /** The key that every transaction of an era conditions on. */
+  /** The key that every transaction of an incarnation conditions on. */
   public static String fence(StoreIncarnation incarnation) {
     return FENCE + incarnation.name();
   }
 
-  /** The prefix of an era's blocks. */
+  /** The prefix of an incarnation's blocks. */
   public static String blocks(String base) {
     return BLOCK + base + "/";
   }
@@ -36,7 +36,8 @@
   }
 
   public static ObjectNode write(StoreIncarnation incarnation) {
-    ObjectNode o = Json.object().put("name", incarnation.name()).put("floor", incarnation.epochFloor());
+    ObjectNode o =
+        Json.object().put("name", incarnation.name()).put("floor", incarnation.epochFloor());
     if (incarnation.snapshotName() != null) {
       o.put("base", incarnation.snapshotName())
           .put("blocks", incarnation.blockCount())
@@ -49,7 +50,7 @@
   }
 
   /**
-   * @throws MalformedInputException if the value is not an era's
+   * @throws MalformedInputException if the value is not an incarnation's
    */
   public static StoreIncarnation read(JsonNode o, long modRevision) {
     List<String> after = new ArrayList<>();
@@ -68,12 +69,15 @@
         after);
   }
 
-  /** The value of a new job's key with the era and the revision that wrote it, for the leader. */
+  /**
+   * The value of a new job's key with the incarnation and the revision that wrote it, for the
+   * leader.
+   */
   public static ObjectNode told(ObjectNode value, String incarnation, long epoch) {
     return value.deepCopy().put("era", incarnation).put("epoch", epoch);
   }
 
-  /** The era that {@link #told} names; "" if a version before eras sent it. */
+  /** The incarnation that {@link #told} names; "" if a version before incarnations sent it. */
   public static String toldIncarnation(JsonNode o) {
     return o.path("era").asText("");
   }
--- a/src/main/java/io/embernotch/codec/JobCodec.java
+++ b/src/main/java/io/embernotch/codec/JobCodec.java
@@ -3,10 +3,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.embernotch.model.JobSpec;
 import io.embernotch.model.JobPhase;
-import io.embernotch.model.Priority;
 import io.embernotch.model.JobShape;
+import io.embernotch.model.JobSpec;
+import io.embernotch.model.Priority;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -238,7 +238,8 @@
       case "standard" -> Priority.NORMAL;
       case "high" -> Priority.HIGH;
       case "production" -> Priority.PRODUCTION;
-      default -> throw new MalformedInputException("rank: must be production, high, standard or idle");
+      default ->
+          throw new MalformedInputException("rank: must be production, high, standard or idle");
     };
   }
 }
--- a/src/main/java/io/embernotch/codec/JobProgressCodec.java
+++ b/src/main/java/io/embernotch/codec/JobProgressCodec.java
@@ -11,15 +11,15 @@
 import java.util.List;
 
 /**
- * Progress of jobs as the state service keeps it. {@code job/REF} is the submission and never
- * changes. {@code run/REF} holds the end of the job, if any, and the first tasks' progress; {@code
- * run/REF/K} holds that of the K-th further piece of tasks. Pieces keep every value within the
+ * Progress of jobs as the store keeps it. {@code job/REF} is the submission and never changes.
+ * {@code run/REF} holds the end of the job, if any, and the first tasks' progress; {@code
+ * run/REF/K} holds that of the K-th further shard of tasks. Shards keep every value within the
  * store's limit, however many tasks a job has.
  *
- * <p>The size of these pieces is fixed when the job is accepted. Should a piece not fit any more,
- * since the store has lowered its limits, {@code part/REF/SIZE/K} holds the K-th piece of SIZE
- * tasks instead. A part tells everything of its tasks, so it overrides what any larger piece says
- * of them, and larger pieces are never written again.
+ * <p>The size of these shards is fixed when the job is accepted. Should a shard not fit any more,
+ * since the store has lowered its limits, {@code part/REF/SIZE/K} holds the K-th shard of SIZE
+ * tasks instead. A part tells everything of its tasks, so it overrides what any larger shard says
+ * of them, and larger shards are never written again.
  */
 public final class JobProgressCodec {
   public static final String JOB = "job/";
@@ -39,7 +39,7 @@
    */
   private static final int BYTES_PER_TASK = 46;
 
-  /** What a piece takes besides its tasks. */
+  /** What a shard takes besides its tasks. */
   private static final int BYTES_PER_SHARD = 192;
 
   /** Marks a submission that is written once more after a loss of data. */
@@ -48,8 +48,8 @@
   private JobProgressCodec() {}
 
   /**
-   * Tasks in a piece when values may have {@code valueKb} KiB. With longer names of machines than
-   * usual, or with restarts under way, a piece may still not fit: then parts take its place.
+   * Tasks in a shard when values may have {@code valueKb} KiB. With longer names of machines than
+   * usual, or with restarts under way, a shard may still not fit: then parts take its place.
    */
   public static int shard(double valueKb, List<String> zones) {
     int zone = zones.stream().mapToInt(String::length).max().orElse(0);
@@ -78,7 +78,7 @@
     return shard == 0 ? RUN + ref : RUN + ref + "/" + shard;
   }
 
-  /** Which piece a {@code run/} key holds. */
+  /** Which shard a {@code run/} key holds. */
   public static int shardOf(String key) {
     int slash = key.indexOf('/', RUN.length());
     return slash < 0 ? 0 : Integer.parseInt(key.substring(slash + 1));
@@ -116,7 +116,12 @@
         if (open == null) {
           open = o.putArray("open");
         }
-        ArrayNode entry = open.addArray().add(attempt.task).add(attempt.number).add(attempt.machine).add(attempt.zone);
+        ArrayNode entry =
+            open.addArray()
+                .add(attempt.task)
+                .add(attempt.number)
+                .add(attempt.machine)
+                .add(attempt.zone);
         String wish = job.preferredMachines.get(attempt.task);
         if (wish != null) {
           entry.add(wish);
@@ -126,7 +131,7 @@
     return o;
   }
 
-  /** Reads the end of a job from its first piece; null while it has none. */
+  /** Reads the end of a job from its first shard; null while it has none. */
   public static JobPhase readEnd(JsonNode o) {
     JsonNode end = Json.opt(o, "end");
     if (end == null) {
@@ -139,7 +144,7 @@
     };
   }
 
-  /** Has a part take the place of what larger pieces said of its tasks. */
+  /** Has a part take the place of what larger shards said of its tasks. */
   public static void readPart(JsonNode o, Job job, int size, int part) {
     int from = part * size;
     int to = Math.min(job.spec.tasks(), from + size);
@@ -149,7 +154,7 @@
     readRun(o, job, size, part);
   }
 
-  /** Adds what a piece says to {@code job}. */
+  /** Adds what a shard says to {@code job}. */
   public static void readRun(JsonNode o, Job job, int shardSize, int shard) {
     if (shard == 0) {
       job.nextAttempt = Json.whole(o, "next");
--- a/src/main/java/io/embernotch/codec/WorkerCodec.java
+++ b/src/main/java/io/embernotch/codec/WorkerCodec.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.embernotch.model.ExitCause;
 import io.embernotch.model.AgentCommand;
-import io.embernotch.model.TaskStatus;
-import io.embernotch.model.TaskState;
+import io.embernotch.model.ExitCause;
 import io.embernotch.model.Heartbeat;
+import io.embernotch.model.TaskState;
+import io.embernotch.model.TaskStatus;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -88,7 +88,7 @@
     };
   }
 
-  /** The answer to a report. */
+  /** The answer to a heartbeat. */
   public static byte[] response(long token, List<AgentCommand> orders) {
     return Json.bytes(orders(Json.object().put("baton", token), orders));
   }
--- a/src/main/java/io/embernotch/context/ControllerContext.java
+++ b/src/main/java/io/embernotch/context/ControllerContext.java
@@ -1,8 +1,8 @@
 package io.embernotch.context;
 
 import io.embernotch.actor.Clock;
-import io.embernotch.actor.Timers;
 import io.embernotch.actor.EventLoopProfile;
+import io.embernotch.actor.Timers;
 import io.embernotch.cloud.CloudClient;
 import io.embernotch.http.HttpCaller;
 import io.embernotch.settings.OperatorSettings;
--- a/src/main/java/io/embernotch/controller/Controller.java
+++ b/src/main/java/io/embernotch/controller/Controller.java
@@ -9,7 +9,7 @@
 import io.embernotch.codec.Json;
 import io.embernotch.codec.JobProgressCodec;
 import io.embernotch.snapshot.BaseSnapshot;
-import io.embernotch.copy.proto.CopyFile.Copy;
+import io.embernotch.snapshot.proto.SnapshotProto.ClusterSnapshot;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.context.ProcessIncarnation;
 import io.embernotch.incarnation.StoreIncarnationTracker;
@@ -156,8 +156,8 @@
   @Override
   public void incarnationSettled(BaseSnapshot baseSnapshot) {
     if (leader != null) {
-      // An era of our own is settled before its term begins: this one is another's.
-      election.stepDown("another era has begun");
+      // An incarnation of our own is settled before its term begins: this one is another's.
+      election.stepDown("another store incarnation has begun");
     }
     submissions.storeIncarnationChanged();
     if (baseSnapshot.since() > 0) {
@@ -172,17 +172,17 @@
 
   @Override
   public void dataLost(String why) {
-    election.stepDown("the state service has lost data");
+    election.stepDown("the store has lost data");
     sendBeats();
   }
 
   @Override
-  public Copy lastLeaderSnapshot() {
+  public ClusterSnapshot lastLeaderSnapshot() {
     return formerLeader == null ? null : formerLeader.copy();
   }
 
   @Override
-  public Copy newestStoredSnapshot() {
+  public ClusterSnapshot newestStoredSnapshot() {
     return snapshots.newest();
   }
 
@@ -238,11 +238,7 @@
 
   @Override
   public Future<HttpResponse> handleHeartbeat(Heartbeat heartbeat) {
-    return leader == null ? heartbeatForwarder.handleHeartbeat(heartbeat) : handleAsLeader(heartbeat);
-  }
-
-  private Future<HttpResponse> handleAsLeader(Heartbeat heartbeat) {
-    return handleAsLeader(heartbeat, 0);
+    return leader == null ? heartbeatForwarder.handleHeartbeat(heartbeat) : handleAsLeader(heartbeat, 0);
   }
 
   private Future<HttpResponse> handleAsLeader(Heartbeat heartbeat, long via) {
@@ -277,7 +273,7 @@
     formerLeader = null;
     leader = new Leader(context, this, epoch, modRevision, types.values(), incarnations.base(), incarnations.takeInitialSnapshot(), heartbeatForwarder.controllersDelayingCancellations());
     heartbeatForwarder.recentHeartbeats().forEach(heartbeat -> leader.tell(new LeaderMessage.HeartbeatHandedOver(heartbeat)));
-    heartbeatForwarder.releaseParked(this::handleAsLeader);
+    heartbeatForwarder.releaseParked(heartbeat -> handleAsLeader(heartbeat, 0));
     leader.start();
     sendBeats();
   }
@@ -428,7 +424,7 @@
     incarnations.peerHeartbeatReceived(f.node(), f.leader(), f.leaderEpoch());
     boolean leads = f.node().equals(f.leader());
     if (leads && election.holdsKey() && f.leaderEpoch() > election.epoch()) {
-      election.stepDown(f.node() + " is steward since epoch " + f.leaderEpoch());
+      election.stepDown(f.node() + " is leader since epoch " + f.leaderEpoch());
     }
     if (leads && leaderObserver.observeClaim(f.node(), f.leaderEpoch())) {
       // Whether it takes reports stands in its key; without the store, workers go to it by themselves.
--- a/src/main/java/io/embernotch/controller/JobAnnouncements.java
+++ b/src/main/java/io/embernotch/controller/JobAnnouncements.java
@@ -1,12 +1,11 @@
 package io.embernotch.controller;
 
-import io.embernotch.leader.LeaderMessage;
-
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.embernotch.codec.MalformedInputException;
 import io.embernotch.codec.IncarnationCodec;
-import io.embernotch.codec.Json;
 import io.embernotch.codec.JobProgressCodec;
+import io.embernotch.codec.Json;
+import io.embernotch.codec.MalformedInputException;
+import io.embernotch.leader.LeaderMessage;
 import io.embernotch.peer.Frame;
 import io.embernotch.store.StoreClient;
 import java.util.function.Consumer;
@@ -19,20 +18,23 @@
 
   private JobAnnouncements() {}
 
-  /** A job's key was written at revision {@code epoch} of that era. */
+  /** A job's key was written at revision {@code epoch} of that incarnation. */
   static Frame of(ObjectNode value, String incarnation, long epoch) {
     return new Frame.JobAccepted(Json.bytes(IncarnationCodec.told(value, incarnation, epoch)));
   }
 
-  /** Reads it; {@code era}: the one that the leader knows. */
-  static void received(byte[] value, String incarnation, StoreClient store, Consumer<LeaderMessage> leader) {
+  /** Reads it; {@code incarnation}: the one that the leader knows. */
+  static void received(
+      byte[] value, String incarnation, StoreClient store, Consumer<LeaderMessage> leader) {
     try {
       ObjectNode o = Json.parseObject(value);
       LeaderMessage.JobAccepted job =
-          new LeaderMessage.JobAccepted(JobProgressCodec.readJob(o), JobProgressCodec.readShardSize(o));
+          new LeaderMessage.JobAccepted(
+              JobProgressCodec.readJob(o), JobProgressCodec.readShardSize(o));
       if (!incarnation.isEmpty() && incarnation.equals(IncarnationCodec.toldIncarnation(o))) {
         // Contents that were put back to just before it would else be taken for present.
-        store.noteRevision(JobProgressCodec.JOB + job.job().spec.ref(), IncarnationCodec.toldEpoch(o));
+        store.noteRevision(
+            JobProgressCodec.JOB + job.job().spec.ref(), IncarnationCodec.toldEpoch(o));
       }
       leader.accept(job);
     } catch (MalformedInputException e) {
--- a/src/main/java/io/embernotch/controller/JobQueries.java
+++ b/src/main/java/io/embernotch/controller/JobQueries.java
@@ -1,13 +1,13 @@
 package io.embernotch.controller;
 
+import io.embernotch.api.CompletedJobCache;
+import io.embernotch.api.PersistedStatus;
+import io.embernotch.api.PollRateLimiter;
 import io.embernotch.codec.JobCodec;
 import io.embernotch.context.ControllerContext;
-import io.embernotch.incarnation.StoreIncarnationTracker;
 import io.embernotch.http.HttpResponse;
+import io.embernotch.incarnation.StoreIncarnationTracker;
 import io.embernotch.peer.Frame;
-import io.embernotch.api.CompletedJobCache;
-import io.embernotch.api.PollRateLimiter;
-import io.embernotch.api.PersistedStatus;
 import io.vertx.core.Future;
 import java.util.function.Predicate;
 
@@ -16,9 +16,7 @@
  * asked else, and the store while there is none.
  */
 final class JobQueries {
-  /**
-   * Passes a question on to the leader, wherever it is; 503 if there is none to be had in time.
-   */
+  /** Passes a question on to the leader, wherever it is; 503 if there is none to be had in time. */
   interface ToLeader {
     Future<HttpResponse> ask(Frame.ForwardedRequest.Kind what, String ref, double withinS);
   }
@@ -30,10 +28,15 @@
   private final Predicate<String> accepted;
   private final ToLeader leader;
 
-  /** A flood of polls costs other nodes and the state service nothing, and workers little. */
+  /** A flood of polls costs other nodes and the store nothing, and workers little. */
   private final PollRateLimiter turns;
 
-  JobQueries(ControllerContext context, CompletedJobCache ended, StoreIncarnationTracker incarnations, Predicate<String> accepted, ToLeader leader) {
+  JobQueries(
+      ControllerContext context,
+      CompletedJobCache ended,
+      StoreIncarnationTracker incarnations,
+      Predicate<String> accepted,
+      ToLeader leader) {
     this.context = context;
     this.ended = ended;
     this.incarnations = incarnations;
@@ -65,11 +68,14 @@
 
   private Future<HttpResponse> status(String ref) {
     return leader
-        .ask(Frame.ForwardedRequest.Kind.POLL, ref, context.settings().workers().heartbeatIntervalS() / 6)
+        .ask(
+            Frame.ForwardedRequest.Kind.POLL,
+            ref,
+            context.settings().workers().heartbeatIntervalS() / 6)
         .compose(a -> a.status() == 503 ? readStatus(ref) : answer(a));
   }
 
-  /** What the state service tells, if it does so in time: users wait two seconds at most. */
+  /** What the store tells, if it does so in time: users wait two seconds at most. */
   private Future<HttpResponse> readStatus(String ref) {
     if (!incarnations.mayAnswerFromStore()) {
       return answer(HttpResponse.later("what the state service holds is not known yet"));
@@ -92,7 +98,10 @@
     HttpResponse known = ended.brief(ref);
     return known != null
         ? answer(known)
-        : leader.ask(Frame.ForwardedRequest.Kind.ABORT, ref, context.settings().workers().heartbeatIntervalS());
+        : leader.ask(
+            Frame.ForwardedRequest.Kind.ABORT,
+            ref,
+            context.settings().workers().heartbeatIntervalS());
   }
 
   /**
--- a/src/main/java/io/embernotch/controller/MachineTypeCatalog.java
+++ b/src/main/java/io/embernotch/controller/MachineTypeCatalog.java
@@ -28,7 +28,8 @@
 
   /** Tries until they are known. */
   void load() {
-    context.store()
+    context
+        .store()
         .get(TYPES)
         .onComplete(
             r -> {
@@ -55,14 +56,19 @@
   }
 
   private void askCloud() {
-    context.cloud()
+    context
+        .cloud()
         .types()
         .onSuccess(
             list -> {
               take(list);
               write(list);
             })
-        .onFailure(e -> context.timers().after(context.settings().workers().heartbeatIntervalS() / 3, this::load));
+        .onFailure(
+            e ->
+                context
+                    .timers()
+                    .after(context.settings().workers().heartbeatIntervalS() / 3, this::load));
   }
 
   private void take(List<MachineType> list) {
--- a/src/main/java/io/embernotch/controller/PeerHeartbeats.java
+++ b/src/main/java/io/embernotch/controller/PeerHeartbeats.java
@@ -7,7 +7,8 @@
 import io.embernotch.settings.Settings;
 
 /**
- * What a controller tells the others of itself, a few times in a report period and when it matters.
+ * What a controller tells the others of itself, a few times in a heartbeat interval and when it
+ * matters.
  */
 final class PeerHeartbeats {
   private final ControllerContext context;
@@ -20,10 +21,7 @@
     this.incarnations = incarnations;
   }
 
-  /**
-   * {@code leader}: whom this node takes for it, null if nobody; {@code epoch}: that
-   * term's.
-   */
+  /** {@code leader}: whom this node takes for it, null if nobody; {@code epoch}: that term's. */
   void send(String leader, long epoch) {
     Settings s = context.settings();
     boolean served = context.store().failingForS() == 0;
--- a/src/main/java/io/embernotch/election/LeaderElection.java
+++ b/src/main/java/io/embernotch/election/LeaderElection.java
@@ -3,22 +3,22 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.actor.Clock;
 import io.embernotch.actor.Timers;
-import io.embernotch.codec.Json;
 import io.embernotch.codec.JobProgressCodec;
+import io.embernotch.codec.Json;
 import io.embernotch.settings.Settings;
-import io.embernotch.store.VersionedEntry;
 import io.embernotch.store.LeaseRenewer;
 import io.embernotch.store.RateLimiter.RequestPriority;
 import io.embernotch.store.StoreClient;
 import io.embernotch.store.StoreException;
 import io.embernotch.store.Transaction;
+import io.embernotch.store.VersionedEntry;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Leadership: whoever holds the key {@code steward} in the store, attached to its own short lease, is the one
- * that writes. The key's stamp names the term: every commit of the leader conditions on it,
- * so nothing that an earlier leader sent can be applied later.
+ * Leadership: whoever holds the key {@code steward} in the store, attached to its own short lease,
+ * is the one that writes. The key's modification revision names the term: every commit of the
+ * leader conditions on it, so nothing that an earlier leader sent can be applied later.
  */
 public final class LeaderElection {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
@@ -27,8 +27,8 @@
   /** What is told of leadership. */
   public interface Listener {
     /**
-     * This node is leader; {@code stamp} is that of the key, {@code epoch} names the term
-     * in all eras.
+     * This node is leader; {@code modification revision} is that of the key, {@code epoch} names
+     * the term in all incarnations.
      */
     void leadershipAcquired(long epoch, long modRevision);
 
@@ -144,7 +144,7 @@
   }
 
   private void loseLeadership(String why) {
-    LOG.info("no longer steward: {}", why);
+    LOG.info("no longer leader: {}", why);
     state = State.FOLLOWER;
     leaseRenewer.release();
     listener.leadershipLost(why);
@@ -352,7 +352,7 @@
       startLeading(granted, modRevision);
     } else {
       LOG.info(
-          "steward of a new era in {} s, when one from before cannot be live any more",
+          "leader of a new store incarnation in {} s, when the lease of any former leader has expired",
           claim.waitS());
       timers.after(claim.waitS(), () -> startLeading(granted, modRevision));
     }
@@ -364,17 +364,17 @@
     }
     if (candidacy.startsNewIncarnation()) {
       // Data was lost while the claim was under way: it stands in contents that are no more.
-      loseLeadership("the claim was of contents that are lost");
+      loseLeadership("the claim was made on store contents that are lost");
       return;
     }
-    LOG.info("steward since epoch {}", epoch);
+    LOG.info("leader since epoch {}", epoch);
     listener.leaderChanged(node, epoch, true);
     listener.leadershipAcquired(epoch, modRevision);
   }
 
   private void leaseEnded(long which) {
     if (state == State.LEADER && leaseId == which) {
-      loseLeadership("the lease has ended");
+      loseLeadership("the lease expired");
     }
   }
 }
--- a/src/main/java/io/embernotch/election/LeaderObserver.java
+++ b/src/main/java/io/embernotch/election/LeaderObserver.java
@@ -2,8 +2,8 @@
 
 /**
  * Whom this controller takes for the leader: what the key says, and between two looks at it what a
- * leader says of itself. A beat may be seconds late, and its sender no leader any more or not
- * even alive; so one of a term that the key has shown to be over is believed no more.
+ * leader says of itself. A beat may be seconds late, and its sender no leader any more or not even
+ * alive; so one of a term that the key has shown to be over is believed no more.
  */
 public final class LeaderObserver {
   private String node;
--- a/src/main/java/io/embernotch/election/PeerLiveness.java
+++ b/src/main/java/io/embernotch/election/PeerLiveness.java
@@ -53,7 +53,7 @@
     return out;
   }
 
-  /** Some other controller that is served by the state service; null if none is known to be. */
+  /** Some other controller that is served by the store; null if none is known to be. */
   public String firstWithStore() {
     for (String node : live()) {
       if (recordHeartbeat.get(node).storeReachable) {
@@ -65,7 +65,8 @@
 
   /** Like {@link #firstWithState}, each in turn. */
   public String nextWithStore() {
-    List<String> served = live().stream().filter(n -> recordHeartbeat.get(n).storeReachable).toList();
+    List<String> served =
+        live().stream().filter(n -> recordHeartbeat.get(n).storeReachable).toList();
     return served.isEmpty() ? null : served.get(turn++ % served.size());
   }
 
--- a/src/main/java/io/embernotch/fleet/FailureDetector.java
+++ b/src/main/java/io/embernotch/fleet/FailureDetector.java
@@ -1,10 +1,10 @@
 package io.embernotch.fleet;
 
-import io.embernotch.context.ControllerContext;
-import io.embernotch.state.ClusterState;
 import io.embernotch.agents.AgentReconciler;
+import io.embernotch.context.ControllerContext;
 import io.embernotch.model.Machine;
 import io.embernotch.settings.Settings;
+import io.embernotch.state.ClusterState;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -16,8 +16,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Machines that do not report: whether they are cut off, hang or are dead, and when they are given
- * up.
+ * Machines that do not report: whether they are partitioned, hang or are dead, and when they are
+ * given up.
  */
 final class FailureDetector {
   private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
@@ -29,9 +29,9 @@
   private static final double SILENT_HEARTBEATS = 2.2;
 
   /**
-   * So large a share of the machines must be silent for us to be the ones who are cut off. A zone
-   * can hold more than half of them: at half, leaders that heard the rest well gave leadership to
-   * each other, and none of them started anything.
+   * So large a share of the machines must be silent for us to be the ones who are partitioned. A
+   * zone can hold more than half of them: at half, leaders that heard the rest well gave leadership
+   * to each other, and none of them started anything.
    */
   private static final double DEAF_SHARE = 0.8;
 
@@ -72,16 +72,20 @@
 
   /**
    * When the machine last gave a sign of life. One that ran under an earlier leader is given a
-   * report's time-out longer to find us; before, such a machine was taken for a booting one, and
-   * its services stayed down until its lease and the old leader's hold were over. One that has
-   * only just come up is given the same time: it was once returned in the second before its first
-   * report. So is one whose zone is back from a cut: 238 were once returned as the first controller
-   * was back.
+   * heartbeat's time-out longer to find us; before, such a machine was taken for a booting one, and
+   * its services stayed down until its lease and the old leader's hold were over. One that has only
+   * just come up is given the same time: it was once returned in the second before its first
+   * heartbeat. So is one whose zone is back from a cut: 238 were once returned as the first
+   * controller was back.
    */
   private double lastSign(Machine machine) {
     double heartbeat = context.settings().workers().heartbeatIntervalS();
     double back = backAt.getOrDefault(machine.zone, -1e9) + heartbeat;
-    return Math.max(back, machine.up() ? machine.lastSignOfLifeAt() : Math.max(startedAt, machine.listedUpAt) + heartbeat);
+    return Math.max(
+        back,
+        machine.up()
+            ? machine.lastSignOfLifeAt()
+            : Math.max(startedAt, machine.listedUpAt) + heartbeat);
   }
 
   /**
@@ -111,10 +115,11 @@
     partitionedZones = partitionedZones(silent);
     for (Machine machine : silent) {
       agents.probe(machine);
-      double limit = machine.probeFailedAt > lastSign(machine) ? SILENT_HEARTBEATS : SILENT_HEARTBEATS + 1;
+      double limit =
+          machine.probeFailedAt > lastSign(machine) ? SILENT_HEARTBEATS : SILENT_HEARTBEATS + 1;
       if (now - lastSign(machine) > limit * heartbeat && !worthWaitingFor(machine, now)) {
         LOG.info(
-            "machine {} has been silent for {} s with {} tasks, {}",
+            "machine {} unresponsive for {} s with {} tasks, {}",
             machine.name,
             Math.round(now - lastSign(machine)),
             machine.openAttempts.size(),
@@ -126,13 +131,14 @@
   }
 
   private static boolean mayBeUp(Machine machine) {
-    return !machine.deleting && (machine.up() || machine.listedUpAt >= 0 || !machine.openAttempts.isEmpty());
+    return !machine.deleting
+        && (machine.up() || machine.listedUpAt >= 0 || !machine.openAttempts.isEmpty());
   }
 
   /**
-   * Zones that are cut off: a controller there is silent, and more than half of the machines. It
-   * renews their workers for as long as it may, so what runs there is let run, and nothing new is
-   * rented.
+   * Zones that are partitioned: a controller there is silent, and more than half of the machines.
+   * It renews their workers for as long as it may, so what runs there is let run, and nothing new
+   * is rented.
    */
   private Set<String> partitionedZones(List<Machine> silent) {
     Set<String> live = listener.controllers();
@@ -151,7 +157,7 @@
       }
     }
     if (!out.equals(partitionedZones)) {
-      LOG.info("zones that are cut off: {}", out);
+      LOG.info("partitioned zones: {}", out);
       out.stream().filter(z -> !partitionedZones.contains(z)).forEach(z -> rates.zoneFailed());
       partitionedZones.stream()
           .filter(z -> !out.contains(z))
@@ -163,9 +169,9 @@
   /**
    * A live service on a machine that only lost the network runs on until its lease is over, and
    * would have to start anew elsewhere if the machine were returned before. One that takes a
-   * connection and does not answer is not cut off: it hangs, and so does the service. One that
-   * nothing has proven alive in this term is not waited for: what was heard of it may be
-   * copies of what it said before it ended.
+   * connection and does not answer is not partitioned: it hangs, and so does the service. One that
+   * nothing has proven alive in this term is not waited for: what was heard of it may be copies of
+   * what it said before it ended.
    */
   private boolean worthWaitingFor(Machine machine, double now) {
     if (machine.probeConnected && machine.probeFailedAt > lastSign(machine)) {
--- a/src/main/java/io/embernotch/fleet/FailureRates.java
+++ b/src/main/java/io/embernotch/fleet/FailureRates.java
@@ -1,9 +1,9 @@
 package io.embernotch.fleet;
 
-import io.embernotch.state.ClusterState;
 import io.embernotch.model.Machine;
 import io.embernotch.scheduling.FailureRisk;
 import io.embernotch.settings.Settings;
+import io.embernotch.state.ClusterState;
 
 /**
  * How often machines and zones fail, from what this leader has seen and what is to be expected
--- a/src/main/java/io/embernotch/fleet/FleetManager.java
+++ b/src/main/java/io/embernotch/fleet/FleetManager.java
@@ -1,14 +1,14 @@
 package io.embernotch.fleet;
 
+import io.embernotch.agents.AgentReconciler;
 import io.embernotch.codec.CloudCodec.Listed;
 import io.embernotch.context.ControllerContext;
-import io.embernotch.state.ClusterState;
-import io.embernotch.agents.AgentReconciler;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Machine;
+import io.embernotch.scheduling.FailureRisk;
 import io.embernotch.scheduling.FleetView;
 import io.embernotch.scheduling.SchedulingPlan;
-import io.embernotch.scheduling.FailureRisk;
+import io.embernotch.state.ClusterState;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -38,7 +38,7 @@
     /** The attempt's start does not reach its machine. */
     void startUnreachable(Attempt attempt);
 
-    /** So many machines are silent at once that it is rather we who are cut off. */
+    /** So many machines are silent at once that it is rather we who are partitioned. */
     void controllerPartitioned();
   }
 
@@ -58,7 +58,12 @@
   private boolean listedOnce;
   private double typesAt = -1e9;
 
-  public FleetManager(ControllerContext context, ClusterState state, AgentReconciler agents, long epoch, Listener listener) {
+  public FleetManager(
+      ControllerContext context,
+      ClusterState state,
+      AgentReconciler agents,
+      long epoch,
+      Listener listener) {
     this.context = context;
     this.state = state;
     this.agents = agents;
@@ -66,8 +71,10 @@
     this.scaleOut = new ScaleOut(context, state, agents, epoch, listener::clusterChanged);
     this.scaleIn = new ScaleIn(context, state, listener::machineGone);
     this.rates = new FailureRates(context.settings());
-    this.failureDetector = new FailureDetector(context, state, agents, listener, scaleIn::release, rates);
-    this.oneWayPartitions = new OneWayPartitions(context, state, agents, listener, scaleIn::release);
+    this.failureDetector =
+        new FailureDetector(context, state, agents, listener, scaleIn::release, rates);
+    this.oneWayPartitions =
+        new OneWayPartitions(context, state, agents, listener, scaleIn::release);
     this.startedAt = context.clock().now();
   }
 
@@ -84,7 +91,9 @@
   }
 
   private double listEveryS() {
-    return Math.max(context.settings().cloudLimits().listLagS(), context.settings().workers().heartbeatIntervalS());
+    return Math.max(
+        context.settings().cloudLimits().listLagS(),
+        context.settings().workers().heartbeatIntervalS());
   }
 
   /** What is being rented. */
@@ -113,7 +122,10 @@
     }
     if (now - typesAt > 20 * context.settings().workers().heartbeatIntervalS()) {
       typesAt = now;
-      context.cloud().types().onSuccess(list -> list.forEach(type -> state.types.put(type.name(), type)));
+      context
+          .cloud()
+          .types()
+          .onSuccess(list -> list.forEach(type -> state.types.put(type.name(), type)));
     }
     rates.tick(state, now);
     watchBoots(now);
@@ -125,7 +137,8 @@
   private void list() {
     listing = true;
     listedAt = context.clock().now();
-    context.cloud()
+    context
+        .cloud()
         .list()
         .onComplete(
             r -> {
@@ -167,7 +180,8 @@
         double findUs =
             l.phase().equals("running") ? startedAt + context.settings().workers().leaseS() / 2 : 0;
         double boot = machine.type == null ? 0 : COUNTED_BOOTS * machine.type.bootS();
-        machine.expectedUntil = Math.max(machine.expectedUntil, Math.max(findUs, machine.rentedAt + boot));
+        machine.expectedUntil =
+            Math.max(machine.expectedUntil, Math.max(findUs, machine.rentedAt + boot));
       }
       if (l.phase().equals("running")) {
         machine.listedUpAt = machine.listedUpAt < 0 ? now : machine.listedUpAt;
@@ -201,9 +215,11 @@
       }
       // Machines that were up under an earlier leader need time to find us.
       double since = Math.max(machine.rentedAt, startedAt - machine.type.bootS());
-      if (now - since > HOPELESS_BOOTS * machine.type.bootS() + context.settings().workers().heartbeatIntervalS()
+      if (now - since
+              > HOPELESS_BOOTS * machine.type.bootS()
+                  + context.settings().workers().heartbeatIntervalS()
           && now - startedAt > context.settings().workers().leaseS() / 2) {
-        LOG.info("machine {} has not come up", machine.name);
+        LOG.info("machine {} did not boot in time", machine.name);
         scaleIn(machine);
       }
     }
@@ -219,7 +235,9 @@
     List<Attempt> out = new ArrayList<>();
     double now = context.clock().now();
     for (Machine machine : state.machines.values()) {
-      if (machine.openAttempts.isEmpty() || (machine.up() && now - machine.lastHeartbeatAt < context.settings().workers().leaseS())) {
+      if (machine.openAttempts.isEmpty()
+          || (machine.up()
+              && now - machine.lastHeartbeatAt < context.settings().workers().leaseS())) {
         continue;
       }
       if (agents.leaseExpired(machine)) {
--- a/src/main/java/io/embernotch/fleet/OneWayPartitions.java
+++ b/src/main/java/io/embernotch/fleet/OneWayPartitions.java
@@ -1,18 +1,18 @@
 package io.embernotch.fleet;
 
-import io.embernotch.context.ControllerContext;
-import io.embernotch.state.ClusterState;
 import io.embernotch.agents.AgentReconciler;
+import io.embernotch.context.ControllerContext;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Machine;
+import io.embernotch.state.ClusterState;
 import java.util.List;
 import java.util.function.Consumer;
 
 /**
- * Machines whose reports arrive, and which neither answers nor commands reach. What runs there runs
- * until its worker's lease ends, and may be done before; what has not begun there goes elsewhere as
- * soon as that is proven. Once nothing runs there any more the machine is returned, which proves
- * all else on it gone.
+ * Machines whose heartbeats arrive, and which neither answers nor commands reach. What runs there
+ * runs until its worker's lease ends, and may be done before; what has not begun there goes
+ * elsewhere as soon as that is proven. Once nothing runs there any more the machine is returned,
+ * which proves all else on it gone.
  */
 final class OneWayPartitions {
   /**
@@ -24,7 +24,9 @@
   /** Share of a lease, counted from its last renewal, for which what runs there is waited for. */
   private static final double PATIENCE = 0.9;
 
-  /** Report periods from the last answer that was heard until a machine is taken for deaf. */
+  /**
+   * Report periods from the last answer that was heard until a machine is taken for unreachable.
+   */
   private static final double NOTICED_HEARTBEATS = 2;
 
   private final ControllerContext context;
@@ -48,7 +50,9 @@
 
   void watch(double now) {
     List<Machine> deaf =
-        state.machines.values().stream().filter(machine -> machine.unreachableSince >= 0 && !machine.deleting).toList();
+        state.machines.values().stream()
+            .filter(machine -> machine.unreachableSince >= 0 && !machine.deleting)
+            .toList();
     if (deaf.isEmpty()) {
       return;
     }
@@ -57,7 +61,9 @@
     for (Machine machine : deaf) {
       agents.probe(machine);
       withdraw(machine);
-      if (!ours && machine.probeFailedAt > machine.unreachableSince && !worthWaitingFor(machine, now)) {
+      if (!ours
+          && machine.probeFailedAt > machine.unreachableSince
+          && !worthWaitingFor(machine, now)) {
         scaleIn.accept(machine);
       }
     }
@@ -65,7 +71,9 @@
 
   private void withdraw(Machine machine) {
     for (Attempt attempt : List.copyOf(machine.openAttempts.values())) {
-      boolean begun = attempt.launchState == Attempt.LaunchState.CONFIRMED || attempt.launchState == Attempt.LaunchState.SENDING;
+      boolean begun =
+          attempt.launchState == Attempt.LaunchState.CONFIRMED
+              || attempt.launchState == Attempt.LaunchState.SENDING;
       if (!begun && !attempt.stopping) {
         listener.startUnreachable(attempt);
       }
@@ -74,7 +82,10 @@
 
   private boolean worthWaitingFor(Machine machine, double now) {
     boolean runs =
-        machine.openAttempts.values().stream().anyMatch(attempt -> attempt.launchState == Attempt.LaunchState.CONFIRMED && !attempt.stopping);
+        machine.openAttempts.values().stream()
+            .anyMatch(
+                attempt ->
+                    attempt.launchState == Attempt.LaunchState.CONFIRMED && !attempt.stopping);
     double left =
         PATIENCE * context.settings().workers().leaseS()
             - NOTICED_HEARTBEATS * context.settings().workers().heartbeatIntervalS();
--- a/src/main/java/io/embernotch/fleet/ScaleIn.java
+++ b/src/main/java/io/embernotch/fleet/ScaleIn.java
@@ -1,9 +1,9 @@
 package io.embernotch.fleet;
 
 import io.embernotch.context.ControllerContext;
-import io.embernotch.state.ClusterState;
 import io.embernotch.model.Machine;
 import io.embernotch.settings.Settings;
+import io.embernotch.state.ClusterState;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashSet;
@@ -44,7 +44,9 @@
   }
 
   void send(double now) {
-    boolean urgent = leaving.stream().anyMatch(machine -> !machine.openAttempts.isEmpty() && machine.deleteRetryAt <= now);
+    boolean urgent =
+        leaving.stream()
+            .anyMatch(machine -> !machine.openAttempts.isEmpty() && machine.deleteRetryAt <= now);
     // Proofs that tasks wait for are never behind a call that only saves money.
     if (urgent ? urgentDelete : urgentDelete || idleDelete) {
       return;
@@ -53,7 +55,9 @@
     List<String> names = new ArrayList<>();
     leaving.removeIf(machine -> state.machines.get(machine.name) != machine);
     for (Machine machine : leaving) {
-      if (machine.deleteRetryAt <= now && batch.size() < Settings.CloudLimits.MAX_DELETE && !machine.commandInFlight) {
+      if (machine.deleteRetryAt <= now
+          && batch.size() < Settings.CloudLimits.MAX_DELETE
+          && !machine.commandInFlight) {
         batch.add(machine);
         names.add(machine.name);
         machine.deleteRetryAt = Double.MAX_VALUE;
@@ -63,21 +67,23 @@
       return;
     }
     deleteBusy(urgent, true);
-    context.cloud()
+    context
+        .cloud()
         .delete(names, urgent)
         .onComplete(
             r -> {
               deleteBusy(urgent, false);
               if (r.succeeded()) {
-                LOG.info("returned {}", names);
+                LOG.info("scaled in: {}", names);
                 leaving.removeAll(new HashSet<>(batch));
                 batch.forEach(gone);
               } else {
-                LOG.debug("could not return {}: {}", names, r.cause().getMessage());
+                LOG.debug("could not scale in {}: {}", names, r.cause().getMessage());
                 batch.forEach(
                     machine ->
                         machine.deleteRetryAt =
-                            context.clock().now() + context.settings().workers().heartbeatIntervalS() / 3);
+                            context.clock().now()
+                                + context.settings().workers().heartbeatIntervalS() / 3);
               }
             });
   }
--- a/src/main/java/io/embernotch/fleet/ScaleOut.java
+++ b/src/main/java/io/embernotch/fleet/ScaleOut.java
@@ -1,14 +1,14 @@
 package io.embernotch.fleet;
 
+import io.embernotch.agents.AgentReconciler;
 import io.embernotch.cloud.CloudClient.Rented;
 import io.embernotch.context.ControllerContext;
-import io.embernotch.state.ClusterState;
-import io.embernotch.agents.AgentReconciler;
 import io.embernotch.model.Machine;
 import io.embernotch.model.MachineType;
 import io.embernotch.scheduling.FleetView;
 import io.embernotch.scheduling.SchedulingPlan;
 import io.embernotch.settings.Settings;
+import io.embernotch.state.ClusterState;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -33,7 +33,12 @@
   private int bookings;
 
   /** {@code changed}: machines have come, or will not. */
-  ScaleOut(ControllerContext context, ClusterState state, AgentReconciler agents, long epoch, Runnable changed) {
+  ScaleOut(
+      ControllerContext context,
+      ClusterState state,
+      AgentReconciler agents,
+      long epoch,
+      Runnable changed) {
     this.context = context;
     this.state = state;
     this.agents = agents;
@@ -74,7 +79,7 @@
       int n = Math.min(left, Settings.CloudLimits.MAX_RENT);
       Booking b = new Booking(bookingPrefix + ++bookings, buy.type(), buy.zone(), buy.spot(), n);
       open.put(b.name, b);
-      LOG.info("renting {} {} in {}{}", n, b.type, b.zone, b.spot ? " (spot)" : "");
+      LOG.info("scaling out: {} {} in {}{}", n, b.type, b.zone, b.spot ? " (spot)" : "");
       book(b);
       left -= n;
     }
@@ -85,14 +90,17 @@
   }
 
   private void book(Booking b) {
-    context.cloud()
+    context
+        .cloud()
         .rent(b.name, b.type, b.zone, b.spot, b.number)
         .onSuccess(r -> booked(b, r))
         .onFailure(
             e -> {
               // Perhaps it was executed: the same name gives the same answer and rents nothing.
-              LOG.debug("booking {}: {}", b.name, e.getMessage());
-              context.timers().after(context.settings().workers().heartbeatIntervalS() / 3, () -> book(b));
+              LOG.debug("scale-out request {}: {}", b.name, e.getMessage());
+              context
+                  .timers()
+                  .after(context.settings().workers().heartbeatIntervalS() / 3, () -> book(b));
             });
   }
 
@@ -112,13 +120,15 @@
     }
     if (r.refused() || r.machines().size() < b.number) {
       LOG.info(
-          "no more {} in {}{}: got {} of {}",
+          "pool exhausted: {} in {}{}, got {} of {}",
           b.type,
           b.zone,
           b.spot ? " (spot)" : "",
           r.machines().size(),
           b.number);
-      fullUntil.put(pool(b.type, b.zone, b.spot), now + 5 * context.settings().workers().heartbeatIntervalS());
+      fullUntil.put(
+          pool(b.type, b.zone, b.spot),
+          now + 5 * context.settings().workers().heartbeatIntervalS());
     }
     changed.run();
   }
--- a/src/main/java/io/embernotch/forwarding/DelegatedRenewal.java
+++ b/src/main/java/io/embernotch/forwarding/DelegatedRenewal.java
@@ -2,10 +2,9 @@
 
 import io.embernotch.codec.WorkerCodec;
 import io.embernotch.context.ControllerContext;
-import io.embernotch.context.ProcessIncarnation;
 import io.embernotch.context.LeastRecentlyUsed;
+import io.embernotch.context.ProcessIncarnation;
 import io.embernotch.http.HttpResponse;
-import io.embernotch.agents.RenewalDelegations;
 import io.embernotch.model.Heartbeat;
 import io.embernotch.peer.Frame;
 import io.embernotch.settings.Settings;
@@ -13,11 +12,12 @@
 import java.util.Map;
 
 /**
- * A controller's right to renew the workers of its own zone while it is cut off with them. Without
- * it all that runs behind a cut ends with its lease, though nothing is wrong there. The right is
- * given by a live leader with each {@link Frame.DelegateHeartbeatAck}, counts from the sending of what that
- * answers, and is used only once the leader has not answered for {@link Settings#contactS}. {@link
- * Delegations} is the leader's side, which knows until when such renewals may have gone on.
+ * A controller's right to renew the workers of its own zone while it is partitioned with them.
+ * Without it all that runs behind a cut ends with its lease, though nothing is wrong there. The
+ * right is given by a live leader with each {@link Frame.DelegateHeartbeatAck}, counts from the
+ * sending of what that answers, and is used only once the leader has not answered for {@link
+ * Settings#contactS}. {@link Delegations} is the leader's side, which knows until when such
+ * renewals may have gone on.
  */
 public final class DelegatedRenewal {
   private static final int REMEMBERED = 64;
@@ -49,7 +49,8 @@
   public Frame.DelegateHeartbeat nextHeartbeat() {
     double now = context.clock().now();
     sentAt.put(++seq, now);
-    return new Frame.DelegateHeartbeat(context.settings().node(), seq, ack, renewedAt < 0 ? -1 : now - renewedAt);
+    return new Frame.DelegateHeartbeat(
+        context.settings().node(), seq, ack, renewedAt < 0 ? -1 : now - renewedAt);
   }
 
   public void acknowledged(Frame.DelegateHeartbeatAck n) {
@@ -71,8 +72,8 @@
 
   /**
    * The answer that renews a worker's lease under the token it has; null if that is not for us to
-   * give. Now and then, with a fresh lease, a worker is sent to look for the leader itself:
-   * perhaps only we are cut off, and it would get no orders here.
+   * give. Now and then, with a fresh lease, a worker is sent to look for the leader itself: perhaps
+   * only we are partitioned, and it would get no orders here.
    */
   public HttpResponse renew(Heartbeat heartbeat, String leader) {
     double now = context.clock().now();
@@ -83,7 +84,9 @@
       return null;
     }
     Double away =
-        awayAt.putIfAbsent(heartbeat.machine(), now - s.workers().leaseS() / 2 + s.workers().heartbeatIntervalS() / 4);
+        awayAt.putIfAbsent(
+            heartbeat.machine(),
+            now - s.workers().leaseS() / 2 + s.workers().heartbeatIntervalS() / 4);
     if (away != null && now - away > s.workers().leaseS() / 2) {
       awayAt.put(heartbeat.machine(), now);
       return HeartbeatForwarder.misdirected(leader);
--- a/src/main/java/io/embernotch/forwarding/HeartbeatForwarder.java
+++ b/src/main/java/io/embernotch/forwarding/HeartbeatForwarder.java
@@ -1,12 +1,12 @@
 package io.embernotch.forwarding;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.embernotch.agents.FencingTokens;
 import io.embernotch.codec.Json;
 import io.embernotch.codec.WorkerCodec;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.context.LeastRecentlyUsed;
 import io.embernotch.http.HttpResponse;
-import io.embernotch.agents.FencingTokens;
 import io.embernotch.model.Heartbeat;
 import io.embernotch.peer.Frame;
 import io.vertx.core.Future;
@@ -23,10 +23,10 @@
 import java.util.stream.Collectors;
 
 /**
- * What a controller that is not leader does with the workers that report to it: it passes their
- * reports on to the leader, and its answers back. So workers stay where they are when the leader
- * changes. When all of them reported to the leader itself, a thousand connected to its successor
- * at once, and a fifth of a core took up to 30 s to get over that.
+ * What a controller that is not leader does with the workers that heartbeat to it: it passes their
+ * heartbeats on to the leader, and its answers back. So workers stay where they are when the leader
+ * changes. When all of them reported to the leader itself, a thousand connected to its successor at
+ * once, and a fifth of a core took up to 30 s to get over that.
  *
  * <p>While no leader is known, workers are told to stay. The next one is handed what they last
  * said, so that it knows its machines before their next reports.
@@ -47,11 +47,11 @@
 
     void send(String node, Frame frame);
 
-    /** The state service answers another controller, and not this one. */
+    /** The store answers another controller, and not this one. */
     boolean isPartitionedFromStore();
   }
 
-  /** Compared by identity: a report can be long. */
+  /** Compared by identity: a heartbeat can be long. */
   private static final class Parked {
     final Heartbeat heartbeat;
     final Promise<HttpResponse> reply = Promise.promise();
@@ -81,7 +81,7 @@
   private boolean leaderAcceptsForwarded;
   private double changedAt;
 
-  /** The first report passed on since the leader last answered one; below 0 if there is none. */
+  /** The first heartbeat passed on since the leader last answered one; below 0 if there is none. */
   private double unansweredSince = -1;
 
   private double tryAt;
@@ -100,7 +100,7 @@
 
   /**
    * Another leader is known, or none. {@code takesReports} tells of a version that is passed
-   * reports.
+   * heartbeats.
    */
   public void leaderChanged(String node, long newEpoch, boolean takesHeartbeats) {
     boolean same = Objects.equals(node, leader) && newEpoch == epoch;
@@ -118,14 +118,19 @@
     if (node != null && takesHeartbeats && !node.equals(context.settings().node())) {
       Set<String> waiting =
           parked.stream().map(p -> p.heartbeat.machine()).collect(Collectors.toSet());
-      handOver(recentHeartbeats().stream().filter(heartbeat -> !waiting.contains(heartbeat.machine())).toList(), 0, newEpoch);
+      handOver(
+          recentHeartbeats().stream()
+              .filter(heartbeat -> !waiting.contains(heartbeat.machine()))
+              .toList(),
+          0,
+          newEpoch);
     }
     if (node != null && !node.equals(context.settings().node())) {
       releaseParked(this::handleHeartbeat);
     }
   }
 
-  /** Tells the leader that we are here; called a few times in a report period. */
+  /** Tells the leader that we are here; called a few times in a heartbeat interval. */
   public void sendDelegateHeartbeat() {
     if (leader != null && leaderAcceptsForwarded && !leader.equals(context.settings().node())) {
       host.send(leader, delegatedRenewal.nextHeartbeat());
@@ -147,7 +152,7 @@
     return controllersDelayingCancellations;
   }
 
-  /** What workers said within a report period or so. */
+  /** What workers said within a heartbeat interval or so. */
   public List<Heartbeat> recentHeartbeats() {
     List<Heartbeat> out = new ArrayList<>();
     double since = context.clock().now() - 1.5 * context.settings().workers().heartbeatIntervalS();
@@ -168,8 +173,11 @@
       host.send(leader, new Frame.ForwardedHeartbeat(0, heartbeat));
     }
     if (end < heartbeats.size()) {
-      context.timers()
-          .after(context.settings().workers().heartbeatIntervalS() / 200, () -> handOver(heartbeats, end, to));
+      context
+          .timers()
+          .after(
+              context.settings().workers().heartbeatIntervalS() / 200,
+              () -> handOver(heartbeats, end, to));
     }
   }
 
@@ -177,7 +185,8 @@
   public Future<HttpResponse> handleHeartbeat(Heartbeat heartbeat) {
     double now = context.clock().now();
     Last before = lastHeartbeats.get(heartbeat.machine());
-    if (before == null || heartbeat.newerThan(before.heartbeat.agentEpoch(), before.heartbeat.seq())) {
+    if (before == null
+        || heartbeat.newerThan(before.heartbeat.agentEpoch(), before.heartbeat.seq())) {
       // A copy of an older one is no sign of life, and must not be handed to the next leader as
       // one.
       lastHeartbeats.put(heartbeat.machine(), new Last(heartbeat, now));
@@ -191,7 +200,7 @@
       return Future.succeededFuture(renewal);
     }
     if (leader == null) {
-      // Elsewhere a leader may be known: a node that is cut off must not keep its workers.
+      // Elsewhere a leader may be known: a node that is partitioned must not keep its workers.
       boolean leave = now - changedAt > patienceS && host.isPartitionedFromStore();
       return leave ? Future.succeededFuture(misdirected(null)) : park(heartbeat);
     }
@@ -200,7 +209,7 @@
       return Future.succeededFuture(misdirected(leader));
     }
     if (deaf) {
-      // Once in a while one report tells whether the leader answers again.
+      // Once in a while one heartbeat tells whether the leader answers again.
       tryAt = now + patienceS / 2;
     }
     unansweredSince = unansweredSince < 0 ? now : unansweredSince;
@@ -218,11 +227,12 @@
             });
   }
 
-  /** Waits a moment for a leader, so that the worker's lease counts from this report. */
+  /** Waits a moment for a leader, so that the worker's lease counts from this heartbeat. */
   private Future<HttpResponse> park(Heartbeat heartbeat) {
     Parked p = new Parked(heartbeat);
     parked.add(p);
-    context.timers()
+    context
+        .timers()
         .after(
             withinS,
             () -> {
--- a/src/main/java/io/embernotch/forwarding/PendingRequests.java
+++ b/src/main/java/io/embernotch/forwarding/PendingRequests.java
@@ -20,8 +20,8 @@
   private long next;
 
   /**
-   * @param names makes names that nobody else ever has: an answer to a former life must not pass
-   *     for one to this
+   * @param names makes names that nobody else ever has: an answer to a former incarnation must not
+   *     pass for one to this
    */
   public PendingRequests(Timers timers, PeerLink peers, Supplier<String> names) {
     this.next = ProcessIncarnation.begin(names);
--- a/src/main/java/io/embernotch/http/HttpApiServer.java
+++ b/src/main/java/io/embernotch/http/HttpApiServer.java
@@ -75,7 +75,8 @@
    * @param core runs what is asked of the door
    * @param timers those of the loop that {@link #listen} is called on
    */
-  public HttpApiServer(RequestHandler door, Executor core, Clock clock, Timers timers, Settings settings) {
+  public HttpApiServer(
+      RequestHandler door, Executor core, Clock clock, Timers timers, Settings settings) {
     this.door = door;
     this.core = core;
     this.clock = clock;
@@ -126,7 +127,9 @@
     turnAt = now;
     if (stood > SUBMIT_S) {
       LOG.info(
-          "stood still for {} s, {} connections are closed", Math.round(stood), connections.size());
+          "process was paused for {} s, {} connections are closed",
+          Math.round(stood),
+          connections.size());
       staleUntil = now + READY_S;
       List.copyOf(connections).forEach(HttpConnection::close);
     }
--- a/src/main/java/io/embernotch/http/VertxHttpCaller.java
+++ b/src/main/java/io/embernotch/http/VertxHttpCaller.java
@@ -64,7 +64,8 @@
   }
 
   @Override
-  public Future<HttpReply> call(String method, HostPort to, String path, byte[] body, double timeoutS) {
+  public Future<HttpReply> call(
+      String method, HostPort to, String path, byte[] body, double timeoutS) {
     String host = to.host() + ":" + to.port();
     Host known = hosts.get(host);
     if (known == null) {
--- a/src/main/java/io/embernotch/incarnation/StoreIncarnationTracker.java
+++ b/src/main/java/io/embernotch/incarnation/StoreIncarnationTracker.java
@@ -5,7 +5,7 @@
 import io.embernotch.codec.JobProgressCodec;
 import io.embernotch.snapshot.BaseSnapshot;
 import io.embernotch.snapshot.SnapshotBlocks;
-import io.embernotch.copy.proto.CopyFile.Copy;
+import io.embernotch.snapshot.proto.SnapshotProto.ClusterSnapshot;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.election.Candidacy;
 import io.embernotch.model.StoreIncarnation;
@@ -19,12 +19,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Which life of the state service's contents this controller knows, and whether what is there now is that
- * one. Nothing is written but on condition of the era's key, nobody leads while the contents are not ours,
+ * Which life of the store's contents this controller knows, and whether what is there now is that
+ * one. Nothing is written but on condition of the incarnation's key, nobody leads while the contents are not ours,
  * and what they lack is not denied.
  *
- * <p>A loss is noticed by a revision that falls, by the era's key that is not there, or by another era in
- * its place that was not made from ours. An era that was made from ours is taken over.
+ * <p>A loss is noticed by a revision that falls, by the incarnation's key that is not there, or by another incarnation in
+ * its place that was not made from ours. An incarnation that was made from ours is taken over.
  */
 public final class StoreIncarnationTracker implements StoreClient.LossListener, Candidacy {
   private static final Logger LOG = LoggerFactory.getLogger(StoreIncarnationTracker.class);
@@ -34,7 +34,7 @@
 
   /** What is told of it. */
   public interface Host {
-    /** The state service holds our data. {@code base} is what the present era began with. */
+    /** The store holds our data. {@code base} is what the present incarnation began with. */
     void incarnationSettled(BaseSnapshot baseSnapshot);
 
     /** Every other controller has been heard from since this process started. */
@@ -57,18 +57,18 @@
   private final StoreRestorer.Source source;
   private final StoreRestorer restore;
   private State state = State.UNREAD;
-  /** The era that we know; null if there was none yet. */
+  /** The incarnation that we know; null if there was none yet. */
   private StoreIncarnation known;
   private BaseSnapshot baseSnapshot = BaseSnapshot.EMPTY;
-  /** The copy that the present era was begun with, if this node's next leader is its first. */
-  private Copy takeInitialSnapshot;
+  /** The copy that the present incarnation was begun with, if this node's next leader is its first. */
+  private ClusterSnapshot takeInitialSnapshot;
   /** The highest epoch that anybody here has seen. */
   private long highestEpoch;
   private long lossEpoch;
   /** Stamp of the pointer when it was last read, 0 if it was absent; what it named, null if nothing that can be read. */
   private long pointerModRevision;
   private StoreIncarnation pointed;
-  /** The era that a claim under way begins; null if it goes on with the present one. */
+  /** The incarnation that a claim under way begins; null if it goes on with the present one. */
   private StoreIncarnation claimed;
   private boolean legacyLeaderPresent;
   private final double startedAt;
@@ -96,7 +96,7 @@
 
   /**
    * The contents are known to be ours, so that what they lack was never there. A process that is started
-   * into contents without an era knows nothing of them, unless a version before eras leads.
+   * into contents without an incarnation knows nothing of them, unless a version before incarnations leads.
    */
   public boolean isIntact() {
     return state == State.INTACT && (known != null || (legacyLeaderPresent && !behind()));
@@ -111,8 +111,8 @@
   }
 
   /**
-   * What beats tell of a loss: an epoch that no contents from before the next era can ever reach, whatever
-   * is still written to them, and that the next era is above. Fixed at the loss, so that controllers which
+   * What beats tell of a loss: an epoch that no contents from before the next incarnation can ever reach, whatever
+   * is still written to them, and that the next incarnation is above. Fixed at the loss, so that controllers which
    * hear of each other's do not drive it up.
    */
   public long lossEpoch() {
@@ -131,7 +131,7 @@
     return highestEpoch > epochFloor() + context.store().highestRevisionSeen();
   }
 
-  /** Data is lost, and no era has begun since. */
+  /** Data is lost, and no incarnation has begun since. */
   public boolean lost() {
     return state == State.LOST;
   }
@@ -141,7 +141,7 @@
     return losses;
   }
 
-  /** The name of the present era; "" if there is none. */
+  /** The name of the present incarnation; "" if there is none. */
   public String name() {
     return known == null ? "" : known.name();
   }
@@ -151,11 +151,11 @@
   }
 
   /**
-   * What the store held when the term that follows began, if that began the era: for as long as it
+   * What the store held when the term that follows began, if that began the incarnation: for as long as it
    * has not read the store it knows no more than this. Given once; null if others may have written since.
    */
-  public Copy takeInitialSnapshot() {
-    Copy given = takeInitialSnapshot;
+  public ClusterSnapshot takeInitialSnapshot() {
+    ClusterSnapshot given = takeInitialSnapshot;
     takeInitialSnapshot = null;
     return given;
   }
@@ -168,7 +168,7 @@
   /**
    * A controller names a leader and its epoch. Without a leader, one far above what these contents can have
    * reached tells that it has found data lost. A leader must not go on as if nothing were: a follower that alone
-   * had seen the one change that was gone once began an era without what the leader knew.
+   * had seen the one change that was gone once began an incarnation without what the leader knew.
    */
   public void peerHeartbeatReceived(String node, String leader, long epoch) {
     observeEpoch(epoch);
@@ -177,7 +177,7 @@
     }
   }
 
-  /** The leader's key names this era. */
+  /** The leader's key names this incarnation. */
   public void incarnationNamed(String incarnation) {
     legacyLeaderPresent = incarnation != null && incarnation.isEmpty();
     if (state != State.UNREAD && incarnation != null && !incarnation.equals(name())) {
@@ -185,7 +185,7 @@
     }
   }
 
-  /** A leader's question, now and then, whether the contents are still ours; {@code stamp}: its key's. */
+  /** A leader's question, now and then, whether the contents are still ours; {@code modification revision}: its key's. */
   public void probe(long modRevision) {
     if (state == State.INTACT && known != null) {
       context.store().verifyUnchanged(JobProgressCodec.LEADER, modRevision);
@@ -215,12 +215,12 @@
     claimed = null;
     losses++;
     if (state != State.LOST) {
-      LOG.warn("the state service has lost data: {}", why);
+      LOG.warn("the store has lost data: {}", why);
       state = State.LOST;
       lossEpoch = highestEpoch + LEAP;
       host.dataLost(why);
     } else {
-      LOG.warn("the state service has lost data again: {}", why);
+      LOG.warn("the store has lost data again: {}", why);
     }
     pointerRead = false;
     restore.begin();
@@ -264,12 +264,12 @@
     try {
       there = entry.present() ? IncarnationCodec.read(entry.value(), entry.modRevision()) : null;
     } catch (MalformedInputException e) {
-      LOG.warn("the era's key is unreadable: {}", e.getMessage());
+      LOG.warn("the store incarnation key is unreadable: {}", e.getMessage());
     }
     pointerModRevision = entry.modRevision();
     pointed = there;
     boolean same = known != null && there != null && there.name().equals(known.name()) && there.modRevision() == known.modRevision();
-    Copy kept = state == State.UNREAD && there == null ? source.newestStoredSnapshot() : null;
+    ClusterSnapshot kept = state == State.UNREAD && there == null ? source.newestStoredSnapshot() : null;
     if (kept != null) {
       lost("it holds no era, and there is a snapshot of epoch " + kept.getEpoch());
       return;
@@ -283,7 +283,7 @@
   }
 
   /**
-   * After a loss an era that was begun since is taken over if it was made from ours, or if we know nothing
+   * After a loss an incarnation that was begun since is taken over if it was made from ours, or if we know nothing
    * that could be put in its place. The one that we knew, or one before it, is what was put back.
    */
   private boolean mayAdopt(StoreIncarnation there) {
@@ -310,7 +310,7 @@
               try {
                 settle(there, new BaseSnapshot(unpack(there, found).unpack(), there.since()));
               } catch (MalformedInputException e) {
-                LOG.error("era {} can't be used: {}", there.name(), e.getMessage());
+                LOG.error("store incarnation {} cannot be used: {}", there.name(), e.getMessage());
                 retryLater();
               }
             })
@@ -342,7 +342,7 @@
     baseSnapshot = itsBase;
     state = State.INTACT;
     if (before != State.INTACT || news) {
-      LOG.info("era {}, epochs from {}", name(), epochFloor());
+      LOG.info("store incarnation {}, epochs from {}", name(), epochFloor());
       host.incarnationSettled(baseSnapshot);
     }
   }
@@ -357,9 +357,9 @@
   @Override
   public boolean mayClaim() {
     if (state == State.INTACT) {
-      // Whoever was up before knows whether contents without an era are new, or emptied; and has
+      // Whoever was up before knows whether contents without an incarnation are new, or emptied; and has
       // restored them by then if they are. A process that was started anew into emptied contents once
-      // began a first era there, while another still held all that was lost.
+      // began a first incarnation there, while another still held all that was lost.
       double upS = context.clock().now() - startedAt;
       return known != null
           || (behind() ? upS > context.settings().workers().leaseS() / 2 : host.allPeersHeard() || upS > context.settings().workers().heartbeatIntervalS());
@@ -370,7 +370,7 @@
   @Override
   public void leaderKeyOrphaned(String holder) {
     if (state == State.INTACT) {
-      lost("the steward's key names " + holder + ", and its lease is gone");
+      lost("the leader key names " + holder + ", and its lease is gone");
     }
   }
 
@@ -407,7 +407,7 @@
     return new Claim(claimed.name(), claimed.epochFloor(), state == State.LOST ? restore.formerLeaderGraceS() : 0);
   }
 
-  /** The names that came before an era that is begun now, whatever is there besides what we knew. */
+  /** The names that came before an incarnation that is begun now, whatever is there besides what we knew. */
   private List<String> before() {
     List<String> out = new ArrayList<>(known == null ? List.of() : known.lineage());
     if (pointed != null) {
@@ -442,7 +442,7 @@
     claimed = null;
     readPointer();
     if (state == State.LOST) {
-      // The blocks are lost too, or somebody has begun an era: then there is no more need of ours.
+      // The blocks are lost too, or somebody has begun an incarnation: then there is no more need of ours.
       restore.begin();
     }
   }
--- a/src/main/java/io/embernotch/incarnation/StoreRestorer.java
+++ b/src/main/java/io/embernotch/incarnation/StoreRestorer.java
@@ -2,12 +2,12 @@
 
 import io.embernotch.codec.IncarnationCodec;
 import io.embernotch.codec.JobProgressCodec;
-import io.embernotch.snapshot.SnapshotBlocks;
-import io.embernotch.snapshot.StateSnapshot;
-import io.embernotch.snapshot.SnapshotMerge;
-import io.embernotch.copy.proto.CopyFile.Copy;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.settings.Settings;
+import io.embernotch.snapshot.SnapshotBlocks;
+import io.embernotch.snapshot.SnapshotMerge;
+import io.embernotch.snapshot.StateSnapshot;
+import io.embernotch.snapshot.proto.SnapshotProto.ClusterSnapshot;
 import io.embernotch.store.RateLimiter.RequestPriority;
 import io.embernotch.store.StoreClient;
 import io.embernotch.store.Transaction;
@@ -16,9 +16,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes a copy of what was lost into the state service, as blocks under a name that no era has
- * had, so that nothing there can be taken for part of another copy. It counts only once an era is
- * begun with it.
+ * Writes a copy of what was lost into the store, as blocks under a name that no incarnation has
+ * had, so that nothing there can be taken for part of another copy. It counts only once an
+ * incarnation is begun with it.
  */
 public final class StoreRestorer {
   private static final Logger LOG = LoggerFactory.getLogger(StoreRestorer.class);
@@ -29,14 +29,14 @@
      * What this node was leader of when the data was lost; null if it was not, or another has been
      * since.
      */
-    Copy lastLeaderSnapshot();
+    ClusterSnapshot lastLeaderSnapshot();
 
     /** The newest snapshot that may be used; null if there is none. Blocks. */
-    Copy newestStoredSnapshot();
+    ClusterSnapshot newestStoredSnapshot();
   }
 
-  /** A copy that lies in the state service. */
-  record Prepared(String name, Copy copy, int blocks, long crc, long lastModRevision) {}
+  /** A copy that lies in the store. */
+  record Prepared(String name, ClusterSnapshot copy, int blocks, long crc, long lastModRevision) {}
 
   private final ControllerContext context;
   private final Source source;
@@ -51,14 +51,15 @@
   /**
    * @param lifeS life of a leader's lease in seconds
    */
-  StoreRestorer(ControllerContext context, Source source, double leaseTtlS, BooleanSupplier needed) {
+  StoreRestorer(
+      ControllerContext context, Source source, double leaseTtlS, BooleanSupplier needed) {
     this.context = context;
     this.source = source;
     this.leaseTtlS = leaseTtlS;
     this.needed = needed;
   }
 
-  /** The copy that an era may be begun with; null while none is there. */
+  /** The copy that an incarnation may be begun with; null while none is there. */
   Prepared prepared() {
     return prepared;
   }
@@ -80,31 +81,33 @@
   void begin() {
     prepared = null;
     int mine = ++attempt;
-    Copy copy = source.lastLeaderSnapshot();
+    ClusterSnapshot copy = source.lastLeaderSnapshot();
     ownTerm = copy != null;
     if (copy != null) {
       lead(mine, copy);
       return;
     }
-    context.timers()
+    context
+        .timers()
         .after(
             context.settings().workers().leaseS() / 3,
             () -> {
               if (mine == attempt && needed.getAsBoolean()) {
                 // Tasks may run of which nobody here knows, so nothing that was left is started for
                 // long.
-                Copy kept = source.newestStoredSnapshot();
+                ClusterSnapshot kept = source.newestStoredSnapshot();
                 LOG.warn(
-                    "nobody who was steward has restored the state service's data: going on with what is left there and {}",
+                    "no former leader has restored the store: continuing with what is left there and {}",
                     kept == null ? "no snapshot" : "a snapshot of epoch " + kept.getEpoch());
                 leadWithRemains(
-                    mine, kept == null ? Copy.newBuilder().setComplete(false).build() : kept);
+                    mine,
+                    kept == null ? ClusterSnapshot.newBuilder().setComplete(false).build() : kept);
               }
             });
   }
 
   /** Neither a snapshot nor what is left in the store need be the newer one: both count. */
-  private void leadWithRemains(int mine, Copy kept) {
+  private void leadWithRemains(int mine, ClusterSnapshot kept) {
     StoreClient store = context.store();
     store
         .list(JobProgressCodec.JOB)
@@ -120,11 +123,14 @@
                                     parts ->
                                         store
                                             .list(JobProgressCodec.SHARED)
-                                            .map(shared -> StateSnapshot.of(jobs, runs, parts, shared)))))
+                                            .map(
+                                                shared ->
+                                                    StateSnapshot.of(jobs, runs, parts, shared)))))
         .onSuccess(left -> lead(mine, SnapshotMerge.of(left, kept)))
         .onFailure(
             e ->
-                context.timers()
+                context
+                    .timers()
                     .after(
                         leaseTtlS / 4,
                         () -> {
@@ -139,9 +145,10 @@
     prepared = null;
   }
 
-  private void lead(int mine, Copy copy) {
+  private void lead(int mine, ClusterSnapshot copy) {
     String name = context.names().get();
-    SnapshotBlocks packed = SnapshotBlocks.pack(copy, (int) (context.settings().minStoreLimits().valueKb() * 1024));
+    SnapshotBlocks packed =
+        SnapshotBlocks.pack(copy, (int) (context.settings().minStoreLimits().valueKb() * 1024));
     LOG.info(
         "restoring {} jobs and {} ends in {} blocks",
         copy.getJobCount(),
@@ -161,21 +168,30 @@
     Transaction txn = new Transaction().unfenced();
     int bytes = 0;
     int to = from;
-    for (; to < packed.blocks().size() && to - from < context.settings().minStoreLimits().txnOps(); to++) {
+    for (;
+        to < packed.blocks().size() && to - from < context.settings().minStoreLimits().txnOps();
+        to++) {
       byte[] block = packed.blocks().get(to);
       bytes += block.length * 4 / 3 + 200;
       if (to > from && bytes > Transaction.MAX_BYTES) {
         break;
       }
-      txn.write(IncarnationCodec.block(p.name(), to), IncarnationCodec.writeBlock(block, SnapshotBlocks.sum(block)));
+      txn.write(
+          IncarnationCodec.block(p.name(), to),
+          IncarnationCodec.writeBlock(block, SnapshotBlocks.sum(block)));
     }
     int next = to;
     // Written again after an answer that did not come, it is the same.
-    context.store()
+    context
+        .store()
         .commit(txn, RequestPriority.HIGH)
         .onSuccess(
             result ->
-                write(mine, new Prepared(p.name, p.copy, p.blocks, p.crc, result.revision()), packed, next))
+                write(
+                    mine,
+                    new Prepared(p.name, p.copy, p.blocks, p.crc, result.revision()),
+                    packed,
+                    next))
         .onFailure(e -> context.timers().after(leaseTtlS / 16, () -> write(mine, p, packed, from)));
   }
 }
--- a/src/main/java/io/embernotch/jobs/AttemptOutcomes.java
+++ b/src/main/java/io/embernotch/jobs/AttemptOutcomes.java
@@ -1,16 +1,16 @@
 package io.embernotch.jobs;
 
-import io.embernotch.context.ControllerContext;
-import io.embernotch.state.FailureAttribution;
-import io.embernotch.state.ClusterState;
 import io.embernotch.agents.TaskStopper;
+import io.embernotch.context.ControllerContext;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.ExitCause;
 import io.embernotch.model.Job;
-import io.embernotch.model.Machine;
 import io.embernotch.model.JobPhase;
 import io.embernotch.model.JobShape;
+import io.embernotch.model.Machine;
 import io.embernotch.persistence.StateWriter;
+import io.embernotch.state.ClusterState;
+import io.embernotch.state.FailureAttribution;
 import java.util.List;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
@@ -96,7 +96,9 @@
 
   private void finished(Attempt attempt, Machine machine, double now) {
     Job job = attempt.job;
-    if (attempt.runningAt >= 0 && !job.restartedTasks.get(attempt.task) && !job.done.get(attempt.task)) {
+    if (attempt.runningAt >= 0
+        && !job.restartedTasks.get(attempt.task)
+        && !job.done.get(attempt.task)) {
       double ran = Math.max(0.1, now - attempt.runningAt);
       job.finishedSumS += ran;
       job.finishedCount++;
@@ -155,7 +157,8 @@
   /** An attempt is over: its place is free, and what the store is to hold has changed. */
   public void close(Attempt attempt) {
     state.closeAttempt(attempt, context.clock().now());
-    if (attempt.launchState != Attempt.LaunchState.UNCOMMITTED && attempt.launchState != Attempt.LaunchState.READY) {
+    if (attempt.launchState != Attempt.LaunchState.UNCOMMITTED
+        && attempt.launchState != Attempt.LaunchState.READY) {
       attempt.job.restartedTasks.set(attempt.task);
     }
     stateWriter.writeLater(attempt.job, attempt.task);
--- a/src/main/java/io/embernotch/jobs/Cancellations.java
+++ b/src/main/java/io/embernotch/jobs/Cancellations.java
@@ -1,16 +1,16 @@
 package io.embernotch.jobs;
 
+import io.embernotch.agents.AgentReconciler;
 import io.embernotch.codec.JobCodec;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.http.HttpResponse;
-import io.embernotch.state.ClusterState;
-import io.embernotch.agents.AgentReconciler;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
-import io.embernotch.model.Machine;
 import io.embernotch.model.JobPhase;
+import io.embernotch.model.Machine;
 import io.embernotch.persistence.StateWriter;
 import io.embernotch.settings.Settings;
+import io.embernotch.state.ClusterState;
 import io.embernotch.store.RateLimiter.RequestPriority;
 import io.vertx.core.Promise;
 import java.util.ArrayList;
@@ -35,7 +35,12 @@
   private final AgentReconciler agents;
   private final Map<Job, List<Promise<HttpResponse>>> requested = new LinkedHashMap<>();
 
-  public Cancellations(ControllerContext context, ClusterState state, StateWriter stateWriter, JobCompletions completions, AgentReconciler agents) {
+  public Cancellations(
+      ControllerContext context,
+      ClusterState state,
+      StateWriter stateWriter,
+      JobCompletions completions,
+      AgentReconciler agents) {
     this.context = context;
     this.state = state;
     this.stateWriter = stateWriter;
@@ -46,7 +51,8 @@
   /** A user wants the job cancelled; its tasks have been told to stop. */
   public void request(Job job, Promise<HttpResponse> reply) {
     requested.computeIfAbsent(job, key -> new ArrayList<>()).add(reply);
-    context.timers()
+    context
+        .timers()
         .after(
             context.settings().workers().heartbeatIntervalS() / 2,
             () -> reply.tryComplete(HttpResponse.later("tasks of it cannot be reached yet")));
@@ -74,16 +80,20 @@
     if (job.endPersisted) {
       replies.forEach(r -> r.tryComplete(answer));
     } else {
-      stateWriter.writeNow(job, 0, RequestPriority.HIGH, () -> replies.forEach(r -> r.tryComplete(answer)));
+      stateWriter.writeNow(
+          job, 0, RequestPriority.HIGH, () -> replies.forEach(r -> r.tryComplete(answer)));
     }
   }
 
   private boolean allGoneInTime(Job job) {
     // What the commit and its answer may take counts as well: a tenth is far more than they do.
-    double by = context.clock().now() + context.settings().workers().cancelS() * (0.9 - Settings.DRIFT);
+    double by =
+        context.clock().now() + context.settings().workers().cancelS() * (0.9 - Settings.DRIFT);
     for (Attempt attempt : job.openAttempts.values()) {
       Machine machine = state.machines.get(attempt.machine);
-      if (machine == null || agents.leaseExpiresBy(machine) > by || attempt.mayYetStart(agents.tokenBase())) {
+      if (machine == null
+          || agents.leaseExpiresBy(machine) > by
+          || attempt.mayYetStart(agents.tokenBase())) {
         return false;
       }
     }
--- a/src/main/java/io/embernotch/jobs/DependencyGraph.java
+++ b/src/main/java/io/embernotch/jobs/DependencyGraph.java
@@ -2,10 +2,10 @@
 
 import io.embernotch.codec.JobProgressCodec;
 import io.embernotch.context.ControllerContext;
-import io.embernotch.state.ClusterState;
 import io.embernotch.model.Job;
 import io.embernotch.model.JobPhase;
 import io.embernotch.model.Priority;
+import io.embernotch.state.ClusterState;
 import io.embernotch.store.VersionedEntry;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -46,7 +46,7 @@
   /** The jobs that name a job, by the id of the named one, while that has not ended. */
   private final Map<String, Set<Job>> needing = new HashMap<>();
 
-  /** Named jobs that the ledger does not know, and that are to be looked up in the store. */
+  /** Named jobs that the cluster state does not know, and that are to be looked up in the store. */
   private final Set<String> unknown = new LinkedHashSet<>();
 
   private final Set<String> lookingUp = new LinkedHashSet<>();
@@ -58,7 +58,7 @@
     this.sink = sink;
   }
 
-  /** All of the ledger's jobs anew. */
+  /** All of the cluster state's jobs anew. */
   public void rebuild() {
     needing.clear();
     unknown.clear();
@@ -153,7 +153,8 @@
         return;
       }
       if (lookingUp.add(ref)) {
-        context.store()
+        context
+            .store()
             .get(JobProgressCodec.JOB + ref)
             .onComplete(
                 r -> {
@@ -166,7 +167,7 @@
                     sink.jobFound(r.result());
                   } else {
                     // Its node read it before accepting the job that names it, so this cannot be.
-                    LOG.error("job {} is awaited, and is not in the store", ref);
+                    LOG.error("job {} is a dependency, and is not in the store", ref);
                   }
                 });
       }
@@ -198,16 +199,20 @@
     while (!left.isEmpty()) {
       Job job = left.poll();
       // Nothing takes the place of a live service by being needed.
-      Priority rank = job.effectivePriority == Priority.PRODUCTION ? Priority.HIGH : job.effectivePriority;
+      Priority rank =
+          job.effectivePriority == Priority.PRODUCTION ? Priority.HIGH : job.effectivePriority;
       for (String ref : job.unmetDependencies) {
         Job before = state.jobs.get(ref);
         if (before == null || before.finalPhase != null) {
           continue;
         }
         long startBy =
-            job.latestStartMs == Long.MAX_VALUE ? Long.MAX_VALUE : job.latestStartMs - runMs(before);
+            job.latestStartMs == Long.MAX_VALUE
+                ? Long.MAX_VALUE
+                : job.latestStartMs - runMs(before);
         if (before.effectivePriority.compareTo(rank) < 0 || startBy < before.latestStartMs) {
-          before.effectivePriority = before.effectivePriority.compareTo(rank) < 0 ? rank : before.effectivePriority;
+          before.effectivePriority =
+              before.effectivePriority.compareTo(rank) < 0 ? rank : before.effectivePriority;
           before.latestStartMs = Math.min(before.latestStartMs, startBy);
           left.add(before);
         }
--- a/src/main/java/io/embernotch/jobs/FailoverRecovery.java
+++ b/src/main/java/io/embernotch/jobs/FailoverRecovery.java
@@ -1,19 +1,19 @@
 package io.embernotch.jobs;
 
+import io.embernotch.agents.WorkerLeases;
 import io.embernotch.codec.JobProgressCodec;
-import io.embernotch.snapshot.BaseSnapshot;
-import io.embernotch.snapshot.ProgressShard;
 import io.embernotch.context.ControllerContext;
-import io.embernotch.state.DemandForecast;
-import io.embernotch.state.ClusterState;
-import io.embernotch.agents.WorkerLeases;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
 import io.embernotch.model.Machine;
-import io.embernotch.persistence.StateWriter;
 import io.embernotch.persistence.ShardLayout;
-import io.embernotch.store.WatchEvents;
+import io.embernotch.persistence.StateWriter;
+import io.embernotch.snapshot.BaseSnapshot;
+import io.embernotch.snapshot.ProgressShard;
+import io.embernotch.state.ClusterState;
+import io.embernotch.state.DemandForecast;
 import io.embernotch.store.VersionedEntry;
+import io.embernotch.store.WatchEvents;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -25,8 +25,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Fills a new leader's ledger from the store. What runs is let be: its attempts are open, and
- * unsure until a worker reports under one of this leader's tokens.
+ * Fills a new leader's cluster state from the store. What runs is let be: its attempts are open,
+ * and unsure until a worker reports under one of this leader's tokens.
  */
 public final class FailoverRecovery {
   private static final Logger LOG = LoggerFactory.getLogger(FailoverRecovery.class);
@@ -89,7 +89,9 @@
       if (job != null
           && !readable(
               entry,
-              () -> JobProgressCodec.readRun(entry.value(), job, sizes.get(ref), JobProgressCodec.shardOf(entry.key())))) {
+              () ->
+                  JobProgressCodec.readRun(
+                      entry.value(), job, sizes.get(ref), JobProgressCodec.shardOf(entry.key())))) {
         // What runs of it is not known, so it waits until nothing can.
         job.notBefore = acquiredAt + WorkerLeases.longestLeaseS(context.settings());
       }
@@ -121,7 +123,9 @@
         .forEach(
             job ->
                 demandForecast.seen(
-                    job.spec, acquiredAt - Math.max(0, context.clock().wallMs() - job.eligibleSinceMs) / 1000.0));
+                    job.spec,
+                    acquiredAt
+                        - Math.max(0, context.clock().wallMs() - job.eligibleSinceMs) / 1000.0));
   }
 
   /**
@@ -144,8 +148,8 @@
   }
 
   /**
-   * After a loss of which no leader's copy is left, tasks that were started before it may run
-   * where nobody knows. They are over once no worker can have been renewed for them any more.
+   * After a loss of which no leader's copy is left, tasks that were started before it may run where
+   * nobody knows. They are over once no worker can have been renewed for them any more.
    */
   public void delayIfProgressUncertain(Job job) {
     if (job.restoredAfterLoss && !baseSnapshot.complete()) {
--- a/src/main/java/io/embernotch/jobs/JobCompletions.java
+++ b/src/main/java/io/embernotch/jobs/JobCompletions.java
@@ -1,10 +1,10 @@
 package io.embernotch.jobs;
 
 import io.embernotch.context.ControllerContext;
-import io.embernotch.state.ClusterState;
 import io.embernotch.model.Job;
 import io.embernotch.model.JobPhase;
 import io.embernotch.persistence.StateWriter;
+import io.embernotch.state.ClusterState;
 import io.embernotch.store.RateLimiter.RequestPriority;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -71,7 +71,9 @@
   public boolean zoneHasNoCancelledTasks(String zone) {
     return completing.stream()
         .filter(job -> job.finalPhase == JobPhase.CANCELLED)
-        .allMatch(job -> job.openAttempts.values().stream().noneMatch(attempt -> attempt.zone.equals(zone)));
+        .allMatch(
+            job ->
+                job.openAttempts.values().stream().noneMatch(attempt -> attempt.zone.equals(zone)));
   }
 
   /** Lets go of jobs that have ended, once nothing of them is open or unwritten. */
--- a/src/main/java/io/embernotch/jobs/JobRequestHandler.java
+++ b/src/main/java/io/embernotch/jobs/JobRequestHandler.java
@@ -5,12 +5,12 @@
 import io.embernotch.codec.JobProgressCodec;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.http.HttpResponse;
-import io.embernotch.state.ClusterState;
 import io.embernotch.model.Job;
 import io.embernotch.model.JobPhase;
 import io.embernotch.persistence.StateWriter;
-import io.embernotch.store.VersionedEntry;
+import io.embernotch.state.ClusterState;
 import io.embernotch.store.RateLimiter.RequestPriority;
+import io.embernotch.store.VersionedEntry;
 import io.vertx.core.Promise;
 import java.util.function.BooleanSupplier;
 
@@ -36,7 +36,12 @@
   private final BooleanSupplier live;
   private final Host host;
 
-  public JobRequestHandler(ControllerContext context, ClusterState state, StateWriter stateWriter, BooleanSupplier live, Host host) {
+  public JobRequestHandler(
+      ControllerContext context,
+      ClusterState state,
+      StateWriter stateWriter,
+      BooleanSupplier live,
+      Host host) {
     this.context = context;
     this.state = state;
     this.stateWriter = stateWriter;
@@ -69,16 +74,27 @@
       // a job done, then running, then done.
       HttpResponse later = HttpResponse.later("its end is being written");
       boolean waits = stateWriter.whenWritten(job, 0, () -> again(ref, reply));
-      context.timers()
+      context
+          .timers()
           .after(
-              waits ? context.settings().workers().heartbeatIntervalS() / 6 : 0, () -> reply.tryComplete(later));
-    } else if (job.finalPhase == null && stateWriter.whenDoneMarksSettled(job, () -> again(ref, reply))) {
+              waits ? context.settings().workers().heartbeatIntervalS() / 6 : 0,
+              () -> reply.tryComplete(later));
+    } else if (job.finalPhase == null
+        && stateWriter.whenDoneMarksSettled(job, () -> again(ref, reply))) {
       // The same holds for the count of done tasks.
       HttpResponse later = HttpResponse.later("what is done of it is being written");
-      context.timers().after(context.settings().workers().heartbeatIntervalS() / 6, () -> reply.tryComplete(later));
+      context
+          .timers()
+          .after(
+              context.settings().workers().heartbeatIntervalS() / 6,
+              () -> reply.tryComplete(later));
     } else {
-      double answered = context.clock().now() - context.settings().workers().heartbeatIntervalS() / 6;
-      JobPhase phase = job.endPersisted ? job.finalPhase : job.mayRun(answered) ? JobPhase.RUNNING : JobPhase.QUEUED;
+      double answered =
+          context.clock().now() - context.settings().workers().heartbeatIntervalS() / 6;
+      JobPhase phase =
+          job.endPersisted
+              ? job.finalPhase
+              : job.mayRun(answered) ? JobPhase.RUNNING : JobPhase.QUEUED;
       int done = (job.endPersisted ? job.done : job.persistedDone).cardinality();
       reply.complete(
           HttpResponse.of(
@@ -86,7 +102,8 @@
               job.failsEverywhere() && !job.endPersisted
                   ? JobCodec.failing(ref, phase, done, job.runningCount(), job.errorMachines)
                   : job.release != null && !job.endPersisted
-                      ? JobCodec.status(ref, phase, done, job.runningCount(), o -> host.describe(job, o))
+                      ? JobCodec.status(
+                          ref, phase, done, job.runningCount(), o -> host.describe(job, o))
                       : JobCodec.status(ref, phase, done, job.runningCount())));
     }
   }
@@ -99,7 +116,8 @@
 
   /** Only the store can tell that a job was never accepted. */
   private void lookUp(String ref, Promise<HttpResponse> reply, Runnable found) {
-    context.store()
+    context
+        .store()
         .getConfirmed(JobProgressCodec.JOB + ref)
         .onSuccess(
             entry -> {
@@ -135,7 +153,8 @@
       reply.complete(answer);
     } else {
       stateWriter.writeNow(job, 0, RequestPriority.HIGH, () -> reply.tryComplete(answer));
-      context.timers()
+      context
+          .timers()
           .after(
               context.settings().workers().heartbeatIntervalS(),
               () -> reply.tryComplete(HttpResponse.later("not in the store yet")));
--- a/src/main/java/io/embernotch/jobs/StoreLoader.java
+++ b/src/main/java/io/embernotch/jobs/StoreLoader.java
@@ -1,11 +1,11 @@
 package io.embernotch.jobs;
 
 import io.embernotch.codec.JobProgressCodec;
-import io.embernotch.snapshot.BaseSnapshot;
 import io.embernotch.context.ControllerContext;
-import io.embernotch.store.WatchEvents;
-import io.embernotch.store.VersionedEntry;
+import io.embernotch.snapshot.BaseSnapshot;
 import io.embernotch.store.StoreClient;
+import io.embernotch.store.VersionedEntry;
+import io.embernotch.store.WatchEvents;
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import org.slf4j.Logger;
@@ -55,9 +55,12 @@
                                                 shared -> {
                                                   if (!over.getAsBoolean()) {
                                                     sink.read(
-                                                        baseSnapshot.beneath(JobProgressCodec.JOB, jobs),
-                                                        baseSnapshot.beneath(JobProgressCodec.RUN, runs),
-                                                        baseSnapshot.beneath(JobProgressCodec.REFINED_SHARD, parts),
+                                                        baseSnapshot.beneath(
+                                                            JobProgressCodec.JOB, jobs),
+                                                        baseSnapshot.beneath(
+                                                            JobProgressCodec.RUN, runs),
+                                                        baseSnapshot.beneath(
+                                                            JobProgressCodec.REFINED_SHARD, parts),
                                                         baseSnapshot.beneathShared(shared));
                                                   }
                                                   return null;
@@ -65,7 +68,9 @@
         .onFailure(
             e -> {
               LOG.info("reading the store failed: {}", e.getMessage());
-              context.timers().after(context.settings().workers().heartbeatIntervalS() / 10, () -> read(sink));
+              context
+                  .timers()
+                  .after(context.settings().workers().heartbeatIntervalS() / 10, () -> read(sink));
             });
   }
 }
--- a/src/main/java/io/embernotch/leader/HeartbeatQueue.java
+++ b/src/main/java/io/embernotch/leader/HeartbeatQueue.java
@@ -47,7 +47,7 @@
   private int left = SLICE;
   private boolean armed;
 
-  /** {@code drop} is told of reports that nobody waits for any more. */
+  /** {@code drop} is told of heartbeats that nobody waits for any more. */
   public HeartbeatQueue(
       Clock clock,
       Timers timers,
@@ -59,7 +59,7 @@
     this.drop = drop;
   }
 
-  /** Takes the report now if few have been taken in this turn, else in its own. */
+  /** Takes the heartbeat now if few have been taken in this turn, else in its own. */
   public void add(LeaderMessage.HeartbeatReceived m) {
     if (left > 0 && queue.isEmpty()) {
       left--;
@@ -70,8 +70,10 @@
     String machine = m.heartbeat().machine();
     Long place = places.get(machine);
     LeaderMessage.HeartbeatReceived before = place == null ? null : queue.get(place).message;
-    if (before != null && !m.heartbeat().newerThan(before.heartbeat().agentEpoch(), before.heartbeat().seq())) {
-      // A copy that came late, or one of another life: it must not displace the one that is waited
+    if (before != null
+        && !m.heartbeat().newerThan(before.heartbeat().agentEpoch(), before.heartbeat().seq())) {
+      // A copy that came late, or one of another incarnation: it must not displace the one that is
+      // waited
       // for.
       drop.accept(m);
       return;
--- a/src/main/java/io/embernotch/leader/ImageInventory.java
+++ b/src/main/java/io/embernotch/leader/ImageInventory.java
@@ -52,7 +52,7 @@
       this.everyS = everyS;
     }
 
-    /** Another life of a controller knows nothing of what the one before was told. */
+    /** Another incarnation of a controller knows nothing of what the one before was told. */
     void republishAll() {
       told.clear();
     }
@@ -72,7 +72,8 @@
         int hash = machine.images.hashCode();
         Integer before = told.put(machine.name, hash);
         if (before == null ? !machine.images.isEmpty() : before != hash) {
-          send.accept(new Frame.ImageInventoryUpdate(epoch, machine.name, List.copyOf(machine.images)));
+          send.accept(
+              new Frame.ImageInventoryUpdate(epoch, machine.name, List.copyOf(machine.images)));
         }
       }
     }
--- a/src/main/java/io/embernotch/leader/Leader.java
+++ b/src/main/java/io/embernotch/leader/Leader.java
@@ -6,7 +6,7 @@
 import io.embernotch.codec.JobProgressCodec;
 import io.embernotch.snapshot.BaseSnapshot;
 import io.embernotch.snapshot.StateSnapshot;
-import io.embernotch.copy.proto.CopyFile.Copy;
+import io.embernotch.snapshot.proto.SnapshotProto.ClusterSnapshot;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.fleet.FleetManager;
 import io.embernotch.http.HttpResponse;
@@ -48,7 +48,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one that writes, for one term: it owns the ledger, and lives from the moment its node
+ * The one that writes, for one term: it owns the cluster state, and lives from the moment its node
  * acquires the key until it loses it.
  */
 public final class Leader extends Actor<LeaderMessage> implements AgentReconciler.Listener, FleetManager.Listener {
@@ -79,7 +79,7 @@
   private final HeartbeatQueue heartbeatQueue;
   private final double acquiredAt;
   private final BaseSnapshot baseSnapshot;
-  private Copy begunWith;
+  private ClusterSnapshot begunWith;
   private FailoverRecovery failoverRecovery;
   private final List<LeaderMessage> waiting = new ArrayList<>();
   private final PendingHeartbeats pendingHeartbeats = new PendingHeartbeats();
@@ -89,8 +89,8 @@
   private final StatusLogger statusLogger;
   private final SharedStateServices sharedState;
 
-  /** {@code stamp} is that of the leader's key, {@code base} and {@code begunWith} as in {@code StoreIncarnationTracker}, {@code waiting} as in {@link RenewalDelegations}. */
-  public Leader(ControllerContext context, LeaderContext host, long epoch, long modRevision, Collection<MachineType> types, BaseSnapshot baseSnapshot, Copy begunWith, Set<String> waiting) {
+  /** {@code modification revision} is that of the leader's key, {@code base} and {@code begunWith} as in {@code StoreIncarnationTracker}, {@code waiting} as in {@link RenewalDelegations}. */
+  public Leader(ControllerContext context, LeaderContext host, long epoch, long modRevision, Collection<MachineType> types, BaseSnapshot baseSnapshot, ClusterSnapshot begunWith, Set<String> waiting) {
     super(context.loop());
     this.context = context;
     this.host = host;
@@ -104,7 +104,7 @@
     this.shardLayout = new ShardLayout(JobProgressCodec.shard(context.settings().minStoreLimits().valueKb(), context.settings().zones()));
     this.stateWriter = new StateWriter(
         context.settings(), shardLayout, context.store(), context.clock(), context.timers(), context.profile(), modRevision,
-        () -> host.superseded("a commit failed on the steward's key"));
+        () -> host.superseded("a transaction failed on the leader key"));
     Hooks hooks = new Hooks();
     this.dependencyGraph = new DependencyGraph(context, state, hooks);
     this.completions = new JobCompletions(context, state, stateWriter, dependencyGraph, (ref, e) -> host.jobCompleted(ref, e.phase(), e.tasks(), e.done()));
@@ -120,7 +120,7 @@
     this.fleetManager = new FleetManager(context, state, agents, epoch, this);
     this.machineViewPublisher = new MachineViewPublisher(context, state,
         (node, v) -> host.partitionViews().view(node, epoch, v), (node, m) -> host.partitionViews().forget(node, epoch, m));
-    this.sharedState = new SharedStateServices(context, state, epoch, modRevision, job -> stateWriter.writeLater(job, 0), () -> host.superseded("a fact failed on the steward's key"));
+    this.sharedState = new SharedStateServices(context, state, epoch, modRevision, job -> stateWriter.writeLater(job, 0), () -> host.superseded("a shared state transaction failed on the leader key"));
     this.schedulingLoop = new SchedulingLoop(
         context, state, dependencyGraph, demandForecast, fleetManager, launcher, stopper, sharedState, acquiredAt, this::isLeading, heartbeatQueue::isUnderPressure,
             () -> tell(new LeaderMessage.RunScheduler()));
@@ -176,7 +176,7 @@
     loadedAt = context.clock().now();
     schedulingLoop.begin();
     LOG.info(
-        "took over {} jobs, {} ended, {} machines with tasks after {} ms",
+        "failover complete: {} jobs, {} ended, {} machines with tasks after {} ms",
         state.jobs.size(), state.endedJobs.size(), state.machines.size(),
         Math.round((context.clock().now() - acquiredAt) * 1000));
     new SubmissionWatcher(context, (job, shard) -> tell(new LeaderMessage.JobAccepted(job, shard)), () -> stopped).from(jobsEpoch);
@@ -299,7 +299,7 @@
 
     @Override
     public void cancel(Job job, Promise<HttpResponse> reply) {
-      LOG.debug("job {} is to be cancelled", job.spec.ref());
+      LOG.debug("job {}: cancellation requested", job.spec.ref());
       job.cancelRequested = true;
       List.copyOf(job.openAttempts.values()).forEach(attempt -> stopper.requestStop(attempt, 0));
       cancellations.request(job, reply);
@@ -335,7 +335,7 @@
   @Override
   public void superseded(long token) {
     host.observeEpoch(FencingTokens.epochOf(token));
-    host.superseded("a worker has seen token " + token);
+    host.superseded("a worker has seen fencing token " + token);
   }
 
   @Override
@@ -362,7 +362,7 @@
       return;
     }
     for (Attempt attempt : List.copyOf(machine.openAttempts.values())) {
-      attemptGone(attempt, machine, "its machine was returned");
+      attemptGone(attempt, machine, "its machine was scaled in");
     }
     state.machines.remove(machine.name);
     imagePublisher.machineRemoved(machine.name, epoch, host::broadcast);
@@ -396,7 +396,7 @@
 
   @Override
   public void controllerPartitioned() {
-    host.resign("most machines are silent");
+    host.resign("most machines are unresponsive");
   }
 
   // ---- time
@@ -407,7 +407,7 @@
     }
     double now = context.clock().now();
     for (Attempt attempt : fleetManager.attemptsWithExpiredLease()) {
-      attemptGone(attempt, state.machines.get(attempt.machine), "the worker's lease is over");
+      attemptGone(attempt, state.machines.get(attempt.machine), "the worker's lease expired");
     }
     for (Machine machine : List.copyOf(state.machines.values())) {
       if (stopper.drained(machine)) {
@@ -435,7 +435,7 @@
   }
 
   /** All that is known here of jobs, whether or not the store has it yet; null before it is known. */
-  public Copy copy() {
+  public ClusterSnapshot copy() {
     return loaded ? StateSnapshot.of(state, shardLayout::shardSize, sharedState.copy(), epoch, context.clock().wallMs()) : begunWith;
   }
 
--- a/src/main/java/io/embernotch/leader/PendingHeartbeats.java
+++ b/src/main/java/io/embernotch/leader/PendingHeartbeats.java
@@ -2,8 +2,8 @@
 
 import io.embernotch.actor.Timers;
 import io.embernotch.codec.WorkerCodec;
-import io.embernotch.model.Heartbeat;
 import io.embernotch.forwarding.HeartbeatForwarder;
+import io.embernotch.model.Heartbeat;
 import java.util.ArrayDeque;
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -11,10 +11,10 @@
 import java.util.function.Consumer;
 
 /**
- * What workers report before the store is read. Their reports wait for that, since an answer that
- * renews them counts from the report's sending; before they would give up they are told to stay: an
- * answer without a token renews nothing, but its worker keeps the connection. Left to give up, a
- * thousand workers connected anew and took the time that the reading needed.
+ * What workers report before the store is read. Their heartbeats wait for that, since an answer
+ * that renews them counts from the heartbeat's sending; before they would give up they are told to
+ * stay: an answer without a token renews nothing, but its worker keeps the connection. Left to give
+ * up, a thousand workers connected anew and took the time that the reading needed.
  */
 final class PendingHeartbeats {
   /** Reports taken in one turn, so that everything else gets its own. */
@@ -23,7 +23,7 @@
   private final Map<String, Heartbeat> latest = new LinkedHashMap<>();
   private final Map<String, LeaderMessage.HeartbeatReceived> waiting = new LinkedHashMap<>();
 
-  /** A report whose worker waits; told to stay unless {@link #drain} comes first. */
+  /** A heartbeat whose worker waits; told to stay unless {@link #drain} comes first. */
   void add(LeaderMessage.HeartbeatReceived m, Timers timers) {
     String machine = m.heartbeat().machine();
     LeaderMessage.HeartbeatReceived before = waiting.put(machine, m);
@@ -41,13 +41,18 @@
   }
 
   void add(Heartbeat heartbeat) {
-    latest.merge(heartbeat.machine(), heartbeat, (old, now) -> now.newerThan(old.agentEpoch(), old.seq()) ? now : old);
+    latest.merge(
+        heartbeat.machine(),
+        heartbeat,
+        (old, now) -> now.newerThan(old.agentEpoch(), old.seq()) ? now : old);
   }
 
   /** Hands over those that wait for an answer, and then what else was heard, a slice a turn. */
   void drain(Executor loop, Consumer<LeaderMessage> to) {
     ArrayDeque<LeaderMessage> left = new ArrayDeque<>(waiting.values());
-    latest.values().forEach(heartbeat -> left.add(new LeaderMessage.HeartbeatHandedOver(heartbeat)));
+    latest
+        .values()
+        .forEach(heartbeat -> left.add(new LeaderMessage.HeartbeatHandedOver(heartbeat)));
     waiting.clear();
     latest.clear();
     slice(left, loop, to);
--- a/src/main/java/io/embernotch/leader/SchedulingLoop.java
+++ b/src/main/java/io/embernotch/leader/SchedulingLoop.java
@@ -1,20 +1,20 @@
 package io.embernotch.leader;
 
 import io.embernotch.actor.LatencyRecorder;
+import io.embernotch.agents.TaskLauncher;
+import io.embernotch.agents.TaskStopper;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.fleet.FleetManager;
 import io.embernotch.jobs.DependencyGraph;
-import io.embernotch.state.DemandForecast;
-import io.embernotch.state.ClusterState;
-import io.embernotch.agents.TaskLauncher;
-import io.embernotch.agents.TaskStopper;
 import io.embernotch.model.Machine;
 import io.embernotch.model.Priority;
 import io.embernotch.scheduling.FleetView;
 import io.embernotch.scheduling.ReservationView;
-import io.embernotch.scheduling.SchedulingPlan;
 import io.embernotch.scheduling.Scheduler;
 import io.embernotch.scheduling.SchedulingInput;
+import io.embernotch.scheduling.SchedulingPlan;
+import io.embernotch.state.ClusterState;
+import io.embernotch.state.DemandForecast;
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import org.slf4j.Logger;
@@ -53,8 +53,8 @@
   private long planned;
 
   /**
-   * {@code pressed}: workers' reports wait; {@code ask} has {@link #make} called in a turn of the
-   * leader's own.
+   * {@code pressed}: workers' heartbeats wait; {@code ask} has {@link #make} called in a turn of
+   * the leader's own.
    */
   SchedulingLoop(
       ControllerContext context,
@@ -153,7 +153,9 @@
     long wallMs = context.clock().wallMs();
     sharedState.calendar().apply(wallMs);
     List<FleetView.Headroom> room =
-        demandForecast.headroom(context.operator(), state.types.values(), state.jobs.values(), now).stream()
+        demandForecast
+            .headroom(context.operator(), state.types.values(), state.jobs.values(), now)
+            .stream()
             .map(
                 h ->
                     sharedState.calendar().near(h.like(), wallMs)
--- a/src/main/java/io/embernotch/leader/SharedStateServices.java
+++ b/src/main/java/io/embernotch/leader/SharedStateServices.java
@@ -2,13 +2,13 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.actor.Clock;
+import io.embernotch.agents.FencingTokens;
 import io.embernotch.calendar.ReleaseCalendar;
 import io.embernotch.context.ControllerContext;
-import io.embernotch.state.ClusterState;
-import io.embernotch.agents.FencingTokens;
 import io.embernotch.model.Job;
 import io.embernotch.reservation.ReservationManager;
 import io.embernotch.shared.SharedState;
+import io.embernotch.state.ClusterState;
 import io.embernotch.store.VersionedEntry;
 import io.embernotch.weights.ImageLocality;
 import java.util.List;
@@ -16,8 +16,8 @@
 import java.util.function.Consumer;
 
 /**
- * What a term takes over beside jobs, and hands on: read before anything but live services
- * is planned.
+ * What a term takes over beside jobs, and hands on: read before anything but live services is
+ * planned.
  */
 final class SharedStateServices {
   private final SharedState shared;
@@ -27,7 +27,13 @@
   private final Clock clock;
 
   /** {@code rewritten} has a job's progress written anew. */
-  SharedStateServices(ControllerContext context, ClusterState state, long epoch, long modRevision, Consumer<Job> rewritten, Runnable deposed) {
+  SharedStateServices(
+      ControllerContext context,
+      ClusterState state,
+      long epoch,
+      long modRevision,
+      Consumer<Job> rewritten,
+      Runnable deposed) {
     this.clock = context.clock();
     this.shared = new SharedState(context, modRevision, FencingTokens.base(epoch), deposed);
     this.holds = new ReservationManager(context, state, shared);
--- a/src/main/java/io/embernotch/leader/StatusLogger.java
+++ b/src/main/java/io/embernotch/leader/StatusLogger.java
@@ -1,9 +1,9 @@
 package io.embernotch.leader;
 
 import io.embernotch.context.ControllerContext;
+import io.embernotch.persistence.StateWriter;
 import io.embernotch.state.ClusterState;
 import io.embernotch.state.ClusterSummary;
-import io.embernotch.persistence.StateWriter;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -17,7 +17,11 @@
   private final StateWriter stateWriter;
   private double writtenAt = -1e9;
 
-  StatusLogger(ControllerContext context, ClusterState state, SchedulingLoop schedulingLoop, StateWriter stateWriter) {
+  StatusLogger(
+      ControllerContext context,
+      ClusterState state,
+      SchedulingLoop schedulingLoop,
+      StateWriter stateWriter) {
     this.context = context;
     this.state = state;
     this.schedulingLoop = schedulingLoop;
@@ -33,7 +37,9 @@
     line("planned", schedulingLoop.statusLine());
     context.profile().log();
     line("written", stateWriter.statusLine());
-    line("waits of the largest", state.largestJobWaits.line(state.jobs.values(), context.clock().wallMs()));
+    line(
+        "waits of the largest",
+        state.largestJobWaits.line(state.jobs.values(), context.clock().wallMs()));
   }
 
   private static void line(String what, String text) {
--- a/src/main/java/io/embernotch/model/Attempt.java
+++ b/src/main/java/io/embernotch/model/Attempt.java
@@ -13,9 +13,9 @@
     READY,
     /** A direct command is on the way. */
     SENDING,
-    /** Given in the response to a report: executed before the next report, or never. */
+    /** Given in the response to a heartbeat: executed before the next heartbeat, or never. */
     IN_HEARTBEAT_RESPONSE,
-    /** A direct command went unanswered: only a report under a newer token tells. */
+    /** A direct command went unanswered: only a heartbeat under a newer token tells. */
     UNCONFIRMED,
     /** The worker has been seen to hold it. */
     CONFIRMED
@@ -78,7 +78,9 @@
     if (state != null) {
       return state == TaskState.RUNNING || state == TaskState.SAVING;
     }
-    return inherited || launchState == LaunchState.UNCONFIRMED || launchState == LaunchState.IN_HEARTBEAT_RESPONSE;
+    return inherited
+        || launchState == LaunchState.UNCONFIRMED
+        || launchState == LaunchState.IN_HEARTBEAT_RESPONSE;
   }
 
   @Override
--- a/src/main/java/io/embernotch/model/Heartbeat.java
+++ b/src/main/java/io/embernotch/model/Heartbeat.java
@@ -15,7 +15,7 @@
     Double reclaimInS,
     List<TaskStatus> tasks) {
 
-  /** True if this report was made after the one with the given session and sequence number. */
+  /** True if this heartbeat was made after the one with the given session and sequence number. */
   public boolean newerThan(long otherSession, long otherSeq) {
     return agentEpoch > otherSession || (agentEpoch == otherSession && seq > otherSeq);
   }
--- a/src/main/java/io/embernotch/model/Job.java
+++ b/src/main/java/io/embernotch/model/Job.java
@@ -159,7 +159,9 @@
   }
 
   public int pendingCount() {
-    return finalPhase != null || cancelRequested || blocked() ? 0 : remaining() - openAttempts.size();
+    return finalPhase != null || cancelRequested || blocked()
+        ? 0
+        : remaining() - openAttempts.size();
   }
 
   /** Tasks that run, or may run: users may have been told so by whoever reads the store. */
@@ -180,6 +182,9 @@
   public boolean mayRun(double sentBefore) {
     return openAttempts.values().stream()
         .anyMatch(
-            attempt -> attempt.mayRun() || (attempt.launchState == Attempt.LaunchState.SENDING && attempt.createdAt < sentBefore));
+            attempt ->
+                attempt.mayRun()
+                    || (attempt.launchState == Attempt.LaunchState.SENDING
+                        && attempt.createdAt < sentBefore));
   }
 }
--- a/src/main/java/io/embernotch/model/Machine.java
+++ b/src/main/java/io/embernotch/model/Machine.java
@@ -41,15 +41,17 @@
   /** Highest token it has reported. */
   public long highestReportedToken;
 
-  /** After it has begun another life: reports under lower tokens may be of the former one. */
+  /**
+   * After it has begun another incarnation: reports under lower tokens may be of the former one.
+   */
   public long incarnationToken;
 
   /** Highest token under which a start was sent straight to it. */
   public long highestSentToken;
 
   /**
-   * The token that its last report was answered with, and the highest that it has shown in reports;
-   * 0 if none.
+   * The token that its last heartbeat was answered with, and the highest that it has shown in
+   * reports; 0 if none.
    */
   public long lastAnsweredToken;
 
@@ -58,7 +60,9 @@
   /** A controller that nothing has come by. */
   public static final long NO_FORWARDER = -1;
 
-  /** The controller by which its last report came, and how often in a row that was another one. */
+  /**
+   * The controller by which its last heartbeat came, and how often in a row that was another one.
+   */
   public long lastForwarder = NO_FORWARDER;
 
   public int forwarderChanges;
@@ -68,13 +72,10 @@
 
   public boolean callUnanswered;
 
-  /** Since when it is taken for deaf; below 0 while it is not. */
+  /** Since when it is taken for unreachable; below 0 while it is not. */
   public double unreachableSince = -1;
 
-  /**
-   * When it was last proven to hear us, and so to be alive in this term; below 0 if it was
-   * not.
-   */
+  /** When it was last proven to hear us, and so to be alive in this term; below 0 if it was not. */
   public double confirmedAliveAt = -1;
 
   /** When it was first heard. */
@@ -87,7 +88,7 @@
   public double commandFailedAt = -1e9;
   public boolean probing;
 
-  /** When it was last asked because of a report that was no news. */
+  /** When it was last asked because of a heartbeat that was no news. */
   public double statusRequestedAt = -1e9;
 
   /** When it last did not answer a probe, and whether it took the connection then. */
@@ -161,8 +162,8 @@
 
   /**
    * When it last gave a sign of life that is no copy from long ago. Before it has shown a token of
-   * ours, or answered, only its first report counts: copies of what it said before it ended may go
-   * on coming.
+   * ours, or answered, only its first heartbeat counts: copies of what it said before it ended may
+   * go on coming.
    */
   public double lastSignOfLifeAt() {
     return confirmedAliveAt >= 0 ? lastHeartbeatAt : upAt;
--- a/src/main/java/io/embernotch/model/StoreIncarnation.java
+++ b/src/main/java/io/embernotch/model/StoreIncarnation.java
@@ -4,19 +4,20 @@
 import java.util.List;
 
 /**
- * One life of what the state service holds for us. It begins when the first leader finds nothing,
+ * One incarnation of what the store holds for us. It begins when the first leader finds nothing,
  * and anew after each loss of data.
  *
- * @param name no other era has it
- * @param stamp of its key, which every transaction of the era conditions on
- * @param floor added to the stamp of a leader's key to get its epoch: epochs go on rising when
- *     stamps begin again
+ * @param name no other incarnation has it
+ * @param modRevision of its key, which every transaction of the incarnation conditions on
+ * @param floor added to the modification revision of a leader's key to get its epoch: epochs go on
+ *     rising when stamps begin again
  * @param base the name under which the packed copy lies that it began with; null: it began with
  *     nothing
  * @param blocks number of blocks of that copy
  * @param crc checksum of the whole copy
- * @param since keys of this stamp or a lower one are older than that copy; 0: the era's own stamp
- * @param after names of the eras before it, the latest first
+ * @param since keys of this modification revision or a lower one are older than that copy; 0: the
+ *     incarnation's own modification revision
+ * @param after names of the incarnations before it, the latest first
  */
 public record StoreIncarnation(
     String name,
@@ -27,7 +28,9 @@
     long crc,
     long since,
     List<String> predecessors) {
-  /** Eras before one that are remembered: far more than there are between two looks at it. */
+  /**
+   * Incarnations before one that are remembered: far more than there are between two looks at it.
+   */
   private static final int REMEMBERED = 32;
 
   /**
@@ -38,7 +41,7 @@
     return predecessors.contains(other.name);
   }
 
-  /** The names that an era after this one remembers. */
+  /** The names that an incarnation after this one remembers. */
   public List<String> lineage() {
     List<String> out = new ArrayList<>(List.of(name));
     out.addAll(predecessors);
@@ -50,8 +53,9 @@
     return since == 0 ? modRevision : since;
   }
 
-  /** The same, begun at this stamp. */
+  /** The same, begun at this modification revision. */
   public StoreIncarnation at(long newModRevision) {
-    return new StoreIncarnation(name, newModRevision, epochFloor, snapshotName, blockCount, crc, since, predecessors);
+    return new StoreIncarnation(
+        name, newModRevision, epochFloor, snapshotName, blockCount, crc, since, predecessors);
   }
 }
--- a/src/main/java/io/embernotch/peer/Frame.java
+++ b/src/main/java/io/embernotch/peer/Frame.java
@@ -7,8 +7,9 @@
 
 /** What controllers say to each other. */
 public sealed interface Frame {
-  /** Who is there, whom it takes for the leader, and whether the state service answers it. */
-  record PeerHeartbeat(String node, String leader, long leaderEpoch, boolean storeReachable) implements Frame {}
+  /** Who is there, whom it takes for the leader, and whether the store answers it. */
+  record PeerHeartbeat(String node, String leader, long leaderEpoch, boolean storeReachable)
+      implements Frame {}
 
   /** A job was accepted: the value of its {@code job/} key. */
   record JobAccepted(byte[] value) implements Frame {}
@@ -23,7 +24,7 @@
     }
   }
 
-  /** A submission, passed on by a controller that the state service does not answer. */
+  /** A submission, passed on by a controller that the store does not answer. */
   record ForwardedSubmission(long id, byte[] body) implements Frame {}
 
   /** The answer to the question with this number. */
@@ -39,22 +40,22 @@
   record MachineViewRemoval(long epoch, String machine) implements Frame {}
 
   /**
-   * A worker's report, passed on to the leader; {@link RecordedAnswers} answers it, unless {@code id} is 0.
-   * Only a leader whose key says that it takes them may be sent one: the former version drops the
-   * connection.
+   * A worker's heartbeat, passed on to the leader; {@link RecordedAnswers} answers it, unless
+   * {@code id} is 0. Only a leader whose key says that it takes them may be sent one: the former
+   * version drops the connection.
    */
   record ForwardedHeartbeat(long id, Heartbeat heartbeat) implements Frame {}
 
   /**
-   * A controller is there, for a leader that takes reports: the number of this message, the
-   * highest one that was answered (0: none), and how long ago it last renewed a worker by itself;
-   * below 0: never.
+   * A controller is there, for a leader that takes reports: the number of this message, the highest
+   * one that was answered (0: none), and how long ago it last renewed a worker by itself; below 0:
+   * never.
    */
   record DelegateHeartbeat(String node, long seq, long ack, double renewedAgoS) implements Frame {}
 
   /**
    * The leader's answer: whether the controller may renew workers of its zone for a while if it is
-   * cut off.
+   * partitioned.
    */
   record DelegateHeartbeatAck(long epoch, long seq, boolean granted) implements Frame {}
 
--- a/src/main/java/io/embernotch/peer/FrameCodec.java
+++ b/src/main/java/io/embernotch/peer/FrameCodec.java
@@ -2,9 +2,9 @@
 
 import io.embernotch.codec.MalformedInputException;
 import io.embernotch.model.ExitCause;
-import io.embernotch.model.TaskStatus;
-import io.embernotch.model.TaskState;
 import io.embernotch.model.Heartbeat;
+import io.embernotch.model.TaskState;
+import io.embernotch.model.TaskStatus;
 import io.embernotch.straggler.MachineView;
 import io.embernotch.straggler.MachineView.TaskView;
 import io.embernotch.straggler.Restart;
@@ -123,11 +123,14 @@
           switch (kind) {
             case BEAT -> new Frame.PeerHeartbeat(text(b), text(b), b.getLong(), flag(b));
             case JOB_CREATED -> new Frame.JobAccepted(blob(b));
-            case ASK -> new Frame.ForwardedRequest(b.getLong(), one(Frame.ForwardedRequest.Kind.values(), b.get()), text(b));
+            case ASK ->
+                new Frame.ForwardedRequest(
+                    b.getLong(), one(Frame.ForwardedRequest.Kind.values(), b.get()), text(b));
             case SUBMIT -> new Frame.ForwardedSubmission(b.getLong(), blob(b));
             case TOLD -> new Frame.Response(b.getLong(), b.getShort(), b.getShort(), blob(b));
             case VIEW -> new Frame.MachineViewUpdate(b.getLong(), view(b));
-            case HERE -> new Frame.DelegateHeartbeat(text(b), b.getLong(), b.getLong(), b.getDouble());
+            case HERE ->
+                new Frame.DelegateHeartbeat(text(b), b.getLong(), b.getLong(), b.getDouble());
             case NOTED -> new Frame.DelegateHeartbeatAck(b.getLong(), b.getLong(), flag(b));
             case HEARTBEAT -> new Frame.ForwardedHeartbeat(b.getLong(), heartbeat(b));
             case IMAGES -> new Frame.ImageInventoryUpdate(b.getLong(), text(b), texts(b));
--- a/src/main/java/io/embernotch/peer/FrameReader.java
+++ b/src/main/java/io/embernotch/peer/FrameReader.java
@@ -13,7 +13,10 @@
     this.sink = sink;
   }
 
-  /** Takes more bytes. A malformed frame throws {@link MalformedInputException}; the stream is then of no use. */
+  /**
+   * Takes more bytes. A malformed frame throws {@link MalformedInputException}; the stream is then
+   * of no use.
+   */
   public void feed(byte[] bytes) {
     if (pending.remaining() < bytes.length) {
       ByteBuffer bigger =
--- a/src/main/java/io/embernotch/peer/VertxPeerLink.java
+++ b/src/main/java/io/embernotch/peer/VertxPeerLink.java
@@ -93,8 +93,8 @@
   }
 
   /**
-   * Gathers the frames of one turn of the loop, so that passed-on reports share packets and system
-   * calls.
+   * Gathers the frames of one turn of the loop, so that passed-on heartbeats share packets and
+   * system calls.
    */
   private static final class Outbox {
     private final NetSocket socket;
--- a/src/main/java/io/embernotch/persistence/DirtyShard.java
+++ b/src/main/java/io/embernotch/persistence/DirtyShard.java
@@ -5,7 +5,7 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** A piece of a job that differs from what the store is known to hold. */
+/** A shard of a job that differs from what the store is known to hold. */
 final class DirtyShard {
   /** Somebody who waits for a task's change to be in the store. */
   record Waiter(int task, Runnable durable) {}
@@ -41,7 +41,7 @@
     this.due = due;
   }
 
-  /** A transaction with the piece as it is now leaves. */
+  /** A transaction with the shard as it is now leaves. */
   void sent() {
     underWay = within(shard.job().done);
   }
@@ -68,7 +68,7 @@
   }
 
   /**
-   * The same piece, or a larger one, was marked before: takes over what the store may hold of it.
+   * The same shard, or a larger one, was marked before: takes over what the store may hold of it.
    */
   void supersedes(DirtyShard former) {
     unknown.or(within(former.unknown));
--- a/src/main/java/io/embernotch/persistence/PersistedJob.java
+++ b/src/main/java/io/embernotch/persistence/PersistedJob.java
@@ -1,23 +1,24 @@
 package io.embernotch.persistence;
 
 import io.embernotch.codec.JobProgressCodec;
+import io.embernotch.model.Job;
 import io.embernotch.snapshot.BaseSnapshot;
 import io.embernotch.snapshot.ProgressShard;
-import io.embernotch.model.Job;
-import io.embernotch.store.VersionedEntry;
 import io.embernotch.store.StoreClient;
+import io.embernotch.store.VersionedEntry;
 import io.vertx.core.Future;
 import java.util.List;
 
-/** A job put together from its entries in the store, whatever pieces and parts it is kept in. */
+/** A job put together from its entries in the store, whatever shards and parts it is kept in. */
 public final class PersistedJob {
   private PersistedJob() {}
 
   /**
-   * What the store and the base of its era hold of a job's submission; an absent entry if it was
-   * never accepted.
+   * What the store and the base of its incarnation hold of a job's submission; an absent entry if
+   * it was never accepted.
    */
-  public static Future<VersionedEntry> submission(StoreClient store, BaseSnapshot baseSnapshot, String ref) {
+  public static Future<VersionedEntry> submission(
+      StoreClient store, BaseSnapshot baseSnapshot, String ref) {
     return store
         .getConfirmed(JobProgressCodec.JOB + ref)
         .map(
@@ -28,7 +29,7 @@
   }
 
   /**
-   * Reads a job, its first piece and its parts; null if it was never accepted. Three reads at most.
+   * Reads a job, its first shard and its parts; null if it was never accepted. Three reads at most.
    * Not for one of which the base knows only the end.
    */
   public static Future<Job> read(StoreClient store, BaseSnapshot baseSnapshot, String ref) {
@@ -42,7 +43,13 @@
               return store
                   .get(JobProgressCodec.RUN + ref)
                   .compose(
-                      run -> progress(store, baseSnapshot, job, run, JobProgressCodec.readShardSize(entry.value())));
+                      run ->
+                          progress(
+                              store,
+                              baseSnapshot,
+                              job,
+                              run,
+                              JobProgressCodec.readShardSize(entry.value())));
             });
   }
 
@@ -52,18 +59,21 @@
 
   private static Future<Job> progress(
       StoreClient store, BaseSnapshot baseSnapshot, Job job, VersionedEntry stored, int shardSize) {
-    for (VersionedEntry run : baseSnapshot.beneath(job.spec.ref(), JobProgressCodec.RUN, present(stored))) {
+    for (VersionedEntry run :
+        baseSnapshot.beneath(job.spec.ref(), JobProgressCodec.RUN, present(stored))) {
       JobProgressCodec.readRun(run.value(), job, shardSize, JobProgressCodec.shardOf(run.key()));
     }
     if (job.finalPhase != null) {
       return Future.succeededFuture(job);
     }
-    // Parts are only made of pieces that were there, or of a job's very first write.
+    // Parts are only made of shards that were there, or of a job's very first write.
     return store
         .list(JobProgressCodec.REFINED_SHARD + job.spec.ref() + "/")
         .map(
             found -> {
-              List<VersionedEntry> parts = baseSnapshot.beneath(job.spec.ref(), JobProgressCodec.REFINED_SHARD, found.events());
+              List<VersionedEntry> parts =
+                  baseSnapshot.beneath(
+                      job.spec.ref(), JobProgressCodec.REFINED_SHARD, found.events());
               ProgressShard.add(job, parts.stream().map(ProgressShard::of).toList());
               return job;
             });
--- a/src/main/java/io/embernotch/persistence/ShardLayout.java
+++ b/src/main/java/io/embernotch/persistence/ShardLayout.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * In which pieces the progress of each job is kept. A job starts with the size of pieces that was
- * fixed when it was accepted. It goes over to smaller parts, for good, once a piece does not fit
- * the state service any more; what the larger pieces say of other tasks stays valid.
+ * In which shards the progress of each job is kept. A job starts with the size of shards that was
+ * fixed when it was accepted. It goes over to smaller parts, for good, once a shard does not fit
+ * the store any more; what the larger shards say of other tasks stays valid.
  */
 public final class ShardLayout {
   /** So many tasks of a job, kept under one key. */
@@ -33,7 +33,7 @@
   private final Map<String, Integer> sizes = new HashMap<>();
   private final Map<String, Integer> parts = new HashMap<>();
 
-  /** {@code usualSize}: tasks in a piece that fits the store under its lowest limits. */
+  /** {@code usualSize}: tasks in a shard that fits the store under its lowest limits. */
   public ShardLayout(int usualSize) {
     this.usualSize = usualSize;
   }
--- a/src/main/java/io/embernotch/persistence/StateWriter.java
+++ b/src/main/java/io/embernotch/persistence/StateWriter.java
@@ -31,8 +31,8 @@
 
 /**
  * Writes the progress of jobs, one transaction at a time. Each write conditions on the leader's
- * key and on the piece's own stamp, so that neither a deposed leader's transaction nor a late one
- * of ours can be applied over a newer one. A transaction without an answer is unknown: its pieces
+ * key and on the shard's own modification revision, so that neither a deposed leader's transaction nor a late one
+ * of ours can be applied over a newer one. A transaction without an answer is unknown: its shards
  * are read again before anything is written over them, and nobody is told of their success.
  */
 public final class StateWriter {
@@ -94,7 +94,7 @@
     lowered = true;
   }
 
-  /** Takes over what the store holds of a job's piece. */
+  /** Takes over what the store holds of a job's shard. */
   public void recordModRevision(String key, long modRevision) {
     modRevisions.put(key, modRevision);
   }
@@ -109,17 +109,17 @@
     return IntStream.range(0, (job.spec.tasks() + size - 1) / size).anyMatch(k -> isDirty(job, k * size));
   }
 
-  /** The piece with {@code task} has changed; it waits for company and for a quiet moment. */
+  /** The shard with {@code task} has changed; it waits for company and for a quiet moment. */
   public void writeLater(Job job, int task) {
     mark(job, task, RequestPriority.BACKGROUND, clock.now() + lazyS, null);
   }
 
-  /** The piece with {@code task} has changed; {@code durable} runs once that is committed. */
+  /** The shard with {@code task} has changed; {@code durable} runs once that is committed. */
   public void writeNow(Job job, int task, RequestPriority priority, Runnable durable) {
     mark(job, task, priority, clock.now(), durable);
   }
 
-  /** Runs {@code then} once the piece with {@code task}, as it is now, is in the store; false if it is. */
+  /** Runs {@code then} once the shard with {@code task}, as it is now, is in the store; false if it is. */
   public boolean whenWritten(Job job, int task, Runnable then) {
     String key = shardLayout.shardOf(job, task).key();
     DirtyShard dirtyShard = dirty.getOrDefault(key, inFlight.get(key));
@@ -311,7 +311,7 @@
       deposed.run();
       return;
     }
-    LOG.info("commit failed on {}", commit.conflicts());
+    LOG.info("transaction failed on {}", commit.conflicts());
     batch.values().forEach(DirtyShard::refused);
     reread(batch);
   }
@@ -320,7 +320,7 @@
     if (closed) {
       return;
     }
-    LOG.debug("commit of {} pieces: {}", batch.size(), e.getMessage());
+    LOG.debug("transaction of {} shards: {}", batch.size(), e.getMessage());
     StoreException.Kind kind = StoreException.kindOf(e);
     boolean refused = kind == StoreException.Kind.REFUSED || kind == StoreException.Kind.MALFORMED;
     batch.values().forEach(refused ? DirtyShard::refused : DirtyShard::unanswered);
@@ -355,7 +355,7 @@
     }
     if (!large.isEmpty() && !lowered) {
       lowered = true;
-      LOG.info("the state service has lowered its limits: values go by {} bytes", safeBytes);
+      LOG.info("the store has lowered its limits: values are limited to {} bytes", safeBytes);
     }
     boolean smaller = false;
     for (Job job : large) {
@@ -372,7 +372,7 @@
         dirtyShard.due = clock.now() + lazyS;
         if (!saidSo) {
           saidSo = true;
-          LOG.error("the state service does not take {}, which is tried again and again: {}", e.getKey(), answer);
+          LOG.error("the store rejects {}, retrying: {}", e.getKey(), answer);
         }
       }
     }
@@ -386,7 +386,7 @@
     if (!shardLayout.refine(ref)) {
       return false;
     }
-    LOG.info("job {} goes on in parts of {} tasks", ref, shardLayout.shardSize(ref));
+    LOG.info("job {}: progress now kept in shards of {} tasks", ref, shardLayout.shardSize(ref));
     for (DirtyShard dirtyShard : old) {
       dirty.remove(dirtyShard.shard.key());
       for (int task = dirtyShard.tasks.nextSetBit(0); task >= 0; task = dirtyShard.tasks.nextSetBit(task + 1)) {
--- a/src/main/java/io/embernotch/persistence/SubmissionWatcher.java
+++ b/src/main/java/io/embernotch/persistence/SubmissionWatcher.java
@@ -3,8 +3,8 @@
 import io.embernotch.codec.JobProgressCodec;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.model.Job;
-import io.embernotch.store.VersionedEntry;
 import io.embernotch.store.StoreException;
+import io.embernotch.store.VersionedEntry;
 import java.util.function.BooleanSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -34,7 +34,8 @@
       return;
     }
     double hold = 3 * context.settings().workers().heartbeatIntervalS();
-    context.store()
+    context
+        .store()
         .watch(JobProgressCodec.JOB, epoch, hold)
         .onSuccess(
             changes -> {
@@ -46,7 +47,10 @@
               if (StoreException.kindOf(e) == StoreException.Kind.TOO_OLD) {
                 readAll();
               } else {
-                context.timers().after(context.settings().workers().heartbeatIntervalS() / 6, () -> from(epoch));
+                context
+                    .timers()
+                    .after(
+                        context.settings().workers().heartbeatIntervalS() / 6, () -> from(epoch));
               }
             });
   }
@@ -55,14 +59,19 @@
     if (over.getAsBoolean()) {
       return;
     }
-    context.store()
+    context
+        .store()
         .list(JobProgressCodec.JOB)
         .onSuccess(
             jobs -> {
               jobs.events().forEach(this::tell);
               from(jobs.revision());
             })
-        .onFailure(e -> context.timers().after(context.settings().workers().heartbeatIntervalS(), this::readAll));
+        .onFailure(
+            e ->
+                context
+                    .timers()
+                    .after(context.settings().workers().heartbeatIntervalS(), this::readAll));
   }
 
   private void tell(VersionedEntry entry) {
--- a/src/main/java/io/embernotch/reservation/ReservationHeadroom.java
+++ b/src/main/java/io/embernotch/reservation/ReservationHeadroom.java
@@ -1,16 +1,16 @@
 package io.embernotch.reservation;
 
-import io.embernotch.state.ClusterState;
 import io.embernotch.model.Job;
+import io.embernotch.model.JobShape;
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.MachineType;
 import io.embernotch.model.Priority;
-import io.embernotch.model.JobShape;
-import io.embernotch.scheduling.Resources;
 import io.embernotch.scheduling.FleetView.Headroom;
+import io.embernotch.scheduling.Resources;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.Reservation;
 import io.embernotch.settings.Selector;
+import io.embernotch.state.ClusterState;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -59,7 +59,12 @@
 
   /** What is missing to a fixed amount beyond what is free anyway. */
   private static void missing(
-      Reservation r, Resources used, JobSpec like, double served, ClusterState state, List<Headroom> out) {
+      Reservation r,
+      Resources used,
+      JobSpec like,
+      double served,
+      ClusterState state,
+      List<Headroom> out) {
     if (r.machines() > 0) {
       MachineType type =
           state.types.values().stream()
--- a/src/main/java/io/embernotch/reservation/ReservationManager.java
+++ b/src/main/java/io/embernotch/reservation/ReservationManager.java
@@ -4,17 +4,17 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.ReservationCodec;
 import io.embernotch.context.ControllerContext;
-import io.embernotch.state.ClusterState;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Machine;
-import io.embernotch.scheduling.Resources;
 import io.embernotch.scheduling.FleetView;
 import io.embernotch.scheduling.ReservationView;
+import io.embernotch.scheduling.Resources;
 import io.embernotch.scheduling.Scheduler;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.Reservation;
 import io.embernotch.shared.EffectiveConfiguration;
 import io.embernotch.shared.SharedState;
+import io.embernotch.state.ClusterState;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -101,7 +101,9 @@
     writtenAt = loadedAt;
     if (!kept.isEmpty()) {
       LOG.info(
-          "reservations of generation {}: held on {} machines", inForce.generation(), kept.size());
+          "reservations of generation {}: capacity reserved on {} machines",
+          inForce.generation(),
+          kept.size());
     }
   }
 
@@ -186,7 +188,10 @@
     mark(held);
     lastTerms =
         terms.stream()
-            .map(r -> new ReservationView.Term(r, ReservationHeadroom.of(r, headroom, state, context.operator())))
+            .map(
+                r ->
+                    new ReservationView.Term(
+                        r, ReservationHeadroom.of(r, headroom, state, context.operator())))
             .toList();
     return new ReservationView(lastTerms, held, this::used);
   }
@@ -302,7 +307,9 @@
       }
     }
     boolean due =
-        difference > NOTABLE * size ? now - writtenAt > heartbeat : now - writtenAt > PERIODS * heartbeat;
+        difference > NOTABLE * size
+            ? now - writtenAt > heartbeat
+            : now - writtenAt > PERIODS * heartbeat;
     if (difference <= 0 || !due) {
       return;
     }
@@ -358,7 +365,7 @@
       if (terms.size() > 1 || now != told) {
         told = now;
         LOG.info(
-            "reservation {}: {} GPUs and {} CPUs held on {} machines, {} and {} of it filled",
+            "reservation {}: {} GPUs and {} CPUs reserved on {} machines, {} and {} of it in use",
             terms.get(i).name(),
             s.held.gpus(),
             s.held.cpus(),
--- a/src/main/java/io/embernotch/rounds/MachineViewPublisher.java
+++ b/src/main/java/io/embernotch/rounds/MachineViewPublisher.java
@@ -1,15 +1,15 @@
 package io.embernotch.rounds;
 
 import io.embernotch.context.ControllerContext;
-import io.embernotch.state.ClusterState;
 import io.embernotch.model.Attempt;
+import io.embernotch.model.JobShape;
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.Machine;
-import io.embernotch.model.JobShape;
 import io.embernotch.model.TaskState;
+import io.embernotch.state.ClusterState;
+import io.embernotch.straggler.MachinePartitions;
 import io.embernotch.straggler.MachineView;
 import io.embernotch.straggler.MachineView.TaskView;
-import io.embernotch.straggler.MachinePartitions;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -140,7 +140,11 @@
   }
 
   private static boolean usable(Machine machine) {
-    return !machine.cordoned && !machine.deleting && !machine.failed && machine.reclaimAt < 0 && machine.errorStreak == 0;
+    return !machine.cordoned
+        && !machine.deleting
+        && !machine.failed
+        && machine.reclaimAt < 0
+        && machine.errorStreak == 0;
   }
 
   private static MachineView view(Machine machine, double now) {
--- a/src/main/java/io/embernotch/rounds/PartitionViews.java
+++ b/src/main/java/io/embernotch/rounds/PartitionViews.java
@@ -2,8 +2,8 @@
 
 import io.embernotch.peer.Frame;
 import io.embernotch.peer.PeerLink;
-import io.embernotch.straggler.MachineView;
 import io.embernotch.straggler.LocalPartition;
+import io.embernotch.straggler.MachineView;
 
 /**
  * Brings a leader's views of machines to the controllers in whose parts they are, this one or
--- a/src/main/java/io/embernotch/rounds/RestartReviewer.java
+++ b/src/main/java/io/embernotch/rounds/RestartReviewer.java
@@ -1,15 +1,15 @@
 package io.embernotch.rounds;
 
-import io.embernotch.context.ControllerContext;
-import io.embernotch.state.ClusterState;
 import io.embernotch.agents.TaskStopper;
+import io.embernotch.context.ControllerContext;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
+import io.embernotch.model.JobShape;
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.Machine;
-import io.embernotch.model.JobShape;
 import io.embernotch.model.TaskState;
 import io.embernotch.persistence.StateWriter;
+import io.embernotch.state.ClusterState;
 import io.embernotch.store.RateLimiter.RequestPriority;
 import io.embernotch.straggler.Restart;
 import java.util.ArrayDeque;
@@ -32,7 +32,8 @@
   private final Map<String, Deque<List<Restart>>> proposed = new HashMap<>();
   private final Map<String, Double> nextAt = new HashMap<>();
 
-  public RestartReviewer(ControllerContext context, ClusterState state, StateWriter stateWriter, TaskStopper stopper) {
+  public RestartReviewer(
+      ControllerContext context, ClusterState state, StateWriter stateWriter, TaskStopper stopper) {
     this.context = context;
     this.state = state;
     this.stateWriter = stateWriter;
@@ -63,7 +64,10 @@
     Job job = state.jobs.get(r.ref());
     Attempt attempt = job.openAttempts.get(r.task());
     LOG.info(
-        "restarting slow task {} on {} (gain {})", attempt, r.target(), String.format("%.4f", r.gain()));
+        "restarting straggler {} on {} (gain {})",
+        attempt,
+        r.target(),
+        String.format("%.4f", r.gain()));
     job.preferredMachines.put(r.task(), r.target());
     stateWriter.writeNow(
         job,
@@ -71,7 +75,8 @@
         RequestPriority.NORMAL,
         () -> {
           if (ClusterState.isOpen(attempt) && !attempt.stopping && job.finalPhase == null) {
-            stopper.requestStop(attempt, attempt.job.spec.checkpointS() > 0 ? attempt.job.spec.saveS() : 0);
+            stopper.requestStop(
+                attempt, attempt.job.spec.checkpointS() > 0 ? attempt.job.spec.saveS() : 0);
           }
         });
   }
