--- a/src/main/java/io/embernotch/rounds/StragglerRounds.java
+++ b/src/main/java/io/embernotch/rounds/StragglerRounds.java
@@ -1,8 +1,8 @@
 package io.embernotch.rounds;
 
 import io.embernotch.context.ControllerContext;
-import io.embernotch.straggler.MachineView;
 import io.embernotch.straggler.LocalPartition;
+import io.embernotch.straggler.MachineView;
 import io.embernotch.straggler.Restart;
 import io.embernotch.straggler.StragglerRound;
 import java.util.Collection;
@@ -20,12 +20,14 @@
   private final StragglerRound round;
   private final Consumer<List<Restart>> propose;
 
-  public StragglerRounds(ControllerContext context, LocalPartition localPartition, Consumer<List<Restart>> propose) {
+  public StragglerRounds(
+      ControllerContext context, LocalPartition localPartition, Consumer<List<Restart>> propose) {
     this.context = context;
     this.localPartition = localPartition;
     this.propose = propose;
     this.round =
-        new StragglerRound(context.operator().flagRatio(), context.operator().beta(), context.operator().roundS());
+        new StragglerRound(
+            context.operator().flagRatio(), context.operator().beta(), context.operator().roundS());
   }
 
   public void start() {
@@ -40,7 +42,7 @@
     Collection<MachineView> views = localPartition.current();
     List<Restart> restarts = round.run(views);
     if (!restarts.isEmpty()) {
-      LOG.info("part of {} machines: {} restarts proposed", views.size(), restarts.size());
+      LOG.info("partition of {} machines: {} restarts proposed", views.size(), restarts.size());
       propose.accept(restarts);
     }
   }
--- a/src/main/java/io/embernotch/scheduling/BootQueueing.java
+++ b/src/main/java/io/embernotch/scheduling/BootQueueing.java
@@ -1,9 +1,9 @@
 package io.embernotch.scheduling;
 
 import io.embernotch.model.Job;
+import io.embernotch.model.JobShape;
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.MachineType;
-import io.embernotch.model.JobShape;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.Map;
--- a/src/main/java/io/embernotch/scheduling/CandidateMachine.java
+++ b/src/main/java/io/embernotch/scheduling/CandidateMachine.java
@@ -1,8 +1,8 @@
 package io.embernotch.scheduling;
 
 import io.embernotch.model.JobSpec;
-import io.embernotch.model.MachineLoad;
 import io.embernotch.model.Machine;
+import io.embernotch.model.MachineLoad;
 import io.embernotch.model.MachineType;
 import io.embernotch.model.Priority;
 import java.util.HashSet;
@@ -69,7 +69,8 @@
   }
 
   static CandidateMachine of(Kind kind, Machine machine) {
-    CandidateMachine candidate = new CandidateMachine(kind, machine, machine.type, machine.zone, machine.spot);
+    CandidateMachine candidate =
+        new CandidateMachine(kind, machine, machine.type, machine.zone, machine.spot);
     MachineLoad l = machine.load();
     candidate.cpus -= l.cpus;
     candidate.gpus -= l.gpus;
--- a/src/main/java/io/embernotch/scheduling/CandidateMachines.java
+++ b/src/main/java/io/embernotch/scheduling/CandidateMachines.java
@@ -89,7 +89,10 @@
   Resources together() {
     Resources sum = Resources.ZERO;
     for (CandidateMachine candidate : all) {
-      sum = sum.plus(new Resources(candidate.type.cpus(), candidate.type.gpus(), candidate.type.memGb()), 1);
+      sum =
+          sum.plus(
+              new Resources(candidate.type.cpus(), candidate.type.gpus(), candidate.type.memGb()),
+              1);
     }
     return sum;
   }
@@ -113,7 +116,10 @@
 
   /** Slots with such room for this job, best first. */
   List<CandidateMachine> candidates(
-      Room room, JobSpec spec, Predicate<CandidateMachine> allowed, ToDoubleFunction<CandidateMachine> score) {
+      Room room,
+      JobSpec spec,
+      Predicate<CandidateMachine> allowed,
+      ToDoubleFunction<CandidateMachine> score) {
     List<CandidateMachine> from = open(room);
     from.removeIf(this::filledUp);
     List<CandidateMachine> out = new ArrayList<>();
@@ -177,7 +183,9 @@
       return null;
     }
     if (!machine.up()) {
-      return now < machine.expectedUntil ? CandidateMachine.of(CandidateMachine.Kind.COMING, machine) : null;
+      return now < machine.expectedUntil
+          ? CandidateMachine.of(CandidateMachine.Kind.COMING, machine)
+          : null;
     }
     return CandidateMachine.of(CandidateMachine.Kind.READY, machine);
   }
@@ -187,8 +195,14 @@
     CandidateMachines out = new CandidateMachines();
     for (Machine machine : machines) {
       CandidateMachine candidate = slot(machine, now);
-      if (candidate != null && (candidate.kind != CandidateMachine.Kind.READY || usable.test(machine))) {
-        candidate.hold = candidate.kind == CandidateMachine.Kind.READY && !candidate.spot && holds.concerns(machine) ? holds.on(machine) : null;
+      if (candidate != null
+          && (candidate.kind != CandidateMachine.Kind.READY || usable.test(machine))) {
+        candidate.hold =
+            candidate.kind == CandidateMachine.Kind.READY
+                    && !candidate.spot
+                    && holds.concerns(machine)
+                ? holds.on(machine)
+                : null;
         out.add(candidate);
       }
     }
--- a/src/main/java/io/embernotch/scheduling/Deadlines.java
+++ b/src/main/java/io/embernotch/scheduling/Deadlines.java
@@ -45,7 +45,10 @@
     return late;
   }
 
-  /** The same of jobs, on machines with so many GPUs and CPUs for them; sets {@link Job#missesDeadline}. */
+  /**
+   * The same of jobs, on machines with so many GPUs and CPUs for them; sets {@link
+   * Job#missesDeadline}.
+   */
   static void mark(List<Job> jobs, Resources room, long wallMs) {
     List<Item> items = new ArrayList<>();
     for (Job job : jobs) {
@@ -60,7 +63,8 @@
             new Item(
                 job.spec.ref(),
                 share * left * runS,
-                (job.releaseDeadlineMs - wallMs) / 1000.0 - runS * (1 - Math.min(1, share * left))));
+                (job.releaseDeadlineMs - wallMs) / 1000.0
+                    - runS * (1 - Math.min(1, share * left))));
       }
     }
     Set<String> late = late(items);
--- a/src/main/java/io/embernotch/scheduling/GangAccumulation.java
+++ b/src/main/java/io/embernotch/scheduling/GangAccumulation.java
@@ -2,8 +2,8 @@
 
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
-import io.embernotch.model.JobSpec;
 import io.embernotch.model.JobShape;
+import io.embernotch.model.JobSpec;
 import io.embernotch.settings.Settings;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -47,7 +47,8 @@
   private final Map<Size, List<Host>> hosts = new HashMap<>();
   private int left;
 
-  GangAccumulation(CandidateMachines slots, Settings settings, ScaleOutPlanner market, double now, long wallMs) {
+  GangAccumulation(
+      CandidateMachines slots, Settings settings, ScaleOutPlanner market, double now, long wallMs) {
     this.slots = slots;
     this.settings = settings;
     this.market = market;
@@ -66,11 +67,19 @@
 
   /** Holds machines for the gangs among these jobs that need it, in this order. */
   void hold(List<Job> order) {
-    left = (int) (MOST_SHARE * slots.all().stream().filter(candidate -> candidate.kind == CandidateMachine.Kind.READY).count());
+    left =
+        (int)
+            (MOST_SHARE
+                * slots.all().stream()
+                    .filter(candidate -> candidate.kind == CandidateMachine.Kind.READY)
+                    .count());
     boolean first = true;
     for (Job job : order) {
       boolean waits =
-          job.spec.shape() == JobShape.GANG && job.openAttempts.isEmpty() && !job.failsEverywhere() && aged(job);
+          job.spec.shape() == JobShape.GANG
+              && job.openAttempts.isEmpty()
+              && !job.failsEverywhere()
+              && aged(job);
       if (waits
           && (left > 0 || first)
           && settings.zones().stream().noneMatch(z -> market.canBuy(job.spec, z))) {
@@ -168,7 +177,10 @@
     if (attempt.job.spec.shape() == JobShape.SERVICE) {
       return Double.MAX_VALUE;
     }
-    return Math.max(1, DOUBT * Math.max(attempt.job.spec.expectS(), attempt.job.meanS()) - (now - attempt.createdAt));
+    return Math.max(
+        1,
+        DOUBT * Math.max(attempt.job.spec.expectS(), attempt.job.meanS())
+            - (now - attempt.createdAt));
   }
 
   /**
@@ -178,6 +190,8 @@
   static boolean lets(CandidateMachine candidate, JobSpec spec) {
     return candidate.heldFor == null
         || candidate.heldFor.equals(spec.ref())
-        || (spec.shape() == JobShape.ARRAY && spec.expectS() > 0 && DOUBT * spec.expectS() <= candidate.heldS);
+        || (spec.shape() == JobShape.ARRAY
+            && spec.expectS() > 0
+            && DOUBT * spec.expectS() <= candidate.heldS);
   }
 }
--- a/src/main/java/io/embernotch/scheduling/JobOrdering.java
+++ b/src/main/java/io/embernotch/scheduling/JobOrdering.java
@@ -40,7 +40,8 @@
   private JobOrdering() {}
 
   /** The jobs with tasks to be placed, in their order. */
-  static List<Job> of(Collection<Job> jobs, Settings settings, CandidateMachines slots, long wallMs) {
+  static List<Job> of(
+      Collection<Job> jobs, Settings settings, CandidateMachines slots, long wallMs) {
     long leaseMs = Math.round(settings.workers().leaseS() * 1000);
     List<Job> order = new ArrayList<>();
     for (Job job : jobs) {
--- a/src/main/java/io/embernotch/scheduling/Preemption.java
+++ b/src/main/java/io/embernotch/scheduling/Preemption.java
@@ -2,10 +2,10 @@
 
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
+import io.embernotch.model.JobShape;
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.MachineLoad;
 import io.embernotch.model.Priority;
-import io.embernotch.model.JobShape;
 import io.embernotch.settings.Settings;
 import java.util.ArrayList;
 import java.util.Collections;
@@ -57,14 +57,18 @@
   }
 
   /** Stops work of lower priority where that destroys least, for up to {@code wanted} tasks. */
-  int makeRoom(JobSpec spec, int wanted, ZoneConstraints zones, Predicate<CandidateMachine> allowed) {
+  int makeRoom(
+      JobSpec spec, int wanted, ZoneConstraints zones, Predicate<CandidateMachine> allowed) {
     // A live service does not wait for others to save; they fall back to their last checkpoint.
     return makeRoom(
         spec,
         wanted,
         zones,
         slots.all(),
-        candidate -> candidate.least != null && candidate.least.compareTo(spec.priority()) < 0 && allowed.test(candidate),
+        candidate ->
+            candidate.least != null
+                && candidate.least.compareTo(spec.priority()) < 0
+                && allowed.test(candidate),
         attempt -> attempt.job.spec.priority().compareTo(spec.priority()) < 0,
         attempt -> 0);
   }
@@ -79,7 +83,11 @@
     }
     if (lenders == null) {
       lenders =
-          slots.all().stream().filter(candidate -> candidate.kind == CandidateMachine.Kind.READY && runsBeyond(candidate)).toList();
+          slots.all().stream()
+              .filter(
+                  candidate ->
+                      candidate.kind == CandidateMachine.Kind.READY && runsBeyond(candidate))
+              .toList();
     }
     return makeRoom(
         job.spec,
@@ -134,7 +142,9 @@
         if (from == lenders && hosts.size() > ENOUGH * wanted) {
           break;
         }
-        candidate.score = candidate.fetchS(spec) + victims.stream().mapToDouble(this::lost).sum() / victims.size();
+        candidate.score =
+            candidate.fetchS(spec)
+                + victims.stream().mapToDouble(this::lost).sum() / victims.size();
         hosts.add(candidate);
       }
     }
@@ -154,7 +164,9 @@
         for (Attempt attempt : victims) {
           stopped.add(attempt);
           candidate.willFree(attempt.job.spec);
-          plan.stops.add(new SchedulingPlan.Stop(attempt, graceS.applyAsDouble(attempt), "room for " + spec.ref()));
+          plan.stops.add(
+              new SchedulingPlan.Stop(
+                  attempt, graceS.applyAsDouble(attempt), "room for " + spec.ref()));
         }
         candidate.take(spec, 1);
         candidate.claimed = true;
@@ -169,7 +181,9 @@
   /** Seconds of progress that stopping this attempt loses or delays. */
   private double lost(Attempt attempt) {
     double ran = attempt.runningAt < 0 ? 0 : now - attempt.runningAt;
-    return attempt.job.spec.checkpointS() > 0 ? Math.min(ran, attempt.job.spec.checkpointS() / 2) : ran;
+    return attempt.job.spec.checkpointS() > 0
+        ? Math.min(ran, attempt.job.spec.checkpointS() / 2)
+        : ran;
   }
 
   /** What must go for one such task, and nothing besides; null if what may go is not enough. */
@@ -213,7 +227,8 @@
     MachineLoad there =
         new MachineLoad(
             candidate.machine.openAttempts.values().stream()
-                .filter(attempt -> !attempt.stopping && !stopped.contains(attempt) && may.test(attempt))
+                .filter(
+                    attempt -> !attempt.stopping && !stopped.contains(attempt) && may.test(attempt))
                 .toList());
     Resources kept = candidate.keptFrom(spec);
     share =
@@ -221,19 +236,22 @@
             share,
             spec.cpus() <= 0
                 ? share
-                : (candidate.cpus + candidate.freeingCpus + there.cpus - kept.cpus()) / spec.cpus());
+                : (candidate.cpus + candidate.freeingCpus + there.cpus - kept.cpus())
+                    / spec.cpus());
     share =
         Math.min(
             share,
             spec.gpus() <= 0
                 ? share
-                : (candidate.gpus + candidate.freeingGpus + there.gpus - kept.gpus()) / spec.gpus());
+                : (candidate.gpus + candidate.freeingGpus + there.gpus - kept.gpus())
+                    / spec.gpus());
     share =
         Math.min(
             share,
             spec.memGb() <= 0
                 ? share
-                : (candidate.mem + candidate.freeingMem + there.memGb - kept.memGb()) / spec.memGb());
+                : (candidate.mem + candidate.freeingMem + there.memGb - kept.memGb())
+                    / spec.memGb());
     return (int) Math.floor(Math.max(0, share) + EPS);
   }
 
--- a/src/main/java/io/embernotch/scheduling/QuotaUsage.java
+++ b/src/main/java/io/embernotch/scheduling/QuotaUsage.java
@@ -61,7 +61,8 @@
         (name, list) -> {
           Settings.Team team = teams.get(name);
           list.sort(
-              Comparator.comparingLong((Job job) -> job.eligibleSinceMs).thenComparing(job -> job.spec.ref()));
+              Comparator.comparingLong((Job job) -> job.eligibleSinceMs)
+                  .thenComparing(job -> job.spec.ref()));
           double cpus = 0;
           double gpus = 0;
           for (Job job : list) {
--- a/src/main/java/io/embernotch/scheduling/ReservationPlanner.java
+++ b/src/main/java/io/embernotch/scheduling/ReservationPlanner.java
@@ -121,7 +121,9 @@
                     && (emptyToo || !candidate.machine.openAttempts.isEmpty())
                     && r.allowsType(candidate.type.name())
                     && (zone == null || zone.equals(candidate.zone)),
-            candidate -> -PlacementScore.PACK_S * candidate.used() - (candidate.machine == null ? 0 : candidate.machine.images.size()))) {
+            candidate ->
+                -PlacementScore.PACK_S * candidate.used()
+                    - (candidate.machine == null ? 0 : candidate.machine.images.size()))) {
       int there = candidate.hold == null ? 0 : candidate.hold.free(term).holds(unit);
       int n = Math.min(candidate.count(like, false) - there, wanted - done);
       if (n > 0) {
@@ -148,7 +150,8 @@
     }
     // What no task can use by itself is of no use to them either.
     held.sort(
-        Comparator.comparing((CandidateMachine candidate) -> candidate.hold.filled(term)).thenComparingDouble(candidate -> candidate.used()));
+        Comparator.comparing((CandidateMachine candidate) -> candidate.hold.filled(term))
+            .thenComparingDouble(candidate -> candidate.used()));
     for (CandidateMachine candidate : held) {
       Resources left = all.less(candidate.hold.free(term));
       if (left.cpus() < wanted.cpus()
--- a/src/main/java/io/embernotch/scheduling/ReservationView.java
+++ b/src/main/java/io/embernotch/scheduling/ReservationView.java
@@ -17,7 +17,8 @@
  */
 public record ReservationView(
     List<Term> terms, Map<String, Resources[]> held, Function<Machine, Resources[]> used) {
-  public static final ReservationView NONE = new ReservationView(List.of(), Map.of(), machine -> null);
+  public static final ReservationView NONE =
+      new ReservationView(List.of(), Map.of(), machine -> null);
 
   /** One reservation, and how much is to be free for it. */
   public record Term(Reservation terms, List<FleetView.Headroom> spare) {}
@@ -26,7 +27,8 @@
   MachineReservation on(Machine machine) {
     Resources[] there = machine == null ? null : used.apply(machine);
     Resources[] kept = machine == null ? null : held.get(machine.name);
-    return new MachineReservation(terms, there == null ? MachineReservation.nothing(terms.size()) : there, kept);
+    return new MachineReservation(
+        terms, there == null ? MachineReservation.nothing(terms.size()) : there, kept);
   }
 
   /** Something is held on the machine, or used by those who may hold it. */
--- a/src/main/java/io/embernotch/scheduling/ScaleOutPlanner.java
+++ b/src/main/java/io/embernotch/scheduling/ScaleOutPlanner.java
@@ -1,8 +1,8 @@
 package io.embernotch.scheduling;
 
+import io.embernotch.model.JobShape;
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.MachineType;
-import io.embernotch.model.JobShape;
 import java.util.LinkedHashMap;
 import java.util.Map;
 
@@ -16,7 +16,8 @@
   private final Map<SchedulingPlan.ScaleOutRequest, Integer> bought = new LinkedHashMap<>();
   private int left;
 
-  ScaleOutPlanner(Map<String, MachineType> types, FleetView.Pools pools, CandidateMachines slots, int most) {
+  ScaleOutPlanner(
+      Map<String, MachineType> types, FleetView.Pools pools, CandidateMachines slots, int most) {
     this.types = types;
     this.pools = pools;
     this.slots = slots;
@@ -42,8 +43,10 @@
               || pools.exhausted(type.name(), zone, spot)) {
             continue;
           }
-          CandidateMachine candidate = new CandidateMachine(CandidateMachine.Kind.NEW, null, type, zone, spot);
-          double price = (spot ? type.spotPrice() : type.price()) / Math.max(1, candidate.count(spec, false));
+          CandidateMachine candidate =
+              new CandidateMachine(CandidateMachine.Kind.NEW, null, type, zone, spot);
+          double price =
+              (spot ? type.spotPrice() : type.price()) / Math.max(1, candidate.count(spec, false));
           candidate.score = price * (1 + 0.001 * slots.inZone(zone));
           if (best == null || candidate.score < best.score) {
             best = candidate;
@@ -53,7 +56,10 @@
     }
     if (best != null) {
       left--;
-      bought.merge(new SchedulingPlan.ScaleOutRequest(best.type.name(), best.zone, best.spot, 0), 1, Integer::sum);
+      bought.merge(
+          new SchedulingPlan.ScaleOutRequest(best.type.name(), best.zone, best.spot, 0),
+          1,
+          Integer::sum);
       slots.add(best);
     }
     return best;
@@ -88,6 +94,9 @@
   }
 
   void collect(SchedulingPlan plan) {
-    bought.forEach((b, n) -> plan.scaleOuts.add(new SchedulingPlan.ScaleOutRequest(b.type(), b.zone(), b.spot(), n)));
+    bought.forEach(
+        (b, n) ->
+            plan.scaleOuts.add(
+                new SchedulingPlan.ScaleOutRequest(b.type(), b.zone(), b.spot(), n)));
   }
 }
--- a/src/main/java/io/embernotch/scheduling/TopologySpread.java
+++ b/src/main/java/io/embernotch/scheduling/TopologySpread.java
@@ -43,7 +43,8 @@
       holders = new HashMap<>();
       for (CandidateMachine candidate : slots.all()) {
         if (candidate.kind == CandidateMachine.Kind.READY) {
-          candidate.machine.images.forEach(i -> holders.computeIfAbsent(i, x -> new ArrayList<>()).add(candidate));
+          candidate.machine.images.forEach(
+              i -> holders.computeIfAbsent(i, x -> new ArrayList<>()).add(candidate));
         }
       }
     }
--- a/src/main/java/io/embernotch/settings/OperatorSettings.java
+++ b/src/main/java/io/embernotch/settings/OperatorSettings.java
@@ -32,7 +32,7 @@
    * @param directory where; null: none are taken
    * @param everyS seconds between two
    * @param keep how many are kept
-   * @param restoreWhenEmpty an empty state service is taken for one that has lost data
+   * @param restoreWhenEmpty an empty store is taken for one that has lost data
    */
   public record Snapshots(Path directory, double everyS, int keep, boolean restoreWhenEmpty) {}
 
--- a/src/main/java/io/embernotch/settings/ReservationReader.java
+++ b/src/main/java/io/embernotch/settings/ReservationReader.java
@@ -1,7 +1,7 @@
 package io.embernotch.settings;
 
-import io.embernotch.model.Priority;
 import io.embernotch.model.JobShape;
+import io.embernotch.model.Priority;
 import io.embernotch.settings.proto.OperatorFile;
 import java.util.ArrayList;
 import java.util.HashSet;
--- a/src/main/java/io/embernotch/settings/Selector.java
+++ b/src/main/java/io/embernotch/settings/Selector.java
@@ -1,8 +1,8 @@
 package io.embernotch.settings;
 
+import io.embernotch.model.JobShape;
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.Priority;
-import io.embernotch.model.JobShape;
 
 /** Which jobs something is about: all that is given must match; null: any. */
 public record Selector(Priority priority, JobShape shape, String team, String jobClass) {
--- a/src/main/java/io/embernotch/settings/Settings.java
+++ b/src/main/java/io/embernotch/settings/Settings.java
@@ -44,9 +44,13 @@
 
   /** Times that the workers go by, in seconds. */
   public record WorkerTimings(
-      double heartbeatIntervalS, double leaseS, double gangWaitS, double gangPeerS, double cancelS) {}
+      double heartbeatIntervalS,
+      double leaseS,
+      double gangWaitS,
+      double gangPeerS,
+      double cancelS) {}
 
-  /** Limits of the state service; {@code stateNext} are those that it will have, or the same. */
+  /** Limits of the store; {@code stateNext} are those that it will have, or the same. */
   public record StoreLimits(double rps, double writeRps, double valueKb, int txnOps) {}
 
   /** Limits of the cloud: requests a second, and by how many seconds its lists lag. */
@@ -94,8 +98,8 @@
   }
 
   /**
-   * What fits the state service now and once its limits have been lowered, which it does without
-   * notice: everything that is written, and how fast, goes by the smaller of both.
+   * What fits the store now and once its limits have been lowered, which it does without notice:
+   * everything that is written, and how fast, goes by the smaller of both.
    */
   public StoreLimits minStoreLimits() {
     return new StoreLimits(
@@ -117,9 +121,9 @@
 
   /**
    * How long worker leases are renewed by those who cannot reach a leader or prove to be one: a
-   * leader cut off from the state service, and a controller cut off with its zone. One worker
-   * lease longer than {@link #formerHoldS}; so a cancellation is only told once each task of the
-   * job is proven gone, or must be in time whoever renews ("ran_cancelled" in ARCHITECTURE).
+   * leader partitioned from the store, and a controller partitioned with its zone. One worker lease
+   * longer than {@link #formerHoldS}; so a cancellation is only told once each task of the job is
+   * proven gone, or must be in time whoever renews ("ran_cancelled" in ARCHITECTURE).
    */
   public double gracePeriodS() {
     return legacyGracePeriodS() + workers.leaseS();
--- a/src/main/java/io/embernotch/shared/EffectiveConfiguration.java
+++ b/src/main/java/io/embernotch/shared/EffectiveConfiguration.java
@@ -2,8 +2,8 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.embernotch.codec.MalformedInputException;
 import io.embernotch.codec.Json;
+import io.embernotch.codec.MalformedInputException;
 import java.util.function.Consumer;
 import java.util.function.Function;
 import org.slf4j.Logger;
@@ -86,7 +86,7 @@
       long since = Json.whole(stored, "gen");
       if (since == ownGeneration && !there.equals(own)) {
         LOG.error(
-            "the operators' file says something else of {} than the state service, both of generation {}: the latter holds",
+            "the operators' file differs from the store on {}, both of generation {}: the store's wins",
             name,
             since);
       } else if (since > ownGeneration) {
@@ -99,7 +99,7 @@
       value = there;
       generation = since;
     } catch (MalformedInputException e) {
-      LOG.error("what the state service says of {} can't be read: {}", name, e.getMessage());
+      LOG.error("the store's value of {} cannot be read: {}", name, e.getMessage());
     }
   }
 }
--- a/src/main/java/io/embernotch/shared/SharedState.java
+++ b/src/main/java/io/embernotch/shared/SharedState.java
@@ -1,15 +1,15 @@
 package io.embernotch.shared;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.embernotch.codec.Json;
 import io.embernotch.codec.JobProgressCodec;
+import io.embernotch.codec.Json;
 import io.embernotch.codec.Versions;
 import io.embernotch.context.ControllerContext;
-import io.embernotch.store.TransactionResult;
-import io.embernotch.store.VersionedEntry;
 import io.embernotch.store.RateLimiter.RequestPriority;
 import io.embernotch.store.StoreException;
 import io.embernotch.store.Transaction;
+import io.embernotch.store.TransactionResult;
+import io.embernotch.store.VersionedEntry;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -19,11 +19,11 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Facts that a term hands to the next one: under {@code shared/} in the state service, read
- * before anything is planned, written by the leader alone with its key and each fact's own stamp
- * as conditions. What is told of a fact is only what the store is known to hold: a change counts
- * once its commit is answered. A commit without an answer is unknown, and the keys are read again
- * before anything else is written.
+ * Facts that a term hands to the next one: under {@code shared/} in the store, read before anything
+ * is planned, written by the leader alone with its key and each fact's own modification revision as
+ * conditions. What is told of a fact is only what the store is known to hold: a change counts once
+ * its commit is answered. A commit without an answer is unknown, and the keys are read again before
+ * anything else is written.
  *
  * <p>Each value carries a version {@code n}, higher than all before it; where two copies of the
  * state differ, the higher one counts ({@link Versions}). All writing together is bounded to a
@@ -55,11 +55,12 @@
   private long edition;
 
   /**
-   * @param stamp of the leader's key
+   * @param modRevision of the leader's key
    * @param firstVersion of what this term writes: above those of all before it
    * @param deposed told when a commit fails on the leader's key
    */
-  public SharedState(ControllerContext context, long modRevision, long firstVersion, Runnable deposed) {
+  public SharedState(
+      ControllerContext context, long modRevision, long firstVersion, Runnable deposed) {
     this.context = context;
     this.modRevision = modRevision;
     this.firstVersion = firstVersion;
@@ -68,13 +69,15 @@
     this.deposed = deposed;
   }
 
-  /** Takes what the store holds, the base of its era beneath it. */
+  /** Takes what the store holds, the base of its incarnation beneath it. */
   public void load(List<VersionedEntry> entries) {
     edition++;
     facts.clear();
     for (VersionedEntry entry : entries) {
       if (entry.present()) {
-        facts.put(entry.key().substring(JobProgressCodec.SHARED.length()), new Fact(entry.value(), entry.modRevision()));
+        facts.put(
+            entry.key().substring(JobProgressCodec.SHARED.length()),
+            new Fact(entry.value(), entry.modRevision()));
         version = Math.max(version, Versions.of(entry.value()));
       }
     }
@@ -151,7 +154,8 @@
       return;
     }
     armed = true;
-    context.timers()
+    context
+        .timers()
         .after(
             Math.max(0.001, nextAt - context.clock().now()),
             () -> {
@@ -178,7 +182,8 @@
       batch.put(e.getKey(), e.getValue());
     }
     busy = true;
-    context.store()
+    context
+        .store()
         .commit(txn, RequestPriority.NORMAL)
         .onSuccess(result -> answered(result, batch))
         .onFailure(e -> unanswered(e, batch));
@@ -210,11 +215,11 @@
     if (closed) {
       return;
     }
-    LOG.info("facts {} were not written: {}", batch.keySet(), e.getMessage());
+    LOG.info("shared state entries {} were not written: {}", batch.keySet(), e.getMessage());
     if (StoreException.kindOf(e) == StoreException.Kind.MALFORMED) {
       // One that the store does not take must hold up no other; what the store holds of it stays
       // true.
-      LOG.error("the state service does not take the facts {}", batch.keySet());
+      LOG.error("the store rejects the shared state entries {}", batch.keySet());
       batch.forEach(wanted::remove);
     }
     if (StoreException.kindOf(e) == StoreException.Kind.UNKNOWN) {
@@ -229,7 +234,8 @@
   }
 
   private void later(Runnable what) {
-    context.timers()
+    context
+        .timers()
         .after(
             context.settings().workers().heartbeatIntervalS() / 6,
             () -> {
@@ -244,7 +250,8 @@
    * from then on.
    */
   private void reread() {
-    context.store()
+    context
+        .store()
         .list(JobProgressCodec.SHARED)
         .onSuccess(
             read -> {
@@ -253,7 +260,7 @@
               }
               Map<String, Fact> base = new TreeMap<>(facts);
               load(read.events());
-              // What stands beneath the store's keys in this era is in none of them.
+              // What stands beneath the store's keys in this incarnation is in none of them.
               base.forEach(
                   (name, f) -> {
                     if (f.modRevision == 0) {
--- a/src/main/java/io/embernotch/snapshot/BaseSnapshot.java
+++ b/src/main/java/io/embernotch/snapshot/BaseSnapshot.java
@@ -2,16 +2,16 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.google.protobuf.InvalidProtocolBufferException;
-import io.embernotch.codec.MalformedInputException;
-import io.embernotch.codec.Json;
 import io.embernotch.codec.JobProgressCodec;
+import io.embernotch.codec.Json;
+import io.embernotch.codec.MalformedInputException;
 import io.embernotch.codec.Versions;
-import io.embernotch.copy.proto.CopyFile.Copy;
-import io.embernotch.copy.proto.CopyFile.EndedCopy;
-import io.embernotch.copy.proto.CopyFile.JobCopy;
+import io.embernotch.snapshot.proto.SnapshotProto.ClusterSnapshot;
+import io.embernotch.snapshot.proto.SnapshotProto.EndedJobSnapshot;
+import io.embernotch.snapshot.proto.SnapshotProto.JobSnapshot;
 import io.embernotch.state.ClusterState;
-import io.embernotch.store.WatchEvents;
 import io.embernotch.store.VersionedEntry;
+import io.embernotch.store.WatchEvents;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -19,13 +19,14 @@
 import java.util.TreeMap;
 
 /**
- * What an era began with. It lies in the state service as blocks and stands beneath its keys: a key
- * that was written in this era is newer than the base, one that was left from before is older. Of a
- * job that the base says has ended nothing else counts.
+ * What an incarnation began with. It lies in the store as blocks and stands beneath its keys: a key
+ * that was written in this incarnation is newer than the base, one that was left from before is
+ * older. Of a job that the base says has ended nothing else counts.
  */
 public final class BaseSnapshot {
-  /** An era that began with nothing. */
-  public static final BaseSnapshot EMPTY = new BaseSnapshot(Copy.newBuilder().setComplete(true).build(), 0);
+  /** An incarnation that began with nothing. */
+  public static final BaseSnapshot EMPTY =
+      new BaseSnapshot(ClusterSnapshot.newBuilder().setComplete(true).build(), 0);
 
   private final boolean complete;
   private final long since;
@@ -37,15 +38,15 @@
   private final Map<String, ObjectNode> shared = new TreeMap<>();
 
   /**
-   * @param since keys with a higher stamp are newer than the copy
+   * @param since keys with a higher modification revision are newer than the copy
    */
-  public BaseSnapshot(Copy copy, long since) {
+  public BaseSnapshot(ClusterSnapshot copy, long since) {
     this.complete = copy.getComplete();
     this.since = since;
-    for (JobCopy j : copy.getJobList()) {
+    for (JobSnapshot j : copy.getJobList()) {
       jobs.put(j.getRef(), j.toByteArray());
     }
-    for (EndedCopy e : copy.getEndedList()) {
+    for (EndedJobSnapshot e : copy.getEndedList()) {
       ended.put(e.getRef(), StateSnapshot.ended(e));
     }
     copy.getSharedList()
@@ -57,7 +58,9 @@
     return complete;
   }
 
-  /** Keys of this stamp or a lower one are older than the copy; 0 if there is none. */
+  /**
+   * Keys of this modification revision or a lower one are older than the copy; 0 if there is none.
+   */
   public long since() {
     return since;
   }
@@ -91,13 +94,15 @@
 
   /**
    * The store's shared facts with what stands beneath them: of each the later value, under the
-   * stamp that the store has.
+   * modification revision that the store has.
    */
   public List<VersionedEntry> beneathShared(WatchEvents stored) {
     Map<String, VersionedEntry> out = new TreeMap<>();
     shared.forEach(
         (name, value) ->
-            out.put(JobProgressCodec.SHARED + name, new VersionedEntry(JobProgressCodec.SHARED + name, value, 0)));
+            out.put(
+                JobProgressCodec.SHARED + name,
+                new VersionedEntry(JobProgressCodec.SHARED + name, value, 0)));
     for (VersionedEntry entry : stored.events()) {
       if (entry.present()) {
         VersionedEntry below = out.get(entry.key());
@@ -105,7 +110,10 @@
             entry.key(),
             below == null
                 ? entry
-                : new VersionedEntry(entry.key(), Versions.later(below.value(), entry.value()), entry.modRevision()));
+                : new VersionedEntry(
+                    entry.key(),
+                    Versions.later(below.value(), entry.value()),
+                    entry.modRevision()));
       }
     }
     return List.copyOf(out.values());
@@ -123,7 +131,7 @@
 
   private static void lay(byte[] job, String prefix, Map<String, VersionedEntry> out) {
     try {
-      for (VersionedEntry entry : StateSnapshot.entries(JobCopy.parseFrom(job))) {
+      for (VersionedEntry entry : StateSnapshot.entries(JobSnapshot.parseFrom(job))) {
         if (entry.key().startsWith(prefix)) {
           out.put(entry.key(), entry);
         }
@@ -141,8 +149,10 @@
     if (!jobs.containsKey(ref) || entry.modRevision() > since) {
       out.put(entry.key(), entry);
     } else if (out.containsKey(entry.key())) {
-      // Older than the base, but whoever writes it next conditions on its stamp.
-      out.put(entry.key(), new VersionedEntry(entry.key(), out.get(entry.key()).value(), entry.modRevision()));
+      // Older than the base, but whoever writes it next conditions on its modification revision.
+      out.put(
+          entry.key(),
+          new VersionedEntry(entry.key(), out.get(entry.key()).value(), entry.modRevision()));
     }
   }
 }
--- a/src/main/java/io/embernotch/snapshot/ProgressShard.java
+++ b/src/main/java/io/embernotch/snapshot/ProgressShard.java
@@ -11,10 +11,11 @@
 public record ProgressShard(String ref, int size, int index, VersionedEntry entry) {
   public static ProgressShard of(VersionedEntry entry) {
     String[] names = entry.key().substring(JobProgressCodec.REFINED_SHARD.length()).split("/");
-    return new ProgressShard(names[0], Integer.parseInt(names[1]), Integer.parseInt(names[2]), entry);
+    return new ProgressShard(
+        names[0], Integer.parseInt(names[1]), Integer.parseInt(names[2]), entry);
   }
 
-  /** Smaller parts are newer than larger ones, and these than pieces. */
+  /** Smaller parts are newer than larger ones, and these than shards. */
   public static void add(Job job, List<ProgressShard> parts) {
     List<ProgressShard> order = new ArrayList<>(parts);
     order.sort(Comparator.comparingInt((ProgressShard p) -> -p.size()));
--- a/src/main/java/io/embernotch/snapshot/SnapshotBlocks.java
+++ b/src/main/java/io/embernotch/snapshot/SnapshotBlocks.java
@@ -2,7 +2,7 @@
 
 import com.google.protobuf.InvalidProtocolBufferException;
 import io.embernotch.codec.MalformedInputException;
-import io.embernotch.copy.proto.CopyFile.Copy;
+import io.embernotch.snapshot.proto.SnapshotProto.ClusterSnapshot;
 import java.io.ByteArrayOutputStream;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -13,8 +13,7 @@
 import java.util.zip.Inflater;
 
 /**
- * A copy packed into blocks that fit the state service's values, each with a checksum, and one over
- * all.
+ * A copy packed into blocks that fit the store's values, each with a checksum, and one over all.
  *
  * @param crc over the blocks in their order
  */
@@ -27,7 +26,7 @@
   /**
    * @param valueBytes what a value may have at the most
    */
-  public static SnapshotBlocks pack(Copy copy, int valueBytes) {
+  public static SnapshotBlocks pack(ClusterSnapshot copy, int valueBytes) {
     Deflater zip = new Deflater(Deflater.BEST_SPEED);
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     byte[] buffer = new byte[4096];
@@ -54,19 +53,22 @@
   }
 
   /**
-   * @throws MalformedInputException if the copy is damaged, with what is wrong: it is never used in part
+   * @throws MalformedInputException if the copy is damaged, with what is wrong: it is never used in
+   *     part
    */
-  public Copy unpack() {
+  public ClusterSnapshot unpack() {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     blocks.forEach(b -> all.write(b, 0, b.length));
     byte[] packed = all.toByteArray();
     if (sum(packed) != crc) {
-      throw new MalformedInputException("the checksum over all " + blocks.size() + " blocks is wrong");
+      throw new MalformedInputException(
+          "the checksum over all " + blocks.size() + " blocks is wrong");
     }
     try {
-      Copy copy = Copy.parseFrom(inflate(packed));
+      ClusterSnapshot copy = ClusterSnapshot.parseFrom(inflate(packed));
       if (copy.getVersion() > VERSION) {
-        throw new MalformedInputException("a copy of format " + copy.getVersion() + ", newer than " + VERSION);
+        throw new MalformedInputException(
+            "a copy of format " + copy.getVersion() + ", newer than " + VERSION);
       }
       return copy;
     } catch (DataFormatException | InvalidProtocolBufferException e) {
--- a/src/main/java/io/embernotch/snapshot/SnapshotMerge.java
+++ b/src/main/java/io/embernotch/snapshot/SnapshotMerge.java
@@ -4,12 +4,12 @@
 import com.google.protobuf.ByteString;
 import io.embernotch.codec.Json;
 import io.embernotch.codec.Versions;
-import io.embernotch.copy.proto.CopyFile.Copy;
-import io.embernotch.copy.proto.CopyFile.End;
-import io.embernotch.copy.proto.CopyFile.EndedCopy;
-import io.embernotch.copy.proto.CopyFile.JobCopy;
-import io.embernotch.copy.proto.CopyFile.OpenCopy;
-import io.embernotch.copy.proto.CopyFile.SharedCopy;
+import io.embernotch.snapshot.proto.SnapshotProto.ClusterSnapshot;
+import io.embernotch.snapshot.proto.SnapshotProto.End;
+import io.embernotch.snapshot.proto.SnapshotProto.EndedJobSnapshot;
+import io.embernotch.snapshot.proto.SnapshotProto.JobSnapshot;
+import io.embernotch.snapshot.proto.SnapshotProto.OpenAttemptSnapshot;
+import io.embernotch.snapshot.proto.SnapshotProto.SharedStateEntry;
 import java.util.BitSet;
 import java.util.Comparator;
 import java.util.Map;
@@ -25,29 +25,29 @@
  * associative, idempotent, and no less than either ({@code SnapshotMergeTest}).
  */
 public final class SnapshotMerge {
-  private static final Comparator<OpenCopy> LATER =
-      Comparator.comparingLong(OpenCopy::getNumber)
-          .thenComparing(OpenCopy::getMachine)
-          .thenComparing(OpenCopy::getZone)
-          .thenComparing(OpenCopy::hasWish)
-          .thenComparing(OpenCopy::getWish);
+  private static final Comparator<OpenAttemptSnapshot> LATER =
+      Comparator.comparingLong(OpenAttemptSnapshot::getNumber)
+          .thenComparing(OpenAttemptSnapshot::getMachine)
+          .thenComparing(OpenAttemptSnapshot::getZone)
+          .thenComparing(OpenAttemptSnapshot::hasWish)
+          .thenComparing(OpenAttemptSnapshot::getWish);
 
   private SnapshotMerge() {}
 
-  public static Copy of(Copy a, Copy b) {
-    TreeMap<String, EndedCopy> ended = new TreeMap<>();
-    for (Copy c : new Copy[] {a, b}) {
+  public static ClusterSnapshot of(ClusterSnapshot a, ClusterSnapshot b) {
+    TreeMap<String, EndedJobSnapshot> ended = new TreeMap<>();
+    for (ClusterSnapshot c : new ClusterSnapshot[] {a, b}) {
       c.getEndedList().forEach(e -> ended.merge(e.getRef(), e, SnapshotMerge::ends));
     }
-    TreeMap<String, JobCopy> jobs = new TreeMap<>();
-    for (Copy c : new Copy[] {a, b}) {
-      for (JobCopy j : c.getJobList()) {
+    TreeMap<String, JobSnapshot> jobs = new TreeMap<>();
+    for (ClusterSnapshot c : new ClusterSnapshot[] {a, b}) {
+      for (JobSnapshot j : c.getJobList()) {
         if (!ended.containsKey(j.getRef())) {
           jobs.merge(j.getRef(), j, SnapshotMerge::jobs);
         }
       }
     }
-    return Copy.newBuilder()
+    return ClusterSnapshot.newBuilder()
         .setEpoch(Math.max(a.getEpoch(), b.getEpoch()))
         .setWallMs(Math.max(a.getWallMs(), b.getWallMs()))
         .setComplete(a.getComplete() && b.getComplete())
@@ -57,9 +57,9 @@
         .build();
   }
 
-  private static Map<String, SharedCopy> shared(Copy a, Copy b) {
-    TreeMap<String, SharedCopy> out = new TreeMap<>();
-    for (Copy c : new Copy[] {a, b}) {
+  private static Map<String, SharedStateEntry> shared(ClusterSnapshot a, ClusterSnapshot b) {
+    TreeMap<String, SharedStateEntry> out = new TreeMap<>();
+    for (ClusterSnapshot c : new ClusterSnapshot[] {a, b}) {
       c.getSharedList()
           .forEach(
               s ->
@@ -77,8 +77,8 @@
     return out;
   }
 
-  private static EndedCopy ends(EndedCopy a, EndedCopy b) {
-    return EndedCopy.newBuilder()
+  private static EndedJobSnapshot ends(EndedJobSnapshot a, EndedJobSnapshot b) {
+    return EndedJobSnapshot.newBuilder()
         .setRef(a.getRef())
         .setEnd(end(a.getEnd(), b.getEnd()))
         .setTasks(Math.max(a.getTasks(), b.getTasks()))
@@ -95,20 +95,20 @@
     return a.compareTo(b) >= 0 ? a : b;
   }
 
-  private static JobCopy jobs(JobCopy a, JobCopy b) {
+  private static JobSnapshot jobs(JobSnapshot a, JobSnapshot b) {
     BitSet done = BitSet.valueOf(a.getDone().toByteArray());
     done.or(BitSet.valueOf(b.getDone().toByteArray()));
-    Map<Integer, OpenCopy> open = new TreeMap<>();
-    for (JobCopy c : new JobCopy[] {a, b}) {
+    Map<Integer, OpenAttemptSnapshot> open = new TreeMap<>();
+    for (JobSnapshot c : new JobSnapshot[] {a, b}) {
       c.getOpenList().forEach(o -> open.merge(o.getTask(), o, BinaryOperator.maxBy(LATER)));
     }
-    // Descriptions never change; only the size of the pieces that they are kept in may.
+    // Descriptions never change; only the size of the shards that they are kept in may.
     ByteString value =
         ByteString.unsignedLexicographicalComparator().compare(a.getValue(), b.getValue()) >= 0
             ? a.getValue()
             : b.getValue();
-    JobCopy.Builder out =
-        JobCopy.newBuilder()
+    JobSnapshot.Builder out =
+        JobSnapshot.newBuilder()
             .setRef(a.getRef())
             .setValue(value)
             .setNextAttempt(Math.max(a.getNextAttempt(), b.getNextAttempt()))
--- a/src/main/java/io/embernotch/snapshot/StateSnapshot.java
+++ b/src/main/java/io/embernotch/snapshot/StateSnapshot.java
@@ -2,21 +2,21 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.google.protobuf.ByteString;
-import io.embernotch.codec.MalformedInputException;
-import io.embernotch.codec.Json;
 import io.embernotch.codec.JobProgressCodec;
-import io.embernotch.copy.proto.CopyFile.Copy;
-import io.embernotch.copy.proto.CopyFile.End;
-import io.embernotch.copy.proto.CopyFile.EndedCopy;
-import io.embernotch.copy.proto.CopyFile.JobCopy;
-import io.embernotch.copy.proto.CopyFile.OpenCopy;
-import io.embernotch.copy.proto.CopyFile.SharedCopy;
-import io.embernotch.state.ClusterState;
+import io.embernotch.codec.Json;
+import io.embernotch.codec.MalformedInputException;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
 import io.embernotch.model.JobPhase;
-import io.embernotch.store.WatchEvents;
+import io.embernotch.snapshot.proto.SnapshotProto.ClusterSnapshot;
+import io.embernotch.snapshot.proto.SnapshotProto.End;
+import io.embernotch.snapshot.proto.SnapshotProto.EndedJobSnapshot;
+import io.embernotch.snapshot.proto.SnapshotProto.JobSnapshot;
+import io.embernotch.snapshot.proto.SnapshotProto.OpenAttemptSnapshot;
+import io.embernotch.snapshot.proto.SnapshotProto.SharedStateEntry;
+import io.embernotch.state.ClusterState;
 import io.embernotch.store.VersionedEntry;
+import io.embernotch.store.WatchEvents;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -29,7 +29,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Copies of what the state service is to hold: made from a leader's ledger, and read back as its
+ * Copies of what the store is to hold: made from a leader's cluster state, and read back as its
  * keys.
  */
 public final class StateSnapshot {
@@ -38,19 +38,21 @@
   private StateSnapshot() {}
 
   /**
-   * What a leader's ledger says, which is all that its store held and what it had not written yet.
-   * Every attempt that was sent is in it, since starts are committed before they are sent.
+   * What a leader's cluster state says, which is all that its store held and what it had not
+   * written yet. Every attempt that was sent is in it, since starts are committed before they are
+   * sent.
    *
-   * @param pieceOf tasks in a piece of the job with this id
+   * @param pieceOf tasks in a shard of the job with this id
    * @param shared facts beside jobs, by name
    */
-  public static Copy of(
+  public static ClusterSnapshot of(
       ClusterState state,
       ToIntFunction<String> shardOf,
       Map<String, ObjectNode> shared,
       long epoch,
       long wallMs) {
-    Copy.Builder out = Copy.newBuilder().setEpoch(epoch).setWallMs(wallMs).setComplete(true);
+    ClusterSnapshot.Builder out =
+        ClusterSnapshot.newBuilder().setEpoch(epoch).setWallMs(wallMs).setComplete(true);
     shared.forEach((name, value) -> out.addShared(fact(name, value)));
     state.jobs.forEach((ref, job) -> out.addJob(job(job, shardOf.applyAsInt(ref))));
     state.endedJobs.forEach((ref, e) -> out.addEnded(ended(ref, e)));
@@ -59,9 +61,10 @@
 
   /**
    * What is left in the store, of whatever moment each key is. Values that can't be read are left
-   * out, and pieces without their job.
+   * out, and shards without their job.
    */
-  public static Copy of(WatchEvents jobs, WatchEvents runs, WatchEvents parts, WatchEvents shared) {
+  public static ClusterSnapshot of(
+      WatchEvents jobs, WatchEvents runs, WatchEvents parts, WatchEvents shared) {
     Map<String, Job> all = new LinkedHashMap<>();
     Map<String, Integer> sizes = new HashMap<>();
     read(
@@ -76,7 +79,11 @@
         entry -> {
           Job job = all.get(entry.key().split("/")[1]);
           if (job != null) {
-            JobProgressCodec.readRun(entry.value(), job, sizes.get(job.spec.ref()), JobProgressCodec.shardOf(entry.key()));
+            JobProgressCodec.readRun(
+                entry.value(),
+                job,
+                sizes.get(job.spec.ref()),
+                JobProgressCodec.shardOf(entry.key()));
           }
         });
     Map<String, List<ProgressShard>> partsOf = new LinkedHashMap<>();
@@ -93,16 +100,19 @@
           ProgressShard.add(all.get(ref), list);
           list.forEach(p -> sizes.merge(ref, p.size(), Math::min));
         });
-    Copy.Builder out = Copy.newBuilder().setComplete(false);
+    ClusterSnapshot.Builder out = ClusterSnapshot.newBuilder().setComplete(false);
     shared.events().stream()
         .filter(VersionedEntry::present)
-        .forEach(entry -> out.addShared(fact(entry.key().substring(JobProgressCodec.SHARED.length()), entry.value())));
+        .forEach(
+            entry ->
+                out.addShared(
+                    fact(entry.key().substring(JobProgressCodec.SHARED.length()), entry.value())));
     all.forEach((ref, job) -> out.addJob(job(job, sizes.get(ref))));
     return out.build();
   }
 
-  private static SharedCopy fact(String name, ObjectNode value) {
-    return SharedCopy.newBuilder()
+  private static SharedStateEntry fact(String name, ObjectNode value) {
+    return SharedStateEntry.newBuilder()
         .setName(name)
         .setValue(ByteString.copyFrom(Json.bytes(value)))
         .build();
@@ -118,9 +128,9 @@
     }
   }
 
-  private static JobCopy job(Job job, int shard) {
-    JobCopy.Builder b =
-        JobCopy.newBuilder()
+  private static JobSnapshot job(Job job, int shard) {
+    JobSnapshot.Builder b =
+        JobSnapshot.newBuilder()
             .setRef(job.spec.ref())
             .setValue(ByteString.copyFrom(Json.bytes(JobProgressCodec.writeJob(job, shard))))
             .setNextAttempt(job.nextAttempt)
@@ -130,7 +140,7 @@
     }
     for (Attempt attempt : job.openAttempts.values()) {
       b.addOpen(
-          OpenCopy.newBuilder()
+          OpenAttemptSnapshot.newBuilder()
               .setTask(attempt.task)
               .setNumber(attempt.number)
               .setMachine(attempt.machine)
@@ -139,7 +149,7 @@
     // A wish outlives the attempt that it is about, until the task is placed anew.
     job.preferredMachines.forEach(
         (task, machine) -> {
-          for (OpenCopy.Builder o : b.getOpenBuilderList()) {
+          for (OpenAttemptSnapshot.Builder o : b.getOpenBuilderList()) {
             if (o.getTask() == task) {
               o.setWish(machine);
             }
@@ -148,8 +158,8 @@
     return b.build();
   }
 
-  private static EndedCopy ended(String ref, ClusterState.EndedJob e) {
-    return EndedCopy.newBuilder()
+  private static EndedJobSnapshot ended(String ref, ClusterState.EndedJob e) {
+    return EndedJobSnapshot.newBuilder()
         .setRef(ref)
         .setEnd(end(e.phase()))
         .setTasks(e.tasks())
@@ -166,15 +176,15 @@
     return end == End.DONE ? JobPhase.DONE : JobPhase.CANCELLED;
   }
 
-  static ClusterState.EndedJob ended(EndedCopy e) {
+  static ClusterState.EndedJob ended(EndedJobSnapshot e) {
     return new ClusterState.EndedJob(phase(e.getEnd()), e.getTasks(), e.getDone(), e.getAtMs());
   }
 
   /**
-   * The keys of a job as the store would hold them, with stamp 0: its submission first, then its
-   * pieces.
+   * The keys of a job as the store would hold them, with modification revision 0: its submission
+   * first, then its shards.
    */
-  static List<VersionedEntry> entries(JobCopy c) {
+  static List<VersionedEntry> entries(JobSnapshot c) {
     var value = Json.parseObject(c.getValue().toByteArray());
     Job job = JobProgressCodec.readJob(value);
     int shard = JobProgressCodec.readShardSize(value);
@@ -186,7 +196,7 @@
     job.done.or(BitSet.valueOf(c.getDone().toByteArray()));
     // Contents that contradict one another: what a job does not have is not known of it.
     job.done.clear(job.spec.tasks(), Math.max(job.spec.tasks(), job.done.length()));
-    for (OpenCopy o : c.getOpenList()) {
+    for (OpenAttemptSnapshot o : c.getOpenList()) {
       if (o.getTask() >= job.spec.tasks()) {
         continue;
       }
@@ -200,7 +210,9 @@
     List<VersionedEntry> out = new ArrayList<>();
     out.add(new VersionedEntry(JobProgressCodec.JOB + c.getRef(), value, 0));
     for (int k = 0; k * shard < job.spec.tasks(); k++) {
-      out.add(new VersionedEntry(JobProgressCodec.key(c.getRef(), k), JobProgressCodec.writeRun(job, shard, k), 0));
+      out.add(
+          new VersionedEntry(
+              JobProgressCodec.key(c.getRef(), k), JobProgressCodec.writeRun(job, shard, k), 0));
     }
     return out;
   }
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotArchive.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotArchive.java
@@ -1,8 +1,8 @@
 package io.embernotch.snapshot.file;
 
 import com.google.protobuf.InvalidProtocolBufferException;
-import io.embernotch.copy.proto.CopyFile.Copy;
-import io.embernotch.copy.proto.CopyFile.SnapshotHead;
+import io.embernotch.snapshot.proto.SnapshotProto.ClusterSnapshot;
+import io.embernotch.snapshot.proto.SnapshotProto.SnapshotHead;
 import java.io.EOFException;
 import java.io.IOException;
 import java.io.InputStream;
@@ -17,9 +17,9 @@
 
 /**
  * One snapshot as a ZIP archive, so that common tools can look at it too: {@code head} is a {@link
- * SnapshotHead}, each {@code part-K} a {@link Copy} of some of the jobs. ZIP has a checksum for
- * each of them; the head has the number of parts and one checksum over all, since an archive that
- * lacks its last parts would look whole.
+ * SnapshotHead}, each {@code part-K} a {@link ClusterSnapshot} of some of the jobs. ZIP has a
+ * checksum for each of them; the head has the number of parts and one checksum over all, since an
+ * archive that lacks its last parts would look whole.
  */
 public final class SnapshotArchive {
   private static final int VERSION = 1;
@@ -39,9 +39,9 @@
   }
 
   private final SnapshotHead head;
-  private final Copy copy;
+  private final ClusterSnapshot copy;
 
-  private SnapshotArchive(SnapshotHead head, Copy copy) {
+  private SnapshotArchive(SnapshotHead head, ClusterSnapshot copy) {
     this.head = head;
     this.copy = copy;
   }
@@ -50,12 +50,13 @@
     return head;
   }
 
-  public Copy copy() {
+  public ClusterSnapshot copy() {
     return copy;
   }
 
-  /** Writes a copy that belongs to an era; leaves {@code out} open. */
-  public static void write(Copy copy, String incarnation, OutputStream out) throws IOException {
+  /** Writes a copy that belongs to an incarnation; leaves {@code out} open. */
+  public static void write(ClusterSnapshot copy, String incarnation, OutputStream out)
+      throws IOException {
     List<byte[]> parts = parts(copy);
     SnapshotHead head =
         SnapshotHead.newBuilder()
@@ -82,7 +83,7 @@
   public static SnapshotArchive read(InputStream in) throws IOException {
     ZipInputStream zip = new ZipInputStream(in);
     SnapshotHead head;
-    Copy.Builder copy = Copy.newBuilder();
+    ClusterSnapshot.Builder copy = ClusterSnapshot.newBuilder();
     String at = "head";
     List<byte[]> parts = new ArrayList<>();
     try {
@@ -93,7 +94,7 @@
       for (int k = 0; k < head.getParts(); k++) {
         at = part(k);
         parts.add(next(zip, at));
-        copy.mergeFrom(Copy.parseFrom(parts.get(k)));
+        copy.mergeFrom(ClusterSnapshot.parseFrom(parts.get(k)));
       }
     } catch (ZipException | EOFException | InvalidProtocolBufferException e) {
       throw new Damaged(
@@ -109,21 +110,22 @@
         copy.setEpoch(head.getEpoch()).setWallMs(head.getWallMs()).setComplete(false).build());
   }
 
-  private static List<byte[]> parts(Copy copy) {
+  private static List<byte[]> parts(ClusterSnapshot copy) {
     List<byte[]> out = new ArrayList<>();
     for (int from = 0; from < copy.getJobCount(); from += JOBS) {
       out.add(
-          Copy.newBuilder()
+          ClusterSnapshot.newBuilder()
               .addAllJob(copy.getJobList().subList(from, Math.min(copy.getJobCount(), from + JOBS)))
               .build()
               .toByteArray());
     }
     if (copy.getSharedCount() > 0) {
-      out.add(Copy.newBuilder().addAllShared(copy.getSharedList()).build().toByteArray());
+      out.add(
+          ClusterSnapshot.newBuilder().addAllShared(copy.getSharedList()).build().toByteArray());
     }
     for (int from = 0; from < copy.getEndedCount(); from += ENDS) {
       out.add(
-          Copy.newBuilder()
+          ClusterSnapshot.newBuilder()
               .addAllEnded(
                   copy.getEndedList().subList(from, Math.min(copy.getEndedCount(), from + ENDS)))
               .build()
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotDiff.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotDiff.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.google.protobuf.Message;
 import io.embernotch.codec.Json;
-import io.embernotch.copy.proto.CopyFile.Copy;
-import io.embernotch.copy.proto.CopyFile.EndedCopy;
-import io.embernotch.copy.proto.CopyFile.JobCopy;
+import io.embernotch.snapshot.proto.SnapshotProto.ClusterSnapshot;
+import io.embernotch.snapshot.proto.SnapshotProto.EndedJobSnapshot;
+import io.embernotch.snapshot.proto.SnapshotProto.JobSnapshot;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.HashMap;
@@ -19,7 +19,7 @@
   private SnapshotDiff() {}
 
   /** A job that has not ended. */
-  public static ObjectNode line(JobCopy j) {
+  public static ObjectNode line(JobSnapshot j) {
     return Json.object()
         .put("ref", j.getRef())
         .put(
@@ -33,7 +33,7 @@
   }
 
   /** A job of which only the end is left. */
-  public static ObjectNode line(EndedCopy e) {
+  public static ObjectNode line(EndedJobSnapshot e) {
     return Json.object()
         .put("ref", e.getRef())
         .put("phase", e.getEnd().name().toLowerCase())
@@ -45,7 +45,7 @@
    * The jobs that are not the same in both, in the order of their ids, as they are in each; empty
    * if all are.
    */
-  public static List<ObjectNode> of(Copy a, Copy b) {
+  public static List<ObjectNode> of(ClusterSnapshot a, ClusterSnapshot b) {
     Map<String, Message> before = byRef(a);
     Map<String, Message> after = byRef(b);
     TreeSet<String> all = new TreeSet<>(before.keySet());
@@ -61,7 +61,7 @@
     return out;
   }
 
-  private static Map<String, Message> byRef(Copy c) {
+  private static Map<String, Message> byRef(ClusterSnapshot c) {
     Map<String, Message> out = new HashMap<>();
     c.getJobList().forEach(j -> out.put(j.getRef(), j));
     c.getEndedList().forEach(e -> out.put(e.getRef(), e));
@@ -72,7 +72,7 @@
     if (m == null) {
       return "absent";
     }
-    ObjectNode line = m instanceof JobCopy j ? line(j) : line((EndedCopy) m);
+    ObjectNode line = m instanceof JobSnapshot j ? line(j) : line((EndedJobSnapshot) m);
     return line.path("phase").asText()
         + ", "
         + line.path("done").asText()
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotDirectory.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotDirectory.java
@@ -1,6 +1,6 @@
 package io.embernotch.snapshot.file;
 
-import io.embernotch.copy.proto.CopyFile.Copy;
+import io.embernotch.snapshot.proto.SnapshotProto.ClusterSnapshot;
 import java.io.BufferedInputStream;
 import java.io.BufferedOutputStream;
 import java.io.IOException;
@@ -40,7 +40,7 @@
   }
 
   /** Writes one, drops the oldest beyond those that are kept, and returns its file. */
-  public Path write(Copy copy, String incarnation) throws IOException {
+  public Path write(ClusterSnapshot copy, String incarnation) throws IOException {
     String name = String.format("%016d-%015d", copy.getEpoch(), copy.getWallMs());
     Path unfinished = directory.resolve(name + UNFINISHED);
     Path file = directory.resolve(name + END);
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotScheduler.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotScheduler.java
@@ -1,9 +1,9 @@
 package io.embernotch.snapshot.file;
 
 import io.embernotch.actor.LatencyRecorder;
-import io.embernotch.copy.proto.CopyFile.Copy;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.settings.OperatorSettings;
+import io.embernotch.snapshot.proto.SnapshotProto.ClusterSnapshot;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.function.Supplier;
@@ -36,22 +36,21 @@
     this.triedAt = takenAt;
   }
 
-  /**
-   * Time has gone by on a leader; {@code copy}: what it knows, null if it knows too little yet.
-   */
-  public void tick(String incarnation, Supplier<Copy> copy) {
+  /** Time has gone by on a leader; {@code copy}: what it knows, null if it knows too little yet. */
+  public void tick(String incarnation, Supplier<ClusterSnapshot> copy) {
     double now = context.clock().now();
     if (directory == null || writing || now - triedAt < settings.everyS()) {
       return;
     }
     triedAt = now;
-    Copy taken = copy.get();
+    ClusterSnapshot taken = copy.get();
     if (taken == null) {
       return;
     }
     took.record("copy", context.clock().now() - now);
     writing = true;
-    context.blocking()
+    context
+        .blocking()
         .execute(
             () -> {
               String failure = null;
@@ -67,7 +66,7 @@
             });
   }
 
-  private void written(Path file, Copy copy, String failure) {
+  private void written(Path file, ClusterSnapshot copy, String failure) {
     writing = false;
     double now = context.clock().now();
     if (failure == null) {
@@ -90,7 +89,7 @@
    * The newest copy in the directory; null if there is none, or none may be used. Blocks: to be
    * called only where nothing can be done without it.
    */
-  public Copy newest() {
+  public ClusterSnapshot newest() {
     if (directory == null || !settings.restoreWhenEmpty()) {
       return null;
     }
--- a/src/main/java/io/embernotch/state/ClusterOverview.java
+++ b/src/main/java/io/embernotch/state/ClusterOverview.java
@@ -33,12 +33,16 @@
     ObjectNode machines = o.putObject("machines");
     for (Machine machine : state.machines.values()) {
       ObjectNode n = machines.putObject(machine.name);
-      n.put("type", machine.type == null ? null : machine.type.name()).put("zone", machine.zone).put("spot", machine.spot);
+      n.put("type", machine.type == null ? null : machine.type.name())
+          .put("zone", machine.zone)
+          .put("spot", machine.spot);
       n.put(
           "state",
           machine.deleting
               ? "returning"
-              : machine.failed ? "failed" : !machine.up() ? "booting" : machine.cordoned ? "cordoned" : "up");
+              : machine.failed
+                  ? "failed"
+                  : !machine.up() ? "booting" : machine.cordoned ? "cordoned" : "up");
       n.put("tasks", machine.openAttempts.size());
     }
     o.put("waiting_for_others", waiting);
--- a/src/main/java/io/embernotch/state/ClusterState.java
+++ b/src/main/java/io/embernotch/state/ClusterState.java
@@ -2,9 +2,9 @@
 
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
+import io.embernotch.model.JobPhase;
 import io.embernotch.model.Machine;
 import io.embernotch.model.MachineType;
-import io.embernotch.model.JobPhase;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -59,7 +59,7 @@
         });
   }
 
-  /** Opens an attempt; the job's pieces must then be committed before its start may be sent. */
+  /** Opens an attempt; the job's shards must then be committed before its start may be sent. */
   public Attempt openAttempt(Job job, int task, long number, Machine machine, double now) {
     Attempt attempt = new Attempt(job, task, number, machine.name, machine.zone, machine.token);
     attempt.createdAt = now;
@@ -74,7 +74,9 @@
       attempt.job.openAttempts.remove(attempt.task);
     }
     Machine machine = machines.get(attempt.machine);
-    if (machine != null && machine.openAttempts.remove(Machine.taskKey(attempt.job.spec.ref(), attempt.task), attempt)) {
+    if (machine != null
+        && machine.openAttempts.remove(
+            Machine.taskKey(attempt.job.spec.ref(), attempt.task), attempt)) {
       machine.attemptsChanged();
       if (machine.openAttempts.isEmpty()) {
         machine.idleSince = now;
--- a/src/main/java/io/embernotch/state/ClusterSummary.java
+++ b/src/main/java/io/embernotch/state/ClusterSummary.java
@@ -2,8 +2,8 @@
 
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
-import io.embernotch.model.Machine;
 import io.embernotch.model.JobShape;
+import io.embernotch.model.Machine;
 
 /** One line on fleet and queue for the log. */
 public final class ClusterSummary {
--- a/src/main/java/io/embernotch/state/DemandForecast.java
+++ b/src/main/java/io/embernotch/state/DemandForecast.java
@@ -1,9 +1,9 @@
 package io.embernotch.state;
 
 import io.embernotch.model.Job;
+import io.embernotch.model.JobShape;
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.MachineType;
-import io.embernotch.model.JobShape;
 import io.embernotch.scheduling.FleetView.Headroom;
 import io.embernotch.settings.OperatorSettings;
 import java.util.ArrayDeque;
@@ -91,6 +91,10 @@
   }
 
   private static double bootS(JobSpec spec, Collection<MachineType> types) {
-    return types.stream().filter(type -> type.fits(spec)).mapToDouble(MachineType::bootS).min().orElse(0);
+    return types.stream()
+        .filter(type -> type.fits(spec))
+        .mapToDouble(MachineType::bootS)
+        .min()
+        .orElse(0);
   }
 }
--- a/src/main/java/io/embernotch/state/FailureAttribution.java
+++ b/src/main/java/io/embernotch/state/FailureAttribution.java
@@ -55,7 +55,9 @@
       // is.
       int again = job.errorMachines.size() - Job.MANY_MACHINES;
       job.backoffUntil =
-          now + Math.min(context.settings().workers().leaseS(), heartbeat * (1 << Math.min(5, again)));
+          now
+              + Math.min(
+                  context.settings().workers().leaseS(), heartbeat * (1 << Math.min(5, again)));
       excuse(job);
       return;
     }
@@ -103,7 +105,10 @@
     if (machine.cordoned || against(machine) < 1) {
       return;
     }
-    LOG.info("machine {} fails what it starts: {}", machine.name, machine.failures.keySet());
+    LOG.info(
+        "machine {} quarantined, it fails what it starts: {}",
+        machine.name,
+        machine.failures.keySet());
     machine.cordoned = true;
     for (String ref : machine.failures.keySet()) {
       Job job = state.jobs.get(ref);
--- a/src/main/java/io/embernotch/state/LargestJobWaitTimes.java
+++ b/src/main/java/io/embernotch/state/LargestJobWaitTimes.java
@@ -20,7 +20,8 @@
     final Histogram waits = new Histogram(MOST_MS, 2);
 
     boolean large(Job job) {
-      return sizes.getTotalCount() == 0 || job.spec.tasks() >= sizes.getValueAtPercentile(PERCENTILE);
+      return sizes.getTotalCount() == 0
+          || job.spec.tasks() >= sizes.getValueAtPercentile(PERCENTILE);
     }
   }
 
@@ -41,7 +42,10 @@
     for (Job job : jobs) {
       Kind k = kinds.get(job.spec.jobClass());
       boolean waits =
-          job.pendingCount() > 0 && job.openAttempts.isEmpty() && job.done.isEmpty() && job.restartedTasks.isEmpty();
+          job.pendingCount() > 0
+              && job.openAttempts.isEmpty()
+              && job.done.isEmpty()
+              && job.restartedTasks.isEmpty();
       if (k != null && waits && k.large(job)) {
         waiting.merge(job.spec.jobClass(), wallMs - job.eligibleSinceMs, Math::max);
       }
--- a/src/main/java/io/embernotch/store/IncarnationGuard.java
+++ b/src/main/java/io/embernotch/store/IncarnationGuard.java
@@ -4,15 +4,15 @@
 import java.util.Map;
 
 /**
- * What tells one life of the state service's contents from another.
+ * What tells one incarnation of the store's contents from another.
  *
  * <p>The revision of its contents never falls. So an answer to a request that was sent after some
  * answer had shown revision E shows E at least, in whatever order answers arrive: what shows less
  * comes from contents that were put back or begun anew. Answers to requests from before a loss was
  * noticed say nothing of what there is now, and are nobody's any more.
  *
- * <p>The fence is a key of the present era that every transaction conditions on: revisions may be
- * overtaken, stamps repeat after a loss, the fence does not.
+ * <p>The fence is a key of the present incarnation that every transaction conditions on: revisions
+ * may be overtaken, stamps repeat after a loss, the fence does not.
  */
 final class IncarnationGuard {
   /** What a request may assume, fixed as it is sent. */
@@ -75,7 +75,7 @@
     return Map.copyOf(written);
   }
 
-  /** The highest revision seen in this life. */
+  /** The highest revision seen in this incarnation. */
   long highestRevision() {
     return highestRevision;
   }
--- a/src/main/java/io/embernotch/store/LeaseRenewer.java
+++ b/src/main/java/io/embernotch/store/LeaseRenewer.java
@@ -9,9 +9,9 @@
 import java.util.function.LongConsumer;
 
 /**
- * Keeps one lease of the state service alive, on a loop and a connection of its own. Right after a
- * change of leader a plan on cold code and a thousand reports take the core loop for seconds at a
- * sixth of a core; while renewals waited behind them, whoever had won leadership lost it again.
+ * Keeps one lease of the store alive, on a loop and a connection of its own. Right after a change
+ * of leader a plan on cold code and a thousand heartbeats take the core loop for seconds at a sixth
+ * of a core; while renewals waited behind them, whoever had won leadership lost it again.
  *
  * <p>The core shows now and then that it is alive; when it has not for long, the lease is let go.
  */
--- a/src/main/java/io/embernotch/store/RateLimiter.java
+++ b/src/main/java/io/embernotch/store/RateLimiter.java
@@ -29,7 +29,8 @@
   private double setRate;
   private double burst;
   private final PriorityQueue<Waiting> queue =
-      new PriorityQueue<>(Comparator.comparing(Waiting::priority).thenComparingLong(Waiting::order));
+      new PriorityQueue<>(
+          Comparator.comparing(Waiting::priority).thenComparingLong(Waiting::order));
   private double tokens;
   private double filledAt;
   private long order;
@@ -55,7 +56,9 @@
   /** Runs {@code go} as soon as {@code cost} may be spent, and spends it. */
   public void acquire(double cost, RequestPriority priority, Runnable go) {
     fill();
-    if (cost <= 0 || priority == RequestPriority.URGENT || (mayGo(cost, priority) && nobodyBefore(priority))) {
+    if (cost <= 0
+        || priority == RequestPriority.URGENT
+        || (mayGo(cost, priority) && nobodyBefore(priority))) {
       tokens -= Math.max(0, cost);
       go.run();
       return;
@@ -85,7 +88,8 @@
   }
 
   private double needed(double cost, RequestPriority priority) {
-    return Math.min(priority == RequestPriority.BACKGROUND ? Math.max(cost, burst / 2) : cost, burst);
+    return Math.min(
+        priority == RequestPriority.BACKGROUND ? Math.max(cost, burst / 2) : cost, burst);
   }
 
   private boolean mayGo(double cost, RequestPriority priority) {
--- a/src/main/java/io/embernotch/store/StoreClient.java
+++ b/src/main/java/io/embernotch/store/StoreClient.java
@@ -23,14 +23,14 @@
 import java.util.function.Function;
 import java.util.function.ToLongFunction;
 
-/** The state service, paced under its limits. Futures fail with {@link StoreException} only. */
+/** The store, paced under its limits. Futures fail with {@link StoreException} only. */
 public final class StoreClient {
   /** Is told what shows that the service's contents are not the ones we knew. Called before the answer is. */
   public interface LossListener {
     /** The revision fell from {@code seen} to {@code now}: data is lost. */
     void revisionFell(long seen, long now);
 
-    /** The key of our era is not there as we know it. */
+    /** The key of our incarnation is not there as we know it. */
     void fenceFailed();
   }
 
@@ -97,7 +97,7 @@
     setLossListener = w;
   }
 
-  /** Every transaction conditions on this key from now on, unless it says that it belongs to no era. */
+  /** Every transaction conditions on this key from now on, unless it says that it belongs to no incarnation. */
   public void setFence(String key, long modRevision) {
     guard.fence(key, modRevision);
   }
@@ -139,7 +139,7 @@
   }
 
   /**
-   * Like {@link #get}; that a key is absent is said only if our era still stands after it was looked for.
+   * Like {@link #get}; that a key is absent is said only if our incarnation still stands after it was looked for.
    * New contents may have overtaken the revisions that this node has seen.
    */
   public Future<VersionedEntry> getConfirmed(String key) {
@@ -223,10 +223,10 @@
   }
 
   /**
-   * Asks whether what was written lately, as far as we know, is still there, along with our era. Contents that
+   * Asks whether what was written lately, as far as we know, is still there, along with our incarnation. Contents that
    * were put back may have reached the revisions that we have seen; the last keys they can't hold.
    *
-   * @param key a key that tells whether anybody else may have written since: it is there at {@code stamp}
+   * @param key a key that tells whether anybody else may have written since: it is there at {@code modification revision}
    * @return whether that key is as it was; it fails if data is lost
    */
   public Future<Boolean> verifyUnchanged(String key, long modRevision) {
@@ -244,7 +244,7 @@
             });
   }
 
-  /** A write of ours whose answer is under way may have raised the stamp; nothing lowers it but a loss. */
+  /** A write of ours whose answer is under way may have raised the modification revision; nothing lowers it but a loss. */
   private Future<Boolean> atLeast(String key, long modRevision) {
     return get(key)
         .compose(entry -> entry.present() && entry.modRevision() >= modRevision ? Future.succeededFuture(true) : fell(modRevision, entry.modRevision()));
@@ -261,7 +261,7 @@
   }
 
   private static <T> Future<T> lost() {
-    return Future.failedFuture(new StoreException(Kind.LOST, "another era, or data was lost"));
+    return Future.failedFuture(new StoreException(Kind.LOST, "another store incarnation, or data was lost"));
   }
 
   /**
--- a/src/main/java/io/embernotch/store/StoreException.java
+++ b/src/main/java/io/embernotch/store/StoreException.java
@@ -1,6 +1,6 @@
 package io.embernotch.store;
 
-/** The state service did not do what it was asked, or did not say. */
+/** The store did not do what it was asked, or did not say. */
 public final class StoreException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
@@ -18,7 +18,7 @@
     TOO_OLD,
     /**
      * What was asked was asked of contents that are no more: the service has lost data, or another
-     * era began.
+     * incarnation began.
      */
     LOST
   }
--- a/src/main/java/io/embernotch/store/Transaction.java
+++ b/src/main/java/io/embernotch/store/Transaction.java
@@ -39,7 +39,10 @@
     return this;
   }
 
-  /** It belongs to no era: it begins one, or writes under names that no other era has. */
+  /**
+   * It belongs to no incarnation: it begins one, or writes under names that no other incarnation
+   * has.
+   */
   public Transaction unfenced() {
     fenced = false;
     return this;
--- a/src/main/java/io/embernotch/straggler/LocalPartition.java
+++ b/src/main/java/io/embernotch/straggler/LocalPartition.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * A controller's part: the latest view of each machine in it, as the leader streams them. The
- * views of an earlier leader, and those that are not renewed, are forgotten.
+ * A controller's part: the latest view of each machine in it, as the leader streams them. The views
+ * of an earlier leader, and those that are not renewed, are forgotten.
  */
 public final class LocalPartition {
   private record Held(MachineView view, double at) {}
--- a/src/main/java/io/embernotch/weights/ImageLocality.java
+++ b/src/main/java/io/embernotch/weights/ImageLocality.java
@@ -5,12 +5,12 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.Json;
 import io.embernotch.context.ControllerContext;
-import io.embernotch.state.ClusterState;
 import io.embernotch.model.Job;
+import io.embernotch.model.JobShape;
 import io.embernotch.model.Machine;
 import io.embernotch.model.MachineType;
-import io.embernotch.model.JobShape;
 import io.embernotch.shared.SharedState;
+import io.embernotch.state.ClusterState;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -22,18 +22,18 @@
 /**
  * Which machines have the weights of live services, handed to the next leader through the store:
  * what controllers tell each other of images is gone when all of them end. Only where it pays:
- * images of services whose fetch takes longer than a report period. A few pieces are written in
- * turn, one at a time, so it is never a burst. What is stale costs a fetch and nothing else: a
+ * images of services whose fetch takes longer than a heartbeat interval. A few shards are written
+ * in turn, one at a time, so it is never a burst. What is stale costs a fetch and nothing else: a
  * worker fetches what it lacks, whatever we believe.
  */
 public final class ImageLocality {
   private static final String PREFIX = "weights/";
   private static final int SHARDS = 8;
 
-  /** Report periods between two pieces. */
+  /** Report periods between two shards. */
   private static final double PERIODS = 1;
 
-  /** Bytes that a machine takes in a piece: its name, a few numbers. */
+  /** Bytes that a machine takes in a shard: its name, a few numbers. */
   private static final int BYTES_PER_MACHINE = 32;
 
   private final ControllerContext context;
@@ -100,7 +100,9 @@
   private Set<String> worthKeeping() {
     Set<String> out = new HashSet<>();
     for (Job job : state.jobs.values()) {
-      if (job.spec.shape() == JobShape.SERVICE && job.finalPhase == null && !out.contains(job.spec.image())) {
+      if (job.spec.shape() == JobShape.SERVICE
+          && job.finalPhase == null
+          && !out.contains(job.spec.image())) {
         double fetchS =
             state.types.values().stream()
                 .filter(type -> type.fits(job.spec))
--- a/src/test/java/io/embernotch/agents/AgentReconcilerTest.java
+++ b/src/test/java/io/embernotch/agents/AgentReconcilerTest.java
@@ -9,15 +9,15 @@
 import io.embernotch.http.CallFailedException;
 import io.embernotch.http.HttpCaller;
 import io.embernotch.http.HttpReply;
-import io.embernotch.state.ClusterState;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.ExitCause;
+import io.embernotch.model.Heartbeat;
 import io.embernotch.model.Job;
 import io.embernotch.model.Machine;
-import io.embernotch.model.Heartbeat;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.Settings;
 import io.embernotch.settings.SettingsReader;
+import io.embernotch.state.ClusterState;
 import io.embernotch.testkit.FakeTime;
 import io.embernotch.testkit.SimulatedCluster;
 import io.vertx.core.Promise;
@@ -32,7 +32,8 @@
 
   private final FakeTime time = new FakeTime();
   private final Settings settings =
-      SettingsReader.parse(SimulatedCluster.toml(0).replace("max_connections = 1000", "max_connections = 40"));
+      SettingsReader.parse(
+          SimulatedCluster.toml(0).replace("max_connections = 1000", "max_connections = 40"));
   private final List<String> called = new ArrayList<>();
   private final List<Promise<HttpReply>> answers = new ArrayList<>();
   private final HttpCaller caller =
@@ -62,7 +63,8 @@
           new RenewalDelegations(settings, time.now(), new HashSet<>()),
           this);
   private final Job job =
-      new Job(JobCodec.read(Json.parseObject(SimulatedCluster.job("j-1", "array", 16).getBytes())), 0);
+      new Job(
+          JobCodec.read(Json.parseObject(SimulatedCluster.job("j-1", "array", 16).getBytes())), 0);
   private boolean leads = true;
   private final List<Attempt> gone = new ArrayList<>();
 
@@ -91,7 +93,8 @@
         .contains("j-1/4");
     answers.get(0).fail(new CallFailedException(true, "no answer in time"));
     assertThat(called).hasSize(4);
-    assertThat(new String(agents.processHeartbeat(heartbeat(3, 2), true, 0))).doesNotContain("\"run\"");
+    assertThat(new String(agents.processHeartbeat(heartbeat(3, 2), true, 0)))
+        .doesNotContain("\"run\"");
   }
 
   @Test
--- a/src/test/java/io/embernotch/agents/CallConcurrencyLimiterTest.java
+++ b/src/test/java/io/embernotch/agents/CallConcurrencyLimiterTest.java
@@ -53,7 +53,10 @@
   void whoHasNothingToSayAnyMoreMakesWayForTheNext() {
     Machine machine = new Machine("gone");
     callLimiter.tryEnter(new Machine("a"), CallConcurrencyLimiter.CallClass.DISCOVERY, () -> {});
-    assertThat(callLimiter.tryEnter(machine, CallConcurrencyLimiter.CallClass.DISCOVERY, () -> begun.add("nothing"))).isFalse();
+    assertThat(
+            callLimiter.tryEnter(
+                machine, CallConcurrencyLimiter.CallClass.DISCOVERY, () -> begun.add("nothing")))
+        .isFalse();
     call("next", CallConcurrencyLimiter.CallClass.DISCOVERY);
     callLimiter.leave();
     assertThat(begun).containsExactly("nothing", "next");
--- a/src/test/java/io/embernotch/agents/LateHeartbeatCopiesTest.java
+++ b/src/test/java/io/embernotch/agents/LateHeartbeatCopiesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Copies of reports that arrive from seconds to well over a lease late. */
+/** Copies of heartbeats that arrive from seconds to well over a lease late. */
 class LateHeartbeatCopiesTest {
   private final SimulatedCluster world = new SimulatedCluster(3, 100);
   private FakeWorker dead;
@@ -68,7 +68,8 @@
     double with = other.afterADeath(40);
     assertThat(other.world.broken()).isEmpty();
     assertThat(with)
-        .isLessThanOrEqualTo(without + other.world.nodes.get(0).settings.workers().heartbeatIntervalS());
+        .isLessThanOrEqualTo(
+            without + other.world.nodes.get(0).settings.workers().heartbeatIntervalS());
   }
 
   private double afterATakeover(double copiesLateS) {
@@ -87,7 +88,8 @@
     LateHeartbeatCopiesTest other = new LateHeartbeatCopiesTest();
     double with = other.afterATakeover(40);
     assertThat(other.world.broken()).isEmpty();
-    assertThat(with).isLessThanOrEqualTo(without + world.nodes.get(0).settings.workers().heartbeatIntervalS());
+    assertThat(with)
+        .isLessThanOrEqualTo(without + world.nodes.get(0).settings.workers().heartbeatIntervalS());
   }
 
   /** A machine that the former leader returned is reported to the next one, by a copy. */
@@ -153,8 +155,8 @@
   }
 
   /**
-   * The same where nobody has noticed that there was another life, since this one counts on from
-   * above it.
+   * The same where nobody has noticed that there was another incarnation, since this one counts on
+   * from above it.
    */
   @Test
   void norWhereTheOtherLifeWentUnnoticed() {
@@ -165,8 +167,9 @@
   }
 
   /**
-   * A copy of a machine's former life, with a later session than it has now, proved gone what had
-   * just been sent to it and not been answered: it was started elsewhere, and then there too.
+   * A copy of a machine's former incarnation, with a later session than it has now, proved gone
+   * what had just been sent to it and not been answered: it was started elsewhere, and then there
+   * too.
    */
   @Test
   void aCopyOfAFormerLifeWithALaterSessionProvesNothing() {
--- a/src/test/java/io/embernotch/agents/ReachabilityTrackerTest.java
+++ b/src/test/java/io/embernotch/agents/ReachabilityTrackerTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Machines whose reports arrive while neither answers nor commands reach them. */
+/** Machines whose heartbeats arrive while neither answers nor commands reach them. */
 class ReachabilityTrackerTest {
   private final SimulatedCluster world = new SimulatedCluster(3, 1000);
 
@@ -87,8 +87,8 @@
   }
 
   /**
-   * When all controllers move their workers about, as after crashes, nobody is taken for deaf and
-   * returned.
+   * When all controllers move their workers about, as after crashes, nobody is taken for
+   * unreachable and returned.
    */
   @Test
   void manyAtOnceAreNotReturned() {
--- a/src/test/java/io/embernotch/api/SubmissionHandlerTest.java
+++ b/src/test/java/io/embernotch/api/SubmissionHandlerTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What becomes of submissions when the state service is away, or takes less than is submitted. */
+/** What becomes of submissions when the store is away, or takes less than is submitted. */
 class SubmissionHandlerTest {
   private final SimulatedCluster world = new SimulatedCluster(3);
 
@@ -76,10 +76,11 @@
     for (int i = 0; i < 10_000; i++) {
       answers.add(follower.controller.poll("j-7"));
     }
-    // As many as its connections could ask in a report period are passed on, the rest knows at
+    // As many as its connections could ask in a heartbeat interval are passed on, the rest knows at
     // once.
     double most =
-        follower.settings.quota().maxConnections() / follower.settings.workers().heartbeatIntervalS();
+        follower.settings.quota().maxConnections()
+            / follower.settings.workers().heartbeatIntervalS();
     long refused =
         answers.stream().filter(f -> f.isComplete() && f.result().status() == 503).count();
     assertThat(refused).isGreaterThanOrEqualTo(10_000 - (long) most - 1);
--- a/src/test/java/io/embernotch/codec/CodecTest.java
+++ b/src/test/java/io/embernotch/codec/CodecTest.java
@@ -7,11 +7,11 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.ExitCause;
+import io.embernotch.model.Heartbeat;
 import io.embernotch.model.Job;
-import io.embernotch.model.JobSpec;
 import io.embernotch.model.JobPhase;
+import io.embernotch.model.JobSpec;
 import io.embernotch.model.TaskState;
-import io.embernotch.model.Heartbeat;
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -62,7 +62,9 @@
   @Test
   void whatIsNotAnObjectIsRefused() {
     for (String s : new String[] {"", "[]", "3", "{", "{}x", "null"}) {
-      assertThatThrownBy(() -> Json.parseObject(utf(s))).as(s).isInstanceOf(MalformedInputException.class);
+      assertThatThrownBy(() -> Json.parseObject(utf(s)))
+          .as(s)
+          .isInstanceOf(MalformedInputException.class);
     }
   }
 
@@ -94,8 +96,10 @@
       Attempt attempt = new Attempt(job, t, 1L << 50, "n-000123456", "a-rather-long-zone", 0);
       job.openAttempts.put(t, attempt);
     }
-    assertThat(Json.bytes(JobProgressCodec.writeRun(job, size, 1)).length).isLessThanOrEqualTo(8 * 1024);
-    assertThat(Json.bytes(JobProgressCodec.writeRun(job, size, 0)).length).isLessThanOrEqualTo(8 * 1024);
+    assertThat(Json.bytes(JobProgressCodec.writeRun(job, size, 1)).length)
+        .isLessThanOrEqualTo(8 * 1024);
+    assertThat(Json.bytes(JobProgressCodec.writeRun(job, size, 0)).length)
+        .isLessThanOrEqualTo(8 * 1024);
   }
 
   @Test
@@ -125,7 +129,8 @@
   @Test
   void aHeartbeatThatLacksAFieldIsRefused() {
     for (String body : new String[] {"{\"hearth\":", "{\"hearth\":\"n-1\"}", "[]"}) {
-      assertThatThrownBy(() -> WorkerCodec.read(utf(body))).isInstanceOf(MalformedInputException.class);
+      assertThatThrownBy(() -> WorkerCodec.read(utf(body)))
+          .isInstanceOf(MalformedInputException.class);
     }
   }
 }
--- a/src/test/java/io/embernotch/controller/FaultSequencesTest.java
+++ b/src/test/java/io/embernotch/controller/FaultSequencesTest.java
@@ -86,8 +86,8 @@
   }
 
   /**
-   * Deaf machines, copies of all that was reported 40 s ago, the leader alone with its workers,
-   * and all back at once.
+   * Deaf machines, copies of all that was reported 40 s ago, the leader alone with its workers, and
+   * all back at once.
    */
   @Test
   void allTogetherCostWhatTheDeafMachinesCost() {
--- a/src/test/java/io/embernotch/controller/HeartbeatForwardingTest.java
+++ b/src/test/java/io/embernotch/controller/HeartbeatForwardingTest.java
@@ -1,8 +1,5 @@
 package io.embernotch.controller;
 
-import io.embernotch.leader.HeartbeatQueue;
-import io.embernotch.leader.LeaderMessage;
-
 import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,9 +7,11 @@
 import io.embernotch.codec.Json;
 import io.embernotch.codec.WorkerCodec;
 import io.embernotch.context.ControllerContext;
+import io.embernotch.forwarding.HeartbeatForwarder;
 import io.embernotch.http.HttpResponse;
+import io.embernotch.leader.HeartbeatQueue;
+import io.embernotch.leader.LeaderMessage;
 import io.embernotch.model.Heartbeat;
-import io.embernotch.forwarding.HeartbeatForwarder;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.testkit.FakeTime;
 import io.embernotch.testkit.FakeWorker;
@@ -25,11 +24,11 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Workers whose reports a controller passes on, or keeps until there is a leader. */
+/** Workers whose heartbeats a controller passes on, or keeps until there is a leader. */
 class HeartbeatForwardingTest {
   private final SimulatedCluster world = new SimulatedCluster(3, 10);
 
-  /** Machines that report to the given controller, with room for eight tasks each. */
+  /** Machines that heartbeat to the given controller, with room for eight tasks each. */
   private void machines(int count, Node at) {
     for (int i = 0; i < count; i++) {
       world.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
@@ -141,7 +140,7 @@
     world.pass(6);
     world.submit(0, job("j-3", "standing", 8));
     world.pass(35);
-    // Direct commands fail, so the starts go out with the answers to reports.
+    // Direct commands fail, so the starts go out with the answers to heartbeats.
     assertThat(world.leader()).isSameAs(old);
     assertThat(world.running("j-3")).hasSize(8);
     assertThat(world.cloud.deleted).isEmpty();
@@ -160,7 +159,7 @@
 
   @Test
   void moreThanHalfOfTheMachinesMayFallSilentAndTheLeaderGoesOn() {
-    // A zone can hold more than half: each leader in turn then took itself for the one cut off.
+    // A zone can hold more than half: each leader in turn then took itself for the one partitioned.
     Node old = world.settle(2);
     busy(10, old);
     world.workers.values().stream().limit(6).forEach(w -> w.cut = true);
--- a/src/test/java/io/embernotch/controller/InvariantsTest.java
+++ b/src/test/java/io/embernotch/controller/InvariantsTest.java
@@ -188,7 +188,7 @@
 
   @Test
   void aCancelledJobStaysCancelledWhileItsTasksEnd() {
-    // A poll once said "running" again when closing the attempts made the job's piece dirty.
+    // A poll once said "running" again when closing the attempts made the job's shard dirty.
     world.settle(2);
     run(job("j-10", "standing", 4), "j-10", 4);
     assertThat(world.abort(0, "j-10").status()).isEqualTo(200);
--- a/src/test/java/io/embernotch/controller/ProcessIncarnationsRandomizedTest.java
+++ b/src/test/java/io/embernotch/controller/ProcessIncarnationsRandomizedTest.java
@@ -86,7 +86,7 @@
         : List.of(told.accepted.get(random.nextInt(told.accepted.size())));
   }
 
-  /** One loses the state service and the others, but not its workers; or has them again. */
+  /** One loses the store and the others, but not its workers; or has them again. */
   private static void alone(SimulatedCluster world, SplittableRandom random) {
     int which = random.nextInt(6);
     world.nodes.forEach(n -> n.noState = n.noPeers = n.index == which);
--- a/src/test/java/io/embernotch/controller/ProcessIncarnationsTest.java
+++ b/src/test/java/io/embernotch/controller/ProcessIncarnationsTest.java
@@ -47,7 +47,7 @@
     back(leader);
     world.pass(0.5);
     back(leader);
-    // Its own key of a former life is no right to act, nor one to wait for.
+    // Its own key of a former incarnation is no right to act, nor one to wait for.
     world.settle(2);
     world.pass(60);
     assertThat(world.running("j-1")).isEqualTo(before);
@@ -87,8 +87,8 @@
   }
 
   /**
-   * A beat that a former leader had sent made it the leader once more, for whoever had seen its
-   * key gone.
+   * A beat that a former leader had sent made it the leader once more, for whoever had seen its key
+   * gone.
    */
   @Test
   void aBeatOfATermThatIsOverIsNotBelieved() {
--- a/src/test/java/io/embernotch/controller/RollingUpgradeTest.java
+++ b/src/test/java/io/embernotch/controller/RollingUpgradeTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Data of the version before job chains, and a state service that lowers its limits. That version
- * made pieces as large as the limits of its time, 85 tasks in 8 KiB.
+ * Data of the version before job chains, and a store that lowers its limits. That version made
+ * shards as large as the limits of its time, 85 tasks in 8 KiB.
  */
 class RollingUpgradeTest {
   private static final int OLD_PIECE = 85;
@@ -42,9 +42,7 @@
     assertThat(world.broken()).isEmpty();
   }
 
-  /**
-   * One such value kept every new leader reading the store over and over, and all jobs waiting.
-   */
+  /** One such value kept every new leader reading the store over and over, and all jobs waiting. */
   @Test
   void aValueThatCannotBeReadKeepsNoOtherJobWaitingAndItsOwnStaysKnown() {
     left("j-1", 3, null);
@@ -159,7 +157,7 @@
         assertThat(a.get(2).isTextual() && a.get(3).isTextual()).isTrue();
       }
     }
-    // A large piece of the former version is written on as one while it fits.
+    // A large shard of the former version is written on as one while it fits.
     assertThat(world.state.value("run/j-1").get("open")).hasSize(40);
     assertThat(Json.bytes(world.state.value("run/j-1")).length).isGreaterThan(1024);
   }
@@ -261,7 +259,7 @@
     lower();
     world.commitFate = Fate.ARRIVES;
     world.pass(8);
-    // The large piece may arrive only now: the parts written since stand above it.
+    // The large shard may arrive only now: the parts written since stand above it.
     world.state.lower(8 * 1024, 12, 100);
     world.releaseHeld();
     lower();
--- a/src/test/java/io/embernotch/controller/ScaleTest.java
+++ b/src/test/java/io/embernotch/controller/ScaleTest.java
@@ -8,7 +8,7 @@
 import io.embernotch.testkit.SimulatedCluster;
 import org.junit.jupiter.api.Test;
 
-/** A thousand machines: what a report costs is bounded by counting, never by time. */
+/** A thousand machines: what a heartbeat costs is bounded by counting, never by time. */
 class ScaleTest {
   private static final int MACHINES = 1000;
   private static final int PER_JOB = 200;
@@ -44,13 +44,13 @@
     int frames = world.frames;
     long plans = cluster().get("plans").asLong();
     double passed = 30;
-    // Thirty thousand reports, each of eight tasks that run on.
+    // Thirty thousand heartbeats, each of eight tasks that run on.
     world.pass(passed);
     assertThat(world.state.commits - commits).isZero();
     assertThat(world.directs - directs).isZero();
-    // Plans go by time: one in each third of a report period at most when nothing changes.
+    // Plans go by time: one in each third of a heartbeat interval at most when nothing changes.
     assertThat(cluster().get("plans").asLong() - plans).isLessThanOrEqualTo((long) passed + 2);
-    // Views are repeated every fourth round; beats come every third of a report period.
+    // Views are repeated every fourth round; beats come every third of a heartbeat interval.
     long views = (long) Math.ceil(passed / 20 + 1) * MACHINES;
     assertThat(world.frames - frames)
         .isLessThanOrEqualTo((int) views + 6 * (int) (passed + 2) + 100);
@@ -65,7 +65,7 @@
     world.finish("j-0");
     world.pass(10);
     assertThat(world.phase(0, "j-0")).isEqualTo("done");
-    // Two hundred ends: the job's end, its further pieces, and nothing for each task.
+    // Two hundred ends: the job's end, its further shards, and nothing for each task.
     assertThat(world.state.commits - commits).isLessThanOrEqualTo(6);
     assertThat(world.directs - directs).isZero();
   }
--- a/src/test/java/io/embernotch/faultcombinations/ConfirmedCancellationTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/ConfirmedCancellationTest.java
@@ -17,10 +17,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The meeting before all others: the state service refuses the leader alone, another controller
- * confirms cancellations, then the state service is away for all for longer than {@code cancel_s}
- * while workers keep reporting to the former leader. What was confirmed is gone in time all the
- * same. {@code -Dmeetings.seeds=N} draws more variants.
+ * The meeting before all others: the store refuses the leader alone, another controller confirms
+ * cancellations, then the store is away for all for longer than {@code cancel_s} while workers keep
+ * reporting to the former leader. What was confirmed is gone in time all the same. {@code
+ * -Dmeetings.seeds=N} draws more variants.
  */
 class ConfirmedCancellationTest {
   private static final int SEEDS = Integer.getInteger("meetings.seeds", 60);
@@ -52,7 +52,7 @@
     int jobs = 6;
     Node former = busy(world, jobs);
     double cancelS = former.settings.workers().cancelS();
-    // Refused or not answered; deaf to the others or not; direct commands lost or not.
+    // Refused or not answered; unreachable to the others or not; direct commands lost or not.
     former.noState = true;
     former.silentState = random.nextBoolean();
     former.noPeers = random.nextInt(3) > 0;
--- a/src/test/java/io/embernotch/faultcombinations/FailoverTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/FailoverTest.java
@@ -84,7 +84,7 @@
     Node leader = world.settle(3);
     scenario.told.submit(0, "j-1", "array", 8);
     world.pass(12);
-    // Neither the stops nor the answers to reports reach them any more.
+    // Neither the stops nor the answers to heartbeats reach them any more.
     world.workers.values().forEach(w -> w.mute = true);
     world.directFate = SimulatedCluster.Fate.LOST;
     world.askCancel(leader.index, "j-1");
--- a/src/test/java/io/embernotch/faultcombinations/FaultCombinationsTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/FaultCombinationsTest.java
@@ -139,7 +139,7 @@
     assertThat(world.running("j-5")).hasSize(3);
   }
 
-  /** Row 4. Users reach the leader that is cut off, too, and ask it. */
+  /** Row 4. Users reach the leader that is partitioned, too, and ask it. */
   @Test
   void aLeaderWithWorkersAndUsersOnlyWhileJobsAreCancelledThroughTheNextOne() {
     large();
--- a/src/test/java/io/embernotch/faultcombinations/InvariantCheckerTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/InvariantCheckerTest.java
@@ -18,7 +18,8 @@
 
 /** Each check of {@link InvariantChecker} reports a history in which the fault was planted. */
 class InvariantCheckerTest {
-  private final InvariantChecker rules = new InvariantChecker(SettingsReader.parse(SimulatedCluster.toml(0)));
+  private final InvariantChecker rules =
+      new InvariantChecker(SettingsReader.parse(SimulatedCluster.toml(0)));
   private final List<FakeWorker> machines = new ArrayList<>();
 
   private FakeWorker machine(String zone, boolean spot) {
@@ -140,8 +141,12 @@
     accept(job("j-1", "array", 1));
     rules.polled("j-1", HttpResponse.error(404, "x"), 1, 1, true);
     rules.submitted(
-        job("j-1", "array", 1).getBytes(StandardCharsets.UTF_8), HttpResponse.error(422, "x"), 1, 1);
-    rules.polled("j-2", HttpResponse.of(200, JobCodec.status("j-2", JobPhase.QUEUED, 0, 0)), 1, 1, false);
+        job("j-1", "array", 1).getBytes(StandardCharsets.UTF_8),
+        HttpResponse.error(422, "x"),
+        1,
+        1);
+    rules.polled(
+        "j-2", HttpResponse.of(200, JobCodec.status("j-2", JobPhase.QUEUED, 0, 0)), 1, 1, false);
     rules.cancelAsked("j-1", 1);
     told("j-1", JobPhase.CANCELLED, 2);
     told("j-1", JobPhase.RUNNING, 3);
--- a/src/test/java/io/embernotch/faultcombinations/LostResponseTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/LostResponseTest.java
@@ -40,7 +40,7 @@
   })
   void onlyTheAnswerIsLost(String kind, double readsLost, boolean leaderEnds) {
     if (kind.equals("era")) {
-      // The first claim begins the era.
+      // The first claim begins the incarnation.
       world.commitsWith = kind;
       world.commitFate = Fate.ANSWER_LOST;
       world.pass(4);
--- a/src/test/java/io/embernotch/faultcombinations/ReadConsistencyTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/ReadConsistencyTest.java
@@ -159,7 +159,7 @@
       world.pass(0.25);
     }
     leader.kill();
-    // Their reports alone would tell the next leader.
+    // Their heartbeats alone would tell the next leader.
     world.workers.values().forEach(w -> w.mute = true);
     for (int i = 0; i < 40; i++) {
       world.poll(world.other(leader).index, "j-1");
--- a/src/test/java/io/embernotch/faultcombinations/SmallJobsTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/SmallJobsTest.java
@@ -13,7 +13,7 @@
 
 /**
  * One-task jobs come four a second for minutes, a quarter of them cancelled, at the limits of a
- * small state service.
+ * small store.
  */
 class SmallJobsTest {
   private static final double EVERY_S = 0.25;
@@ -21,7 +21,7 @@
   private static final int RUNS_FOR = 60;
   private static final double WRITES_PER_S = 30;
 
-  /** {@code troubles}: the leader ends twice, and the state service is away for 20 s in between. */
+  /** {@code troubles}: the leader ends twice, and the store is away for 20 s in between. */
   @ParameterizedTest
   @CsvSource({"false", "true"})
   void oneTaskJobsForMinutes(boolean troubles) {
--- a/src/test/java/io/embernotch/faultcombinations/TeamLimitTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/TeamLimitTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Every team is at its limit while jobs are cancelled whose machines are cut off, hang or are deaf,
- * and the leader changes. What may still run counts, in the former and in the next leader; what
- * waits starts once that is over.
+ * Every team is at its limit while jobs are cancelled whose machines are partitioned, hang or are
+ * unreachable, and the leader changes. What may still run counts, in the former and in the next
+ * leader; what waits starts once that is over.
  */
 class TeamLimitTest {
   private static final int RED_LIMIT = 24;
--- a/src/test/java/io/embernotch/forwarding/DelegatedRenewalTest.java
+++ b/src/test/java/io/embernotch/forwarding/DelegatedRenewalTest.java
@@ -4,8 +4,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.actor.EventLoopProfile;
-import io.embernotch.context.ControllerContext;
 import io.embernotch.agents.RenewalDelegations;
+import io.embernotch.context.ControllerContext;
 import io.embernotch.model.Heartbeat;
 import io.embernotch.peer.Frame;
 import io.embernotch.settings.OperatorSettings;
@@ -23,8 +23,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A zone that is cut off: what runs there runs on, and no rule gives way for it. Node 2 is in zone
- * z2.
+ * A zone that is partitioned: what runs there runs on, and no rule gives way for it. Node 2 is in
+ * zone z2.
  */
 class DelegatedRenewalTest {
   private static final double CUT_S = 56;
@@ -99,7 +99,8 @@
     Heartbeat heartbeat =
         new Heartbeat("n-1", "10.0.0.9:9", "g8", "z2", false, 1, 1, 5, null, List.of());
     for (int cut = 0; cut < 2; cut++) {
-      delegatedRenewal.acknowledged(new Frame.DelegateHeartbeatAck(1, delegatedRenewal.nextHeartbeat().seq(), true));
+      delegatedRenewal.acknowledged(
+          new Frame.DelegateHeartbeatAck(1, delegatedRenewal.nextHeartbeat().seq(), true));
       time.pass(far.contactTimeoutS() * 1.1);
       assertThat(delegatedRenewal.renew(heartbeat, "c0").status()).isEqualTo(200);
       time.pass(far.workers().leaseS() / 2);
@@ -183,8 +184,8 @@
   }
 
   /**
-   * They began at the time of day, which goes back, so a former life's acknowledgments counted for
-   * the next.
+   * They began at the time of day, which goes back, so a former incarnation's acknowledgments
+   * counted for the next.
    */
   @Test
   void noTwoLivesGiveTheSameNumbers() {
@@ -224,9 +225,21 @@
     // Nothing heard: it may hold a right of an earlier leader.
     assertThat(delegations.renewedUntil("z2", 110)).isEqualTo(110);
     assertThat(delegations.renewedUntil("z2", 500)).isEqualTo(100 + hold);
-    assertThat(delegations.heartbeatReceived(new Frame.DelegateHeartbeat("c2", 1, 0, -1), 7, true, 200).granted()).isFalse();
-    assertThat(delegations.heartbeatReceived(new Frame.DelegateHeartbeat("c1", 1, 0, -1), 7, true, 200).granted()).isTrue();
-    assertThat(delegations.heartbeatReceived(new Frame.DelegateHeartbeat("c2", 2, 1, -1), 7, true, 202).granted()).isTrue();
+    assertThat(
+            delegations
+                .heartbeatReceived(new Frame.DelegateHeartbeat("c2", 1, 0, -1), 7, true, 200)
+                .granted())
+        .isFalse();
+    assertThat(
+            delegations
+                .heartbeatReceived(new Frame.DelegateHeartbeat("c1", 1, 0, -1), 7, true, 200)
+                .granted())
+        .isTrue();
+    assertThat(
+            delegations
+                .heartbeatReceived(new Frame.DelegateHeartbeat("c2", 2, 1, -1), 7, true, 202)
+                .granted())
+        .isTrue();
     delegations.heartbeatReceived(new Frame.DelegateHeartbeat("c2", 3, 2, -1), 7, true, 204);
     // 3 acknowledges 2, which acknowledged 1, answered at 200: until contactS after that it renewed
     // nothing.
@@ -236,7 +249,8 @@
     assertThat(delegations.renewedUntil("z2", 900)).isEqualTo(204 + hold);
     // It owns up to a renewal, and is in contact again.
     for (int i = 4; i < 8; i++) {
-      delegations.heartbeatReceived(new Frame.DelegateHeartbeat("c2", i, i - 1, 10 + 2 * i), 7, true, 230 + 2 * i);
+      delegations.heartbeatReceived(
+          new Frame.DelegateHeartbeat("c2", i, i - 1, 10 + 2 * i), 7, true, 230 + 2 * i);
     }
     assertThat(delegations.renewedUntil("z2", 245)).isEqualTo(220);
     // A new process knows nothing of what the one before it did.
--- a/src/test/java/io/embernotch/forwarding/IsolatedControllerTest.java
+++ b/src/test/java/io/embernotch/forwarding/IsolatedControllerTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A controller that loses the state service and the other controllers, but not its workers. */
+/** A controller that loses the store and the other controllers, but not its workers. */
 class IsolatedControllerTest {
   private final SimulatedCluster world = new SimulatedCluster(3, 100);
 
@@ -74,8 +74,8 @@
   }
 
   /**
-   * The next leader held workers for as long as the former version counts on, since the one cut off
-   * had not written to it.
+   * The next leader held workers for as long as the former version counts on, since the one
+   * partitioned had not written to it.
    */
   @ParameterizedTest
   @CsvSource({"true", "false"})
@@ -124,7 +124,10 @@
     world.pass(6);
     List<FakeWorker> reached =
         world.workers.values().stream()
-            .filter(w -> w.node == n.index && w.token >= FencingTokens.base(world.state.modRevision("steward")))
+            .filter(
+                w ->
+                    w.node == n.index
+                        && w.token >= FencingTokens.base(world.state.modRevision("steward")))
             .toList();
     world.pass(1.5);
     assertThat(reached).noneMatch(w -> w.node == n.index);
--- a/src/test/java/io/embernotch/forwarding/PendingRequestsTest.java
+++ b/src/test/java/io/embernotch/forwarding/PendingRequestsTest.java
@@ -26,10 +26,14 @@
    */
   @Test
   void anAnswerToAFormerLifeAnswersNothingOfThisOne() {
-    life("one").send("c1", id -> new Frame.ForwardedRequest(id, Frame.ForwardedRequest.Kind.POLL, "j-1"), 2);
+    life("one")
+        .send(
+            "c1", id -> new Frame.ForwardedRequest(id, Frame.ForwardedRequest.Kind.POLL, "j-1"), 2);
     long former = lastId;
     PendingRequests now = life("two");
-    Future<HttpResponse> reply = now.send("c1", id -> new Frame.ForwardedRequest(id, Frame.ForwardedRequest.Kind.POLL, "j-2"), 2);
+    Future<HttpResponse> reply =
+        now.send(
+            "c1", id -> new Frame.ForwardedRequest(id, Frame.ForwardedRequest.Kind.POLL, "j-2"), 2);
     now.complete(new Frame.Response(former, 200, 0, new byte[0]));
     assertThat(reply.isComplete()).isFalse();
     now.complete(new Frame.Response(lastId, 404, 0, new byte[0]));
--- a/src/test/java/io/embernotch/http/HttpApiServerTest.java
+++ b/src/test/java/io/embernotch/http/HttpApiServerTest.java
@@ -31,7 +31,8 @@
  */
 class HttpApiServerTest implements RequestHandler {
   private final Settings settings =
-      SettingsReader.parse(SimulatedCluster.toml(0).replace("max_connections = 1000", "max_connections = 12"));
+      SettingsReader.parse(
+          SimulatedCluster.toml(0).replace("max_connections = 1000", "max_connections = 12"));
   private final Vertx vertx = Vertx.vertx();
   private final FakeTime time = new FakeTime();
   private final BlockingQueue<Runnable> core = new LinkedBlockingQueue<>();
--- a/src/test/java/io/embernotch/http/VertxHttpCallerTest.java
+++ b/src/test/java/io/embernotch/http/VertxHttpCallerTest.java
@@ -54,8 +54,8 @@
   }
 
   /**
-   * Commands to further machines failed for most of a report period, while idle connections were
-   * kept.
+   * Commands to further machines failed for most of a heartbeat interval, while idle connections
+   * were kept.
    */
   @Test
   void anIdleConnectionMakesWayForAnotherHostAndABusyOneDoesNot() throws Exception {
--- a/src/test/java/io/embernotch/incarnation/DataLossAtScaleTest.java
+++ b/src/test/java/io/embernotch/incarnation/DataLossAtScaleTest.java
@@ -8,9 +8,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/**
- * Three controllers and 300 machines full of live services when the state service loses its data.
- */
+/** Three controllers and 300 machines full of live services when the store loses its data. */
 class DataLossAtScaleTest {
   private static final int MACHINES = 300;
   private static final int EACH = 8;
--- a/src/test/java/io/embernotch/incarnation/DataLossTest.java
+++ b/src/test/java/io/embernotch/incarnation/DataLossTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The state service loses data while controllers and workers go on. */
+/** The store loses data while controllers and workers go on. */
 class DataLossTest {
   private final SimulatedCluster world = new SimulatedCluster(3, 10);
   private Node leader;
--- a/src/test/java/io/embernotch/jobs/DependencyGraphTest.java
+++ b/src/test/java/io/embernotch/jobs/DependencyGraphTest.java
@@ -7,12 +7,12 @@
 import io.embernotch.codec.JobCodec;
 import io.embernotch.codec.Json;
 import io.embernotch.context.ControllerContext;
-import io.embernotch.state.ClusterState;
 import io.embernotch.model.Job;
 import io.embernotch.model.JobPhase;
 import io.embernotch.model.Priority;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.SettingsReader;
+import io.embernotch.state.ClusterState;
 import io.embernotch.store.VersionedEntry;
 import io.embernotch.testkit.FakeTime;
 import io.embernotch.testkit.SimulatedCluster;
@@ -86,7 +86,8 @@
     assertThat(left.latestStartMs).isEqualTo(last.latestStartMs - 30_000);
     assertThat(right.latestStartMs).isEqualTo(last.latestStartMs - 50_000);
     assertThat(first.latestStartMs).isEqualTo(right.latestStartMs - 30_000);
-    assertThat(List.of(first.effectivePriority, left.effectivePriority, right.effectivePriority)).containsOnly(Priority.HIGH);
+    assertThat(List.of(first.effectivePriority, left.effectivePriority, right.effectivePriority))
+        .containsOnly(Priority.HIGH);
     assertThat(first.spec.priority()).isEqualTo(Priority.LOW);
     // Once the last one is cancelled, nobody needs them any more.
     end(last, JobPhase.CANCELLED, 2_000);
--- a/src/test/java/io/embernotch/peer/FormerVersionTest.java
+++ b/src/test/java/io/embernotch/peer/FormerVersionTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.embernotch.codec.Json;
 import io.embernotch.codec.JobProgressCodec;
+import io.embernotch.codec.Json;
 import io.embernotch.model.Job;
 import io.embernotch.model.JobPhase;
 import java.io.IOException;
--- a/src/test/java/io/embernotch/peer/FrameTest.java
+++ b/src/test/java/io/embernotch/peer/FrameTest.java
@@ -5,9 +5,9 @@
 
 import io.embernotch.codec.MalformedInputException;
 import io.embernotch.model.ExitCause;
-import io.embernotch.model.TaskStatus;
-import io.embernotch.model.TaskState;
 import io.embernotch.model.Heartbeat;
+import io.embernotch.model.TaskState;
+import io.embernotch.model.TaskStatus;
 import io.embernotch.straggler.MachineView;
 import io.embernotch.straggler.Restart;
 import java.util.ArrayList;
@@ -90,7 +90,8 @@
     byte[] cut = good.clone();
     cut[14] = 0x70;
     for (byte[] bad : List.of(version, kind, tooLong, cut)) {
-      assertThatThrownBy(() -> new FrameReader(f -> {}).feed(bad)).isInstanceOf(MalformedInputException.class);
+      assertThatThrownBy(() -> new FrameReader(f -> {}).feed(bad))
+          .isInstanceOf(MalformedInputException.class);
     }
   }
 }
--- a/src/test/java/io/embernotch/reservation/ReservedCapacity.java
+++ b/src/test/java/io/embernotch/reservation/ReservedCapacity.java
@@ -12,8 +12,8 @@
 import java.util.TreeSet;
 
 /**
- * Checks that nobody else's task begins on what the state service says is held; every task takes
- * one GPU of eight.
+ * Checks that nobody else's task begins on what the store says is held; every task takes one GPU of
+ * eight.
  */
 final class ReservedCapacity {
   private static final int GPUS = 8;
--- a/src/test/java/io/embernotch/rounds/MachineViewPublisherTest.java
+++ b/src/test/java/io/embernotch/rounds/MachineViewPublisherTest.java
@@ -4,11 +4,11 @@
 
 import io.embernotch.actor.EventLoopProfile;
 import io.embernotch.context.ControllerContext;
-import io.embernotch.state.ClusterState;
 import io.embernotch.model.Machine;
 import io.embernotch.model.MachineType;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.SettingsReader;
+import io.embernotch.state.ClusterState;
 import io.embernotch.straggler.MachineView;
 import io.embernotch.testkit.FakeTime;
 import io.embernotch.testkit.SimulatedCluster;
--- a/src/test/java/io/embernotch/scheduling/DeadlinesTest.java
+++ b/src/test/java/io/embernotch/scheduling/DeadlinesTest.java
@@ -119,7 +119,8 @@
                 .replace(
                     "\"jobclass\":\"c\"",
                     "\"jobclass\":\"" + (next % 3 == 0 ? "rest" : "wire") + "\"");
-        Job job = new Job(JobCodec.read(Json.parseObject(json.getBytes())), Math.round(d.now * 1000));
+        Job job =
+            new Job(JobCodec.read(Json.parseObject(json.getBytes())), Math.round(d.now * 1000));
         double due = d.now + run * 1.5 + random.nextInt(300);
         if (job.spec.jobClass().equals("wire")) {
           d.dueAt.put(job, due);
--- a/src/test/java/io/embernotch/scheduling/SchedulerTest.java
+++ b/src/test/java/io/embernotch/scheduling/SchedulerTest.java
@@ -29,7 +29,8 @@
       "[[cluster.teams]]\nname = 'guests'\ngpus = 0.0\ngpus_max = 0.0\n";
 
   private final Scheduler planner =
-      new Scheduler(SettingsReader.parse(SimulatedCluster.toml(0) + GUESTS), OperatorSettings.DEFAULTS);
+      new Scheduler(
+          SettingsReader.parse(SimulatedCluster.toml(0) + GUESTS), OperatorSettings.DEFAULTS);
   private final List<Job> jobs = new ArrayList<>();
   private final List<Machine> machines = new ArrayList<>();
   private boolean full;
@@ -99,7 +100,10 @@
           small.done.set(attempt.task);
           small.openAttempts.remove(attempt.task);
           Machine machine =
-              machines.stream().filter(x -> x.name.equals(attempt.machine)).findFirst().orElseThrow();
+              machines.stream()
+                  .filter(x -> x.name.equals(attempt.machine))
+                  .findFirst()
+                  .orElseThrow();
           machine.openAttempts.remove(Machine.taskKey("j-1", attempt.task));
           machine.attemptsChanged();
         }
@@ -305,7 +309,9 @@
     SchedulingPlan p = plan();
     assertThat(p.starts).hasSize(1);
     assertThat(p.starts.get(0).placements()).hasSize(7).allMatch(x -> x.machine() == pinned);
-    assertThat(p.scaleOuts).containsExactly(new SchedulingPlan.ScaleOutRequest("g8", p.scaleOuts.get(0).zone(), true, 1));
+    assertThat(p.scaleOuts)
+        .containsExactly(
+            new SchedulingPlan.ScaleOutRequest("g8", p.scaleOuts.get(0).zone(), true, 1));
     assertThat(idle.openAttempts).isEmpty();
   }
 
@@ -373,10 +379,12 @@
     // Machines boot in 60 s and the tasks run 30: two in a row wait no longer than for another
     // boot.
     add(job("j-1", "array", 24));
-    assertThat(plan().scaleOuts.stream().mapToInt(SchedulingPlan.ScaleOutRequest::number).sum()).isEqualTo(1);
+    assertThat(plan().scaleOuts.stream().mapToInt(SchedulingPlan.ScaleOutRequest::number).sum())
+        .isEqualTo(1);
     jobs.clear();
     add(job("j-2", "array", 24).replace("\"expect_s\":30.0", "\"expect_s\":300.0"));
-    assertThat(plan().scaleOuts.stream().mapToInt(SchedulingPlan.ScaleOutRequest::number).sum()).isEqualTo(3);
+    assertThat(plan().scaleOuts.stream().mapToInt(SchedulingPlan.ScaleOutRequest::number).sum())
+        .isEqualTo(3);
   }
 
   @Test
--- a/src/test/java/io/embernotch/scheduling/TopologySpreadTest.java
+++ b/src/test/java/io/embernotch/scheduling/TopologySpreadTest.java
@@ -28,7 +28,8 @@
 
   private final Scheduler planner =
       new Scheduler(
-          SettingsReader.parse(SimulatedCluster.toml(0).replace("gpus_max = 64.0", "gpus_max = 4000.0")),
+          SettingsReader.parse(
+              SimulatedCluster.toml(0).replace("gpus_max = 64.0", "gpus_max = 4000.0")),
           OperatorSettings.DEFAULTS);
   private final List<Job> jobs = new ArrayList<>();
   private final List<Machine> machines = new ArrayList<>();
@@ -170,7 +171,8 @@
       }
       for (SchedulingPlan.Start s : t.plan(risk).starts) {
         for (SchedulingPlan.Placement p : s.placements()) {
-          Attempt attempt = new Attempt(s.job(), p.task(), 1, p.machine().name, p.machine().zone, 0);
+          Attempt attempt =
+              new Attempt(s.job(), p.task(), 1, p.machine().name, p.machine().zone, 0);
           attempt.launchState = Attempt.LaunchState.CONFIRMED;
           s.job().openAttempts.put(p.task(), attempt);
           p.machine().openAttempts.put(Machine.taskKey(s.job().spec.ref(), p.task()), attempt);
--- a/src/test/java/io/embernotch/snapshot/SnapshotMergeTest.java
+++ b/src/test/java/io/embernotch/snapshot/SnapshotMergeTest.java
@@ -3,11 +3,11 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.google.protobuf.ByteString;
-import io.embernotch.copy.proto.CopyFile.Copy;
-import io.embernotch.copy.proto.CopyFile.End;
-import io.embernotch.copy.proto.CopyFile.EndedCopy;
-import io.embernotch.copy.proto.CopyFile.JobCopy;
-import io.embernotch.copy.proto.CopyFile.OpenCopy;
+import io.embernotch.snapshot.proto.SnapshotProto.ClusterSnapshot;
+import io.embernotch.snapshot.proto.SnapshotProto.End;
+import io.embernotch.snapshot.proto.SnapshotProto.EndedJobSnapshot;
+import io.embernotch.snapshot.proto.SnapshotProto.JobSnapshot;
+import io.embernotch.snapshot.proto.SnapshotProto.OpenAttemptSnapshot;
 import java.util.BitSet;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
@@ -21,14 +21,14 @@
 class SnapshotMergeTest {
   /** Copies of a few jobs, each with some tasks done or open, ended, or reduced to its end. */
   @Provide
-  Arbitrary<Copy> copies() {
+  Arbitrary<ClusterSnapshot> copies() {
     return Arbitraries.longs().map(SnapshotMergeTest::copy);
   }
 
-  private static Copy copy(long seed) {
+  private static ClusterSnapshot copy(long seed) {
     SplittableRandom r = new SplittableRandom(seed);
-    TreeMap<String, JobCopy> jobs = new TreeMap<>();
-    TreeMap<String, EndedCopy> ended = new TreeMap<>();
+    TreeMap<String, JobSnapshot> jobs = new TreeMap<>();
+    TreeMap<String, EndedJobSnapshot> ended = new TreeMap<>();
     for (int i = 0; i < 5; i++) {
       String ref = "j-" + i;
       switch (r.nextInt(4)) {
@@ -36,7 +36,7 @@
         case 1 ->
             ended.put(
                 ref,
-                EndedCopy.newBuilder()
+                EndedJobSnapshot.newBuilder()
                     .setRef(ref)
                     .setEnd(end(r))
                     .setTasks(4)
@@ -46,7 +46,7 @@
         default -> jobs.put(ref, job(ref, r));
       }
     }
-    return Copy.newBuilder()
+    return ClusterSnapshot.newBuilder()
         .setEpoch(r.nextInt(9))
         .setWallMs(r.nextInt(9))
         .setComplete(r.nextBoolean())
@@ -59,10 +59,10 @@
     return r.nextBoolean() ? End.DONE : End.CANCELLED;
   }
 
-  private static JobCopy job(String ref, SplittableRandom r) {
+  private static JobSnapshot job(String ref, SplittableRandom r) {
     BitSet done = BitSet.valueOf(new long[] {r.nextInt(16)});
-    JobCopy.Builder b =
-        JobCopy.newBuilder()
+    JobSnapshot.Builder b =
+        JobSnapshot.newBuilder()
             .setRef(ref)
             .setValue(ByteString.copyFromUtf8("{\"piece\":" + r.nextInt(2) + "}"))
             .setNextAttempt(r.nextInt(9))
@@ -72,8 +72,8 @@
     }
     for (int task = 0; task < 4; task++) {
       if (r.nextBoolean()) {
-        OpenCopy.Builder o =
-            OpenCopy.newBuilder()
+        OpenAttemptSnapshot.Builder o =
+            OpenAttemptSnapshot.newBuilder()
                 .setTask(task)
                 .setNumber(r.nextInt(4))
                 .setMachine("n-" + r.nextInt(3))
@@ -86,34 +86,38 @@
 
   @Property(tries = 500, seed = "4711")
   void theOrderDoesNotMatter(
-      @ForAll("copies") Copy a, @ForAll("copies") Copy b, @ForAll("copies") Copy c) {
+      @ForAll("copies") ClusterSnapshot a,
+      @ForAll("copies") ClusterSnapshot b,
+      @ForAll("copies") ClusterSnapshot c) {
     assertThat(SnapshotMerge.of(a, b)).isEqualTo(SnapshotMerge.of(b, a));
-    assertThat(SnapshotMerge.of(a, SnapshotMerge.of(b, c))).isEqualTo(SnapshotMerge.of(SnapshotMerge.of(a, b), c));
+    assertThat(SnapshotMerge.of(a, SnapshotMerge.of(b, c)))
+        .isEqualTo(SnapshotMerge.of(SnapshotMerge.of(a, b), c));
     assertThat(SnapshotMerge.of(a, a)).isEqualTo(a);
     assertThat(SnapshotMerge.of(a, SnapshotMerge.of(a, b))).isEqualTo(SnapshotMerge.of(a, b));
   }
 
   @Property(tries = 500, seed = "4711")
-  void nothingIsTakenBack(@ForAll("copies") Copy a, @ForAll("copies") Copy b) {
-    Copy m = SnapshotMerge.of(a, b);
-    TreeMap<String, JobCopy> jobs = new TreeMap<>();
+  void nothingIsTakenBack(
+      @ForAll("copies") ClusterSnapshot a, @ForAll("copies") ClusterSnapshot b) {
+    ClusterSnapshot m = SnapshotMerge.of(a, b);
+    TreeMap<String, JobSnapshot> jobs = new TreeMap<>();
     m.getJobList().forEach(j -> jobs.put(j.getRef(), j));
     TreeSet<String> ended = new TreeSet<>();
     m.getEndedList().forEach(e -> ended.add(e.getRef()));
     assertThat(jobs.keySet()).noneMatch(ended::contains);
     a.getEndedList().forEach(e -> assertThat(ended).contains(e.getRef()));
-    for (JobCopy j : a.getJobList()) {
+    for (JobSnapshot j : a.getJobList()) {
       if (ended.contains(j.getRef())) {
         continue;
       }
-      JobCopy now = jobs.get(j.getRef());
+      JobSnapshot now = jobs.get(j.getRef());
       assertThat(now).isNotNull();
       assertThat(now.hasEnd() || !j.hasEnd()).isTrue();
       assertThat(now.getNextAttempt()).isGreaterThanOrEqualTo(j.getNextAttempt());
       BitSet done = BitSet.valueOf(now.getDone().toByteArray());
       BitSet.valueOf(j.getDone().toByteArray()).stream()
           .forEach(t -> assertThat(done.get(t)).isTrue());
-      for (OpenCopy o : j.getOpenList()) {
+      for (OpenAttemptSnapshot o : j.getOpenList()) {
         assertThat(now.getOpenList())
             .anyMatch(n -> n.getTask() == o.getTask() && n.getNumber() >= o.getNumber());
       }
--- a/src/test/java/io/embernotch/snapshot/file/SnapshotArchiveTest.java
+++ b/src/test/java/io/embernotch/snapshot/file/SnapshotArchiveTest.java
@@ -7,13 +7,13 @@
 import com.google.protobuf.ByteString;
 import io.embernotch.app.Main;
 import io.embernotch.codec.MalformedInputException;
-import io.embernotch.snapshot.SnapshotBlocks;
-import io.embernotch.copy.proto.CopyFile.Copy;
-import io.embernotch.copy.proto.CopyFile.End;
-import io.embernotch.copy.proto.CopyFile.EndedCopy;
-import io.embernotch.copy.proto.CopyFile.JobCopy;
-import io.embernotch.copy.proto.CopyFile.OpenCopy;
 import io.embernotch.settings.OperatorSettings;
+import io.embernotch.snapshot.SnapshotBlocks;
+import io.embernotch.snapshot.proto.SnapshotProto.ClusterSnapshot;
+import io.embernotch.snapshot.proto.SnapshotProto.End;
+import io.embernotch.snapshot.proto.SnapshotProto.EndedJobSnapshot;
+import io.embernotch.snapshot.proto.SnapshotProto.JobSnapshot;
+import io.embernotch.snapshot.proto.SnapshotProto.OpenAttemptSnapshot;
 import io.embernotch.testkit.SimulatedCluster;
 import io.embernotch.testkit.SimulatedCluster.Node;
 import java.io.ByteArrayInputStream;
@@ -30,22 +30,23 @@
 class SnapshotArchiveTest {
   @TempDir private Path dir;
 
-  private static Copy copy(int jobs, long epoch) {
-    Copy.Builder c = Copy.newBuilder().setEpoch(epoch).setWallMs(1000 * epoch).setComplete(false);
+  private static ClusterSnapshot copy(int jobs, long epoch) {
+    ClusterSnapshot.Builder c =
+        ClusterSnapshot.newBuilder().setEpoch(epoch).setWallMs(1000 * epoch).setComplete(false);
     for (int i = 0; i < jobs; i++) {
       c.addJob(
-          JobCopy.newBuilder()
+          JobSnapshot.newBuilder()
               .setRef("j-" + i)
               .setValue(ByteString.copyFromUtf8("{\"n\":" + i + "}"))
               .setNextAttempt(i)
               .addOpen(
-                  OpenCopy.newBuilder()
+                  OpenAttemptSnapshot.newBuilder()
                       .setTask(i)
                       .setNumber(7)
                       .setMachine("n-" + i)
                       .setZone("z1")));
       c.addEnded(
-          EndedCopy.newBuilder()
+          EndedJobSnapshot.newBuilder()
               .setRef("j-9" + i)
               .setEnd(End.DONE)
               .setTasks(3)
@@ -55,7 +56,7 @@
     return c.build();
   }
 
-  private static byte[] bytes(Copy c) throws IOException {
+  private static byte[] bytes(ClusterSnapshot c) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     SnapshotArchive.write(c, "an-era", out);
     return out.toByteArray();
@@ -63,7 +64,7 @@
 
   @Test
   void whateverByteIsDamagedNothingElseIsEverRead() throws IOException {
-    Copy c = copy(12, 5);
+    ClusterSnapshot c = copy(12, 5);
     byte[] whole = bytes(c);
     assertThat(SnapshotArchive.read(new ByteArrayInputStream(whole)).copy()).isEqualTo(c);
     int found = 0;
@@ -88,7 +89,7 @@
 
   @Test
   void blocksAreWholeOrRefused() {
-    Copy c = copy(300, 5);
+    ClusterSnapshot c = copy(300, 5);
     SnapshotBlocks packed = SnapshotBlocks.pack(c, 1024);
     assertThat(packed.blocks())
         .hasSizeGreaterThan(2)
@@ -98,7 +99,8 @@
     swapped.add(swapped.remove(0));
     assertThatThrownBy(() -> new SnapshotBlocks(swapped, packed.crc()).unpack())
         .isInstanceOf(MalformedInputException.class);
-    assertThatThrownBy(() -> new SnapshotBlocks(packed.blocks().subList(0, 1), packed.crc()).unpack())
+    assertThatThrownBy(
+            () -> new SnapshotBlocks(packed.blocks().subList(0, 1), packed.crc()).unpack())
         .isInstanceOf(MalformedInputException.class);
   }
 
--- a/src/test/java/io/embernotch/state/FailureAttributionTest.java
+++ b/src/test/java/io/embernotch/state/FailureAttributionTest.java
@@ -38,7 +38,10 @@
   private Job job(int i) {
     return state.jobs.computeIfAbsent(
         "j-" + i,
-        ref -> new Job(JobCodec.read(Json.parseObject(SimulatedCluster.job(ref, "array", 40).getBytes())), 0));
+        ref ->
+            new Job(
+                JobCodec.read(Json.parseObject(SimulatedCluster.job(ref, "array", 40).getBytes())),
+                0));
   }
 
   private Machine machine(int i) {
@@ -48,7 +51,10 @@
   private void fail(int job, int machineNumber) {
     Machine machine = machine(machineNumber);
     machine.zone = "z1";
-    failureAttribution.failed(state.openAttempt(job(job), job(job).openAttempts.size(), 1, machine, time.now()), machine, time.now());
+    failureAttribution.failed(
+        state.openAttempt(job(job), job(job).openAttempts.size(), 1, machine, time.now()),
+        machine,
+        time.now());
   }
 
   private void succeed(int job, int machine) {
@@ -65,7 +71,8 @@
       }
       assertThat(job(job).failsEverywhere()).isTrue();
     }
-    assertThat(state.machines.values()).noneMatch(machine -> machine.cordoned || machine.avoidUntil > time.now());
+    assertThat(state.machines.values())
+        .noneMatch(machine -> machine.cordoned || machine.avoidUntil > time.now());
   }
 
   @Test
--- a/src/test/java/io/embernotch/state/LargestJobWaitTimesTest.java
+++ b/src/test/java/io/embernotch/state/LargestJobWaitTimesTest.java
@@ -12,7 +12,8 @@
 class LargestJobWaitTimesTest {
   private static Job job(int n, int tasks) {
     return new Job(
-        JobCodec.read(Json.parseObject(SimulatedCluster.job("j-" + n, "array", tasks).getBytes())), 1000);
+        JobCodec.read(Json.parseObject(SimulatedCluster.job("j-" + n, "array", tasks).getBytes())),
+        1000);
   }
 
   @Test
--- a/src/test/java/io/embernotch/store/StoreClientTest.java
+++ b/src/test/java/io/embernotch/store/StoreClientTest.java
@@ -28,7 +28,8 @@
         new StoreClient(
             (method, to, path, body, timeout) -> {
               calls[0]++;
-              return Future.succeededFuture(new HttpReply(429, "{}".getBytes(StandardCharsets.UTF_8)));
+              return Future.succeededFuture(
+                  new HttpReply(429, "{}".getBytes(StandardCharsets.UTF_8)));
             },
             time,
             time,
@@ -39,7 +40,10 @@
       store.requestWriteSlot(
           1,
           RequestPriority.NORMAL,
-          () -> store.commitInWriteSlot(new Transaction().when(key, 0).write(key, Json.object()), RequestPriority.NORMAL));
+          () ->
+              store.commitInWriteSlot(
+                  new Transaction().when(key, 0).write(key, Json.object()),
+                  RequestPriority.NORMAL));
     }
     time.pass(5);
     assertThat(calls[0])
--- a/src/test/java/io/embernotch/testkit/FakeStore.java
+++ b/src/test/java/io/embernotch/testkit/FakeStore.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.embernotch.codec.Json;
 import io.embernotch.codec.JobProgressCodec;
+import io.embernotch.codec.Json;
 import io.embernotch.http.HttpReply;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
@@ -17,7 +17,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** The state service of PROTOCOL, in memory. */
+/** The store of PROTOCOL, in memory. */
 public final class FakeStore {
   private record Value(ObjectNode v, long modRevision, long leaseId) {}
 
--- a/src/test/java/io/embernotch/testkit/FakeWorker.java
+++ b/src/test/java/io/embernotch/testkit/FakeWorker.java
@@ -51,7 +51,8 @@
   public boolean hung;
 
   /**
-   * Its reports arrive; answers and commands do not reach it, so it goes on to the next controller.
+   * Its heartbeats arrive; answers and commands do not reach it, so it goes on to the next
+   * controller.
    */
   public boolean deaf;
 
@@ -71,7 +72,7 @@
 
   double heartbeatsAgainAt;
 
-  /** Starts that were sent to it while it was deaf. */
+  /** Starts that were sent to it while it was unreachable. */
   public int startsLost;
 
   /** Every task that starts fails at once. */
@@ -182,7 +183,7 @@
     return Json.bytes(o);
   }
 
-  /** Takes the answer to a report; true if it renews the lease. */
+  /** Takes the answer to a heartbeat; true if it renews the lease. */
   boolean answer(byte[] body) {
     ObjectNode o = Json.parseObject(body);
     long given = o.path("baton").asLong(-1);
--- a/src/test/java/io/embernotch/testkit/InvariantChecker.java
+++ b/src/test/java/io/embernotch/testkit/InvariantChecker.java
@@ -2,12 +2,12 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
-import io.embernotch.codec.MalformedInputException;
 import io.embernotch.codec.JobCodec;
 import io.embernotch.codec.Json;
+import io.embernotch.codec.MalformedInputException;
 import io.embernotch.http.HttpResponse;
-import io.embernotch.model.JobSpec;
 import io.embernotch.model.JobShape;
+import io.embernotch.model.JobSpec;
 import io.embernotch.settings.Settings;
 import java.util.ArrayList;
 import java.util.BitSet;
@@ -328,7 +328,9 @@
       int left =
           s.tasks()
               - on.getOrDefault(ref, 0)
-              - (s.shape() == JobShape.ARRAY ? done.getOrDefault(ref, new BitSet()).cardinality() : 0);
+              - (s.shape() == JobShape.ARRAY
+                  ? done.getOrDefault(ref, new BitSet()).cardinality()
+                  : 0);
       boolean gang = s.shape() == JobShape.GANG;
       boolean waits =
           !ends.containsKey(ref)
--- a/src/test/java/io/embernotch/testkit/SimulatedCluster.java
+++ b/src/test/java/io/embernotch/testkit/SimulatedCluster.java
@@ -7,17 +7,17 @@
 import io.embernotch.codec.Json;
 import io.embernotch.codec.WorkerCodec;
 import io.embernotch.context.ControllerContext;
-import io.embernotch.http.HttpResponse;
+import io.embernotch.controller.Controller;
 import io.embernotch.http.CallFailedException;
 import io.embernotch.http.HttpCaller;
 import io.embernotch.http.HttpReply;
+import io.embernotch.http.HttpResponse;
 import io.embernotch.peer.Frame;
 import io.embernotch.peer.PeerLink;
 import io.embernotch.settings.HostPort;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.Settings;
 import io.embernotch.settings.SettingsReader;
-import io.embernotch.controller.Controller;
 import io.embernotch.store.LeaseRenewer;
 import io.embernotch.store.StoreClient;
 import io.vertx.core.Future;
@@ -33,9 +33,7 @@
 import java.util.function.Function;
 import java.util.function.IntFunction;
 
-/**
- * Controllers, state service, cloud and workers on one fake clock, each to be disturbed at will.
- */
+/** Controllers, store, cloud and workers on one fake clock, each to be disturbed at will. */
 public final class SimulatedCluster {
   /** What a message on its way to a worker meets. */
   public enum Fate {
@@ -50,7 +48,7 @@
 
   private static final double HOP_S = 0.002;
 
-  /** A worker drops an answer that comes later than this after its report. */
+  /** A worker drops an answer that comes later than this after its heartbeat. */
   private static final double ANSWER_S = 4;
 
   public final FakeTime time = new FakeTime();
@@ -63,7 +61,7 @@
   /** What users, workers and the store saw, held against the rules. */
   public final InvariantChecker rules;
 
-  /** Copies of commands and reports that were carried out. */
+  /** Copies of commands and heartbeats that were carried out. */
   private final List<Runnable> copies = new ArrayList<>();
 
   /** Frames arrive with {@link #releaseHeld()}, at whoever has the receiver's name then. */
@@ -96,14 +94,15 @@
   private static final double LATE_MOST_S = 12;
 
   /**
-   * Of this share of the reports a copy arrives again, up to two leases later, at any controller.
+   * Of this share of the heartbeats a copy arrives again, up to two leases later, at any
+   * controller.
    */
   public double lateHeartbeats;
 
   /** This share of transactions is carried out at once, and gets no answer. */
   public double lostAnswers;
 
-  /** This share of reads of the state service gets no answer. */
+  /** This share of reads of the store gets no answer. */
   public double lostReads;
 
   /**
@@ -115,8 +114,8 @@
   private static final double LATE_COMMAND_S = 16;
 
   /**
-   * Of this share of the reports a copy is kept, and arrives at every controller as the next leader
-   * begins.
+   * Of this share of the heartbeats a copy is kept, and arrives at every controller as the next
+   * leader begins.
    */
   public double heartbeatsForNext;
 
@@ -125,10 +124,10 @@
   /** Questions of users and answers to them take up to this long on their way, each by itself. */
   public double userDelayS;
 
-  /** Every answer of the state service takes so much longer. */
+  /** Every answer of the store takes so much longer. */
   public double stateSlowS;
 
-  /** A zone that is cut off from everything, or null. */
+  /** A zone that is partitioned from everything, or null. */
   public String cutZone;
 
   private int names;
@@ -142,7 +141,7 @@
     public boolean down;
     public boolean noState;
 
-    /** The state service does not answer it at all, rather than refuse it. */
+    /** The store does not answer it at all, rather than refuse it. */
     public boolean silentState;
 
     public boolean noPeers;
@@ -196,7 +195,7 @@
     }
   }
 
-  /** The timers of one life of a node: they stop with it. */
+  /** The timers of one incarnation of a node: they stop with it. */
   private final class FakeTimeOf
       implements io.embernotch.actor.Timers, java.util.concurrent.Executor {
     private final Node node;
@@ -295,7 +294,7 @@
     return TestSettings.toml(index, 1, "");
   }
 
-  /** A world in which the state service is going to lower its limits. */
+  /** A world in which the store is going to lower its limits. */
   public static SimulatedCluster lowering() {
     String next = "[cluster.state.next]\nwrite_rps = 30.0\nvalue_kb = 1.0\ntxn_ops = 4\n";
     return new SimulatedCluster(3, i -> TestSettings.toml(i, 2, next), OperatorSettings.DEFAULTS);
@@ -305,7 +304,7 @@
     return cutZone != null && cutZone.equals(one) != cutZone.equals(other);
   }
 
-  /** A world whose state service takes so many requests and changes a second. */
+  /** A world whose store takes so many requests and changes a second. */
   public static SimulatedCluster withStateLimits(double rps, double writeRps) {
     return new SimulatedCluster(
         3,
@@ -351,7 +350,7 @@
     }
   }
 
-  /** The end of a job that the store holds, in whatever piece; null if it has none. */
+  /** The end of a job that the store holds, in whatever shard; null if it has none. */
   public String endInStore(String ref) {
     String end = null;
     for (String key : state.keys("run/" + ref)) {
@@ -388,7 +387,8 @@
 
   // ---- users
 
-  private static final HttpResponse NONE = HttpResponse.of(504, "{}".getBytes(StandardCharsets.UTF_8));
+  private static final HttpResponse NONE =
+      HttpResponse.of(504, "{}".getBytes(StandardCharsets.UTF_8));
 
   /** What a user makes of no answer. */
   private static HttpResponse orNone(HttpResponse a) {
@@ -544,7 +544,7 @@
   private Future<HttpReply> call(
       Node from, int life, String method, HostPort to, String path, byte[] body, double timeout) {
     Promise<HttpReply> promise = Promise.promise();
-    // A probe of what is cut off does not even get a connection.
+    // A probe of what is partitioned does not even get a connection.
     FakeWorker w = at(to);
     boolean reached =
         w == null
@@ -576,7 +576,8 @@
     return promise.future();
   }
 
-  private Future<HttpReply> arrive(Node from, String method, HostPort to, String path, byte[] body) {
+  private Future<HttpReply> arrive(
+      Node from, String method, HostPort to, String path, byte[] body) {
     if (from.settings.location().equals(cutZone)
         && (to.equals(from.settings.storeAddress()) || to.equals(from.settings.cloudAddress()))) {
       return null;
@@ -661,7 +662,8 @@
     if (path.equals("/do")) {
       copies.add(() -> w.direct(body));
     }
-    return Future.succeededFuture(path.equals("/do") ? w.direct(body) : new HttpReply(200, w.heartbeat()));
+    return Future.succeededFuture(
+        path.equals("/do") ? w.direct(body) : new HttpReply(200, w.heartbeat()));
   }
 
   /**
@@ -716,7 +718,7 @@
     return heartbeats.getOrDefault(machine, List.of());
   }
 
-  /** A copy of a report arrives at a controller, whatever its age. */
+  /** A copy of a heartbeat arrives at a controller, whatever its age. */
   public void late(Node to, byte[] heartbeat) {
     if (!to.down) {
       to.controller.handleHeartbeat(WorkerCodec.read(heartbeat));
@@ -734,7 +736,7 @@
 
   // ---- machines
 
-  /** A machine that somebody rented: it is up after a while, and reports. Returns its name. */
+  /** A machine that somebody rented: it is up after a while, and heartbeats. Returns its name. */
   public String boot(String type, String zone, boolean spot) {
     return cloud.boot(type, zone, spot);
   }
--- a/src/test/java/io/embernotch/weights/ImageLocalityTest.java
+++ b/src/test/java/io/embernotch/weights/ImageLocalityTest.java
@@ -59,8 +59,8 @@
   }
 
   /**
-   * What is stale costs a fetch, and never a rule; and it is no more than a few changes in a report
-   * period.
+   * What is stale costs a fetch, and never a rule; and it is no more than a few changes in a
+   * heartbeat interval.
    */
   @Test
   void whatIsStaleIsForgottenAndChangesAreFew() {
