--- a/src/main/java/io/embernotch/actor/EventLoopProfile.java
+++ b/src/main/java/io/embernotch/actor/EventLoopProfile.java
@@ -38,7 +38,7 @@
   }
 
   /** Measures if anybody reads it. */
-  public static EventLoopProfile read() {
+  public static EventLoopProfile createIfLogged() {
     return LOG.isInfoEnabled() ? new EventLoopProfile(System::nanoTime) : NONE;
   }
 
@@ -67,31 +67,33 @@
 
   /** Timers whose tasks count for {@code cause}. */
   public Timers around(String cause, Timers timers) {
-    return steadyNanos == null ? timers : (s, task) -> timers.after(s, () -> run(cause, task));
+    return steadyNanos == null
+        ? timers
+        : (line, task) -> timers.after(line, () -> run(cause, task));
   }
 
   /**
    * Times and milliseconds by cause since the last line, or null if there is nothing; starts anew.
    */
   public String line() {
-    StringBuilder s = new StringBuilder();
+    StringBuilder line = new StringBuilder();
     shares.forEach(
         (cause, share) -> {
-          s.append(s.isEmpty() ? "" : ", ")
+          line.append(line.isEmpty() ? "" : ", ")
               .append(cause)
               .append(' ')
               .append(share.times.sumThenReset());
-          s.append(" in ").append(Math.round(share.nanos.sumThenReset() / 1e6)).append(" ms");
+          line.append(" in ").append(Math.round(share.nanos.sumThenReset() / 1e6)).append(" ms");
         });
     shares.clear();
-    return s.isEmpty() ? null : s.toString();
+    return line.isEmpty() ? null : line.toString();
   }
 
   /**
    * What the whole process has used so far, in milliseconds: of a share of a core in all, and
    * elapsed for what the machine needs itself.
    */
-  public static String process() {
+  public static String processUsage() {
     double all =
         ManagementFactory.getOperatingSystemMXBean() instanceof OperatingSystemMXBean os
             ? os.getProcessCpuTime() / 1e6
@@ -113,7 +115,7 @@
   public void log() {
     if (steadyNanos != null) {
       LOG.info("event loop: {}", line());
-      LOG.info("process: {}", process());
+      LOG.info("process: {}", processUsage());
     }
   }
 }
--- a/src/main/java/io/embernotch/actor/LatencyRecorder.java
+++ b/src/main/java/io/embernotch/actor/LatencyRecorder.java
@@ -18,19 +18,22 @@
 
   /** One line on all kinds, or null if nothing was answered; starts anew. */
   public String line() {
-    StringBuilder s = new StringBuilder();
+    StringBuilder line = new StringBuilder();
     kinds.forEach(
-        (kind, h) -> {
-          if (h.getTotalCount() > 0) {
-            s.append(s.isEmpty() ? "" : "; ").append(kind).append(' ').append(h.getTotalCount());
-            s.append(": p50 ")
-                .append(h.getValueAtPercentile(50))
+        (kind, histogram) -> {
+          if (histogram.getTotalCount() > 0) {
+            line.append(line.isEmpty() ? "" : "; ")
+                .append(kind)
+                .append(' ')
+                .append(histogram.getTotalCount());
+            line.append(": p50 ")
+                .append(histogram.getValueAtPercentile(50))
                 .append(", p95 ")
-                .append(h.getValueAtPercentile(95));
-            s.append(", max ").append(h.getMaxValue()).append(" ms");
+                .append(histogram.getValueAtPercentile(95));
+            line.append(", max ").append(histogram.getMaxValue()).append(" ms");
           }
-          h.reset();
+          histogram.reset();
         });
-    return s.isEmpty() ? null : s.toString();
+    return line.isEmpty() ? null : line.toString();
   }
 }
--- a/src/main/java/io/embernotch/agents/AgentReconciler.java
+++ b/src/main/java/io/embernotch/agents/AgentReconciler.java
@@ -120,7 +120,7 @@
       // before what we have heard since was made. So it renews nothing; taken for news, copies of what a dead
       // machine had said kept its lease assumed, and its services down, for as long as they came.
       prober.probeAtMostOncePerInterval(machine);
-      return WorkerCodec.stay();
+      return WorkerCodec.emptyResponse();
     }
     if (newer) {
       reachability.heartbeatReceived(machine, heartbeat, via, now);
@@ -344,7 +344,7 @@
     long token = machine.token;
     machine.commandInFlight = true;
     context.workers()
-        .call("POST", to, "/do", WorkerCodec.direct(token, machine.agentEpoch, orders), callS)
+        .call("POST", to, "/do", WorkerCodec.directCommand(token, machine.agentEpoch, orders), callS)
         .onComplete(r -> context.profile().run("command", () -> {
           if (r.succeeded()) {
             commandAnswered(machine, token, starting, r.result());
@@ -401,12 +401,12 @@
   private void commandFailed(Machine machine, long token, List<Attempt> starting, Throwable e) {
     machine.commandInFlight = false;
     machine.commandFailedAt = context.clock().now();
-    boolean sent = !(e instanceof CallFailedException f) || f.sent;
+    boolean sent = !(e instanceof CallFailedException f) || f.sent();
     LOG.info("command to {} failed, sent {}: {}", machine.name, sent, e.getMessage());
     if (sent) {
       fenceOff(machine, token);
     }
-    if (sent || !(e instanceof CallFailedException f) || f.tried) {
+    if (sent || !(e instanceof CallFailedException f) || f.tried()) {
       reachability.callUnanswered(machine, context.clock().now());
     }
     for (Attempt attempt : starting) {
--- a/src/main/java/io/embernotch/agents/StatusProber.java
+++ b/src/main/java/io/embernotch/agents/StatusProber.java
@@ -120,12 +120,12 @@
             e -> {
               machine.probing = false;
               callLimiter.leave();
-              if (!(e instanceof CallFailedException f) || f.tried) {
+              if (!(e instanceof CallFailedException f) || f.tried()) {
                 machine.probeFailedAt = context.clock().now();
                 if (machine.up() && machine.lastHeartbeatAt > since) {
                   reachability.callUnanswered(machine, machine.probeFailedAt);
                 }
-                machine.probeConnected = e instanceof CallFailedException f && f.sent;
+                machine.probeConnected = e instanceof CallFailedException f && f.sent();
               }
             });
   }
--- a/src/main/java/io/embernotch/api/SubmissionHandler.java
+++ b/src/main/java/io/embernotch/api/SubmissionHandler.java
@@ -163,7 +163,9 @@
   public void storeIncarnationChanged() {
     for (Map.Entry<String, byte[]> e : accepted.entrySet()) {
       if (!host.base().has(e.getKey())) {
-        again(e.getKey(), Json.parseObject(e.getValue()).put(JobProgressCodec.AGAIN, true));
+        again(
+            e.getKey(),
+            Json.parseObject(e.getValue()).put(JobProgressCodec.REWRITTEN_AFTER_LOSS, true));
       }
     }
   }
--- a/src/main/java/io/embernotch/app/CalendarCommand.java
+++ b/src/main/java/io/embernotch/app/CalendarCommand.java
@@ -54,26 +54,28 @@
     Instant end = begin.plus(days, ChronoUnit.DAYS);
     List<Release> releases = OperatorSettings.read(operator).calendar().releases();
     List<Occurrences.Occurrence> all = new ArrayList<>();
-    releases.forEach(r -> all.addAll(Occurrences.between(r, begin, end)));
+    releases.forEach(release -> all.addAll(Occurrences.between(release, begin, end)));
     all.sort(
         Comparator.comparing(Occurrences.Occurrence::at)
             .thenComparing(Occurrences.Occurrence::name));
-    for (Occurrences.Occurrence o : all) {
+    for (Occurrences.Occurrence occurrence : all) {
       out.printf(
           "%s  %s%s%s%n",
-          o.at(),
-          o.name(),
-          o.lifted() ? "  lifted" : "",
-          o.note() == null ? "" : "  (" + o.note() + ")");
+          occurrence.at(),
+          occurrence.name(),
+          occurrence.lifted() ? "  lifted" : "",
+          occurrence.note() == null ? "" : "  (" + occurrence.note() + ")");
     }
-    for (Release r : releases) {
-      r.also().keySet().stream()
+    for (Release release : releases) {
+      release.also().keySet().stream()
           .filter(d -> d.isBefore(from))
-          .forEach(d -> out.printf("%s: %s is past%n", r.id(), d));
-      for (Release other : releases.subList(0, releases.indexOf(r))) {
-        if (r.orders().stream().anyMatch(s -> other.orders().stream().anyMatch(s::overlaps))) {
+          .forEach(d -> out.printf("%s: %s is past%n", release.id(), d));
+      for (Release other : releases.subList(0, releases.indexOf(release))) {
+        if (release.orders().stream()
+            .anyMatch(s -> other.orders().stream().anyMatch(s::overlaps))) {
           out.printf(
-              "%s and %s may order the same work: %s counts%n", other.id(), r.id(), other.id());
+              "%s and %s may order the same work: %s counts%n",
+              other.id(), release.id(), other.id());
         }
       }
     }
--- a/src/main/java/io/embernotch/app/CheckCommand.java
+++ b/src/main/java/io/embernotch/app/CheckCommand.java
@@ -18,13 +18,16 @@
 
   @Override
   public Integer call() {
-    Settings s = files.platform();
-    files.operator().against(s);
+    Settings settings = files.platform();
+    files.operator().checkAgainst(settings);
     spec.commandLine()
         .getOut()
         .printf(
             "ok: %s in %s, %d other controllers, %d teams%n",
-            s.node(), s.location(), s.members().size(), s.teams().size());
+            settings.node(),
+            settings.location(),
+            settings.members().size(),
+            settings.teams().size());
     return 0;
   }
 }
--- a/src/main/java/io/embernotch/app/Server.java
+++ b/src/main/java/io/embernotch/app/Server.java
@@ -51,7 +51,7 @@
   private static void wire(
       Vertx vertx, Context loop, Settings settings, OperatorSettings operator) {
     SystemClock clock = new SystemClock();
-    EventLoopProfile profile = EventLoopProfile.read();
+    EventLoopProfile profile = EventLoopProfile.createIfLogged();
     Timers timers = profile.around("timer", new VertxTimers(vertx, loop));
     double heartbeat = settings.workers().heartbeatIntervalS();
     VertxHttpCaller store = new VertxHttpCaller(vertx, clock, timers, 8, 1, heartbeat / 3, KEEP_S);
--- a/src/main/java/io/embernotch/app/SnapshotCommand.java
+++ b/src/main/java/io/embernotch/app/SnapshotCommand.java
@@ -78,22 +78,22 @@
   }
 
   private boolean verify(Path file) throws IOException {
-    ObjectNode o = Json.object().put("file", file.getFileName().toString());
+    ObjectNode object = Json.object().put("file", file.getFileName().toString());
     try {
-      about(SnapshotDirectory.read(file), o);
-      say(o);
+      about(SnapshotDirectory.read(file), object);
+      say(object);
       return true;
-    } catch (SnapshotArchive.Damaged e) {
-      say(o.put("damaged", e.getMessage()));
+    } catch (SnapshotArchive.DamagedSnapshotException e) {
+      say(object.put("damaged", e.getMessage()));
       return false;
     }
   }
 
   private int show() throws IOException {
-    SnapshotArchive s = SnapshotDirectory.read(files.get(0));
-    say(about(s, Json.object().put("file", files.get(0).getFileName().toString())));
-    s.copy().getJobList().forEach(j -> say(SnapshotDiff.line(j)));
-    s.copy().getEndedList().forEach(e -> say(SnapshotDiff.line(e)));
+    SnapshotArchive archive = SnapshotDirectory.read(files.get(0));
+    say(about(archive, Json.object().put("file", files.get(0).getFileName().toString())));
+    archive.copy().getJobList().forEach(j -> say(SnapshotDiff.line(j)));
+    archive.copy().getEndedList().forEach(e -> say(SnapshotDiff.line(e)));
     return 0;
   }
 
@@ -106,22 +106,24 @@
     return lines.isEmpty() ? 0 : 1;
   }
 
-  private static ObjectNode about(SnapshotArchive s, ObjectNode o) {
-    return o.put("era", s.head().getEra())
-        .put("epoch", s.head().getEpoch())
-        .put("at", Instant.ofEpochMilli(s.head().getWallMs()).toString())
-        .put("jobs", s.head().getJobs())
-        .put("ended", s.head().getEnded());
+  private static ObjectNode about(SnapshotArchive archive, ObjectNode object) {
+    return object
+        .put("era", archive.head().getEra())
+        .put("epoch", archive.head().getEpoch())
+        .put("at", Instant.ofEpochMilli(archive.head().getWallMs()).toString())
+        .put("jobs", archive.head().getJobs())
+        .put("ended", archive.head().getEnded());
   }
 
-  private void say(ObjectNode o) {
+  private void say(ObjectNode object) {
     PrintWriter out = spec.commandLine().getOut();
     if (json) {
-      out.println(new String(Json.bytes(o), StandardCharsets.UTF_8));
+      out.println(new String(Json.bytes(object), StandardCharsets.UTF_8));
       return;
     }
     StringBuilder line = new StringBuilder();
-    o.fields()
+    object
+        .fields()
         .forEachRemaining(
             f ->
                 line.append(line.length() == 0 ? "" : "  ")
--- a/src/main/java/io/embernotch/calendar/ReleaseCalendar.java
+++ b/src/main/java/io/embernotch/calendar/ReleaseCalendar.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.calendar.Occurrences.Occurrence;
 import io.embernotch.codec.CalendarCodec;
-import io.embernotch.codec.CalendarCodec.Kept;
+import io.embernotch.codec.CalendarCodec.StoredOccurrence;
 import io.embernotch.codec.MalformedInputException;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.model.Job;
@@ -58,7 +58,7 @@
   private final SharedState shared;
   private final Consumer<Job> settled;
   private final EffectiveConfiguration<List<Release>> inForce;
-  private final Map<String, Kept> kept = new TreeMap<>();
+  private final Map<String, StoredOccurrence> kept = new TreeMap<>();
   private final Map<String, Set<String>> served = new HashMap<>();
   private final Map<String, Set<String>> atRisk = new HashMap<>();
   private long keptOf = -1;
@@ -127,8 +127,8 @@
         }
       }
     }
-    for (Map.Entry<String, Kept> e : Map.copyOf(kept).entrySet()) {
-      if (!e.getValue().over() && wallMs > e.getValue().atMs()) {
+    for (Map.Entry<String, StoredOccurrence> e : Map.copyOf(kept).entrySet()) {
+      if (!e.getValue().over() && wallMs > e.getValue().deadlineMs()) {
         close(e.getKey(), e.getValue());
       }
     }
@@ -136,23 +136,24 @@
 
   private void write(Occurrence o) {
     String name = PREFIX + o.name();
-    Kept there = kept.get(o.name());
+    StoredOccurrence there = kept.get(o.name());
     long at = o.at().toEpochMilli();
     boolean same =
         there != null
             && (there.generation() >= inForce.generation()
-                || (there.atMs() == at && there.lifted() == o.lifted()));
+                || (there.deadlineMs() == at && there.lifted() == o.lifted()));
     if (same || shared.pending(name) || (there != null && there.over())) {
       return;
     }
-    long first = there == null ? at : there.firstMs();
+    long first = there == null ? at : there.firstDeadlineMs();
     shared.put(
         name,
-        CalendarCodec.write(new Kept(inForce.generation(), at, first, o.lifted(), 0, 0, false)),
+        CalendarCodec.write(
+            new StoredOccurrence(inForce.generation(), at, first, o.lifted(), 0, 0, false)),
         () -> LOG.info("release {}: {}", o.name(), o.lifted() ? "lifted" : "due at " + o.at()));
   }
 
-  private void close(String occurrence, Kept k) {
+  private void close(String occurrence, StoredOccurrence k) {
     if (shared.pending(PREFIX + occurrence)) {
       return;
     }
@@ -161,7 +162,9 @@
     for (Job job : state.jobs.values()) {
       all += occurrence.equals(job.release) && job.finalPhase == null ? 1 : 0;
     }
-    Kept over = new Kept(k.generation(), k.atMs(), k.firstMs(), k.lifted(), all, inTime, true);
+    StoredOccurrence over =
+        new StoredOccurrence(
+            k.generation(), k.deadlineMs(), k.firstDeadlineMs(), k.lifted(), all, inTime, true);
     int of = all;
     shared.put(
         PREFIX + occurrence,
@@ -182,10 +185,11 @@
           && job.spec.priority() != Priority.PRODUCTION) {
         settle(job);
       }
-      Kept k = job.release == null ? null : kept.get(job.release);
-      job.releaseDeadlineMs = k == null || k.lifted() ? Long.MAX_VALUE : k.atMs() - leadMs(job);
+      StoredOccurrence k = job.release == null ? null : kept.get(job.release);
+      job.releaseDeadlineMs =
+          k == null || k.lifted() ? Long.MAX_VALUE : k.deadlineMs() - leadMs(job);
       job.remainingRunMs = Math.round(restS(job) * 1000);
-      if (k != null && job.finalPhase == JobPhase.DONE && job.endedMs <= k.atMs()) {
+      if (k != null && job.finalPhase == JobPhase.DONE && job.endedMs <= k.deadlineMs()) {
         served.computeIfAbsent(job.release, x -> new HashSet<>()).add(job.spec.ref());
       }
       if (k != null
@@ -222,14 +226,14 @@
       }
       String best = null;
       long bestMs = Long.MAX_VALUE;
-      for (Map.Entry<String, Kept> e : kept.entrySet()) {
-        Kept k = e.getValue();
+      for (Map.Entry<String, StoredOccurrence> e : kept.entrySet()) {
+        StoredOccurrence k = e.getValue();
         if (e.getKey().startsWith(r.id() + "/")
-            && k.firstMs() > job.submittedMs
-            && k.firstMs() < bestMs
+            && k.firstDeadlineMs() > job.submittedMs
+            && k.firstDeadlineMs() < bestMs
             && !k.lifted()) {
           best = e.getKey();
-          bestMs = k.firstMs();
+          bestMs = k.firstDeadlineMs();
         }
       }
       if (best != null) {
@@ -271,9 +275,9 @@
             .min()
             .orElse(0);
     for (Release r : inForce.value()) {
-      for (Map.Entry<String, Kept> e :
-          r.orders(like) ? kept.entrySet() : Set.<Map.Entry<String, Kept>>of()) {
-        double left = (e.getValue().atMs() - wallMs) / 1000.0 - r.leadS();
+      for (Map.Entry<String, StoredOccurrence> e :
+          r.orders(like) ? kept.entrySet() : Set.<Map.Entry<String, StoredOccurrence>>of()) {
+        double left = (e.getValue().deadlineMs() - wallMs) / 1000.0 - r.leadS();
         if (e.getKey().startsWith(r.id() + "/")
             && !e.getValue().lifted()
             && left > 0
@@ -287,7 +291,7 @@
 
   /** What a poll tells of the job's release. */
   public void status(Job job, ObjectNode into, long wallMs) {
-    Kept k = job.release == null ? null : kept.get(job.release);
+    StoredOccurrence k = job.release == null ? null : kept.get(job.release);
     if (k == null) {
       return;
     }
@@ -297,7 +301,7 @@
       return;
     }
     long slack = job.releaseDeadlineMs - wallMs - job.remainingRunMs;
-    into.put("deadline", Instant.ofEpochMilli(k.atMs()).toString())
+    into.put("deadline", Instant.ofEpochMilli(k.deadlineMs()).toString())
         .put("slack_s", Math.floorDiv(slack, 1000))
         .put("in_time", slack >= 0);
   }
@@ -311,7 +315,7 @@
           ObjectNode o =
               list.addObject()
                   .put("release", name)
-                  .put("deadline", Instant.ofEpochMilli(k.atMs()).toString())
+                  .put("deadline", Instant.ofEpochMilli(k.deadlineMs()).toString())
                   .put("lifted", k.lifted());
           if (k.over()) {
             o.put("jobs", k.jobs()).put("in_time", k.inTime());
--- a/src/main/java/io/embernotch/cloud/CloudClient.java
+++ b/src/main/java/io/embernotch/cloud/CloudClient.java
@@ -3,7 +3,7 @@
 import io.embernotch.actor.Clock;
 import io.embernotch.actor.Timers;
 import io.embernotch.codec.CloudCodec;
-import io.embernotch.codec.CloudCodec.Listed;
+import io.embernotch.codec.CloudCodec.ListedMachine;
 import io.embernotch.http.HttpCaller;
 import io.embernotch.http.HttpReply;
 import io.embernotch.model.MachineType;
@@ -36,23 +36,27 @@
 
   public Future<List<MachineType>> types() {
     return send("GET", "/machine_types", null, RequestPriority.NORMAL)
-        .compose(r -> r.status() == 200 ? read(() -> CloudCodec.types(r.json())) : odd(r));
+        .compose(
+            reply ->
+                reply.status() == 200
+                    ? read(() -> CloudCodec.readTypes(reply.json()))
+                    : odd(reply));
   }
 
   public Future<Rented> rent(String booking, String type, String zone, boolean spot, int number) {
     return send(
             "POST",
             "/machines",
-            CloudCodec.rent(booking, type, zone, spot, number),
+            CloudCodec.rentRequest(booking, type, zone, spot, number),
             RequestPriority.NORMAL)
         .compose(
-            r -> {
-              if (r.status() == 200) {
-                return read(() -> new Rented(false, CloudCodec.rented(r.json())));
+            reply -> {
+              if (reply.status() == 200) {
+                return read(() -> new Rented(false, CloudCodec.readRented(reply.json())));
               }
               // "trouble" is an outage and says nothing of capacity.
-              boolean full = r.status() == 503 && new String(r.body()).contains("capacity");
-              return full ? Future.succeededFuture(new Rented(true, List.of())) : odd(r);
+              boolean full = reply.status() == 503 && new String(reply.body()).contains("capacity");
+              return full ? Future.succeededFuture(new Rented(true, List.of())) : odd(reply);
             });
   }
 
@@ -60,26 +64,28 @@
     return send(
             "POST",
             "/machines/delete",
-            CloudCodec.delete(names),
+            CloudCodec.deleteRequest(names),
             urgent ? RequestPriority.HIGH : RequestPriority.BACKGROUND)
-        .compose(r -> r.status() == 200 ? Future.succeededFuture() : odd(r));
+        .compose(reply -> reply.status() == 200 ? Future.succeededFuture() : odd(reply));
   }
 
-  public Future<List<Listed>> list() {
+  public Future<List<ListedMachine>> list() {
     return listFrom(null, new ArrayList<>());
   }
 
-  private Future<List<Listed>> listFrom(String after, List<Listed> sofar) {
+  private Future<List<ListedMachine>> listFrom(String after, List<ListedMachine> collected) {
     String path = "/machines?" + (after == null ? "" : "after=" + after + "&") + "page=" + PAGE;
     return send("GET", path, null, RequestPriority.NORMAL)
-        .compose(r -> r.status() == 200 ? read(() -> CloudCodec.page(r.json())) : odd(r))
+        .compose(
+            reply ->
+                reply.status() == 200 ? read(() -> CloudCodec.readPage(reply.json())) : odd(reply))
         .compose(
             page -> {
-              sofar.addAll(page.machines());
+              collected.addAll(page.machines());
               boolean more = page.more() && !page.machines().isEmpty();
               return more
-                  ? listFrom(sofar.get(sofar.size() - 1).name(), sofar)
-                  : Future.succeededFuture(sofar);
+                  ? listFrom(collected.get(collected.size() - 1).name(), collected)
+                  : Future.succeededFuture(collected);
             });
   }
 
@@ -106,7 +112,7 @@
     }
   }
 
-  private static <T> Future<T> odd(HttpReply r) {
-    return Future.failedFuture("answer " + r.status() + " " + new String(r.body()));
+  private static <T> Future<T> odd(HttpReply reply) {
+    return Future.failedFuture("answer " + reply.status() + " " + new String(reply.body()));
   }
 }
--- a/src/main/java/io/embernotch/codec/CalendarCodec.java
+++ b/src/main/java/io/embernotch/codec/CalendarCodec.java
@@ -29,99 +29,99 @@
    * One coming out as it is kept: {@code firstMs} is its deadline when it was first written, which
    * never changes.
    */
-  public record Kept(
+  public record StoredOccurrence(
       long generation,
-      long atMs,
-      long firstMs,
+      long deadlineMs,
+      long firstDeadlineMs,
       boolean lifted,
       int jobs,
       int inTime,
       boolean over) {}
 
-  public static ObjectNode write(Kept k) {
+  public static ObjectNode write(StoredOccurrence occurrence) {
     return Json.object()
-        .put("gen", k.generation())
-        .put("at", k.atMs())
-        .put("first", k.firstMs())
-        .put("lifted", k.lifted())
-        .put("jobs", k.jobs())
-        .put("in_time", k.inTime())
-        .put("over", k.over());
+        .put("gen", occurrence.generation())
+        .put("at", occurrence.deadlineMs())
+        .put("first", occurrence.firstDeadlineMs())
+        .put("lifted", occurrence.lifted())
+        .put("jobs", occurrence.jobs())
+        .put("in_time", occurrence.inTime())
+        .put("over", occurrence.over());
   }
 
-  public static Kept read(JsonNode o) {
-    return new Kept(
-        Json.whole(o, "gen"),
-        Json.whole(o, "at"),
-        Json.whole(o, "first"),
-        o.path("lifted").asBoolean(),
-        o.path("jobs").asInt(),
-        o.path("in_time").asInt(),
-        o.path("over").asBoolean());
+  public static StoredOccurrence read(JsonNode json) {
+    return new StoredOccurrence(
+        Json.whole(json, "gen"),
+        Json.whole(json, "at"),
+        Json.whole(json, "first"),
+        json.path("lifted").asBoolean(),
+        json.path("jobs").asInt(),
+        json.path("in_time").asInt(),
+        json.path("over").asBoolean());
   }
 
   public static ObjectNode writeReleases(long generation, List<Release> releases) {
-    ObjectNode o = Json.object().put("gen", generation);
-    ArrayNode list = o.putArray("releases");
-    for (Release r : releases) {
-      ObjectNode n =
+    ObjectNode json = Json.object().put("gen", generation);
+    ArrayNode list = json.putArray("releases");
+    for (Release release : releases) {
+      ObjectNode entry =
           list.addObject()
-              .put("id", r.id())
-              .put("zone", r.zone().getId())
-              .put("time", r.time().toString())
-              .put("lead", r.leadS());
-      ArrayNode days = n.putArray("days");
-      r.days().forEach(d -> days.add(d.getValue()));
-      ArrayNode except = n.putArray("except");
-      r.except().forEach(d -> except.add(d.toString()));
-      times(n.putObject("also"), r.also());
-      times(n.putObject("moved"), r.moved());
-      ArrayNode orders = n.putArray("orders");
-      r.orders().forEach(s -> orders.add(ReservationCodec.writeSelector(s)));
+              .put("id", release.id())
+              .put("zone", release.zone().getId())
+              .put("time", release.time().toString())
+              .put("lead", release.leadS());
+      ArrayNode days = entry.putArray("days");
+      release.days().forEach(d -> days.add(d.getValue()));
+      ArrayNode except = entry.putArray("except");
+      release.except().forEach(d -> except.add(d.toString()));
+      times(entry.putObject("also"), release.also());
+      times(entry.putObject("moved"), release.moved());
+      ArrayNode orders = entry.putArray("orders");
+      release.orders().forEach(s -> orders.add(ReservationCodec.writeSelector(s)));
     }
-    return o;
+    return json;
   }
 
   private static void times(ObjectNode into, Map<LocalDate, LocalTime> times) {
     times.forEach((d, t) -> into.put(d.toString(), t == null ? null : t.toString()));
   }
 
-  public static List<Release> readReleases(JsonNode o) {
-    List<Release> out = new ArrayList<>();
+  public static List<Release> readReleases(JsonNode json) {
+    List<Release> releases = new ArrayList<>();
     try {
-      for (JsonNode n : Json.need(o, "releases")) {
+      for (JsonNode entry : Json.need(json, "releases")) {
         Set<DayOfWeek> days = EnumSet.noneOf(DayOfWeek.class);
-        n.path("days").forEach(d -> days.add(DayOfWeek.of(d.asInt())));
+        entry.path("days").forEach(d -> days.add(DayOfWeek.of(d.asInt())));
         Set<LocalDate> except = new TreeSet<>();
-        n.path("except").forEach(d -> except.add(LocalDate.parse(d.asText())));
+        entry.path("except").forEach(d -> except.add(LocalDate.parse(d.asText())));
         List<Selector> orders = new ArrayList<>();
-        n.path("orders").forEach(s -> orders.add(ReservationCodec.readSelector(s)));
-        out.add(
+        entry.path("orders").forEach(s -> orders.add(ReservationCodec.readSelector(s)));
+        releases.add(
             new Release(
-                Json.need(n, "id").asText(),
-                ZoneId.of(Json.need(n, "zone").asText()),
-                LocalTime.parse(Json.need(n, "time").asText()),
+                Json.need(entry, "id").asText(),
+                ZoneId.of(Json.need(entry, "zone").asText()),
+                LocalTime.parse(Json.need(entry, "time").asText()),
                 days,
                 except,
-                times(n.path("also")),
-                times(n.path("moved")),
+                times(entry.path("also")),
+                times(entry.path("moved")),
                 orders,
-                n.path("lead").asDouble()));
+                entry.path("lead").asDouble()));
       }
     } catch (DateTimeException e) {
       throw new MalformedInputException("releases: " + e.getMessage());
     }
-    return out;
+    return releases;
   }
 
-  private static Map<LocalDate, LocalTime> times(JsonNode o) {
-    Map<LocalDate, LocalTime> out = new LinkedHashMap<>();
-    o.fields()
+  private static Map<LocalDate, LocalTime> times(JsonNode json) {
+    Map<LocalDate, LocalTime> releases = new LinkedHashMap<>();
+    json.fields()
         .forEachRemaining(
             e ->
-                out.put(
+                releases.put(
                     LocalDate.parse(e.getKey()),
                     e.getValue().isNull() ? null : LocalTime.parse(e.getValue().asText())));
-    return out;
+    return releases;
   }
 }
--- a/src/main/java/io/embernotch/codec/CloudCodec.java
+++ b/src/main/java/io/embernotch/codec/CloudCodec.java
@@ -13,7 +13,7 @@
   private CloudCodec() {}
 
   /** One machine in a list. */
-  public record Listed(
+  public record ListedMachine(
       String name,
       String address,
       String type,
@@ -23,67 +23,72 @@
       double ageS) {}
 
   /** One page of the machine list; {@code more}: another page follows. */
-  public record Page(List<Listed> machines, boolean more) {}
+  public record MachinePage(List<ListedMachine> machines, boolean more) {}
 
-  public static List<MachineType> types(JsonNode o) {
-    JsonNode list = Json.need(o, "flavors");
+  public static List<MachineType> readTypes(JsonNode json) {
+    JsonNode list = Json.need(json, "flavors");
     List<MachineType> out = new ArrayList<>();
-    for (JsonNode t : list) {
+    for (JsonNode entry : list) {
       List<String> zones = new ArrayList<>();
-      for (JsonNode z : Json.need(t, "rooms")) {
-        zones.add(z.asText());
+      for (JsonNode zone : Json.need(entry, "rooms")) {
+        zones.add(zone.asText());
       }
-      double price = Json.amount(t, "rate");
+      double price = Json.amount(entry, "rate");
       out.add(
           new MachineType(
-              Json.text(t, "name"),
-              Json.amount(t, "cores"),
-              Json.opt(t, "cards") == null ? 0 : Json.amount(t, "cards"),
-              Json.amount(t, "mem_gb"),
-              Json.opt(t, "local_gb") == null ? 0 : Json.amount(t, "local_gb"),
-              Json.opt(t, "fetch_gb_per_s") == null ? 0 : Json.amount(t, "fetch_gb_per_s"),
+              Json.text(entry, "name"),
+              Json.amount(entry, "cores"),
+              Json.opt(entry, "cards") == null ? 0 : Json.amount(entry, "cards"),
+              Json.amount(entry, "mem_gb"),
+              Json.opt(entry, "local_gb") == null ? 0 : Json.amount(entry, "local_gb"),
+              Json.opt(entry, "fetch_gb_per_s") == null ? 0 : Json.amount(entry, "fetch_gb_per_s"),
               price,
-              Json.opt(t, "market_price") == null ? price : Json.amount(t, "market_price"),
-              Json.amount(t, "boot_s"),
+              Json.opt(entry, "market_price") == null ? price : Json.amount(entry, "market_price"),
+              Json.amount(entry, "boot_s"),
               List.copyOf(zones)));
     }
     return out;
   }
 
   public static ObjectNode writeTypes(Collection<MachineType> types) {
-    ObjectNode o = Json.object();
-    ArrayNode list = o.putArray("flavors");
+    ObjectNode json = Json.object();
+    ArrayNode list = json.putArray("flavors");
     for (MachineType type : types) {
-      ObjectNode n = list.addObject();
-      n.put("name", type.name())
+      ObjectNode entry = list.addObject();
+      entry
+          .put("name", type.name())
           .put("cores", type.cpus())
           .put("cards", type.gpus())
           .put("mem_gb", type.memGb());
-      n.put("local_gb", type.cacheGb()).put("fetch_gb_per_s", type.fetchGbPerS());
-      n.put("rate", type.price()).put("market_price", type.spotPrice()).put("boot_s", type.bootS());
-      ArrayNode zones = n.putArray("rooms");
+      entry.put("local_gb", type.cacheGb()).put("fetch_gb_per_s", type.fetchGbPerS());
+      entry
+          .put("rate", type.price())
+          .put("market_price", type.spotPrice())
+          .put("boot_s", type.bootS());
+      ArrayNode zones = entry.putArray("rooms");
       type.zones().forEach(zones::add);
     }
-    return o;
+    return json;
   }
 
-  public static Page page(JsonNode o) {
-    List<Listed> out = new ArrayList<>();
-    for (JsonNode m : Json.need(o, "hearths")) {
+  public static MachinePage readPage(JsonNode json) {
+    List<ListedMachine> out = new ArrayList<>();
+    for (JsonNode entry : Json.need(json, "hearths")) {
       out.add(
-          new Listed(
-              Json.text(m, "ref"),
-              Json.opt(m, "address") == null ? null : Json.text(m, "address"),
-              Json.text(m, "flavor"),
-              Json.text(m, "room"),
-              Json.flagOr(m, "loaner", false),
-              Json.text(m, "phase"),
-              Json.opt(m, "age_s") == null ? 0 : Json.amount(m, "age_s")));
+          new ListedMachine(
+              Json.text(entry, "ref"),
+              Json.opt(entry, "address") == null ? null : Json.text(entry, "address"),
+              Json.text(entry, "flavor"),
+              Json.text(entry, "room"),
+              Json.flagOr(entry, "loaner", false),
+              Json.text(entry, "phase"),
+              Json.opt(entry, "age_s") == null ? 0 : Json.amount(entry, "age_s")));
     }
-    return new Page(out, Json.flagOr(o, "truncated", false));
+    return new MachinePage(out, Json.flagOr(json, "truncated", false));
   }
 
-  public static byte[] rent(String booking, String type, String zone, boolean spot, int number) {
+  public static byte[] rentRequest(
+      String booking, String type, String zone, boolean spot, int number) {
     return Json.bytes(
         Json.object()
             .put("booking", booking)
@@ -93,18 +98,18 @@
             .put("number", number));
   }
 
-  public static List<String> rented(JsonNode o) {
+  public static List<String> readRented(JsonNode json) {
     List<String> out = new ArrayList<>();
-    for (JsonNode n : Json.need(o, "hearths")) {
-      out.add(n.asText());
+    for (JsonNode entry : Json.need(json, "hearths")) {
+      out.add(entry.asText());
     }
     return out;
   }
 
-  public static byte[] delete(List<String> names) {
-    ObjectNode o = Json.object();
-    ArrayNode list = o.putArray("hearths");
+  public static byte[] deleteRequest(List<String> names) {
+    ObjectNode json = Json.object();
+    ArrayNode list = json.putArray("hearths");
     names.forEach(list::add);
-    return Json.bytes(o);
+    return Json.bytes(json);
   }
 }
--- a/src/main/java/io/embernotch/codec/IncarnationCodec.java
+++ b/src/main/java/io/embernotch/codec/IncarnationCodec.java
@@ -36,54 +36,54 @@
   }
 
   public static ObjectNode write(StoreIncarnation incarnation) {
-    ObjectNode o =
+    ObjectNode json =
         Json.object().put("name", incarnation.name()).put("floor", incarnation.epochFloor());
     if (incarnation.snapshotName() != null) {
-      o.put("base", incarnation.snapshotName())
+      json.put("base", incarnation.snapshotName())
           .put("blocks", incarnation.blockCount())
           .put("crc", incarnation.crc())
           .put("since", incarnation.since());
     }
-    ArrayNode after = o.putArray("after");
-    incarnation.predecessors().forEach(after::add);
-    return o;
+    ArrayNode predecessors = json.putArray("after");
+    incarnation.predecessors().forEach(predecessors::add);
+    return json;
   }
 
   /**
    * @throws MalformedInputException if the value is not an incarnation's
    */
-  public static StoreIncarnation read(JsonNode o, long modRevision) {
-    List<String> after = new ArrayList<>();
-    for (JsonNode n : Json.need(o, "after")) {
-      after.add(n.asText());
+  public static StoreIncarnation read(JsonNode json, long modRevision) {
+    List<String> predecessors = new ArrayList<>();
+    for (JsonNode n : Json.need(json, "after")) {
+      predecessors.add(n.asText());
     }
-    boolean based = Json.opt(o, "base") != null;
+    boolean based = Json.opt(json, "base") != null;
     return new StoreIncarnation(
-        Json.text(o, "name"),
+        Json.text(json, "name"),
         modRevision,
-        Json.whole(o, "floor"),
-        based ? Json.text(o, "base") : null,
-        based ? (int) Json.whole(o, "blocks") : 0,
-        based ? Json.whole(o, "crc") : 0,
-        based ? Json.whole(o, "since") : 0,
-        after);
+        Json.whole(json, "floor"),
+        based ? Json.text(json, "base") : null,
+        based ? (int) Json.whole(json, "blocks") : 0,
+        based ? Json.whole(json, "crc") : 0,
+        based ? Json.whole(json, "since") : 0,
+        predecessors);
   }
 
   /**
    * The value of a new job's key with the incarnation and the revision that wrote it, for the
    * leader.
    */
-  public static ObjectNode told(ObjectNode value, String incarnation, long epoch) {
+  public static ObjectNode announcement(ObjectNode value, String incarnation, long epoch) {
     return value.deepCopy().put("era", incarnation).put("epoch", epoch);
   }
 
   /** The incarnation that {@link #told} names; "" if a version before incarnations sent it. */
-  public static String toldIncarnation(JsonNode o) {
-    return o.path("era").asText("");
+  public static String announcedIncarnation(JsonNode json) {
+    return json.path("era").asText("");
   }
 
-  public static long toldEpoch(JsonNode o) {
-    return Json.whole(o, "epoch");
+  public static long announcedEpoch(JsonNode json) {
+    return Json.whole(json, "epoch");
   }
 
   /** A block with its checksum. */
@@ -91,16 +91,16 @@
     return Json.object().put("crc", crc).put("z", Base64.getEncoder().encodeToString(bytes));
   }
 
-  public static long readCrc(JsonNode o) {
-    return Json.whole(o, "crc");
+  public static long readCrc(JsonNode json) {
+    return Json.whole(json, "crc");
   }
 
   /**
    * @throws MalformedInputException if it is not base64
    */
-  public static byte[] readBlock(JsonNode o) {
+  public static byte[] readBlock(JsonNode json) {
     try {
-      return Base64.getDecoder().decode(Json.text(o, "z"));
+      return Base64.getDecoder().decode(Json.text(json, "z"));
     } catch (IllegalArgumentException e) {
       throw new MalformedInputException("z: not base64");
     }
--- a/src/main/java/io/embernotch/codec/JobCodec.java
+++ b/src/main/java/io/embernotch/codec/JobCodec.java
@@ -28,53 +28,53 @@
     return REF.matcher(text).matches();
   }
 
-  public static JobSpec read(JsonNode o) {
-    String ref = Json.text(o, "ref");
+  public static JobSpec read(JsonNode json) {
+    String ref = Json.text(json, "ref");
     if (!isRef(ref)) {
       throw new MalformedInputException("ref: not a job id");
     }
-    long tasks = Json.whole(o, "shards");
+    long tasks = Json.whole(json, "shards");
     if (tasks < 1 || tasks > MAX_TASKS) {
       throw new MalformedInputException("shards: must be between 1 and " + MAX_TASKS);
     }
-    JsonNode due = Json.opt(o, "due_s");
+    JsonNode due = Json.opt(json, "due_s");
     return new JobSpec(
         ref,
-        name(o, "jobclass"),
-        name(o, "owner"),
-        shape(Json.text(o, "shape")),
-        priority(Json.text(o, "rank")),
+        name(json, "jobclass"),
+        name(json, "owner"),
+        shape(Json.text(json, "shape")),
+        priority(Json.text(json, "rank")),
         (int) tasks,
-        Json.amount(o, "cores"),
-        Json.amount(o, "cards"),
-        Json.amount(o, "mem_gb"),
-        name(o, "bundle"),
-        Json.amount(o, "size_gb"),
-        types(Json.opt(o, "flavors")),
-        Json.opt(o, "room") == null ? null : name(o, "room"),
-        Json.flag(o, "one_zone"),
-        Json.flag(o, "scatter"),
-        Json.flag(o, "loaner"),
-        Json.amount(o, "expect_s"),
-        Json.amount(o, "snapshot_s"),
-        Json.amount(o, "flush_s"),
-        due == null ? null : Json.amount(o, "due_s"),
-        dependencies(Json.opt(o, "awaits")));
+        Json.amount(json, "cores"),
+        Json.amount(json, "cards"),
+        Json.amount(json, "mem_gb"),
+        name(json, "bundle"),
+        Json.amount(json, "size_gb"),
+        types(Json.opt(json, "flavors")),
+        Json.opt(json, "room") == null ? null : name(json, "room"),
+        Json.flag(json, "one_zone"),
+        Json.flag(json, "scatter"),
+        Json.flag(json, "loaner"),
+        Json.amount(json, "expect_s"),
+        Json.amount(json, "snapshot_s"),
+        Json.amount(json, "flush_s"),
+        due == null ? null : Json.amount(json, "due_s"),
+        dependencies(Json.opt(json, "awaits")));
   }
 
   public static ObjectNode write(JobSpec spec) {
-    ObjectNode o = Json.object();
-    o.put("ref", spec.ref());
-    o.put("jobclass", spec.jobClass());
-    o.put("owner", spec.team());
-    o.put(
+    ObjectNode json = Json.object();
+    json.put("ref", spec.ref());
+    json.put("jobclass", spec.jobClass());
+    json.put("owner", spec.team());
+    json.put(
         "shape",
         switch (spec.shape()) {
           case ARRAY -> "array";
           case GANG -> "group";
           case SERVICE -> "standing";
         });
-    o.put(
+    json.put(
         "rank",
         switch (spec.priority()) {
           case LOW -> "idle";
@@ -82,33 +82,33 @@
           case HIGH -> "high";
           case PRODUCTION -> "production";
         });
-    o.put("shards", spec.tasks());
-    o.put("cores", spec.cpus());
-    o.put("cards", spec.gpus());
-    o.put("mem_gb", spec.memGb());
-    o.put("bundle", spec.image());
-    o.put("size_gb", spec.imageGb());
+    json.put("shards", spec.tasks());
+    json.put("cores", spec.cpus());
+    json.put("cards", spec.gpus());
+    json.put("mem_gb", spec.memGb());
+    json.put("bundle", spec.image());
+    json.put("size_gb", spec.imageGb());
     if (spec.types() != null) {
-      ArrayNode types = o.putArray("flavors");
+      ArrayNode types = json.putArray("flavors");
       spec.types().forEach(types::add);
     }
     if (spec.zone() != null) {
-      o.put("room", spec.zone());
+      json.put("room", spec.zone());
     }
-    o.put("one_zone", spec.oneZone());
-    o.put("scatter", spec.spread());
-    o.put("loaner", spec.spot());
-    o.put("expect_s", spec.expectS());
-    o.put("snapshot_s", spec.checkpointS());
-    o.put("flush_s", spec.saveS());
+    json.put("one_zone", spec.oneZone());
+    json.put("scatter", spec.spread());
+    json.put("loaner", spec.spot());
+    json.put("expect_s", spec.expectS());
+    json.put("snapshot_s", spec.checkpointS());
+    json.put("flush_s", spec.saveS());
     if (spec.dueS() != null) {
-      o.put("due_s", spec.dueS());
+      json.put("due_s", spec.dueS());
     }
     if (!spec.dependencies().isEmpty()) {
-      ArrayNode dependencies = o.putArray("awaits");
+      ArrayNode dependencies = json.putArray("awaits");
       spec.dependencies().forEach(dependencies::add);
     }
-    return o;
+    return json;
   }
 
   public static String phase(JobPhase p) {
@@ -137,14 +137,14 @@
   /** The same with more that is to be told. */
   public static byte[] status(
       String ref, JobPhase phase, int done, int running, Consumer<ObjectNode> more) {
-    ObjectNode o =
+    ObjectNode json =
         Json.object()
             .put("ref", ref)
             .put("phase", phase(phase))
             .put("done", done)
             .put("running", running);
-    more.accept(o);
-    return Json.bytes(o);
+    more.accept(json);
+    return Json.bytes(json);
   }
 
   /**
@@ -153,15 +153,15 @@
    */
   public static byte[] failing(
       String ref, JobPhase phase, int done, int running, Collection<String> machines) {
-    ObjectNode o =
+    ObjectNode json =
         Json.object()
             .put("ref", ref)
             .put("phase", phase(phase))
             .put("done", done)
             .put("running", running);
-    ArrayNode on = o.putObject("failing").put("machines", machines.size()).putArray("last");
+    ArrayNode on = json.putObject("failing").put("machines", machines.size()).putArray("last");
     machines.stream().skip(Math.max(0, machines.size() - MOST_NAMED)).forEach(on::add);
-    return Json.bytes(o);
+    return Json.bytes(json);
   }
 
   /** What a poll is answered for a job that waits for so many others. */
@@ -180,12 +180,12 @@
         .getBytes(StandardCharsets.UTF_8);
   }
 
-  private static String name(JsonNode o, String field) {
-    String s = Json.text(o, field);
-    if (s.isEmpty() || s.length() > 500) {
+  private static String name(JsonNode json, String field) {
+    String text = Json.text(json, field);
+    if (text.isEmpty() || text.length() > 500) {
       throw new MalformedInputException(field + ": must have 1 to 500 characters");
     }
-    return s;
+    return text;
   }
 
   private static List<String> types(JsonNode n) {
@@ -223,8 +223,8 @@
     return List.copyOf(out);
   }
 
-  private static JobShape shape(String s) {
-    return switch (s) {
+  private static JobShape shape(String text) {
+    return switch (text) {
       case "array" -> JobShape.ARRAY;
       case "group" -> JobShape.GANG;
       case "standing" -> JobShape.SERVICE;
@@ -232,8 +232,8 @@
     };
   }
 
-  private static Priority priority(String s) {
-    return switch (s) {
+  private static Priority priority(String text) {
+    return switch (text) {
       case "idle" -> Priority.LOW;
       case "standard" -> Priority.NORMAL;
       case "high" -> Priority.HIGH;
--- a/src/main/java/io/embernotch/codec/JobProgressCodec.java
+++ b/src/main/java/io/embernotch/codec/JobProgressCodec.java
@@ -23,7 +23,7 @@
  */
 public final class JobProgressCodec {
   public static final String JOB = "job/";
-  public static final String RUN = "run/";
+  public static final String SHARD = "run/";
 
   public static final String REFINED_SHARD = "part/";
 
@@ -43,7 +43,7 @@
   private static final int BYTES_PER_SHARD = 192;
 
   /** Marks a submission that is written once more after a loss of data. */
-  public static final String AGAIN = "again";
+  public static final String REWRITTEN_AFTER_LOSS = "again";
 
   private JobProgressCodec() {}
 
@@ -51,55 +51,55 @@
    * Tasks in a shard when values may have {@code valueKb} KiB. With longer names of machines than
    * usual, or with restarts under way, a shard may still not fit: then parts take its place.
    */
-  public static int shard(double valueKb, List<String> zones) {
+  public static int shardSize(double valueKb, List<String> zones) {
     int zone = zones.stream().mapToInt(String::length).max().orElse(0);
     return Math.max(1, (int) ((valueKb * 1024 - BYTES_PER_SHARD) / (BYTES_PER_TASK + zone)));
   }
 
   public static ObjectNode writeJob(Job job, int shard) {
-    ObjectNode o = Json.object();
-    o.put("at", job.submittedMs);
-    o.put("piece", shard);
-    o.set("job", JobCodec.write(job.spec));
-    return o;
+    ObjectNode json = Json.object();
+    json.put("at", job.submittedMs);
+    json.put("piece", shard);
+    json.set("job", JobCodec.write(job.spec));
+    return json;
   }
 
-  public static Job readJob(JsonNode o) {
-    Job job = new Job(JobCodec.read(Json.need(o, "job")), Json.whole(o, "at"));
-    job.restoredAfterLoss = Json.flagOr(o, AGAIN, false);
+  public static Job readJob(JsonNode json) {
+    Job job = new Job(JobCodec.read(Json.need(json, "job")), Json.whole(json, "at"));
+    job.restoredAfterLoss = Json.flagOr(json, REWRITTEN_AFTER_LOSS, false);
     return job;
   }
 
-  public static int readShardSize(JsonNode o) {
-    return (int) Math.max(1, Json.whole(o, "piece"));
+  public static int readShardSize(JsonNode json) {
+    return (int) Math.max(1, Json.whole(json, "piece"));
   }
 
-  public static String key(String ref, int shard) {
-    return shard == 0 ? RUN + ref : RUN + ref + "/" + shard;
+  public static String shardKey(String ref, int shard) {
+    return shard == 0 ? SHARD + ref : SHARD + ref + "/" + shard;
   }
 
   /** Which shard a {@code run/} key holds. */
   public static int shardOf(String key) {
-    int slash = key.indexOf('/', RUN.length());
+    int slash = key.indexOf('/', SHARD.length());
     return slash < 0 ? 0 : Integer.parseInt(key.substring(slash + 1));
   }
 
   /** The key of the K-th part of {@code size} tasks. */
-  public static String partKey(String ref, int size, int part) {
+  public static String refinedShardKey(String ref, int size, int part) {
     return REFINED_SHARD + ref + "/" + size + "/" + part;
   }
 
-  public static ObjectNode writeRun(Job job, int shardSize, int shard) {
-    ObjectNode o = Json.object();
+  public static ObjectNode writeShard(Job job, int shardSize, int shard) {
+    ObjectNode json = Json.object();
     if (shard == 0) {
-      o.put("next", job.nextAttempt);
+      json.put("next", job.nextAttempt);
       if (job.finalPhase != null) {
-        o.put("end", JobCodec.phase(job.finalPhase));
+        json.put("end", JobCodec.phase(job.finalPhase));
         // The version before job chains ignores this, and may write the value back without it.
-        o.put("at", job.endedMs);
+        json.put("at", job.endedMs);
       }
       if (job.release != null) {
-        o.put("rel", job.release);
+        json.put("rel", job.release);
       }
     }
     int from = shard * shardSize;
@@ -107,14 +107,14 @@
     if (job.finalPhase != JobPhase.DONE) {
       BitSet part = job.done.get(from, to);
       if (!part.isEmpty()) {
-        o.put("done", Base64.getEncoder().encodeToString(part.toByteArray()));
+        json.put("done", Base64.getEncoder().encodeToString(part.toByteArray()));
       }
     }
     ArrayNode open = null;
     for (Attempt attempt : job.openAttempts.values()) {
       if (attempt.task >= from && attempt.task < to) {
         if (open == null) {
-          open = o.putArray("open");
+          open = json.putArray("open");
         }
         ArrayNode entry =
             open.addArray()
@@ -128,12 +128,12 @@
         }
       }
     }
-    return o;
+    return json;
   }
 
   /** Reads the end of a job from its first shard; null while it has none. */
-  public static JobPhase readEnd(JsonNode o) {
-    JsonNode end = Json.opt(o, "end");
+  public static JobPhase readEnd(JsonNode json) {
+    JsonNode end = Json.opt(json, "end");
     if (end == null) {
       return null;
     }
@@ -145,30 +145,30 @@
   }
 
   /** Has a part take the place of what larger shards said of its tasks. */
-  public static void readPart(JsonNode o, Job job, int size, int part) {
+  public static void readRefinedShard(JsonNode json, Job job, int size, int part) {
     int from = part * size;
     int to = Math.min(job.spec.tasks(), from + size);
     job.done.clear(from, Math.max(from, to));
     job.openAttempts.keySet().removeIf(task -> task >= from && task < to);
     job.preferredMachines.keySet().removeIf(task -> task >= from && task < to);
-    readRun(o, job, size, part);
+    readShard(json, job, size, part);
   }
 
   /** Adds what a shard says to {@code job}. */
-  public static void readRun(JsonNode o, Job job, int shardSize, int shard) {
+  public static void readShard(JsonNode json, Job job, int shardSize, int shard) {
     if (shard == 0) {
-      job.nextAttempt = Json.whole(o, "next");
-      job.finalPhase = readEnd(o);
+      job.nextAttempt = Json.whole(json, "next");
+      job.finalPhase = readEnd(json);
       job.endPersisted = job.finalPhase != null;
-      job.endedMs = Json.opt(o, "at") == null ? job.submittedMs : Json.whole(o, "at");
-      job.release = o.path("rel").asText(null);
+      job.endedMs = Json.opt(json, "at") == null ? job.submittedMs : Json.whole(json, "at");
+      job.release = json.path("rel").asText(null);
     }
-    JsonNode done = Json.opt(o, "done");
+    JsonNode done = Json.opt(json, "done");
     if (done != null) {
       BitSet part = BitSet.valueOf(Base64.getDecoder().decode(done.asText()));
       part.stream().forEach(i -> job.done.set(shard * shardSize + i));
     }
-    JsonNode open = Json.opt(o, "open");
+    JsonNode open = Json.opt(json, "open");
     if (open != null) {
       for (JsonNode a : open) {
         Attempt attempt =
--- a/src/main/java/io/embernotch/codec/Json.java
+++ b/src/main/java/io/embernotch/codec/Json.java
@@ -26,76 +26,76 @@
 
   /** Parses a body that must be one JSON object. */
   public static ObjectNode parseObject(byte[] body) {
-    JsonNode n;
+    JsonNode node;
     try {
-      n = MAPPER.readTree(body);
+      node = MAPPER.readTree(body);
     } catch (IOException e) {
       throw new MalformedInputException("not JSON");
     }
-    if (n == null || !n.isObject()) {
+    if (node == null || !node.isObject()) {
       throw new MalformedInputException("not a JSON object");
     }
-    return (ObjectNode) n;
+    return (ObjectNode) node;
   }
 
-  public static byte[] bytes(JsonNode n) {
+  public static byte[] bytes(JsonNode node) {
     try {
-      return MAPPER.writeValueAsBytes(n);
+      return MAPPER.writeValueAsBytes(node);
     } catch (JsonProcessingException e) {
       throw new IllegalStateException(e);
     }
   }
 
   /** The field, or null if it is absent or null. */
-  public static JsonNode opt(JsonNode o, String name) {
-    JsonNode n = o.get(name);
-    return n == null || n.isNull() ? null : n;
+  public static JsonNode opt(JsonNode object, String name) {
+    JsonNode node = object.get(name);
+    return node == null || node.isNull() ? null : node;
   }
 
-  public static JsonNode need(JsonNode o, String name) {
-    JsonNode n = opt(o, name);
-    if (n == null) {
+  public static JsonNode need(JsonNode object, String name) {
+    JsonNode node = opt(object, name);
+    if (node == null) {
       throw new MalformedInputException(name + ": missing");
     }
-    return n;
+    return node;
   }
 
-  public static String text(JsonNode o, String name) {
-    JsonNode n = need(o, name);
-    if (!n.isTextual()) {
+  public static String text(JsonNode object, String name) {
+    JsonNode node = need(object, name);
+    if (!node.isTextual()) {
       throw new MalformedInputException(name + ": must be a string");
     }
-    return n.textValue();
+    return node.textValue();
   }
 
-  public static boolean flag(JsonNode o, String name) {
-    JsonNode n = need(o, name);
-    if (!n.isBoolean()) {
+  public static boolean flag(JsonNode object, String name) {
+    JsonNode node = need(object, name);
+    if (!node.isBoolean()) {
       throw new MalformedInputException(name + ": must be true or false");
     }
-    return n.booleanValue();
+    return node.booleanValue();
   }
 
   /** A flag that may be omitted, as one may that is null. */
-  public static boolean flagOr(JsonNode o, String name, boolean fallback) {
-    return opt(o, name) == null ? fallback : flag(o, name);
+  public static boolean flagOr(JsonNode object, String name, boolean fallback) {
+    return opt(object, name) == null ? fallback : flag(object, name);
   }
 
   /** A finite number of at least 0. */
-  public static double amount(JsonNode o, String name) {
-    JsonNode n = need(o, name);
-    double v = n.isNumber() ? n.doubleValue() : Double.NaN;
-    if (!(v >= 0) || Double.isInfinite(v)) {
+  public static double amount(JsonNode object, String name) {
+    JsonNode node = need(object, name);
+    double number = node.isNumber() ? node.doubleValue() : Double.NaN;
+    if (!(number >= 0) || Double.isInfinite(number)) {
       throw new MalformedInputException(name + ": must be a number of at least 0");
     }
-    return v;
+    return number;
   }
 
-  public static long whole(JsonNode o, String name) {
-    JsonNode n = need(o, name);
-    if (!n.isIntegralNumber() || !n.canConvertToLong() || n.longValue() < 0) {
+  public static long whole(JsonNode object, String name) {
+    JsonNode node = need(object, name);
+    if (!node.isIntegralNumber() || !node.canConvertToLong() || node.longValue() < 0) {
       throw new MalformedInputException(name + ": must be a whole number of at least 0");
     }
-    return n.longValue();
+    return node.longValue();
   }
 }
--- a/src/main/java/io/embernotch/codec/ReservationCodec.java
+++ b/src/main/java/io/embernotch/codec/ReservationCodec.java
@@ -20,72 +20,73 @@
   private ReservationCodec() {}
 
   public static ObjectNode writeTerms(long generation, List<Reservation> terms) {
-    ObjectNode o = Json.object().put("gen", generation);
-    ArrayNode list = o.putArray("terms");
-    for (Reservation r : terms) {
-      ObjectNode t =
+    ObjectNode json = Json.object().put("gen", generation);
+    ArrayNode list = json.putArray("terms");
+    for (Reservation reservation : terms) {
+      ObjectNode entry =
           list.addObject()
-              .put("name", r.name())
-              .put("machines", r.machines())
-              .put("cpus", r.cpus())
-              .put("gpus", r.gpus())
-              .put("mem", r.memGb())
-              .put("share", r.share())
-              .put("dev", r.deviations());
-      ArrayNode serves = t.putArray("serves");
-      r.serves().forEach(s -> serves.add(writeSelector(s)));
-      ArrayNode types = t.putArray("types");
-      r.types().forEach(types::add);
-      ObjectNode zones = t.putObject("zones");
-      r.zones().forEach(zones::put);
+              .put("name", reservation.name())
+              .put("machines", reservation.machines())
+              .put("cpus", reservation.cpus())
+              .put("gpus", reservation.gpus())
+              .put("mem", reservation.memGb())
+              .put("share", reservation.share())
+              .put("dev", reservation.deviations());
+      ArrayNode serves = entry.putArray("serves");
+      reservation.serves().forEach(selector -> serves.add(writeSelector(selector)));
+      ArrayNode types = entry.putArray("types");
+      reservation.types().forEach(types::add);
+      ObjectNode zones = entry.putObject("zones");
+      reservation.zones().forEach(zones::put);
     }
-    return o;
+    return json;
   }
 
-  public static ObjectNode writeSelector(Selector s) {
-    ObjectNode o = Json.object();
-    if (s.priority() != null) {
-      o.put("priority", s.priority().name());
+  public static ObjectNode writeSelector(Selector selector) {
+    ObjectNode json = Json.object();
+    if (selector.priority() != null) {
+      json.put("priority", selector.priority().name());
     }
-    if (s.shape() != null) {
-      o.put("shape", s.shape().name());
+    if (selector.shape() != null) {
+      json.put("shape", selector.shape().name());
     }
-    return o.put("team", s.team()).put("class", s.jobClass());
+    return json.put("team", selector.team()).put("class", selector.jobClass());
   }
 
-  public static Selector readSelector(JsonNode s) {
+  public static Selector readSelector(JsonNode selector) {
     try {
       return new Selector(
-          s.has("priority") ? Priority.valueOf(s.get("priority").asText()) : null,
-          s.has("shape") ? JobShape.valueOf(s.get("shape").asText()) : null,
-          s.path("team").asText(null),
-          s.path("class").asText(null));
+          selector.has("priority") ? Priority.valueOf(selector.get("priority").asText()) : null,
+          selector.has("shape") ? JobShape.valueOf(selector.get("shape").asText()) : null,
+          selector.path("team").asText(null),
+          selector.path("class").asText(null));
     } catch (IllegalArgumentException e) {
       throw new MalformedInputException("selector: " + e.getMessage());
     }
   }
 
-  public static List<Reservation> readTerms(JsonNode o) {
+  public static List<Reservation> readTerms(JsonNode json) {
     List<Reservation> out = new ArrayList<>();
-    for (JsonNode t : Json.need(o, "terms")) {
+    for (JsonNode entry : Json.need(json, "terms")) {
       List<Selector> serves = new ArrayList<>();
-      t.path("serves").forEach(s -> serves.add(readSelector(s)));
+      entry.path("serves").forEach(selector -> serves.add(readSelector(selector)));
       List<String> types = new ArrayList<>();
-      t.path("types").forEach(x -> types.add(x.asText()));
+      entry.path("types").forEach(type -> types.add(type.asText()));
       Map<String, Double> zones = new LinkedHashMap<>();
-      t.path("zones")
+      entry
+          .path("zones")
           .fields()
-          .forEachRemaining(z -> zones.put(z.getKey(), z.getValue().asDouble()));
+          .forEachRemaining(zone -> zones.put(zone.getKey(), zone.getValue().asDouble()));
       out.add(
           new Reservation(
-              Json.need(t, "name").asText(),
+              Json.need(entry, "name").asText(),
               serves,
-              t.path("machines").asInt(),
-              t.path("cpus").asDouble(),
-              t.path("gpus").asDouble(),
-              t.path("mem").asDouble(),
-              t.path("share").asDouble(),
-              t.path("dev").asDouble(),
+              entry.path("machines").asInt(),
+              entry.path("cpus").asDouble(),
+              entry.path("gpus").asDouble(),
+              entry.path("mem").asDouble(),
+              entry.path("share").asDouble(),
+              entry.path("dev").asDouble(),
               types,
               zones));
     }
@@ -93,9 +94,9 @@
   }
 
   /** What is held on machines, by name: CPUs, GPUs and memory in GB, in thousandths. */
-  public static ObjectNode writeHeld(Map<String, double[]> held) {
-    ObjectNode o = Json.object();
-    ObjectNode on = o.putObject("on");
+  public static ObjectNode writeReserved(Map<String, double[]> held) {
+    ObjectNode json = Json.object();
+    ObjectNode on = json.putObject("on");
     new TreeMap<>(held)
         .forEach(
             (machine, a) -> {
@@ -104,12 +105,12 @@
                 list.add(Math.round(d * 1000));
               }
             });
-    return o;
+    return json;
   }
 
-  public static Map<String, double[]> readHeld(JsonNode o) {
+  public static Map<String, double[]> readReserved(JsonNode json) {
     Map<String, double[]> out = new TreeMap<>();
-    o.path("on")
+    json.path("on")
         .fields()
         .forEachRemaining(
             e -> {
--- a/src/main/java/io/embernotch/codec/WorkerCodec.java
+++ b/src/main/java/io/embernotch/codec/WorkerCodec.java
@@ -16,33 +16,33 @@
   private WorkerCodec() {}
 
   public static Heartbeat read(byte[] body) {
-    ObjectNode o = Json.parseObject(body);
-    JsonNode tasks = Json.opt(o, "shards");
+    ObjectNode json = Json.parseObject(body);
+    JsonNode tasks = Json.opt(json, "shards");
     List<TaskStatus> list = new ArrayList<>();
     if (tasks != null) {
       if (!tasks.isArray()) {
         throw new MalformedInputException("shards: must be an array");
       }
-      for (JsonNode t : tasks) {
-        list.add(task(t));
+      for (JsonNode entry : tasks) {
+        list.add(task(entry));
       }
     }
-    JsonNode recall = Json.opt(o, "recall_s");
+    JsonNode recall = Json.opt(json, "recall_s");
     return new Heartbeat(
-        Json.text(o, "hearth"),
-        Json.text(o, "address"),
-        Json.text(o, "flavor"),
-        Json.text(o, "room"),
-        Json.flagOr(o, "loaner", false),
-        Json.whole(o, "tenure"),
-        Json.whole(o, "tick"),
-        Json.whole(o, "baton"),
+        Json.text(json, "hearth"),
+        Json.text(json, "address"),
+        Json.text(json, "flavor"),
+        Json.text(json, "room"),
+        Json.flagOr(json, "loaner", false),
+        Json.whole(json, "tenure"),
+        Json.whole(json, "tick"),
+        Json.whole(json, "baton"),
         recall == null ? null : Math.max(0, recall.asDouble()),
         list);
   }
 
-  private static TaskStatus task(JsonNode t) {
-    String name = Json.text(t, "shard");
+  private static TaskStatus task(JsonNode entry) {
+    String name = Json.text(entry, "shard");
     int slash = name.lastIndexOf('/');
     int index;
     try {
@@ -53,30 +53,30 @@
     if (slash <= 0 || index < 0) {
       throw new MalformedInputException("shard: not JOB/NUMBER: " + name);
     }
-    TaskState state = state(Json.text(t, "phase"));
-    JsonNode cause = Json.opt(t, "cause");
+    TaskState state = state(Json.text(entry, "phase"));
+    JsonNode cause = Json.opt(entry, "cause");
     return new TaskStatus(
         name.substring(0, slash),
         index,
-        Json.whole(t, "try"),
+        Json.whole(entry, "try"),
         state,
         state == TaskState.EXITED ? cause(cause == null ? "" : cause.asText()) : null,
-        Json.flagOr(t, "stored", false));
+        Json.flagOr(entry, "stored", false));
   }
 
-  private static TaskState state(String s) {
-    return switch (s) {
+  private static TaskState state(String text) {
+    return switch (text) {
       case "fetching" -> TaskState.FETCHING;
       case "gathering" -> TaskState.WAITING;
       case "running" -> TaskState.RUNNING;
       case "saving" -> TaskState.SAVING;
       case "exited" -> TaskState.EXITED;
-      default -> throw new MalformedInputException("phase: unknown: " + s);
+      default -> throw new MalformedInputException("phase: unknown: " + text);
     };
   }
 
-  private static ExitCause cause(String s) {
-    return switch (s) {
+  private static ExitCause cause(String text) {
+    return switch (text) {
       case "done" -> ExitCause.DONE;
       case "halted" -> ExitCause.STOPPED;
       case "peers" -> ExitCause.PEERS;
@@ -89,40 +89,41 @@
   }
 
   /** The answer to a heartbeat. */
-  public static byte[] response(long token, List<AgentCommand> orders) {
-    return Json.bytes(orders(Json.object().put("baton", token), orders));
+  public static byte[] response(long token, List<AgentCommand> commands) {
+    return Json.bytes(orders(Json.object().put("baton", token), commands));
   }
 
   /**
    * An answer that a worker drops, for it has no token ("Tokens" in the protocol): the lease is not
    * renewed, nothing is done, and the worker stays with the node that gave it.
    */
-  public static byte[] stay() {
+  public static byte[] emptyResponse() {
     return Json.bytes(Json.object().set("orders", Json.object().arrayNode()));
   }
 
   /** A direct command. */
-  public static byte[] direct(long token, long session, List<AgentCommand> orders) {
-    return Json.bytes(orders(Json.object().put("baton", token).put("tenure", session), orders));
+  public static byte[] directCommand(long token, long agentEpoch, List<AgentCommand> commands) {
+    return Json.bytes(
+        orders(Json.object().put("baton", token).put("tenure", agentEpoch), commands));
   }
 
-  private static ObjectNode orders(ObjectNode o, List<AgentCommand> orders) {
-    ArrayNode list = o.putArray("orders");
-    for (AgentCommand order : orders) {
-      ObjectNode n = list.addObject();
-      n.put(
+  private static ObjectNode orders(ObjectNode json, List<AgentCommand> commands) {
+    ArrayNode list = json.putArray("orders");
+    for (AgentCommand command : commands) {
+      ObjectNode entry = list.addObject();
+      entry.put(
           "verb",
-          switch (order.verb()) {
+          switch (command.verb()) {
             case START -> "run";
             case STOP -> "stop";
             case FORGET -> "reap";
           });
-      n.put("shard", order.ref() + "/" + order.task());
-      n.put("try", order.attempt());
-      if (order.verb() == AgentCommand.Verb.STOP) {
-        n.put("linger_s", order.graceS());
+      entry.put("shard", command.ref() + "/" + command.task());
+      entry.put("try", command.attempt());
+      if (command.verb() == AgentCommand.Verb.STOP) {
+        entry.put("linger_s", command.graceS());
       }
     }
-    return o;
+    return json;
   }
 }
--- a/src/main/java/io/embernotch/controller/Controller.java
+++ b/src/main/java/io/embernotch/controller/Controller.java
@@ -91,7 +91,7 @@
     this.election = new LeaderElection(settings, context.store(), leaseRenewer, context.clock(), context.timers(), incarnations, this);
     this.localPartition = new LocalPartition(context.clock(), 6 * context.operator().roundS());
     this.partitionViews = new PartitionViews(settings.node(), localPartition, peers);
-    this.shardSize = JobProgressCodec.shard(settings.minStoreLimits().valueKb(), settings.zones());
+    this.shardSize = JobProgressCodec.shardSize(settings.minStoreLimits().valueKb(), settings.zones());
     this.submissions = new SubmissionHandler(context, types, shardSize, this);
     this.jobQueries = new JobQueries(context, ended, incarnations, submissions::knows, this::forward);
     this.heartbeatForwarder = new HeartbeatForwarder(context, this);
@@ -384,7 +384,7 @@
       Promise<HttpResponse> reply = Promise.promise();
       reply.future().onSuccess(a -> back.send(new Frame.Response(f.id(), a.status(), a.retryAfterS(), a.body())));
       if (leader != null) {
-        leader.tell(new LeaderMessage.UserRequest(f.what(), f.ref(), reply));
+        leader.tell(new LeaderMessage.UserRequest(f.kind(), f.ref(), reply));
       } else {
         reply.complete(HttpResponse.later("not the steward"));
       }
@@ -411,7 +411,7 @@
     } else if (frame instanceof Frame.ImageInventoryUpdate f) {
       imageInventory.update(f);
     } else if (frame instanceof Frame.MachineViewRemoval f) {
-      localPartition.forget(f.epoch(), f.machine());
+      localPartition.remove(f.epoch(), f.machine());
     } else if (frame instanceof Frame.RestartProposals f) {
       if (leader != null && leader.epoch() == f.epoch()) {
         leader.tell(new LeaderMessage.RestartsProposed(f.from(), f.restarts()));
--- a/src/main/java/io/embernotch/controller/JobAnnouncements.java
+++ b/src/main/java/io/embernotch/controller/JobAnnouncements.java
@@ -20,7 +20,8 @@
 
   /** A job's key was written at revision {@code epoch} of that incarnation. */
   static Frame of(ObjectNode value, String incarnation, long epoch) {
-    return new Frame.JobAccepted(Json.bytes(IncarnationCodec.told(value, incarnation, epoch)));
+    return new Frame.JobAccepted(
+        Json.bytes(IncarnationCodec.announcement(value, incarnation, epoch)));
   }
 
   /** Reads it; {@code incarnation}: the one that the leader knows. */
@@ -31,10 +32,10 @@
       LeaderMessage.JobAccepted job =
           new LeaderMessage.JobAccepted(
               JobProgressCodec.readJob(o), JobProgressCodec.readShardSize(o));
-      if (!incarnation.isEmpty() && incarnation.equals(IncarnationCodec.toldIncarnation(o))) {
+      if (!incarnation.isEmpty() && incarnation.equals(IncarnationCodec.announcedIncarnation(o))) {
         // Contents that were put back to just before it would else be taken for present.
         store.noteRevision(
-            JobProgressCodec.JOB + job.job().spec.ref(), IncarnationCodec.toldEpoch(o));
+            JobProgressCodec.JOB + job.job().spec.ref(), IncarnationCodec.announcedEpoch(o));
       }
       leader.accept(job);
     } catch (MalformedInputException e) {
--- a/src/main/java/io/embernotch/controller/MachineTypeCatalog.java
+++ b/src/main/java/io/embernotch/controller/MachineTypeCatalog.java
@@ -34,7 +34,7 @@
         .onComplete(
             r -> {
               if (r.succeeded() && r.result().present()) {
-                take(CloudCodec.types(r.result().value()));
+                take(CloudCodec.readTypes(r.result().value()));
               } else {
                 askCloud();
               }
--- a/src/main/java/io/embernotch/fleet/FailureDetector.java
+++ b/src/main/java/io/embernotch/fleet/FailureDetector.java
@@ -80,9 +80,9 @@
    */
   private double lastSign(Machine machine) {
     double heartbeat = context.settings().workers().heartbeatIntervalS();
-    double back = backAt.getOrDefault(machine.zone, -1e9) + heartbeat;
+    double reconnectedAt = backAt.getOrDefault(machine.zone, -1e9) + heartbeat;
     return Math.max(
-        back,
+        reconnectedAt,
         machine.up()
             ? machine.lastSignOfLifeAt()
             : Math.max(startedAt, machine.listedUpAt) + heartbeat);
@@ -94,26 +94,26 @@
    */
   void watch(double now) {
     double heartbeat = context.settings().workers().heartbeatIntervalS();
-    double quiet = PROBE_HEARTBEATS * heartbeat;
-    List<Machine> silent = new ArrayList<>();
+    double probeAfterS = PROBE_HEARTBEATS * heartbeat;
+    List<Machine> unresponsive = new ArrayList<>();
     int up = 0;
     for (Machine machine : state.machines.values()) {
       if (!mayBeUp(machine)) {
         continue;
       }
       up++;
-      if (now - lastSign(machine) > quiet) {
-        silent.add(machine);
+      if (now - lastSign(machine) > probeAfterS) {
+        unresponsive.add(machine);
       }
     }
-    if (silent.size() >= 3 && silent.size() > DEAF_SHARE * up) {
+    if (unresponsive.size() >= 3 && unresponsive.size() > DEAF_SHARE * up) {
       if (now - startedAt > 4 * heartbeat) {
         listener.controllerPartitioned();
       }
       return;
     }
-    partitionedZones = partitionedZones(silent);
-    for (Machine machine : silent) {
+    partitionedZones = partitionedZones(unresponsive);
+    for (Machine machine : unresponsive) {
       agents.probe(machine);
       double limit =
           machine.probeFailedAt > lastSign(machine) ? SILENT_HEARTBEATS : SILENT_HEARTBEATS + 1;
@@ -140,30 +140,31 @@
    * It renews their workers for as long as it may, so what runs there is let run, and nothing new
    * is rented.
    */
-  private Set<String> partitionedZones(List<Machine> silent) {
+  private Set<String> partitionedZones(List<Machine> unresponsive) {
     Set<String> live = listener.controllers();
-    Set<String> out = new HashSet<>();
-    for (Settings.Member c : context.settings().members()) {
-      if (live.contains(c.node()) || out.contains(c.location())) {
+    Set<String> zones = new HashSet<>();
+    for (Settings.Member member : context.settings().members()) {
+      if (live.contains(member.node()) || zones.contains(member.location())) {
         continue;
       }
-      long gone = silent.stream().filter(machine -> c.location().equals(machine.zone)).count();
-      long there =
+      long unresponsiveCount =
+          unresponsive.stream().filter(machine -> member.location().equals(machine.zone)).count();
+      long machineCount =
           state.machines.values().stream()
-              .filter(machine -> c.location().equals(machine.zone) && mayBeUp(machine))
+              .filter(machine -> member.location().equals(machine.zone) && mayBeUp(machine))
               .count();
-      if (gone * 2 > there) {
-        out.add(c.location());
+      if (unresponsiveCount * 2 > machineCount) {
+        zones.add(member.location());
       }
     }
-    if (!out.equals(partitionedZones)) {
-      LOG.info("partitioned zones: {}", out);
-      out.stream().filter(z -> !partitionedZones.contains(z)).forEach(z -> rates.zoneFailed());
+    if (!zones.equals(partitionedZones)) {
+      LOG.info("partitioned zones: {}", zones);
+      zones.stream().filter(z -> !partitionedZones.contains(z)).forEach(z -> rates.zoneFailed());
       partitionedZones.stream()
-          .filter(z -> !out.contains(z))
+          .filter(z -> !zones.contains(z))
           .forEach(z -> backAt.put(z, context.clock().now()));
     }
-    return out;
+    return zones;
   }
 
   /**
--- a/src/main/java/io/embernotch/fleet/FleetManager.java
+++ b/src/main/java/io/embernotch/fleet/FleetManager.java
@@ -1,7 +1,7 @@
 package io.embernotch.fleet;
 
 import io.embernotch.agents.AgentReconciler;
-import io.embernotch.codec.CloudCodec.Listed;
+import io.embernotch.codec.CloudCodec.ListedMachine;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Machine;
@@ -111,8 +111,8 @@
   }
 
   /** See {@link ScaleOut#rent}. */
-  public void rent(SchedulingPlan.ScaleOutRequest buy) {
-    scaleOut.rent(buy);
+  public void rent(SchedulingPlan.ScaleOutRequest request) {
+    scaleOut.rent(request);
   }
 
   public void tick() {
@@ -156,46 +156,49 @@
    * Takes what a list adds. A machine that a list lacks may be too new, or the list too old: lists
    * never end anything here. Silence does, followed by a deletion whose answer is proof.
    */
-  private void listed(List<Listed> list) {
+  private void listed(List<ListedMachine> list) {
     double now = context.clock().now();
-    boolean news = !listedOnce;
+    boolean changed = !listedOnce;
     listedOnce = true;
     answering = true;
-    for (Listed l : list) {
-      Machine machine = state.machines.get(l.name());
+    for (ListedMachine listed : list) {
+      Machine machine = state.machines.get(listed.name());
       if (machine == null) {
-        if (agents.wasDeleted(l.name())) {
+        if (agents.wasDeleted(listed.name())) {
           continue;
         }
-        machine = state.machine(l.name(), agents.tokenBase());
-        news = true;
+        machine = state.machine(listed.name(), agents.tokenBase());
+        changed = true;
       }
       if (!machine.up()) {
-        machine.type = state.types.getOrDefault(l.type(), machine.type);
-        machine.zone = l.zone();
-        machine.spot = l.spot();
-        machine.address = l.address() == null ? machine.address : l.address();
-        machine.rentedAt = Math.min(machine.rentedAt == 0 ? now : machine.rentedAt, now - l.ageS());
+        machine.type = state.types.getOrDefault(listed.type(), machine.type);
+        machine.zone = listed.zone();
+        machine.spot = listed.spot();
+        machine.address = listed.address() == null ? machine.address : listed.address();
+        machine.rentedAt =
+            Math.min(machine.rentedAt == 0 ? now : machine.rentedAt, now - listed.ageS());
         // One that ran under an earlier leader is given time to find us.
         double findUs =
-            l.phase().equals("running") ? startedAt + context.settings().workers().leaseS() / 2 : 0;
+            listed.phase().equals("running")
+                ? startedAt + context.settings().workers().leaseS() / 2
+                : 0;
         double boot = machine.type == null ? 0 : COUNTED_BOOTS * machine.type.bootS();
         machine.expectedUntil =
             Math.max(machine.expectedUntil, Math.max(findUs, machine.rentedAt + boot));
       }
-      if (l.phase().equals("running")) {
+      if (listed.phase().equals("running")) {
         machine.listedUpAt = machine.listedUpAt < 0 ? now : machine.listedUpAt;
         find(machine);
       }
-      if (l.phase().equals("failed") && !machine.failed) {
+      if (listed.phase().equals("failed") && !machine.failed) {
         LOG.info("machine {} has failed", machine.name);
         machine.failed = true;
         rates.machineFailed();
         scaleIn(machine);
-        news = true;
+        changed = true;
       }
     }
-    if (news) {
+    if (changed) {
       listener.clusterChanged();
     }
   }
--- a/src/main/java/io/embernotch/fleet/OneWayPartitions.java
+++ b/src/main/java/io/embernotch/fleet/OneWayPartitions.java
@@ -49,16 +49,16 @@
   }
 
   void watch(double now) {
-    List<Machine> deaf =
+    List<Machine> unreachable =
         state.machines.values().stream()
             .filter(machine -> machine.unreachableSince >= 0 && !machine.deleting)
             .toList();
-    if (deaf.isEmpty()) {
+    if (unreachable.isEmpty()) {
       return;
     }
     long up = state.machines.values().stream().filter(Machine::up).count();
-    boolean ours = deaf.size() >= 3 && deaf.size() > OURS * up;
-    for (Machine machine : deaf) {
+    boolean ours = unreachable.size() >= 3 && unreachable.size() > OURS * up;
+    for (Machine machine : unreachable) {
       agents.probe(machine);
       withdraw(machine);
       if (!ours
--- a/src/main/java/io/embernotch/fleet/ScaleOut.java
+++ b/src/main/java/io/embernotch/fleet/ScaleOut.java
@@ -49,8 +49,8 @@
 
   List<FleetView.Expected> expected() {
     List<FleetView.Expected> out = new ArrayList<>();
-    for (Booking b : open.values()) {
-      out.add(new FleetView.Expected(b.type, b.zone, b.spot, b.number));
+    for (Booking booking : open.values()) {
+      out.add(new FleetView.Expected(booking.type, booking.zone, booking.spot, booking.number));
     }
     return out;
   }
@@ -69,65 +69,75 @@
    * waits and comes with the next plan, unless it fills a call. A call for each plan's few machines
    * used to take up all that the cloud allows.
    */
-  void rent(SchedulingPlan.ScaleOutRequest buy) {
-    int left = buy.number();
-    boolean underWay = open.values().stream().anyMatch(b -> samePool(b, buy));
+  void rent(SchedulingPlan.ScaleOutRequest request) {
+    int left = request.number();
+    boolean underWay = open.values().stream().anyMatch(booking -> samePool(booking, request));
     while (left > 0 && open.size() < context.settings().cloudLimits().rps()) {
       if (underWay && left < Settings.CloudLimits.MAX_RENT) {
         return;
       }
-      int n = Math.min(left, Settings.CloudLimits.MAX_RENT);
-      Booking b = new Booking(bookingPrefix + ++bookings, buy.type(), buy.zone(), buy.spot(), n);
-      open.put(b.name, b);
-      LOG.info("scaling out: {} {} in {}{}", n, b.type, b.zone, b.spot ? " (spot)" : "");
-      book(b);
-      left -= n;
+      int number = Math.min(left, Settings.CloudLimits.MAX_RENT);
+      Booking booking =
+          new Booking(
+              bookingPrefix + ++bookings, request.type(), request.zone(), request.spot(), number);
+      open.put(booking.name, booking);
+      LOG.info(
+          "scaling out: {} {} in {}{}",
+          number,
+          booking.type,
+          booking.zone,
+          booking.spot ? " (spot)" : "");
+      book(booking);
+      left -= number;
     }
   }
 
-  private static boolean samePool(Booking b, SchedulingPlan.ScaleOutRequest buy) {
-    return b.type.equals(buy.type()) && b.zone.equals(buy.zone()) && b.spot == buy.spot();
+  private static boolean samePool(Booking booking, SchedulingPlan.ScaleOutRequest request) {
+    return booking.type.equals(request.type())
+        && booking.zone.equals(request.zone())
+        && booking.spot == request.spot();
   }
 
-  private void book(Booking b) {
+  private void book(Booking booking) {
     context
         .cloud()
-        .rent(b.name, b.type, b.zone, b.spot, b.number)
-        .onSuccess(r -> booked(b, r))
+        .rent(booking.name, booking.type, booking.zone, booking.spot, booking.number)
+        .onSuccess(rented -> booked(booking, rented))
         .onFailure(
             e -> {
               // Perhaps it was executed: the same name gives the same answer and rents nothing.
-              LOG.debug("scale-out request {}: {}", b.name, e.getMessage());
+              LOG.debug("scale-out request {}: {}", booking.name, e.getMessage());
               context
                   .timers()
-                  .after(context.settings().workers().heartbeatIntervalS() / 3, () -> book(b));
+                  .after(
+                      context.settings().workers().heartbeatIntervalS() / 3, () -> book(booking));
             });
   }
 
-  private void booked(Booking b, Rented r) {
-    open.remove(b.name);
+  private void booked(Booking booking, Rented rented) {
+    open.remove(booking.name);
     double now = context.clock().now();
-    MachineType type = state.types.get(b.type);
-    for (String name : r.machines()) {
+    MachineType type = state.types.get(booking.type);
+    for (String name : rented.machines()) {
       Machine machine = state.machine(name, agents.tokenBase());
       if (!machine.up()) {
         machine.type = type;
-        machine.zone = b.zone;
-        machine.spot = b.spot;
+        machine.zone = booking.zone;
+        machine.spot = booking.spot;
         machine.rentedAt = now;
         machine.expectedUntil = now + FleetManager.COUNTED_BOOTS * type.bootS();
       }
     }
-    if (r.refused() || r.machines().size() < b.number) {
+    if (rented.refused() || rented.machines().size() < booking.number) {
       LOG.info(
           "pool exhausted: {} in {}{}, got {} of {}",
-          b.type,
-          b.zone,
-          b.spot ? " (spot)" : "",
-          r.machines().size(),
-          b.number);
+          booking.type,
+          booking.zone,
+          booking.spot ? " (spot)" : "",
+          rented.machines().size(),
+          booking.number);
       fullUntil.put(
-          pool(b.type, b.zone, b.spot),
+          pool(booking.type, booking.zone, booking.spot),
           now + 5 * context.settings().workers().heartbeatIntervalS());
     }
     changed.run();
--- a/src/main/java/io/embernotch/forwarding/HeartbeatForwarder.java
+++ b/src/main/java/io/embernotch/forwarding/HeartbeatForwarder.java
@@ -251,7 +251,7 @@
   }
 
   private static HttpResponse stay() {
-    return HttpResponse.of(200, WorkerCodec.stay());
+    return HttpResponse.of(200, WorkerCodec.emptyResponse());
   }
 
   /** Names the leader to a worker, or nobody. */
--- a/src/main/java/io/embernotch/http/VertxHttpCaller.java
+++ b/src/main/java/io/embernotch/http/VertxHttpCaller.java
@@ -94,7 +94,7 @@
             .setURI(path);
     client
         .request(options)
-        .onFailure(e -> call.fail(e.getMessage()))
+        .onFailure(entry -> call.fail(entry.getMessage()))
         .onSuccess(request -> call.send(request, body));
     return call.promise.future();
   }
@@ -119,10 +119,10 @@
 
   /** Closes the connections to a host that nothing is asked of; false if there is none. */
   private boolean makeRoom() {
-    for (Map.Entry<String, Host> e : hosts.entrySet()) {
-      if (e.getValue().calls == 0) {
-        hosts.remove(e.getKey());
-        List.copyOf(e.getValue().open).forEach(HttpConnection::close);
+    for (Map.Entry<String, Host> entry : hosts.entrySet()) {
+      if (entry.getValue().calls == 0) {
+        hosts.remove(entry.getKey());
+        List.copyOf(entry.getValue().open).forEach(HttpConnection::close);
         return true;
       }
     }
@@ -148,13 +148,13 @@
         // connection before the timer. Nothing has left yet, and nothing may. Without a handler the
         // library
         // logs the reset as an error of its own.
-        req.exceptionHandler(e -> {});
+        req.exceptionHandler(entry -> {});
         req.reset();
         fail("not sent in time");
         return;
       }
       request = req;
-      req.exceptionHandler(e -> fail(e.getMessage()));
+      req.exceptionHandler(entry -> fail(entry.getMessage()));
       if (body != null) {
         req.putHeader("content-type", "application/json");
       }
@@ -163,7 +163,7 @@
       response
           .compose(r -> r.body().map(b -> new HttpReply(r.statusCode(), b.getBytes())))
           .onSuccess(this::succeed)
-          .onFailure(e -> fail(e.getMessage()));
+          .onFailure(entry -> fail(entry.getMessage()));
     }
 
     void succeed(HttpReply reply) {
--- a/src/main/java/io/embernotch/incarnation/StoreRestorer.java
+++ b/src/main/java/io/embernotch/incarnation/StoreRestorer.java
@@ -114,7 +114,7 @@
         .compose(
             jobs ->
                 store
-                    .list(JobProgressCodec.RUN)
+                    .list(JobProgressCodec.SHARD)
                     .compose(
                         runs ->
                             store
--- a/src/main/java/io/embernotch/jobs/FailoverRecovery.java
+++ b/src/main/java/io/embernotch/jobs/FailoverRecovery.java
@@ -90,7 +90,7 @@
           && !readable(
               entry,
               () ->
-                  JobProgressCodec.readRun(
+                  JobProgressCodec.readShard(
                       entry.value(), job, sizes.get(ref), JobProgressCodec.shardOf(entry.key())))) {
         // What runs of it is not known, so it waits until nothing can.
         job.notBefore = acquiredAt + WorkerLeases.longestLeaseS(context.settings());
@@ -106,7 +106,7 @@
           Job job = all.get(ref);
           if (job != null) {
             stateWriter.limitsLowered();
-            ProgressShard.add(job, list);
+            ProgressShard.applyAll(job, list);
             list.forEach(p -> shardLayout.recordRefinedSize(ref, p.size()));
           }
         });
--- a/src/main/java/io/embernotch/jobs/StoreLoader.java
+++ b/src/main/java/io/embernotch/jobs/StoreLoader.java
@@ -42,7 +42,7 @@
         .compose(
             jobs ->
                 store
-                    .list(JobProgressCodec.RUN)
+                    .list(JobProgressCodec.SHARD)
                     .compose(
                         runs ->
                             store
@@ -55,13 +55,13 @@
                                                 shared -> {
                                                   if (!over.getAsBoolean()) {
                                                     sink.read(
-                                                        baseSnapshot.beneath(
+                                                        baseSnapshot.overlay(
                                                             JobProgressCodec.JOB, jobs),
-                                                        baseSnapshot.beneath(
-                                                            JobProgressCodec.RUN, runs),
-                                                        baseSnapshot.beneath(
+                                                        baseSnapshot.overlay(
+                                                            JobProgressCodec.SHARD, runs),
+                                                        baseSnapshot.overlay(
                                                             JobProgressCodec.REFINED_SHARD, parts),
-                                                        baseSnapshot.beneathShared(shared));
+                                                        baseSnapshot.overlayShared(shared));
                                                   }
                                                   return null;
                                                 }))))
--- a/src/main/java/io/embernotch/leader/Leader.java
+++ b/src/main/java/io/embernotch/leader/Leader.java
@@ -101,7 +101,7 @@
     this.baseSnapshot = baseSnapshot;
     this.begunWith = begunWith;
     types.forEach(type -> state.types.put(type.name(), type));
-    this.shardLayout = new ShardLayout(JobProgressCodec.shard(context.settings().minStoreLimits().valueKb(), context.settings().zones()));
+    this.shardLayout = new ShardLayout(JobProgressCodec.shardSize(context.settings().minStoreLimits().valueKb(), context.settings().zones()));
     this.stateWriter = new StateWriter(
         context.settings(), shardLayout, context.store(), context.clock(), context.timers(), context.profile(), modRevision,
         () -> host.superseded("a transaction failed on the leader key"));
@@ -119,7 +119,7 @@
     this.launcher = new TaskLauncher(context, state, stateWriter, agents, acquiredAt, this::isLeading);
     this.fleetManager = new FleetManager(context, state, agents, epoch, this);
     this.machineViewPublisher = new MachineViewPublisher(context, state,
-        (node, v) -> host.partitionViews().view(node, epoch, v), (node, m) -> host.partitionViews().forget(node, epoch, m));
+        (node, v) -> host.partitionViews().send(node, epoch, v), (node, m) -> host.partitionViews().remove(node, epoch, m));
     this.sharedState = new SharedStateServices(context, state, epoch, modRevision, job -> stateWriter.writeLater(job, 0), () -> host.superseded("a shared state transaction failed on the leader key"));
     this.schedulingLoop = new SchedulingLoop(
         context, state, dependencyGraph, demandForecast, fleetManager, launcher, stopper, sharedState, acquiredAt, this::isLeading, heartbeatQueue::isUnderPressure,
--- a/src/main/java/io/embernotch/leader/PendingHeartbeats.java
+++ b/src/main/java/io/embernotch/leader/PendingHeartbeats.java
@@ -28,14 +28,14 @@
     String machine = m.heartbeat().machine();
     LeaderMessage.HeartbeatReceived before = waiting.put(machine, m);
     if (before != null) {
-      before.reply().tryComplete(WorkerCodec.stay());
+      before.reply().tryComplete(WorkerCodec.emptyResponse());
     }
     timers.after(
         HeartbeatForwarder.PATIENCE_S,
         () -> {
           if (waiting.remove(machine, m)) {
             add(m.heartbeat());
-            m.reply().tryComplete(WorkerCodec.stay());
+            m.reply().tryComplete(WorkerCodec.emptyResponse());
           }
         });
   }
--- a/src/main/java/io/embernotch/peer/Frame.java
+++ b/src/main/java/io/embernotch/peer/Frame.java
@@ -15,7 +15,7 @@
   record JobAccepted(byte[] value) implements Frame {}
 
   /** A user's request, forwarded to the leader. */
-  record ForwardedRequest(long id, Kind what, String ref) implements Frame {
+  record ForwardedRequest(long id, Kind kind, String ref) implements Frame {
     /** What the leader is asked for. */
     public enum Kind {
       POLL,
--- a/src/main/java/io/embernotch/peer/FrameCodec.java
+++ b/src/main/java/io/embernotch/peer/FrameCodec.java
@@ -52,94 +52,107 @@
     }
   }
 
-  private static byte[] encode(Frame frame, ByteBuffer b) {
-    b.position(4);
-    b.put(VERSION);
-    if (frame instanceof Frame.PeerHeartbeat f) {
-      b.put(BEAT);
-      text(b, f.node());
-      text(b, f.leader());
-      b.putLong(f.leaderEpoch());
-      flag(b, f.storeReachable());
-    } else if (frame instanceof Frame.JobAccepted f) {
-      b.put(JOB_CREATED);
-      blob(b, f.value());
-    } else if (frame instanceof Frame.ForwardedRequest f) {
-      b.put(ASK).putLong(f.id()).put((byte) f.what().ordinal());
-      text(b, f.ref());
-    } else if (frame instanceof Frame.ForwardedSubmission f) {
-      b.put(SUBMIT).putLong(f.id());
-      blob(b, f.body());
-    } else if (frame instanceof Frame.Response f) {
-      b.put(TOLD).putLong(f.id()).putShort((short) f.status()).putShort((short) f.retryAfterS());
-      blob(b, f.body());
-    } else if (frame instanceof Frame.MachineViewUpdate f) {
-      b.put(VIEW).putLong(f.epoch());
-      view(b, f.view());
-    } else if (frame instanceof Frame.ImageInventoryUpdate f) {
-      b.put(IMAGES).putLong(f.epoch());
-      text(b, f.machine());
-      texts(b, f.images());
-    } else if (frame instanceof Frame.ForwardedHeartbeat f) {
-      b.put(HEARTBEAT).putLong(f.id());
-      heartbeat(b, f.heartbeat());
-    } else if (frame instanceof Frame.DelegateHeartbeat f) {
-      b.put(HERE);
-      text(b, f.node());
-      b.putLong(f.seq()).putLong(f.ack()).putDouble(f.renewedAgoS());
-    } else if (frame instanceof Frame.DelegateHeartbeatAck f) {
-      b.put(NOTED).putLong(f.epoch()).putLong(f.seq());
-      flag(b, f.granted());
-    } else if (frame instanceof Frame.MachineViewRemoval f) {
-      b.put(FORGET).putLong(f.epoch());
-      text(b, f.machine());
-    } else if (frame instanceof Frame.RestartProposals f) {
-      b.put(PROPOSE);
-      text(b, f.from());
-      b.putLong(f.epoch()).putShort((short) f.restarts().size());
-      for (Restart r : f.restarts()) {
-        text(b, r.ref());
-        b.putInt(r.task()).putLong(r.attempt());
-        text(b, r.target());
-        b.putDouble(r.gain());
+  private static byte[] encode(Frame frame, ByteBuffer buffer) {
+    buffer.position(4);
+    buffer.put(VERSION);
+    if (frame instanceof Frame.PeerHeartbeat message) {
+      buffer.put(BEAT);
+      text(buffer, message.node());
+      text(buffer, message.leader());
+      buffer.putLong(message.leaderEpoch());
+      flag(buffer, message.storeReachable());
+    } else if (frame instanceof Frame.JobAccepted message) {
+      buffer.put(JOB_CREATED);
+      blob(buffer, message.value());
+    } else if (frame instanceof Frame.ForwardedRequest message) {
+      buffer.put(ASK).putLong(message.id()).put((byte) message.kind().ordinal());
+      text(buffer, message.ref());
+    } else if (frame instanceof Frame.ForwardedSubmission message) {
+      buffer.put(SUBMIT).putLong(message.id());
+      blob(buffer, message.body());
+    } else if (frame instanceof Frame.Response message) {
+      buffer
+          .put(TOLD)
+          .putLong(message.id())
+          .putShort((short) message.status())
+          .putShort((short) message.retryAfterS());
+      blob(buffer, message.body());
+    } else if (frame instanceof Frame.MachineViewUpdate message) {
+      buffer.put(VIEW).putLong(message.epoch());
+      view(buffer, message.view());
+    } else if (frame instanceof Frame.ImageInventoryUpdate message) {
+      buffer.put(IMAGES).putLong(message.epoch());
+      text(buffer, message.machine());
+      texts(buffer, message.images());
+    } else if (frame instanceof Frame.ForwardedHeartbeat message) {
+      buffer.put(HEARTBEAT).putLong(message.id());
+      heartbeat(buffer, message.heartbeat());
+    } else if (frame instanceof Frame.DelegateHeartbeat message) {
+      buffer.put(HERE);
+      text(buffer, message.node());
+      buffer.putLong(message.seq()).putLong(message.ack()).putDouble(message.renewedAgoS());
+    } else if (frame instanceof Frame.DelegateHeartbeatAck message) {
+      buffer.put(NOTED).putLong(message.epoch()).putLong(message.seq());
+      flag(buffer, message.granted());
+    } else if (frame instanceof Frame.MachineViewRemoval message) {
+      buffer.put(FORGET).putLong(message.epoch());
+      text(buffer, message.machine());
+    } else if (frame instanceof Frame.RestartProposals message) {
+      buffer.put(PROPOSE);
+      text(buffer, message.from());
+      buffer.putLong(message.epoch()).putShort((short) message.restarts().size());
+      for (Restart r : message.restarts()) {
+        text(buffer, r.ref());
+        buffer.putInt(r.task()).putLong(r.attempt());
+        text(buffer, r.target());
+        buffer.putDouble(r.gain());
       }
     }
-    b.putInt(0, b.position() - 4);
-    byte[] out = new byte[b.position()];
-    b.flip();
-    b.get(out);
+    buffer.putInt(0, buffer.position() - 4);
+    byte[] out = new byte[buffer.position()];
+    buffer.flip();
+    buffer.get(out);
     return out;
   }
 
   /** Reads a frame from what follows its length. */
-  public static Frame decode(ByteBuffer b) {
+  public static Frame decode(ByteBuffer buffer) {
     try {
-      byte version = b.get();
+      byte version = buffer.get();
       if (version != VERSION) {
         throw new MalformedInputException("frame version " + version);
       }
-      byte kind = b.get();
+      byte kind = buffer.get();
       Frame frame =
           switch (kind) {
-            case BEAT -> new Frame.PeerHeartbeat(text(b), text(b), b.getLong(), flag(b));
-            case JOB_CREATED -> new Frame.JobAccepted(blob(b));
+            case BEAT ->
+                new Frame.PeerHeartbeat(text(buffer), text(buffer), buffer.getLong(), flag(buffer));
+            case JOB_CREATED -> new Frame.JobAccepted(blob(buffer));
             case ASK ->
                 new Frame.ForwardedRequest(
-                    b.getLong(), one(Frame.ForwardedRequest.Kind.values(), b.get()), text(b));
-            case SUBMIT -> new Frame.ForwardedSubmission(b.getLong(), blob(b));
-            case TOLD -> new Frame.Response(b.getLong(), b.getShort(), b.getShort(), blob(b));
-            case VIEW -> new Frame.MachineViewUpdate(b.getLong(), view(b));
+                    buffer.getLong(),
+                    one(Frame.ForwardedRequest.Kind.values(), buffer.get()),
+                    text(buffer));
+            case SUBMIT -> new Frame.ForwardedSubmission(buffer.getLong(), blob(buffer));
+            case TOLD ->
+                new Frame.Response(
+                    buffer.getLong(), buffer.getShort(), buffer.getShort(), blob(buffer));
+            case VIEW -> new Frame.MachineViewUpdate(buffer.getLong(), view(buffer));
             case HERE ->
-                new Frame.DelegateHeartbeat(text(b), b.getLong(), b.getLong(), b.getDouble());
-            case NOTED -> new Frame.DelegateHeartbeatAck(b.getLong(), b.getLong(), flag(b));
-            case HEARTBEAT -> new Frame.ForwardedHeartbeat(b.getLong(), heartbeat(b));
-            case IMAGES -> new Frame.ImageInventoryUpdate(b.getLong(), text(b), texts(b));
-            case FORGET -> new Frame.MachineViewRemoval(b.getLong(), text(b));
-            case PROPOSE -> new Frame.RestartProposals(text(b), b.getLong(), restarts(b));
+                new Frame.DelegateHeartbeat(
+                    text(buffer), buffer.getLong(), buffer.getLong(), buffer.getDouble());
+            case NOTED ->
+                new Frame.DelegateHeartbeatAck(buffer.getLong(), buffer.getLong(), flag(buffer));
+            case HEARTBEAT -> new Frame.ForwardedHeartbeat(buffer.getLong(), heartbeat(buffer));
+            case IMAGES ->
+                new Frame.ImageInventoryUpdate(buffer.getLong(), text(buffer), texts(buffer));
+            case FORGET -> new Frame.MachineViewRemoval(buffer.getLong(), text(buffer));
+            case PROPOSE ->
+                new Frame.RestartProposals(text(buffer), buffer.getLong(), restarts(buffer));
             default -> throw new MalformedInputException("frame kind " + kind);
           };
-      if (b.hasRemaining()) {
-        throw new MalformedInputException("frame has " + b.remaining() + " bytes too many");
+      if (buffer.hasRemaining()) {
+        throw new MalformedInputException("frame has " + buffer.remaining() + " bytes too many");
       }
       return frame;
     } catch (BufferUnderflowException e) {
@@ -147,192 +160,195 @@
     }
   }
 
-  private static void heartbeat(ByteBuffer b, Heartbeat heartbeat) {
-    text(b, heartbeat.machine());
-    text(b, heartbeat.address());
-    text(b, heartbeat.type());
-    text(b, heartbeat.zone());
-    flag(b, heartbeat.spot());
-    b.putLong(heartbeat.agentEpoch()).putLong(heartbeat.seq()).putLong(heartbeat.token());
-    b.putDouble(heartbeat.reclaimInS() == null ? -1 : heartbeat.reclaimInS());
-    b.putShort((short) heartbeat.tasks().size());
+  private static void heartbeat(ByteBuffer buffer, Heartbeat heartbeat) {
+    text(buffer, heartbeat.machine());
+    text(buffer, heartbeat.address());
+    text(buffer, heartbeat.type());
+    text(buffer, heartbeat.zone());
+    flag(buffer, heartbeat.spot());
+    buffer.putLong(heartbeat.agentEpoch()).putLong(heartbeat.seq()).putLong(heartbeat.token());
+    buffer.putDouble(heartbeat.reclaimInS() == null ? -1 : heartbeat.reclaimInS());
+    buffer.putShort((short) heartbeat.tasks().size());
     for (TaskStatus t : heartbeat.tasks()) {
-      text(b, t.ref());
-      b.putInt(t.task()).putLong(t.attempt()).put((byte) t.state().ordinal());
-      b.put((byte) (t.cause() == null ? -1 : t.cause().ordinal()));
-      flag(b, t.saved());
+      text(buffer, t.ref());
+      buffer.putInt(t.task()).putLong(t.attempt()).put((byte) t.state().ordinal());
+      buffer.put((byte) (t.cause() == null ? -1 : t.cause().ordinal()));
+      flag(buffer, t.saved());
     }
   }
 
-  private static Heartbeat heartbeat(ByteBuffer b) {
-    String machine = text(b);
-    String address = text(b);
-    String type = text(b);
-    String zone = text(b);
-    boolean spot = flag(b);
-    long session = b.getLong();
-    long seq = b.getLong();
-    long token = b.getLong();
-    double recall = b.getDouble();
+  private static Heartbeat heartbeat(ByteBuffer buffer) {
+    String machine = text(buffer);
+    String address = text(buffer);
+    String type = text(buffer);
+    String zone = text(buffer);
+    boolean spot = flag(buffer);
+    long session = buffer.getLong();
+    long seq = buffer.getLong();
+    long token = buffer.getLong();
+    double recall = buffer.getDouble();
     List<TaskStatus> tasks = new ArrayList<>();
-    for (int n = b.getShort() & MAX_COUNT; n > 0; n--) {
+    for (int n = buffer.getShort() & MAX_COUNT; n > 0; n--) {
       tasks.add(
           new TaskStatus(
-              text(b),
-              b.getInt(),
-              b.getLong(),
-              one(TaskState.values(), b.get()),
-              cause(b.get()),
-              flag(b)));
+              text(buffer),
+              buffer.getInt(),
+              buffer.getLong(),
+              one(TaskState.values(), buffer.get()),
+              cause(buffer.get()),
+              flag(buffer)));
     }
     return new Heartbeat(
         machine, address, type, zone, spot, session, seq, token, recall < 0 ? null : recall, tasks);
   }
 
-  private static ExitCause cause(byte b) {
-    return b < 0 ? null : one(ExitCause.values(), b);
+  private static ExitCause cause(byte buffer) {
+    return buffer < 0 ? null : one(ExitCause.values(), buffer);
   }
 
-  private static <T> T one(T[] all, byte b) {
-    if (b < 0 || b >= all.length) {
-      throw new MalformedInputException("unknown value " + b);
+  private static <T> T one(T[] all, byte buffer) {
+    if (buffer < 0 || buffer >= all.length) {
+      throw new MalformedInputException("unknown value " + buffer);
     }
-    return all[b];
+    return all[buffer];
   }
 
-  private static List<Restart> restarts(ByteBuffer b) {
+  private static List<Restart> restarts(ByteBuffer buffer) {
     List<Restart> out = new ArrayList<>();
-    for (int n = b.getShort() & MAX_COUNT; n > 0; n--) {
-      out.add(new Restart(text(b), b.getInt(), b.getLong(), text(b), b.getDouble()));
+    for (int n = buffer.getShort() & MAX_COUNT; n > 0; n--) {
+      out.add(
+          new Restart(
+              text(buffer), buffer.getInt(), buffer.getLong(), text(buffer), buffer.getDouble()));
     }
     return out;
   }
 
-  private static void view(ByteBuffer b, MachineView v) {
-    text(b, v.machine());
-    text(b, v.type());
-    text(b, v.zone());
-    flag(b, v.spot());
-    b.putInt(v.cores()).putDouble(v.pricePerS());
-    flag(b, v.usable());
-    b.putDouble(v.freeCpus())
-        .putDouble(v.freeGpus())
-        .putDouble(v.freeMemGb())
-        .putInt(v.busyTasks());
-    b.putShort((short) v.ratios().size());
-    v.ratios().forEach(b::putDouble);
-    b.putShort((short) v.tasks().size());
-    for (TaskView t : v.tasks()) {
-      text(b, t.ref());
-      b.putInt(t.task()).putLong(t.attempt()).putDouble(t.elapsedS()).putDouble(t.jobMeanS());
-      b.putDouble(t.cpus()).putDouble(t.gpus()).putDouble(t.memGb());
-      flag(b, t.spotAllowed());
-      text(b, t.zone());
-      flag(b, t.types() != null);
+  private static void view(ByteBuffer buffer, MachineView view) {
+    text(buffer, view.machine());
+    text(buffer, view.type());
+    text(buffer, view.zone());
+    flag(buffer, view.spot());
+    buffer.putInt(view.cores()).putDouble(view.pricePerS());
+    flag(buffer, view.usable());
+    buffer
+        .putDouble(view.freeCpus())
+        .putDouble(view.freeGpus())
+        .putDouble(view.freeMemGb())
+        .putInt(view.busyTasks());
+    buffer.putShort((short) view.ratios().size());
+    view.ratios().forEach(buffer::putDouble);
+    buffer.putShort((short) view.tasks().size());
+    for (TaskView t : view.tasks()) {
+      text(buffer, t.ref());
+      buffer.putInt(t.task()).putLong(t.attempt()).putDouble(t.elapsedS()).putDouble(t.jobMeanS());
+      buffer.putDouble(t.cpus()).putDouble(t.gpus()).putDouble(t.memGb());
+      flag(buffer, t.spotAllowed());
+      text(buffer, t.zone());
+      flag(buffer, t.types() != null);
       if (t.types() != null) {
-        texts(b, t.types());
+        texts(buffer, t.types());
       }
     }
   }
 
-  private static MachineView view(ByteBuffer b) {
-    String machine = text(b);
-    String type = text(b);
-    String zone = text(b);
-    boolean spot = flag(b);
-    int cores = b.getInt();
-    double price = b.getDouble();
-    boolean usable = flag(b);
-    double cpus = b.getDouble();
-    double gpus = b.getDouble();
-    double mem = b.getDouble();
-    int busy = b.getInt();
+  private static MachineView view(ByteBuffer buffer) {
+    String machine = text(buffer);
+    String type = text(buffer);
+    String zone = text(buffer);
+    boolean spot = flag(buffer);
+    int cores = buffer.getInt();
+    double price = buffer.getDouble();
+    boolean usable = flag(buffer);
+    double cpus = buffer.getDouble();
+    double gpus = buffer.getDouble();
+    double mem = buffer.getDouble();
+    int busy = buffer.getInt();
     List<Double> ratios = new ArrayList<>();
-    for (int n = b.getShort() & MAX_COUNT; n > 0; n--) {
-      ratios.add(b.getDouble());
+    for (int n = buffer.getShort() & MAX_COUNT; n > 0; n--) {
+      ratios.add(buffer.getDouble());
     }
     List<TaskView> tasks = new ArrayList<>();
-    for (int n = b.getShort() & MAX_COUNT; n > 0; n--) {
+    for (int n = buffer.getShort() & MAX_COUNT; n > 0; n--) {
       tasks.add(
           new TaskView(
-              text(b),
-              b.getInt(),
-              b.getLong(),
-              b.getDouble(),
-              b.getDouble(),
-              b.getDouble(),
-              b.getDouble(),
-              b.getDouble(),
-              flag(b),
-              text(b),
-              types(b)));
+              text(buffer),
+              buffer.getInt(),
+              buffer.getLong(),
+              buffer.getDouble(),
+              buffer.getDouble(),
+              buffer.getDouble(),
+              buffer.getDouble(),
+              buffer.getDouble(),
+              flag(buffer),
+              text(buffer),
+              types(buffer)));
     }
     return new MachineView(
         machine, type, zone, spot, cores, price, usable, cpus, gpus, mem, busy, ratios, tasks);
   }
 
-  private static List<String> types(ByteBuffer b) {
-    return flag(b) ? texts(b) : null;
+  private static List<String> types(ByteBuffer buffer) {
+    return flag(buffer) ? texts(buffer) : null;
   }
 
-  private static void texts(ByteBuffer b, List<String> all) {
-    b.putShort((short) all.size());
-    all.forEach(s -> text(b, s));
+  private static void texts(ByteBuffer buffer, List<String> all) {
+    buffer.putShort((short) all.size());
+    all.forEach(s -> text(buffer, s));
   }
 
-  private static List<String> texts(ByteBuffer b) {
+  private static List<String> texts(ByteBuffer buffer) {
     List<String> out = new ArrayList<>();
-    for (int n = b.getShort() & MAX_COUNT; n > 0; n--) {
-      out.add(text(b));
+    for (int n = buffer.getShort() & MAX_COUNT; n > 0; n--) {
+      out.add(text(buffer));
     }
     return out;
   }
 
-  private static void flag(ByteBuffer b, boolean v) {
-    b.put((byte) (v ? 1 : 0));
+  private static void flag(ByteBuffer buffer, boolean view) {
+    buffer.put((byte) (view ? 1 : 0));
   }
 
-  private static boolean flag(ByteBuffer b) {
-    return b.get() != 0;
+  private static boolean flag(ByteBuffer buffer) {
+    return buffer.get() != 0;
   }
 
   /** A string or null: null has a length of all ones. */
-  private static void text(ByteBuffer b, String s) {
+  private static void text(ByteBuffer buffer, String s) {
     if (s == null) {
-      b.putShort((short) -1);
+      buffer.putShort((short) -1);
       return;
     }
     byte[] utf = s.getBytes(StandardCharsets.UTF_8);
     if (utf.length >= MAX_COUNT) {
       throw new IllegalArgumentException("string too long for a frame");
     }
-    b.putShort((short) utf.length).put(utf);
+    buffer.putShort((short) utf.length).put(utf);
   }
 
-  private static String text(ByteBuffer b) {
-    int n = b.getShort() & MAX_COUNT;
+  private static String text(ByteBuffer buffer) {
+    int n = buffer.getShort() & MAX_COUNT;
     if (n == MAX_COUNT) {
       return null;
     }
-    if (n > b.remaining()) {
+    if (n > buffer.remaining()) {
       throw new MalformedInputException("frame is cut short");
     }
     byte[] utf = new byte[n];
-    b.get(utf);
+    buffer.get(utf);
     return new String(utf, StandardCharsets.UTF_8);
   }
 
-  private static void blob(ByteBuffer b, byte[] v) {
-    b.putInt(v.length).put(v);
+  private static void blob(ByteBuffer buffer, byte[] view) {
+    buffer.putInt(view.length).put(view);
   }
 
-  private static byte[] blob(ByteBuffer b) {
-    int n = b.getInt();
-    if (n < 0 || n > b.remaining()) {
+  private static byte[] blob(ByteBuffer buffer) {
+    int n = buffer.getInt();
+    if (n < 0 || n > buffer.remaining()) {
       throw new MalformedInputException("frame is cut short");
     }
     byte[] out = new byte[n];
-    b.get(out);
+    buffer.get(out);
     return out;
   }
 }
--- a/src/main/java/io/embernotch/persistence/PersistedJob.java
+++ b/src/main/java/io/embernotch/persistence/PersistedJob.java
@@ -23,7 +23,7 @@
         .getConfirmed(JobProgressCodec.JOB + ref)
         .map(
             entry ->
-                baseSnapshot.beneath(ref, JobProgressCodec.JOB, present(entry)).stream()
+                baseSnapshot.overlay(ref, JobProgressCodec.JOB, present(entry)).stream()
                     .findFirst()
                     .orElse(new VersionedEntry(entry.key(), null, 0)));
   }
@@ -41,7 +41,7 @@
               }
               Job job = JobProgressCodec.readJob(entry.value());
               return store
-                  .get(JobProgressCodec.RUN + ref)
+                  .get(JobProgressCodec.SHARD + ref)
                   .compose(
                       run ->
                           progress(
@@ -60,8 +60,8 @@
   private static Future<Job> progress(
       StoreClient store, BaseSnapshot baseSnapshot, Job job, VersionedEntry stored, int shardSize) {
     for (VersionedEntry run :
-        baseSnapshot.beneath(job.spec.ref(), JobProgressCodec.RUN, present(stored))) {
-      JobProgressCodec.readRun(run.value(), job, shardSize, JobProgressCodec.shardOf(run.key()));
+        baseSnapshot.overlay(job.spec.ref(), JobProgressCodec.SHARD, present(stored))) {
+      JobProgressCodec.readShard(run.value(), job, shardSize, JobProgressCodec.shardOf(run.key()));
     }
     if (job.finalPhase != null) {
       return Future.succeededFuture(job);
@@ -72,9 +72,9 @@
         .map(
             found -> {
               List<VersionedEntry> parts =
-                  baseSnapshot.beneath(
+                  baseSnapshot.overlay(
                       job.spec.ref(), JobProgressCodec.REFINED_SHARD, found.events());
-              ProgressShard.add(job, parts.stream().map(ProgressShard::of).toList());
+              ProgressShard.applyAll(job, parts.stream().map(ProgressShard::of).toList());
               return job;
             });
   }
--- a/src/main/java/io/embernotch/persistence/ShardLayout.java
+++ b/src/main/java/io/embernotch/persistence/ShardLayout.java
@@ -16,7 +16,9 @@
   public record Shard(Job job, int size, int index, boolean part) {
     String key() {
       String ref = job.spec.ref();
-      return part ? JobProgressCodec.partKey(ref, size, index) : JobProgressCodec.key(ref, index);
+      return part
+          ? JobProgressCodec.refinedShardKey(ref, size, index)
+          : JobProgressCodec.shardKey(ref, index);
     }
 
     /** Number of its first task. */
@@ -25,7 +27,7 @@
     }
 
     ObjectNode value() {
-      return JobProgressCodec.writeRun(job, size, index);
+      return JobProgressCodec.writeShard(job, size, index);
     }
   }
 
--- a/src/main/java/io/embernotch/reservation/ReservationManager.java
+++ b/src/main/java/io/embernotch/reservation/ReservationManager.java
@@ -110,7 +110,7 @@
   private void use(List<Reservation> now) {
     terms =
         now.isEmpty() && context.operator().reserve().live()
-            ? List.of(context.operator().reserve().byDefault())
+            ? List.of(context.operator().reserve().defaultReservation())
             : now;
     usage.clear();
     wanted = Map.of();
@@ -119,7 +119,7 @@
       boolean inForce = terms.stream().anyMatch(r -> e.getKey().startsWith(HELD + r.name() + "/"));
       if (!inForce && !e.getValue().path("on").isEmpty()) {
         // Of a reservation that is no more.
-        shared.put(e.getKey(), ReservationCodec.writeHeld(Map.of()), () -> {});
+        shared.put(e.getKey(), ReservationCodec.writeReserved(Map.of()), () -> {});
       }
     }
   }
@@ -136,7 +136,7 @@
 
   private void add(ObjectNode shard, int term, Map<String, Resources[]> to) {
     if (shard != null) {
-      ReservationCodec.readHeld(shard)
+      ReservationCodec.readReserved(shard)
           .forEach(
               (machine, a) -> {
                 Resources[] there = to.computeIfAbsent(machine, x -> nothing());
@@ -337,7 +337,7 @@
           }
         });
     String name = shard(terms.get(term), k);
-    ObjectNode value = ReservationCodec.writeHeld(held);
+    ObjectNode value = ReservationCodec.writeReserved(held);
     ObjectNode there = shared.get(name);
     boolean same = there == null ? held.isEmpty() : there.path("on").equals(value.path("on"));
     if (!same && !shared.pending(name)) {
--- a/src/main/java/io/embernotch/rounds/MachineViewPublisher.java
+++ b/src/main/java/io/embernotch/rounds/MachineViewPublisher.java
@@ -127,16 +127,16 @@
 
   /** Changes with whatever a round would see differently, save for time passing. */
   private static int fingerprint(Machine machine) {
-    int h = machine.ratios.hashCode() * 31 + (usable(machine) ? 1 : 0);
+    int hash = machine.ratios.hashCode() * 31 + (usable(machine) ? 1 : 0);
     for (Attempt attempt : machine.openAttempts.values()) {
-      h = h * 31 + attempt.job.spec.ref().hashCode();
-      h = h * 31 + attempt.task;
-      h = h * 31 + (int) attempt.number;
-      h = h * 31 + (attempt.runningAt >= 0 ? 1 : 0);
-      h = h * 31 + (attempt.stopping ? 1 : 0);
-      h = h * 31 + attempt.job.finishedCount;
+      hash = hash * 31 + attempt.job.spec.ref().hashCode();
+      hash = hash * 31 + attempt.task;
+      hash = hash * 31 + (int) attempt.number;
+      hash = hash * 31 + (attempt.runningAt >= 0 ? 1 : 0);
+      hash = hash * 31 + (attempt.stopping ? 1 : 0);
+      hash = hash * 31 + attempt.job.finishedCount;
     }
-    return h;
+    return hash;
   }
 
   private static boolean usable(Machine machine) {
--- a/src/main/java/io/embernotch/rounds/PartitionViews.java
+++ b/src/main/java/io/embernotch/rounds/PartitionViews.java
@@ -23,7 +23,7 @@
     this.peers = peers;
   }
 
-  public void view(String controller, long epoch, MachineView view) {
+  public void send(String controller, long epoch, MachineView view) {
     if (controller.equals(node)) {
       localPartition.put(epoch, view);
     } else {
@@ -31,9 +31,9 @@
     }
   }
 
-  public void forget(String controller, long epoch, String machine) {
+  public void remove(String controller, long epoch, String machine) {
     if (controller.equals(node)) {
-      localPartition.forget(epoch, machine);
+      localPartition.remove(epoch, machine);
     } else {
       peers.send(controller, new Frame.MachineViewRemoval(epoch, machine));
     }
--- a/src/main/java/io/embernotch/rounds/RestartReviewer.java
+++ b/src/main/java/io/embernotch/rounds/RestartReviewer.java
@@ -60,18 +60,18 @@
     due().forEach(this::restart);
   }
 
-  private void restart(Restart r) {
-    Job job = state.jobs.get(r.ref());
-    Attempt attempt = job.openAttempts.get(r.task());
+  private void restart(Restart restart) {
+    Job job = state.jobs.get(restart.ref());
+    Attempt attempt = job.openAttempts.get(restart.task());
     LOG.info(
         "restarting straggler {} on {} (gain {})",
         attempt,
-        r.target(),
-        String.format("%.4f", r.gain()));
-    job.preferredMachines.put(r.task(), r.target());
+        restart.target(),
+        String.format("%.4f", restart.gain()));
+    job.preferredMachines.put(restart.task(), restart.target());
     stateWriter.writeNow(
         job,
-        r.task(),
+        restart.task(),
         RequestPriority.NORMAL,
         () -> {
           if (ClusterState.isOpen(attempt) && !attempt.stopping && job.finalPhase == null) {
@@ -83,27 +83,27 @@
 
   private List<Restart> due() {
     double now = context.clock().now();
-    List<Restart> out = new ArrayList<>();
+    List<Restart> due = new ArrayList<>();
     proposed.forEach(
         (from, queue) -> {
           if (!queue.isEmpty() && now >= nextAt.getOrDefault(from, -1e9)) {
             nextAt.put(from, now + 1 / context.operator().batchesPerS());
-            for (Restart r : queue.poll()) {
-              if (valid(r)) {
-                out.add(r);
+            for (Restart restart : queue.poll()) {
+              if (valid(restart)) {
+                due.add(restart);
               }
             }
           }
         });
-    return out;
+    return due;
   }
 
   /**
    * The world may have moved since the round: the task must still run there, and the room be free.
    */
-  private boolean valid(Restart r) {
-    Job job = state.jobs.get(r.ref());
-    Machine target = state.machines.get(r.target());
+  private boolean valid(Restart restart) {
+    Job job = state.jobs.get(restart.ref());
+    Machine target = state.machines.get(restart.target());
     if (job == null
         || job.finalPhase != null
         || job.spec.shape() != JobShape.ARRAY
@@ -111,13 +111,13 @@
         || target.type == null) {
       return false;
     }
-    Attempt attempt = job.openAttempts.get(r.task());
+    Attempt attempt = job.openAttempts.get(restart.task());
     JobSpec spec = job.spec;
     return attempt != null
-        && attempt.number == r.attempt()
+        && attempt.number == restart.attempt()
         && attempt.state == TaskState.RUNNING
         && !attempt.stopping
-        && !attempt.machine.equals(r.target())
+        && !attempt.machine.equals(restart.target())
         && target.up()
         && !target.deleting
         && !target.cordoned
--- a/src/main/java/io/embernotch/settings/CalendarReader.java
+++ b/src/main/java/io/embernotch/settings/CalendarReader.java
@@ -20,68 +20,74 @@
   private CalendarReader() {}
 
   static List<Release> read(OperatorFile.Calendar file, long generation) {
-    List<Release> out = new ArrayList<>();
+    List<Release> releases = new ArrayList<>();
     for (int i = 0; i < file.getReleaseCount(); i++) {
-      OperatorFile.Release r = file.getRelease(i);
+      OperatorFile.Release release = file.getRelease(i);
       String place = "calendar.release[" + i + "]";
       need(
           generation > 0,
           place + ": generation: must be above 0, and be raised with every change of the calendar");
-      need(r.getId().matches("[a-z0-9-]{1,40}"), place + ".id: must be 1 to 40 of a-z, 0-9 and -");
       need(
-          out.stream().noneMatch(o -> o.id().equals(r.getId())),
-          place + ".id: " + r.getId() + " is there already");
-      need(r.getOrdersCount() > 0, place + ".orders: missing");
+          release.getId().matches("[a-z0-9-]{1,40}"),
+          place + ".id: must be 1 to 40 of a-z, 0-9 and -");
+      need(
+          releases.stream().noneMatch(o -> o.id().equals(release.getId())),
+          place + ".id: " + release.getId() + " is there already");
+      need(release.getOrdersCount() > 0, place + ".orders: missing");
       List<Selector> orders = new ArrayList<>();
-      for (int k = 0; k < r.getOrdersCount(); k++) {
-        Selector s = ReservationReader.selector(r.getOrders(k));
+      for (int k = 0; k < release.getOrdersCount(); k++) {
+        Selector selector = ReservationReader.selector(release.getOrders(k));
         need(
-            !s.equals(new Selector(null, null, null, null)),
+            !selector.equals(new Selector(null, null, null, null)),
             place + ".orders[" + k + "]: names no work");
-        orders.add(s);
+        orders.add(selector);
       }
-      ZoneId zone = parsed(place + ".zone", r.getZone(), ZoneId::of);
-      LocalTime time = parsed(place + ".time", r.getTime(), LocalTime::parse);
+      ZoneId zone = parsed(place + ".zone", release.getZone(), ZoneId::of);
+      LocalTime time = parsed(place + ".time", release.getTime(), LocalTime::parse);
       Set<DayOfWeek> days = EnumSet.noneOf(DayOfWeek.class);
-      r.getDayList().forEach(d -> days.add(DayOfWeek.of(d.getNumber())));
+      release.getDayList().forEach(entry -> days.add(DayOfWeek.of(entry.getNumber())));
       need(
-          !days.isEmpty() || r.getAlsoCount() > 0,
+          !days.isEmpty() || release.getAlsoCount() > 0,
           place + ": comes out on no day: set day or also");
       Set<LocalDate> except = new TreeSet<>();
-      r.getExceptList().forEach(d -> except.add(parsed(place + ".except", d, LocalDate::parse)));
-      out.add(
+      release
+          .getExceptList()
+          .forEach(entry -> except.add(parsed(place + ".except", entry, LocalDate::parse)));
+      releases.add(
           new Release(
-              r.getId(),
+              release.getId(),
               zone,
               time,
               days,
               except,
-              times(place + ".also", r.getAlsoList(), time, false),
-              times(place + ".moved", r.getMovedList(), null, true),
+              times(place + ".also", release.getAlsoList(), time, false),
+              times(place + ".moved", release.getMovedList(), null, true),
               List.copyOf(orders),
-              OperatorSettings.within(place + ".lead_s", r.getLeadS(), 0, 86_400)));
+              OperatorSettings.within(place + ".lead_s", release.getLeadS(), 0, 86_400)));
     }
-    return List.copyOf(out);
+    return List.copyOf(releases);
   }
 
   private static Map<LocalDate, LocalTime> times(
       String place, List<OperatorFile.Dated> dated, LocalTime usual, boolean liftable) {
-    Map<LocalDate, LocalTime> out = new LinkedHashMap<>();
+    Map<LocalDate, LocalTime> releases = new LinkedHashMap<>();
     for (int k = 0; k < dated.size(); k++) {
-      OperatorFile.Dated d = dated.get(k);
+      OperatorFile.Dated entry = dated.get(k);
       String here = place + "[" + k + "]";
-      LocalDate date = parsed(here + ".date", d.getDate(), LocalDate::parse);
-      need(!out.containsKey(date), here + ".date: " + date + " is there already");
-      need(liftable || !d.getLifted(), here + ".lifted: only what is moved can be");
-      need(!d.getLifted() || !d.hasTime(), here + ": either lifted or a time");
-      need(d.hasTime() || d.getLifted() || usual != null, here + ".time: missing");
-      out.put(
+      LocalDate date = parsed(here + ".date", entry.getDate(), LocalDate::parse);
+      need(!releases.containsKey(date), here + ".date: " + date + " is there already");
+      need(liftable || !entry.getLifted(), here + ".lifted: only what is moved can be");
+      need(!entry.getLifted() || !entry.hasTime(), here + ": either lifted or a time");
+      need(entry.hasTime() || entry.getLifted() || usual != null, here + ".time: missing");
+      releases.put(
           date,
-          d.getLifted()
+          entry.getLifted()
               ? null
-              : d.hasTime() ? parsed(here + ".time", d.getTime(), LocalTime::parse) : usual);
+              : entry.hasTime()
+                  ? parsed(here + ".time", entry.getTime(), LocalTime::parse)
+                  : usual);
     }
-    return out;
+    return releases;
   }
 
   private static <T> T parsed(String place, String text, Function<String, T> parse) {
--- a/src/main/java/io/embernotch/settings/OperatorSettings.java
+++ b/src/main/java/io/embernotch/settings/OperatorSettings.java
@@ -46,7 +46,7 @@
    */
   public record Reserve(long generation, boolean live, List<Reservation> terms, double spare) {
     /** The reservation that is made without any. */
-    public Reservation byDefault() {
+    public Reservation defaultReservation() {
       Selector services = new Selector(Priority.PRODUCTION, null, null, null);
       return new Reservation("live", List.of(services), 0, 0, 0, 0, 0, spare, List.of(), Map.of());
     }
@@ -82,61 +82,66 @@
   }
 
   public static OperatorSettings parse(String text) {
-    OperatorFile.Operator.Builder b = OperatorFile.Operator.newBuilder();
+    OperatorFile.Operator.Builder file = OperatorFile.Operator.newBuilder();
     try {
-      TextFormat.merge(text, b);
+      TextFormat.merge(text, file);
     } catch (TextFormat.ParseException e) {
       String why = e.getMessage().replaceAll("\\s+", " ");
       throw new SettingsException("operator settings, line " + e.getLine() + ": " + why);
     }
-    OperatorFile.Straggler s = b.getStraggler();
-    OperatorFile.Fleet f = b.getFleet();
+    OperatorFile.Straggler straggler = file.getStraggler();
+    OperatorFile.Fleet fleet = file.getFleet();
     return new OperatorSettings(
-        s.getEnabled(),
-        within("straggler.flag_ratio", s.getFlagRatio(), 1.0, 100),
-        within("straggler.beta", s.getBeta(), 0, 1),
-        within("straggler.round_s", s.getRoundS(), 0.1, 3600),
-        within("straggler.batches_per_s", s.getBatchesPerS(), 0.01, 100),
-        within("fleet.keep_idle_boots", f.getKeepIdleBoots(), 0, 1000),
-        within("fleet.service_spare", f.getServiceSpare(), 0, 100),
-        within("fleet.gang_spare", f.getGangSpare(), 0, 100),
-        within("fleet.array_spare", f.getArraySpare(), 0, 100),
-        b.getLeadership().hasLeaseReports()
-            ? within("leadership.lease_reports", b.getLeadership().getLeaseReports(), 0.2, 20)
+        straggler.getEnabled(),
+        within("straggler.flag_ratio", straggler.getFlagRatio(), 1.0, 100),
+        within("straggler.beta", straggler.getBeta(), 0, 1),
+        within("straggler.round_s", straggler.getRoundS(), 0.1, 3600),
+        within("straggler.batches_per_s", straggler.getBatchesPerS(), 0.01, 100),
+        within("fleet.keep_idle_boots", fleet.getKeepIdleBoots(), 0, 1000),
+        within("fleet.service_spare", fleet.getServiceSpare(), 0, 100),
+        within("fleet.gang_spare", fleet.getGangSpare(), 0, 100),
+        within("fleet.array_spare", fleet.getArraySpare(), 0, 100),
+        file.getLeadership().hasLeaseReports()
+            ? within("leadership.lease_reports", file.getLeadership().getLeaseReports(), 0.2, 20)
             : 0,
-        within("leadership.lease_share", b.getLeadership().getLeaseShare(), 0.02, 1),
-        snapshots(b.getSnapshots()),
+        within("leadership.lease_share", file.getLeadership().getLeaseShare(), 0.02, 1),
+        snapshots(file.getSnapshots()),
         new Reserve(
-            b.getGeneration(),
-            b.getReserveLive(),
-            ReservationReader.read(b.getReserveList(), b.getGeneration()),
-            f.getServiceSpare()),
-        new Calendar(b.getGeneration(), CalendarReader.read(b.getCalendar(), b.getGeneration())));
+            file.getGeneration(),
+            file.getReserveLive(),
+            ReservationReader.read(file.getReserveList(), file.getGeneration()),
+            fleet.getServiceSpare()),
+        new Calendar(
+            file.getGeneration(), CalendarReader.read(file.getCalendar(), file.getGeneration())));
   }
 
   /**
    * Checks what this file says of teams and zones against the platform's; mistakes are told with
    * their place.
    */
-  public OperatorSettings against(Settings platform) {
+  public OperatorSettings checkAgainst(Settings platform) {
     for (int i = 0; i < reserve.terms().size(); i++) {
-      Reservation r = reserve.terms().get(i);
-      teams("reserve[" + i + "].serves", r.serves(), platform);
-      for (String zone : r.zones().keySet()) {
+      Reservation reservation = reserve.terms().get(i);
+      teams("reserve[" + i + "].serves", reservation.serves(), platform);
+      for (String zone : reservation.zones().keySet()) {
         if (!platform.zones().contains(zone)) {
           throw new SettingsException("reserve[" + i + "].zone: unknown zone " + zone);
         }
       }
-      for (Selector s : r.serves()) {
-        Settings.Team t = s.team() == null ? null : platform.teams().get(s.team());
-        if (r.serves().size() == 1 && t != null && t.gpusMax() > 0 && r.gpus() > t.gpusMax()) {
+      for (Selector straggler : reservation.serves()) {
+        Settings.Team team =
+            straggler.team() == null ? null : platform.teams().get(straggler.team());
+        if (reservation.serves().size() == 1
+            && team != null
+            && team.gpusMax() > 0
+            && reservation.gpus() > team.gpusMax()) {
           throw new SettingsException(
               "reserve["
                   + i
                   + "].gpus: team "
-                  + t.name()
+                  + team.name()
                   + " may use "
-                  + t.gpusMax()
+                  + team.gpusMax()
                   + " at the most");
         }
       }
@@ -156,23 +161,24 @@
     }
   }
 
-  private static Snapshots snapshots(OperatorFile.Snapshots s) {
-    Path directory = s.getDirectory().isEmpty() ? null : Path.of(s.getDirectory());
+  private static Snapshots snapshots(OperatorFile.Snapshots straggler) {
+    Path directory = straggler.getDirectory().isEmpty() ? null : Path.of(straggler.getDirectory());
     if (directory != null && !Files.isWritable(directory)) {
       throw new SettingsException(
           "snapshots.directory: " + directory + " is not a directory that can be written to");
     }
     return new Snapshots(
         directory,
-        within("snapshots.every_s", s.getEveryS(), 1, 86400),
-        (int) within("snapshots.keep", s.getKeep(), 1, 10_000),
-        s.getRestoreWhenEmpty());
+        within("snapshots.every_s", straggler.getEveryS(), 1, 86400),
+        (int) within("snapshots.keep", straggler.getKeep(), 1, 10_000),
+        straggler.getRestoreWhenEmpty());
   }
 
-  static double within(String name, double v, double low, double high) {
-    if (!(v >= low && v <= high)) {
-      throw new SettingsException(name + ": must be between " + low + " and " + high + ", is " + v);
+  static double within(String name, double number, double low, double high) {
+    if (!(number >= low && number <= high)) {
+      throw new SettingsException(
+          name + ": must be between " + low + " and " + high + ", is " + number);
     }
-    return v;
+    return number;
   }
 }
--- a/src/main/java/io/embernotch/settings/Release.java
+++ b/src/main/java/io/embernotch/settings/Release.java
@@ -32,8 +32,8 @@
     double leadS) {
 
   public boolean orders(JobSpec job) {
-    for (Selector s : orders) {
-      if (s.matches(job)) {
+    for (Selector selector : orders) {
+      if (selector.matches(job)) {
         return true;
       }
     }
--- a/src/main/java/io/embernotch/settings/Reservation.java
+++ b/src/main/java/io/embernotch/settings/Reservation.java
@@ -27,8 +27,8 @@
     Map<String, Double> zones) {
 
   public boolean serves(JobSpec job) {
-    for (Selector s : serves) {
-      if (s.matches(job)) {
+    for (Selector selector : serves) {
+      if (selector.matches(job)) {
         return true;
       }
     }
--- a/src/main/java/io/embernotch/settings/Selector.java
+++ b/src/main/java/io/embernotch/settings/Selector.java
@@ -14,10 +14,10 @@
   }
 
   /** Some job may match both. */
-  public boolean overlaps(Selector o) {
-    return (priority == null || o.priority == null || priority == o.priority)
-        && (shape == null || o.shape == null || shape == o.shape)
-        && (team == null || o.team == null || team.equals(o.team))
-        && (jobClass == null || o.jobClass == null || jobClass.equals(o.jobClass));
+  public boolean overlaps(Selector other) {
+    return (priority == null || other.priority == null || priority == other.priority)
+        && (shape == null || other.shape == null || shape == other.shape)
+        && (team == null || other.team == null || team.equals(other.team))
+        && (jobClass == null || other.jobClass == null || jobClass.equals(other.jobClass));
   }
 }
--- a/src/main/java/io/embernotch/settings/Settings.java
+++ b/src/main/java/io/embernotch/settings/Settings.java
@@ -35,8 +35,8 @@
 
   /** A team that nothing is guaranteed to, or one that the settings do not know. */
   public boolean guest(String team) {
-    Team t = teams.get(team);
-    return t == null || t.guest();
+    Team known = teams.get(team);
+    return known == null || known.guest();
   }
 
   /** One aim; fields that its kind does not use are 0 or null. */
--- a/src/main/java/io/embernotch/settings/SettingsReader.java
+++ b/src/main/java/io/embernotch/settings/SettingsReader.java
@@ -71,21 +71,21 @@
     return settings;
   }
 
-  private static void check(Settings s) {
-    if (s.storeLimits().txnOps() < 2) {
+  private static void check(Settings settings) {
+    if (settings.storeLimits().txnOps() < 2) {
       throw new SettingsException("cluster.state.txn_ops: must be at least 2");
     }
-    if (s.nextStoreLimits().txnOps() < 2) {
+    if (settings.nextStoreLimits().txnOps() < 2) {
       throw new SettingsException("cluster.state.next.txn_ops: must be at least 2");
     }
-    if (s.workers().leaseS() <= 2 * s.workers().heartbeatIntervalS()) {
+    if (settings.workers().leaseS() <= 2 * settings.workers().heartbeatIntervalS()) {
       throw new SettingsException("cluster.workers.lease_s: must exceed two report periods");
     }
-    if (s.workers().cancelS() <= s.workers().leaseS()) {
+    if (settings.workers().cancelS() <= settings.workers().leaseS()) {
       throw new SettingsException("cluster.workers.cancel_s: must exceed cluster.workers.lease_s");
     }
-    for (Settings.Member member : s.members()) {
-      if (member.node().equals(s.node())) {
+    for (Settings.Member member : settings.members()) {
+      if (member.node().equals(settings.node())) {
         throw new SettingsException("members: names this node itself (" + member.node() + ")");
       }
     }
@@ -103,22 +103,24 @@
 
   private static List<Settings.Member> members(Table top) {
     List<Settings.Member> out = new ArrayList<>();
-    for (Table t : top.tables("members")) {
-      out.add(new Settings.Member(t.text("node"), t.text("location"), t.address("address")));
+    for (Table table : top.tables("members")) {
+      out.add(
+          new Settings.Member(
+              table.text("node"), table.text("location"), table.address("address")));
     }
     return List.copyOf(out);
   }
 
   private static Map<String, Settings.Team> teams(Table cluster) {
     Map<String, Settings.Team> out = new LinkedHashMap<>();
-    for (Table t : cluster.tables("teams")) {
+    for (Table table : cluster.tables("teams")) {
       Settings.Team team =
           new Settings.Team(
-              t.text("name"),
-              t.number("cpus", 0),
-              t.number("cpus_max", 0),
-              t.number("gpus", 0),
-              t.number("gpus_max", 0));
+              table.text("name"),
+              table.number("cpus", 0),
+              table.number("cpus_max", 0),
+              table.number("gpus", 0),
+              table.number("gpus_max", 0));
       if (out.put(team.name(), team) != null) {
         throw new SettingsException("cluster.teams: " + team.name() + " is named twice");
       }
@@ -131,13 +133,13 @@
 
   private static List<Settings.Objective> objectives(Table cluster) {
     List<Settings.Objective> out = new ArrayList<>();
-    for (Table t : cluster.tables("objectives")) {
+    for (Table table : cluster.tables("objectives")) {
       out.add(
           new Settings.Objective(
-              t.text("kind"),
-              t.textOr("class", null),
-              t.number("within_s", 0),
-              t.number("share", 0)));
+              table.text("kind"),
+              table.textOr("class", null),
+              table.number("within_s", 0),
+              table.number("share", 0)));
     }
     return List.copyOf(out);
   }
@@ -149,11 +151,11 @@
     }
 
     private JsonNode need(String name) {
-      JsonNode n = node.get(name);
-      if (n == null) {
+      JsonNode value = node.get(name);
+      if (value == null) {
         throw new SettingsException(at(name) + ": missing");
       }
-      return n;
+      return value;
     }
 
     boolean has(String name) {
@@ -161,37 +163,37 @@
     }
 
     Table table(String name) {
-      JsonNode n = need(name);
-      if (!n.isObject()) {
+      JsonNode value = need(name);
+      if (!value.isObject()) {
         throw new SettingsException(at(name) + ": must be a table");
       }
-      return new Table(n, at(name));
+      return new Table(value, at(name));
     }
 
     List<Table> tables(String name) {
-      JsonNode n = node.get(name);
-      if (n == null) {
+      JsonNode value = node.get(name);
+      if (value == null) {
         return List.of();
       }
-      if (!n.isArray()) {
+      if (!value.isArray()) {
         throw new SettingsException(at(name) + ": must be an array of tables");
       }
       List<Table> out = new ArrayList<>();
-      for (int i = 0; i < n.size(); i++) {
-        if (!n.get(i).isObject()) {
+      for (int i = 0; i < value.size(); i++) {
+        if (!value.get(i).isObject()) {
           throw new SettingsException(at(name) + "[" + i + "]: must be a table");
         }
-        out.add(new Table(n.get(i), at(name) + "[" + i + "]"));
+        out.add(new Table(value.get(i), at(name) + "[" + i + "]"));
       }
       return out;
     }
 
     String text(String name) {
-      JsonNode n = need(name);
-      if (!n.isTextual() || n.asText().isBlank()) {
+      JsonNode value = need(name);
+      if (!value.isTextual() || value.asText().isBlank()) {
         throw new SettingsException(at(name) + ": must be a non-empty string");
       }
-      return n.asText();
+      return value.asText();
     }
 
     String textOr(String name, String fallback) {
@@ -199,12 +201,12 @@
     }
 
     List<String> texts(String name) {
-      JsonNode n = need(name);
-      if (!n.isArray() || n.isEmpty()) {
+      JsonNode value = need(name);
+      if (!value.isArray() || value.isEmpty()) {
         throw new SettingsException(at(name) + ": must be a non-empty array of strings");
       }
       List<String> out = new ArrayList<>();
-      for (JsonNode item : n) {
+      for (JsonNode item : value) {
         if (!item.isTextual()) {
           throw new SettingsException(at(name) + ": must be a non-empty array of strings");
         }
@@ -223,31 +225,31 @@
 
     /** A number of at least 0, or {@code fallback} when the field is absent. */
     double number(String name, double fallback) {
-      JsonNode n = node.get(name);
-      if (n == null) {
+      JsonNode value = node.get(name);
+      if (value == null) {
         return fallback;
       }
-      if (!n.isNumber() || !(n.asDouble() >= 0) || Double.isInfinite(n.asDouble())) {
+      if (!value.isNumber() || !(value.asDouble() >= 0) || Double.isInfinite(value.asDouble())) {
         throw new SettingsException(at(name) + ": must be a number of at least 0");
       }
-      return n.asDouble();
+      return value.asDouble();
     }
 
     double positive(String name) {
       need(name);
-      double v = number(name, 0);
-      if (v <= 0) {
+      double number = number(name, 0);
+      if (number <= 0) {
         throw new SettingsException(at(name) + ": must be above 0");
       }
-      return v;
+      return number;
     }
 
     int count(String name) {
-      double v = positive(name);
-      if (v != Math.rint(v) || v > Integer.MAX_VALUE) {
+      double number = positive(name);
+      if (number != Math.rint(number) || number > Integer.MAX_VALUE) {
         throw new SettingsException(at(name) + ": must be a whole number");
       }
-      return (int) v;
+      return (int) number;
     }
   }
 }
--- a/src/main/java/io/embernotch/snapshot/BaseSnapshot.java
+++ b/src/main/java/io/embernotch/snapshot/BaseSnapshot.java
@@ -40,16 +40,17 @@
   /**
    * @param since keys with a higher modification revision are newer than the copy
    */
-  public BaseSnapshot(ClusterSnapshot copy, long since) {
-    this.complete = copy.getComplete();
+  public BaseSnapshot(ClusterSnapshot snapshot, long since) {
+    this.complete = snapshot.getComplete();
     this.since = since;
-    for (JobSnapshot j : copy.getJobList()) {
-      jobs.put(j.getRef(), j.toByteArray());
+    for (JobSnapshot job : snapshot.getJobList()) {
+      jobs.put(job.getRef(), job.toByteArray());
     }
-    for (EndedJobSnapshot e : copy.getEndedList()) {
-      ended.put(e.getRef(), StateSnapshot.ended(e));
+    for (EndedJobSnapshot endedJob : snapshot.getEndedList()) {
+      ended.put(endedJob.getRef(), StateSnapshot.ended(endedJob));
     }
-    copy.getSharedList()
+    snapshot
+        .getSharedList()
         .forEach(s -> shared.put(s.getName(), Json.parseObject(s.getValue().toByteArray())));
   }
 
@@ -80,79 +81,77 @@
   }
 
   /** The store's keys under a prefix, {@code stored}, with what stands beneath them. */
-  public WatchEvents beneath(String prefix, WatchEvents stored) {
+  public WatchEvents overlay(String prefix, WatchEvents stored) {
     if (jobs.isEmpty() && ended.isEmpty()) {
       return stored;
     }
-    Map<String, VersionedEntry> out = new LinkedHashMap<>();
+    Map<String, VersionedEntry> entries = new LinkedHashMap<>();
     for (byte[] job : jobs.values()) {
-      lay(job, prefix, out);
+      lay(job, prefix, entries);
     }
-    stored.events().forEach(entry -> over(entry, out));
-    return new WatchEvents(stored.revision(), List.copyOf(out.values()));
+    stored.events().forEach(entry -> over(entry, entries));
+    return new WatchEvents(stored.revision(), List.copyOf(entries.values()));
   }
 
   /**
    * The store's shared facts with what stands beneath them: of each the later value, under the
    * modification revision that the store has.
    */
-  public List<VersionedEntry> beneathShared(WatchEvents stored) {
-    Map<String, VersionedEntry> out = new TreeMap<>();
+  public List<VersionedEntry> overlayShared(WatchEvents stored) {
+    Map<String, VersionedEntry> entries = new TreeMap<>();
     shared.forEach(
         (name, value) ->
-            out.put(
+            entries.put(
                 JobProgressCodec.SHARED + name,
                 new VersionedEntry(JobProgressCodec.SHARED + name, value, 0)));
     for (VersionedEntry entry : stored.events()) {
       if (entry.present()) {
-        VersionedEntry below = out.get(entry.key());
-        out.put(
+        VersionedEntry base = entries.get(entry.key());
+        entries.put(
             entry.key(),
-            below == null
+            base == null
                 ? entry
                 : new VersionedEntry(
-                    entry.key(),
-                    Versions.later(below.value(), entry.value()),
-                    entry.modRevision()));
+                    entry.key(), Versions.later(base.value(), entry.value()), entry.modRevision()));
       }
     }
-    return List.copyOf(out.values());
+    return List.copyOf(entries.values());
   }
 
   /** The same of one job. */
-  public List<VersionedEntry> beneath(String ref, String prefix, List<VersionedEntry> stored) {
-    Map<String, VersionedEntry> out = new LinkedHashMap<>();
+  public List<VersionedEntry> overlay(String ref, String prefix, List<VersionedEntry> stored) {
+    Map<String, VersionedEntry> entries = new LinkedHashMap<>();
     if (jobs.containsKey(ref)) {
-      lay(jobs.get(ref), prefix, out);
+      lay(jobs.get(ref), prefix, entries);
     }
-    stored.forEach(entry -> over(entry, out));
-    return List.copyOf(out.values());
+    stored.forEach(entry -> over(entry, entries));
+    return List.copyOf(entries.values());
   }
 
-  private static void lay(byte[] job, String prefix, Map<String, VersionedEntry> out) {
+  private static void lay(byte[] job, String prefix, Map<String, VersionedEntry> entries) {
     try {
       for (VersionedEntry entry : StateSnapshot.entries(JobSnapshot.parseFrom(job))) {
         if (entry.key().startsWith(prefix)) {
-          out.put(entry.key(), entry);
+          entries.put(entry.key(), entry);
         }
       }
-    } catch (InvalidProtocolBufferException e) {
-      throw new MalformedInputException("a job of the base: " + e.getMessage());
+    } catch (InvalidProtocolBufferException endedJob) {
+      throw new MalformedInputException("a job of the base: " + endedJob.getMessage());
     }
   }
 
-  private void over(VersionedEntry entry, Map<String, VersionedEntry> out) {
+  private void over(VersionedEntry entry, Map<String, VersionedEntry> entries) {
     String ref = entry.key().split("/")[1];
     if (ended.containsKey(ref)) {
       return;
     }
     if (!jobs.containsKey(ref) || entry.modRevision() > since) {
-      out.put(entry.key(), entry);
-    } else if (out.containsKey(entry.key())) {
+      entries.put(entry.key(), entry);
+    } else if (entries.containsKey(entry.key())) {
       // Older than the base, but whoever writes it next conditions on its modification revision.
-      out.put(
+      entries.put(
           entry.key(),
-          new VersionedEntry(entry.key(), out.get(entry.key()).value(), entry.modRevision()));
+          new VersionedEntry(entry.key(), entries.get(entry.key()).value(), entry.modRevision()));
     }
   }
 }
--- a/src/main/java/io/embernotch/snapshot/ProgressShard.java
+++ b/src/main/java/io/embernotch/snapshot/ProgressShard.java
@@ -16,9 +16,10 @@
   }
 
   /** Smaller parts are newer than larger ones, and these than shards. */
-  public static void add(Job job, List<ProgressShard> parts) {
-    List<ProgressShard> order = new ArrayList<>(parts);
+  public static void applyAll(Job job, List<ProgressShard> shards) {
+    List<ProgressShard> order = new ArrayList<>(shards);
     order.sort(Comparator.comparingInt((ProgressShard p) -> -p.size()));
-    order.forEach(p -> JobProgressCodec.readPart(p.entry().value(), job, p.size(), p.index()));
+    order.forEach(
+        p -> JobProgressCodec.readRefinedShard(p.entry().value(), job, p.size(), p.index()));
   }
 }
--- a/src/main/java/io/embernotch/snapshot/SnapshotBlocks.java
+++ b/src/main/java/io/embernotch/snapshot/SnapshotBlocks.java
@@ -26,22 +26,22 @@
   /**
    * @param valueBytes what a value may have at the most
    */
-  public static SnapshotBlocks pack(ClusterSnapshot copy, int valueBytes) {
-    Deflater zip = new Deflater(Deflater.BEST_SPEED);
+  public static SnapshotBlocks pack(ClusterSnapshot snapshot, int valueBytes) {
+    Deflater deflater = new Deflater(Deflater.BEST_SPEED);
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     byte[] buffer = new byte[4096];
-    zip.setInput(copy.toByteArray());
-    zip.finish();
-    while (!zip.finished()) {
-      all.write(buffer, 0, zip.deflate(buffer));
+    deflater.setInput(snapshot.toByteArray());
+    deflater.finish();
+    while (!deflater.finished()) {
+      all.write(buffer, 0, deflater.deflate(buffer));
     }
-    zip.end();
+    deflater.end();
     byte[] packed = all.toByteArray();
     // Base64 makes four bytes of three.
-    int most = Math.max(48, (valueBytes - BESIDES) / 4 * 3);
+    int blockBytes = Math.max(48, (valueBytes - BESIDES) / 4 * 3);
     List<byte[]> out = new ArrayList<>();
-    for (int from = 0; from < packed.length; from += most) {
-      out.add(Arrays.copyOfRange(packed, from, Math.min(packed.length, from + most)));
+    for (int from = 0; from < packed.length; from += blockBytes) {
+      out.add(Arrays.copyOfRange(packed, from, Math.min(packed.length, from + blockBytes)));
     }
     return new SnapshotBlocks(out, sum(packed));
   }
@@ -65,33 +65,33 @@
           "the checksum over all " + blocks.size() + " blocks is wrong");
     }
     try {
-      ClusterSnapshot copy = ClusterSnapshot.parseFrom(inflate(packed));
-      if (copy.getVersion() > VERSION) {
+      ClusterSnapshot snapshot = ClusterSnapshot.parseFrom(inflate(packed));
+      if (snapshot.getVersion() > VERSION) {
         throw new MalformedInputException(
-            "a copy of format " + copy.getVersion() + ", newer than " + VERSION);
+            "a copy of format " + snapshot.getVersion() + ", newer than " + VERSION);
       }
-      return copy;
+      return snapshot;
     } catch (DataFormatException | InvalidProtocolBufferException e) {
       throw new MalformedInputException("unreadable copy: " + e.getMessage());
     }
   }
 
   private static byte[] inflate(byte[] packed) throws DataFormatException {
-    Inflater zip = new Inflater();
+    Inflater deflater = new Inflater();
     try {
-      zip.setInput(packed);
+      deflater.setInput(packed);
       ByteArrayOutputStream out = new ByteArrayOutputStream();
       byte[] buffer = new byte[4096];
-      while (!zip.finished()) {
-        int n = zip.inflate(buffer);
-        if (n == 0 && zip.needsInput()) {
+      while (!deflater.finished()) {
+        int n = deflater.inflate(buffer);
+        if (n == 0 && deflater.needsInput()) {
           throw new DataFormatException("it ends too early");
         }
         out.write(buffer, 0, n);
       }
       return out.toByteArray();
     } finally {
-      zip.end();
+      deflater.end();
     }
   }
 }
--- a/src/main/java/io/embernotch/snapshot/SnapshotMerge.java
+++ b/src/main/java/io/embernotch/snapshot/SnapshotMerge.java
@@ -36,14 +36,14 @@
 
   public static ClusterSnapshot of(ClusterSnapshot a, ClusterSnapshot b) {
     TreeMap<String, EndedJobSnapshot> ended = new TreeMap<>();
-    for (ClusterSnapshot c : new ClusterSnapshot[] {a, b}) {
-      c.getEndedList().forEach(e -> ended.merge(e.getRef(), e, SnapshotMerge::ends));
+    for (ClusterSnapshot snapshot : new ClusterSnapshot[] {a, b}) {
+      snapshot.getEndedList().forEach(e -> ended.merge(e.getRef(), e, SnapshotMerge::ends));
     }
     TreeMap<String, JobSnapshot> jobs = new TreeMap<>();
-    for (ClusterSnapshot c : new ClusterSnapshot[] {a, b}) {
-      for (JobSnapshot j : c.getJobList()) {
-        if (!ended.containsKey(j.getRef())) {
-          jobs.merge(j.getRef(), j, SnapshotMerge::jobs);
+    for (ClusterSnapshot snapshot : new ClusterSnapshot[] {a, b}) {
+      for (JobSnapshot job : snapshot.getJobList()) {
+        if (!ended.containsKey(job.getRef())) {
+          jobs.merge(job.getRef(), job, SnapshotMerge::jobs);
         }
       }
     }
@@ -59,8 +59,9 @@
 
   private static Map<String, SharedStateEntry> shared(ClusterSnapshot a, ClusterSnapshot b) {
     TreeMap<String, SharedStateEntry> out = new TreeMap<>();
-    for (ClusterSnapshot c : new ClusterSnapshot[] {a, b}) {
-      c.getSharedList()
+    for (ClusterSnapshot snapshot : new ClusterSnapshot[] {a, b}) {
+      snapshot
+          .getSharedList()
           .forEach(
               s ->
                   out.merge(
@@ -99,8 +100,8 @@
     BitSet done = BitSet.valueOf(a.getDone().toByteArray());
     done.or(BitSet.valueOf(b.getDone().toByteArray()));
     Map<Integer, OpenAttemptSnapshot> open = new TreeMap<>();
-    for (JobSnapshot c : new JobSnapshot[] {a, b}) {
-      c.getOpenList().forEach(o -> open.merge(o.getTask(), o, BinaryOperator.maxBy(LATER)));
+    for (JobSnapshot snapshot : new JobSnapshot[] {a, b}) {
+      snapshot.getOpenList().forEach(o -> open.merge(o.getTask(), o, BinaryOperator.maxBy(LATER)));
     }
     // Descriptions never change; only the size of the shards that they are kept in may.
     ByteString value =
--- a/src/main/java/io/embernotch/snapshot/StateSnapshot.java
+++ b/src/main/java/io/embernotch/snapshot/StateSnapshot.java
@@ -55,7 +55,7 @@
         ClusterSnapshot.newBuilder().setEpoch(epoch).setWallMs(wallMs).setComplete(true);
     shared.forEach((name, value) -> out.addShared(fact(name, value)));
     state.jobs.forEach((ref, job) -> out.addJob(job(job, shardOf.applyAsInt(ref))));
-    state.endedJobs.forEach((ref, e) -> out.addEnded(ended(ref, e)));
+    state.endedJobs.forEach((ref, endedJob) -> out.addEnded(ended(ref, endedJob)));
     return out.build();
   }
 
@@ -79,7 +79,7 @@
         entry -> {
           Job job = all.get(entry.key().split("/")[1]);
           if (job != null) {
-            JobProgressCodec.readRun(
+            JobProgressCodec.readShard(
                 entry.value(),
                 job,
                 sizes.get(job.spec.ref()),
@@ -97,7 +97,7 @@
         });
     partsOf.forEach(
         (ref, list) -> {
-          ProgressShard.add(all.get(ref), list);
+          ProgressShard.applyAll(all.get(ref), list);
           list.forEach(p -> sizes.merge(ref, p.size(), Math::min));
         });
     ClusterSnapshot.Builder out = ClusterSnapshot.newBuilder().setComplete(false);
@@ -128,18 +128,18 @@
     }
   }
 
-  private static JobSnapshot job(Job job, int shard) {
-    JobSnapshot.Builder b =
+  private static JobSnapshot job(Job job, int shardSize) {
+    JobSnapshot.Builder builder =
         JobSnapshot.newBuilder()
             .setRef(job.spec.ref())
-            .setValue(ByteString.copyFrom(Json.bytes(JobProgressCodec.writeJob(job, shard))))
+            .setValue(ByteString.copyFrom(Json.bytes(JobProgressCodec.writeJob(job, shardSize))))
             .setNextAttempt(job.nextAttempt)
             .setDone(ByteString.copyFrom(job.done.toByteArray()));
     if (job.finalPhase != null) {
-      b.setEnd(end(job.finalPhase)).setEndedMs(job.endedMs);
+      builder.setEnd(end(job.finalPhase)).setEndedMs(job.endedMs);
     }
     for (Attempt attempt : job.openAttempts.values()) {
-      b.addOpen(
+      builder.addOpen(
           OpenAttemptSnapshot.newBuilder()
               .setTask(attempt.task)
               .setNumber(attempt.number)
@@ -149,22 +149,22 @@
     // A wish outlives the attempt that it is about, until the task is placed anew.
     job.preferredMachines.forEach(
         (task, machine) -> {
-          for (OpenAttemptSnapshot.Builder o : b.getOpenBuilderList()) {
-            if (o.getTask() == task) {
-              o.setWish(machine);
+          for (OpenAttemptSnapshot.Builder openAttempt : builder.getOpenBuilderList()) {
+            if (openAttempt.getTask() == task) {
+              openAttempt.setWish(machine);
             }
           }
         });
-    return b.build();
+    return builder.build();
   }
 
-  private static EndedJobSnapshot ended(String ref, ClusterState.EndedJob e) {
+  private static EndedJobSnapshot ended(String ref, ClusterState.EndedJob endedJob) {
     return EndedJobSnapshot.newBuilder()
         .setRef(ref)
-        .setEnd(end(e.phase()))
-        .setTasks(e.tasks())
-        .setDone(e.done())
-        .setAtMs(e.atMs())
+        .setEnd(end(endedJob.phase()))
+        .setTasks(endedJob.tasks())
+        .setDone(endedJob.done())
+        .setAtMs(endedJob.atMs())
         .build();
   }
 
@@ -176,43 +176,52 @@
     return end == End.DONE ? JobPhase.DONE : JobPhase.CANCELLED;
   }
 
-  static ClusterState.EndedJob ended(EndedJobSnapshot e) {
-    return new ClusterState.EndedJob(phase(e.getEnd()), e.getTasks(), e.getDone(), e.getAtMs());
+  static ClusterState.EndedJob ended(EndedJobSnapshot endedJob) {
+    return new ClusterState.EndedJob(
+        phase(endedJob.getEnd()), endedJob.getTasks(), endedJob.getDone(), endedJob.getAtMs());
   }
 
   /**
    * The keys of a job as the store would hold them, with modification revision 0: its submission
    * first, then its shards.
    */
-  static List<VersionedEntry> entries(JobSnapshot c) {
-    var value = Json.parseObject(c.getValue().toByteArray());
+  static List<VersionedEntry> entries(JobSnapshot snapshot) {
+    var value = Json.parseObject(snapshot.getValue().toByteArray());
     Job job = JobProgressCodec.readJob(value);
-    int shard = JobProgressCodec.readShardSize(value);
-    job.nextAttempt = c.getNextAttempt();
-    if (c.hasEnd()) {
-      job.finalPhase = phase(c.getEnd());
-      job.endedMs = c.getEndedMs();
+    int shardSize = JobProgressCodec.readShardSize(value);
+    job.nextAttempt = snapshot.getNextAttempt();
+    if (snapshot.hasEnd()) {
+      job.finalPhase = phase(snapshot.getEnd());
+      job.endedMs = snapshot.getEndedMs();
     }
-    job.done.or(BitSet.valueOf(c.getDone().toByteArray()));
+    job.done.or(BitSet.valueOf(snapshot.getDone().toByteArray()));
     // Contents that contradict one another: what a job does not have is not known of it.
     job.done.clear(job.spec.tasks(), Math.max(job.spec.tasks(), job.done.length()));
-    for (OpenAttemptSnapshot o : c.getOpenList()) {
-      if (o.getTask() >= job.spec.tasks()) {
+    for (OpenAttemptSnapshot openAttempt : snapshot.getOpenList()) {
+      if (openAttempt.getTask() >= job.spec.tasks()) {
         continue;
       }
       job.openAttempts.put(
-          o.getTask(),
-          new Attempt(job, o.getTask(), o.getNumber(), o.getMachine(), o.getZone(), 0));
-      if (o.hasWish()) {
-        job.preferredMachines.put(o.getTask(), o.getWish());
+          openAttempt.getTask(),
+          new Attempt(
+              job,
+              openAttempt.getTask(),
+              openAttempt.getNumber(),
+              openAttempt.getMachine(),
+              openAttempt.getZone(),
+              0));
+      if (openAttempt.hasWish()) {
+        job.preferredMachines.put(openAttempt.getTask(), openAttempt.getWish());
       }
     }
     List<VersionedEntry> out = new ArrayList<>();
-    out.add(new VersionedEntry(JobProgressCodec.JOB + c.getRef(), value, 0));
-    for (int k = 0; k * shard < job.spec.tasks(); k++) {
+    out.add(new VersionedEntry(JobProgressCodec.JOB + snapshot.getRef(), value, 0));
+    for (int k = 0; k * shardSize < job.spec.tasks(); k++) {
       out.add(
           new VersionedEntry(
-              JobProgressCodec.key(c.getRef(), k), JobProgressCodec.writeRun(job, shard, k), 0));
+              JobProgressCodec.shardKey(snapshot.getRef(), k),
+              JobProgressCodec.writeShard(job, shardSize, k),
+              0));
     }
     return out;
   }
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotArchive.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotArchive.java
@@ -30,10 +30,10 @@
   private static final int ENDS = 5000;
 
   /** A file that is not a whole snapshot; the message names the place. */
-  public static final class Damaged extends IOException {
+  public static final class DamagedSnapshotException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    public Damaged(String message) {
+    public DamagedSnapshotException(String message) {
       super(message);
     }
   }
@@ -41,9 +41,9 @@
   private final SnapshotHead head;
   private final ClusterSnapshot copy;
 
-  private SnapshotArchive(SnapshotHead head, ClusterSnapshot copy) {
+  private SnapshotArchive(SnapshotHead head, ClusterSnapshot snapshot) {
     this.head = head;
-    this.copy = copy;
+    this.copy = snapshot;
   }
 
   public SnapshotHead head() {
@@ -55,24 +55,24 @@
   }
 
   /** Writes a copy that belongs to an incarnation; leaves {@code out} open. */
-  public static void write(ClusterSnapshot copy, String incarnation, OutputStream out)
+  public static void write(ClusterSnapshot snapshot, String incarnation, OutputStream out)
       throws IOException {
-    List<byte[]> parts = parts(copy);
+    List<byte[]> parts = parts(snapshot);
     SnapshotHead head =
         SnapshotHead.newBuilder()
             .setVersion(VERSION)
             .setEra(incarnation)
-            .setEpoch(copy.getEpoch())
-            .setWallMs(copy.getWallMs())
-            .setJobs(copy.getJobCount())
-            .setEnded(copy.getEndedCount())
+            .setEpoch(snapshot.getEpoch())
+            .setWallMs(snapshot.getWallMs())
+            .setJobs(snapshot.getJobCount())
+            .setEnded(snapshot.getEndedCount())
             .setParts(parts.size())
             .setCrc(sum(parts))
             .build();
     ZipOutputStream zip = new ZipOutputStream(out);
     entry(zip, "head", head.toByteArray());
-    for (int k = 0; k < parts.size(); k++) {
-      entry(zip, part(k), parts.get(k));
+    for (int index = 0; index < parts.size(); index++) {
+      entry(zip, part(index), parts.get(index));
     }
     zip.finish();
   }
@@ -80,62 +80,74 @@
   /**
    * @throws Damaged if it is not a whole snapshot, with the place; nothing of it is to be used then
    */
-  public static SnapshotArchive read(InputStream in) throws IOException {
-    ZipInputStream zip = new ZipInputStream(in);
+  public static SnapshotArchive read(InputStream input) throws IOException {
+    ZipInputStream zip = new ZipInputStream(input);
     SnapshotHead head;
-    ClusterSnapshot.Builder copy = ClusterSnapshot.newBuilder();
+    ClusterSnapshot.Builder snapshot = ClusterSnapshot.newBuilder();
     String at = "head";
     List<byte[]> parts = new ArrayList<>();
     try {
       head = SnapshotHead.parseFrom(next(zip, at));
       if (head.getVersion() > VERSION) {
-        throw new Damaged("head: version " + head.getVersion() + " is newer than " + VERSION);
+        throw new DamagedSnapshotException(
+            "head: version " + head.getVersion() + " is newer than " + VERSION);
       }
-      for (int k = 0; k < head.getParts(); k++) {
-        at = part(k);
+      for (int index = 0; index < head.getParts(); index++) {
+        at = part(index);
         parts.add(next(zip, at));
-        copy.mergeFrom(ClusterSnapshot.parseFrom(parts.get(k)));
+        snapshot.mergeFrom(ClusterSnapshot.parseFrom(parts.get(index)));
       }
-    } catch (ZipException | EOFException | InvalidProtocolBufferException e) {
-      throw new Damaged(
-          at + ": " + (e.getMessage() == null ? "the file ends too early" : e.getMessage()));
+    } catch (ZipException | EOFException | InvalidProtocolBufferException entry) {
+      throw new DamagedSnapshotException(
+          at
+              + ": "
+              + (entry.getMessage() == null ? "the file ends too early" : entry.getMessage()));
     }
     if (sum(parts) != head.getCrc()
-        || copy.getJobCount() != head.getJobs()
-        || copy.getEndedCount() != head.getEnded()) {
-      throw new Damaged("head: the checksum over all parts, or their contents' count, is another");
+        || snapshot.getJobCount() != head.getJobs()
+        || snapshot.getEndedCount() != head.getEnded()) {
+      throw new DamagedSnapshotException(
+          "head: the checksum over all parts, or their contents' count, is another");
     }
     return new SnapshotArchive(
         head,
-        copy.setEpoch(head.getEpoch()).setWallMs(head.getWallMs()).setComplete(false).build());
+        snapshot.setEpoch(head.getEpoch()).setWallMs(head.getWallMs()).setComplete(false).build());
   }
 
-  private static List<byte[]> parts(ClusterSnapshot copy) {
+  private static List<byte[]> parts(ClusterSnapshot snapshot) {
     List<byte[]> out = new ArrayList<>();
-    for (int from = 0; from < copy.getJobCount(); from += JOBS) {
+    for (int from = 0; from < snapshot.getJobCount(); from += JOBS) {
       out.add(
           ClusterSnapshot.newBuilder()
-              .addAllJob(copy.getJobList().subList(from, Math.min(copy.getJobCount(), from + JOBS)))
+              .addAllJob(
+                  snapshot
+                      .getJobList()
+                      .subList(from, Math.min(snapshot.getJobCount(), from + JOBS)))
               .build()
               .toByteArray());
     }
-    if (copy.getSharedCount() > 0) {
+    if (snapshot.getSharedCount() > 0) {
       out.add(
-          ClusterSnapshot.newBuilder().addAllShared(copy.getSharedList()).build().toByteArray());
+          ClusterSnapshot.newBuilder()
+              .addAllShared(snapshot.getSharedList())
+              .build()
+              .toByteArray());
     }
-    for (int from = 0; from < copy.getEndedCount(); from += ENDS) {
+    for (int from = 0; from < snapshot.getEndedCount(); from += ENDS) {
       out.add(
           ClusterSnapshot.newBuilder()
               .addAllEnded(
-                  copy.getEndedList().subList(from, Math.min(copy.getEndedCount(), from + ENDS)))
+                  snapshot
+                      .getEndedList()
+                      .subList(from, Math.min(snapshot.getEndedCount(), from + ENDS)))
               .build()
               .toByteArray());
     }
     return out;
   }
 
-  private static String part(int k) {
-    return String.format("part-%05d", k);
+  private static String part(int index) {
+    return String.format("part-%05d", index);
   }
 
   private static long sum(List<byte[]> parts) {
@@ -145,18 +157,18 @@
   }
 
   private static void entry(ZipOutputStream zip, String name, byte[] bytes) throws IOException {
-    ZipEntry e = new ZipEntry(name);
-    e.setTime(0);
-    zip.putNextEntry(e);
+    ZipEntry entry = new ZipEntry(name);
+    entry.setTime(0);
+    zip.putNextEntry(entry);
     zip.write(bytes);
     zip.closeEntry();
   }
 
   /** Reading an entry to its end checks its checksum. */
   private static byte[] next(ZipInputStream zip, String name) throws IOException {
-    ZipEntry e = zip.getNextEntry();
-    if (e == null || !e.getName().equals(name)) {
-      throw new Damaged(name + ": not there");
+    ZipEntry entry = zip.getNextEntry();
+    if (entry == null || !entry.getName().equals(name)) {
+      throw new DamagedSnapshotException(name + ": not there");
     }
     return zip.readAllBytes();
   }
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotDiff.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotDiff.java
@@ -19,25 +19,25 @@
   private SnapshotDiff() {}
 
   /** A job that has not ended. */
-  public static ObjectNode line(JobSnapshot j) {
+  public static ObjectNode line(JobSnapshot job) {
     return Json.object()
-        .put("ref", j.getRef())
+        .put("ref", job.getRef())
         .put(
             "phase",
-            j.hasEnd()
-                ? j.getEnd().name().toLowerCase()
-                : j.getOpenCount() > 0 ? "running" : "queued")
-        .put("done", BitSet.valueOf(j.getDone().toByteArray()).cardinality())
-        .put("open", j.getOpenCount())
-        .put("next", j.getNextAttempt());
+            job.hasEnd()
+                ? job.getEnd().name().toLowerCase()
+                : job.getOpenCount() > 0 ? "running" : "queued")
+        .put("done", BitSet.valueOf(job.getDone().toByteArray()).cardinality())
+        .put("open", job.getOpenCount())
+        .put("next", job.getNextAttempt());
   }
 
   /** A job of which only the end is left. */
-  public static ObjectNode line(EndedJobSnapshot e) {
+  public static ObjectNode line(EndedJobSnapshot endedJob) {
     return Json.object()
-        .put("ref", e.getRef())
-        .put("phase", e.getEnd().name().toLowerCase())
-        .put("done", e.getDone())
+        .put("ref", endedJob.getRef())
+        .put("phase", endedJob.getEnd().name().toLowerCase())
+        .put("done", endedJob.getDone())
         .put("open", 0);
   }
 
@@ -61,18 +61,19 @@
     return out;
   }
 
-  private static Map<String, Message> byRef(ClusterSnapshot c) {
+  private static Map<String, Message> byRef(ClusterSnapshot snapshot) {
     Map<String, Message> out = new HashMap<>();
-    c.getJobList().forEach(j -> out.put(j.getRef(), j));
-    c.getEndedList().forEach(e -> out.put(e.getRef(), e));
+    snapshot.getJobList().forEach(job -> out.put(job.getRef(), job));
+    snapshot.getEndedList().forEach(endedJob -> out.put(endedJob.getRef(), endedJob));
     return out;
   }
 
-  private static String text(Message m) {
-    if (m == null) {
+  private static String text(Message message) {
+    if (message == null) {
       return "absent";
     }
-    ObjectNode line = m instanceof JobSnapshot j ? line(j) : line((EndedJobSnapshot) m);
+    ObjectNode line =
+        message instanceof JobSnapshot job ? line(job) : line((EndedJobSnapshot) message);
     return line.path("phase").asText()
         + ", "
         + line.path("done").asText()
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotDirectory.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotDirectory.java
@@ -40,8 +40,8 @@
   }
 
   /** Writes one, drops the oldest beyond those that are kept, and returns its file. */
-  public Path write(ClusterSnapshot copy, String incarnation) throws IOException {
-    String name = String.format("%016d-%015d", copy.getEpoch(), copy.getWallMs());
+  public Path write(ClusterSnapshot snapshot, String incarnation) throws IOException {
+    String name = String.format("%016d-%015d", snapshot.getEpoch(), snapshot.getWallMs());
     Path unfinished = directory.resolve(name + UNFINISHED);
     Path file = directory.resolve(name + END);
     try (FileChannel channel =
@@ -51,7 +51,7 @@
             StandardOpenOption.TRUNCATE_EXISTING,
             StandardOpenOption.WRITE)) {
       OutputStream out = new BufferedOutputStream(Channels.newOutputStream(channel));
-      SnapshotArchive.write(copy, incarnation, out);
+      SnapshotArchive.write(snapshot, incarnation, out);
       out.flush();
       channel.force(true);
     }
@@ -84,7 +84,7 @@
     for (Path file : list()) {
       try {
         return read(file);
-      } catch (SnapshotArchive.Damaged e) {
+      } catch (SnapshotArchive.DamagedSnapshotException e) {
         LOG.error("snapshot {} is damaged: {}", file.getFileName(), e.getMessage());
       }
     }
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotScheduler.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotScheduler.java
@@ -37,13 +37,13 @@
   }
 
   /** Time has gone by on a leader; {@code copy}: what it knows, null if it knows too little yet. */
-  public void tick(String incarnation, Supplier<ClusterSnapshot> copy) {
+  public void tick(String incarnation, Supplier<ClusterSnapshot> snapshot) {
     double now = context.clock().now();
     if (directory == null || writing || now - triedAt < settings.everyS()) {
       return;
     }
     triedAt = now;
-    ClusterSnapshot taken = copy.get();
+    ClusterSnapshot taken = snapshot.get();
     if (taken == null) {
       return;
     }
@@ -66,7 +66,7 @@
             });
   }
 
-  private void written(Path file, ClusterSnapshot copy, String failure) {
+  private void written(Path file, ClusterSnapshot snapshot, String failure) {
     writing = false;
     double now = context.clock().now();
     if (failure == null) {
@@ -74,8 +74,8 @@
       LOG.info(
           "snapshot {}: {} jobs, {} ends; {}",
           file.getFileName(),
-          copy.getJobCount(),
-          copy.getEndedCount(),
+          snapshot.getJobCount(),
+          snapshot.getEndedCount(),
           took.line());
     } else {
       LOG.error("no snapshot could be written: {}", failure);
@@ -94,8 +94,8 @@
       return null;
     }
     try {
-      SnapshotArchive s = directory.newest();
-      return s == null ? null : s.copy();
+      SnapshotArchive archive = directory.newest();
+      return archive == null ? null : archive.copy();
     } catch (IOException e) {
       LOG.error("snapshots can't be read: {}", e.toString());
       return null;
--- a/src/main/java/io/embernotch/store/StoreClient.java
+++ b/src/main/java/io/embernotch/store/StoreClient.java
@@ -381,7 +381,7 @@
         .onFailure(
             e -> {
               failing();
-              boolean sent = !(e instanceof CallFailedException f) || f.sent;
+              boolean sent = !(e instanceof CallFailedException f) || f.sent();
               promise.fail(new StoreException(sent ? Kind.UNKNOWN : Kind.REFUSED, e.getMessage()));
             });
   }
--- a/src/main/java/io/embernotch/straggler/EnergyModel.java
+++ b/src/main/java/io/embernotch/straggler/EnergyModel.java
@@ -10,13 +10,13 @@
   }
 
   /** Static power: the price per second, or one unit for a machine that costs nothing. */
-  static double idle(double pricePerS) {
+  static double idlePower(double pricePerS) {
     return pricePerS > 0 ? pricePerS : 1.0;
   }
 
   /** Equation 1: static power, and that of one core for each task up to the number of cores. */
   static double power(double pricePerS, int n, int cores) {
-    double fixed = idle(pricePerS);
+    double fixed = idlePower(pricePerS);
     return fixed + Math.min(n, cores) * (fixed / cores);
   }
 }
--- a/src/main/java/io/embernotch/straggler/LocalPartition.java
+++ b/src/main/java/io/embernotch/straggler/LocalPartition.java
@@ -34,7 +34,7 @@
     views.put(view.machine(), new Held(view, clock.now()));
   }
 
-  public void forget(long leaderEpoch, String machine) {
+  public void remove(long leaderEpoch, String machine) {
     if (leaderEpoch == epoch) {
       views.remove(machine);
     }
@@ -51,44 +51,44 @@
   /** The part now: run times have gone on since each view was made. */
   public List<MachineView> current() {
     double now = clock.now();
-    views.values().removeIf(h -> now - h.at > forgetS);
+    views.values().removeIf(entry -> now - entry.at > forgetS);
     List<MachineView> out = new ArrayList<>();
-    for (Held h : views.values()) {
-      out.add(aged(h.view, now - h.at));
+    for (Held entry : views.values()) {
+      out.add(aged(entry.view, now - entry.at));
     }
     return out;
   }
 
-  private static MachineView aged(MachineView m, double by) {
+  private static MachineView aged(MachineView view, double by) {
     List<MachineView.TaskView> tasks = new ArrayList<>();
-    for (MachineView.TaskView t : m.tasks()) {
+    for (MachineView.TaskView task : view.tasks()) {
       tasks.add(
           new MachineView.TaskView(
-              t.ref(),
-              t.task(),
-              t.attempt(),
-              t.elapsedS() + by,
-              t.jobMeanS(),
-              t.cpus(),
-              t.gpus(),
-              t.memGb(),
-              t.spotAllowed(),
-              t.zone(),
-              t.types()));
+              task.ref(),
+              task.task(),
+              task.attempt(),
+              task.elapsedS() + by,
+              task.jobMeanS(),
+              task.cpus(),
+              task.gpus(),
+              task.memGb(),
+              task.spotAllowed(),
+              task.zone(),
+              task.types()));
     }
     return new MachineView(
-        m.machine(),
-        m.type(),
-        m.zone(),
-        m.spot(),
-        m.cores(),
-        m.pricePerS(),
-        m.usable(),
-        m.freeCpus(),
-        m.freeGpus(),
-        m.freeMemGb(),
-        m.busyTasks(),
-        m.ratios(),
+        view.machine(),
+        view.type(),
+        view.zone(),
+        view.spot(),
+        view.cores(),
+        view.pricePerS(),
+        view.usable(),
+        view.freeCpus(),
+        view.freeGpus(),
+        view.freeMemGb(),
+        view.busyTasks(),
+        view.ratios(),
         tasks);
   }
 }
--- a/src/main/java/io/embernotch/straggler/MachinePartitions.java
+++ b/src/main/java/io/embernotch/straggler/MachinePartitions.java
@@ -14,11 +14,13 @@
   public static String owner(String machine, Collection<String> controllers) {
     String best = null;
     long bestWeight = -1;
-    for (String c : controllers) {
-      long w = weight(machine, c);
-      if (best == null || w > bestWeight || (w == bestWeight && c.compareTo(best) < 0)) {
-        best = c;
-        bestWeight = w;
+    for (String controller : controllers) {
+      long weight = weight(machine, controller);
+      if (best == null
+          || weight > bestWeight
+          || (weight == bestWeight && controller.compareTo(best) < 0)) {
+        best = controller;
+        bestWeight = weight;
       }
     }
     return best;
@@ -28,7 +30,7 @@
     CRC32 crc = new CRC32();
     crc.update((controller + "|" + machine).getBytes(StandardCharsets.UTF_8));
     // CRC is linear; a multiplicative finish keeps close names from sharing an owner.
-    long h = crc.getValue() * 0x9E3779B97F4A7C15L;
-    return (h ^ (h >>> 29)) >>> 1;
+    long hash = crc.getValue() * 0x9E3779B97F4A7C15L;
+    return (hash ^ (hash >>> 29)) >>> 1;
   }
 }
--- a/src/main/java/io/embernotch/straggler/MachineView.java
+++ b/src/main/java/io/embernotch/straggler/MachineView.java
@@ -35,13 +35,13 @@
       String zone,
       List<String> types) {}
 
-  boolean hasRoomFor(TaskView t) {
+  boolean hasRoomFor(TaskView task) {
     return usable
-        && freeCpus >= t.cpus() - 1e-9
-        && freeGpus >= t.gpus() - 1e-9
-        && freeMemGb >= t.memGb() - 1e-9
-        && (t.spotAllowed() || !spot)
-        && (t.zone() == null || t.zone().equals(zone))
-        && (t.types() == null || t.types().contains(type));
+        && freeCpus >= task.cpus() - 1e-9
+        && freeGpus >= task.gpus() - 1e-9
+        && freeMemGb >= task.memGb() - 1e-9
+        && (task.spotAllowed() || !spot)
+        && (task.zone() == null || task.zone().equals(zone))
+        && (task.types() == null || task.types().contains(type));
   }
 }
--- a/src/main/java/io/embernotch/straggler/StragglerRound.java
+++ b/src/main/java/io/embernotch/straggler/StragglerRound.java
@@ -30,44 +30,50 @@
     }
   }
 
-  public List<Restart> run(Collection<MachineView> part) {
-    double average = partAverage(part);
+  public List<Restart> run(Collection<MachineView> partition) {
+    double average = partAverage(partition);
     List<Straggler> stragglers = new ArrayList<>();
-    for (MachineView host : part) {
+    for (MachineView host : partition) {
       if (performance(host, average) >= beta * average) {
         continue;
       }
-      for (TaskView t : host.tasks()) {
-        if (flagged(t)) {
-          stragglers.add(new Straggler(host, t));
+      for (TaskView task : host.tasks()) {
+        if (flagged(task)) {
+          stragglers.add(new Straggler(host, task));
         }
       }
     }
     stragglers.sort(Comparator.comparingDouble(Straggler::performance));
     Map<String, MachineView> room = new HashMap<>();
-    part.forEach(m -> room.put(m.machine(), m));
+    partition.forEach(view -> room.put(view.machine(), view));
     List<Restart> out = new ArrayList<>();
-    for (Straggler s : stragglers) {
+    for (Straggler straggler : stragglers) {
       Restart best = null;
       for (MachineView j : room.values()) {
-        if (j.machine().equals(s.host.machine()) || !j.hasRoomFor(s.task)) {
+        if (j.machine().equals(straggler.host.machine()) || !j.hasRoomFor(straggler.task)) {
           continue;
         }
-        double gain = gain(s.host, s.task, j, average);
+        double gain = gain(straggler.host, straggler.task, j, average);
         if (gain > (best == null ? 0 : best.gain())) {
-          best = new Restart(s.task.ref(), s.task.task(), s.task.attempt(), j.machine(), gain);
+          best =
+              new Restart(
+                  straggler.task.ref(),
+                  straggler.task.task(),
+                  straggler.task.attempt(),
+                  j.machine(),
+                  gain);
         }
       }
       if (best != null) {
         out.add(best);
-        room.computeIfPresent(best.target(), (name, m) -> without(m, s.task));
+        room.computeIfPresent(best.target(), (name, view) -> without(view, straggler.task));
       }
     }
     return out;
   }
 
-  boolean flagged(TaskView t) {
-    return t.jobMeanS() > 0 && t.elapsedS() > flagRatio * t.jobMeanS();
+  boolean flagged(TaskView task) {
+    return task.jobMeanS() > 0 && task.elapsedS() > flagRatio * task.jobMeanS();
   }
 
   /** Equation 6: energy saved by running a copy on {@code j} instead of waiting on {@code k}. */
@@ -82,20 +88,20 @@
   }
 
   /** Mean over what the machine finished lately, or its part's average if it finished nothing. */
-  static double performance(MachineView m, double average) {
-    return m.ratios().isEmpty() ? average : mean(m.ratios());
+  static double performance(MachineView view, double average) {
+    return view.ratios().isEmpty() ? average : mean(view.ratios());
   }
 
-  static double partAverage(Collection<MachineView> part) {
+  static double partAverage(Collection<MachineView> partition) {
     double sum = 0;
-    int n = 0;
-    for (MachineView m : part) {
-      if (!m.ratios().isEmpty()) {
-        sum += mean(m.ratios());
-        n++;
+    int count = 0;
+    for (MachineView view : partition) {
+      if (!view.ratios().isEmpty()) {
+        sum += mean(view.ratios());
+        count++;
       }
     }
-    return n == 0 ? 1.0 : sum / n;
+    return count == 0 ? 1.0 : sum / count;
   }
 
   private static double mean(List<Double> values) {
@@ -106,20 +112,20 @@
     return sum / values.size();
   }
 
-  private static MachineView without(MachineView m, TaskView t) {
+  private static MachineView without(MachineView view, TaskView task) {
     return new MachineView(
-        m.machine(),
-        m.type(),
-        m.zone(),
-        m.spot(),
-        m.cores(),
-        m.pricePerS(),
-        m.usable(),
-        m.freeCpus() - t.cpus(),
-        m.freeGpus() - t.gpus(),
-        m.freeMemGb() - t.memGb(),
-        m.busyTasks() + 1,
-        m.ratios(),
-        m.tasks());
+        view.machine(),
+        view.type(),
+        view.zone(),
+        view.spot(),
+        view.cores(),
+        view.pricePerS(),
+        view.usable(),
+        view.freeCpus() - task.cpus(),
+        view.freeGpus() - task.gpus(),
+        view.freeMemGb() - task.memGb(),
+        view.busyTasks() + 1,
+        view.ratios(),
+        view.tasks());
   }
 }
--- a/src/test/java/io/embernotch/codec/CodecTest.java
+++ b/src/test/java/io/embernotch/codec/CodecTest.java
@@ -90,15 +90,15 @@
   void progressOfTheLargestJobFitsInPieces() {
     JobSpec spec = read(job("j-1", "array", 100_000));
     Job job = new Job(spec, 1);
-    int size = JobProgressCodec.shard(8, java.util.List.of("a-rather-long-zone"));
+    int size = JobProgressCodec.shardSize(8, java.util.List.of("a-rather-long-zone"));
     job.done.set(0, 100_000);
     for (int t = 0; t < 2 * size; t++) {
       Attempt attempt = new Attempt(job, t, 1L << 50, "n-000123456", "a-rather-long-zone", 0);
       job.openAttempts.put(t, attempt);
     }
-    assertThat(Json.bytes(JobProgressCodec.writeRun(job, size, 1)).length)
+    assertThat(Json.bytes(JobProgressCodec.writeShard(job, size, 1)).length)
         .isLessThanOrEqualTo(8 * 1024);
-    assertThat(Json.bytes(JobProgressCodec.writeRun(job, size, 0)).length)
+    assertThat(Json.bytes(JobProgressCodec.writeShard(job, size, 0)).length)
         .isLessThanOrEqualTo(8 * 1024);
   }
 
@@ -114,7 +114,7 @@
     job.preferredMachines.put(3, "n-9");
     Job back = JobProgressCodec.readJob(JobProgressCodec.writeJob(job, 4));
     for (int shard = 0; shard < 3; shard++) {
-      JobProgressCodec.readRun(JobProgressCodec.writeRun(job, 4, shard), back, 4, shard);
+      JobProgressCodec.readShard(JobProgressCodec.writeShard(job, 4, shard), back, 4, shard);
     }
     assertThat(back.submittedMs).isEqualTo(77);
     assertThat(back.done).isEqualTo(job.done);
@@ -122,7 +122,7 @@
     assertThat(back.openAttempts.get(8).zone).isEqualTo("z2");
     assertThat(back.preferredMachines).containsEntry(3, "n-9");
     job.finalPhase = JobPhase.CANCELLED;
-    ObjectNode o = JobProgressCodec.writeRun(job, 4, 0);
+    ObjectNode o = JobProgressCodec.writeShard(job, 4, 0);
     assertThat(JobProgressCodec.readEnd(o)).isEqualTo(JobPhase.CANCELLED);
   }
 
--- a/src/test/java/io/embernotch/http/VertxHttpCallerTest.java
+++ b/src/test/java/io/embernotch/http/VertxHttpCallerTest.java
@@ -69,7 +69,7 @@
         .failsWithin(10, TimeUnit.SECONDS)
         .withThrowableThat()
         .havingCause()
-        .isInstanceOfSatisfying(CallFailedException.class, e -> assertThat(e.tried).isFalse());
+        .isInstanceOfSatisfying(CallFailedException.class, e -> assertThat(e.tried()).isFalse());
     assertThat(busy.toCompletionStage().toCompletableFuture()).failsWithin(10, TimeUnit.SECONDS);
     assertThat(get(call(caller, "127.0.0.1", "/", 8)).status()).isEqualTo(200);
   }
--- a/src/test/java/io/embernotch/peer/FormerVersionTest.java
+++ b/src/test/java/io/embernotch/peer/FormerVersionTest.java
@@ -48,19 +48,19 @@
     assertThat(job.eligibleSinceMs).isEqualTo(77);
     int shard = JobProgressCodec.readShardSize(stored);
     assertThat(Json.bytes(JobProgressCodec.writeJob(job, shard))).isEqualTo(Json.bytes(stored));
-    JobProgressCodec.readRun(value("run.json"), job, shard, 0);
+    JobProgressCodec.readShard(value("run.json"), job, shard, 0);
     assertThat(job.openAttempts.keySet()).containsExactly(3, 8);
     assertThat(job.preferredMachines).containsEntry(3, "n-9");
-    assertThat(Json.bytes(JobProgressCodec.writeRun(job, shard, 0)))
+    assertThat(Json.bytes(JobProgressCodec.writeShard(job, shard, 0)))
         .isEqualTo(Json.bytes(value("run.json")));
     job.finalPhase = JobPhase.CANCELLED;
     job.endedMs = 99;
-    ObjectNode ended = JobProgressCodec.writeRun(job, shard, 0);
+    ObjectNode ended = JobProgressCodec.writeShard(job, shard, 0);
     assertThat(ended.remove("at").asLong()).isEqualTo(99);
     assertThat(Json.bytes(ended)).isEqualTo(Json.bytes(value("ended.json")));
     // Written back by the former version, an end has lost its time: then the submission's counts.
     Job back = JobProgressCodec.readJob(stored);
-    JobProgressCodec.readRun(value("ended.json"), back, shard, 0);
+    JobProgressCodec.readShard(value("ended.json"), back, shard, 0);
     assertThat(back.finalPhase).isEqualTo(JobPhase.CANCELLED);
     assertThat(back.endedMs).isEqualTo(77);
   }
