--- a/src/main/java/io/embernotch/codec/CalendarCodec.java
+++ b/src/main/java/io/embernotch/codec/CalendarCodec.java
@@ -19,15 +19,73 @@
 import java.util.TreeSet;
 
 /**
- * The embargo calendar as facts that controllers share: its releases, and each coming out with its
- * deadline.
+ * The embargo calendar as shared state entries: its releases, and each occurrence of a release with
+ * its deadline.
  */
 public final class CalendarCodec {
+  /** Generation of the calendar that a value is of. */
+  private static final String GENERATION = "gen";
+
+  /** Present deadline of an occurrence, in milliseconds of the time of day. */
+  private static final String DEADLINE_MS = "at";
+
+  /** Deadline of an occurrence when it was first written. */
+  private static final String FIRST_DEADLINE_MS = "first";
+
+  /** Whether the embargo of an occurrence is lifted. */
+  private static final String LIFTED = "lifted";
+
+  /** Number of jobs of an occurrence. */
+  private static final String JOBS = "jobs";
+
+  /** How many of them were done by the deadline. */
+  private static final String IN_TIME = "in_time";
+
+  /** Whether the deadline of an occurrence has passed. */
+  private static final String OVER = "over";
+
+  /** List of releases. */
+  private static final String RELEASES = "releases";
+
+  /** Id of a release. */
+  private static final String ID = "id";
+
+  /** Time zone of a release. */
+  private static final String ZONE = "zone";
+
+  /** Time of day of a release. */
+  private static final String TIME = "time";
+
+  /** Seconds before the deadline by which the work is to be done. */
+  private static final String LEAD_S = "lead";
+
+  /** Days of the week, Monday is 1. */
+  private static final String DAYS = "days";
+
+  /** Dates without an occurrence. */
+  private static final String EXCEPT = "except";
+
+  /** Additional dates with their time. */
+  private static final String ALSO = "also";
+
+  /** Dates with another time; null: lifted. */
+  private static final String MOVED = "moved";
+
+  /** Selectors of the work that a release needs. */
+  private static final String ORDERS = "orders";
+
   private CalendarCodec() {}
 
   /**
-   * One coming out as it is kept: {@code firstMs} is its deadline when it was first written, which
-   * never changes.
+   * One occurrence of a release as it is stored.
+   *
+   * @param generation generation of the calendar that it was written under
+   * @param deadlineMs present deadline, in milliseconds of the time of day
+   * @param firstDeadlineMs the deadline when it was first written; it never changes
+   * @param lifted whether its embargo is lifted
+   * @param jobs number of jobs for it
+   * @param inTime how many of them were done by the deadline
+   * @param over whether the deadline has passed, and the counts are final
    */
   public record StoredOccurrence(
       long generation,
@@ -38,90 +96,107 @@
       int inTime,
       boolean over) {}
 
+  /** The value of an occurrence. */
   public static ObjectNode write(StoredOccurrence occurrence) {
     return Json.object()
-        .put("gen", occurrence.generation())
-        .put("at", occurrence.deadlineMs())
-        .put("first", occurrence.firstDeadlineMs())
-        .put("lifted", occurrence.lifted())
-        .put("jobs", occurrence.jobs())
-        .put("in_time", occurrence.inTime())
-        .put("over", occurrence.over());
+        .put(GENERATION, occurrence.generation())
+        .put(DEADLINE_MS, occurrence.deadlineMs())
+        .put(FIRST_DEADLINE_MS, occurrence.firstDeadlineMs())
+        .put(LIFTED, occurrence.lifted())
+        .put(JOBS, occurrence.jobs())
+        .put(IN_TIME, occurrence.inTime())
+        .put(OVER, occurrence.over());
   }
 
+  /**
+   * Reads the value of an occurrence.
+   *
+   * @throws MalformedInputException if its generation or a deadline is missing
+   */
   public static StoredOccurrence read(JsonNode json) {
     return new StoredOccurrence(
-        Json.whole(json, "gen"),
-        Json.whole(json, "at"),
-        Json.whole(json, "first"),
-        json.path("lifted").asBoolean(),
-        json.path("jobs").asInt(),
-        json.path("in_time").asInt(),
-        json.path("over").asBoolean());
+        Json.whole(json, GENERATION),
+        Json.whole(json, DEADLINE_MS),
+        Json.whole(json, FIRST_DEADLINE_MS),
+        json.path(LIFTED).asBoolean(),
+        json.path(JOBS).asInt(),
+        json.path(IN_TIME).asInt(),
+        json.path(OVER).asBoolean());
   }
 
+  /** The value that holds a calendar's releases. */
   public static ObjectNode writeReleases(long generation, List<Release> releases) {
-    ObjectNode json = Json.object().put("gen", generation);
-    ArrayNode list = json.putArray("releases");
+    ObjectNode json = Json.object().put(GENERATION, generation);
+    ArrayNode list = json.putArray(RELEASES);
     for (Release release : releases) {
       ObjectNode entry =
           list.addObject()
-              .put("id", release.id())
-              .put("zone", release.zone().getId())
-              .put("time", release.time().toString())
-              .put("lead", release.leadS());
-      ArrayNode days = entry.putArray("days");
-      release.days().forEach(d -> days.add(d.getValue()));
-      ArrayNode except = entry.putArray("except");
-      release.except().forEach(d -> except.add(d.toString()));
-      times(entry.putObject("also"), release.also());
-      times(entry.putObject("moved"), release.moved());
-      ArrayNode orders = entry.putArray("orders");
+              .put(ID, release.id())
+              .put(ZONE, release.zone().getId())
+              .put(TIME, release.time().toString())
+              .put(LEAD_S, release.leadS());
+      ArrayNode days = entry.putArray(DAYS);
+      release.days().forEach(day -> days.add(day.getValue()));
+      ArrayNode except = entry.putArray(EXCEPT);
+      release.except().forEach(date -> except.add(date.toString()));
+      writeTimes(entry.putObject(ALSO), release.also());
+      writeTimes(entry.putObject(MOVED), release.moved());
+      ArrayNode orders = entry.putArray(ORDERS);
       release.orders().forEach(s -> orders.add(ReservationCodec.writeSelector(s)));
     }
     return json;
   }
 
-  private static void times(ObjectNode into, Map<LocalDate, LocalTime> times) {
-    times.forEach((d, t) -> into.put(d.toString(), t == null ? null : t.toString()));
+  private static void writeTimes(ObjectNode json, Map<LocalDate, LocalTime> times) {
+    times.forEach((date, time) -> json.put(date.toString(), time == null ? null : time.toString()));
   }
 
+  /**
+   * Reads a calendar's releases.
+   *
+   * @throws MalformedInputException if a field is missing, or a date, time or time zone is none
+   */
   public static List<Release> readReleases(JsonNode json) {
     List<Release> releases = new ArrayList<>();
     try {
-      for (JsonNode entry : Json.need(json, "releases")) {
-        Set<DayOfWeek> days = EnumSet.noneOf(DayOfWeek.class);
-        entry.path("days").forEach(d -> days.add(DayOfWeek.of(d.asInt())));
-        Set<LocalDate> except = new TreeSet<>();
-        entry.path("except").forEach(d -> except.add(LocalDate.parse(d.asText())));
-        List<Selector> orders = new ArrayList<>();
-        entry.path("orders").forEach(s -> orders.add(ReservationCodec.readSelector(s)));
-        releases.add(
-            new Release(
-                Json.need(entry, "id").asText(),
-                ZoneId.of(Json.need(entry, "zone").asText()),
-                LocalTime.parse(Json.need(entry, "time").asText()),
-                days,
-                except,
-                times(entry.path("also")),
-                times(entry.path("moved")),
-                orders,
-                entry.path("lead").asDouble()));
+      for (JsonNode entry : Json.need(json, RELEASES)) {
+        releases.add(readRelease(entry));
       }
     } catch (DateTimeException e) {
-      throw new MalformedInputException("releases: " + e.getMessage());
+      throw new MalformedInputException(RELEASES + ": " + e.getMessage());
     }
     return releases;
   }
 
-  private static Map<LocalDate, LocalTime> times(JsonNode json) {
-    Map<LocalDate, LocalTime> releases = new LinkedHashMap<>();
+  private static Release readRelease(JsonNode entry) {
+    Set<DayOfWeek> days = EnumSet.noneOf(DayOfWeek.class);
+    entry.path(DAYS).forEach(day -> days.add(DayOfWeek.of(day.asInt())));
+    Set<LocalDate> except = new TreeSet<>();
+    entry.path(EXCEPT).forEach(date -> except.add(LocalDate.parse(date.asText())));
+    List<Selector> orders = new ArrayList<>();
+    entry.path(ORDERS).forEach(s -> orders.add(ReservationCodec.readSelector(s)));
+    return new Release(
+        Json.need(entry, ID).asText(),
+        ZoneId.of(Json.need(entry, ZONE).asText()),
+        LocalTime.parse(Json.need(entry, TIME).asText()),
+        days,
+        except,
+        readTimes(entry.path(ALSO)),
+        readTimes(entry.path(MOVED)),
+        orders,
+        entry.path(LEAD_S).asDouble());
+  }
+
+  private static Map<LocalDate, LocalTime> readTimes(JsonNode json) {
+    Map<LocalDate, LocalTime> times = new LinkedHashMap<>();
     json.fields()
         .forEachRemaining(
-            e ->
-                releases.put(
-                    LocalDate.parse(e.getKey()),
-                    e.getValue().isNull() ? null : LocalTime.parse(e.getValue().asText())));
-    return releases;
+            field -> {
+              JsonNode time = field.getValue();
+              times.put(
+                  LocalDate.parse(field.getKey()),
+                  time.isNull() ? null : LocalTime.parse(time.asText()));
+            });
+    return times;
   }
 }
--- a/src/main/java/io/embernotch/codec/CloudCodec.java
+++ b/src/main/java/io/embernotch/codec/CloudCodec.java
@@ -8,11 +8,51 @@
 import java.util.Collection;
 import java.util.List;
 
-/** What the cloud says of types and machines, and what it is asked. */
+/** Requests to the cloud's interface and its replies. */
 public final class CloudCodec {
+  /** Name of a machine type. */
+  private static final String TYPE_NAME = "name";
+
+  /** Size of a machine's image cache in GB. */
+  private static final String CACHE_GB = "local_gb";
+
+  /** Speed at which a machine fetches images, in GB per second. */
+  private static final String FETCH_GB_PER_S = "fetch_gb_per_s";
+
+  /** Price of a machine per hour. */
+  private static final String PRICE = "rate";
+
+  /** Price of a spot machine per hour. */
+  private static final String SPOT_PRICE = "market_price";
+
+  /** Time that a machine takes to boot, in seconds. */
+  private static final String BOOT_S = "boot_s";
+
+  /** Seconds since a machine was rented. */
+  private static final String AGE_S = "age_s";
+
+  /** Whether another page of the machine list follows. */
+  private static final String MORE_PAGES = "truncated";
+
+  /** Idempotency key of a rental. */
+  private static final String BOOKING = "booking";
+
+  /** Number of machines to rent. */
+  private static final String NUMBER = "number";
+
   private CloudCodec() {}
 
-  /** One machine in a list. */
+  /**
+   * One machine in the cloud's list.
+   *
+   * @param name unique name of the machine
+   * @param address address of its worker as HOST:PORT; null while it has none
+   * @param type name of its machine type
+   * @param zone zone it is in
+   * @param spot whether the cloud may reclaim it
+   * @param phase the cloud's state of it, such as {@code running} or {@code failed}
+   * @param ageS seconds since it was rented
+   */
   public record ListedMachine(
       String name,
       String address,
@@ -22,93 +62,127 @@
       String phase,
       double ageS) {}
 
-  /** One page of the machine list; {@code more}: another page follows. */
+  /**
+   * One page of the machine list.
+   *
+   * @param machines the machines of this page, in the cloud's order
+   * @param more whether another page follows
+   */
   public record MachinePage(List<ListedMachine> machines, boolean more) {}
 
+  /**
+   * Reads the list of machine types.
+   *
+   * @throws MalformedInputException if a field is missing or of another type
+   */
   public static List<MachineType> readTypes(JsonNode json) {
-    JsonNode list = Json.need(json, "flavors");
-    List<MachineType> out = new ArrayList<>();
-    for (JsonNode entry : list) {
-      List<String> zones = new ArrayList<>();
-      for (JsonNode zone : Json.need(entry, "rooms")) {
-        zones.add(zone.asText());
-      }
-      double price = Json.amount(entry, "rate");
-      out.add(
-          new MachineType(
-              Json.text(entry, "name"),
-              Json.amount(entry, "cores"),
-              Json.opt(entry, "cards") == null ? 0 : Json.amount(entry, "cards"),
-              Json.amount(entry, "mem_gb"),
-              Json.opt(entry, "local_gb") == null ? 0 : Json.amount(entry, "local_gb"),
-              Json.opt(entry, "fetch_gb_per_s") == null ? 0 : Json.amount(entry, "fetch_gb_per_s"),
-              price,
-              Json.opt(entry, "market_price") == null ? price : Json.amount(entry, "market_price"),
-              Json.amount(entry, "boot_s"),
-              List.copyOf(zones)));
+    List<MachineType> types = new ArrayList<>();
+    for (JsonNode entry : Json.need(json, WireFields.TYPES)) {
+      types.add(readType(entry));
+    }
+    return types;
+  }
+
+  private static MachineType readType(JsonNode entry) {
+    List<String> zones = new ArrayList<>();
+    for (JsonNode zone : Json.need(entry, WireFields.ZONES)) {
+      zones.add(zone.asText());
     }
-    return out;
+    double price = Json.amount(entry, PRICE);
+    return new MachineType(
+        Json.text(entry, TYPE_NAME),
+        Json.amount(entry, WireFields.CPUS),
+        Json.amountOr(entry, WireFields.GPUS, 0),
+        Json.amount(entry, WireFields.MEM_GB),
+        Json.amountOr(entry, CACHE_GB, 0),
+        Json.amountOr(entry, FETCH_GB_PER_S, 0),
+        price,
+        Json.amountOr(entry, SPOT_PRICE, price),
+        Json.amount(entry, BOOT_S),
+        List.copyOf(zones));
   }
 
+  /** The list of machine types as {@link #readTypes} reads it. */
   public static ObjectNode writeTypes(Collection<MachineType> types) {
     ObjectNode json = Json.object();
-    ArrayNode list = json.putArray("flavors");
+    ArrayNode list = json.putArray(WireFields.TYPES);
     for (MachineType type : types) {
       ObjectNode entry = list.addObject();
-      entry
-          .put("name", type.name())
-          .put("cores", type.cpus())
-          .put("cards", type.gpus())
-          .put("mem_gb", type.memGb());
-      entry.put("local_gb", type.cacheGb()).put("fetch_gb_per_s", type.fetchGbPerS());
-      entry
-          .put("rate", type.price())
-          .put("market_price", type.spotPrice())
-          .put("boot_s", type.bootS());
-      ArrayNode zones = entry.putArray("rooms");
+      entry.put(TYPE_NAME, type.name());
+      entry.put(WireFields.CPUS, type.cpus());
+      entry.put(WireFields.GPUS, type.gpus());
+      entry.put(WireFields.MEM_GB, type.memGb());
+      entry.put(CACHE_GB, type.cacheGb());
+      entry.put(FETCH_GB_PER_S, type.fetchGbPerS());
+      entry.put(PRICE, type.price());
+      entry.put(SPOT_PRICE, type.spotPrice());
+      entry.put(BOOT_S, type.bootS());
+      ArrayNode zones = entry.putArray(WireFields.ZONES);
       type.zones().forEach(zones::add);
     }
     return json;
   }
 
+  /**
+   * Reads one page of the machine list.
+   *
+   * @throws MalformedInputException if a field is missing or of another type
+   */
   public static MachinePage readPage(JsonNode json) {
-    List<ListedMachine> out = new ArrayList<>();
-    for (JsonNode entry : Json.need(json, "hearths")) {
-      out.add(
+    List<ListedMachine> machines = new ArrayList<>();
+    for (JsonNode entry : Json.need(json, WireFields.MACHINES)) {
+      machines.add(
           new ListedMachine(
-              Json.text(entry, "ref"),
-              Json.opt(entry, "address") == null ? null : Json.text(entry, "address"),
-              Json.text(entry, "flavor"),
-              Json.text(entry, "room"),
-              Json.flagOr(entry, "loaner", false),
-              Json.text(entry, "phase"),
-              Json.opt(entry, "age_s") == null ? 0 : Json.amount(entry, "age_s")));
+              Json.text(entry, WireFields.REF),
+              Json.opt(entry, WireFields.ADDRESS) == null
+                  ? null
+                  : Json.text(entry, WireFields.ADDRESS),
+              Json.text(entry, WireFields.TYPE),
+              Json.text(entry, WireFields.ZONE),
+              Json.flagOr(entry, WireFields.SPOT, false),
+              Json.text(entry, WireFields.PHASE),
+              Json.amountOr(entry, AGE_S, 0)));
     }
-    return new MachinePage(out, Json.flagOr(json, "truncated", false));
+    return new MachinePage(machines, Json.flagOr(json, MORE_PAGES, false));
   }
 
+  /**
+   * The body of a rental request.
+   *
+   * @param booking idempotency key: repeated, it gives the same answer and rents nothing more
+   * @param type name of the machine type
+   * @param zone zone to rent in
+   * @param spot whether to rent spot machines
+   * @param number how many machines
+   */
   public static byte[] rentRequest(
       String booking, String type, String zone, boolean spot, int number) {
     return Json.bytes(
         Json.object()
-            .put("booking", booking)
-            .put("flavor", type)
-            .put("room", zone)
-            .put("loaner", spot)
-            .put("number", number));
+            .put(BOOKING, booking)
+            .put(WireFields.TYPE, type)
+            .put(WireFields.ZONE, zone)
+            .put(WireFields.SPOT, spot)
+            .put(NUMBER, number));
   }
 
+  /**
+   * Reads the names of the machines that a rental gave.
+   *
+   * @throws MalformedInputException if the list is missing
+   */
   public static List<String> readRented(JsonNode json) {
-    List<String> out = new ArrayList<>();
-    for (JsonNode entry : Json.need(json, "hearths")) {
-      out.add(entry.asText());
+    List<String> names = new ArrayList<>();
+    for (JsonNode name : Json.need(json, WireFields.MACHINES)) {
+      names.add(name.asText());
     }
-    return out;
+    return names;
   }
 
+  /** The body of a deletion request for the machines with these names. */
   public static byte[] deleteRequest(List<String> names) {
     ObjectNode json = Json.object();
-    ArrayNode list = json.putArray("hearths");
+    ArrayNode list = json.putArray(WireFields.MACHINES);
     names.forEach(list::add);
     return Json.bytes(json);
   }
--- a/src/main/java/io/embernotch/codec/JobCodec.java
+++ b/src/main/java/io/embernotch/codec/JobCodec.java
@@ -4,9 +4,7 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.model.JobPhase;
-import io.embernotch.model.JobShape;
 import io.embernotch.model.JobSpec;
-import io.embernotch.model.Priority;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -16,230 +14,292 @@
 import java.util.function.Consumer;
 import java.util.regex.Pattern;
 
-/** Jobs as users write them, and the answers users get. */
+/** Submissions of jobs as users write them, and the answers that users get. */
 public final class JobCodec {
-  private static final int MOST_NAMED = 3;
+  /** Most tasks of a job. */
   public static final int MAX_TASKS = 100_000;
+
+  /** Job class, by which objectives and reservations select jobs. */
+  private static final String JOB_CLASS = "jobclass";
+
+  /** Team that owns a job. */
+  private static final String TEAM = "owner";
+
+  /** How the tasks of a job belong together. */
+  private static final String SHAPE = "shape";
+
+  /** Priority of a job. */
+  private static final String PRIORITY = "rank";
+
+  /** Name of the image that tasks run. */
+  private static final String IMAGE = "bundle";
+
+  /** Size of that image in GB. */
+  private static final String IMAGE_GB = "size_gb";
+
+  /** Whether all tasks are to be in one zone. */
+  private static final String ONE_ZONE = "one_zone";
+
+  /** Whether tasks are to be spread over zones. */
+  private static final String SPREAD = "scatter";
+
+  /** Expected run time of a task in seconds. */
+  private static final String EXPECTED_S = "expect_s";
+
+  /** Seconds between two checkpoints of a task; 0: it takes none. */
+  private static final String CHECKPOINT_S = "snapshot_s";
+
+  /** Seconds that a task needs to save when it is stopped. */
+  private static final String SAVE_S = "flush_s";
+
+  /** Seconds after the submission by which the job is to be done. */
+  private static final String DUE_S = "due_s";
+
+  /** Ids of the jobs that a job depends on. */
+  private static final String DEPENDENCIES = "awaits";
+
+  /** Number of done tasks in an answer. */
+  private static final String DONE_TASKS = "done";
+
+  /** Number of running tasks in an answer. */
+  private static final String RUNNING_TASKS = "running";
+
+  /** Number of dependencies that are not met, in an answer. */
+  private static final String UNMET_DEPENDENCIES = "awaited";
+
+  /** Machines on which a job failed, in an answer. */
+  private static final String FAILING = "failing";
+
+  private static final String FAILING_MACHINES = "machines";
+  private static final String LAST_FAILING_MACHINES = "last";
+
+  /** Machines that the answer for a failing job names. */
+  private static final int MAX_NAMED_MACHINES = 3;
+
+  private static final int MAX_NAME_LENGTH = 500;
   private static final Pattern REF = Pattern.compile("j-[0-9A-Za-z_-]{1,64}");
 
   private JobCodec() {}
 
+  /** Whether a text has the form of a job id. */
   public static boolean isRef(String text) {
     return REF.matcher(text).matches();
   }
 
+  /**
+   * Reads a submission.
+   *
+   * @throws MalformedInputException if a field is missing, of another type or out of its bounds
+   */
   public static JobSpec read(JsonNode json) {
-    String ref = Json.text(json, "ref");
+    String ref = Json.text(json, WireFields.REF);
     if (!isRef(ref)) {
-      throw new MalformedInputException("ref: not a job id");
+      throw new MalformedInputException(WireFields.REF + ": not a job id");
     }
-    long tasks = Json.whole(json, "shards");
+    long tasks = Json.whole(json, WireFields.TASKS);
     if (tasks < 1 || tasks > MAX_TASKS) {
-      throw new MalformedInputException("shards: must be between 1 and " + MAX_TASKS);
+      throw new MalformedInputException(WireFields.TASKS + ": must be between 1 and " + MAX_TASKS);
     }
-    JsonNode due = Json.opt(json, "due_s");
     return new JobSpec(
         ref,
-        name(json, "jobclass"),
-        name(json, "owner"),
-        shape(Json.text(json, "shape")),
-        priority(Json.text(json, "rank")),
+        name(json, JOB_CLASS),
+        name(json, TEAM),
+        JobEnumNames.shape(Json.text(json, SHAPE)),
+        JobEnumNames.priority(Json.text(json, PRIORITY)),
         (int) tasks,
-        Json.amount(json, "cores"),
-        Json.amount(json, "cards"),
-        Json.amount(json, "mem_gb"),
-        name(json, "bundle"),
-        Json.amount(json, "size_gb"),
-        types(Json.opt(json, "flavors")),
-        Json.opt(json, "room") == null ? null : name(json, "room"),
-        Json.flag(json, "one_zone"),
-        Json.flag(json, "scatter"),
-        Json.flag(json, "loaner"),
-        Json.amount(json, "expect_s"),
-        Json.amount(json, "snapshot_s"),
-        Json.amount(json, "flush_s"),
-        due == null ? null : Json.amount(json, "due_s"),
-        dependencies(Json.opt(json, "awaits")));
+        Json.amount(json, WireFields.CPUS),
+        Json.amount(json, WireFields.GPUS),
+        Json.amount(json, WireFields.MEM_GB),
+        name(json, IMAGE),
+        Json.amount(json, IMAGE_GB),
+        types(Json.opt(json, WireFields.TYPES)),
+        Json.opt(json, WireFields.ZONE) == null ? null : name(json, WireFields.ZONE),
+        Json.flag(json, ONE_ZONE),
+        Json.flag(json, SPREAD),
+        Json.flag(json, WireFields.SPOT),
+        Json.amount(json, EXPECTED_S),
+        Json.amount(json, CHECKPOINT_S),
+        Json.amount(json, SAVE_S),
+        Json.opt(json, DUE_S) == null ? null : Json.amount(json, DUE_S),
+        dependencies(Json.opt(json, DEPENDENCIES)));
   }
 
+  /** A submission as {@link #read} reads it; absent fields are left out. */
   public static ObjectNode write(JobSpec spec) {
     ObjectNode json = Json.object();
-    json.put("ref", spec.ref());
-    json.put("jobclass", spec.jobClass());
-    json.put("owner", spec.team());
-    json.put(
-        "shape",
-        switch (spec.shape()) {
-          case ARRAY -> "array";
-          case GANG -> "group";
-          case SERVICE -> "standing";
-        });
-    json.put(
-        "rank",
-        switch (spec.priority()) {
-          case LOW -> "idle";
-          case NORMAL -> "standard";
-          case HIGH -> "high";
-          case PRODUCTION -> "production";
-        });
-    json.put("shards", spec.tasks());
-    json.put("cores", spec.cpus());
-    json.put("cards", spec.gpus());
-    json.put("mem_gb", spec.memGb());
-    json.put("bundle", spec.image());
-    json.put("size_gb", spec.imageGb());
+    json.put(WireFields.REF, spec.ref());
+    json.put(JOB_CLASS, spec.jobClass());
+    json.put(TEAM, spec.team());
+    json.put(SHAPE, JobEnumNames.shape(spec.shape()));
+    json.put(PRIORITY, JobEnumNames.priority(spec.priority()));
+    json.put(WireFields.TASKS, spec.tasks());
+    json.put(WireFields.CPUS, spec.cpus());
+    json.put(WireFields.GPUS, spec.gpus());
+    json.put(WireFields.MEM_GB, spec.memGb());
+    json.put(IMAGE, spec.image());
+    json.put(IMAGE_GB, spec.imageGb());
     if (spec.types() != null) {
-      ArrayNode types = json.putArray("flavors");
+      ArrayNode types = json.putArray(WireFields.TYPES);
       spec.types().forEach(types::add);
     }
     if (spec.zone() != null) {
-      json.put("room", spec.zone());
+      json.put(WireFields.ZONE, spec.zone());
     }
-    json.put("one_zone", spec.oneZone());
-    json.put("scatter", spec.spread());
-    json.put("loaner", spec.spot());
-    json.put("expect_s", spec.expectS());
-    json.put("snapshot_s", spec.checkpointS());
-    json.put("flush_s", spec.saveS());
+    json.put(ONE_ZONE, spec.oneZone());
+    json.put(SPREAD, spec.spread());
+    json.put(WireFields.SPOT, spec.spot());
+    json.put(EXPECTED_S, spec.expectS());
+    json.put(CHECKPOINT_S, spec.checkpointS());
+    json.put(SAVE_S, spec.saveS());
     if (spec.dueS() != null) {
-      json.put("due_s", spec.dueS());
+      json.put(DUE_S, spec.dueS());
     }
     if (!spec.dependencies().isEmpty()) {
-      ArrayNode dependencies = json.putArray("awaits");
+      ArrayNode dependencies = json.putArray(DEPENDENCIES);
       spec.dependencies().forEach(dependencies::add);
     }
     return json;
   }
 
-  public static String phase(JobPhase p) {
-    return switch (p) {
-      case QUEUED -> "queued";
-      case RUNNING -> "running";
-      case DONE -> "done";
-      case CANCELLED -> "cancelled";
-    };
+  /**
+   * The answer to a poll. Polls are the most frequent requests, so the text is put together
+   * directly; {@link #isRef} keeps the id free of characters to escape.
+   *
+   * @param done number of done tasks
+   * @param running number of running tasks
+   */
+  public static byte[] status(String ref, JobPhase phase, int done, int running) {
+    return utf8(open(ref, phase) + field(DONE_TASKS, done) + field(RUNNING_TASKS, running) + "}");
   }
 
-  /** What a poll is answered. */
-  public static byte[] status(String ref, JobPhase phase, int done, int running) {
-    return ("{\"ref\":\""
-            + ref
-            + "\",\"phase\":\""
-            + phase(phase)
-            + "\",\"done\":"
-            + done
-            + ",\"running\":"
-            + running
-            + "}")
-        .getBytes(StandardCharsets.UTF_8);
-  }
-
-  /** The same with more that is to be told. */
+  /**
+   * The answer to a poll with further fields.
+   *
+   * @param more adds them
+   */
   public static byte[] status(
       String ref, JobPhase phase, int done, int running, Consumer<ObjectNode> more) {
     ObjectNode json =
         Json.object()
-            .put("ref", ref)
-            .put("phase", phase(phase))
-            .put("done", done)
-            .put("running", running);
+            .put(WireFields.REF, ref)
+            .put(WireFields.PHASE, JobEnumNames.phase(phase))
+            .put(DONE_TASKS, done)
+            .put(RUNNING_TASKS, running);
     more.accept(json);
     return Json.bytes(json);
   }
 
   /**
-   * The same for a job that fails wherever it goes, and on which machines it has; the last few are
-   * named.
+   * The answer to a poll for a job that fails on every machine.
+   *
+   * @param machines machines on which it failed, the latest last; the last few are named
    */
   public static byte[] failing(
       String ref, JobPhase phase, int done, int running, Collection<String> machines) {
-    ObjectNode json =
-        Json.object()
-            .put("ref", ref)
-            .put("phase", phase(phase))
-            .put("done", done)
-            .put("running", running);
-    ArrayNode on = json.putObject("failing").put("machines", machines.size()).putArray("last");
-    machines.stream().skip(Math.max(0, machines.size() - MOST_NAMED)).forEach(on::add);
-    return Json.bytes(json);
+    return status(
+        ref,
+        phase,
+        done,
+        running,
+        json -> {
+          ArrayNode last =
+              json.putObject(FAILING)
+                  .put(FAILING_MACHINES, machines.size())
+                  .putArray(LAST_FAILING_MACHINES);
+          machines.stream()
+              .skip(Math.max(0, machines.size() - MAX_NAMED_MACHINES))
+              .forEach(last::add);
+        });
   }
 
-  /** What a poll is answered for a job that waits for so many others. */
+  /**
+   * The answer to a poll for a job that waits for its dependencies.
+   *
+   * @param others number of dependencies that are not met
+   */
   public static byte[] waiting(String ref, int others) {
-    return ("{\"ref\":\""
-            + ref
-            + "\",\"phase\":\"queued\",\"done\":0,\"running\":0,\"awaited\":"
-            + others
-            + "}")
-        .getBytes(StandardCharsets.UTF_8);
+    return utf8(
+        open(ref, JobPhase.QUEUED)
+            + field(DONE_TASKS, 0)
+            + field(RUNNING_TASKS, 0)
+            + field(UNMET_DEPENDENCIES, others)
+            + "}");
   }
 
-  /** What a submission or an abort is answered. */
+  /** The answer to a submission or a cancellation. */
   public static byte[] brief(String ref, JobPhase phase) {
-    return ("{\"ref\":\"" + ref + "\",\"phase\":\"" + phase(phase) + "\"}")
-        .getBytes(StandardCharsets.UTF_8);
+    return utf8(open(ref, phase) + "}");
+  }
+
+  private static String open(String ref, JobPhase phase) {
+    return "{\""
+        + WireFields.REF
+        + "\":\""
+        + ref
+        + "\",\""
+        + WireFields.PHASE
+        + "\":\""
+        + JobEnumNames.phase(phase)
+        + "\"";
+  }
+
+  private static String field(String name, int value) {
+    return ",\"" + name + "\":" + value;
+  }
+
+  private static byte[] utf8(String text) {
+    return text.getBytes(StandardCharsets.UTF_8);
   }
 
   private static String name(JsonNode json, String field) {
     String text = Json.text(json, field);
-    if (text.isEmpty() || text.length() > 500) {
-      throw new MalformedInputException(field + ": must have 1 to 500 characters");
+    if (text.isEmpty() || text.length() > MAX_NAME_LENGTH) {
+      throw new MalformedInputException(
+          field + ": must have 1 to " + MAX_NAME_LENGTH + " characters");
     }
     return text;
   }
 
-  private static List<String> types(JsonNode n) {
-    if (n == null) {
+  private static List<String> types(JsonNode types) {
+    if (types == null) {
       return null;
     }
-    if (!n.isArray() || n.isEmpty()) {
-      throw new MalformedInputException("flavors: must be null or an array of names");
+    if (!types.isArray() || types.isEmpty()) {
+      throw notTypes();
     }
-    List<String> out = new ArrayList<>();
-    for (JsonNode t : n) {
-      if (!t.isTextual()) {
-        throw new MalformedInputException("flavors: must be null or an array of names");
+    List<String> names = new ArrayList<>();
+    for (JsonNode name : types) {
+      if (!name.isTextual()) {
+        throw notTypes();
       }
-      out.add(t.textValue());
+      names.add(name.textValue());
     }
-    return List.copyOf(out);
+    return List.copyOf(names);
+  }
+
+  private static MalformedInputException notTypes() {
+    return new MalformedInputException(WireFields.TYPES + ": must be null or an array of names");
   }
 
-  /** Names of other jobs, each once; absent, null and empty mean none. */
-  private static List<String> dependencies(JsonNode n) {
-    if (n == null) {
+  /** Ids of other jobs, each once; absent, null and empty mean none. */
+  private static List<String> dependencies(JsonNode dependencies) {
+    if (dependencies == null) {
       return List.of();
     }
-    if (!n.isArray()) {
-      throw new MalformedInputException("awaits: must be null or an array of job ids");
+    if (!dependencies.isArray()) {
+      throw notDependencies();
     }
-    Set<String> out = new LinkedHashSet<>();
-    for (JsonNode ref : n) {
+    Set<String> refs = new LinkedHashSet<>();
+    for (JsonNode ref : dependencies) {
       if (!ref.isTextual() || !isRef(ref.textValue())) {
-        throw new MalformedInputException("awaits: must be null or an array of job ids");
+        throw notDependencies();
       }
-      out.add(ref.textValue());
+      refs.add(ref.textValue());
     }
-    return List.copyOf(out);
-  }
-
-  private static JobShape shape(String text) {
-    return switch (text) {
-      case "array" -> JobShape.ARRAY;
-      case "group" -> JobShape.GANG;
-      case "standing" -> JobShape.SERVICE;
-      default -> throw new MalformedInputException("shape: must be array, group or standing");
-    };
-  }
-
-  private static Priority priority(String text) {
-    return switch (text) {
-      case "idle" -> Priority.LOW;
-      case "standard" -> Priority.NORMAL;
-      case "high" -> Priority.HIGH;
-      case "production" -> Priority.PRODUCTION;
-      default ->
-          throw new MalformedInputException("rank: must be production, high, standard or idle");
-    };
+    return List.copyOf(refs);
+  }
+
+  private static MalformedInputException notDependencies() {
+    return new MalformedInputException(DEPENDENCIES + ": must be null or an array of job ids");
   }
 }
--- a/src/main/java/io/embernotch/codec/Json.java
+++ b/src/main/java/io/embernotch/codec/Json.java
@@ -10,7 +10,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 
-/** Reading fields with complaints that name them. */
+/** Reads fields of JSON objects; errors name the field. */
 public final class Json {
   private static final ObjectMapper MAPPER =
       JsonMapper.builder()
@@ -20,11 +20,16 @@
 
   private Json() {}
 
+  /** A new, empty object. */
   public static ObjectNode object() {
     return JsonNodeFactory.instance.objectNode();
   }
 
-  /** Parses a body that must be one JSON object. */
+  /**
+   * Parses a body that must be one JSON object, without duplicate fields or trailing content.
+   *
+   * @throws MalformedInputException if it is not
+   */
   public static ObjectNode parseObject(byte[] body) {
     JsonNode node;
     try {
@@ -38,6 +43,7 @@
     return (ObjectNode) node;
   }
 
+  /** The JSON text of a node in UTF-8. */
   public static byte[] bytes(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(node);
@@ -46,12 +52,17 @@
     }
   }
 
-  /** The field, or null if it is absent or null. */
+  /** The field, or null if it is absent or JSON null. */
   public static JsonNode opt(JsonNode object, String name) {
     JsonNode node = object.get(name);
     return node == null || node.isNull() ? null : node;
   }
 
+  /**
+   * A field that must be there.
+   *
+   * @throws MalformedInputException if it is absent or JSON null
+   */
   public static JsonNode need(JsonNode object, String name) {
     JsonNode node = opt(object, name);
     if (node == null) {
@@ -60,6 +71,11 @@
     return node;
   }
 
+  /**
+   * A string.
+   *
+   * @throws MalformedInputException if the field is missing or no string
+   */
   public static String text(JsonNode object, String name) {
     JsonNode node = need(object, name);
     if (!node.isTextual()) {
@@ -68,6 +84,11 @@
     return node.textValue();
   }
 
+  /**
+   * A boolean.
+   *
+   * @throws MalformedInputException if the field is missing or no boolean
+   */
   public static boolean flag(JsonNode object, String name) {
     JsonNode node = need(object, name);
     if (!node.isBoolean()) {
@@ -76,12 +97,21 @@
     return node.booleanValue();
   }
 
-  /** A flag that may be omitted, as one may that is null. */
+  /**
+   * A boolean that may be absent or JSON null.
+   *
+   * @param fallback its value then
+   * @throws MalformedInputException if the field is there and no boolean
+   */
   public static boolean flagOr(JsonNode object, String name, boolean fallback) {
     return opt(object, name) == null ? fallback : flag(object, name);
   }
 
-  /** A finite number of at least 0. */
+  /**
+   * A finite number of at least 0.
+   *
+   * @throws MalformedInputException if the field is missing or no such number
+   */
   public static double amount(JsonNode object, String name) {
     JsonNode node = need(object, name);
     double number = node.isNumber() ? node.doubleValue() : Double.NaN;
@@ -91,6 +121,21 @@
     return number;
   }
 
+  /**
+   * An {@linkplain #amount amount} that may be absent or JSON null.
+   *
+   * @param fallback its value then
+   * @throws MalformedInputException if the field is there and no such number
+   */
+  public static double amountOr(JsonNode object, String name, double fallback) {
+    return opt(object, name) == null ? fallback : amount(object, name);
+  }
+
+  /**
+   * A whole number of at least 0.
+   *
+   * @throws MalformedInputException if the field is missing or no such number
+   */
   public static long whole(JsonNode object, String name) {
     JsonNode node = need(object, name);
     if (!node.isIntegralNumber() || !node.canConvertToLong() || node.longValue() < 0) {
--- a/src/main/java/io/embernotch/codec/ReservationCodec.java
+++ b/src/main/java/io/embernotch/codec/ReservationCodec.java
@@ -13,113 +13,188 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/**
- * Reservations as facts that controllers share: their terms, and what is held on which machines.
- */
+/** Reservations as shared state entries: their terms, and what is reserved on which machines. */
 public final class ReservationCodec {
+  /** Generation of the reservations that a value is of. */
+  private static final String GENERATION = "gen";
+
+  /** List of reservations. */
+  private static final String TERMS = "terms";
+
+  /** Name of a reservation. */
+  private static final String NAME = "name";
+
+  /** Number of whole machines. */
+  private static final String MACHINES = "machines";
+
+  /** Number of CPUs. */
+  private static final String CPUS = "cpus";
+
+  /** Number of GPUs. */
+  private static final String GPUS = "gpus";
+
+  /** Memory in GB. */
+  private static final String MEM_GB = "mem";
+
+  /** Headroom as a share of what the work holds. */
+  private static final String SHARE = "share";
+
+  /** Headroom in standard deviations of the work's growth. */
+  private static final String DEVIATIONS = "dev";
+
+  /** Selectors of the work that a reservation serves. */
+  private static final String SERVES = "serves";
+
+  /** Machine types that a reservation may use. */
+  private static final String TYPES = "types";
+
+  /** Least share of the headroom by zone. */
+  private static final String ZONES = "zones";
+
+  /** Priority that a selector asks for, absent for any. */
+  private static final String PRIORITY = "priority";
+
+  /** Shape that a selector asks for, absent for any. */
+  private static final String SHAPE = "shape";
+
+  /** Team that a selector asks for, null for any. */
+  private static final String TEAM = "team";
+
+  /** Job class that a selector asks for, null for any. */
+  private static final String JOB_CLASS = "class";
+
+  /** Reserved amounts by machine. */
+  private static final String RESERVED = "on";
+
+  /** Reserved amounts are stored as whole numbers of this fraction. */
+  private static final double UNITS = 1000.0;
+
+  /** CPUs, GPUs and memory. */
+  private static final int AMOUNTS = 3;
+
   private ReservationCodec() {}
 
+  /** The value that holds the terms of all reservations. */
   public static ObjectNode writeTerms(long generation, List<Reservation> terms) {
-    ObjectNode json = Json.object().put("gen", generation);
-    ArrayNode list = json.putArray("terms");
+    ObjectNode json = Json.object().put(GENERATION, generation);
+    ArrayNode list = json.putArray(TERMS);
     for (Reservation reservation : terms) {
       ObjectNode entry =
           list.addObject()
-              .put("name", reservation.name())
-              .put("machines", reservation.machines())
-              .put("cpus", reservation.cpus())
-              .put("gpus", reservation.gpus())
-              .put("mem", reservation.memGb())
-              .put("share", reservation.share())
-              .put("dev", reservation.deviations());
-      ArrayNode serves = entry.putArray("serves");
+              .put(NAME, reservation.name())
+              .put(MACHINES, reservation.machines())
+              .put(CPUS, reservation.cpus())
+              .put(GPUS, reservation.gpus())
+              .put(MEM_GB, reservation.memGb())
+              .put(SHARE, reservation.share())
+              .put(DEVIATIONS, reservation.deviations());
+      ArrayNode serves = entry.putArray(SERVES);
       reservation.serves().forEach(selector -> serves.add(writeSelector(selector)));
-      ArrayNode types = entry.putArray("types");
+      ArrayNode types = entry.putArray(TYPES);
       reservation.types().forEach(types::add);
-      ObjectNode zones = entry.putObject("zones");
+      ObjectNode zones = entry.putObject(ZONES);
       reservation.zones().forEach(zones::put);
     }
     return json;
   }
 
+  /** A selector as JSON. */
   public static ObjectNode writeSelector(Selector selector) {
     ObjectNode json = Json.object();
     if (selector.priority() != null) {
-      json.put("priority", selector.priority().name());
+      json.put(PRIORITY, selector.priority().name());
     }
     if (selector.shape() != null) {
-      json.put("shape", selector.shape().name());
+      json.put(SHAPE, selector.shape().name());
     }
-    return json.put("team", selector.team()).put("class", selector.jobClass());
+    return json.put(TEAM, selector.team()).put(JOB_CLASS, selector.jobClass());
   }
 
-  public static Selector readSelector(JsonNode selector) {
+  /**
+   * Reads a selector.
+   *
+   * @throws MalformedInputException if its priority or shape is unknown
+   */
+  public static Selector readSelector(JsonNode json) {
     try {
       return new Selector(
-          selector.has("priority") ? Priority.valueOf(selector.get("priority").asText()) : null,
-          selector.has("shape") ? JobShape.valueOf(selector.get("shape").asText()) : null,
-          selector.path("team").asText(null),
-          selector.path("class").asText(null));
+          json.has(PRIORITY) ? Priority.valueOf(json.get(PRIORITY).asText()) : null,
+          json.has(SHAPE) ? JobShape.valueOf(json.get(SHAPE).asText()) : null,
+          json.path(TEAM).asText(null),
+          json.path(JOB_CLASS).asText(null));
     } catch (IllegalArgumentException e) {
       throw new MalformedInputException("selector: " + e.getMessage());
     }
   }
 
+  /**
+   * Reads the terms of all reservations.
+   *
+   * @throws MalformedInputException if the list or a name is missing, or a selector is malformed
+   */
   public static List<Reservation> readTerms(JsonNode json) {
-    List<Reservation> out = new ArrayList<>();
-    for (JsonNode entry : Json.need(json, "terms")) {
-      List<Selector> serves = new ArrayList<>();
-      entry.path("serves").forEach(selector -> serves.add(readSelector(selector)));
-      List<String> types = new ArrayList<>();
-      entry.path("types").forEach(type -> types.add(type.asText()));
-      Map<String, Double> zones = new LinkedHashMap<>();
-      entry
-          .path("zones")
-          .fields()
-          .forEachRemaining(zone -> zones.put(zone.getKey(), zone.getValue().asDouble()));
-      out.add(
-          new Reservation(
-              Json.need(entry, "name").asText(),
-              serves,
-              entry.path("machines").asInt(),
-              entry.path("cpus").asDouble(),
-              entry.path("gpus").asDouble(),
-              entry.path("mem").asDouble(),
-              entry.path("share").asDouble(),
-              entry.path("dev").asDouble(),
-              types,
-              zones));
+    List<Reservation> terms = new ArrayList<>();
+    for (JsonNode entry : Json.need(json, TERMS)) {
+      terms.add(readReservation(entry));
     }
-    return out;
+    return terms;
+  }
+
+  private static Reservation readReservation(JsonNode entry) {
+    List<Selector> serves = new ArrayList<>();
+    entry.path(SERVES).forEach(selector -> serves.add(readSelector(selector)));
+    List<String> types = new ArrayList<>();
+    entry.path(TYPES).forEach(type -> types.add(type.asText()));
+    Map<String, Double> zones = new LinkedHashMap<>();
+    entry
+        .path(ZONES)
+        .fields()
+        .forEachRemaining(zone -> zones.put(zone.getKey(), zone.getValue().asDouble()));
+    return new Reservation(
+        Json.need(entry, NAME).asText(),
+        serves,
+        entry.path(MACHINES).asInt(),
+        entry.path(CPUS).asDouble(),
+        entry.path(GPUS).asDouble(),
+        entry.path(MEM_GB).asDouble(),
+        entry.path(SHARE).asDouble(),
+        entry.path(DEVIATIONS).asDouble(),
+        types,
+        zones);
   }
 
-  /** What is held on machines, by name: CPUs, GPUs and memory in GB, in thousandths. */
-  public static ObjectNode writeReserved(Map<String, double[]> held) {
+  /**
+   * The value that holds what is reserved on machines.
+   *
+   * @param reserved CPUs, GPUs and memory in GB by machine; they are kept to a thousandth
+   */
+  public static ObjectNode writeReserved(Map<String, double[]> reserved) {
     ObjectNode json = Json.object();
-    ObjectNode on = json.putObject("on");
-    new TreeMap<>(held)
+    ObjectNode byMachine = json.putObject(RESERVED);
+    new TreeMap<>(reserved)
         .forEach(
-            (machine, a) -> {
-              ArrayNode list = on.putArray(machine);
-              for (double d : a) {
-                list.add(Math.round(d * 1000));
+            (machine, amounts) -> {
+              ArrayNode list = byMachine.putArray(machine);
+              for (double amount : amounts) {
+                list.add(Math.round(amount * UNITS));
               }
             });
     return json;
   }
 
+  /** Reads what is reserved on machines: CPUs, GPUs and memory in GB by machine. */
   public static Map<String, double[]> readReserved(JsonNode json) {
-    Map<String, double[]> out = new TreeMap<>();
-    json.path("on")
+    Map<String, double[]> reserved = new TreeMap<>();
+    json.path(RESERVED)
         .fields()
         .forEachRemaining(
-            e -> {
-              double[] a = new double[3];
-              for (int i = 0; i < 3; i++) {
-                a[i] = e.getValue().path(i).asLong() / 1000.0;
+            field -> {
+              double[] amounts = new double[AMOUNTS];
+              for (int i = 0; i < AMOUNTS; i++) {
+                amounts[i] = field.getValue().path(i).asLong() / UNITS;
               }
-              out.put(e.getKey(), a);
+              reserved.put(field.getKey(), amounts);
             });
-    return out;
+    return reserved;
   }
 }
--- a/src/main/java/io/embernotch/codec/Versions.java
+++ b/src/main/java/io/embernotch/codec/Versions.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * Versions of shared facts: of two values of a fact the one with the higher version is the later
- * one.
+ * Versions of shared state entries: of two values of an entry the one with the higher version is
+ * the later one.
  */
 public final class Versions {
   /** The field of a value that holds its version. */
@@ -13,14 +13,14 @@
 
   private Versions() {}
 
-  /** 0 for a value without one. */
+  /** The version of a value; 0 if it has none. */
   public static long of(JsonNode value) {
     return value.path(FIELD).asLong(0);
   }
 
   /**
-   * The later of two values. Equal versions are of one writing; were they not, the choice does not
-   * depend on the order.
+   * The later of two values. Equal versions come from the same write; were they not, the choice
+   * would not depend on the order of the arguments.
    */
   public static ObjectNode later(ObjectNode a, ObjectNode b) {
     if (of(a) != of(b)) {
--- a/src/main/java/io/embernotch/codec/WorkerCodec.java
+++ b/src/main/java/io/embernotch/codec/WorkerCodec.java
@@ -11,119 +11,199 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reports of workers and the orders they get. */
+/** Heartbeats of workers, the responses to them, and commands. */
 public final class WorkerCodec {
+  /** Agent epoch: it rises with each start of the worker. */
+  private static final String AGENT_EPOCH = "tenure";
+
+  /** Sequence number of a heartbeat within its agent epoch. */
+  private static final String SEQ = "tick";
+
+  /** Fencing token. */
+  private static final String TOKEN = "baton";
+
+  /** Seconds until the cloud reclaims a spot machine. */
+  private static final String RECLAIM_IN_S = "recall_s";
+
+  /** Number of an attempt. */
+  private static final String ATTEMPT = "try";
+
+  /** Why a task exited. */
+  private static final String EXIT_CAUSE = "cause";
+
+  /** Whether a task has saved a checkpoint. */
+  private static final String SAVED = "stored";
+
+  /** List of commands. */
+  private static final String COMMANDS = "orders";
+
+  /** What a command is to do. */
+  private static final String VERB = "verb";
+
+  /** Seconds that a stopped task has to save. */
+  private static final String GRACE_S = "linger_s";
+
+  /** Task states, exit causes and verbs. */
+  private static final String FETCHING = "fetching";
+
+  private static final String WAITING = "gathering";
+  private static final String RUNNING = "running";
+  private static final String SAVING = "saving";
+  private static final String EXITED = "exited";
+  private static final String DONE = "done";
+  private static final String STOPPED = "halted";
+  private static final String PEERS = "peers";
+  private static final String ALONE = "alone";
+  private static final String NO_ROOM = "no_room";
+  private static final String BUSY = "in_use";
+  private static final String UNKNOWN = "unknown";
+  private static final String START = "run";
+  private static final String STOP = "stop";
+  private static final String FORGET = "reap";
+
   private WorkerCodec() {}
 
+  /**
+   * Reads a heartbeat.
+   *
+   * @throws MalformedInputException if a field is missing, of another type or unknown
+   */
   public static Heartbeat read(byte[] body) {
     ObjectNode json = Json.parseObject(body);
-    JsonNode tasks = Json.opt(json, "shards");
+    List<TaskStatus> tasks = readTasks(Json.opt(json, WireFields.TASKS));
+    JsonNode reclaim = Json.opt(json, RECLAIM_IN_S);
+    return new Heartbeat(
+        Json.text(json, WireFields.MACHINE),
+        Json.text(json, WireFields.ADDRESS),
+        Json.text(json, WireFields.TYPE),
+        Json.text(json, WireFields.ZONE),
+        Json.flagOr(json, WireFields.SPOT, false),
+        Json.whole(json, AGENT_EPOCH),
+        Json.whole(json, SEQ),
+        Json.whole(json, TOKEN),
+        reclaim == null ? null : Math.max(0, reclaim.asDouble()),
+        tasks);
+  }
+
+  private static List<TaskStatus> readTasks(JsonNode tasks) {
     List<TaskStatus> list = new ArrayList<>();
-    if (tasks != null) {
-      if (!tasks.isArray()) {
-        throw new MalformedInputException("shards: must be an array");
-      }
-      for (JsonNode entry : tasks) {
-        list.add(task(entry));
-      }
+    if (tasks == null) {
+      return list;
     }
-    JsonNode recall = Json.opt(json, "recall_s");
-    return new Heartbeat(
-        Json.text(json, "hearth"),
-        Json.text(json, "address"),
-        Json.text(json, "flavor"),
-        Json.text(json, "room"),
-        Json.flagOr(json, "loaner", false),
-        Json.whole(json, "tenure"),
-        Json.whole(json, "tick"),
-        Json.whole(json, "baton"),
-        recall == null ? null : Math.max(0, recall.asDouble()),
-        list);
+    if (!tasks.isArray()) {
+      throw new MalformedInputException(WireFields.TASKS + ": must be an array");
+    }
+    for (JsonNode entry : tasks) {
+      list.add(readTask(entry));
+    }
+    return list;
   }
 
-  private static TaskStatus task(JsonNode entry) {
-    String name = Json.text(entry, "shard");
+  private static TaskStatus readTask(JsonNode entry) {
+    String name = Json.text(entry, WireFields.TASK);
     int slash = name.lastIndexOf('/');
+    int index = taskIndex(name, slash);
+    TaskState state = state(Json.text(entry, WireFields.PHASE));
+    JsonNode cause = Json.opt(entry, EXIT_CAUSE);
+    return new TaskStatus(
+        name.substring(0, slash),
+        index,
+        Json.whole(entry, ATTEMPT),
+        state,
+        state == TaskState.EXITED ? exitCause(cause == null ? "" : cause.asText()) : null,
+        Json.flagOr(entry, SAVED, false));
+  }
+
+  private static int taskIndex(String name, int slash) {
     int index;
     try {
       index = Integer.parseInt(name.substring(slash + 1));
     } catch (NumberFormatException e) {
-      throw new MalformedInputException("shard: not JOB/NUMBER: " + name);
+      throw notATask(name);
     }
     if (slash <= 0 || index < 0) {
-      throw new MalformedInputException("shard: not JOB/NUMBER: " + name);
+      throw notATask(name);
     }
-    TaskState state = state(Json.text(entry, "phase"));
-    JsonNode cause = Json.opt(entry, "cause");
-    return new TaskStatus(
-        name.substring(0, slash),
-        index,
-        Json.whole(entry, "try"),
-        state,
-        state == TaskState.EXITED ? cause(cause == null ? "" : cause.asText()) : null,
-        Json.flagOr(entry, "stored", false));
+    return index;
+  }
+
+  private static MalformedInputException notATask(String name) {
+    return new MalformedInputException(WireFields.TASK + ": not JOB/NUMBER: " + name);
   }
 
   private static TaskState state(String text) {
     return switch (text) {
-      case "fetching" -> TaskState.FETCHING;
-      case "gathering" -> TaskState.WAITING;
-      case "running" -> TaskState.RUNNING;
-      case "saving" -> TaskState.SAVING;
-      case "exited" -> TaskState.EXITED;
-      default -> throw new MalformedInputException("phase: unknown: " + text);
+      case FETCHING -> TaskState.FETCHING;
+      case WAITING -> TaskState.WAITING;
+      case RUNNING -> TaskState.RUNNING;
+      case SAVING -> TaskState.SAVING;
+      case EXITED -> TaskState.EXITED;
+      default -> throw new MalformedInputException(WireFields.PHASE + ": unknown: " + text);
     };
   }
 
-  private static ExitCause cause(String text) {
+  private static ExitCause exitCause(String text) {
     return switch (text) {
-      case "done" -> ExitCause.DONE;
-      case "halted" -> ExitCause.STOPPED;
-      case "peers" -> ExitCause.PEERS;
-      case "alone" -> ExitCause.ALONE;
-      case "no_room" -> ExitCause.NO_ROOM;
-      case "in_use" -> ExitCause.BUSY;
-      case "unknown" -> ExitCause.UNKNOWN;
+      case DONE -> ExitCause.DONE;
+      case STOPPED -> ExitCause.STOPPED;
+      case PEERS -> ExitCause.PEERS;
+      case ALONE -> ExitCause.ALONE;
+      case NO_ROOM -> ExitCause.NO_ROOM;
+      case BUSY -> ExitCause.BUSY;
+      case UNKNOWN -> ExitCause.UNKNOWN;
       default -> ExitCause.ERROR;
     };
   }
 
-  /** The answer to a heartbeat. */
+  /**
+   * The response to a heartbeat, which renews the worker's lease.
+   *
+   * @param token fencing token that the commands carry
+   * @param commands commands to carry out, possibly none
+   */
   public static byte[] response(long token, List<AgentCommand> commands) {
-    return Json.bytes(orders(Json.object().put("baton", token), commands));
+    return Json.bytes(putCommands(Json.object().put(TOKEN, token), commands));
   }
 
   /**
-   * An answer that a worker drops, for it has no token ("Tokens" in the protocol): the lease is not
-   * renewed, nothing is done, and the worker stays with the node that gave it.
+   * A response that a worker drops, since it has no token ("Tokens" in the protocol): the lease is
+   * not renewed, nothing is done, and the worker stays with the node that gave it.
    */
   public static byte[] emptyResponse() {
-    return Json.bytes(Json.object().set("orders", Json.object().arrayNode()));
+    return Json.bytes(Json.object().set(COMMANDS, Json.object().arrayNode()));
   }
 
-  /** A direct command. */
+  /**
+   * The body of a direct command.
+   *
+   * @param token fencing token that the commands carry
+   * @param agentEpoch the worker refuses the commands if it is in another agent epoch
+   * @param commands commands to carry out
+   */
   public static byte[] directCommand(long token, long agentEpoch, List<AgentCommand> commands) {
     return Json.bytes(
-        orders(Json.object().put("baton", token).put("tenure", agentEpoch), commands));
+        putCommands(Json.object().put(TOKEN, token).put(AGENT_EPOCH, agentEpoch), commands));
   }
 
-  private static ObjectNode orders(ObjectNode json, List<AgentCommand> commands) {
-    ArrayNode list = json.putArray("orders");
+  private static ObjectNode putCommands(ObjectNode json, List<AgentCommand> commands) {
+    ArrayNode list = json.putArray(COMMANDS);
     for (AgentCommand command : commands) {
       ObjectNode entry = list.addObject();
-      entry.put(
-          "verb",
-          switch (command.verb()) {
-            case START -> "run";
-            case STOP -> "stop";
-            case FORGET -> "reap";
-          });
-      entry.put("shard", command.ref() + "/" + command.task());
-      entry.put("try", command.attempt());
+      entry.put(VERB, verb(command.verb()));
+      entry.put(WireFields.TASK, command.ref() + "/" + command.task());
+      entry.put(ATTEMPT, command.attempt());
       if (command.verb() == AgentCommand.Verb.STOP) {
-        entry.put("linger_s", command.graceS());
+        entry.put(GRACE_S, command.graceS());
       }
     }
     return json;
   }
+
+  private static String verb(AgentCommand.Verb verb) {
+    return switch (verb) {
+      case START -> START;
+      case STOP -> STOP;
+      case FORGET -> FORGET;
+    };
+  }
 }
