--- a/src/main/java/io/embernotch/actor/Clock.java
+++ b/src/main/java/io/embernotch/actor/Clock.java
@@ -1,7 +1,10 @@
 package io.embernotch.actor;
 
-/** The two clocks of a process; injected, so that tests can turn them by hand. */
+/** The two clocks of a process; injected, so that tests can set them. */
 public interface Clock {
+  /** A steady time for what has not happened: every interval since then is over. */
+  double NEVER = -1e9;
+
   /** Steady seconds from an arbitrary start; may run 0.05% fast. */
   double now();
 
--- a/src/main/java/io/embernotch/fleet/FailureDetector.java
+++ b/src/main/java/io/embernotch/fleet/FailureDetector.java
@@ -1,5 +1,6 @@
 package io.embernotch.fleet;
 
+import io.embernotch.actor.Clock;
 import io.embernotch.agents.AgentReconciler;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.model.Machine;
@@ -16,27 +17,42 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Machines that do not report: whether they are partitioned, hang or are dead, and when they are
- * given up.
+ * Detects machines that are unresponsive, tells partitioned ones from those that hang or are dead,
+ * and decides when one is given up.
  */
 final class FailureDetector {
   private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
 
-  /** Reports come a quarter late at most: after so many periods a machine is asked itself. */
+  /**
+   * Heartbeat intervals without a heartbeat after which a machine is probed; heartbeats come a
+   * quarter of an interval late at most.
+   */
   private static final double PROBE_HEARTBEATS = 1.5;
 
-  /** Report periods of silence after which a machine that did not answer a probe is given up. */
-  private static final double SILENT_HEARTBEATS = 2.2;
+  /**
+   * Heartbeat intervals without a heartbeat after which a machine that did not answer a probe is
+   * given up.
+   */
+  private static final double GIVE_UP_HEARTBEATS = 2.2;
+
+  /** One more for a machine whose probe is not decided. */
+  private static final double UNDECIDED_PROBE_HEARTBEATS = 1;
 
   /**
-   * So large a share of the machines must be silent for us to be the ones who are partitioned. A
-   * zone can hold more than half of them: at half, leaders that heard the rest well gave leadership
-   * to each other, and none of them started anything.
+   * If more than this share of the machines is unresponsive, this controller is the partitioned
+   * one. A zone can hold more than half of them: with a half here, leaders that heard the rest well
+   * would pass leadership to each other, and none of them would start anything.
    */
-  private static final double DEAF_SHARE = 0.8;
+  private static final double CONTROLLER_PARTITIONED_SHARE = 0.8;
 
-  /** Share of a worker's lease for which a silent machine with live services is waited for. */
-  private static final double PATIENCE = 0.9;
+  /** Fewer unresponsive machines than this prove nothing about this controller. */
+  private static final int CONTROLLER_PARTITIONED_MACHINES = 3;
+
+  /** Heartbeat intervals that a new leader gives machines to find it. */
+  private static final double START_HEARTBEATS = 4;
+
+  /** Share of a worker's lease for which an unresponsive machine with live services is kept. */
+  private static final double LEASE_SHARE = 0.9;
 
   private final ControllerContext context;
   private final ClusterState state;
@@ -47,9 +63,12 @@
   private final double startedAt;
   private Set<String> partitionedZones = Set.of();
 
-  /** When zones were last back from a cut. */
-  private final Map<String, Double> backAt = new HashMap<>();
+  /** When the partition of a zone last ended, by zone. */
+  private final Map<String, Double> partitionEndedAt = new HashMap<>();
 
+  /**
+   * @param scaleIn returns a machine that is given up
+   */
   FailureDetector(
       ControllerContext context,
       ClusterState state,
@@ -66,35 +85,36 @@
     this.startedAt = context.clock().now();
   }
 
+  /** Whether a zone was found partitioned at the last {@link #watch}. */
   boolean isPartitioned(String zone) {
     return partitionedZones.contains(zone);
   }
 
   /**
-   * When the machine last gave a sign of life. One that ran under an earlier leader is given a
-   * heartbeat's time-out longer to find us; before, such a machine was taken for a booting one, and
-   * its services stayed down until its lease and the old leader's hold were over. One that has only
-   * just come up is given the same time: it was once returned in the second before its first
-   * heartbeat. So is one whose zone is back from a cut: 238 were once returned as the first
-   * controller was back.
+   * When the machine last gave a sign of life, or had no chance to give one. One that ran under an
+   * earlier leader is given a heartbeat interval longer to find this one: taken for a booting one,
+   * its services would stay down until its lease and the old leader's grace period are over. One
+   * that has only just come up is given the same time, lest it be returned right before its first
+   * heartbeat. So is one whose zone's partition has just ended, lest all machines of the zone be
+   * returned as its controller is back.
    */
-  private double lastSign(Machine machine) {
-    double heartbeat = context.settings().workers().heartbeatIntervalS();
-    double reconnectedAt = backAt.getOrDefault(machine.zone, -1e9) + heartbeat;
+  private double lastSignOfLifeAt(Machine machine) {
+    double intervalS = context.settings().workers().heartbeatIntervalS();
+    double reconnectedAt = partitionEndedAt.getOrDefault(machine.zone, Clock.NEVER) + intervalS;
     return Math.max(
         reconnectedAt,
         machine.up()
             ? machine.lastSignOfLifeAt()
-            : Math.max(startedAt, machine.listedUpAt) + heartbeat);
+            : Math.max(startedAt, machine.listedUpAt) + intervalS);
   }
 
   /**
-   * Silent machines are probed, then deleted: the answer to the deletion proves their tasks gone.
-   * Two reports that did not come and a probe without an answer are enough; one alone may be ours.
+   * Probes unresponsive machines, then returns them: the answer to the deletion proves their tasks
+   * gone. Two heartbeats that did not come and a probe without an answer are enough; one alone may
+   * be this controller's own failure.
    */
   void watch(double now) {
-    double heartbeat = context.settings().workers().heartbeatIntervalS();
-    double probeAfterS = PROBE_HEARTBEATS * heartbeat;
+    double intervalS = context.settings().workers().heartbeatIntervalS();
     List<Machine> unresponsive = new ArrayList<>();
     int up = 0;
     for (Machine machine : state.machines.values()) {
@@ -102,59 +122,63 @@
         continue;
       }
       up++;
-      if (now - lastSign(machine) > probeAfterS) {
+      if (now - lastSignOfLifeAt(machine) > PROBE_HEARTBEATS * intervalS) {
         unresponsive.add(machine);
       }
     }
-    if (unresponsive.size() >= 3 && unresponsive.size() > DEAF_SHARE * up) {
-      if (now - startedAt > 4 * heartbeat) {
+    if (unresponsive.size() >= CONTROLLER_PARTITIONED_MACHINES
+        && unresponsive.size() > CONTROLLER_PARTITIONED_SHARE * up) {
+      if (now - startedAt > START_HEARTBEATS * intervalS) {
         listener.controllerPartitioned();
       }
       return;
     }
-    partitionedZones = partitionedZones(unresponsive);
+    updatePartitionedZones(unresponsive);
     for (Machine machine : unresponsive) {
       agents.probe(machine);
-      double limit =
-          machine.probeFailedAt > lastSign(machine) ? SILENT_HEARTBEATS : SILENT_HEARTBEATS + 1;
-      if (now - lastSign(machine) > limit * heartbeat && !worthWaitingFor(machine, now)) {
-        LOG.info(
-            "machine {} unresponsive for {} s with {} tasks, {}",
-            machine.name,
-            Math.round(now - lastSign(machine)),
-            machine.openAttempts.size(),
-            machine.probeConnected ? "takes connections" : "takes no connection");
-        rates.machineFailed();
-        scaleIn.accept(machine);
+      if (now - lastSignOfLifeAt(machine) > giveUpHeartbeats(machine) * intervalS
+          && !worthWaitingFor(machine, now)) {
+        giveUp(machine, now);
       }
     }
   }
 
+  private double giveUpHeartbeats(Machine machine) {
+    return machine.probeFailedAt > lastSignOfLifeAt(machine)
+        ? GIVE_UP_HEARTBEATS
+        : GIVE_UP_HEARTBEATS + UNDECIDED_PROBE_HEARTBEATS;
+  }
+
+  private void giveUp(Machine machine, double now) {
+    LOG.info(
+        "machine {} unresponsive for {} s with {} tasks, {}",
+        machine.name,
+        Math.round(now - lastSignOfLifeAt(machine)),
+        machine.openAttempts.size(),
+        machine.probeConnected ? "takes connections" : "takes no connection");
+    rates.machineFailed();
+    scaleIn.accept(machine);
+  }
+
   private static boolean mayBeUp(Machine machine) {
     return !machine.deleting
         && (machine.up() || machine.listedUpAt >= 0 || !machine.openAttempts.isEmpty());
   }
 
   /**
-   * Zones that are partitioned: a controller there is silent, and more than half of the machines.
-   * It renews their workers for as long as it may, so what runs there is let run, and nothing new
-   * is rented.
+   * A zone is partitioned if a controller there is unresponsive, and more than half of its
+   * machines. That controller renews their workers for as long as it may, so what runs there is
+   * kept, and nothing new is rented.
    */
-  private Set<String> partitionedZones(List<Machine> unresponsive) {
+  private void updatePartitionedZones(List<Machine> unresponsive) {
     Set<String> live = listener.controllers();
     Set<String> zones = new HashSet<>();
     for (Settings.Member member : context.settings().members()) {
-      if (live.contains(member.node()) || zones.contains(member.location())) {
-        continue;
-      }
-      long unresponsiveCount =
-          unresponsive.stream().filter(machine -> member.location().equals(machine.zone)).count();
-      long machineCount =
-          state.machines.values().stream()
-              .filter(machine -> member.location().equals(machine.zone) && mayBeUp(machine))
-              .count();
-      if (unresponsiveCount * 2 > machineCount) {
-        zones.add(member.location());
+      String zone = member.location();
+      if (!live.contains(member.node())
+          && !zones.contains(zone)
+          && mostAreUnresponsive(zone, unresponsive)) {
+        zones.add(zone);
       }
     }
     if (!zones.equals(partitionedZones)) {
@@ -162,28 +186,38 @@
       zones.stream().filter(z -> !partitionedZones.contains(z)).forEach(z -> rates.zoneFailed());
       partitionedZones.stream()
           .filter(z -> !zones.contains(z))
-          .forEach(z -> backAt.put(z, context.clock().now()));
+          .forEach(z -> partitionEndedAt.put(z, context.clock().now()));
     }
-    return zones;
+    partitionedZones = zones;
+  }
+
+  private boolean mostAreUnresponsive(String zone, List<Machine> unresponsive) {
+    long unresponsiveCount =
+        unresponsive.stream().filter(machine -> zone.equals(machine.zone)).count();
+    long machineCount =
+        state.machines.values().stream()
+            .filter(machine -> zone.equals(machine.zone) && mayBeUp(machine))
+            .count();
+    return unresponsiveCount * 2 > machineCount;
   }
 
   /**
-   * A live service on a machine that only lost the network runs on until its lease is over, and
-   * would have to start anew elsewhere if the machine were returned before. One that takes a
+   * A live service on a machine that only lost the network runs on until its lease expires, and
+   * would have to start anew elsewhere if the machine were returned before. A machine that takes a
    * connection and does not answer is not partitioned: it hangs, and so does the service. One that
-   * nothing has proven alive in this term is not waited for: what was heard of it may be copies of
-   * what it said before it ended.
+   * nothing has proven alive in this term is not waited for: the heartbeats received from it may be
+   * late copies of those it sent before it ended.
    */
   private boolean worthWaitingFor(Machine machine, double now) {
-    if (machine.probeConnected && machine.probeFailedAt > lastSign(machine)) {
+    if (machine.probeConnected && machine.probeFailedAt > lastSignOfLifeAt(machine)) {
       return false;
     }
     if (partitionedZones.contains(machine.zone)) {
-      return now - lastSign(machine)
-          < context.settings().gracePeriodS() + PATIENCE * context.settings().workers().leaseS();
+      return now - lastSignOfLifeAt(machine)
+          < context.settings().gracePeriodS() + LEASE_SHARE * context.settings().workers().leaseS();
     }
     return machine.load().pinned
         && machine.confirmedAliveAt >= 0
-        && now - machine.leaseRenewedAt < PATIENCE * context.settings().workers().leaseS();
+        && now - machine.leaseRenewedAt < LEASE_SHARE * context.settings().workers().leaseS();
   }
 }
--- a/src/main/java/io/embernotch/fleet/FailureRates.java
+++ b/src/main/java/io/embernotch/fleet/FailureRates.java
@@ -6,60 +6,60 @@
 import io.embernotch.state.ClusterState;
 
 /**
- * How often machines and zones fail, from what this leader has seen and what is to be expected
- * before.
+ * Failure rates of machines and zones, estimated from what this leader has observed and from a
+ * prior that counts as one failure.
  */
 final class FailureRates {
-  /**
-   * What is expected: one failure of a machine in so many workers' leases of its time, of a zone in
-   * so many.
-   */
-  private static final double MACHINE_LEASES = 1000;
+  /** Prior: one failure of a machine in this many worker leases of its uptime. */
+  private static final double MACHINE_PRIOR_LEASES = 1000;
 
-  private static final double ZONE_LEASES = 4000;
+  /** Prior: one failure of a zone in this many worker leases. */
+  private static final double ZONE_PRIOR_LEASES = 4000;
 
-  /**
-   * Leases for which a replica is counted on, and from a failure until what ran there may start
-   * elsewhere.
-   */
+  /** Worker leases for which a replica is counted on. */
   private static final double HORIZON_LEASES = 5;
 
-  private static final double NOTICED_LEASES = 1;
+  /** Worker leases from a failure until what ran there may start elsewhere. */
+  private static final double DETECTION_LEASES = 1;
 
   private final Settings settings;
-  private double machineS;
-  private double zoneS;
-  private int machines;
-  private int zones;
+  private double machineUptimeS;
+  private double zoneUptimeS;
+  private int machineFailures;
+  private int zoneFailures;
+
+  /** When uptimes were last added up; below 0 before the first time. */
   private double countedAt = -1;
 
   FailureRates(Settings settings) {
     this.settings = settings;
   }
 
+  /** Adds the uptime since the last call. */
   void tick(ClusterState state, double now) {
     if (countedAt >= 0) {
       double up = state.machines.values().stream().filter(Machine::up).count();
-      machineS += up * (now - countedAt);
-      zoneS += settings.zones().size() * (now - countedAt);
+      machineUptimeS += up * (now - countedAt);
+      zoneUptimeS += settings.zones().size() * (now - countedAt);
     }
     countedAt = now;
   }
 
   void machineFailed() {
-    machines++;
+    machineFailures++;
   }
 
   void zoneFailed() {
-    zones++;
+    zoneFailures++;
   }
 
+  /** The present estimate. */
   FailureRisk risk() {
-    double lease = settings.workers().leaseS();
+    double leaseS = settings.workers().leaseS();
     return new FailureRisk(
-        (machines + 1) / (machineS + MACHINE_LEASES * lease),
-        (zones + 1) / (zoneS + ZONE_LEASES * lease),
-        HORIZON_LEASES * lease,
-        NOTICED_LEASES * lease);
+        (machineFailures + 1) / (machineUptimeS + MACHINE_PRIOR_LEASES * leaseS),
+        (zoneFailures + 1) / (zoneUptimeS + ZONE_PRIOR_LEASES * leaseS),
+        HORIZON_LEASES * leaseS,
+        DETECTION_LEASES * leaseS);
   }
 }
--- a/src/main/java/io/embernotch/fleet/FleetManager.java
+++ b/src/main/java/io/embernotch/fleet/FleetManager.java
@@ -1,7 +1,7 @@
 package io.embernotch.fleet;
 
+import io.embernotch.actor.Clock;
 import io.embernotch.agents.AgentReconciler;
-import io.embernotch.codec.CloudCodec.ListedMachine;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Machine;
@@ -15,21 +15,27 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Rents, lists and returns machines, and gives up on those that never come up or fall silent. */
+/**
+ * Rents, lists and returns machines, and gives up those that never come up or become unresponsive.
+ */
 public final class FleetManager {
   private static final Logger LOG = LoggerFactory.getLogger(FleetManager.class);
 
-  /** Boot times after which a machine that has not come up is given back. */
-  private static final double HOPELESS_BOOTS = 2.5;
+  /** Boot times after which a machine that has not come up is returned. */
+  private static final double BOOT_TIMEOUT_BOOTS = 2.5;
 
-  /** Boot times for which a machine is counted on; then another is rented in its place. */
-  static final double COUNTED_BOOTS = 1.6;
+  /** Boot times for which a machine is expected; then another is rented in its place. */
+  static final double EXPECTED_BOOTS = 1.6;
 
-  /** What is told of the fleet. */
+  /** Heartbeat intervals between two requests for the machine types. */
+  private static final double TYPES_INTERVAL_HEARTBEATS = 20;
+
+  /** Receives what happens to the fleet; called on the core loop. */
   public interface Listener {
     /** The machine and all that was on it are gone. */
     void machineGone(Machine machine);
 
+    /** Machines have come, failed or will not come: a new plan may differ. */
     void clusterChanged();
 
     /** Controllers that have been heard from lately, this one included. */
@@ -38,26 +44,26 @@
     /** The attempt's start does not reach its machine. */
     void startUnreachable(Attempt attempt);
 
-    /** So many machines are silent at once that it is rather we who are partitioned. */
+    /** So many machines are unresponsive at once that this controller is the partitioned one. */
     void controllerPartitioned();
   }
 
   private final ControllerContext context;
   private final ClusterState state;
   private final AgentReconciler agents;
-  private final Listener listener;
   private final ScaleOut scaleOut;
+  private final CloudInventory inventory;
   private final FailureDetector failureDetector;
   private final FailureRates rates;
   private final OneWayPartitions oneWayPartitions;
   private final ScaleIn scaleIn;
   private final double startedAt;
-  private double listedAt = -1e9;
-  private boolean answering;
-  private boolean listing;
-  private boolean listedOnce;
-  private double typesAt = -1e9;
+  private double typesAt = Clock.NEVER;
 
+  /**
+   * @param epoch epoch of this leader, unique to its term
+   * @param listener receives what happens to the fleet
+   */
   public FleetManager(
       ControllerContext context,
       ClusterState state,
@@ -67,10 +73,12 @@
     this.context = context;
     this.state = state;
     this.agents = agents;
-    this.listener = listener;
     this.scaleOut = new ScaleOut(context, state, agents, epoch, listener::clusterChanged);
     this.scaleIn = new ScaleIn(context, state, listener::machineGone);
     this.rates = new FailureRates(context.settings());
+    this.inventory =
+        new CloudInventory(
+            context, state, agents, rates, listener::clusterChanged, scaleIn::release);
     this.failureDetector =
         new FailureDetector(context, state, agents, listener, scaleIn::release, rates);
     this.oneWayPartitions =
@@ -78,8 +86,9 @@
     this.startedAt = context.clock().now();
   }
 
+  /** Whether this leader has received the cloud's machine list at least once. */
   public boolean listedOnce() {
-    return listedOnce;
+    return inventory.listedOnce();
   }
 
   /**
@@ -87,16 +96,10 @@
    * now, nor replaced, and a deletion that was tried may be carried out at any later time.
    */
   public boolean cloudAnswers() {
-    return answering;
-  }
-
-  private double listEveryS() {
-    return Math.max(
-        context.settings().cloudLimits().listLagS(),
-        context.settings().workers().heartbeatIntervalS());
+    return inventory.cloudAnswers();
   }
 
-  /** What is being rented. */
+  /** The machines that are being rented. */
   public List<FleetView.Expected> expected() {
     return scaleOut.expected();
   }
@@ -106,8 +109,9 @@
     return rates.risk();
   }
 
+  /** Whether nothing can be rented in a pool at present: it is exhausted, or its zone cut. */
   public boolean exhausted(String type, String zone, boolean spot) {
-    return failureDetector.isPartitioned(zone) || scaleOut.full(type, zone, spot);
+    return failureDetector.isPartitioned(zone) || scaleOut.exhausted(type, zone, spot);
   }
 
   /** See {@link ScaleOut#rent}. */
@@ -115,113 +119,41 @@
     scaleOut.rent(request);
   }
 
+  /** Does what is due; called several times a heartbeat interval. */
   public void tick() {
     double now = context.clock().now();
-    if (!listing && now - listedAt > listEveryS()) {
-      list();
-    }
-    if (now - typesAt > 20 * context.settings().workers().heartbeatIntervalS()) {
-      typesAt = now;
-      context
-          .cloud()
-          .types()
-          .onSuccess(list -> list.forEach(type -> state.types.put(type.name(), type)));
-    }
+    inventory.tick(now);
+    refreshTypes(now);
     rates.tick(state, now);
-    watchBoots(now);
+    returnMachinesThatDidNotBoot(now);
     failureDetector.watch(now);
     oneWayPartitions.watch(now);
     scaleIn.send(now);
   }
 
-  private void list() {
-    listing = true;
-    listedAt = context.clock().now();
-    context
-        .cloud()
-        .list()
-        .onComplete(
-            r -> {
-              listing = false;
-              if (r.succeeded()) {
-                listed(r.result());
-              } else {
-                answering = false;
-                LOG.debug("machine list: {}", r.cause().getMessage());
-              }
-            });
-  }
-
-  /**
-   * Takes what a list adds. A machine that a list lacks may be too new, or the list too old: lists
-   * never end anything here. Silence does, followed by a deletion whose answer is proof.
-   */
-  private void listed(List<ListedMachine> list) {
-    double now = context.clock().now();
-    boolean changed = !listedOnce;
-    listedOnce = true;
-    answering = true;
-    for (ListedMachine listed : list) {
-      Machine machine = state.machines.get(listed.name());
-      if (machine == null) {
-        if (agents.wasDeleted(listed.name())) {
-          continue;
-        }
-        machine = state.machine(listed.name(), agents.tokenBase());
-        changed = true;
-      }
-      if (!machine.up()) {
-        machine.type = state.types.getOrDefault(listed.type(), machine.type);
-        machine.zone = listed.zone();
-        machine.spot = listed.spot();
-        machine.address = listed.address() == null ? machine.address : listed.address();
-        machine.rentedAt =
-            Math.min(machine.rentedAt == 0 ? now : machine.rentedAt, now - listed.ageS());
-        // One that ran under an earlier leader is given time to find us.
-        double findUs =
-            listed.phase().equals("running")
-                ? startedAt + context.settings().workers().leaseS() / 2
-                : 0;
-        double boot = machine.type == null ? 0 : COUNTED_BOOTS * machine.type.bootS();
-        machine.expectedUntil =
-            Math.max(machine.expectedUntil, Math.max(findUs, machine.rentedAt + boot));
-      }
-      if (listed.phase().equals("running")) {
-        machine.listedUpAt = machine.listedUpAt < 0 ? now : machine.listedUpAt;
-        find(machine);
-      }
-      if (listed.phase().equals("failed") && !machine.failed) {
-        LOG.info("machine {} has failed", machine.name);
-        machine.failed = true;
-        rates.machineFailed();
-        scaleIn(machine);
-        changed = true;
-      }
-    }
-    if (changed) {
-      listener.clusterChanged();
+  private void refreshTypes(double now) {
+    double intervalS =
+        TYPES_INTERVAL_HEARTBEATS * context.settings().workers().heartbeatIntervalS();
+    if (now - typesAt > intervalS) {
+      typesAt = now;
+      context
+          .cloud()
+          .types()
+          .onSuccess(types -> types.forEach(type -> state.types.put(type.name(), type)));
     }
   }
 
-  /**
-   * Machines that ran under an earlier leader are asked at once: until their workers find us by
-   * themselves, nothing could be started on them.
-   */
-  private void find(Machine machine) {
-    agents.find(machine);
-  }
-
-  private void watchBoots(double now) {
+  private void returnMachinesThatDidNotBoot(double now) {
     for (Machine machine : state.machines.values()) {
       if (machine.up() || machine.deleting || machine.type == null) {
         continue;
       }
-      // Machines that were up under an earlier leader need time to find us.
+      // Machines that were up under an earlier leader need time to find this one.
       double since = Math.max(machine.rentedAt, startedAt - machine.type.bootS());
-      if (now - since
-              > HOPELESS_BOOTS * machine.type.bootS()
-                  + context.settings().workers().heartbeatIntervalS()
-          && now - startedAt > context.settings().workers().leaseS() / 2) {
+      double timeoutS =
+          BOOT_TIMEOUT_BOOTS * machine.type.bootS()
+              + context.settings().workers().heartbeatIntervalS();
+      if (now - since > timeoutS && now - startedAt > context.settings().workers().leaseS() / 2) {
         LOG.info("machine {} did not boot in time", machine.name);
         scaleIn(machine);
       }
@@ -233,9 +165,9 @@
     scaleIn.release(machine);
   }
 
-  /** Tasks on machines whose worker's lease must have run out are gone, deleted or not. */
+  /** Attempts on machines whose worker's lease must have expired: they are gone, deleted or not. */
   public List<Attempt> attemptsWithExpiredLease() {
-    List<Attempt> out = new ArrayList<>();
+    List<Attempt> expired = new ArrayList<>();
     double now = context.clock().now();
     for (Machine machine : state.machines.values()) {
       if (machine.openAttempts.isEmpty()
@@ -246,11 +178,11 @@
       if (agents.leaseExpired(machine)) {
         for (Attempt attempt : machine.openAttempts.values()) {
           if (attempt.launchState != Attempt.LaunchState.SENDING) {
-            out.add(attempt);
+            expired.add(attempt);
           }
         }
       }
     }
-    return out;
+    return expired;
   }
 }
--- a/src/main/java/io/embernotch/fleet/OneWayPartitions.java
+++ b/src/main/java/io/embernotch/fleet/OneWayPartitions.java
@@ -9,25 +9,29 @@
 import java.util.function.Consumer;
 
 /**
- * Machines whose heartbeats arrive, and which neither answers nor commands reach. What runs there
- * runs until its worker's lease ends, and may be done before; what has not begun there goes
- * elsewhere as soon as that is proven. Once nothing runs there any more the machine is returned,
- * which proves all else on it gone.
+ * Machines behind a one-way partition: their heartbeats arrive, but neither responses nor commands
+ * reach them. What runs there runs until its worker's lease expires, and may be done before; what
+ * has not begun there goes elsewhere as soon as that is proven. Once nothing runs there any more
+ * the machine is returned, which proves all else on it gone.
  */
 final class OneWayPartitions {
   /**
-   * From so large a share of the machines on it is rather we who are not heard: none is returned
-   * for it.
+   * If more than this share of the machines is unreachable, it is rather this controller whose
+   * messages are lost: no machine is returned for it.
    */
-  private static final double OURS = 0.2;
+  private static final double CONTROLLER_UNREACHABLE_SHARE = 0.2;
+
+  /** Fewer unreachable machines than this prove nothing about this controller. */
+  private static final int CONTROLLER_UNREACHABLE_MACHINES = 3;
 
   /** Share of a lease, counted from its last renewal, for which what runs there is waited for. */
-  private static final double PATIENCE = 0.9;
+  private static final double LEASE_SHARE = 0.9;
 
   /**
-   * Report periods from the last answer that was heard until a machine is taken for unreachable.
+   * Heartbeat intervals from the last response that a machine received until it is taken for
+   * unreachable.
    */
-  private static final double NOTICED_HEARTBEATS = 2;
+  private static final double DETECTION_HEARTBEATS = 2;
 
   private final ControllerContext context;
   private final ClusterState state;
@@ -35,6 +39,9 @@
   private final FleetManager.Listener listener;
   private final Consumer<Machine> scaleIn;
 
+  /**
+   * @param scaleIn returns a machine
+   */
   OneWayPartitions(
       ControllerContext context,
       ClusterState state,
@@ -48,6 +55,7 @@
     this.scaleIn = scaleIn;
   }
 
+  /** Probes unreachable machines, withdraws what has not begun there, and returns idle ones. */
   void watch(double now) {
     List<Machine> unreachable =
         state.machines.values().stream()
@@ -57,11 +65,13 @@
       return;
     }
     long up = state.machines.values().stream().filter(Machine::up).count();
-    boolean ours = unreachable.size() >= 3 && unreachable.size() > OURS * up;
+    boolean controllerUnreachable =
+        unreachable.size() >= CONTROLLER_UNREACHABLE_MACHINES
+            && unreachable.size() > CONTROLLER_UNREACHABLE_SHARE * up;
     for (Machine machine : unreachable) {
       agents.probe(machine);
-      withdraw(machine);
-      if (!ours
+      withdrawUnstarted(machine);
+      if (!controllerUnreachable
           && machine.probeFailedAt > machine.unreachableSince
           && !worthWaitingFor(machine, now)) {
         scaleIn.accept(machine);
@@ -69,7 +79,7 @@
     }
   }
 
-  private void withdraw(Machine machine) {
+  private void withdrawUnstarted(Machine machine) {
     for (Attempt attempt : List.copyOf(machine.openAttempts.values())) {
       boolean begun =
           attempt.launchState == Attempt.LaunchState.CONFIRMED
@@ -86,9 +96,9 @@
             .anyMatch(
                 attempt ->
                     attempt.launchState == Attempt.LaunchState.CONFIRMED && !attempt.stopping);
-    double left =
-        PATIENCE * context.settings().workers().leaseS()
-            - NOTICED_HEARTBEATS * context.settings().workers().heartbeatIntervalS();
-    return runs && now - machine.unreachableSince < left;
+    double patienceS =
+        LEASE_SHARE * context.settings().workers().leaseS()
+            - DETECTION_HEARTBEATS * context.settings().workers().heartbeatIntervalS();
+    return runs && now - machine.unreachableSince < patienceS;
   }
 }
--- a/src/main/java/io/embernotch/fleet/ScaleIn.java
+++ b/src/main/java/io/embernotch/fleet/ScaleIn.java
@@ -13,18 +13,26 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Machines on their way back to the cloud: the answer to a deletion proves them gone. */
+/**
+ * Returns machines to the cloud. The answer to a deletion proves a machine gone; deletions that
+ * fail are tried again.
+ */
 final class ScaleIn {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
 
+  /** Failed deletions are tried again so many times a heartbeat interval. */
+  private static final int RETRIES_PER_HEARTBEAT = 3;
+
   private final ControllerContext context;
   private final ClusterState state;
   private final Consumer<Machine> gone;
   private final Set<Machine> leaving = new LinkedHashSet<>();
-  private boolean urgentDelete;
-  private boolean idleDelete;
+  private boolean urgentDeletePending;
+  private boolean idleDeletePending;
 
-  /** {@code gone} is told of each machine that is gone with all that was on it. */
+  /**
+   * @param gone receives each machine that is gone with all that was on it
+   */
   ScaleIn(ControllerContext context, ClusterState state, Consumer<Machine> gone) {
     this.context = context;
     this.state = state;
@@ -43,56 +51,69 @@
     }
   }
 
+  /**
+   * Sends the next deletion if one is due. Deletions of machines with tasks are urgent: they are
+   * proofs that the tasks wait for, and never queue behind a call that only saves money.
+   */
   void send(double now) {
     boolean urgent =
         leaving.stream()
             .anyMatch(machine -> !machine.openAttempts.isEmpty() && machine.deleteRetryAt <= now);
-    // Proofs that tasks wait for are never behind a call that only saves money.
-    if (urgent ? urgentDelete : urgentDelete || idleDelete) {
+    boolean blocked = urgent ? urgentDeletePending : urgentDeletePending || idleDeletePending;
+    if (blocked) {
       return;
     }
+    List<Machine> batch = nextBatch(now);
+    if (!batch.isEmpty()) {
+      delete(batch, urgent);
+    }
+  }
+
+  private List<Machine> nextBatch(double now) {
     List<Machine> batch = new ArrayList<>();
-    List<String> names = new ArrayList<>();
     leaving.removeIf(machine -> state.machines.get(machine.name) != machine);
     for (Machine machine : leaving) {
       if (machine.deleteRetryAt <= now
           && batch.size() < Settings.CloudLimits.MAX_DELETE
           && !machine.commandInFlight) {
         batch.add(machine);
-        names.add(machine.name);
         machine.deleteRetryAt = Double.MAX_VALUE;
       }
     }
-    if (batch.isEmpty()) {
-      return;
-    }
-    deleteBusy(urgent, true);
+    return batch;
+  }
+
+  private void delete(List<Machine> batch, boolean urgent) {
+    List<String> names = batch.stream().map(machine -> machine.name).toList();
+    setDeletePending(urgent, true);
     context
         .cloud()
         .delete(names, urgent)
         .onComplete(
-            r -> {
-              deleteBusy(urgent, false);
-              if (r.succeeded()) {
+            result -> {
+              setDeletePending(urgent, false);
+              if (result.succeeded()) {
                 LOG.info("scaled in: {}", names);
                 leaving.removeAll(new HashSet<>(batch));
                 batch.forEach(gone);
               } else {
-                LOG.debug("could not scale in {}: {}", names, r.cause().getMessage());
-                batch.forEach(
-                    machine ->
-                        machine.deleteRetryAt =
-                            context.clock().now()
-                                + context.settings().workers().heartbeatIntervalS() / 3);
+                LOG.debug("could not scale in {}: {}", names, result.cause().getMessage());
+                batch.forEach(this::retryLater);
               }
             });
   }
 
-  private void deleteBusy(boolean urgent, boolean busy) {
+  private void retryLater(Machine machine) {
+    machine.deleteRetryAt =
+        context.clock().now()
+            + context.settings().workers().heartbeatIntervalS() / RETRIES_PER_HEARTBEAT;
+  }
+
+  private void setDeletePending(boolean urgent, boolean pending) {
     if (urgent) {
-      urgentDelete = busy;
+      urgentDeletePending = pending;
     } else {
-      idleDelete = busy;
+      idleDeletePending = pending;
     }
   }
 }
--- a/src/main/java/io/embernotch/fleet/ScaleOut.java
+++ b/src/main/java/io/embernotch/fleet/ScaleOut.java
@@ -17,10 +17,20 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Bookings under way, and where the cloud has no more machines. */
+/** Rents machines: the bookings that are under way, and which pools are exhausted. */
 final class ScaleOut {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleOut.class);
 
+  /** Unanswered rentals are repeated so many times a heartbeat interval. */
+  private static final int RETRIES_PER_HEARTBEAT = 3;
+
+  /** Heartbeat intervals for which a pool that gave too few machines is not asked again. */
+  private static final double EXHAUSTED_HEARTBEATS = 5;
+
+  /** Stands for a pool that was never exhausted. */
+  private static final double NOT_EXHAUSTED = -1.0;
+
+  /** A rental whose answer is not known yet; its name is an idempotency key. */
   private record Booking(String name, String type, String zone, boolean spot, int number) {}
 
   private final ControllerContext context;
@@ -29,10 +39,13 @@
   private final Runnable changed;
   private final String bookingPrefix;
   private final Map<String, Booking> open = new LinkedHashMap<>();
-  private final Map<String, Double> fullUntil = new HashMap<>();
+  private final Map<String, Double> exhaustedUntil = new HashMap<>();
   private int bookings;
 
-  /** {@code changed}: machines have come, or will not. */
+  /**
+   * @param epoch epoch of this leader, unique to its term
+   * @param changed called when machines have come, or will not
+   */
   ScaleOut(
       ControllerContext context,
       ClusterState state,
@@ -47,17 +60,20 @@
     this.bookingPrefix = "r-" + epoch + "-";
   }
 
+  /** The machines that are being rented. */
   List<FleetView.Expected> expected() {
-    List<FleetView.Expected> out = new ArrayList<>();
+    List<FleetView.Expected> expected = new ArrayList<>();
     for (Booking booking : open.values()) {
-      out.add(new FleetView.Expected(booking.type, booking.zone, booking.spot, booking.number));
+      expected.add(
+          new FleetView.Expected(booking.type, booking.zone, booking.spot, booking.number));
     }
-    return out;
+    return expected;
   }
 
-  /** The cloud has lately had too few machines of this kind. */
-  boolean full(String type, String zone, boolean spot) {
-    return fullUntil.getOrDefault(pool(type, zone, spot), -1.0) > context.clock().now();
+  /** Whether the cloud has lately had too few machines in a pool. */
+  boolean exhausted(String type, String zone, boolean spot) {
+    return exhaustedUntil.getOrDefault(pool(type, zone, spot), NOT_EXHAUSTED)
+        > context.clock().now();
   }
 
   private static String pool(String type, String zone, boolean spot) {
@@ -65,18 +81,18 @@
   }
 
   /**
-   * Rents in as few calls as may be: while one is under way for a pool, what more is wanted there
-   * waits and comes with the next plan, unless it fills a call. A call for each plan's few machines
-   * used to take up all that the cloud allows.
+   * Rents in as few calls as possible: while one is under way for a pool, further machines wait for
+   * the next plan, unless they fill a call. A call for each plan's few machines would use up the
+   * cloud's rate limit.
    */
   void rent(SchedulingPlan.ScaleOutRequest request) {
-    int left = request.number();
+    int remaining = request.number();
     boolean underWay = open.values().stream().anyMatch(booking -> samePool(booking, request));
-    while (left > 0 && open.size() < context.settings().cloudLimits().rps()) {
-      if (underWay && left < Settings.CloudLimits.MAX_RENT) {
+    while (remaining > 0 && open.size() < context.settings().cloudLimits().rps()) {
+      if (underWay && remaining < Settings.CloudLimits.MAX_RENT) {
         return;
       }
-      int number = Math.min(left, Settings.CloudLimits.MAX_RENT);
+      int number = Math.min(remaining, Settings.CloudLimits.MAX_RENT);
       Booking booking =
           new Booking(
               bookingPrefix + ++bookings, request.type(), request.zone(), request.spot(), number);
@@ -87,8 +103,8 @@
           booking.type,
           booking.zone,
           booking.spot ? " (spot)" : "");
-      book(booking);
-      left -= number;
+      send(booking);
+      remaining -= number;
     }
   }
 
@@ -98,11 +114,11 @@
         && booking.spot == request.spot();
   }
 
-  private void book(Booking booking) {
+  private void send(Booking booking) {
     context
         .cloud()
         .rent(booking.name, booking.type, booking.zone, booking.spot, booking.number)
-        .onSuccess(rented -> booked(booking, rented))
+        .onSuccess(rented -> complete(booking, rented))
         .onFailure(
             e -> {
               // Perhaps it was executed: the same name gives the same answer and rents nothing.
@@ -110,11 +126,12 @@
               context
                   .timers()
                   .after(
-                      context.settings().workers().heartbeatIntervalS() / 3, () -> book(booking));
+                      context.settings().workers().heartbeatIntervalS() / RETRIES_PER_HEARTBEAT,
+                      () -> send(booking));
             });
   }
 
-  private void booked(Booking booking, Rented rented) {
+  private void complete(Booking booking, Rented rented) {
     open.remove(booking.name);
     double now = context.clock().now();
     MachineType type = state.types.get(booking.type);
@@ -125,7 +142,7 @@
         machine.zone = booking.zone;
         machine.spot = booking.spot;
         machine.rentedAt = now;
-        machine.expectedUntil = now + FleetManager.COUNTED_BOOTS * type.bootS();
+        machine.expectedUntil = now + FleetManager.EXPECTED_BOOTS * type.bootS();
       }
     }
     if (rented.refused() || rented.machines().size() < booking.number) {
@@ -136,9 +153,9 @@
           booking.spot ? " (spot)" : "",
           rented.machines().size(),
           booking.number);
-      fullUntil.put(
+      exhaustedUntil.put(
           pool(booking.type, booking.zone, booking.spot),
-          now + 5 * context.settings().workers().heartbeatIntervalS());
+          now + EXHAUSTED_HEARTBEATS * context.settings().workers().heartbeatIntervalS());
     }
     changed.run();
   }
