--- a/src/main/java/io/embernotch/peer/Frame.java
+++ b/src/main/java/io/embernotch/peer/Frame.java
@@ -5,60 +5,127 @@
 import io.embernotch.straggler.Restart;
 import java.util.List;
 
-/** What controllers say to each other. */
+/** A message between controllers. */
 public sealed interface Frame {
-  /** Who is there, whom it takes for the leader, and whether the store answers it. */
+  /**
+   * A heartbeat between controllers.
+   *
+   * @param node name of the sender
+   * @param leader node that it takes for the leader; null if it knows none, or data is lost
+   * @param leaderEpoch epoch of that leader; while data is lost, an epoch that the store cannot
+   *     reach, which tells the others so
+   * @param storeReachable whether the store answers the sender
+   */
   record PeerHeartbeat(String node, String leader, long leaderEpoch, boolean storeReachable)
       implements Frame {}
 
-  /** A job was accepted: the value of its {@code job/} key. */
+  /**
+   * Announces to the leader that a job was accepted.
+   *
+   * @param value JSON of the job's submission key, with the incarnation and the revision that wrote
+   *     it
+   */
   record JobAccepted(byte[] value) implements Frame {}
 
-  /** A user's request, forwarded to the leader. */
+  /**
+   * A user's request, forwarded to the leader.
+   *
+   * @param id number of the request, which its response repeats
+   * @param kind what the user asks for
+   * @param ref id of the job; empty for {@link Kind#OVERVIEW}
+   */
   record ForwardedRequest(long id, Kind kind, String ref) implements Frame {
-    /** What the leader is asked for. */
+    /** What a user asks for; the order is part of the frame format. */
     public enum Kind {
+      /** The job's status. */
       POLL,
+      /** To cancel the job. */
       ABORT,
+      /** The overview of the cluster. */
       OVERVIEW
     }
   }
 
-  /** A submission, passed on by a controller that the store does not answer. */
+  /**
+   * A submission, forwarded by a controller that the store does not answer.
+   *
+   * @param id number of the request, which its response repeats
+   * @param body body of the user's request
+   */
   record ForwardedSubmission(long id, byte[] body) implements Frame {}
 
-  /** The answer to the question with this number. */
+  /**
+   * The response to a forwarded request, submission or heartbeat.
+   *
+   * @param id number of the request
+   * @param status HTTP status
+   * @param retryAfterS seconds after which the caller is to try again; 0: not said
+   * @param body body of the HTTP response
+   */
   record Response(long id, int status, int retryAfterS, byte[] body) implements Frame {}
 
-  /** The leader's view of a machine in the receiver's part. */
+  /**
+   * The leader's view of a machine in the receiver's partition.
+   *
+   * @param epoch epoch of the leader
+   * @param view the machine and the tasks on it
+   */
   record MachineViewUpdate(long epoch, MachineView view) implements Frame {}
 
-  /** The images that a machine has, least recently used first, for whoever is leader next. */
+  /**
+   * The images that a machine has, for whoever is leader next.
+   *
+   * @param epoch epoch of the leader
+   * @param machine name of the machine
+   * @param images names of the images, least recently used first
+   */
   record ImageInventoryUpdate(long epoch, String machine, List<String> images) implements Frame {}
 
-  /** The machine is gone, or has moved to another part. */
+  /**
+   * A machine is gone, or has moved to another partition.
+   *
+   * @param epoch epoch of the leader
+   * @param machine name of the machine
+   */
   record MachineViewRemoval(long epoch, String machine) implements Frame {}
 
   /**
-   * A worker's heartbeat, passed on to the leader; {@link RecordedAnswers} answers it, unless
-   * {@code id} is 0. Only a leader whose key says that it takes them may be sent one: the former
-   * version drops the connection.
+   * A worker's heartbeat, forwarded to the leader. Only a leader whose key says that it takes them
+   * may be sent one: the former version drops the connection.
+   *
+   * @param id number of the request, which its {@link Response} repeats; 0: no response is wanted
+   * @param heartbeat the worker's heartbeat
    */
   record ForwardedHeartbeat(long id, Heartbeat heartbeat) implements Frame {}
 
   /**
-   * A controller is there, for a leader that takes reports: the number of this message, the highest
-   * one that was answered (0: none), and how long ago it last renewed a worker by itself; below 0:
-   * never.
+   * A heartbeat of a controller to a leader that takes forwarded heartbeats, by which it asks for
+   * delegated lease renewal.
+   *
+   * @param node name of the sender
+   * @param seq number of this message, rising
+   * @param ack highest number that the leader acknowledged; 0: none
+   * @param renewedAgoS seconds since the sender last renewed a worker's lease by itself; below 0:
+   *     never
    */
   record DelegateHeartbeat(String node, long seq, long ack, double renewedAgoS) implements Frame {}
 
   /**
-   * The leader's answer: whether the controller may renew workers of its zone for a while if it is
-   * partitioned.
+   * The leader's answer to a {@link DelegateHeartbeat}.
+   *
+   * @param epoch epoch of the leader
+   * @param seq number that it acknowledges
+   * @param granted whether the controller may renew workers of its zone for a while if it is
+   *     partitioned
    */
   record DelegateHeartbeatAck(long epoch, long seq, boolean granted) implements Frame {}
 
-  /** The restarts that a round of the owner of a part proposes to the leader. */
+  /**
+   * The restarts that a straggler round of a partition's owner proposes to the leader.
+   *
+   * @param from name of the sender
+   * @param epoch epoch of the leader whose views the round went by
+   * @param restarts the proposals, at least one
+   */
   record RestartProposals(String from, long epoch, List<Restart> restarts) implements Frame {}
 }
--- a/src/main/java/io/embernotch/peer/FrameReader.java
+++ b/src/main/java/io/embernotch/peer/FrameReader.java
@@ -4,35 +4,37 @@
 import java.nio.ByteBuffer;
 import java.util.function.Consumer;
 
-/** Cuts a stream of bytes into frames. */
+/** Splits the bytes of one connection into frames. Not thread-safe. */
 public final class FrameReader {
+  private static final int FIRST_BUFFER_BYTES = 1024;
+
+  /** A frame holds at least its version and its kind. */
+  private static final int MIN_FRAME = 2;
+
   private final Consumer<Frame> sink;
-  private ByteBuffer pending = ByteBuffer.allocate(1024);
+  private ByteBuffer pending = ByteBuffer.allocate(FIRST_BUFFER_BYTES);
 
+  /**
+   * @param sink receives each frame, in the order of the stream
+   */
   public FrameReader(Consumer<Frame> sink) {
     this.sink = sink;
   }
 
   /**
-   * Takes more bytes. A malformed frame throws {@link MalformedInputException}; the stream is then
-   * of no use.
+   * Takes more bytes, and delivers the frames that they complete.
+   *
+   * @throws MalformedInputException if a frame is malformed; the stream is then unusable
    */
   public void feed(byte[] bytes) {
-    if (pending.remaining() < bytes.length) {
-      ByteBuffer bigger =
-          ByteBuffer.allocate(Math.max(pending.capacity() * 2, pending.position() + bytes.length));
-      pending.flip();
-      bigger.put(pending);
-      pending = bigger;
-    }
-    pending.put(bytes);
+    append(bytes);
     pending.flip();
-    while (pending.remaining() >= 4) {
+    while (pending.remaining() >= FrameCodec.LENGTH_BYTES) {
       int length = pending.getInt(pending.position());
-      if (length < 2 || length > FrameCodec.MAX_FRAME) {
+      if (length < MIN_FRAME || length > FrameCodec.MAX_FRAME) {
         throw new MalformedInputException("frame length " + length);
       }
-      if (pending.remaining() < 4 + length) {
+      if (pending.remaining() < FrameCodec.LENGTH_BYTES + length) {
         break;
       }
       pending.getInt();
@@ -42,4 +44,15 @@
     }
     pending.compact();
   }
+
+  private void append(byte[] bytes) {
+    if (pending.remaining() < bytes.length) {
+      ByteBuffer bigger =
+          ByteBuffer.allocate(Math.max(pending.capacity() * 2, pending.position() + bytes.length));
+      pending.flip();
+      bigger.put(pending);
+      pending = bigger;
+    }
+    pending.put(bytes);
+  }
 }
--- a/src/main/java/io/embernotch/peer/PeerLink.java
+++ b/src/main/java/io/embernotch/peer/PeerLink.java
@@ -2,17 +2,20 @@
 
 import java.util.function.BiConsumer;
 
-/** Carries frames to the other controllers; nothing is promised about delivery. */
+/** Carries frames to the other controllers. Delivery is not guaranteed. Core loop only. */
 public interface PeerLink {
-  /** Someone to answer over the connection that a frame came by. */
+  /** Sends frames back over the connection that a frame came by. */
   interface ReplyChannel {
+    /** Sends a frame, or drops it if the connection is congested. */
     void send(Frame frame);
   }
 
+  /** Sets the handler of all incoming frames, in place of the one before. */
   void onFrame(BiConsumer<Frame, ReplyChannel> handler);
 
+  /** Sends a frame to a controller, or drops it if there is no connection or it is congested. */
   void send(String node, Frame frame);
 
-  /** Gives up the connection to a node that has fallen silent, and connects anew. */
+  /** Closes the connection to a node that has become unresponsive, and connects anew. */
   void renew(String node);
 }
--- a/src/main/java/io/embernotch/peer/VertxPeerLink.java
+++ b/src/main/java/io/embernotch/peer/VertxPeerLink.java
@@ -17,32 +17,46 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One outgoing TCP connection to each member; answers travel back on the connection asked by. */
+/**
+ * Keeps one outgoing TCP connection to each member. Responses travel back on the connection that
+ * the request came by.
+ */
 public final class VertxPeerLink implements PeerLink {
   private static final Logger LOG = LoggerFactory.getLogger(VertxPeerLink.class);
 
   /**
-   * A process may be back at once: the first try comes after this share of the time between two.
+   * A restarted process may be back at once: the first retry comes after this share of the longest
+   * time between two, and the time doubles from there.
    */
-  private static final double SOON = 1.0 / 32;
+  private static final double FIRST_RETRY_SHARE = 1.0 / 32;
+
+  /** Connections are retried so many times a heartbeat interval at the least. */
+  private static final int RETRIES_PER_HEARTBEAT = 3;
+
+  private static final int MS_PER_S = 1000;
 
   private final Timers timers;
   private final NetClient client;
   private final double retryS;
   private final Map<String, Outgoing> outgoing = new HashMap<>();
-  private BiConsumer<Frame, ReplyChannel> handler = (f, b) -> {};
+  private BiConsumer<Frame, ReplyChannel> handler = (frame, reply) -> {};
 
+  /** A link to all members of the settings; {@link #start} connects it. */
   public VertxPeerLink(Vertx vertx, Timers timers, Settings settings) {
     this.timers = timers;
-    this.retryS = settings.workers().heartbeatIntervalS() / 3;
+    this.retryS = settings.workers().heartbeatIntervalS() / RETRIES_PER_HEARTBEAT;
     NetClientOptions options = new NetClientOptions();
-    options.setConnectTimeout((int) (retryS * 1000)).setTcpNoDelay(true);
+    options.setConnectTimeout((int) (retryS * MS_PER_S)).setTcpNoDelay(true);
     this.client = vertx.createNetClient(options);
     for (Settings.Member member : settings.members()) {
       outgoing.put(member.node(), new Outgoing(member.address()));
     }
   }
 
+  /**
+   * Connects to the members and listens for their connections; the future fails if the address
+   * cannot be listened on.
+   */
   public Future<Void> start(Vertx vertx, HostPort listen) {
     outgoing.values().forEach(Outgoing::connect);
     NetServerOptions options = new NetServerOptions();
@@ -61,23 +75,23 @@
 
   @Override
   public void send(String node, Frame frame) {
-    Outgoing out = outgoing.get(node);
-    if (out != null && out.socket != null) {
-      out.outbox.add(frame);
+    Outgoing connection = outgoing.get(node);
+    if (connection != null && connection.socket != null) {
+      connection.outbox.add(frame);
     }
   }
 
   @Override
   public void renew(String node) {
-    Outgoing out = outgoing.get(node);
-    if (out != null && out.socket != null) {
-      out.socket.close();
+    Outgoing connection = outgoing.get(node);
+    if (connection != null && connection.socket != null) {
+      connection.socket.close();
     }
   }
 
   private Outbox attach(NetSocket socket) {
-    Outbox out = new Outbox(socket);
-    FrameReader reader = new FrameReader(f -> handler.accept(f, out::add));
+    Outbox outbox = new Outbox(socket);
+    FrameReader reader = new FrameReader(frame -> handler.accept(frame, outbox::add));
     socket.handler(
         bytes -> {
           try {
@@ -89,45 +103,47 @@
         });
     socket.exceptionHandler(
         e -> LOG.debug("connection to a controller failed: {}", e.getMessage()));
-    return out;
+    return outbox;
   }
 
   /**
-   * Gathers the frames of one turn of the loop, so that passed-on heartbeats share packets and
-   * system calls.
+   * Collects the frames of one iteration of the event loop, so that forwarded heartbeats share
+   * packets and system calls.
    */
   private static final class Outbox {
     private final NetSocket socket;
-    private Buffer gathered;
+    private Buffer batch;
 
     Outbox(NetSocket socket) {
       this.socket = socket;
     }
 
     void add(Frame frame) {
-      // A peer that does not read must not fill our memory: frames are dropped, and repeated later.
+      // A peer that does not read must not fill this process's memory: frames are dropped, and
+      // repeated later.
       if (socket.writeQueueFull()) {
         return;
       }
-      if (gathered == null) {
-        gathered = Buffer.buffer();
+      if (batch == null) {
+        batch = Buffer.buffer();
         Vertx.currentContext().runOnContext(v -> flush());
       }
-      gathered.appendBytes(FrameCodec.encode(frame));
+      batch.appendBytes(FrameCodec.encode(frame));
     }
 
     private void flush() {
-      Buffer all = gathered;
-      gathered = null;
-      socket.write(all);
+      Buffer frames = batch;
+      batch = null;
+      socket.write(frames);
     }
   }
 
+  /** The connection to one member, retried until it is there. */
   private final class Outgoing {
     final HostPort address;
     NetSocket socket;
     Outbox outbox;
-    double waitS = SOON * retryS;
+    double retryDelayS = FIRST_RETRY_SHARE * retryS;
 
     Outgoing(HostPort address) {
       this.address = address;
@@ -137,22 +153,22 @@
       client
           .connect(address.port(), address.host())
           .onSuccess(
-              s -> {
-                socket = s;
-                outbox = attach(s);
-                waitS = SOON * retryS;
-                s.closeHandler(
+              connected -> {
+                socket = connected;
+                outbox = attach(connected);
+                retryDelayS = FIRST_RETRY_SHARE * retryS;
+                connected.closeHandler(
                     v -> {
                       socket = null;
-                      again();
+                      retry();
                     });
               })
-          .onFailure(e -> again());
+          .onFailure(e -> retry());
     }
 
-    private void again() {
-      timers.after(waitS, this::connect);
-      waitS = Math.min(retryS, 2 * waitS);
+    private void retry() {
+      timers.after(retryDelayS, this::connect);
+      retryDelayS = Math.min(retryS, 2 * retryDelayS);
     }
   }
 }
