--- a/src/main/java/io/embernotch/rounds/MachineViewPublisher.java
+++ b/src/main/java/io/embernotch/rounds/MachineViewPublisher.java
@@ -1,5 +1,6 @@
 package io.embernotch.rounds;
 
+import io.embernotch.actor.Clock;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.JobShape;
@@ -17,124 +18,140 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 
-/** Streams starts, finishes and free room of each machine to the owner of its part. */
+/**
+ * Streams views of machines to the owners of their partitions: starts, completions and free
+ * capacity.
+ */
 public final class MachineViewPublisher {
-  /**
-   * Views that have not changed are sent again after this many rounds, lest a lost one be missed.
-   */
+  /** Finished runs that make up a machine's recent performance. */
+  public static final int LATELY = 16;
+
+  /** A view that has not changed is sent again after this many rounds, in case it was lost. */
   private static final int REPEAT_ROUNDS = 4;
 
   /**
-   * Machines are looked at in turns, all of them in so many calls: a look at all of them took a
-   * fifth of the core's time.
+   * All machines are visited within this many calls, a part of them in each: visiting all of them
+   * at every call would take a fifth of the core's time.
    */
-  private static final int TURNS = 4;
+  private static final int VISIT_CALLS = 4;
+
+  private static final int HASH_FACTOR = 31;
+  private static final double SECONDS_PER_HOUR = 3600;
 
-  /** What was last sent of a machine, and to whom. */
-  private static final class Sent {
+  /** What was last sent about a machine, and to whom. */
+  private static final class SentView {
     final String owner;
-    int hash;
-    double at = -1e9;
+    int fingerprint;
+    double sentAt = Clock.NEVER;
 
-    Sent(String owner) {
+    SentView(String owner) {
       this.owner = owner;
     }
   }
 
-  /** Finished runs that make up a machine's recent performance. */
-  public static final int LATELY = 16;
-
   private final ControllerContext context;
   private final ClusterState state;
   private final BiConsumer<String, MachineView> send;
-  private final BiConsumer<String, String> forget;
-  private final Map<String, Sent> sentTo = new HashMap<>();
+  private final BiConsumer<String, String> remove;
+  private final Map<String, SentView> sentViews = new HashMap<>();
   private Set<String> lastControllers = Set.of();
-  private long messages;
-  private int turn;
+  private long sentCount;
+  private int call;
 
+  /**
+   * @param send sends the owner, given first, the view of a machine
+   * @param remove tells the former owner, given first, that a machine is gone or has moved
+   */
   public MachineViewPublisher(
       ControllerContext context,
       ClusterState state,
       BiConsumer<String, MachineView> send,
-      BiConsumer<String, String> forget) {
+      BiConsumer<String, String> remove) {
     this.context = context;
     this.state = state;
     this.send = send;
-    this.forget = forget;
+    this.remove = remove;
   }
 
   /**
    * Sends what has changed, each machine at most once a round: a finished task changes its job's
    * mean and so the views of all machines that run the job, many times between two rounds.
+   *
+   * @param controllers names of the live controllers, among which partitions are split
    */
   public void publish(Set<String> controllers) {
     double now = context.clock().now();
-    boolean moved = !controllers.equals(lastControllers);
+    boolean controllersChanged = !controllers.equals(lastControllers);
     lastControllers = controllers;
-    turn = (turn + 1) % TURNS;
+    call = (call + 1) % VISIT_CALLS;
     for (Machine machine : state.machines.values()) {
-      if (!moved && Math.floorMod(machine.name.hashCode(), TURNS) != turn) {
-        continue;
-      }
-      Sent sent = sentCount(machine, controllers, moved);
-      if (sent == null || now - sent.at < context.operator().roundS()) {
-        continue;
-      }
-      int hash = fingerprint(machine);
-      if (sent.hash != hash || now - sent.at > REPEAT_ROUNDS * context.operator().roundS()) {
-        sent.hash = hash;
-        sent.at = now;
-        messages++;
-        send.accept(sent.owner, view(machine, now));
+      if (controllersChanged || Math.floorMod(machine.name.hashCode(), VISIT_CALLS) == call) {
+        SentView sent = sentView(machine, controllers, controllersChanged);
+        if (sent != null) {
+          sendIfDue(machine, sent, now);
+        }
       }
     }
-    sentTo
-        .entrySet()
-        .removeIf(
-            e -> {
-              boolean gone = !state.machines.containsKey(e.getKey());
-              if (gone) {
-                forget.accept(e.getValue().owner, e.getKey());
-              }
-              return gone;
-            });
+    sentViews.entrySet().removeIf(entry -> removeIfGone(entry.getKey(), entry.getValue()));
+  }
+
+  private void sendIfDue(Machine machine, SentView sent, double now) {
+    double roundS = context.operator().roundS();
+    if (now - sent.sentAt < roundS) {
+      return;
+    }
+    int fingerprint = fingerprint(machine);
+    if (sent.fingerprint != fingerprint || now - sent.sentAt > REPEAT_ROUNDS * roundS) {
+      sent.fingerprint = fingerprint;
+      sent.sentAt = now;
+      sentCount++;
+      send.accept(sent.owner, view(machine, now));
+    }
+  }
+
+  private boolean removeIfGone(String machine, SentView sent) {
+    boolean gone = !state.machines.containsKey(machine);
+    if (gone) {
+      remove.accept(sent.owner, machine);
+    }
+    return gone;
   }
 
-  /** Views sent so far. */
+  /** Number of views sent so far. */
   public long sentCount() {
-    return messages;
+    return sentCount;
   }
 
-  private Sent sentCount(Machine machine, Set<String> controllers, boolean moved) {
-    Sent sent = sentTo.get(machine.name);
+  /** What was sent about a machine to its present owner; null if its view can't be made yet. */
+  private SentView sentView(Machine machine, Set<String> controllers, boolean controllersChanged) {
+    SentView sent = sentViews.get(machine.name);
     if (sent == null) {
       if (!machine.up() || machine.type == null) {
         return null;
       }
-      sent = new Sent(MachinePartitions.owner(machine.name, controllers));
-      sentTo.put(machine.name, sent);
-    } else if (moved) {
+      sent = new SentView(MachinePartitions.owner(machine.name, controllers));
+      sentViews.put(machine.name, sent);
+    } else if (controllersChanged) {
       String owner = MachinePartitions.owner(machine.name, controllers);
       if (!owner.equals(sent.owner)) {
-        forget.accept(sent.owner, machine.name);
-        sent = new Sent(owner);
-        sentTo.put(machine.name, sent);
+        remove.accept(sent.owner, machine.name);
+        sent = new SentView(owner);
+        sentViews.put(machine.name, sent);
       }
     }
     return sent;
   }
 
-  /** Changes with whatever a round would see differently, save for time passing. */
+  /** Differs whenever a round would see the machine differently, apart from time passing. */
   private static int fingerprint(Machine machine) {
-    int hash = machine.ratios.hashCode() * 31 + (usable(machine) ? 1 : 0);
+    int hash = machine.ratios.hashCode() * HASH_FACTOR + (usable(machine) ? 1 : 0);
     for (Attempt attempt : machine.openAttempts.values()) {
-      hash = hash * 31 + attempt.job.spec.ref().hashCode();
-      hash = hash * 31 + attempt.task;
-      hash = hash * 31 + (int) attempt.number;
-      hash = hash * 31 + (attempt.runningAt >= 0 ? 1 : 0);
-      hash = hash * 31 + (attempt.stopping ? 1 : 0);
-      hash = hash * 31 + attempt.job.finishedCount;
+      hash = hash * HASH_FACTOR + attempt.job.spec.ref().hashCode();
+      hash = hash * HASH_FACTOR + attempt.task;
+      hash = hash * HASH_FACTOR + (int) attempt.number;
+      hash = hash * HASH_FACTOR + (attempt.runningAt >= 0 ? 1 : 0);
+      hash = hash * HASH_FACTOR + (attempt.stopping ? 1 : 0);
+      hash = hash * HASH_FACTOR + attempt.job.finishedCount;
     }
     return hash;
   }
@@ -148,50 +165,50 @@
   }
 
   private static MachineView view(Machine machine, double now) {
-    double cpus = machine.type.cpus() - machine.reservedCpus;
-    double gpus = machine.type.gpus() - machine.reservedGpus;
-    double mem = machine.type.memGb() - machine.reservedMemGb;
-    int busy = 0;
+    FreeCapacity free = FreeCapacity.of(machine);
     List<TaskView> tasks = new ArrayList<>();
     for (Attempt attempt : machine.openAttempts.values()) {
-      JobSpec spec = attempt.job.spec;
-      cpus -= spec.cpus();
-      gpus -= spec.gpus();
-      mem -= spec.memGb();
-      busy++;
-      if (spec.shape() == JobShape.ARRAY
-          && attempt.state == TaskState.RUNNING
-          && attempt.runningAt >= 0
-          && !attempt.stopping) {
-        tasks.add(
-            new TaskView(
-                spec.ref(),
-                attempt.task,
-                attempt.number,
-                now - attempt.runningAt,
-                attempt.job.meanS(),
-                spec.cpus(),
-                spec.gpus(),
-                spec.memGb(),
-                spec.spot(),
-                spec.zone(),
-                spec.types()));
+      if (mayBeStraggler(attempt)) {
+        tasks.add(taskView(attempt, now));
       }
     }
-    double perS = (machine.spot ? machine.type.spotPrice() : machine.type.price()) / 3600;
+    double pricePerHour = machine.spot ? machine.type.spotPrice() : machine.type.price();
     return new MachineView(
         machine.name,
         machine.type.name(),
         machine.zone,
         machine.spot,
         (int) Math.max(1, machine.type.cpus()),
-        perS,
+        pricePerHour / SECONDS_PER_HOUR,
         usable(machine),
-        cpus,
-        gpus,
-        mem,
-        busy,
+        free.cpus(),
+        free.gpus(),
+        free.memGb(),
+        machine.openAttempts.size(),
         List.copyOf(machine.ratios),
         tasks);
   }
+
+  private static boolean mayBeStraggler(Attempt attempt) {
+    return attempt.job.spec.shape() == JobShape.ARRAY
+        && attempt.state == TaskState.RUNNING
+        && attempt.runningAt >= 0
+        && !attempt.stopping;
+  }
+
+  private static TaskView taskView(Attempt attempt, double now) {
+    JobSpec spec = attempt.job.spec;
+    return new TaskView(
+        spec.ref(),
+        attempt.task,
+        attempt.number,
+        now - attempt.runningAt,
+        attempt.job.meanS(),
+        spec.cpus(),
+        spec.gpus(),
+        spec.memGb(),
+        spec.spot(),
+        spec.zone(),
+        spec.types());
+  }
 }
--- a/src/main/java/io/embernotch/rounds/PartitionViews.java
+++ b/src/main/java/io/embernotch/rounds/PartitionViews.java
@@ -6,8 +6,8 @@
 import io.embernotch.straggler.MachineView;
 
 /**
- * Brings a leader's views of machines to the controllers in whose parts they are, this one or
- * another.
+ * Delivers a leader's views of machines to the controllers in whose partitions they are, this one
+ * or another.
  */
 public final class PartitionViews {
   private final String node;
@@ -15,7 +15,8 @@
   private final PeerLink peers;
 
   /**
-   * @param part this controller's own, {@code node} its name
+   * @param node name of this controller
+   * @param localPartition this controller's own partition
    */
   public PartitionViews(String node, LocalPartition localPartition, PeerLink peers) {
     this.node = node;
@@ -23,6 +24,7 @@
     this.peers = peers;
   }
 
+  /** Sends a controller the view of a machine in its partition. */
   public void send(String controller, long epoch, MachineView view) {
     if (controller.equals(node)) {
       localPartition.put(epoch, view);
@@ -31,6 +33,7 @@
     }
   }
 
+  /** Tells a controller that a machine is no longer in its partition. */
   public void remove(String controller, long epoch, String machine) {
     if (controller.equals(node)) {
       localPartition.remove(epoch, machine);
--- a/src/main/java/io/embernotch/rounds/RestartReviewer.java
+++ b/src/main/java/io/embernotch/rounds/RestartReviewer.java
@@ -1,5 +1,6 @@
 package io.embernotch.rounds;
 
+import io.embernotch.actor.Clock;
 import io.embernotch.agents.TaskStopper;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.model.Attempt;
@@ -21,7 +22,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes proposals to restart slow tasks, checks them, and lets a few batches a second through. */
+/**
+ * Reviews the restarts that straggler rounds propose: checks each against the cluster state of the
+ * moment, and limits how many batches of them a second are carried out.
+ */
 public final class RestartReviewer {
   private static final Logger LOG = LoggerFactory.getLogger(RestartReviewer.class);
 
@@ -29,9 +33,10 @@
   private final ClusterState state;
   private final StateWriter stateWriter;
   private final TaskStopper stopper;
-  private final Map<String, Deque<List<Restart>>> proposed = new HashMap<>();
-  private final Map<String, Double> nextAt = new HashMap<>();
+  private final Map<String, Deque<List<Restart>>> queues = new HashMap<>();
+  private final Map<String, Double> nextBatchAt = new HashMap<>();
 
+  /** A reviewer without proposals. */
   public RestartReviewer(
       ControllerContext context, ClusterState state, StateWriter stateWriter, TaskStopper stopper) {
     this.context = context;
@@ -41,20 +46,23 @@
   }
 
   /**
-   * A round's proposals, cut into batches that one commit can hold. A newer round replaces an older
-   * one.
+   * Queues a round's proposals in batches that one commit can hold. They replace what is left of an
+   * earlier round of the same controller.
+   *
+   * @param from name of the controller whose round it was
    */
   public void propose(String from, List<Restart> restarts) {
-    int batch = Math.max(1, context.settings().minStoreLimits().txnOps() - 1);
+    int batchSize = Math.max(1, context.settings().minStoreLimits().txnOps() - 1);
     Deque<List<Restart>> queue = new ArrayDeque<>();
-    for (int i = 0; i < restarts.size(); i += batch) {
-      queue.add(restarts.subList(i, Math.min(restarts.size(), i + batch)));
+    for (int i = 0; i < restarts.size(); i += batchSize) {
+      queue.add(restarts.subList(i, Math.min(restarts.size(), i + batchSize)));
     }
-    proposed.put(from, queue);
+    queues.put(from, queue);
   }
 
   /**
-   * Commits what is due, and has it stopped where it runs; it starts anew where the round wished.
+   * Carries out the restarts that are due: commits the machine that the round prefers, then stops
+   * the attempt.
    */
   public void commitDue() {
     due().forEach(this::restart);
@@ -84,10 +92,10 @@
   private List<Restart> due() {
     double now = context.clock().now();
     List<Restart> due = new ArrayList<>();
-    proposed.forEach(
+    queues.forEach(
         (from, queue) -> {
-          if (!queue.isEmpty() && now >= nextAt.getOrDefault(from, -1e9)) {
-            nextAt.put(from, now + 1 / context.operator().batchesPerS());
+          if (!queue.isEmpty() && now >= nextBatchAt.getOrDefault(from, Clock.NEVER)) {
+            nextBatchAt.put(from, now + 1 / context.operator().batchesPerS());
             for (Restart restart : queue.poll()) {
               if (valid(restart)) {
                 due.add(restart);
@@ -99,7 +107,8 @@
   }
 
   /**
-   * The world may have moved since the round: the task must still run there, and the room be free.
+   * The cluster may have changed since the round: the attempt must still run, and the target have
+   * room.
    */
   private boolean valid(Restart restart) {
     Job job = state.jobs.get(restart.ref());
@@ -124,19 +133,6 @@
         && target.reclaimAt < 0
         && spec.allows(target.type.name(), target.zone, target.spot)
         && (!spec.oneZone() || job.openAttempts.size() == 1 || attempt.zone.equals(target.zone))
-        && roomOn(target, spec);
-  }
-
-  private static boolean roomOn(Machine machine, JobSpec spec) {
-    // Reserved capacity takes no restart.
-    double cpus = machine.type.cpus() - machine.reservedCpus;
-    double gpus = machine.type.gpus() - machine.reservedGpus;
-    double mem = machine.type.memGb() - machine.reservedMemGb;
-    for (Attempt attempt : machine.openAttempts.values()) {
-      cpus -= attempt.job.spec.cpus();
-      gpus -= attempt.job.spec.gpus();
-      mem -= attempt.job.spec.memGb();
-    }
-    return cpus >= spec.cpus() && gpus >= spec.gpus() && mem >= spec.memGb();
+        && FreeCapacity.of(target).fits(spec);
   }
 }
--- a/src/main/java/io/embernotch/rounds/StragglerRounds.java
+++ b/src/main/java/io/embernotch/rounds/StragglerRounds.java
@@ -11,7 +11,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The paper's rounds over this controller's part of the machines. */
+/** Runs a round over this controller's partition at fixed intervals, and proposes its restarts. */
 public final class StragglerRounds {
   private static final Logger LOG = LoggerFactory.getLogger(StragglerRounds.class);
 
@@ -20,6 +20,9 @@
   private final StragglerRound round;
   private final Consumer<List<Restart>> propose;
 
+  /**
+   * @param propose receives the restarts of a round, at least one
+   */
   public StragglerRounds(
       ControllerContext context, LocalPartition localPartition, Consumer<List<Restart>> propose) {
     this.context = context;
@@ -30,6 +33,7 @@
             context.operator().flagRatio(), context.operator().beta(), context.operator().roundS());
   }
 
+  /** Schedules the next round, which schedules the one after it. */
   public void start() {
     context.timers().after(context.operator().roundS(), this::run);
   }
--- a/src/main/java/io/embernotch/straggler/EnergyModel.java
+++ b/src/main/java/io/embernotch/straggler/EnergyModel.java
@@ -4,9 +4,9 @@
 final class EnergyModel {
   private EnergyModel() {}
 
-  /** Equation 2: how much {@code n} tasks on {@code cores} cores slow each other down. */
-  static double slowdown(int n, int cores) {
-    return n <= cores ? 1.0 : (double) n / cores;
+  /** Equation 2: alpha, by how much {@code tasks} on {@code cores} slow each other down. */
+  static double slowdown(int tasks, int cores) {
+    return tasks <= cores ? 1.0 : (double) tasks / cores;
   }
 
   /** Static power: the price per second, or one unit for a machine that costs nothing. */
@@ -15,8 +15,8 @@
   }
 
   /** Equation 1: static power, and that of one core for each task up to the number of cores. */
-  static double power(double pricePerS, int n, int cores) {
-    double fixed = idlePower(pricePerS);
-    return fixed + Math.min(n, cores) * (fixed / cores);
+  static double power(double pricePerS, int tasks, int cores) {
+    double idlePower = idlePower(pricePerS);
+    return idlePower + Math.min(tasks, cores) * (idlePower / cores);
   }
 }
--- a/src/main/java/io/embernotch/straggler/LocalPartition.java
+++ b/src/main/java/io/embernotch/straggler/LocalPartition.java
@@ -7,22 +7,26 @@
 import java.util.Map;
 
 /**
- * A controller's part: the latest view of each machine in it, as the leader streams them. The views
- * of an earlier leader, and those that are not renewed, are forgotten.
+ * A controller's partition: the latest view of each machine in it, as the leader streams them. The
+ * views of an earlier leader, and those that are not renewed, are dropped. Core loop only.
  */
 public final class LocalPartition {
-  private record Held(MachineView view, double at) {}
+  private record ReceivedView(MachineView view, double receivedAt) {}
 
   private final Clock clock;
-  private final double forgetS;
-  private final Map<String, Held> views = new HashMap<>();
+  private final double expiryS;
+  private final Map<String, ReceivedView> views = new HashMap<>();
   private long epoch;
 
-  public LocalPartition(Clock clock, double forgetS) {
+  /**
+   * @param expiryS seconds after which a view that is not renewed is dropped
+   */
+  public LocalPartition(Clock clock, double expiryS) {
     this.clock = clock;
-    this.forgetS = forgetS;
+    this.expiryS = expiryS;
   }
 
+  /** Takes a view; those of an earlier leader than the latest known are ignored. */
   public void put(long leaderEpoch, MachineView view) {
     if (leaderEpoch < epoch) {
       return;
@@ -31,64 +35,34 @@
       epoch = leaderEpoch;
       views.clear();
     }
-    views.put(view.machine(), new Held(view, clock.now()));
+    views.put(view.machine(), new ReceivedView(view, clock.now()));
   }
 
+  /** Drops the view of a machine, unless another leader than the latest known says so. */
   public void remove(long leaderEpoch, String machine) {
     if (leaderEpoch == epoch) {
       views.remove(machine);
     }
   }
 
+  /** Epoch of the leader whose views these are; 0 before the first. */
   public long epoch() {
     return epoch;
   }
 
+  /** Number of machines in the partition. */
   public int size() {
     return views.size();
   }
 
-  /** The part now: run times have gone on since each view was made. */
+  /** The partition now: run times have gone on since each view was made. */
   public List<MachineView> current() {
     double now = clock.now();
-    views.values().removeIf(entry -> now - entry.at > forgetS);
-    List<MachineView> out = new ArrayList<>();
-    for (Held entry : views.values()) {
-      out.add(aged(entry.view, now - entry.at));
+    views.values().removeIf(received -> now - received.receivedAt > expiryS);
+    List<MachineView> current = new ArrayList<>();
+    for (ReceivedView received : views.values()) {
+      current.add(received.view.agedBy(now - received.receivedAt));
     }
-    return out;
-  }
-
-  private static MachineView aged(MachineView view, double by) {
-    List<MachineView.TaskView> tasks = new ArrayList<>();
-    for (MachineView.TaskView task : view.tasks()) {
-      tasks.add(
-          new MachineView.TaskView(
-              task.ref(),
-              task.task(),
-              task.attempt(),
-              task.elapsedS() + by,
-              task.jobMeanS(),
-              task.cpus(),
-              task.gpus(),
-              task.memGb(),
-              task.spotAllowed(),
-              task.zone(),
-              task.types()));
-    }
-    return new MachineView(
-        view.machine(),
-        view.type(),
-        view.zone(),
-        view.spot(),
-        view.cores(),
-        view.pricePerS(),
-        view.usable(),
-        view.freeCpus(),
-        view.freeGpus(),
-        view.freeMemGb(),
-        view.busyTasks(),
-        view.ratios(),
-        tasks);
+    return current;
   }
 }
--- a/src/test/java/io/embernotch/straggler/StragglerRoundTest.java
+++ b/src/test/java/io/embernotch/straggler/StragglerRoundTest.java
@@ -80,14 +80,14 @@
     MachineView a = machine("a", 1, 0, 1, List.of(1.0));
     MachineView b = machine("b", 1, 0, 1, List.of(0.5));
     MachineView c = machine("c", 1, 0, 1, List.of());
-    double average = StragglerRound.partAverage(List.of(a, b, c));
+    double average = StragglerRound.averagePerformance(List.of(a, b, c));
     assertThat(average).isCloseTo(0.75, within(1e-9));
     assertThat(StragglerRound.performance(c, average)).isEqualTo(average);
-    assertThat(StragglerRound.partAverage(List.of(c))).isEqualTo(1.0);
+    assertThat(StragglerRound.averagePerformance(List.of(c))).isEqualTo(1.0);
   }
 
   @Test
-  void partsAreSpreadAndOnlyALostControllersPartMoves() {
+  void partitionsAreBalancedAndOnlyALostControllersPartitionMoves() {
     int[] count = new int[3];
     for (int i = 0; i < 300; i++) {
       String m = String.format("n-%06d", i);
