--- a/src/main/java/io/embernotch/http/HttpApiServer.java
+++ b/src/main/java/io/embernotch/http/HttpApiServer.java
@@ -3,14 +3,11 @@
 import io.embernotch.actor.Clock;
 import io.embernotch.actor.LatencyRecorder;
 import io.embernotch.actor.Timers;
-import io.embernotch.codec.MalformedInputException;
-import io.embernotch.codec.WorkerCodec;
-import io.embernotch.model.Heartbeat;
 import io.embernotch.settings.HostPort;
 import io.embernotch.settings.Settings;
+import io.vertx.core.AsyncResult;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
-import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.http.HttpConnection;
@@ -22,83 +19,70 @@
 import java.util.List;
 import java.util.Set;
 import java.util.concurrent.Executor;
-import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The server that users, workers and health checks reach. It has a loop of its own: after a change
- * of leader a thousand workers connect to a process with a fifth of a core, and while connections,
- * requests and JSON shared a loop with leadership, the lease ran out behind them.
+ * The server that users, workers and health checks reach. It has an event loop of its own: after a
+ * failover a thousand workers connect to a process with a fifth of a core, and if connections,
+ * requests and JSON shared a loop with leadership, the lease would expire behind them.
  *
- * <p>A worker's connection is closed with the answer while there are too many. A controller that is
- * left alone may have more workers than sockets; those that come later would find none, and lose
- * what they run, live services too. So all of them take turns, and none depends on having come
- * first.
- *
- * <p>What nobody waits for any more when the core comes to it is dropped there: users and workers
- * come again, and answering the gone would keep the core from those who wait.
+ * <p>A worker's connection is closed with the response while there are too many. A controller whose
+ * peers are down may have more workers than sockets; those that come later would find none, and
+ * lose what they run, live services too. So connections rotate among the workers, and none depends
+ * on having come first.
  */
 public final class HttpApiServer {
   private static final Logger LOG = LoggerFactory.getLogger(HttpApiServer.class);
-  public static final int MAX_BODY = 64 * 1024;
-  private static final String JOBS = "/api/jobs";
-  private static final String ABORT = "/abort";
 
-  /**
-   * Seconds after which a worker, a poller and one who submits have given up ("Users", "Workers").
-   */
-  private static final double HEARTBEAT_INTERVAL_S = 4;
-
-  private static final double POLL_S = 2;
-  private static final double SUBMIT_S = 5;
-
-  /** A health check waits a second; from half of it on, what was last known is told. */
-  private static final double READY_S = 0.5;
+  /** Most bytes of a request's body. */
+  public static final int MAX_BODY = 64 * 1024;
 
-  private final RequestHandler door;
+  private final RequestHandler handler;
   private final Executor core;
   private final Clock clock;
   private final Timers timers;
   private final double logEveryS;
   private final LatencyRecorder latencies = new LatencyRecorder();
-  private final int crowd;
+  private final int connectionPressureThreshold;
   private final int backlog;
   private final Set<HttpConnection> connections = new HashSet<>();
-  private double turnAt;
-  private double staleUntil = -1e9;
+  private double lastIterationAt;
+  private double staleUntil = Clock.NEVER;
+  private RequestRouter router;
+
+  /** Referenced for as long as this object lives, so that the library does not close it. */
   private HttpServer server;
-  private Context front;
-  private HttpResponse lastReady = HttpResponse.later("starting");
 
   /**
-   * @param core runs what is asked of the door
+   * @param core runs tasks on the core loop, where {@code handler} is called
    * @param timers those of the loop that {@link #listen} is called on
    */
   public HttpApiServer(
-      RequestHandler door, Executor core, Clock clock, Timers timers, Settings settings) {
-    this.door = door;
+      RequestHandler handler, Executor core, Clock clock, Timers timers, Settings settings) {
+    this.handler = handler;
     this.core = core;
     this.clock = clock;
     this.timers = timers;
     this.logEveryS = settings.workers().leaseS();
-    this.crowd = settings.quota().connectionPressureThreshold();
+    this.connectionPressureThreshold = settings.quota().connectionPressureThreshold();
     this.backlog = settings.quota().maxConnections();
   }
 
-  /** Listens on the loop of the context it is called on. */
-  public Future<Void> listen(Vertx vertx, HostPort at) {
-    front = vertx.getOrCreateContext();
+  /** Listens on the loop of the context it is called on; fails if the address can't be bound. */
+  public Future<Void> listen(Vertx vertx, HostPort address) {
+    Context eventLoop = vertx.getOrCreateContext();
+    router = new RequestRouter(handler, new CoreDispatcher(core, eventLoop, clock), timers);
     HttpServerOptions options = new HttpServerOptions();
     options.setTcpNoDelay(true).setReuseAddress(true).setAcceptBacklog(backlog);
     server = vertx.createHttpServer(options);
     server.requestHandler(this::handle);
     server.connectionHandler(this::opened);
-    turnAt = clock.now();
+    lastIterationAt = clock.now();
     tick();
     server.exceptionHandler(e -> LOG.debug("connection failed: {}", e.getMessage()));
     timers.after(logEveryS, this::logLatencies);
-    return server.listen(at.port(), at.host()).mapEmpty();
+    return server.listen(address.port(), address.host()).mapEmpty();
   }
 
   private void opened(HttpConnection connection) {
@@ -112,25 +96,25 @@
 
   private void tick() {
     stale();
-    timers.after(READY_S, this::tick);
+    timers.after(RequestRouter.READY_TIMEOUT_S, this::tick);
   }
 
   /**
-   * After a process has stood still for longer than anybody waits, what lies in its buffers is told
-   * to nobody: reports that were as old as that once made a thousand tasks and machines that were
-   * gone look alive to a new leader. All that was sent so far is given up, and so is what connects
-   * in the next moment, which is what has waited to be accepted. True within that moment.
+   * After a process was paused for longer than any caller waits, nothing that its buffers hold is
+   * handled: heartbeats that old would make tasks and machines that are gone look alive to a new
+   * leader. All connections are closed, and so are those that open in the next moment, which have
+   * waited to be accepted. True within that moment.
    */
   private boolean stale() {
     double now = clock.now();
-    double stood = now - turnAt;
-    turnAt = now;
-    if (stood > SUBMIT_S) {
+    double pausedS = now - lastIterationAt;
+    lastIterationAt = now;
+    if (pausedS > RequestRouter.SUBMIT_PATIENCE_S) {
       LOG.info(
           "process was paused for {} s, {} connections are closed",
-          Math.round(stood),
+          Math.round(pausedS),
           connections.size());
-      staleUntil = now + READY_S;
+      staleUntil = now + RequestRouter.READY_TIMEOUT_S;
       List.copyOf(connections).forEach(HttpConnection::close);
     }
     return now < staleUntil;
@@ -144,168 +128,80 @@
     timers.after(logEveryS, this::logLatencies);
   }
 
-  private static String kind(String path) {
-    if (path.startsWith(JOBS)) {
-      return path.equals(JOBS) ? "submit" : path.endsWith(ABORT) ? "abort" : "poll";
-    }
-    return path.equals("/hello") ? "report" : "other";
-  }
-
   private void handle(HttpServerRequest request) {
     if (stale()) {
       request.connection().close();
       return;
     }
     request.exceptionHandler(e -> LOG.debug("request failed: {}", e.getMessage()));
-    Gather gather = new Gather(request);
-    request.handler(gather::add);
-    request.endHandler(v -> gather.end());
+    BodyCollector collector = new BodyCollector(request);
+    request.handler(collector::add);
+    request.endHandler(v -> collector.end());
   }
 
-  /** Collects a body and lets it go as soon as it exceeds the limit. */
-  private final class Gather {
+  /** Collects a request's body, and drops it as soon as it exceeds the limit. */
+  private final class BodyCollector {
     private final HttpServerRequest request;
-    private final double since = clock.now();
+    private final double receivedAt = clock.now();
+
+    /** Null once it has exceeded the limit. */
     private Buffer body = Buffer.buffer();
 
-    Gather(HttpServerRequest request) {
+    BodyCollector(HttpServerRequest request) {
       this.request = request;
     }
 
-    void add(Buffer more) {
+    void add(Buffer chunk) {
       if (body == null) {
         return;
       }
-      if (body.length() + more.length() > MAX_BODY) {
+      if (body.length() + chunk.length() > MAX_BODY) {
         body = null;
         request.response().putHeader("connection", "close");
         write(request.response(), HttpResponse.error(413, "body exceeds 64 KiB"));
         return;
       }
-      body.appendBuffer(more);
+      body.appendBuffer(chunk);
     }
 
     void end() {
       if (body != null) {
-        route(request, body.getBytes())
-            .onComplete(
-                r -> {
-                  if (r.failed()) {
-                    LOG.error("{} {} failed", request.method(), request.path(), r.cause());
-                  }
-                  latencies.record(kind(request.path()), clock.now() - since);
-                  boolean parts = connections.size() > crowd && request.path().equals("/hello");
-                  if (parts) {
-                    request.response().putHeader("connection", "close");
-                  }
-                  Future<Void> written =
-                      write(
-                          request.response(),
-                          r.succeeded() ? r.result() : HttpResponse.error(500, "internal error"));
-                  if (parts) {
-                    written.onComplete(v -> request.connection().close());
-                  }
-                });
+        router
+            .route(request.method().name(), request.path(), body.getBytes())
+            .onComplete(result -> respond(request, result, receivedAt));
       }
     }
   }
 
-  private Future<HttpResponse> route(HttpServerRequest request, byte[] body) {
-    String path = request.path();
-    String method = request.method().name();
-    try {
-      if (path.equals("/hello")) {
-        return method.equals("POST") ? heartbeat(body) : wrongMethod("POST");
-      }
-      if (path.equals("/ready")) {
-        return method.equals("GET") ? ready() : wrongMethod("GET");
-      }
-      if (path.equals("/overview")) {
-        return method.equals("GET") ? ask(SUBMIT_S, door::overview) : wrongMethod("GET");
-      }
-      if (path.equals(JOBS)) {
-        return method.equals("POST") ? ask(SUBMIT_S, () -> door.submit(body)) : wrongMethod("POST");
-      }
-      if (path.startsWith(JOBS + "/")) {
-        String rest = path.substring(JOBS.length() + 1);
-        if (rest.endsWith(ABORT)) {
-          String ref = rest.substring(0, rest.length() - ABORT.length());
-          return method.equals("POST") ? ask(SUBMIT_S, () -> door.abort(ref)) : wrongMethod("POST");
-        }
-        if (rest.indexOf('/') < 0) {
-          return method.equals("GET") ? ask(POLL_S, () -> door.poll(rest)) : wrongMethod("GET");
-        }
-      }
-      return Future.succeededFuture(HttpResponse.error(404, "no such path"));
-    } catch (RuntimeException e) {
-      return Future.failedFuture(e);
+  private void respond(
+      HttpServerRequest request, AsyncResult<HttpResponse> result, double receivedAt) {
+    if (result.failed()) {
+      LOG.error("{} {} failed", request.method(), request.path(), result.cause());
     }
-  }
-
-  private Future<HttpResponse> heartbeat(byte[] body) {
-    Heartbeat heartbeat;
-    try {
-      heartbeat = WorkerCodec.read(body);
-    } catch (MalformedInputException e) {
-      return Future.succeededFuture(HttpResponse.error(400, e.getMessage()));
+    latencies.record(RequestRouter.kind(request.path()), clock.now() - receivedAt);
+    boolean close =
+        connections.size() > connectionPressureThreshold
+            && request.path().equals(RequestRouter.HEARTBEAT_PATH);
+    if (close) {
+      request.response().putHeader("connection", "close");
+    }
+    Future<Void> written =
+        write(
+            request.response(),
+            result.succeeded() ? result.result() : HttpResponse.error(500, "internal error"));
+    if (close) {
+      written.onComplete(v -> request.connection().close());
     }
-    return ask(HEARTBEAT_INTERVAL_S, () -> door.handleHeartbeat(heartbeat));
-  }
-
-  /** Has the core answer, unless it comes to it too late; the future completes on this loop. */
-  private Future<HttpResponse> ask(double patienceS, Supplier<Future<HttpResponse>> question) {
-    Promise<HttpResponse> reply = Promise.promise();
-    double since = clock.now();
-    core.execute(
-        () -> {
-          if (clock.now() - since > patienceS) {
-            front.runOnContext(v -> reply.complete(HttpResponse.later("overloaded")));
-            return;
-          }
-          Future<HttpResponse> answer;
-          try {
-            answer = question.get();
-          } catch (RuntimeException e) {
-            answer = Future.failedFuture(e);
-          }
-          answer.onComplete(
-              r ->
-                  front.runOnContext(
-                      v -> {
-                        if (r.succeeded()) {
-                          reply.complete(r.result());
-                        } else {
-                          reply.fail(r.cause());
-                        }
-                      }));
-        });
-    return reply.future();
-  }
-
-  private Future<HttpResponse> ready() {
-    Promise<HttpResponse> reply = Promise.promise();
-    ask(SUBMIT_S, () -> Future.succeededFuture(door.ready()))
-        .onSuccess(
-            a -> {
-              lastReady = a;
-              reply.tryComplete(a);
-            });
-    timers.after(READY_S, () -> reply.tryComplete(lastReady));
-    return reply.future();
-  }
-
-  private static Future<HttpResponse> wrongMethod(String right) {
-    return Future.succeededFuture(HttpResponse.error(405, "use " + right));
   }
 
-  private static Future<Void> write(HttpServerResponse response, HttpResponse answer) {
-    if (response.ended() || response.closed()) {
+  private static Future<Void> write(HttpServerResponse out, HttpResponse response) {
+    if (out.ended() || out.closed()) {
       return Future.succeededFuture();
     }
-    response.setStatusCode(answer.status()).putHeader("content-type", "application/json");
-    if (answer.retryAfterS() > 0) {
-      response.putHeader("retry-after", Integer.toString(answer.retryAfterS()));
+    out.setStatusCode(response.status()).putHeader("content-type", "application/json");
+    if (response.retryAfterS() > 0) {
+      out.putHeader("retry-after", Integer.toString(response.retryAfterS()));
     }
-    return response.end(Buffer.buffer(answer.body()));
+    return out.end(Buffer.buffer(response.body()));
   }
 }
--- a/src/main/java/io/embernotch/http/HttpReply.java
+++ b/src/main/java/io/embernotch/http/HttpReply.java
@@ -3,8 +3,18 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.Json;
 
-/** What a server answered to a call. */
+/**
+ * A server's reply to a call.
+ *
+ * @param status HTTP status
+ * @param body body of the reply, possibly empty
+ */
 public record HttpReply(int status, byte[] body) {
+  /**
+   * The body as a JSON object.
+   *
+   * @throws io.embernotch.codec.MalformedInputException if it is none
+   */
   public ObjectNode json() {
     return Json.parseObject(body);
   }
--- a/src/main/java/io/embernotch/http/HttpResponse.java
+++ b/src/main/java/io/embernotch/http/HttpResponse.java
@@ -2,23 +2,38 @@
 
 import io.embernotch.codec.Json;
 
-/** What this node answers to a request; {@code retryAfterS} is 0 unless the caller is to wait. */
+/**
+ * This node's response to a request.
+ *
+ * @param status HTTP status
+ * @param body JSON body
+ * @param retryAfterS seconds after which the caller is to try again; 0: not said
+ */
 public record HttpResponse(int status, byte[] body, int retryAfterS) {
+  private static final int SERVICE_UNAVAILABLE = 503;
+
+  /** A response without a time to try again. */
   public static HttpResponse of(int status, byte[] body) {
     return new HttpResponse(status, body, 0);
   }
 
+  /** A response that says in its body why the request failed. */
   public static HttpResponse error(int status, String why) {
     return of(status, reason(why));
   }
 
-  /** Cannot be taken now: the caller is told at once when to come back. */
+  /** The request cannot be served now: the caller is to try again in a second. */
   public static HttpResponse later(String why) {
     return later(why, 1);
   }
 
+  /**
+   * The request cannot be served now.
+   *
+   * @param retryAfterS seconds after which the caller is to try again; at least 1 is said
+   */
   public static HttpResponse later(String why, int retryAfterS) {
-    return new HttpResponse(503, reason(why), Math.max(1, retryAfterS));
+    return new HttpResponse(SERVICE_UNAVAILABLE, reason(why), Math.max(1, retryAfterS));
   }
 
   private static byte[] reason(String why) {
--- a/src/main/java/io/embernotch/http/VertxHttpCaller.java
+++ b/src/main/java/io/embernotch/http/VertxHttpCaller.java
@@ -10,6 +10,7 @@
 import io.vertx.core.http.HttpClient;
 import io.vertx.core.http.HttpClientOptions;
 import io.vertx.core.http.HttpClientRequest;
+import io.vertx.core.http.HttpClientResponse;
 import io.vertx.core.http.HttpConnection;
 import io.vertx.core.http.HttpMethod;
 import io.vertx.core.http.PoolOptions;
@@ -20,40 +21,45 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Calls over Vert.x's client, each with a time limit of its own. */
+/** Makes calls over Vert.x's client, each with a time limit of its own. One event loop only. */
 public final class VertxHttpCaller implements HttpCaller {
+  private static final int MS_PER_S = 1000;
+
   private final HttpClient client;
   private final Clock clock;
   private final Timers timers;
-  private final int most;
+  private final int maxHosts;
 
-  /** Hosts with a connection, or one being made, that which was called longest ago first. */
+  /** Hosts with a connection, or one being made; the least recently called one first. */
   private final Map<String, Host> hosts = new LinkedHashMap<>(16, 0.75f, true);
 
+  /** The connections to one host, and the number of calls under way. */
   private static final class Host {
     final Set<HttpConnection> open = new HashSet<>();
     int calls;
   }
 
   /**
-   * @param most hosts to be connected to at a time; a call to one more fails unsent
-   * @param keepS idle connections are closed after this time
+   * @param connectionsPerHost most connections to a host at a time
+   * @param maxHosts most hosts to be connected to at a time; a call to one more fails untried
+   * @param connectS seconds after which an attempt to connect has failed
+   * @param keepAliveS seconds after which an idle connection is closed
    */
   public VertxHttpCaller(
       Vertx vertx,
       Clock clock,
       Timers timers,
       int connectionsPerHost,
-      int most,
+      int maxHosts,
       double connectS,
-      double keepS) {
+      double keepAliveS) {
     this.clock = clock;
     this.timers = timers;
-    this.most = most;
+    this.maxHosts = maxHosts;
     HttpClientOptions options = new HttpClientOptions();
-    options.setConnectTimeout((int) Math.max(1, connectS * 1000));
+    options.setConnectTimeout((int) Math.max(1, connectS * MS_PER_S));
     options.setTcpNoDelay(true);
-    options.setKeepAliveTimeout((int) Math.max(1, keepS));
+    options.setKeepAliveTimeout((int) Math.max(1, keepAliveS));
     this.client =
         vertx
             .httpClientBuilder()
@@ -66,26 +72,16 @@
   @Override
   public Future<HttpReply> call(
       String method, HostPort to, String path, byte[] body, double timeoutS) {
-    String host = to.host() + ":" + to.port();
-    Host known = hosts.get(host);
-    if (known == null) {
-      if (hosts.size() >= most && !makeRoom()) {
+    String name = to.host() + ":" + to.port();
+    Host host = hosts.get(name);
+    if (host == null) {
+      if (hosts.size() >= maxHosts && !closeIdleHost()) {
         return Future.failedFuture(CallFailedException.untried("too many connections"));
       }
-      known = new Host();
-      hosts.put(host, known);
+      host = new Host();
+      hosts.put(name, host);
     }
-    Host called = known;
-    called.calls++;
-    Call call = new Call(clock.now() + timeoutS);
-    call.promise
-        .future()
-        .onComplete(
-            r -> {
-              called.calls--;
-              forget(host, called);
-            });
-    call.cancelTimer = timers.after(timeoutS, call::timeOut);
+    Call call = start(name, host, timeoutS);
     RequestOptions options =
         new RequestOptions()
             .setMethod(HttpMethod.valueOf(method))
@@ -94,31 +90,45 @@
             .setURI(path);
     client
         .request(options)
-        .onFailure(entry -> call.fail(entry.getMessage()))
+        .onFailure(e -> call.fail(e.getMessage()))
         .onSuccess(request -> call.send(request, body));
     return call.promise.future();
   }
 
+  private Call start(String name, Host host, double timeoutS) {
+    host.calls++;
+    Call call = new Call(clock.now() + timeoutS);
+    call.promise
+        .future()
+        .onComplete(
+            result -> {
+              host.calls--;
+              removeIfUnused(name, host);
+            });
+    call.cancelTimer = timers.after(timeoutS, call::timeOut);
+    return call;
+  }
+
   private void opened(HttpConnection connection) {
-    String host =
+    String name =
         connection.remoteAddress().hostAddress() + ":" + connection.remoteAddress().port();
-    Host to = hosts.computeIfAbsent(host, k -> new Host());
-    to.open.add(connection);
+    Host host = hosts.computeIfAbsent(name, k -> new Host());
+    host.open.add(connection);
     connection.closeHandler(
         v -> {
-          to.open.remove(connection);
-          forget(host, to);
+          host.open.remove(connection);
+          removeIfUnused(name, host);
         });
   }
 
-  private void forget(String name, Host host) {
+  private void removeIfUnused(String name, Host host) {
     if (host.calls == 0 && host.open.isEmpty()) {
       hosts.remove(name, host);
     }
   }
 
-  /** Closes the connections to a host that nothing is asked of; false if there is none. */
-  private boolean makeRoom() {
+  /** Closes the connections to a host without calls under way; false if there is none. */
+  private boolean closeIdleHost() {
     for (Map.Entry<String, Host> entry : hosts.entrySet()) {
       if (entry.getValue().calls == 0) {
         hosts.remove(entry.getKey());
@@ -129,44 +139,50 @@
     return false;
   }
 
-  /** One call under way; the first of answer, failure and time limit settles it. */
+  /** One call under way; the first of reply, failure and time limit settles it. */
   private final class Call {
     final Promise<HttpReply> promise = Promise.promise();
     Runnable cancelTimer;
-    HttpClientRequest request;
-    boolean settled;
-    final double until;
+    private final double deadline;
+    private boolean settled;
+
+    /** Null until the request is sent. */
+    private HttpClientRequest sentRequest;
 
-    Call(double until) {
-      this.until = until;
+    Call(double deadline) {
+      this.deadline = deadline;
     }
 
-    void send(HttpClientRequest req, byte[] body) {
-      if (settled || clock.now() >= until) {
-        // Given up while it waited for a connection, or about to be: a process that stood still may
-        // find the
-        // connection before the timer. Nothing has left yet, and nothing may. Without a handler the
-        // library
-        // logs the reset as an error of its own.
-        req.exceptionHandler(entry -> {});
-        req.reset();
-        fail("not sent in time");
+    void send(HttpClientRequest request, byte[] body) {
+      if (settled || clock.now() >= deadline) {
+        abandon(request);
         return;
       }
-      request = req;
-      req.exceptionHandler(entry -> fail(entry.getMessage()));
+      sentRequest = request;
+      request.exceptionHandler(e -> fail(e.getMessage()));
       if (body != null) {
-        req.putHeader("content-type", "application/json");
+        request.putHeader("content-type", "application/json");
       }
-      Future<io.vertx.core.http.HttpClientResponse> response =
-          body == null ? req.send() : req.send(Buffer.buffer(body));
+      Future<HttpClientResponse> response =
+          body == null ? request.send() : request.send(Buffer.buffer(body));
       response
           .compose(r -> r.body().map(b -> new HttpReply(r.statusCode(), b.getBytes())))
           .onSuccess(this::succeed)
-          .onFailure(entry -> fail(entry.getMessage()));
+          .onFailure(e -> fail(e.getMessage()));
+    }
+
+    /**
+     * Given up while it waited for a connection, or about to be: a process that was paused may get
+     * the connection before the timer. Nothing has been sent yet, and nothing may be.
+     */
+    private void abandon(HttpClientRequest request) {
+      // Without a handler the library logs the reset as an error of its own.
+      request.exceptionHandler(e -> {});
+      request.reset();
+      fail("not sent in time");
     }
 
-    void succeed(HttpReply reply) {
+    private void succeed(HttpReply reply) {
       if (!settled) {
         settled = true;
         cancelTimer.run();
@@ -178,16 +194,16 @@
       if (!settled) {
         settled = true;
         cancelTimer.run();
-        promise.fail(new CallFailedException(request != null, why));
+        promise.fail(new CallFailedException(sentRequest != null, why));
       }
     }
 
     void timeOut() {
       if (!settled) {
         settled = true;
-        promise.fail(new CallFailedException(request != null, "no answer in time"));
-        if (request != null) {
-          request.reset();
+        promise.fail(new CallFailedException(sentRequest != null, "no answer in time"));
+        if (sentRequest != null) {
+          sentRequest.reset();
         }
       }
     }
