--- a/src/main/java/io/embernotch/codec/JobCodec.java
+++ b/src/main/java/io/embernotch/codec/JobCodec.java
@@ -40,13 +40,13 @@
   /** Whether all tasks are to be in one zone. */
   private static final String ONE_ZONE = "one_zone";
 
-  /** Whether tasks are to be spread over zones. */
+  /** Whether at most half of the tasks may be in one zone. */
   private static final String SPREAD = "scatter";
 
   /** Expected run time of a task in seconds. */
   private static final String EXPECTED_S = "expect_s";
 
-  /** Seconds between two checkpoints of a task; 0: it takes none. */
+  /** Seconds of progress between two checkpoints of a task; 0: it takes none. */
   private static final String CHECKPOINT_S = "snapshot_s";
 
   /** Seconds that a task needs to save when it is stopped. */
--- a/src/main/java/io/embernotch/codec/WorkerCodec.java
+++ b/src/main/java/io/embernotch/codec/WorkerCodec.java
@@ -13,10 +13,10 @@
 
 /** Heartbeats of workers, the responses to them, and commands. */
 public final class WorkerCodec {
-  /** Agent epoch: it rises with each start of the worker. */
+  /** Agent epoch: it rises whenever the worker's lease expires. */
   private static final String AGENT_EPOCH = "tenure";
 
-  /** Sequence number of a heartbeat within its agent epoch. */
+  /** Sequence number of a heartbeat. */
   private static final String SEQ = "tick";
 
   /** Fencing token. */
@@ -31,7 +31,7 @@
   /** Why a task exited. */
   private static final String EXIT_CAUSE = "cause";
 
-  /** Whether a task has saved a checkpoint. */
+  /** Whether a stopped task has saved its progress. */
   private static final String SAVED = "stored";
 
   /** List of commands. */
@@ -177,7 +177,7 @@
    * The body of a direct command.
    *
    * @param token fencing token that the commands carry
-   * @param agentEpoch the worker refuses the commands if it is in another agent epoch
+   * @param agentEpoch the worker refuses the commands if its own agent epoch is another
    * @param commands commands to carry out
    */
   public static byte[] directCommand(long token, long agentEpoch, List<AgentCommand> commands) {
--- a/src/main/java/io/embernotch/model/Machine.java
+++ b/src/main/java/io/embernotch/model/Machine.java
@@ -1,5 +1,6 @@
 package io.embernotch.model;
 
+import io.embernotch.actor.Clock;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
@@ -10,140 +11,182 @@
 
 /** A rented machine as the leader knows it. */
 public final class Machine {
+  /** Stands for {@link #lastForwarder} before the first heartbeat. */
+  public static final long NO_FORWARDER = -1;
+
+  /** Unique name of the machine. */
   public final String name;
+
+  /** Its type; null while it is not known. */
   public MachineType type;
+
+  /** Its zone; null while it is not known. */
   public String zone;
+
+  /** Whether it is a spot machine, which the cloud may reclaim. */
   public boolean spot;
+
+  /** Address of its worker as HOST:PORT; null while it is not known. */
   public String address;
 
-  /** Rented at about this time. */
+  /** When it was rented, approximately. */
   public double rentedAt;
 
-  /** Until then it is counted on to come up, or to find us. */
+  /** Until this time it is expected to come up, or to find this leader. */
   public double expectedUntil;
 
   /**
-   * When the cloud first listed it as running, though its worker may not have found us yet; below 0
-   * if it has not.
+   * When the cloud first listed it as running, though its worker may not have found this leader
+   * yet; below 0 before.
    */
   public double listedUpAt = -1;
 
-  /** Last report of any age, and last one that we answered with 200; below 0 if none. */
+  /** When its last heartbeat was received, however old the heartbeat was; below 0 before. */
   public double lastHeartbeatAt = -1;
 
+  /** When its last heartbeat was answered such that its lease was renewed; below 0 before. */
   public double leaseRenewedAt = -1;
+
+  /** Agent epoch of the newest heartbeat. */
   public long agentEpoch;
+
+  /** Sequence number of the newest heartbeat. */
   public long heartbeatSeq;
 
-  /** The token that our messages to it carry. */
+  /** Fencing token that messages to it carry. */
   public long token;
 
-  /** Highest token it has reported. */
+  /** Highest fencing token that it has reported. */
   public long highestReportedToken;
 
   /**
-   * After it has begun another incarnation: reports under lower tokens may be of the former one.
+   * Set when its worker has begun another process incarnation: heartbeats under lower tokens may be
+   * of the former one.
    */
   public long incarnationToken;
 
-  /** Highest token under which a start was sent straight to it. */
+  /** Highest fencing token under which a direct start command was sent to it. */
   public long highestSentToken;
 
-  /**
-   * The token that its last heartbeat was answered with, and the highest that it has shown in
-   * reports; 0 if none.
-   */
+  /** Fencing token that its last heartbeat was answered with; 0 if none was. */
   public long lastAnsweredToken;
 
+  /** Highest fencing token that it has shown in heartbeats; 0 if none. */
   public long acknowledgedToken;
 
-  /** A controller that nothing has come by. */
-  public static final long NO_FORWARDER = -1;
-
   /**
-   * The controller by which its last heartbeat came, and how often in a row that was another one.
+   * Process incarnation of the controller that forwarded its last heartbeat, or {@link
+   * #NO_FORWARDER}.
    */
   public long lastForwarder = NO_FORWARDER;
 
+  /** How many times in a row a heartbeat came by another controller than the one before. */
   public int forwarderChanges;
 
-  /** Signs in a row that it does not hear us; whether a call is one of them. */
+  /** Signs in a row that responses do not reach it. */
   public int missedAcknowledgements;
 
+  /** Whether an unanswered call is one of those signs. */
   public boolean callUnanswered;
 
-  /** Since when it is taken for unreachable; below 0 while it is not. */
+  /** When it was found unreachable; below 0 while it is not. */
   public double unreachableSince = -1;
 
-  /** When it was last proven to hear us, and so to be alive in this term; below 0 if it was not. */
+  /**
+   * When it was last proven to receive this leader's messages, and so to be alive in this term;
+   * below 0 before.
+   */
   public double confirmedAliveAt = -1;
 
-  /** When it was first heard. */
+  /** When its first heartbeat was received; below 0 before. */
   public double upAt = -1;
 
-  /** Highest token of a direct command that went unanswered. */
+  /** Highest fencing token of a direct command that went unanswered. */
   public long unconfirmedToken;
 
+  /** Whether a direct command is on the way. */
   public boolean commandInFlight;
-  public double commandFailedAt = -1e9;
+
+  /** When a direct command last failed. */
+  public double commandFailedAt = Clock.NEVER;
+
+  /** Whether a probe is under way. */
   public boolean probing;
 
-  /** When it was last asked because of a heartbeat that was no news. */
-  public double statusRequestedAt = -1e9;
+  /** When its status was last requested because of a heartbeat that was not newer. */
+  public double statusRequestedAt = Clock.NEVER;
 
-  /** When it last did not answer a probe, and whether it took the connection then. */
-  public double probeFailedAt = -1e9;
+  /** When it last did not answer a probe. */
+  public double probeFailedAt = Clock.NEVER;
 
+  /** Whether it took the connection of that probe. */
   public boolean probeConnected;
 
-  /** The cloud takes it at this time; below 0 without notice. */
+  /** When the cloud reclaims it; below 0 without notice. */
   public double reclaimAt = -1;
 
-  /** Nothing new is put here; it is returned once empty. */
+  /** Whether nothing new is placed here; it is returned once empty. */
   public boolean cordoned;
 
+  /** Whether it is being returned to the cloud. */
   public boolean deleting;
+
+  /** When its deletion is tried again. */
   public double deleteRetryAt;
+
+  /** Whether the cloud listed it as failed. */
   public boolean failed;
+
+  /** Failed tasks in a row that are attributed to it. */
   public int errorStreak;
 
-  /** Jobs whose tasks failed here since the last success, and how many. */
+  /** Ids of the jobs whose tasks failed here since the last success, with their number. */
   public final Map<String, Integer> failures = new HashMap<>();
 
+  /** Nothing is placed here before this time. */
   public double avoidUntil;
 
-  /** Empty since this time. */
+  /** Since when it has had no open attempts. */
   public double idleSince;
 
+  /** Open attempts by {@link #taskKey}, in the order of their opening. */
   public final Map<String, Attempt> openAttempts = new LinkedHashMap<>();
 
-  /** What is held free here for reservations. */
+  /** CPUs that are kept free here for reservations. */
   public double reservedCpus;
 
+  /** GPUs that are kept free here for reservations. */
   public double reservedGpus;
+
+  /** Memory in GB that is kept free here for reservations. */
   public double reservedMemGb;
-  private MachineLoad load;
-  private double performance;
 
   /** Counts the changes of its attempts. */
   public int version;
 
-  /** Images it has, least recently used first. */
+  /** Names of the images that it has, least recently used first. */
   public final Set<String> images = new LinkedHashSet<>();
 
-  /** Job mean over actual run time of the tasks it finished lately. */
+  /** Job mean over actual run time of the tasks that it finished lately, the latest last. */
   public final Deque<Double> ratios = new ArrayDeque<>();
 
+  /** Null after a change, until it is asked for. */
+  private MachineLoad load;
+
+  private double performance;
+
+  /** A machine of which nothing but its name is known. */
   public Machine(String name) {
     this.name = name;
   }
 
-  /** Something of its open attempts has changed. */
+  /** To be called whenever its open attempts, or what they take, have changed. */
   public void attemptsChanged() {
     load = null;
     version++;
   }
 
+  /** What its open attempts take of it. */
   public MachineLoad load() {
     if (load == null) {
       load = new MachineLoad(openAttempts.values());
@@ -151,39 +194,46 @@
     return load;
   }
 
+  /** Whether its worker has sent a heartbeat. */
   public boolean up() {
     return lastHeartbeatAt >= 0;
   }
 
-  /** Nothing new is started where commands may not arrive. */
+  /** Whether commands may not arrive there, so that nothing new is to be started. */
   public boolean suspectedUnreachable() {
     return unreachableSince >= 0 || callUnanswered;
   }
 
   /**
-   * When it last gave a sign of life that is no copy from long ago. Before it has shown a token of
-   * ours, or answered, only its first heartbeat counts: copies of what it said before it ended may
-   * go on coming.
+   * When it last gave a sign of life that cannot be a late copy; below 0 if it never did. Before it
+   * has shown a token of this leader, or answered a call, only its first heartbeat counts: copies
+   * of those that it sent before it ended may keep arriving.
    */
   public double lastSignOfLifeAt() {
     return confirmedAliveAt >= 0 ? lastHeartbeatAt : upAt;
   }
 
+  /** The key of a task among open attempts. */
   public static String taskKey(String ref, int task) {
     return ref + "/" + task;
   }
 
-  /** Notes how fast a finished run was; the last {@code lately} count. */
-  public void recordFinished(double ratio, int lately) {
+  /**
+   * Records how fast a finished run was.
+   *
+   * @param ratio job mean over actual run time
+   * @param remembered number of the latest runs that count
+   */
+  public void recordFinished(double ratio, int remembered) {
     ratios.addLast(ratio);
-    while (ratios.size() > lately) {
+    while (ratios.size() > remembered) {
       ratios.removeFirst();
     }
     performance = ratios.stream().mapToDouble(r -> r).average().orElse(0);
     version++;
   }
 
-  /** Its own mean performance, or 0 if it finished nothing lately. */
+  /** Mean of {@link #ratios}; 0 if there are none. */
   public double performance() {
     return performance;
   }
--- a/src/main/java/io/embernotch/model/MachineLoad.java
+++ b/src/main/java/io/embernotch/model/MachineLoad.java
@@ -5,66 +5,74 @@
 import java.util.Set;
 
 /**
- * What a machine's open attempts take of it, summed up. It is made anew only after the machine has
- * changed, so that a plan over a thousand machines costs no more than what moved.
+ * What a machine's open attempts take of it, summed up. It is computed anew only after the machine
+ * has changed, so that a plan over a thousand machines costs no more than what changed.
  */
 public final class MachineLoad {
+  /** CPUs that open attempts take. */
   public final double cpus;
+
+  /** GPUs that open attempts take. */
   public final double gpus;
+
+  /** Memory in GB that open attempts take. */
   public final double memGb;
 
-  /** The part of it that is being stopped. */
+  /** The part of {@link #cpus} that is being stopped. */
   public final double freeingCpus;
 
+  /** The part of {@link #gpus} that is being stopped. */
   public final double freeingGpus;
+
+  /** The part of {@link #memGb} that is being stopped. */
   public final double freeingMemGb;
 
-  /** Holds work that may not run on spot machines, so it is paid for whatever else it does. */
+  /** Whether it runs services: these keep the machine, and so its price, whatever else it does. */
   public final boolean pinned;
 
-  /** Least priority of what is not being stopped, or null if nothing is. */
+  /** Lowest priority of the attempts that are not being stopped; null if there is none. */
   public final Priority lowestPriority;
 
-  /** Images that are being fetched. */
+  /** Names of the images that are being fetched. */
   public final Set<String> fetching;
 
-  /** What these attempts take together. */
-  public MachineLoad(Collection<Attempt> open) {
-    double c = 0;
-    double g = 0;
-    double m = 0;
-    double fc = 0;
-    double fg = 0;
-    double fm = 0;
+  /** Sums up attempts. */
+  public MachineLoad(Collection<Attempt> openAttempts) {
+    double takenCpus = 0;
+    double takenGpus = 0;
+    double takenMemGb = 0;
+    double stoppingCpus = 0;
+    double stoppingGpus = 0;
+    double stoppingMemGb = 0;
     boolean service = false;
-    Priority low = null;
+    Priority lowest = null;
     Set<String> images = Set.of();
-    for (Attempt attempt : open) {
+    for (Attempt attempt : openAttempts) {
       JobSpec spec = attempt.job.spec;
-      c += spec.cpus();
-      g += spec.gpus();
-      m += spec.memGb();
+      takenCpus += spec.cpus();
+      takenGpus += spec.gpus();
+      takenMemGb += spec.memGb();
       service |= spec.shape() == JobShape.SERVICE;
       if (attempt.stopping) {
-        fc += spec.cpus();
-        fg += spec.gpus();
-        fm += spec.memGb();
-      } else if (low == null || spec.priority().compareTo(low) < 0) {
-        low = spec.priority();
+        stoppingCpus += spec.cpus();
+        stoppingGpus += spec.gpus();
+        stoppingMemGb += spec.memGb();
+      } else if (lowest == null || spec.priority().compareTo(lowest) < 0) {
+        lowest = spec.priority();
       }
       if (attempt.state == TaskState.FETCHING || attempt.state == null) {
         images = images.isEmpty() ? new HashSet<>() : images;
         images.add(spec.image());
       }
     }
-    cpus = c;
-    gpus = g;
-    memGb = m;
-    freeingCpus = fc;
-    freeingGpus = fg;
-    freeingMemGb = fm;
+    cpus = takenCpus;
+    gpus = takenGpus;
+    memGb = takenMemGb;
+    freeingCpus = stoppingCpus;
+    freeingGpus = stoppingGpus;
+    freeingMemGb = stoppingMemGb;
     pinned = service;
-    lowestPriority = low;
+    lowestPriority = lowest;
     fetching = images;
   }
 }
--- a/src/main/java/io/embernotch/model/Priority.java
+++ b/src/main/java/io/embernotch/model/Priority.java
@@ -1,9 +1,13 @@
 package io.embernotch.model;
 
-/** From least to most urgent. */
+/** Priority of a job; constants are in ascending order. */
 public enum Priority {
+  /** Runs on what others leave. */
   LOW,
+  /** The usual priority. */
   NORMAL,
+  /** Before the usual priority. */
   HIGH,
+  /** Live services. */
   PRODUCTION
 }
--- a/src/main/java/io/embernotch/model/StoreIncarnation.java
+++ b/src/main/java/io/embernotch/model/StoreIncarnation.java
@@ -4,20 +4,20 @@
 import java.util.List;
 
 /**
- * One incarnation of what the store holds for us. It begins when the first leader finds nothing,
- * and anew after each loss of data.
+ * One incarnation of the contents that the store holds for the controllers. The first one begins
+ * when the first leader finds nothing, another after each loss of data.
  *
- * @param name no other incarnation has it
- * @param modRevision of its key, which every transaction of the incarnation conditions on
- * @param floor added to the modification revision of a leader's key to get its epoch: epochs go on
- *     rising when stamps begin again
- * @param base the name under which the packed copy lies that it began with; null: it began with
- *     nothing
- * @param blocks number of blocks of that copy
- * @param crc checksum of the whole copy
- * @param since keys of this modification revision or a lower one are older than that copy; 0: the
- *     incarnation's own modification revision
- * @param after names of the incarnations before it, the latest first
+ * @param name unique among all incarnations
+ * @param modRevision modification revision of its key, which every transaction of the incarnation
+ *     conditions on
+ * @param epochFloor added to the modification revision of a leader's key to get its epoch: epochs
+ *     keep rising when revisions begin again
+ * @param snapshotName name of the packed snapshot that it began with; null: it began with nothing
+ * @param blockCount number of blocks of that snapshot
+ * @param crc checksum of the whole snapshot
+ * @param since keys of this modification revision or a lower one are older than that snapshot; 0:
+ *     the incarnation's own modification revision
+ * @param predecessors names of the incarnations before it, the latest first
  */
 public record StoreIncarnation(
     String name,
@@ -29,23 +29,24 @@
     long since,
     List<String> predecessors) {
   /**
-   * Incarnations before one that are remembered: far more than there are between two looks at it.
+   * Predecessors that an incarnation names: far more than can begin between two times that a
+   * controller reads it.
    */
-  private static final int REMEMBERED = 32;
+  private static final int MAX_PREDECESSORS = 32;
 
   /**
-   * True if whoever knew {@code other} may go over to this one, which was made from what that one
-   * held.
+   * Whether a controller that knew {@code other} may go over to this incarnation, which was made
+   * from the contents of that one.
    */
   public boolean follows(StoreIncarnation other) {
     return predecessors.contains(other.name);
   }
 
-  /** The names that an incarnation after this one remembers. */
+  /** The predecessors that the next incarnation names: this one and those before it. */
   public List<String> lineage() {
-    List<String> out = new ArrayList<>(List.of(name));
-    out.addAll(predecessors);
-    return out.subList(0, Math.min(out.size(), REMEMBERED));
+    List<String> names = new ArrayList<>(List.of(name));
+    names.addAll(predecessors);
+    return names.subList(0, Math.min(names.size(), MAX_PREDECESSORS));
   }
 
   @Override
@@ -53,7 +54,7 @@
     return since == 0 ? modRevision : since;
   }
 
-  /** The same, begun at this modification revision. */
+  /** The same incarnation, begun at this modification revision. */
   public StoreIncarnation at(long newModRevision) {
     return new StoreIncarnation(
         name, newModRevision, epochFloor, snapshotName, blockCount, crc, since, predecessors);
