--- a/src/main/java/io/embernotch/settings/CalendarReader.java
+++ b/src/main/java/io/embernotch/settings/CalendarReader.java
@@ -1,5 +1,7 @@
 package io.embernotch.settings;
 
+import static io.embernotch.settings.Checks.require;
+
 import io.embernotch.settings.proto.OperatorFile;
 import java.time.DateTimeException;
 import java.time.DayOfWeek;
@@ -15,93 +17,94 @@
 import java.util.TreeSet;
 import java.util.function.Function;
 
-/** The calendar of the operators' file, checked; mistakes are told with their place. */
+/** Reads and checks the calendar of the operators' file; errors name their place. */
 final class CalendarReader {
+  private static final double MAX_LEAD_S = 86_400;
+
   private CalendarReader() {}
 
+  /**
+   * The releases, in the order of the file.
+   *
+   * @param generation generation of the file, which must be set if there are releases
+   * @throws SettingsException if a field is missing or wrong
+   */
   static List<Release> read(OperatorFile.Calendar file, long generation) {
     List<Release> releases = new ArrayList<>();
     for (int i = 0; i < file.getReleaseCount(); i++) {
       OperatorFile.Release release = file.getRelease(i);
       String place = "calendar.release[" + i + "]";
-      need(
+      require(
           generation > 0,
           place + ": generation: must be above 0, and be raised with every change of the calendar");
-      need(
-          release.getId().matches("[a-z0-9-]{1,40}"),
-          place + ".id: must be 1 to 40 of a-z, 0-9 and -");
-      need(
-          releases.stream().noneMatch(o -> o.id().equals(release.getId())),
+      Checks.requireName(place + ".id", release.getId());
+      require(
+          releases.stream().noneMatch(other -> other.id().equals(release.getId())),
           place + ".id: " + release.getId() + " is there already");
-      need(release.getOrdersCount() > 0, place + ".orders: missing");
-      List<Selector> orders = new ArrayList<>();
-      for (int k = 0; k < release.getOrdersCount(); k++) {
-        Selector selector = ReservationReader.selector(release.getOrders(k));
-        need(
-            !selector.equals(new Selector(null, null, null, null)),
-            place + ".orders[" + k + "]: names no work");
-        orders.add(selector);
-      }
-      ZoneId zone = parsed(place + ".zone", release.getZone(), ZoneId::of);
-      LocalTime time = parsed(place + ".time", release.getTime(), LocalTime::parse);
-      Set<DayOfWeek> days = EnumSet.noneOf(DayOfWeek.class);
-      release.getDayList().forEach(entry -> days.add(DayOfWeek.of(entry.getNumber())));
-      need(
-          !days.isEmpty() || release.getAlsoCount() > 0,
-          place + ": comes out on no day: set day or also");
-      Set<LocalDate> except = new TreeSet<>();
-      release
-          .getExceptList()
-          .forEach(entry -> except.add(parsed(place + ".except", entry, LocalDate::parse)));
-      releases.add(
-          new Release(
-              release.getId(),
-              zone,
-              time,
-              days,
-              except,
-              times(place + ".also", release.getAlsoList(), time, false),
-              times(place + ".moved", release.getMovedList(), null, true),
-              List.copyOf(orders),
-              OperatorSettings.within(place + ".lead_s", release.getLeadS(), 0, 86_400)));
+      releases.add(release(place, release));
     }
     return List.copyOf(releases);
   }
 
+  private static Release release(String place, OperatorFile.Release release) {
+    List<Selector> orders = SelectorReader.read(place + ".orders", release.getOrdersList());
+    ZoneId zone = parse(place + ".zone", release.getZone(), ZoneId::of);
+    LocalTime time = parse(place + ".time", release.getTime(), LocalTime::parse);
+    Set<DayOfWeek> days = EnumSet.noneOf(DayOfWeek.class);
+    release.getDayList().forEach(day -> days.add(DayOfWeek.of(day.getNumber())));
+    require(
+        !days.isEmpty() || release.getAlsoCount() > 0,
+        place + ": comes out on no day: set day or also");
+    Set<LocalDate> except = new TreeSet<>();
+    release
+        .getExceptList()
+        .forEach(date -> except.add(parse(place + ".except", date, LocalDate::parse)));
+    return new Release(
+        release.getId(),
+        zone,
+        time,
+        days,
+        except,
+        times(place + ".also", release.getAlsoList(), time, false),
+        times(place + ".moved", release.getMovedList(), null, true),
+        List.copyOf(orders),
+        Checks.within(place + ".lead_s", release.getLeadS(), 0, MAX_LEAD_S));
+  }
+
+  /**
+   * Times by date; null: the embargo is lifted.
+   *
+   * @param usual the time of a date that names none; null: it must name one
+   */
   private static Map<LocalDate, LocalTime> times(
       String place, List<OperatorFile.Dated> dated, LocalTime usual, boolean liftable) {
-    Map<LocalDate, LocalTime> releases = new LinkedHashMap<>();
-    for (int k = 0; k < dated.size(); k++) {
-      OperatorFile.Dated entry = dated.get(k);
-      String here = place + "[" + k + "]";
-      LocalDate date = parsed(here + ".date", entry.getDate(), LocalDate::parse);
-      need(!releases.containsKey(date), here + ".date: " + date + " is there already");
-      need(liftable || !entry.getLifted(), here + ".lifted: only what is moved can be");
-      need(!entry.getLifted() || !entry.hasTime(), here + ": either lifted or a time");
-      need(entry.hasTime() || entry.getLifted() || usual != null, here + ".time: missing");
-      releases.put(
-          date,
-          entry.getLifted()
-              ? null
-              : entry.hasTime()
-                  ? parsed(here + ".time", entry.getTime(), LocalTime::parse)
-                  : usual);
+    Map<LocalDate, LocalTime> times = new LinkedHashMap<>();
+    for (int i = 0; i < dated.size(); i++) {
+      OperatorFile.Dated entry = dated.get(i);
+      String here = place + "[" + i + "]";
+      LocalDate date = parse(here + ".date", entry.getDate(), LocalDate::parse);
+      require(!times.containsKey(date), here + ".date: " + date + " is there already");
+      require(liftable || !entry.getLifted(), here + ".lifted: only what is moved can be");
+      require(!entry.getLifted() || !entry.hasTime(), here + ": either lifted or a time");
+      require(entry.hasTime() || entry.getLifted() || usual != null, here + ".time: missing");
+      times.put(date, time(here, entry, usual));
     }
-    return releases;
+    return times;
   }
 
-  private static <T> T parsed(String place, String text, Function<String, T> parse) {
-    try {
-      return parse.apply(text);
-    } catch (DateTimeException e) {
-      throw new SettingsException(
-          place + ": " + (text.isEmpty() ? "missing" : "\"" + text + "\": " + e.getMessage()));
+  private static LocalTime time(String place, OperatorFile.Dated entry, LocalTime usual) {
+    if (entry.getLifted()) {
+      return null;
     }
+    return entry.hasTime() ? parse(place + ".time", entry.getTime(), LocalTime::parse) : usual;
   }
 
-  private static void need(boolean right, String why) {
-    if (!right) {
-      throw new SettingsException(why);
+  private static <T> T parse(String field, String text, Function<String, T> parser) {
+    try {
+      return parser.apply(text);
+    } catch (DateTimeException e) {
+      throw new SettingsException(
+          field + ": " + (text.isEmpty() ? "missing" : "\"" + text + "\": " + e.getMessage()));
     }
   }
 }
--- a/src/main/java/io/embernotch/settings/Release.java
+++ b/src/main/java/io/embernotch/settings/Release.java
@@ -12,12 +12,15 @@
 /**
  * A release that comes out at a time of day, and the work that must be done by then.
  *
- * @param days on which it comes out, empty for none but {@code also}
+ * @param id unique id
+ * @param zone time zone of its days and times
+ * @param time time of day at which it comes out
+ * @param days days on which it comes out, empty for none but {@code also}
  * @param except dates on which it does not
- * @param also dates added, with their time
+ * @param also additional dates, with their time
  * @param moved dates on which its time is another; a null time: the embargo is lifted
- * @param orders the work, any of these; of two releases that order the same work the first in the
- *     file counts
+ * @param orders selectors of the work, any of which may match; of two releases that order the same
+ *     work the first in the file counts
  * @param leadS seconds before the deadline by which the work is to be done
  */
 public record Release(
@@ -31,12 +34,8 @@
     List<Selector> orders,
     double leadS) {
 
+  /** Whether a job is part of the work. */
   public boolean orders(JobSpec job) {
-    for (Selector selector : orders) {
-      if (selector.matches(job)) {
-        return true;
-      }
-    }
-    return false;
+    return Selector.anyMatches(orders, job);
   }
 }
--- a/src/main/java/io/embernotch/settings/Reservation.java
+++ b/src/main/java/io/embernotch/settings/Reservation.java
@@ -5,14 +5,20 @@
 import java.util.Map;
 
 /**
- * Capacity that only some work may begin on. How much: what that work holds, and free beside it the
+ * Capacity that only some work may begin on. How much: what that work holds, and as headroom the
  * larger of what is missing to a fixed amount, and of a share of what it holds plus some deviations
- * of what comes of it in a boot time.
+ * of its demand within a boot time.
  *
- * @param serves the work: any of these
+ * @param name unique name
+ * @param serves selectors of the work, any of which may match
  * @param machines whole machines; 0: slices of machines, by the amounts
- * @param types machine types, empty for any
- * @param zones least share of the free part in a zone, by zone
+ * @param cpus fixed amount of CPUs
+ * @param gpus fixed amount of GPUs
+ * @param memGb fixed amount of memory in GB
+ * @param share headroom as a share of what the work holds
+ * @param deviations headroom in deviations of the work's demand
+ * @param types names of the machine types, empty for any
+ * @param zones least share of the headroom in a zone, by zone
  */
 public record Reservation(
     String name,
@@ -26,21 +32,19 @@
     List<String> types,
     Map<String, Double> zones) {
 
+  /** Whether a job is part of the work. */
   public boolean serves(JobSpec job) {
-    for (Selector selector : serves) {
-      if (selector.matches(job)) {
-        return true;
-      }
-    }
-    return false;
+    return Selector.anyMatches(serves, job);
   }
 
+  /** Whether machines of a type may be reserved. */
   public boolean allowsType(String type) {
     return types.isEmpty() || types.contains(type);
   }
 
   /**
-   * It is given as an amount, which is restored by stopping others where no machine is to be had.
+   * Whether it is a fixed amount, which is restored by preempting others where no machine is to be
+   * had.
    */
   public boolean fixed() {
     return machines > 0 || cpus > 0 || gpus > 0 || memGb > 0;
