--- a/src/main/java/io/embernotch/app/SnapshotCommand.java
+++ b/src/main/java/io/embernotch/app/SnapshotCommand.java
@@ -92,16 +92,16 @@
   private int show() throws IOException {
     SnapshotArchive archive = SnapshotDirectory.read(files.get(0));
     say(about(archive, Json.object().put("file", files.get(0).getFileName().toString())));
-    archive.copy().getJobList().forEach(j -> say(SnapshotDiff.line(j)));
-    archive.copy().getEndedList().forEach(e -> say(SnapshotDiff.line(e)));
+    archive.snapshot().getJobList().forEach(j -> say(SnapshotDiff.line(j)));
+    archive.snapshot().getEndedList().forEach(e -> say(SnapshotDiff.line(e)));
     return 0;
   }
 
   private int diff() throws IOException {
     List<ObjectNode> lines =
         SnapshotDiff.of(
-            SnapshotDirectory.read(files.get(0)).copy(),
-            SnapshotDirectory.read(files.get(1)).copy());
+            SnapshotDirectory.read(files.get(0)).snapshot(),
+            SnapshotDirectory.read(files.get(1)).snapshot());
     lines.forEach(this::say);
     return lines.isEmpty() ? 0 : 1;
   }
--- a/src/main/java/io/embernotch/snapshot/BaseSnapshot.java
+++ b/src/main/java/io/embernotch/snapshot/BaseSnapshot.java
@@ -19,9 +19,9 @@
 import java.util.TreeMap;
 
 /**
- * What an incarnation began with. It lies in the store as blocks and stands beneath its keys: a key
- * that was written in this incarnation is newer than the base, one that was left from before is
- * older. Of a job that the base says has ended nothing else counts.
+ * The snapshot that an incarnation began with. It lies in the store as blocks, and the store's keys
+ * are laid over it: a key that was written in this incarnation is newer than the snapshot, one that
+ * was left from before is older. Of a job that the snapshot says has ended nothing else counts.
  */
 public final class BaseSnapshot {
   /** An incarnation that began with nothing. */
@@ -31,14 +31,14 @@
   private final boolean complete;
   private final long since;
 
-  /** Packed: jobs that nobody asks for are never taken apart. */
+  /** Serialized: jobs that nobody asks for are never parsed. */
   private final Map<String, byte[]> jobs = new LinkedHashMap<>();
 
-  private final Map<String, ClusterState.EndedJob> ended = new HashMap<>();
+  private final Map<String, ClusterState.EndedJob> endedJobs = new HashMap<>();
   private final Map<String, ObjectNode> shared = new TreeMap<>();
 
   /**
-   * @param since keys with a higher modification revision are newer than the copy
+   * @param since keys with a higher modification revision are newer than the snapshot
    */
   public BaseSnapshot(ClusterSnapshot snapshot, long since) {
     this.complete = snapshot.getComplete();
@@ -47,54 +47,61 @@
       jobs.put(job.getRef(), job.toByteArray());
     }
     for (EndedJobSnapshot endedJob : snapshot.getEndedList()) {
-      ended.put(endedJob.getRef(), StateSnapshot.ended(endedJob));
+      endedJobs.put(endedJob.getRef(), JobSnapshots.readEnded(endedJob));
     }
     snapshot
         .getSharedList()
-        .forEach(s -> shared.put(s.getName(), Json.parseObject(s.getValue().toByteArray())));
+        .forEach(
+            entry -> shared.put(entry.getName(), Json.parseObject(entry.getValue().toByteArray())));
   }
 
-  /** False if tasks may run of which neither it nor the keys left in the store know. */
+  /** False if tasks may run that neither it nor the keys left in the store know of. */
   public boolean complete() {
     return complete;
   }
 
   /**
-   * Keys of this modification revision or a lower one are older than the copy; 0 if there is none.
+   * Keys of this modification revision or a lower one are older than the snapshot; 0 if there is
+   * none.
    */
   public long since() {
     return since;
   }
 
-  /** It holds the job: it was accepted, and is not to be written as a new one. */
+  /** Whether it holds a job: that was accepted, and is not to be written as a new one. */
   public boolean has(String ref) {
-    return jobs.containsKey(ref) || ended.containsKey(ref);
+    return jobs.containsKey(ref) || endedJobs.containsKey(ref);
   }
 
-  /** The end of a job of which nothing else is left; null if it is not such a one. */
+  /** The end of a job of which nothing else is left; null if it holds no such job. */
   public ClusterState.EndedJob ended(String ref) {
-    return ended.get(ref);
+    return endedJobs.get(ref);
   }
 
+  /** The ends of all jobs of which nothing else is left, by id. */
   public Map<String, ClusterState.EndedJob> allEnded() {
-    return ended;
+    return endedJobs;
   }
 
-  /** The store's keys under a prefix, {@code stored}, with what stands beneath them. */
+  /**
+   * The store's keys under a prefix, laid over this snapshot.
+   *
+   * @param stored all keys that the store holds under the prefix
+   */
   public WatchEvents overlay(String prefix, WatchEvents stored) {
-    if (jobs.isEmpty() && ended.isEmpty()) {
+    if (jobs.isEmpty() && endedJobs.isEmpty()) {
       return stored;
     }
     Map<String, VersionedEntry> entries = new LinkedHashMap<>();
     for (byte[] job : jobs.values()) {
-      lay(job, prefix, entries);
+      addEntries(job, prefix, entries);
     }
-    stored.events().forEach(entry -> over(entry, entries));
+    stored.events().forEach(entry -> layOver(entry, entries));
     return new WatchEvents(stored.revision(), List.copyOf(entries.values()));
   }
 
   /**
-   * The store's shared facts with what stands beneath them: of each the later value, under the
+   * The store's shared state entries, laid over this snapshot: of each the later value, with the
    * modification revision that the store has.
    */
   public List<VersionedEntry> overlayShared(WatchEvents stored) {
@@ -118,19 +125,23 @@
     return List.copyOf(entries.values());
   }
 
-  /** The same of one job. */
+  /**
+   * The store's keys of one job under a prefix, laid over this snapshot.
+   *
+   * @param stored all keys of the job that the store holds under the prefix
+   */
   public List<VersionedEntry> overlay(String ref, String prefix, List<VersionedEntry> stored) {
     Map<String, VersionedEntry> entries = new LinkedHashMap<>();
     if (jobs.containsKey(ref)) {
-      lay(jobs.get(ref), prefix, entries);
+      addEntries(jobs.get(ref), prefix, entries);
     }
-    stored.forEach(entry -> over(entry, entries));
+    stored.forEach(entry -> layOver(entry, entries));
     return List.copyOf(entries.values());
   }
 
-  private static void lay(byte[] job, String prefix, Map<String, VersionedEntry> entries) {
+  private static void addEntries(byte[] job, String prefix, Map<String, VersionedEntry> entries) {
     try {
-      for (VersionedEntry entry : StateSnapshot.entries(JobSnapshot.parseFrom(job))) {
+      for (VersionedEntry entry : JobSnapshots.entries(JobSnapshot.parseFrom(job))) {
         if (entry.key().startsWith(prefix)) {
           entries.put(entry.key(), entry);
         }
@@ -140,15 +151,15 @@
     }
   }
 
-  private void over(VersionedEntry entry, Map<String, VersionedEntry> entries) {
+  private void layOver(VersionedEntry entry, Map<String, VersionedEntry> entries) {
     String ref = entry.key().split("/")[1];
-    if (ended.containsKey(ref)) {
+    if (endedJobs.containsKey(ref)) {
       return;
     }
     if (!jobs.containsKey(ref) || entry.modRevision() > since) {
       entries.put(entry.key(), entry);
     } else if (entries.containsKey(entry.key())) {
-      // Older than the base, but whoever writes it next conditions on its modification revision.
+      // Older than the snapshot, but the next write conditions on the key's modification revision.
       entries.put(
           entry.key(),
           new VersionedEntry(entry.key(), entries.get(entry.key()).value(), entry.modRevision()));
--- a/src/main/java/io/embernotch/snapshot/SnapshotBlocks.java
+++ b/src/main/java/io/embernotch/snapshot/SnapshotBlocks.java
@@ -13,39 +13,37 @@
 import java.util.zip.Inflater;
 
 /**
- * A copy packed into blocks that fit the store's values, each with a checksum, and one over all.
+ * A snapshot, compressed and split into blocks that fit the store's values.
  *
- * @param crc over the blocks in their order
+ * @param blocks the blocks in their order
+ * @param crc checksum over all blocks in their order
  */
 public record SnapshotBlocks(List<byte[]> blocks, long crc) {
   private static final int VERSION = 1;
 
   /** Bytes that a block's value takes besides its base64: names, checksum, quotes. */
-  private static final int BESIDES = 64;
+  private static final int VALUE_OVERHEAD = 64;
+
+  private static final int MIN_BLOCK_BYTES = 48;
+  private static final int BUFFER_BYTES = 4096;
 
   /**
-   * @param valueBytes what a value may have at the most
+   * Packs a snapshot.
+   *
+   * @param valueBytes most bytes of a value in the store
    */
   public static SnapshotBlocks pack(ClusterSnapshot snapshot, int valueBytes) {
-    Deflater deflater = new Deflater(Deflater.BEST_SPEED);
-    ByteArrayOutputStream all = new ByteArrayOutputStream();
-    byte[] buffer = new byte[4096];
-    deflater.setInput(snapshot.toByteArray());
-    deflater.finish();
-    while (!deflater.finished()) {
-      all.write(buffer, 0, deflater.deflate(buffer));
-    }
-    deflater.end();
-    byte[] packed = all.toByteArray();
+    byte[] packed = deflate(snapshot.toByteArray());
     // Base64 makes four bytes of three.
-    int blockBytes = Math.max(48, (valueBytes - BESIDES) / 4 * 3);
-    List<byte[]> out = new ArrayList<>();
+    int blockBytes = Math.max(MIN_BLOCK_BYTES, (valueBytes - VALUE_OVERHEAD) / 4 * 3);
+    List<byte[]> blocks = new ArrayList<>();
     for (int from = 0; from < packed.length; from += blockBytes) {
-      out.add(Arrays.copyOfRange(packed, from, Math.min(packed.length, from + blockBytes)));
+      blocks.add(Arrays.copyOfRange(packed, from, Math.min(packed.length, from + blockBytes)));
     }
-    return new SnapshotBlocks(out, sum(packed));
+    return new SnapshotBlocks(blocks, sum(packed));
   }
 
+  /** The checksum of bytes. */
   public static long sum(byte[] bytes) {
     CRC32 crc = new CRC32();
     crc.update(bytes);
@@ -53,12 +51,13 @@
   }
 
   /**
-   * @throws MalformedInputException if the copy is damaged, with what is wrong: it is never used in
-   *     part
+   * Unpacks the snapshot.
+   *
+   * @throws MalformedInputException if it is damaged; it is never used in part
    */
   public ClusterSnapshot unpack() {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
-    blocks.forEach(b -> all.write(b, 0, b.length));
+    blocks.forEach(block -> all.write(block, 0, block.length));
     byte[] packed = all.toByteArray();
     if (sum(packed) != crc) {
       throw new MalformedInputException(
@@ -76,22 +75,35 @@
     }
   }
 
+  private static byte[] deflate(byte[] bytes) {
+    Deflater deflater = new Deflater(Deflater.BEST_SPEED);
+    ByteArrayOutputStream packed = new ByteArrayOutputStream();
+    byte[] buffer = new byte[BUFFER_BYTES];
+    deflater.setInput(bytes);
+    deflater.finish();
+    while (!deflater.finished()) {
+      packed.write(buffer, 0, deflater.deflate(buffer));
+    }
+    deflater.end();
+    return packed.toByteArray();
+  }
+
   private static byte[] inflate(byte[] packed) throws DataFormatException {
-    Inflater deflater = new Inflater();
+    Inflater inflater = new Inflater();
     try {
-      deflater.setInput(packed);
-      ByteArrayOutputStream out = new ByteArrayOutputStream();
-      byte[] buffer = new byte[4096];
-      while (!deflater.finished()) {
-        int n = deflater.inflate(buffer);
-        if (n == 0 && deflater.needsInput()) {
+      inflater.setInput(packed);
+      ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+      byte[] buffer = new byte[BUFFER_BYTES];
+      while (!inflater.finished()) {
+        int count = inflater.inflate(buffer);
+        if (count == 0 && inflater.needsInput()) {
           throw new DataFormatException("it ends too early");
         }
-        out.write(buffer, 0, n);
+        bytes.write(buffer, 0, count);
       }
-      return out.toByteArray();
+      return bytes.toByteArray();
     } finally {
-      deflater.end();
+      inflater.end();
     }
   }
 }
--- a/src/main/java/io/embernotch/snapshot/SnapshotMerge.java
+++ b/src/main/java/io/embernotch/snapshot/SnapshotMerge.java
@@ -12,17 +12,19 @@
 import io.embernotch.snapshot.proto.SnapshotProto.SharedStateEntry;
 import java.util.BitSet;
 import java.util.Comparator;
+import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.BinaryOperator;
 
 /**
- * Two copies of the same jobs, of which neither need be the newer one in everything, made one that
- * takes nothing back: ends are final, done marks are united, attempt numbers are the highest, and
- * of each task the open attempt of the highest number stays, since a later one is only begun once
- * those before it are proven gone. That an attempt is missing from one copy proves nothing. A job
- * of which only its end is left, since all its attempts were proven gone, stays so. Commutative,
- * associative, idempotent, and no less than either ({@code SnapshotMergeTest}).
+ * Merges two snapshots of the same cluster, of which neither need be the newer one in everything,
+ * into one that loses nothing of either: ends are final, done marks are united, attempt numbers are
+ * the highest, and of each task the open attempt of the highest number stays, since a later one is
+ * only begun once those before it are proven gone. That an attempt is missing from one snapshot
+ * proves nothing. A job of which only its end is left, since all its attempts were proven gone,
+ * stays so. The merge is commutative, associative, idempotent and monotonic ({@code
+ * SnapshotMergeTest}).
  */
 public final class SnapshotMerge {
   private static final Comparator<OpenAttemptSnapshot> LATER =
@@ -34,51 +36,60 @@
 
   private SnapshotMerge() {}
 
+  /** The merge of two snapshots. */
   public static ClusterSnapshot of(ClusterSnapshot a, ClusterSnapshot b) {
-    TreeMap<String, EndedJobSnapshot> ended = new TreeMap<>();
-    for (ClusterSnapshot snapshot : new ClusterSnapshot[] {a, b}) {
-      snapshot.getEndedList().forEach(e -> ended.merge(e.getRef(), e, SnapshotMerge::ends));
-    }
-    TreeMap<String, JobSnapshot> jobs = new TreeMap<>();
-    for (ClusterSnapshot snapshot : new ClusterSnapshot[] {a, b}) {
-      for (JobSnapshot job : snapshot.getJobList()) {
-        if (!ended.containsKey(job.getRef())) {
-          jobs.merge(job.getRef(), job, SnapshotMerge::jobs);
-        }
-      }
-    }
+    List<ClusterSnapshot> both = List.of(a, b);
+    Map<String, EndedJobSnapshot> ended = endedJobs(both);
     return ClusterSnapshot.newBuilder()
         .setEpoch(Math.max(a.getEpoch(), b.getEpoch()))
         .setWallMs(Math.max(a.getWallMs(), b.getWallMs()))
         .setComplete(a.getComplete() && b.getComplete())
-        .addAllShared(shared(a, b).values())
-        .addAllJob(jobs.values())
+        .addAllShared(shared(both).values())
+        .addAllJob(jobs(both, ended).values())
         .addAllEnded(ended.values())
         .build();
   }
 
-  private static Map<String, SharedStateEntry> shared(ClusterSnapshot a, ClusterSnapshot b) {
-    TreeMap<String, SharedStateEntry> out = new TreeMap<>();
-    for (ClusterSnapshot snapshot : new ClusterSnapshot[] {a, b}) {
+  private static Map<String, EndedJobSnapshot> endedJobs(List<ClusterSnapshot> snapshots) {
+    Map<String, EndedJobSnapshot> ended = new TreeMap<>();
+    for (ClusterSnapshot snapshot : snapshots) {
+      snapshot
+          .getEndedList()
+          .forEach(job -> ended.merge(job.getRef(), job, SnapshotMerge::mergeEnded));
+    }
+    return ended;
+  }
+
+  private static Map<String, JobSnapshot> jobs(
+      List<ClusterSnapshot> snapshots, Map<String, EndedJobSnapshot> ended) {
+    Map<String, JobSnapshot> jobs = new TreeMap<>();
+    for (ClusterSnapshot snapshot : snapshots) {
+      for (JobSnapshot job : snapshot.getJobList()) {
+        if (!ended.containsKey(job.getRef())) {
+          jobs.merge(job.getRef(), job, SnapshotMerge::mergeJobs);
+        }
+      }
+    }
+    return jobs;
+  }
+
+  private static Map<String, SharedStateEntry> shared(List<ClusterSnapshot> snapshots) {
+    Map<String, SharedStateEntry> shared = new TreeMap<>();
+    for (ClusterSnapshot snapshot : snapshots) {
       snapshot
           .getSharedList()
-          .forEach(
-              s ->
-                  out.merge(
-                      s.getName(),
-                      s,
-                      (x, y) -> {
-                        ObjectNode one = Json.parseObject(x.getValue().toByteArray());
-                        return Versions.later(one, Json.parseObject(y.getValue().toByteArray()))
-                                == one
-                            ? x
-                            : y;
-                      }));
+          .forEach(entry -> shared.merge(entry.getName(), entry, SnapshotMerge::later));
     }
-    return out;
+    return shared;
+  }
+
+  private static SharedStateEntry later(SharedStateEntry a, SharedStateEntry b) {
+    ObjectNode valueOfA = Json.parseObject(a.getValue().toByteArray());
+    ObjectNode valueOfB = Json.parseObject(b.getValue().toByteArray());
+    return Versions.later(valueOfA, valueOfB) == valueOfA ? a : b;
   }
 
-  private static EndedJobSnapshot ends(EndedJobSnapshot a, EndedJobSnapshot b) {
+  private static EndedJobSnapshot mergeEnded(EndedJobSnapshot a, EndedJobSnapshot b) {
     return EndedJobSnapshot.newBuilder()
         .setRef(a.getRef())
         .setEnd(end(a.getEnd(), b.getEnd()))
@@ -89,36 +100,45 @@
   }
 
   /**
-   * Both can't be: an end is decided once. Were it so all the same, the choice does not depend on
-   * the order.
+   * An end is decided once, so both are the same. Were they not, the choice does not depend on the
+   * order of the arguments.
    */
   private static End end(End a, End b) {
     return a.compareTo(b) >= 0 ? a : b;
   }
 
-  private static JobSnapshot jobs(JobSnapshot a, JobSnapshot b) {
+  private static JobSnapshot mergeJobs(JobSnapshot a, JobSnapshot b) {
     BitSet done = BitSet.valueOf(a.getDone().toByteArray());
     done.or(BitSet.valueOf(b.getDone().toByteArray()));
     Map<Integer, OpenAttemptSnapshot> open = new TreeMap<>();
-    for (JobSnapshot snapshot : new JobSnapshot[] {a, b}) {
-      snapshot.getOpenList().forEach(o -> open.merge(o.getTask(), o, BinaryOperator.maxBy(LATER)));
+    for (JobSnapshot job : List.of(a, b)) {
+      job.getOpenList()
+          .forEach(attempt -> open.merge(attempt.getTask(), attempt, BinaryOperator.maxBy(LATER)));
     }
-    // Descriptions never change; only the size of the shards that they are kept in may.
-    ByteString value =
-        ByteString.unsignedLexicographicalComparator().compare(a.getValue(), b.getValue()) >= 0
-            ? a.getValue()
-            : b.getValue();
-    JobSnapshot.Builder out =
+    JobSnapshot.Builder merged =
         JobSnapshot.newBuilder()
             .setRef(a.getRef())
-            .setValue(value)
+            .setValue(submission(a, b))
             .setNextAttempt(Math.max(a.getNextAttempt(), b.getNextAttempt()))
             .setDone(ByteString.copyFrom(done.toByteArray()))
             .addAllOpen(open.values());
     if (a.hasEnd() || b.hasEnd()) {
-      out.setEnd(!a.hasEnd() ? b.getEnd() : !b.hasEnd() ? a.getEnd() : end(a.getEnd(), b.getEnd()));
-      out.setEndedMs(Math.max(a.getEndedMs(), b.getEndedMs()));
+      merged.setEnd(end(a, b)).setEndedMs(Math.max(a.getEndedMs(), b.getEndedMs()));
+    }
+    return merged.build();
+  }
+
+  /** Submissions never change; only the size of the shards that progress is kept in may. */
+  private static ByteString submission(JobSnapshot a, JobSnapshot b) {
+    return ByteString.unsignedLexicographicalComparator().compare(a.getValue(), b.getValue()) >= 0
+        ? a.getValue()
+        : b.getValue();
+  }
+
+  private static End end(JobSnapshot a, JobSnapshot b) {
+    if (!a.hasEnd()) {
+      return b.getEnd();
     }
-    return out.build();
+    return b.hasEnd() ? end(a.getEnd(), b.getEnd()) : a.getEnd();
   }
 }
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotArchive.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotArchive.java
@@ -16,7 +16,7 @@
 import java.util.zip.ZipOutputStream;
 
 /**
- * One snapshot as a ZIP archive, so that common tools can look at it too: {@code head} is a {@link
+ * One snapshot as a ZIP archive, which common tools can open too: {@code head} is a {@link
  * SnapshotHead}, each {@code part-K} a {@link ClusterSnapshot} of some of the jobs. ZIP has a
  * checksum for each of them; the head has the number of parts and one checksum over all, since an
  * archive that lacks its last parts would look whole.
@@ -24,37 +24,50 @@
 public final class SnapshotArchive {
   private static final int VERSION = 1;
 
-  /** Jobs in a part, and ends: damage is named by the part. */
-  private static final int JOBS = 500;
+  private static final String HEAD = "head";
 
-  private static final int ENDS = 5000;
+  /** Jobs in a part; messages about damage name the part. */
+  private static final int JOBS_PER_PART = 500;
+
+  /** Jobs of which only the end is left, in a part. */
+  private static final int ENDED_JOBS_PER_PART = 5000;
 
   /** A file that is not a whole snapshot; the message names the place. */
   public static final class DamagedSnapshotException extends IOException {
     private static final long serialVersionUID = 1L;
 
+    /**
+     * @param message the place of the damage and what is wrong
+     */
     public DamagedSnapshotException(String message) {
       super(message);
     }
   }
 
   private final SnapshotHead head;
-  private final ClusterSnapshot copy;
+  private final ClusterSnapshot snapshot;
 
   private SnapshotArchive(SnapshotHead head, ClusterSnapshot snapshot) {
     this.head = head;
-    this.copy = snapshot;
+    this.snapshot = snapshot;
   }
 
+  /** The head of the archive. */
   public SnapshotHead head() {
     return head;
   }
 
-  public ClusterSnapshot copy() {
-    return copy;
+  /** The snapshot; marked as incomplete, since what followed it is not in it. */
+  public ClusterSnapshot snapshot() {
+    return snapshot;
   }
 
-  /** Writes a copy that belongs to an incarnation; leaves {@code out} open. */
+  /**
+   * Writes a snapshot.
+   *
+   * @param incarnation name of the store incarnation that it is of
+   * @param out takes the archive; it is left open
+   */
   public static void write(ClusterSnapshot snapshot, String incarnation, OutputStream out)
       throws IOException {
     List<byte[]> parts = parts(snapshot);
@@ -70,38 +83,40 @@
             .setCrc(sum(parts))
             .build();
     ZipOutputStream zip = new ZipOutputStream(out);
-    entry(zip, "head", head.toByteArray());
+    putEntry(zip, HEAD, head.toByteArray());
     for (int index = 0; index < parts.size(); index++) {
-      entry(zip, part(index), parts.get(index));
+      putEntry(zip, partName(index), parts.get(index));
     }
     zip.finish();
   }
 
   /**
-   * @throws Damaged if it is not a whole snapshot, with the place; nothing of it is to be used then
+   * Reads an archive.
+   *
+   * @throws DamagedSnapshotException if it is not a whole snapshot; nothing of it is to be used
+   *     then
+   * @throws IOException if it cannot be read
    */
   public static SnapshotArchive read(InputStream input) throws IOException {
     ZipInputStream zip = new ZipInputStream(input);
     SnapshotHead head;
     ClusterSnapshot.Builder snapshot = ClusterSnapshot.newBuilder();
-    String at = "head";
+    String place = HEAD;
     List<byte[]> parts = new ArrayList<>();
     try {
-      head = SnapshotHead.parseFrom(next(zip, at));
+      head = SnapshotHead.parseFrom(nextEntry(zip, place));
       if (head.getVersion() > VERSION) {
         throw new DamagedSnapshotException(
             "head: version " + head.getVersion() + " is newer than " + VERSION);
       }
       for (int index = 0; index < head.getParts(); index++) {
-        at = part(index);
-        parts.add(next(zip, at));
+        place = partName(index);
+        parts.add(nextEntry(zip, place));
         snapshot.mergeFrom(ClusterSnapshot.parseFrom(parts.get(index)));
       }
-    } catch (ZipException | EOFException | InvalidProtocolBufferException entry) {
+    } catch (ZipException | EOFException | InvalidProtocolBufferException e) {
       throw new DamagedSnapshotException(
-          at
-              + ": "
-              + (entry.getMessage() == null ? "the file ends too early" : entry.getMessage()));
+          place + ": " + (e.getMessage() == null ? "the file ends too early" : e.getMessage()));
     }
     if (sum(parts) != head.getCrc()
         || snapshot.getJobCount() != head.getJobs()
@@ -116,13 +131,13 @@
 
   private static List<byte[]> parts(ClusterSnapshot snapshot) {
     List<byte[]> out = new ArrayList<>();
-    for (int from = 0; from < snapshot.getJobCount(); from += JOBS) {
+    for (int from = 0; from < snapshot.getJobCount(); from += JOBS_PER_PART) {
       out.add(
           ClusterSnapshot.newBuilder()
               .addAllJob(
                   snapshot
                       .getJobList()
-                      .subList(from, Math.min(snapshot.getJobCount(), from + JOBS)))
+                      .subList(from, Math.min(snapshot.getJobCount(), from + JOBS_PER_PART)))
               .build()
               .toByteArray());
     }
@@ -133,20 +148,21 @@
               .build()
               .toByteArray());
     }
-    for (int from = 0; from < snapshot.getEndedCount(); from += ENDS) {
+    for (int from = 0; from < snapshot.getEndedCount(); from += ENDED_JOBS_PER_PART) {
       out.add(
           ClusterSnapshot.newBuilder()
               .addAllEnded(
                   snapshot
                       .getEndedList()
-                      .subList(from, Math.min(snapshot.getEndedCount(), from + ENDS)))
+                      .subList(
+                          from, Math.min(snapshot.getEndedCount(), from + ENDED_JOBS_PER_PART)))
               .build()
               .toByteArray());
     }
     return out;
   }
 
-  private static String part(int index) {
+  private static String partName(int index) {
     return String.format("part-%05d", index);
   }
 
@@ -156,7 +172,7 @@
     return crc.getValue();
   }
 
-  private static void entry(ZipOutputStream zip, String name, byte[] bytes) throws IOException {
+  private static void putEntry(ZipOutputStream zip, String name, byte[] bytes) throws IOException {
     ZipEntry entry = new ZipEntry(name);
     entry.setTime(0);
     zip.putNextEntry(entry);
@@ -164,8 +180,8 @@
     zip.closeEntry();
   }
 
-  /** Reading an entry to its end checks its checksum. */
-  private static byte[] next(ZipInputStream zip, String name) throws IOException {
+  /** The bytes of the next entry. Reading an entry to its end checks its checksum. */
+  private static byte[] nextEntry(ZipInputStream zip, String name) throws IOException {
     ZipEntry entry = zip.getNextEntry();
     if (entry == null || !entry.getName().equals(name)) {
       throw new DamagedSnapshotException(name + ": not there");
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotDiff.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotDiff.java
@@ -14,11 +14,11 @@
 import java.util.Objects;
 import java.util.TreeSet;
 
-/** What two copies say differently of jobs, each job on a line. */
+/** Describes jobs of a snapshot, and the differences of two snapshots, as JSON: a line a job. */
 public final class SnapshotDiff {
   private SnapshotDiff() {}
 
-  /** A job that has not ended. */
+  /** The line of a job of which more than its end is left. */
   public static ObjectNode line(JobSnapshot job) {
     return Json.object()
         .put("ref", job.getRef())
@@ -32,7 +32,7 @@
         .put("next", job.getNextAttempt());
   }
 
-  /** A job of which only the end is left. */
+  /** The line of a job of which only the end is left. */
   public static ObjectNode line(EndedJobSnapshot endedJob) {
     return Json.object()
         .put("ref", endedJob.getRef())
@@ -42,38 +42,41 @@
   }
 
   /**
-   * The jobs that are not the same in both, in the order of their ids, as they are in each; empty
-   * if all are.
+   * The lines of the jobs that differ, in the order of their ids, with a description of each side;
+   * empty if none do.
    */
-  public static List<ObjectNode> of(ClusterSnapshot a, ClusterSnapshot b) {
-    Map<String, Message> before = byRef(a);
-    Map<String, Message> after = byRef(b);
-    TreeSet<String> all = new TreeSet<>(before.keySet());
-    all.addAll(after.keySet());
-    List<ObjectNode> out = new ArrayList<>();
-    for (String ref : all) {
-      Message x = before.get(ref);
-      Message y = after.get(ref);
-      if (!Objects.equals(x, y)) {
-        out.add(Json.object().put("ref", ref).put("before", text(x)).put("after", text(y)));
+  public static List<ObjectNode> of(ClusterSnapshot before, ClusterSnapshot after) {
+    Map<String, Message> jobsBefore = byRef(before);
+    Map<String, Message> jobsAfter = byRef(after);
+    TreeSet<String> refs = new TreeSet<>(jobsBefore.keySet());
+    refs.addAll(jobsAfter.keySet());
+    List<ObjectNode> lines = new ArrayList<>();
+    for (String ref : refs) {
+      Message jobBefore = jobsBefore.get(ref);
+      Message jobAfter = jobsAfter.get(ref);
+      if (!Objects.equals(jobBefore, jobAfter)) {
+        lines.add(
+            Json.object()
+                .put("ref", ref)
+                .put("before", describe(jobBefore))
+                .put("after", describe(jobAfter)));
       }
     }
-    return out;
+    return lines;
   }
 
   private static Map<String, Message> byRef(ClusterSnapshot snapshot) {
-    Map<String, Message> out = new HashMap<>();
-    snapshot.getJobList().forEach(job -> out.put(job.getRef(), job));
-    snapshot.getEndedList().forEach(endedJob -> out.put(endedJob.getRef(), endedJob));
-    return out;
+    Map<String, Message> jobs = new HashMap<>();
+    snapshot.getJobList().forEach(job -> jobs.put(job.getRef(), job));
+    snapshot.getEndedList().forEach(job -> jobs.put(job.getRef(), job));
+    return jobs;
   }
 
-  private static String text(Message message) {
-    if (message == null) {
+  private static String describe(Message job) {
+    if (job == null) {
       return "absent";
     }
-    ObjectNode line =
-        message instanceof JobSnapshot job ? line(job) : line((EndedJobSnapshot) message);
+    ObjectNode line = job instanceof JobSnapshot open ? line(open) : line((EndedJobSnapshot) job);
     return line.path("phase").asText()
         + ", "
         + line.path("done").asText()
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotDirectory.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotDirectory.java
@@ -25,8 +25,8 @@
  */
 public final class SnapshotDirectory {
   private static final Logger LOG = LoggerFactory.getLogger(SnapshotDirectory.class);
-  private static final String END = ".snapshot";
-  private static final String UNFINISHED = ".unfinished";
+  private static final String SUFFIX = ".snapshot";
+  private static final String UNFINISHED_SUFFIX = ".unfinished";
 
   private final Path directory;
   private final int keep;
@@ -39,14 +39,31 @@
     this.keep = keep;
   }
 
-  /** Writes one, drops the oldest beyond those that are kept, and returns its file. */
+  /**
+   * Writes a snapshot, and deletes the oldest ones beyond those that are kept.
+   *
+   * @param incarnation name of the store incarnation that it is of
+   * @return its file
+   */
   public Path write(ClusterSnapshot snapshot, String incarnation) throws IOException {
     String name = String.format("%016d-%015d", snapshot.getEpoch(), snapshot.getWallMs());
-    Path unfinished = directory.resolve(name + UNFINISHED);
-    Path file = directory.resolve(name + END);
+    Path unfinished = directory.resolve(name + UNFINISHED_SUFFIX);
+    Path file = directory.resolve(name + SUFFIX);
+    writeSynced(unfinished, snapshot, incarnation);
+    Files.move(unfinished, file, StandardCopyOption.ATOMIC_MOVE);
+    syncDirectory();
+    List<Path> files = list();
+    for (Path old : files.subList(Math.min(keep, files.size()), files.size())) {
+      Files.deleteIfExists(old);
+    }
+    return file;
+  }
+
+  private static void writeSynced(Path file, ClusterSnapshot snapshot, String incarnation)
+      throws IOException {
     try (FileChannel channel =
         FileChannel.open(
-            unfinished,
+            file,
             StandardOpenOption.CREATE,
             StandardOpenOption.TRUNCATE_EXISTING,
             StandardOpenOption.WRITE)) {
@@ -55,30 +72,28 @@
       out.flush();
       channel.force(true);
     }
-    Files.move(unfinished, file, StandardCopyOption.ATOMIC_MOVE);
-    try (FileChannel dir = FileChannel.open(directory, StandardOpenOption.READ)) {
-      // Without this the name may be gone after a power failure, though the file is not.
-      dir.force(true);
-    }
-    List<Path> all = list();
-    for (Path old : all.subList(Math.min(keep, all.size()), all.size())) {
-      Files.deleteIfExists(old);
+  }
+
+  /** Without this a file's new name may be gone after a power failure, though its contents stay. */
+  private void syncDirectory() throws IOException {
+    try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
+      channel.force(true);
     }
-    return file;
   }
 
   /** All snapshots, the newest first. */
   public List<Path> list() throws IOException {
     try (Stream<Path> files = Files.list(directory)) {
       return files
-          .filter(f -> f.getFileName().toString().endsWith(END))
-          .sorted(Comparator.comparing((Path f) -> f.getFileName().toString()).reversed())
+          .filter(file -> file.getFileName().toString().endsWith(SUFFIX))
+          .sorted(Comparator.comparing((Path file) -> file.getFileName().toString()).reversed())
           .toList();
     }
   }
 
   /**
-   * The newest that is whole; null if there is none. Damaged ones are named in the log, and left.
+   * The newest snapshot that is whole; null if there is none. Damaged ones are named in the log,
+   * and kept.
    */
   public SnapshotArchive newest() throws IOException {
     for (Path file : list()) {
@@ -92,7 +107,10 @@
   }
 
   /**
-   * @throws Snapshot.Damaged if it is not whole, with the place of the damage
+   * Reads a snapshot.
+   *
+   * @throws SnapshotArchive.DamagedSnapshotException if it is not whole
+   * @throws IOException if it cannot be read
    */
   public static SnapshotArchive read(Path file) throws IOException {
     try (InputStream in = new BufferedInputStream(Files.newInputStream(file))) {
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotScheduler.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotScheduler.java
@@ -10,21 +10,28 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes snapshots now and then while this node is leader, if the operators named a directory. */
+/**
+ * Takes snapshots at intervals while this node is leader, if the operators named a directory. Core
+ * loop only.
+ */
 public final class SnapshotScheduler {
   private static final Logger LOG = LoggerFactory.getLogger(SnapshotScheduler.class);
 
-  /** So many intervals without a new snapshot are said in the log. */
-  private static final int LATE = 3;
+  /** Intervals without a new snapshot after which the log says so. */
+  private static final int OVERDUE_INTERVALS = 3;
 
   private final ControllerContext context;
   private final OperatorSettings.Snapshots settings;
+
+  /** Null if none is named. */
   private final SnapshotDirectory directory;
-  private final LatencyRecorder took = new LatencyRecorder();
+
+  private final LatencyRecorder latencies = new LatencyRecorder();
   private double takenAt;
   private double triedAt;
   private boolean writing;
 
+  /** A scheduler whose first interval begins now. */
   public SnapshotScheduler(ControllerContext context) {
     this.context = context;
     this.settings = context.operator().snapshots();
@@ -36,7 +43,12 @@
     this.triedAt = takenAt;
   }
 
-  /** Time has gone by on a leader; {@code copy}: what it knows, null if it knows too little yet. */
+  /**
+   * Takes a snapshot if one is due; called on a leader only.
+   *
+   * @param incarnation name of the present store incarnation
+   * @param snapshot makes the snapshot; null if the leader knows too little yet
+   */
   public void tick(String incarnation, Supplier<ClusterSnapshot> snapshot) {
     double now = context.clock().now();
     if (directory == null || writing || now - triedAt < settings.everyS()) {
@@ -47,46 +59,43 @@
     if (taken == null) {
       return;
     }
-    took.record("copy", context.clock().now() - now);
+    latencies.record("copy", context.clock().now() - now);
     writing = true;
-    context
-        .blocking()
-        .execute(
-            () -> {
-              String failure = null;
-              Path file = null;
-              try {
-                file = directory.write(taken, incarnation);
-              } catch (IOException e) {
-                failure = e.toString();
-              }
-              Path written = file;
-              String why = failure;
-              context.loop().execute(() -> written(written, taken, why));
-            });
+    context.blocking().execute(() -> write(taken, incarnation));
   }
 
-  private void written(Path file, ClusterSnapshot snapshot, String failure) {
-    writing = false;
-    double now = context.clock().now();
-    if (failure == null) {
-      takenAt = now;
-      LOG.info(
-          "snapshot {}: {} jobs, {} ends; {}",
-          file.getFileName(),
-          snapshot.getJobCount(),
-          snapshot.getEndedCount(),
-          took.line());
-    } else {
-      LOG.error("no snapshot could be written: {}", failure);
+  /** On a thread for blocking work. */
+  private void write(ClusterSnapshot snapshot, String incarnation) {
+    try {
+      Path file = directory.write(snapshot, incarnation);
+      context.loop().execute(() -> written(file, snapshot));
+    } catch (IOException e) {
+      context.loop().execute(() -> failed(e));
     }
-    if (now - takenAt > LATE * settings.everyS()) {
-      LOG.error("the newest snapshot is {} s old", Math.round(now - takenAt));
+  }
+
+  private void written(Path file, ClusterSnapshot snapshot) {
+    writing = false;
+    takenAt = context.clock().now();
+    LOG.info(
+        "snapshot {}: {} jobs, {} ends; {}",
+        file.getFileName(),
+        snapshot.getJobCount(),
+        snapshot.getEndedCount(),
+        latencies.line());
+  }
+
+  private void failed(IOException failure) {
+    writing = false;
+    LOG.error("no snapshot could be written: {}", failure.toString());
+    double ageS = context.clock().now() - takenAt;
+    if (ageS > OVERDUE_INTERVALS * settings.everyS()) {
+      LOG.error("the newest snapshot is {} s old", Math.round(ageS));
     }
   }
 
   /**
-   * The newest copy in the directory; null if there is none, or none may be used. Blocks: to be
+   * The newest snapshot in the directory; null if there is none, or none may be used. Blocks: to be
    * called only where nothing can be done without it.
    */
   public ClusterSnapshot newest() {
@@ -95,7 +104,7 @@
     }
     try {
       SnapshotArchive archive = directory.newest();
-      return archive == null ? null : archive.copy();
+      return archive == null ? null : archive.snapshot();
     } catch (IOException e) {
       LOG.error("snapshots can't be read: {}", e.toString());
       return null;
--- a/src/test/java/io/embernotch/snapshot/file/SnapshotArchiveTest.java
+++ b/src/test/java/io/embernotch/snapshot/file/SnapshotArchiveTest.java
@@ -66,20 +66,20 @@
   void whateverByteIsDamagedNothingElseIsEverRead() throws IOException {
     ClusterSnapshot c = copy(12, 5);
     byte[] whole = bytes(c);
-    assertThat(SnapshotArchive.read(new ByteArrayInputStream(whole)).copy()).isEqualTo(c);
+    assertThat(SnapshotArchive.read(new ByteArrayInputStream(whole)).snapshot()).isEqualTo(c);
     int found = 0;
     for (int i = 0; i < whole.length; i++) {
       byte[] damaged = whole.clone();
       damaged[i] ^= 0x20;
       try {
         // A byte that says nothing of the contents may differ; then they are the same.
-        assertThat(SnapshotArchive.read(new ByteArrayInputStream(damaged)).copy()).isEqualTo(c);
+        assertThat(SnapshotArchive.read(new ByteArrayInputStream(damaged)).snapshot()).isEqualTo(c);
       } catch (IOException | IllegalArgumentException e) {
         found++;
       }
       byte[] shorter = Arrays.copyOf(whole, i);
       try {
-        assertThat(SnapshotArchive.read(new ByteArrayInputStream(shorter)).copy()).isEqualTo(c);
+        assertThat(SnapshotArchive.read(new ByteArrayInputStream(shorter)).snapshot()).isEqualTo(c);
       } catch (IOException | IllegalArgumentException e) {
         found++;
       }
@@ -111,13 +111,13 @@
       snapshots.write(copy(i, i), "e");
     }
     assertThat(snapshots.list()).hasSize(3);
-    assertThat(snapshots.newest().copy()).isEqualTo(copy(5, 5));
+    assertThat(snapshots.newest().snapshot()).isEqualTo(copy(5, 5));
     Path newest = snapshots.list().get(0);
     byte[] b = Files.readAllBytes(newest);
     Files.write(newest, Arrays.copyOf(b, b.length / 2));
     // One that a crash left unfinished is none.
     Files.write(dir.resolve("0000000000000009-000000000000009.unfinished"), b);
-    assertThat(snapshots.newest().copy()).isEqualTo(copy(4, 4));
+    assertThat(snapshots.newest().snapshot()).isEqualTo(copy(4, 4));
     assertThat(Main.run("snapshot", "list", dir.toString())).isEqualTo(1);
     assertThat(Main.run("snapshot", "verify", newest.toString())).isEqualTo(1);
     List<Path> files = snapshots.list();
