--- a/src/main/java/io/embernotch/actor/EventLoopProfile.java
+++ b/src/main/java/io/embernotch/actor/EventLoopProfile.java
@@ -11,24 +11,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the turns of a loop go to, by cause. The time is that which goes by: on a share of a core it
- * holds what other threads, collections and the compiler took meanwhile, and {@link #process} tells
- * how much that may be. For one loop, and used by that loop alone. It measures only while its
- * logger is at info, and costs nothing otherwise.
+ * Measures what an event loop's time goes to, by cause. Times are elapsed times: on a share of a
+ * core they include what other threads, collections and the compiler took meanwhile, and {@link
+ * #processUsage} tells how much that may be. For one loop, and used on that loop alone. It measures
+ * only while its logger is at info, and costs nothing otherwise.
  */
 public final class EventLoopProfile {
   private static final Logger LOG = LoggerFactory.getLogger(EventLoopProfile.class);
+  private static final double NANOS_PER_MS = 1e6;
 
-  /** Measures nothing, for whoever has no loop of its own. */
+  /** Measures nothing, for components without a loop of their own. */
   public static final EventLoopProfile NONE = new EventLoopProfile(null);
 
-  private record Share(LongAdder times, LongAdder nanos) {}
+  private record Usage(LongAdder runs, LongAdder nanos) {}
 
   private final LongSupplier steadyNanos;
-  private final Map<String, Share> shares = new TreeMap<>();
+  private final Map<String, Usage> usages = new TreeMap<>();
 
-  /** What causes inside the present one have taken. */
-  private long inner;
+  /** Nanoseconds that nested runs within the present one have taken. */
+  private long nestedNanos;
 
   /**
    * @param steadyNanos steady time in nanoseconds, or null to measure nothing
@@ -37,13 +38,13 @@
     this.steadyNanos = steadyNanos;
   }
 
-  /** Measures if anybody reads it. */
+  /** A profile that measures if the log shows it. */
   public static EventLoopProfile createIfLogged() {
     return LOG.isInfoEnabled() ? new EventLoopProfile(System::nanoTime) : NONE;
   }
 
   /**
-   * Runs {@code task}, and counts its time for {@code cause}; what it runs for another cause counts
+   * Runs a task and counts its time for a cause; what it runs for another cause in turn counts
    * there alone.
    */
   public void run(String cause, Runnable task) {
@@ -51,67 +52,64 @@
       task.run();
       return;
     }
-    long outer = inner;
-    inner = 0;
-    long from = steadyNanos.getAsLong();
+    long outerNestedNanos = nestedNanos;
+    nestedNanos = 0;
+    long startedAt = steadyNanos.getAsLong();
     try {
       task.run();
     } finally {
-      long took = steadyNanos.getAsLong() - from;
-      Share share = shares.computeIfAbsent(cause, c -> new Share(new LongAdder(), new LongAdder()));
-      share.times.increment();
-      share.nanos.add(took - inner);
-      inner = outer + took;
+      long took = steadyNanos.getAsLong() - startedAt;
+      Usage usage = usages.computeIfAbsent(cause, c -> new Usage(new LongAdder(), new LongAdder()));
+      usage.runs.increment();
+      usage.nanos.add(took - nestedNanos);
+      nestedNanos = outerNestedNanos + took;
     }
   }
 
-  /** Timers whose tasks count for {@code cause}. */
+  /** Timers whose tasks count for a cause. */
   public Timers around(String cause, Timers timers) {
     return steadyNanos == null
         ? timers
-        : (line, task) -> timers.after(line, () -> run(cause, task));
+        : (seconds, task) -> timers.after(seconds, () -> run(cause, task));
   }
 
-  /**
-   * Times and milliseconds by cause since the last line, or null if there is nothing; starts anew.
-   */
+  /** Runs and milliseconds by cause since the last line; null if there were none. */
   public String line() {
     StringBuilder line = new StringBuilder();
-    shares.forEach(
-        (cause, share) -> {
-          line.append(line.isEmpty() ? "" : ", ")
-              .append(cause)
-              .append(' ')
-              .append(share.times.sumThenReset());
-          line.append(" in ").append(Math.round(share.nanos.sumThenReset() / 1e6)).append(" ms");
+    usages.forEach(
+        (cause, usage) -> {
+          line.append(line.isEmpty() ? "" : ", ").append(cause);
+          line.append(' ').append(usage.runs.sumThenReset());
+          line.append(" in ").append(Math.round(usage.nanos.sumThenReset() / NANOS_PER_MS));
+          line.append(" ms");
         });
-    shares.clear();
+    usages.clear();
     return line.isEmpty() ? null : line.toString();
   }
 
   /**
-   * What the whole process has used so far, in milliseconds: of a share of a core in all, and
-   * elapsed for what the machine needs itself.
+   * What the whole process has used so far, in milliseconds: processor time, and elapsed time of
+   * the virtual machine's own work.
    */
   public static String processUsage() {
-    double all =
+    double processorMs =
         ManagementFactory.getOperatingSystemMXBean() instanceof OperatingSystemMXBean os
-            ? os.getProcessCpuTime() / 1e6
+            ? os.getProcessCpuTime() / NANOS_PER_MS
             : 0;
-    long collections =
+    long collectionsMs =
         ManagementFactory.getGarbageCollectorMXBeans().stream()
             .mapToLong(GarbageCollectorMXBean::getCollectionTime)
             .sum();
-    long compiling = ManagementFactory.getCompilationMXBean().getTotalCompilationTime();
-    return Math.round(all)
+    long compilationMs = ManagementFactory.getCompilationMXBean().getTotalCompilationTime();
+    return Math.round(processorMs)
         + " ms of processor; "
-        + collections
+        + collectionsMs
         + " ms went by in collections, "
-        + compiling
+        + compilationMs
         + " ms in compilation";
   }
 
-  /** Logs what there is since the last time, if anybody reads it. */
+  /** Logs what was measured since the last time, if it measures. */
   public void log() {
     if (steadyNanos != null) {
       LOG.info("event loop: {}", line());
--- a/src/main/java/io/embernotch/actor/Timers.java
+++ b/src/main/java/io/embernotch/actor/Timers.java
@@ -1,7 +1,12 @@
 package io.embernotch.actor;
 
-/** One-shot timers on the process's loop; injected, so that tests can fire them by hand. */
+/** One-shot timers on one event loop; injected, so that tests can fire them. */
 public interface Timers {
-  /** Runs {@code task} after {@code seconds}, on the loop. The returned action cancels it. */
+  /**
+   * Runs a task once, on the loop.
+   *
+   * @param seconds delay until then
+   * @return cancels the timer; without effect once the task has run
+   */
   Runnable after(double seconds, Runnable task);
 }
--- a/src/main/java/io/embernotch/app/CalendarCommand.java
+++ b/src/main/java/io/embernotch/app/CalendarCommand.java
@@ -18,7 +18,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Exits with 2 on a mistake in the file, like everything that reads it. */
+/**
+ * Prints the occurrences of the operators' releases. Exits with 2 on a mistake in the file, like
+ * every command that reads it.
+ */
 @Command(
     name = "calendar",
     description = "Prints when releases come out, and starts nothing.",
@@ -50,15 +53,32 @@
   @Override
   public Integer call() {
     PrintWriter out = spec.commandLine().getOut();
+    List<Release> releases = OperatorSettings.read(operator).calendar().releases();
+    printOccurrences(releases, out);
+    for (Release release : releases) {
+      release.also().keySet().stream()
+          .filter(date -> date.isBefore(from))
+          .forEach(date -> out.printf("%s: %s is past%n", release.id(), date));
+      for (Release earlier : releases.subList(0, releases.indexOf(release))) {
+        if (overlap(release, earlier)) {
+          out.printf(
+              "%s and %s may order the same work: %s counts%n",
+              earlier.id(), release.id(), earlier.id());
+        }
+      }
+    }
+    return 0;
+  }
+
+  private void printOccurrences(List<Release> releases, PrintWriter out) {
     Instant begin = from.atStartOfDay(ZoneOffset.UTC).toInstant();
     Instant end = begin.plus(days, ChronoUnit.DAYS);
-    List<Release> releases = OperatorSettings.read(operator).calendar().releases();
-    List<Occurrences.Occurrence> all = new ArrayList<>();
-    releases.forEach(release -> all.addAll(Occurrences.between(release, begin, end)));
-    all.sort(
+    List<Occurrences.Occurrence> occurrences = new ArrayList<>();
+    releases.forEach(release -> occurrences.addAll(Occurrences.between(release, begin, end)));
+    occurrences.sort(
         Comparator.comparing(Occurrences.Occurrence::at)
             .thenComparing(Occurrences.Occurrence::name));
-    for (Occurrences.Occurrence occurrence : all) {
+    for (Occurrences.Occurrence occurrence : occurrences) {
       out.printf(
           "%s  %s%s%s%n",
           occurrence.at(),
@@ -66,19 +86,10 @@
           occurrence.lifted() ? "  lifted" : "",
           occurrence.note() == null ? "" : "  (" + occurrence.note() + ")");
     }
-    for (Release release : releases) {
-      release.also().keySet().stream()
-          .filter(d -> d.isBefore(from))
-          .forEach(d -> out.printf("%s: %s is past%n", release.id(), d));
-      for (Release other : releases.subList(0, releases.indexOf(release))) {
-        if (release.orders().stream()
-            .anyMatch(s -> other.orders().stream().anyMatch(s::overlaps))) {
-          out.printf(
-              "%s and %s may order the same work: %s counts%n",
-              other.id(), release.id(), other.id());
-        }
-      }
-    }
-    return 0;
+  }
+
+  private static boolean overlap(Release release, Release other) {
+    return release.orders().stream()
+        .anyMatch(selector -> other.orders().stream().anyMatch(selector::overlaps));
   }
 }
--- a/src/main/java/io/embernotch/app/CheckCommand.java
+++ b/src/main/java/io/embernotch/app/CheckCommand.java
@@ -7,6 +7,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
+/** Checks the settings files. */
 @Command(
     name = "check",
     description = "Checks settings without starting anything.",
--- a/src/main/java/io/embernotch/app/LogSetup.java
+++ b/src/main/java/io/embernotch/app/LogSetup.java
@@ -10,8 +10,8 @@
 import ch.qos.logback.core.spi.ContextAwareBase;
 
 /**
- * Logs to standard error, as much as {@code LOG_LEVEL} says. In code, since reading XML costs a
- * start.
+ * Logs to standard error at the level that {@code LOG_LEVEL} names. In code, since reading XML
+ * would lengthen the start.
  */
 public final class LogSetup extends ContextAwareBase implements Configurator {
   @Override
@@ -29,13 +29,14 @@
     root.detachAndStopAllAppenders();
     root.addAppender(appender);
     root.setLevel(Level.WARN);
-    // Resets and failed connections are part of the day here, and are told of where they matter.
+    // Resets and failed connections are normal here, and are logged where they matter.
     context.getLogger("io.vertx.core.net.impl").setLevel(Level.OFF);
     context.getLogger("io.netty").setLevel(Level.ERROR);
     context.getLogger("io.embernotch").setLevel(level(System.getenv("LOG_LEVEL")));
     return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
   }
 
+  /** The level that a name stands for; INFO if it is null or unknown. */
   static Level level(String name) {
     return switch (name == null ? "" : name.toLowerCase(java.util.Locale.ROOT)) {
       case "error" -> Level.ERROR;
--- a/src/main/java/io/embernotch/app/Main.java
+++ b/src/main/java/io/embernotch/app/Main.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.IVersionProvider;
 
-/** The program: wiring only. */
+/** The command line. */
 @Command(
     name = "embernotch",
     description = "A cluster scheduler: accepts jobs, rents machines and places tasks.",
@@ -27,6 +27,7 @@
 
   private Main() {}
 
+  /** Runs a command line, and exits with its code unless a controller goes on running. */
   public static void main(String[] args) {
     int code = run(args);
     if (code != ServeCommand.KEEP_RUNNING) {
@@ -38,12 +39,12 @@
   public static int run(String... args) {
     CommandLine line = new CommandLine(new Main());
     line.setExecutionExceptionHandler(
-        (e, cmd, parsed) -> {
-          if (e instanceof SettingsException) {
-            cmd.getErr().println("embernotch: " + e.getMessage());
+        (failure, command, parsed) -> {
+          if (failure instanceof SettingsException) {
+            command.getErr().println("embernotch: " + failure.getMessage());
             return CommandLine.ExitCode.USAGE;
           }
-          throw e;
+          throw failure;
         });
     return line.execute(args);
   }
@@ -53,11 +54,12 @@
     throw new CommandLine.ParameterException(spec.commandLine(), "Missing command");
   }
 
+  /** The version that the package was built with. */
   static final class Version implements IVersionProvider {
     @Override
     public String[] getVersion() {
-      String v = Main.class.getPackage().getImplementationVersion();
-      return new String[] {"embernotch " + (v == null ? "(not packaged)" : v)};
+      String version = Main.class.getPackage().getImplementationVersion();
+      return new String[] {"embernotch " + (version == null ? "(not packaged)" : version)};
     }
   }
 }
--- a/src/main/java/io/embernotch/app/OverviewCommand.java
+++ b/src/main/java/io/embernotch/app/OverviewCommand.java
@@ -3,6 +3,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 
+/** Prints the overview of a running controller. */
 @Command(
     name = "overview",
     description = "Shows leadership, fleet and queue.",
--- a/src/main/java/io/embernotch/app/RehearseCommand.java
+++ b/src/main/java/io/embernotch/app/RehearseCommand.java
@@ -14,21 +14,21 @@
 import picocli.CommandLine.Command;
 
 /**
- * Runs a controller on loopback for a moment, against something that answers like an empty store
- * and cloud. A class archive that the JVM writes at the end of this holds what a start needs, and
- * starting is what costs a controller with a share of a core most.
+ * Runs a controller on loopback for a moment, against a server that answers like an empty store and
+ * cloud. The class archive that the JVM writes at the end holds what a start needs; loading classes
+ * is what takes a controller with a share of a core longest.
  */
 @Command(
     name = "rehearse",
     hidden = true,
     description = "Runs briefly, for the JVM to record what a start loads.")
 final class RehearseCommand implements Callable<Integer> {
-  private static final double FOR_S = 4;
+  private static final double DURATION_S = 4;
 
   @Override
   public Integer call() throws Exception {
     int client = freePort();
-    int back = freePort();
+    int peers = freePort();
     int services = freePort();
     Vertx vertx = Vertx.vertx();
     HttpServer standIn = vertx.createHttpServer().requestHandler(RehearseCommand::answer);
@@ -37,51 +37,54 @@
         .toCompletionStage()
         .toCompletableFuture()
         .get(5, TimeUnit.SECONDS);
-    Server.start(SettingsReader.parse(settings(client, back, services)), OperatorSettings.DEFAULTS);
-    long end = System.nanoTime() + (long) (FOR_S * 1e9);
+    Server.start(
+        SettingsReader.parse(settings(client, peers, services)), OperatorSettings.DEFAULTS);
+    long end = System.nanoTime() + (long) (DURATION_S * 1e9);
     while (System.nanoTime() < end) {
       TimeUnit.MILLISECONDS.sleep(200);
-      ask(vertx, client, HttpMethod.GET, "/ready", "");
-      ask(vertx, client, HttpMethod.POST, "/api/jobs", JOB);
-      ask(vertx, client, HttpMethod.GET, "/api/jobs/j-1", "");
-      ask(vertx, client, HttpMethod.POST, "/hello", HEARTBEAT);
-      ask(vertx, client, HttpMethod.GET, "/overview", "");
+      send(vertx, client, HttpMethod.GET, "/ready", "");
+      send(vertx, client, HttpMethod.POST, "/api/jobs", JOB);
+      send(vertx, client, HttpMethod.GET, "/api/jobs/j-1", "");
+      send(vertx, client, HttpMethod.POST, "/hello", HEARTBEAT);
+      send(vertx, client, HttpMethod.GET, "/overview", "");
     }
     return 0;
   }
 
-  private static void ask(Vertx vertx, int port, HttpMethod method, String path, String body) {
+  private static void send(Vertx vertx, int port, HttpMethod method, String path, String body) {
     vertx
         .createHttpClient()
         .request(method, port, "127.0.0.1", path)
-        .compose(r -> r.send(body))
-        .compose(r -> r.body());
+        .compose(request -> request.send(body))
+        .compose(response -> response.body());
   }
 
   private static int freePort() throws IOException {
-    try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      return s.getLocalPort();
+    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      return socket.getLocalPort();
     }
   }
 
-  private static void answer(HttpServerRequest r) {
-    String path = r.path();
-    r.body()
+  private static void answer(HttpServerRequest request) {
+    String path = request.path();
+    request
+        .body()
         .onSuccess(
-            b -> {
+            body -> {
               if (path.startsWith("/store/") || path.equals("/machines/delete")) {
-                r.response()
+                request
+                    .response()
                     .setStatusCode(path.startsWith("/store/") ? 404 : 200)
                     .end("{\"epoch\":1}");
               } else if (path.equals("/changes")) {
-                r.response().closeHandler(v -> {});
+                request.response().closeHandler(v -> {});
               } else {
-                r.response().end(ALL);
+                request.response().end(ALL);
               }
             });
   }
 
-  /** Every answer in one: readers ignore the fields that they do not know. */
+  /** All answers in one: readers ignore fields that they do not know. */
   private static final String ALL =
       "{\"epoch\":2,\"permit\":1,\"pairs\":[],\"truncated\":false,\"hearths\":[],\"events\":[],\"flavors\":["
           + "{\"name\":\"t\",\"cores\":8,\"cards\":1,\"mem_gb\":64,\"local_gb\":10,\"fetch_gb_per_s\":1,"
@@ -96,14 +99,14 @@
       "{\"hearth\":\"n-1\",\"address\":\"127.0.0.1:1\",\"flavor\":\"t\",\"room\":\"a\",\"loaner\":false,"
           + "\"tenure\":1,\"tick\":1,\"baton\":0,\"shards\":[]}";
 
-  private static String settings(int client, int back, int services) {
+  private static String settings(int client, int peers, int services) {
     return "node='r'\nlocation='a'\nclient_listen='127.0.0.1:"
         + client
         + "'\nback='127.0.0.1:"
-        + back
+        + peers
         + "'\n"
         + "[[members]]\nnode='s'\nlocation='a'\naddress='127.0.0.1:"
-        + back
+        + peers
         + "'\n"
         + "[external]\ncloud='127.0.0.1:"
         + services
--- a/src/main/java/io/embernotch/app/ServeCommand.java
+++ b/src/main/java/io/embernotch/app/ServeCommand.java
@@ -4,6 +4,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
+/** Runs a controller. */
 @Command(
     name = "serve",
     description = "Runs a controller until it is killed.",
--- a/src/main/java/io/embernotch/app/Server.java
+++ b/src/main/java/io/embernotch/app/Server.java
@@ -26,92 +26,114 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Puts a controller together: a loop for what it decides, one for the crowd that it answers, one
- * for its lease.
+ * Assembles a controller with three event loops: the core loop for its decisions, one for the HTTP
+ * server, and one for the renewal of its leader lease.
  */
 final class Server {
   private static final Logger LOG = LoggerFactory.getLogger(Server.class);
 
-  private static final double KEEP_S = 3600;
+  private static final int EVENT_LOOPS = 3;
+  private static final int STORE_CONNECTIONS = 8;
+  private static final int CLOUD_CONNECTIONS = 4;
+  private static final int BLOCKED_THREAD_CHECK_MS = 60_000;
+
+  /** Seconds for which idle connections to the store and the cloud are kept. */
+  private static final double KEEP_ALIVE_S = 3600;
+
+  /** Connections are given up after a heartbeat interval divided by this. */
+  private static final int CONNECT_TIMEOUTS_PER_HEARTBEAT = 3;
 
   private Server() {}
 
+  /** Starts a controller; returns before it listens. Exits the process if it cannot listen. */
   static void start(Settings settings, OperatorSettings operator) {
     VertxOptions options = new VertxOptions();
-    options.setEventLoopPoolSize(3).setWorkerPoolSize(1).setInternalBlockingPoolSize(1);
-    // A process with a share of a core is late now and then; that is no reason for a stack trace.
-    options.setBlockedThreadCheckInterval(60_000);
+    options.setEventLoopPoolSize(EVENT_LOOPS).setWorkerPoolSize(1).setInternalBlockingPoolSize(1);
+    // A process with a share of a core is paused at times; that is no reason for a stack trace.
+    options.setBlockedThreadCheckInterval(BLOCKED_THREAD_CHECK_MS);
     options.setFileSystemOptions(
         new FileSystemOptions().setClassPathResolvingEnabled(false).setFileCachingEnabled(false));
     Vertx vertx = Vertx.vertx(options);
     Context loop = vertx.getOrCreateContext();
-    loop.runOnContext(v -> wire(vertx, loop, settings, operator));
+    loop.runOnContext(v -> assemble(vertx, loop, settings, operator));
   }
 
-  private static void wire(
+  /** On the core loop. */
+  private static void assemble(
       Vertx vertx, Context loop, Settings settings, OperatorSettings operator) {
-    SystemClock clock = new SystemClock();
-    EventLoopProfile profile = EventLoopProfile.createIfLogged();
-    Timers timers = profile.around("timer", new VertxTimers(vertx, loop));
-    double heartbeat = settings.workers().heartbeatIntervalS();
-    VertxHttpCaller store = new VertxHttpCaller(vertx, clock, timers, 8, 1, heartbeat / 3, KEEP_S);
-    VertxHttpCaller cloud = new VertxHttpCaller(vertx, clock, timers, 4, 1, heartbeat / 3, KEEP_S);
-    // Each worker has a connection to us already: ours to them are few at a time, and short-lived.
-    int direct = settings.quota().directCalls();
-    VertxHttpCaller workers =
-        new VertxHttpCaller(vertx, clock, timers, 1, direct, heartbeat / 3, heartbeat / 3);
-    VertxPeerLink peers = new VertxPeerLink(vertx, timers, settings);
-    ControllerContext context =
-        new ControllerContext(
-            settings,
-            operator,
-            clock,
-            timers,
-            task -> loop.runOnContext(v -> profile.run("asked", task)),
-            profile,
-            new StoreClient(store, clock, timers, settings),
-            new CloudClient(cloud, clock, timers, settings),
-            workers,
-            () -> UUID.randomUUID().toString(),
-            task ->
-                vertx.executeBlocking(
-                    () -> {
-                      task.run();
-                      return null;
-                    }));
-    Promise<LeaseRenewer> keeper = Promise.promise();
+    ControllerContext context = context(vertx, loop, settings, operator);
+    VertxPeerLink peers = new VertxPeerLink(vertx, context.timers(), settings);
+    Promise<LeaseRenewer> renewer = Promise.promise();
     vertx
         .deployVerticle(
             (Deployable)
-                lease -> {
-                  keeper.complete(keeper(vertx, lease, context));
+                leaseLoop -> {
+                  renewer.complete(leaseRenewer(vertx, leaseLoop, context));
                   return Future.succeededFuture();
                 })
-        .compose(v -> keeper.future())
+        .compose(v -> renewer.future())
         .onSuccess(
-            kept ->
+            leaseRenewer ->
                 loop.runOnContext(
-                    v -> listen(vertx, context, peers, new Controller(context, peers, kept))));
+                    v ->
+                        listen(
+                            vertx, context, peers, new Controller(context, peers, leaseRenewer))));
+  }
+
+  private static ControllerContext context(
+      Vertx vertx, Context loop, Settings settings, OperatorSettings operator) {
+    SystemClock clock = new SystemClock();
+    EventLoopProfile profile = EventLoopProfile.createIfLogged();
+    Timers timers = profile.around("timer", new VertxTimers(vertx, loop));
+    double connectS = connectTimeoutS(settings);
+    VertxHttpCaller store =
+        new VertxHttpCaller(vertx, clock, timers, STORE_CONNECTIONS, 1, connectS, KEEP_ALIVE_S);
+    VertxHttpCaller cloud =
+        new VertxHttpCaller(vertx, clock, timers, CLOUD_CONNECTIONS, 1, connectS, KEEP_ALIVE_S);
+    // Each worker has a connection to this process already: those to workers are few at a time, and
+    // short-lived.
+    int directCalls = settings.quota().directCalls();
+    VertxHttpCaller workers =
+        new VertxHttpCaller(vertx, clock, timers, 1, directCalls, connectS, connectS);
+    return new ControllerContext(
+        settings,
+        operator,
+        clock,
+        timers,
+        task -> loop.runOnContext(v -> profile.run("asked", task)),
+        profile,
+        new StoreClient(store, clock, timers, settings),
+        new CloudClient(cloud, clock, timers, settings),
+        workers,
+        () -> UUID.randomUUID().toString(),
+        task -> executeBlocking(vertx, task));
+  }
+
+  private static void executeBlocking(Vertx vertx, Runnable task) {
+    vertx.executeBlocking(
+        () -> {
+          task.run();
+          return null;
+        });
+  }
+
+  private static double connectTimeoutS(Settings settings) {
+    return settings.workers().heartbeatIntervalS() / CONNECT_TIMEOUTS_PER_HEARTBEAT;
   }
 
-  private static LeaseRenewer keeper(Vertx vertx, Context lease, ControllerContext context) {
+  private static LeaseRenewer leaseRenewer(
+      Vertx vertx, Context leaseLoop, ControllerContext context) {
     Settings settings = context.settings();
-    VertxTimers timers = new VertxTimers(vertx, lease);
+    VertxTimers timers = new VertxTimers(vertx, leaseLoop);
     VertxHttpCaller caller =
         new VertxHttpCaller(
-            vertx,
-            context.clock(),
-            timers,
-            1,
-            1,
-            settings.workers().heartbeatIntervalS() / 3,
-            KEEP_S);
+            vertx, context.clock(), timers, 1, 1, connectTimeoutS(settings), KEEP_ALIVE_S);
     return new LeaseRenewer(
         caller,
         settings.storeAddress(),
         context.clock(),
         timers,
-        task -> lease.runOnContext(v -> task.run()),
+        task -> leaseLoop.runOnContext(v -> task.run()),
         context.loop(),
         settings.leaderLeaseS(context.operator()),
         Settings.DRIFT,
@@ -122,7 +144,7 @@
       Vertx vertx, ControllerContext context, VertxPeerLink peers, Controller controller) {
     Settings settings = context.settings();
     vertx
-        .deployVerticle((Deployable) front -> front(vertx, front, context, controller))
+        .deployVerticle((Deployable) loop -> listenHttp(vertx, loop, context, controller))
         .compose(v -> peers.start(vertx, settings.peerListen()))
         .onSuccess(
             v -> {
@@ -140,8 +162,8 @@
             });
   }
 
-  /** A deployment is given a loop of its own while there is one. */
-  private static Future<?> front(
+  /** On an event loop of its own: a deployment is given one while there is an unused one. */
+  private static Future<?> listenHttp(
       Vertx vertx, Context loop, ControllerContext context, Controller controller) {
     Settings settings = context.settings();
     return new HttpApiServer(
--- a/src/main/java/io/embernotch/app/SettingsFiles.java
+++ b/src/main/java/io/embernotch/app/SettingsFiles.java
@@ -21,10 +21,12 @@
       description = "the platform's settings (TOML)")
   private Path config;
 
+  /** The platform's settings. */
   Settings platform() {
     return SettingsReader.read(config);
   }
 
+  /** The operators' settings; the defaults if no file is given. */
   OperatorSettings operator() {
     return operator == null ? OperatorSettings.DEFAULTS : OperatorSettings.read(operator);
   }
--- a/src/main/java/io/embernotch/app/SnapshotCommand.java
+++ b/src/main/java/io/embernotch/app/SnapshotCommand.java
@@ -20,7 +20,7 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Looks at snapshots. Exit codes: 0 done, 1 damaged, unreadable or (diff) not the same, 2 wrong
+ * Inspects snapshots. Exit codes: 0 done, 1 damaged, unreadable or (diff) not the same, 2 wrong
  * usage.
  */
 @Command(
@@ -28,7 +28,8 @@
     description = "Looks at snapshots: list DIR, show FILE, verify FILE, diff FILE FILE.",
     mixinStandardHelpOptions = true)
 final class SnapshotCommand implements Callable<Integer> {
-  private enum What {
+  /** What to do; the names are those of the command line. */
+  private enum Action {
     list,
     show,
     verify,
@@ -38,7 +39,7 @@
   @Spec private CommandSpec spec;
 
   @Parameters(index = "0", paramLabel = "WHAT", description = "list, show, verify or diff")
-  private What what;
+  private Action action;
 
   @Parameters(
       index = "1..*",
@@ -52,12 +53,12 @@
 
   @Override
   public Integer call() {
-    if (files.size() != (what == What.diff ? 2 : 1)) {
+    if (files.size() != (action == Action.diff ? 2 : 1)) {
       throw new CommandLine.ParameterException(
-          spec.commandLine(), what + " takes " + (what == What.diff ? "two files" : "one"));
+          spec.commandLine(), action + " takes " + (action == Action.diff ? "two files" : "one"));
     }
     try {
-      return switch (what) {
+      return switch (action) {
         case list -> list();
         case show -> show();
         case verify -> verify(files.get(0)) ? 0 : 1;
@@ -70,30 +71,30 @@
   }
 
   private int list() throws IOException {
-    boolean whole = true;
+    boolean allWhole = true;
     for (Path file : new SnapshotDirectory(files.get(0), 1).list()) {
-      whole &= verify(file);
+      allWhole &= verify(file);
     }
-    return whole ? 0 : 1;
+    return allWhole ? 0 : 1;
   }
 
   private boolean verify(Path file) throws IOException {
     ObjectNode object = Json.object().put("file", file.getFileName().toString());
     try {
-      about(SnapshotDirectory.read(file), object);
-      say(object);
+      describe(SnapshotDirectory.read(file), object);
+      print(object);
       return true;
     } catch (SnapshotArchive.DamagedSnapshotException e) {
-      say(object.put("damaged", e.getMessage()));
+      print(object.put("damaged", e.getMessage()));
       return false;
     }
   }
 
   private int show() throws IOException {
     SnapshotArchive archive = SnapshotDirectory.read(files.get(0));
-    say(about(archive, Json.object().put("file", files.get(0).getFileName().toString())));
-    archive.snapshot().getJobList().forEach(j -> say(SnapshotDiff.line(j)));
-    archive.snapshot().getEndedList().forEach(e -> say(SnapshotDiff.line(e)));
+    print(describe(archive, Json.object().put("file", files.get(0).getFileName().toString())));
+    archive.snapshot().getJobList().forEach(job -> print(SnapshotDiff.line(job)));
+    archive.snapshot().getEndedList().forEach(job -> print(SnapshotDiff.line(job)));
     return 0;
   }
 
@@ -102,11 +103,11 @@
         SnapshotDiff.of(
             SnapshotDirectory.read(files.get(0)).snapshot(),
             SnapshotDirectory.read(files.get(1)).snapshot());
-    lines.forEach(this::say);
+    lines.forEach(this::print);
     return lines.isEmpty() ? 0 : 1;
   }
 
-  private static ObjectNode about(SnapshotArchive archive, ObjectNode object) {
+  private static ObjectNode describe(SnapshotArchive archive, ObjectNode object) {
     return object
         .put("era", archive.head().getEra())
         .put("epoch", archive.head().getEpoch())
@@ -115,7 +116,7 @@
         .put("ended", archive.head().getEnded());
   }
 
-  private void say(ObjectNode object) {
+  private void print(ObjectNode object) {
     PrintWriter out = spec.commandLine().getOut();
     if (json) {
       out.println(new String(Json.bytes(object), StandardCharsets.UTF_8));
@@ -125,11 +126,11 @@
     object
         .fields()
         .forEachRemaining(
-            f ->
+            field ->
                 line.append(line.length() == 0 ? "" : "  ")
-                    .append(f.getKey())
+                    .append(field.getKey())
                     .append(' ')
-                    .append(f.getValue().asText()));
+                    .append(field.getValue().asText()));
     out.println(line);
   }
 }
--- a/src/main/java/io/embernotch/app/StatusCommand.java
+++ b/src/main/java/io/embernotch/app/StatusCommand.java
@@ -4,6 +4,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
+/** Prints the status of a job by way of a running controller. */
 @Command(
     name = "status",
     description = "Shows how a job is doing.",
--- a/src/main/java/io/embernotch/app/SubmitCommand.java
+++ b/src/main/java/io/embernotch/app/SubmitCommand.java
@@ -8,6 +8,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
+/** Submits a job by way of a running controller. */
 @Command(
     name = "submit",
     description = "Submits a job described in a JSON file.",
--- a/src/main/java/io/embernotch/context/ControllerContext.java
+++ b/src/main/java/io/embernotch/context/ControllerContext.java
@@ -12,8 +12,19 @@
 import java.util.function.Supplier;
 
 /**
- * What a controller is given to work with; {@code names} makes names that nobody else ever has,
- * {@code blocking} runs what waits for a disk.
+ * What a controller is given to work with.
+ *
+ * @param settings the platform's settings
+ * @param operator the operators' settings
+ * @param clock the process's clocks
+ * @param timers timers on the core loop
+ * @param loop runs tasks on the core loop
+ * @param profile measures the core loop
+ * @param store client of the store
+ * @param cloud client of the cloud
+ * @param workers caller of the workers
+ * @param names makes globally unique names
+ * @param blocking runs tasks that block, such as those that wait for a disk
  */
 public record ControllerContext(
     Settings settings,
--- a/src/main/java/io/embernotch/context/LeastRecentlyUsed.java
+++ b/src/main/java/io/embernotch/context/LeastRecentlyUsed.java
@@ -3,18 +3,29 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What was used most recently, up to a number of entries. */
+/**
+ * A map that keeps its most recently used entries. Not thread-safe.
+ *
+ * @param <K> type of keys
+ * @param <V> type of values
+ */
 public final class LeastRecentlyUsed<K, V> extends LinkedHashMap<K, V> {
   private static final long serialVersionUID = 1L;
-  private final int most;
+  private static final int INITIAL_CAPACITY = 64;
+  private static final float LOAD_FACTOR = 0.75f;
 
-  public LeastRecentlyUsed(int most) {
-    super(64, 0.75f, true);
-    this.most = most;
+  private final int maxEntries;
+
+  /**
+   * @param maxEntries most entries; one more evicts the least recently used one
+   */
+  public LeastRecentlyUsed(int maxEntries) {
+    super(INITIAL_CAPACITY, LOAD_FACTOR, true);
+    this.maxEntries = maxEntries;
   }
 
   @Override
   protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
-    return size() > most;
+    return size() > maxEntries;
   }
 }
--- a/src/main/java/io/embernotch/snapshot/BaseSnapshot.java
+++ b/src/main/java/io/embernotch/snapshot/BaseSnapshot.java
@@ -146,8 +146,8 @@
           entries.put(entry.key(), entry);
         }
       }
-    } catch (InvalidProtocolBufferException endedJob) {
-      throw new MalformedInputException("a job of the base: " + endedJob.getMessage());
+    } catch (InvalidProtocolBufferException e) {
+      throw new MalformedInputException("a job of the base: " + e.getMessage());
     }
   }
 
