--- a/src/test/java/io/embernotch/agents/AgentReconcilerTest.java
+++ b/src/test/java/io/embernotch/agents/AgentReconcilerTest.java
@@ -33,7 +33,8 @@
   private final FakeTime time = new FakeTime();
   private final Settings settings =
       SettingsReader.parse(
-          SimulatedCluster.toml(0).replace("max_connections = 1000", "max_connections = 40"));
+          SimulatedCluster.settingsToml(0)
+              .replace("max_connections = 1000", "max_connections = 40"));
   private final List<String> called = new ArrayList<>();
   private final List<Promise<HttpReply>> answers = new ArrayList<>();
   private final HttpCaller caller =
--- a/src/test/java/io/embernotch/agents/ReachabilityTrackerTest.java
+++ b/src/test/java/io/embernotch/agents/ReachabilityTrackerTest.java
@@ -12,78 +12,81 @@
 
 /** Machines whose heartbeats arrive while neither answers nor commands reach them. */
 class ReachabilityTrackerTest {
-  private final SimulatedCluster world = new SimulatedCluster(3, 1000);
+  private final SimulatedCluster cluster = new SimulatedCluster(3, 1000);
 
   private List<FakeWorker> machines(int n) {
     for (int i = 0; i < n; i++) {
-      world.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
+      cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
-    world.pass(8);
-    return List.copyOf(world.workers.values());
+    cluster.advance(8);
+    return List.copyOf(cluster.workers.values());
   }
 
   private Map<String, FakeWorker> service(int replicas) {
-    assertThat(world.submit(0, job("j-1", "standing", replicas)).status()).isEqualTo(201);
-    world.pass(10);
-    assertThat(world.running("j-1")).hasSize(replicas);
-    return world.running("j-1");
+    assertThat(cluster.submit(0, job("j-1", "standing", replicas)).status()).isEqualTo(201);
+    cluster.advance(10);
+    assertThat(cluster.runningTasks("j-1")).hasSize(replicas);
+    return cluster.runningTasks("j-1");
   }
 
   private int upElsewhere(String ref) {
-    return (int) world.running(ref).values().stream().filter(w -> !w.deaf && !w.cut).count();
+    return (int)
+        cluster.runningTasks(ref).values().stream()
+            .filter(w -> !w.inboundPartitioned && !w.partitioned)
+            .count();
   }
 
   @AfterEach
   void nothingEverRanTwice() {
-    assertThat(world.broken()).isEmpty();
+    assertThat(cluster.violations()).isEmpty();
   }
 
   @Test
   void aGangWithATaskThereBeginsElsewhere() {
-    world.settle(3);
+    cluster.awaitLeader(3);
     List<FakeWorker> all = machines(4);
-    all.get(0).deaf = true;
+    all.get(0).inboundPartitioned = true;
     String gang =
         job("j-2", "group", 4)
             .replace("\"cards\":1.0", "\"cards\":8.0")
             .replace("\"cores\":4.0", "\"cores\":40.0");
-    assertThat(world.submit(1, gang).status()).isEqualTo(201);
-    world.pass(30);
+    assertThat(cluster.submit(1, gang).status()).isEqualTo(201);
+    cluster.advance(30);
     assertThat(upElsewhere("j-2")).isEqualTo(4);
   }
 
   @Test
   void servicesAreBackElsewhereOnceTheirOldReplicasAreProvenGone() {
-    world.settle(3);
+    cluster.awaitLeader(3);
     machines(8);
     Map<String, FakeWorker> before = service(40);
     FakeWorker deaf = before.get("j-1/0");
-    deaf.deaf = true;
+    deaf.inboundPartitioned = true;
     long there = before.values().stream().filter(w -> w == deaf).count();
-    world.pass(10);
+    cluster.advance(10);
     // What runs there runs until its lease is over.
-    assertThat(world.running("j-1").values().stream().filter(w -> w == deaf).count())
+    assertThat(cluster.runningTasks("j-1").values().stream().filter(w -> w == deaf).count())
         .isEqualTo(there);
-    world.pass(30);
+    cluster.advance(30);
     assertThat(upElsewhere("j-1")).isEqualTo(40);
-    assertThat(deaf.startsLost).isZero();
+    assertThat(deaf.lostStartCount).isZero();
   }
 
   @Test
   void oneThatHearsAgainIsUsedAgainAndLosesNothing() {
-    world.settle(3);
+    cluster.awaitLeader(3);
     machines(2);
     Map<String, FakeWorker> before = service(12);
     FakeWorker deaf = before.get("j-1/0");
-    deaf.deaf = true;
-    world.pass(18);
-    deaf.deaf = false;
-    world.pass(6);
-    assertThat(world.running("j-1")).isEqualTo(before);
-    world.submit(0, job("j-3", "array", 4));
-    world.pass(5);
-    assertThat(world.running("j-3")).hasSize(4);
-    assertThat(world.cloud.deleted).doesNotContain(deaf.name);
+    deaf.inboundPartitioned = true;
+    cluster.advance(18);
+    deaf.inboundPartitioned = false;
+    cluster.advance(6);
+    assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
+    cluster.submit(0, job("j-3", "array", 4));
+    cluster.advance(5);
+    assertThat(cluster.runningTasks("j-3")).hasSize(4);
+    assertThat(cluster.cloud.deleted).doesNotContain(deaf.name);
   }
 
   /**
@@ -92,18 +95,18 @@
    */
   @Test
   void manyAtOnceAreNotReturned() {
-    world.settle(3);
+    cluster.awaitLeader(3);
     List<FakeWorker> all = machines(30);
     Map<String, FakeWorker> before = service(240);
-    world.cloud.full = true;
-    all.subList(0, 15).forEach(w -> w.deaf = true);
-    world.pass(15);
-    all.forEach(w -> w.deaf = false);
-    world.pass(15);
-    assertThat(world.running("j-1")).isEqualTo(before);
+    cluster.cloud.outOfCapacity = true;
+    all.subList(0, 15).forEach(w -> w.inboundPartitioned = true);
+    cluster.advance(15);
+    all.forEach(w -> w.inboundPartitioned = false);
+    cluster.advance(15);
+    assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
     // Even when what ran there has ended with its leases, it may be our answers that are lost.
-    all.subList(0, 15).forEach(w -> w.deaf = true);
-    world.pass(50);
-    assertThat(world.workers.values()).containsAll(all);
+    all.subList(0, 15).forEach(w -> w.inboundPartitioned = true);
+    cluster.advance(50);
+    assertThat(cluster.workers.values()).containsAll(all);
   }
 }
--- a/src/test/java/io/embernotch/api/PollRateLimiterTest.java
+++ b/src/test/java/io/embernotch/api/PollRateLimiterTest.java
@@ -23,7 +23,8 @@
   private static double longest(int jobs, int nodes, int times) {
     Settings settings =
         SettingsReader.parse(
-            SimulatedCluster.toml(0).replace("max_connections = 1000", "max_connections = 938"));
+            SimulatedCluster.settingsToml(0)
+                .replace("max_connections = 1000", "max_connections = 938"));
     FakeTime time = new FakeTime();
     SplittableRandom random = new SplittableRandom(3);
     List<PollRateLimiter> at = new ArrayList<>();
@@ -40,7 +41,7 @@
     double worst = 0;
     while (polls.peek().at < begin + 225) {
       Poll p = polls.poll();
-      time.pass(Math.max(0, p.at - time.now()));
+      time.advance(Math.max(0, p.at - time.now()));
       PollRateLimiter turns = at.get(random.nextInt(nodes));
       if (turns.admit("j-" + p.job)) {
         turns.told("j-" + p.job);
--- a/src/test/java/io/embernotch/api/SubmissionHandlerTest.java
+++ b/src/test/java/io/embernotch/api/SubmissionHandlerTest.java
@@ -5,7 +5,7 @@
 
 import io.embernotch.http.HttpResponse;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Node;
+import io.embernotch.testkit.SimulatedCluster.ControllerNode;
 import io.vertx.core.Future;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -14,40 +14,40 @@
 
 /** What becomes of submissions when the store is away, or takes less than is submitted. */
 class SubmissionHandlerTest {
-  private final SimulatedCluster world = new SimulatedCluster(3);
+  private final SimulatedCluster cluster = new SimulatedCluster(3);
 
-  private Future<HttpResponse> submitSoon(Node n, String ref) {
+  private Future<HttpResponse> submitSoon(ControllerNode n, String ref) {
     return n.controller.submit(job(ref, "array", 1).getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
   void aControllerWithoutStateServiceHasAnotherTakeTheSubmission() {
-    world.pass(4);
-    Node cut = world.nodes.get(1);
-    cut.noState = true;
-    world.pass(1);
-    HttpResponse a = world.await(submitSoon(cut, "j-1"));
+    cluster.advance(4);
+    ControllerNode cut = cluster.nodes.get(1);
+    cut.storeUnavailable = true;
+    cluster.advance(1);
+    HttpResponse a = cluster.await(submitSoon(cut, "j-1"));
     assertThat(a.status()).isIn(200, 201);
-    assertThat(world.state.value("job/j-1")).isNotNull();
+    assertThat(cluster.store.value("job/j-1")).isNotNull();
   }
 
   @Test
   void inAnOutageTheUserIsToldToComeBack() {
-    world.pass(4);
-    world.state.outage = true;
-    world.pass(3);
-    HttpResponse a = world.await(submitSoon(world.nodes.get(0), "j-2"));
+    cluster.advance(4);
+    cluster.store.outage = true;
+    cluster.advance(3);
+    HttpResponse a = cluster.await(submitSoon(cluster.nodes.get(0), "j-2"));
     assertThat(a.status()).isEqualTo(503);
     assertThat(a.retryAfterS()).isPositive();
-    world.state.recover();
-    world.pass(5);
-    assertThat(world.await(submitSoon(world.nodes.get(0), "j-2")).status()).isIn(200, 201);
+    cluster.store.endOutage();
+    cluster.advance(5);
+    assertThat(cluster.await(submitSoon(cluster.nodes.get(0), "j-2")).status()).isIn(200, 201);
   }
 
   @Test
   void moreThanTheStateServiceTakesIsRefusedAtOnceAndStartsGoOn() {
-    world.pass(4);
-    Node n = world.leader();
+    cluster.advance(4);
+    ControllerNode n = cluster.leader();
     List<Future<HttpResponse>> answers = new ArrayList<>();
     for (int i = 0; i < 1000; i++) {
       answers.add(submitSoon(n, "j-" + i));
@@ -58,20 +58,21 @@
     assertThat(refused).isGreaterThan(800);
     assertThat(answers.stream().filter(Future::isComplete))
         .allMatch(f -> f.result().retryAfterS() >= 1);
-    world.pass(3);
+    cluster.advance(3);
     assertThat(answers).allMatch(Future::isComplete);
-    world.pass(20);
+    cluster.advance(20);
     // Those that were taken run: their starts did not wait behind the flood.
-    assertThat(world.workers.values().stream().mapToInt(w -> w.alive().size()).sum()).isEqualTo(24);
+    assertThat(cluster.workers.values().stream().mapToInt(w -> w.runningTasks().size()).sum())
+        .isEqualTo(24);
   }
 
   @Test
   void aFloodOfPollsIsToldToComeBackAndReachesNobodyElse() {
-    world.pass(4);
-    Node follower = world.nodes.get((world.leader().index + 1) % 3);
-    assertThat(world.await(submitSoon(follower, "j-7")).status()).isEqualTo(201);
-    world.pass(15);
-    int frames = world.frames;
+    cluster.advance(4);
+    ControllerNode follower = cluster.nodes.get((cluster.leader().index + 1) % 3);
+    assertThat(cluster.await(submitSoon(follower, "j-7")).status()).isEqualTo(201);
+    cluster.advance(15);
+    int frames = cluster.frameCount;
     List<Future<HttpResponse>> answers = new ArrayList<>();
     for (int i = 0; i < 10_000; i++) {
       answers.add(follower.controller.poll("j-7"));
@@ -84,10 +85,10 @@
     long refused =
         answers.stream().filter(f -> f.isComplete() && f.result().status() == 503).count();
     assertThat(refused).isGreaterThanOrEqualTo(10_000 - (long) most - 1);
-    world.pass(0.2);
-    assertThat(world.frames - frames).isLessThanOrEqualTo(2 * (int) most + 20);
+    cluster.advance(0.2);
+    assertThat(cluster.frameCount - frames).isLessThanOrEqualTo(2 * (int) most + 20);
     assertThat(answers).allMatch(Future::isComplete);
-    world.pass(3);
-    assertThat(world.phase(follower.index, "j-7")).isEqualTo("running");
+    cluster.advance(3);
+    assertThat(cluster.phase(follower.index, "j-7")).isEqualTo("running");
   }
 }
--- a/src/test/java/io/embernotch/calendar/ReleaseCalendarTest.java
+++ b/src/test/java/io/embernotch/calendar/ReleaseCalendarTest.java
@@ -7,8 +7,8 @@
 import io.embernotch.codec.Json;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Fate;
-import io.embernotch.testkit.SimulatedCluster.Node;
+import io.embernotch.testkit.SimulatedCluster.ControllerNode;
+import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -21,7 +21,7 @@
 class ReleaseCalendarTest {
   private static final int SEEDS = Integer.getInteger("calendar.seeds", 40);
 
-  private SimulatedCluster world;
+  private SimulatedCluster cluster;
 
   private static String file(int generation, String more) {
     return "reserve_live: false generation: "
@@ -33,8 +33,8 @@
   }
 
   private void begin(String file) {
-    world = new SimulatedCluster(OperatorSettings.parse(file));
-    world.settle(4);
+    cluster = new SimulatedCluster(OperatorSettings.parse(file));
+    cluster.awaitLeader(4);
   }
 
   private static String of(String jobClass, String ref, int tasks) {
@@ -44,9 +44,9 @@
   }
 
   private JsonNode poll(String ref) {
-    return world.nodes.stream()
+    return cluster.nodes.stream()
         .filter(n -> !n.down)
-        .map(n -> world.poll(n.index, ref))
+        .map(n -> cluster.poll(n.index, ref))
         .filter(a -> a.status() == 200)
         .findFirst()
         .map(a -> (JsonNode) Json.parseObject(a.body()))
@@ -58,18 +58,18 @@
    * order of their urgency turned round.
    */
   private void threeWait() {
-    world.boot("g8", "z1", false);
-    world.pass(7);
-    world.cloud.full = true;
-    world.submit(0, of("c", "j-1", 8));
-    world.pass(4);
-    assertThat(world.running("j-1")).hasSize(8);
-    world.submit(0, of("c", "j-2", 16));
-    world.pass(1);
-    world.submit(1, of("desk", "j-3", 16));
-    world.pass(1);
-    world.submit(2, of("wire", "j-4", 16));
-    world.pass(4);
+    cluster.boot("g8", "z1", false);
+    cluster.advance(7);
+    cluster.cloud.outOfCapacity = true;
+    cluster.submit(0, of("c", "j-1", 8));
+    cluster.advance(4);
+    assertThat(cluster.runningTasks("j-1")).hasSize(8);
+    cluster.submit(0, of("c", "j-2", 16));
+    cluster.advance(1);
+    cluster.submit(1, of("desk", "j-3", 16));
+    cluster.advance(1);
+    cluster.submit(2, of("wire", "j-4", 16));
+    cluster.advance(4);
   }
 
   @Test
@@ -81,15 +81,15 @@
     assertThat(poll("j-4").get("in_time").asBoolean()).isTrue();
     assertThat(poll("j-3").get("release").asText()).isEqualTo("late/1970-01-01");
     // A while before it is due the morning's goes before what has waited longer; the rest by age.
-    world.pass(100);
-    world.finish("j-1");
-    world.pass(5);
-    assertThat(world.running("j-4")).hasSize(8);
-    world.finish("j-4");
-    world.pass(5);
-    world.finish("j-4");
-    world.pass(5);
-    assertThat(world.running("j-2")).hasSize(8);
+    cluster.advance(100);
+    cluster.completeTasks("j-1");
+    cluster.advance(5);
+    assertThat(cluster.runningTasks("j-4")).hasSize(8);
+    cluster.completeTasks("j-4");
+    cluster.advance(5);
+    cluster.completeTasks("j-4");
+    cluster.advance(5);
+    assertThat(cluster.runningTasks("j-2")).hasSize(8);
   }
 
   /**
@@ -125,35 +125,35 @@
                   "calendar { release { id: 'early' zone: 'UTC' time: '00:30' day: THURSDAY orders { job_class: 'desk' } }"));
     }
     assertThat(poll("j-3").get("release").asText()).isEqualTo("late/1970-01-01");
-    world.submit(world.leader().index, of("wire", "j-5", 16));
-    world.pass(4);
+    cluster.submit(cluster.leader().index, of("wire", "j-5", 16));
+    cluster.advance(4);
     assertThat(poll("j-5").get("release").asText()).isEqualTo("morning/1970-01-01");
   }
 
   private void restartWith(String file) {
-    world.operator(OperatorSettings.parse(file));
-    world.nodes.forEach(Node::kill);
-    world.pass(1);
-    world.nodes.forEach(Node::start);
-    world.settle(8);
-    world.pass(15);
+    cluster.operatorSettings(OperatorSettings.parse(file));
+    cluster.nodes.forEach(ControllerNode::kill);
+    cluster.advance(1);
+    cluster.nodes.forEach(ControllerNode::start);
+    cluster.awaitLeader(8);
+    cluster.advance(15);
   }
 
   @Test
   void whatCameOfAReleaseIsKept() {
     begin(file(1, ""));
     threeWait();
-    world.pass(200);
-    world.finish("j-1");
-    world.pass(5);
+    cluster.advance(200);
+    cluster.completeTasks("j-1");
+    cluster.advance(5);
     for (int i = 0; i < 8; i++) {
-      world.pass(15);
-      world.finish("j-2");
-      world.finish("j-3");
-      world.finish("j-4");
+      cluster.advance(15);
+      cluster.completeTasks("j-2");
+      cluster.completeTasks("j-3");
+      cluster.completeTasks("j-4");
     }
-    world.pass(250);
-    JsonNode over = world.state.value("shared/release/morning/1970-01-01");
+    cluster.advance(250);
+    JsonNode over = cluster.store.value("shared/release/morning/1970-01-01");
     assertThat(over.get("over").asBoolean()).isTrue();
     assertThat(over.get("jobs").asInt()).isEqualTo(1);
     assertThat(over.get("in_time").asInt()).isEqualTo(1);
@@ -172,24 +172,24 @@
       String[] told = new String[12];
       for (int step = 0; step < 24; step++) {
         int n = step / 2;
-        if (step % 2 == 0 && !world.nodes.get(n % 3).down) {
-          world.submit(n % 3, of(n % 4 == 0 ? "desk" : "wire", "j-" + n, 1 + random.nextInt(4)));
+        if (step % 2 == 0 && !cluster.nodes.get(n % 3).down) {
+          cluster.submit(n % 3, of(n % 4 == 0 ? "desk" : "wire", "j-" + n, 1 + random.nextInt(4)));
         }
         switch (random.nextInt(6)) {
           case 0 -> {
-            world.commitsWith = random.nextBoolean() ? "shared/" : "run/";
-            world.commitFate = Fate.values()[random.nextInt(3)];
+            cluster.commitDeliveryFilter = random.nextBoolean() ? "shared/" : "run/";
+            cluster.commitDelivery = Delivery.values()[random.nextInt(3)];
           }
-          case 1 -> world.releaseHeld();
-          case 2 -> world.finish("j-" + random.nextInt(12));
+          case 1 -> cluster.deliverDelayed();
+          case 2 -> cluster.completeTasks("j-" + random.nextInt(12));
           default -> {
-            Node node = world.nodes.get(random.nextInt(3));
+            ControllerNode node = cluster.nodes.get(random.nextInt(3));
             node.kill();
-            world.pass(random.nextDouble(0.6));
+            cluster.advance(random.nextDouble(0.6));
             node.start();
           }
         }
-        world.pass(random.nextDouble(20));
+        cluster.advance(random.nextDouble(20));
         for (int j = 0; j <= n; j++) {
           String now = poll("j-" + j).path("release").asText(null);
           if (told[j] != null && now != null && !now.equals(told[j])) {
@@ -198,7 +198,7 @@
           told[j] = told[j] == null ? now : told[j];
         }
       }
-      wrong.addAll(world.broken());
+      wrong.addAll(cluster.violations());
     }
     assertThat(wrong).isEmpty();
   }
@@ -210,9 +210,9 @@
     // Nobody's file says it any more.
     restartWith(file(1, ""));
     assertThat(poll("j-4").get("deadline").asText()).isEqualTo("1970-01-01T00:50:00Z");
-    world.state.loseAll();
-    world.pass(50);
-    world.settle(5);
+    cluster.store.wipe();
+    cluster.advance(50);
+    cluster.awaitLeader(5);
     assertThat(poll("j-4").get("deadline").asText()).isEqualTo("1970-01-01T00:50:00Z");
   }
 }
--- a/src/test/java/io/embernotch/controller/FaultSequencesTest.java
+++ b/src/test/java/io/embernotch/controller/FaultSequencesTest.java
@@ -6,7 +6,7 @@
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.RecordedAnswers;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Node;
+import io.embernotch.testkit.SimulatedCluster.ControllerNode;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -17,35 +17,36 @@
   private static final int DEAF = 10;
   private static final int REPLICAS = 1200;
 
-  private final SimulatedCluster world = new SimulatedCluster(3, 1000);
-  private final RecordedAnswers told = new RecordedAnswers(world);
+  private final SimulatedCluster cluster = new SimulatedCluster(3, 1000);
+  private final RecordedAnswers answers = new RecordedAnswers(cluster);
   private List<FakeWorker> hit = List.of();
 
   private void services() {
-    world.settle(3);
+    cluster.awaitLeader(3);
     for (int i = 0; i < MACHINES; i++) {
-      world.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
+      cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
-    world.pass(8);
+    cluster.advance(8);
     int next = 0;
-    for (FakeWorker w : world.workers.values()) {
-      w.node = next++ % 3;
+    for (FakeWorker w : cluster.workers.values()) {
+      w.controllerIndex = next++ % 3;
     }
     for (int j = 0; j < 12; j++) {
-      assertThat(world.submit(j % 3, job("j-" + j, "standing", REPLICAS / 12)).status())
+      assertThat(cluster.submit(j % 3, job("j-" + j, "standing", REPLICAS / 12)).status())
           .isEqualTo(201);
-      told.accepted.add("j-" + j);
+      answers.accepted.add("j-" + j);
     }
-    world.pass(20);
+    cluster.advance(20);
     assertThat(up()).isEqualTo(REPLICAS);
-    hit = List.copyOf(world.running("j-0").values()).stream().distinct().limit(DEAF).toList();
+    hit =
+        List.copyOf(cluster.runningTasks("j-0").values()).stream().distinct().limit(DEAF).toList();
   }
 
   /** Replicas on machines that are there. */
   private int up() {
-    return world.workers.values().stream()
-        .filter(w -> !w.cut)
-        .mapToInt(w -> w.alive().size())
+    return cluster.workers.values().stream()
+        .filter(w -> !w.partitioned)
+        .mapToInt(w -> w.runningTasks().size())
         .sum();
   }
 
@@ -54,7 +55,7 @@
     List<Integer> ups = new ArrayList<>();
     for (double t = 0; t < seconds; t += 1) {
       each.run();
-      world.pass(1);
+      cluster.advance(1);
       ups.add(Math.min(REPLICAS, up()));
     }
     double worst = 1;
@@ -69,20 +70,20 @@
 
   private double withDeaf() {
     services();
-    hit.forEach(w -> w.deaf = true);
+    hit.forEach(w -> w.inboundPartitioned = true);
     return worstHalfMinute(120, () -> {});
   }
 
   @Test
   void deafMachinesCostServicesNoMoreThanDeadOnes() {
     double deaf = withDeaf();
-    assertThat(world.broken()).isEmpty();
+    assertThat(cluster.violations()).isEmpty();
     FaultSequencesTest dead = new FaultSequencesTest();
     dead.services();
-    dead.hit.forEach(w -> w.cut = true);
+    dead.hit.forEach(w -> w.partitioned = true);
     double cut = dead.worstHalfMinute(120, () -> {});
     assertThat(deaf).isGreaterThanOrEqualTo(cut - 0.001);
-    assertThat(hit.stream().mapToInt(w -> w.startsLost).sum()).isLessThanOrEqualTo(8 * DEAF);
+    assertThat(hit.stream().mapToInt(w -> w.lostStartCount).sum()).isLessThanOrEqualTo(8 * DEAF);
   }
 
   /**
@@ -92,43 +93,45 @@
   @Test
   void allTogetherCostWhatTheDeafMachinesCost() {
     services();
-    world.pass(45);
-    hit.forEach(w -> w.deaf = true);
-    List<FakeWorker> sound = world.workers.values().stream().filter(w -> !w.deaf).toList();
-    List<Long> sessions = sound.stream().map(w -> w.session).toList();
-    Node alone = world.leader();
-    alone.noState = true;
-    alone.noPeers = true;
+    cluster.advance(45);
+    hit.forEach(w -> w.inboundPartitioned = true);
+    List<FakeWorker> sound =
+        cluster.workers.values().stream().filter(w -> !w.inboundPartitioned).toList();
+    List<Long> sessions = sound.stream().map(w -> w.epoch).toList();
+    ControllerNode alone = cluster.leader();
+    alone.storeUnavailable = true;
+    alone.peersUnreachable = true;
     int[] second = new int[1];
     double worst =
         worstHalfMinute(
             90,
             () -> {
               int s = second[0]++;
-              for (FakeWorker w : List.copyOf(world.workers.values())) {
-                List<byte[]> said = world.heartbeatsOf(w.name);
+              for (FakeWorker w : List.copyOf(cluster.workers.values())) {
+                List<byte[]> said = cluster.heartbeatsOf(w.name);
                 if (said.size() > 45) {
-                  world.late(
-                      world.nodes.get((s + w.name.hashCode() % 3 + 3) % 3),
+                  cluster.deliverHeartbeat(
+                      cluster.nodes.get((s + w.name.hashCode() % 3 + 3) % 3),
                       said.get(said.size() - 41));
                 }
               }
               if (s == 60) {
-                alone.noState = false;
-                alone.noPeers = false;
+                alone.storeUnavailable = false;
+                alone.peersUnreachable = false;
               }
               if (s % 20 == 19) {
-                world.nodes.forEach(Node::kill);
-                world.pass(0.2);
-                world.nodes.forEach(Node::start);
+                cluster.nodes.forEach(ControllerNode::kill);
+                cluster.advance(0.2);
+                cluster.nodes.forEach(ControllerNode::start);
               }
             });
     assertThat(worst).isGreaterThan(0.95);
-    world.pass(60);
-    assertThat(sound.stream().filter(world.workers::containsValue).map(w -> w.session).toList())
+    cluster.advance(60);
+    assertThat(sound.stream().filter(cluster.workers::containsValue).map(w -> w.epoch).toList())
         .isEqualTo(
-            sessions.subList(0, (int) sound.stream().filter(world.workers::containsValue).count()));
-    told.atTheEnd();
-    assertThat(told.wrong).isEmpty();
+            sessions.subList(
+                0, (int) sound.stream().filter(cluster.workers::containsValue).count()));
+    answers.verifyFinalState();
+    assertThat(answers.violations).isEmpty();
   }
 }
--- a/src/test/java/io/embernotch/controller/ProcessIncarnationsRandomizedTest.java
+++ b/src/test/java/io/embernotch/controller/ProcessIncarnationsRandomizedTest.java
@@ -5,8 +5,8 @@
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.RecordedAnswers;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Fate;
-import io.embernotch.testkit.SimulatedCluster.Node;
+import io.embernotch.testkit.SimulatedCluster.ControllerNode;
+import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
@@ -24,92 +24,93 @@
 
   private static List<String> play(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    SimulatedCluster world = new SimulatedCluster(3, 10);
-    RecordedAnswers told = new RecordedAnswers(world);
-    world.settle(3);
+    SimulatedCluster cluster = new SimulatedCluster(3, 10);
+    RecordedAnswers answers = new RecordedAnswers(cluster);
+    cluster.awaitLeader(3);
     int next = 1;
     for (int step = 0; step < 40; step++) {
       int node = random.nextInt(3);
       switch (random.nextInt(15)) {
         case 0, 1, 2 ->
-            told.submit(
+            answers.submit(
                 node,
                 "j-" + next++,
                 random.nextInt(3) == 0 ? "standing" : "array",
                 1 + random.nextInt(4));
-        case 3 -> some(told, random).forEach(world::finish);
-        case 4 -> some(told, random).forEach(ref -> told.cancel(node, ref));
-        case 5 -> world.commitFate = Fate.values()[random.nextInt(3)];
-        case 6 -> world.directFate = Fate.values()[random.nextInt(3)];
-        case 7 -> world.holdFrames = !world.holdFrames;
+        case 3 -> some(answers, random).forEach(cluster::completeTasks);
+        case 4 -> some(answers, random).forEach(ref -> answers.cancel(node, ref));
+        case 5 -> cluster.commitDelivery = Delivery.values()[random.nextInt(3)];
+        case 6 -> cluster.commandDelivery = Delivery.values()[random.nextInt(3)];
+        case 7 -> cluster.delayFrames = !cluster.delayFrames;
         case 8 -> {
-          world.releaseHeld();
-          world.repeatAll();
+          cluster.deliverDelayed();
+          cluster.redeliverAll();
         }
         case 9 -> {
-          if (!world.workers.isEmpty()) {
-            List<FakeWorker> all = List.copyOf(world.workers.values());
-            all.get(random.nextInt(all.size())).back(random.nextBoolean());
+          if (!cluster.workers.isEmpty()) {
+            List<FakeWorker> all = List.copyOf(cluster.workers.values());
+            all.get(random.nextInt(all.size())).restart(random.nextBoolean());
           }
         }
-        case 10 -> alone(world, random);
+        case 10 -> alone(cluster, random);
         case 11 -> {
-          for (FakeWorker w : world.workers.values()) {
-            w.deaf = random.nextInt(4) == 0;
+          for (FakeWorker w : cluster.workers.values()) {
+            w.inboundPartitioned = random.nextInt(4) == 0;
           }
         }
-        case 12 -> copies(world, random);
-        default -> back(world, random);
+        case 12 -> copies(cluster, random);
+        default -> back(cluster, random);
       }
-      world.pass(random.nextDouble(4));
-      for (String ref : told.accepted) {
-        told.ask(random.nextInt(3), ref);
+      cluster.advance(random.nextDouble(4));
+      for (String ref : answers.accepted) {
+        answers.poll(random.nextInt(3), ref);
       }
     }
-    world.commitFate = Fate.ARRIVES;
-    world.directFate = Fate.ARRIVES;
-    world.holdFrames = false;
-    world.nodes.forEach(n -> n.noState = n.noPeers = false);
-    world.workers.values().forEach(w -> w.deaf = false);
-    world.releaseHeld();
-    world.repeatAll();
-    world.pass(80);
-    world.repeatAll();
-    world.pass(20);
-    told.atTheEnd();
-    return told.wrong;
+    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.commandDelivery = Delivery.DELIVERED;
+    cluster.delayFrames = false;
+    cluster.nodes.forEach(n -> n.storeUnavailable = n.peersUnreachable = false);
+    cluster.workers.values().forEach(w -> w.inboundPartitioned = false);
+    cluster.deliverDelayed();
+    cluster.redeliverAll();
+    cluster.advance(80);
+    cluster.redeliverAll();
+    cluster.advance(20);
+    answers.verifyFinalState();
+    return answers.violations;
   }
 
-  private static List<String> some(RecordedAnswers told, SplittableRandom random) {
-    return told.accepted.isEmpty()
+  private static List<String> some(RecordedAnswers answers, SplittableRandom random) {
+    return answers.accepted.isEmpty()
         ? List.of()
-        : List.of(told.accepted.get(random.nextInt(told.accepted.size())));
+        : List.of(answers.accepted.get(random.nextInt(answers.accepted.size())));
   }
 
   /** One loses the store and the others, but not its workers; or has them again. */
-  private static void alone(SimulatedCluster world, SplittableRandom random) {
+  private static void alone(SimulatedCluster cluster, SplittableRandom random) {
     int which = random.nextInt(6);
-    world.nodes.forEach(n -> n.noState = n.noPeers = n.index == which);
+    cluster.nodes.forEach(n -> n.storeUnavailable = n.peersUnreachable = n.index == which);
   }
 
   /** Copies of any age of what some machine has said reach any controller. */
-  private static void copies(SimulatedCluster world, SplittableRandom random) {
-    List<String> names = List.copyOf(world.workers.keySet());
+  private static void copies(SimulatedCluster cluster, SplittableRandom random) {
+    List<String> names = List.copyOf(cluster.workers.keySet());
     if (!names.isEmpty()) {
-      List<byte[]> said = world.heartbeatsOf(names.get(random.nextInt(names.size())));
+      List<byte[]> said = cluster.heartbeatsOf(names.get(random.nextInt(names.size())));
       for (int i = 0; i < 5 && !said.isEmpty(); i++) {
-        world.late(world.nodes.get(random.nextInt(3)), said.get(random.nextInt(said.size())));
+        cluster.deliverHeartbeat(
+            cluster.nodes.get(random.nextInt(3)), said.get(random.nextInt(said.size())));
       }
     }
   }
 
   /** One, or all of them, end and are back after up to half a second. */
-  private static void back(SimulatedCluster world, SplittableRandom random) {
+  private static void back(SimulatedCluster cluster, SplittableRandom random) {
     int which = random.nextInt(5);
-    List<Node> nodes = which < 3 ? List.of(world.nodes.get(which)) : world.nodes;
-    nodes.forEach(Node::kill);
-    world.pass(random.nextDouble(0.5));
-    nodes.forEach(Node::start);
+    List<ControllerNode> nodes = which < 3 ? List.of(cluster.nodes.get(which)) : cluster.nodes;
+    nodes.forEach(ControllerNode::kill);
+    cluster.advance(random.nextDouble(0.5));
+    nodes.forEach(ControllerNode::start);
   }
 
   @Test
--- a/src/test/java/io/embernotch/controller/ProcessIncarnationsTest.java
+++ b/src/test/java/io/embernotch/controller/ProcessIncarnationsTest.java
@@ -6,7 +6,7 @@
 import io.embernotch.election.LeaderObserver;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Node;
+import io.embernotch.testkit.SimulatedCluster.ControllerNode;
 import java.util.Map;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -18,71 +18,71 @@
 class ProcessIncarnationsTest {
   private static final double SOON_S = 0.2;
 
-  private final SimulatedCluster world = new SimulatedCluster(3, 10);
+  private final SimulatedCluster cluster = new SimulatedCluster(3, 10);
 
   /** A service with eight replicas, and where they run. */
   private Map<String, FakeWorker> service() {
-    Node n = world.settle(2);
-    assertThat(world.submit(n.index, job("j-1", "standing", 8)).status()).isEqualTo(201);
-    world.pass(15);
-    assertThat(world.running("j-1")).hasSize(8);
-    return world.running("j-1");
+    ControllerNode n = cluster.awaitLeader(2);
+    assertThat(cluster.submit(n.index, job("j-1", "standing", 8)).status()).isEqualTo(201);
+    cluster.advance(15);
+    assertThat(cluster.runningTasks("j-1")).hasSize(8);
+    return cluster.runningTasks("j-1");
   }
 
-  private void back(Node n) {
+  private void back(ControllerNode n) {
     n.kill();
-    world.pass(SOON_S);
+    cluster.advance(SOON_S);
     n.start();
   }
 
   @AfterEach
   void nothingEverRanTwice() {
-    assertThat(world.broken()).isEmpty();
+    assertThat(cluster.violations()).isEmpty();
   }
 
   @Test
   void aLeaderThatIsBackTwiceWithinItsLeaseCostsNothingThatRuns() {
     Map<String, FakeWorker> before = service();
-    Node leader = world.leader();
+    ControllerNode leader = cluster.leader();
     back(leader);
-    world.pass(0.5);
+    cluster.advance(0.5);
     back(leader);
     // Its own key of a former incarnation is no right to act, nor one to wait for.
-    world.settle(2);
-    world.pass(60);
-    assertThat(world.running("j-1")).isEqualTo(before);
+    cluster.awaitLeader(2);
+    cluster.advance(60);
+    assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
   }
 
   @Test
   void allThreeAtOnceInMidElectionCostNothingThatRuns() {
     Map<String, FakeWorker> before = service();
-    world.leader().kill();
+    cluster.leader().kill();
     // The key is about to go, and the others to claim it.
     for (int i = 0; i < 12; i++) {
-      world.pass(0.3);
-      world.nodes.forEach(Node::kill);
-      world.pass(SOON_S / 4);
-      world.nodes.forEach(Node::start);
+      cluster.advance(0.3);
+      cluster.nodes.forEach(ControllerNode::kill);
+      cluster.advance(SOON_S / 4);
+      cluster.nodes.forEach(ControllerNode::start);
     }
-    world.settle(6);
-    world.pass(60);
-    assertThat(world.running("j-1")).isEqualTo(before);
+    cluster.awaitLeader(6);
+    cluster.advance(60);
+    assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
   }
 
   @Test
   void framesOfFormerLivesThatArriveSecondsAndMinutesLateChangeNothing() {
     Map<String, FakeWorker> before = service();
     for (double lateS : new double[] {1, 10, 70}) {
-      world.holdFrames = true;
-      world.pass(1);
-      Node leader = world.leader();
+      cluster.delayFrames = true;
+      cluster.advance(1);
+      ControllerNode leader = cluster.leader();
       back(leader);
-      back(world.other(leader));
-      world.holdFrames = false;
-      world.pass(lateS);
-      world.releaseHeld();
-      world.settle(8);
-      assertThat(world.running("j-1")).isEqualTo(before);
+      back(cluster.otherNode(leader));
+      cluster.delayFrames = false;
+      cluster.advance(lateS);
+      cluster.deliverDelayed();
+      cluster.awaitLeader(8);
+      assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
     }
   }
 
@@ -105,26 +105,27 @@
   /** Once a worker had been let forget an attempt, a repeated start ran it once more. */
   @Test
   void repeatedCommandsStartNothingThatWasForgotten() {
-    Node n = world.settle(2);
-    world.submit(n.index, job("j-2", "array", 3));
-    world.pass(15);
-    world.finish("j-2");
-    world.pass(8);
-    assertThat(world.workers.values().stream().mapToInt(w -> w.reaped.size()).sum()).isEqualTo(3);
-    world.repeatAll();
-    assertThat(world.running("j-2")).isEmpty();
+    ControllerNode n = cluster.awaitLeader(2);
+    cluster.submit(n.index, job("j-2", "array", 3));
+    cluster.advance(15);
+    cluster.completeTasks("j-2");
+    cluster.advance(8);
+    assertThat(cluster.workers.values().stream().mapToInt(w -> w.reapedAttempts.size()).sum())
+        .isEqualTo(3);
+    cluster.redeliverAll();
+    assertThat(cluster.runningTasks("j-2")).isEmpty();
   }
 
   @Test
   void aMachineThatIsBackWithoutItsTasksGetsThemOnlyOnceNoCopyOfTheirStartsCounts() {
     FakeWorker w = service().get("j-1/0");
-    w.back(false);
-    world.pass(1.1);
-    world.repeatAll();
-    world.pass(8);
-    world.repeatAll();
-    world.pass(8);
-    assertThat(world.running("j-1")).hasSize(8);
+    w.restart(false);
+    cluster.advance(1.1);
+    cluster.redeliverAll();
+    cluster.advance(8);
+    cluster.redeliverAll();
+    cluster.advance(8);
+    assertThat(cluster.runningTasks("j-1")).hasSize(8);
   }
 
   /**
@@ -135,13 +136,13 @@
   void aMachineThatCountsAnewIsBelievedOnceItAnswers() {
     Map<String, FakeWorker> before = service();
     FakeWorker w = before.get("j-1/0");
-    world.pass(30);
-    w.back(true);
-    world.pass(12);
-    assertThat(world.running("j-1")).hasSize(8);
-    world.repeatAll();
-    world.pass(12);
-    assertThat(world.running("j-1")).hasSize(8);
-    assertThat(world.cloud.deleted).doesNotContain(w.name);
+    cluster.advance(30);
+    w.restart(true);
+    cluster.advance(12);
+    assertThat(cluster.runningTasks("j-1")).hasSize(8);
+    cluster.redeliverAll();
+    cluster.advance(12);
+    assertThat(cluster.runningTasks("j-1")).hasSize(8);
+    assertThat(cluster.cloud.deleted).doesNotContain(w.name);
   }
 }
--- a/src/test/java/io/embernotch/controller/RollingUpgradeTest.java
+++ b/src/test/java/io/embernotch/controller/RollingUpgradeTest.java
@@ -1,6 +1,6 @@
 package io.embernotch.controller;
 
-import static io.embernotch.testkit.SimulatedCluster.after;
+import static io.embernotch.testkit.SimulatedCluster.dependentJob;
 import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,8 +8,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.Json;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Fate;
-import io.embernotch.testkit.SimulatedCluster.Node;
+import io.embernotch.testkit.SimulatedCluster.ControllerNode;
+import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.Base64;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
@@ -21,25 +21,25 @@
  */
 class RollingUpgradeTest {
   private static final int OLD_PIECE = 85;
-  private final SimulatedCluster world = SimulatedCluster.lowering();
+  private final SimulatedCluster cluster = SimulatedCluster.withDecreasingStoreLimits();
 
   /** A job as the former version left it: its description, and its progress where it has any. */
   private void left(String ref, int tasks, String run) {
-    world.state.plant(
+    cluster.store.put(
         "job/" + ref,
         "{\"at\":900000,\"piece\":" + OLD_PIECE + ",\"job\":" + job(ref, "array", tasks) + "}");
     if (run != null) {
-      world.state.plant("run/" + ref, run);
+      cluster.store.put("run/" + ref, run);
     }
   }
 
   private void lower() {
-    world.state.lower(1024, 4, 30);
+    cluster.store.lowerLimits(1024, 4, 30);
   }
 
   @AfterEach
   void noRuleWasBroken() {
-    assertThat(world.broken()).isEmpty();
+    assertThat(cluster.violations()).isEmpty();
   }
 
   /** One such value kept every new leader reading the store over and over, and all jobs waiting. */
@@ -47,22 +47,22 @@
   void aValueThatCannotBeReadKeepsNoOtherJobWaitingAndItsOwnStaysKnown() {
     left("j-1", 3, null);
     left("j-2", 3, "{\"next\":\"x\",\"open\":7}");
-    world.state.plant(
+    cluster.store.put(
         "job/j-3", "{\"at\":900000,\"piece\":85,\"job\":{\"ref\":\"j-3\",\"shards\":\"many\"}}");
-    world.settle(4);
-    world.pass(12);
-    assertThat(world.running("j-1")).hasSize(3);
-    assertThat(world.phase(0, "j-3")).isEqualTo("queued");
-    assertThat(world.phase(1, "j-2")).isEqualTo("queued");
+    cluster.awaitLeader(4);
+    cluster.advance(12);
+    assertThat(cluster.runningTasks("j-1")).hasSize(3);
+    assertThat(cluster.phase(0, "j-3")).isEqualTo("queued");
+    assertThat(cluster.phase(1, "j-2")).isEqualTo("queued");
     // What may run of it is over once no worker can have been renewed for it.
-    assertThat(world.running("j-2")).isEmpty();
-    world.pass(120);
-    assertThat(world.running("j-2")).hasSize(3);
+    assertThat(cluster.runningTasks("j-2")).isEmpty();
+    cluster.advance(120);
+    assertThat(cluster.runningTasks("j-2")).hasSize(3);
     // The watch for new jobs goes on behind it.
-    world.state.plant("job/j-4", "{\"at\":900000,\"piece\":85,\"job\":[]}");
+    cluster.store.put("job/j-4", "{\"at\":900000,\"piece\":85,\"job\":[]}");
     left("j-5", 2, null);
-    world.pass(20);
-    assertThat(world.running("j-5")).hasSize(2);
+    cluster.advance(20);
+    assertThat(cluster.runningTasks("j-5")).hasSize(2);
   }
 
   @Test
@@ -72,23 +72,25 @@
     left("j-1", 40, "{\"next\":7,\"done\":\"" + marks + "\",\"open\":[]}");
     left("j-2", 3, "{\"next\":2,\"end\":\"done\"}");
     left("j-3", 3, "{\"next\":2,\"end\":\"cancelled\"}");
-    world.settle(4);
-    world.pass(12);
-    assertThat(world.running("j-1")).hasSize(37).doesNotContainKeys("j-1/0", "j-1/1", "j-1/9");
-    assertThat(world.phase(1, "j-2")).isEqualTo("done");
-    assertThat(world.phase(2, "j-3")).isEqualTo("cancelled");
+    cluster.awaitLeader(4);
+    cluster.advance(12);
+    assertThat(cluster.runningTasks("j-1"))
+        .hasSize(37)
+        .doesNotContainKeys("j-1/0", "j-1/1", "j-1/9");
+    assertThat(cluster.phase(1, "j-2")).isEqualTo("done");
+    assertThat(cluster.phase(2, "j-3")).isEqualTo("cancelled");
     // They may be named like any other.
-    assertThat(world.submit(0, after("j-4", 1, "j-2")).status()).isEqualTo(201);
-    assertThat(world.submit(0, after("j-5", 1, "j-3")).status()).isEqualTo(201);
-    world.pass(6);
-    assertThat(world.running("j-4")).hasSize(1);
-    assertThat(world.phase(0, "j-5")).isEqualTo("cancelled");
+    assertThat(cluster.submit(0, dependentJob("j-4", 1, "j-2")).status()).isEqualTo(201);
+    assertThat(cluster.submit(0, dependentJob("j-5", 1, "j-3")).status()).isEqualTo(201);
+    cluster.advance(6);
+    assertThat(cluster.runningTasks("j-4")).hasSize(1);
+    assertThat(cluster.phase(0, "j-5")).isEqualTo("cancelled");
   }
 
   @Test
   void aLeaderOfTheFormerVersionMayGoInTheMiddleOfStarts() {
-    String name = world.boot("g8", "z1", true);
-    world.pass(6);
+    String name = cluster.boot("g8", "z1", true);
+    cluster.advance(6);
     // Two starts are written, of which no command left or none arrived; one is on a machine that is
     // gone.
     left(
@@ -99,13 +101,13 @@
             + "\",\"z1\"],[1,5,\""
             + name
             + "\",\"z1\"],[2,5,\"n-999999\",\"z1\"]]}");
-    Node old = world.leader();
+    ControllerNode old = cluster.leader();
     old.kill();
-    world.pass(12);
-    assertThat(world.running("j-1")).containsOnlyKeys("j-1/0", "j-1/1");
+    cluster.advance(12);
+    assertThat(cluster.runningTasks("j-1")).containsOnlyKeys("j-1/0", "j-1/1");
     // What was on the machine that is gone starts elsewhere only when its lease must be over.
-    world.pass(45);
-    assertThat(world.running("j-1")).hasSize(3);
+    cluster.advance(45);
+    assertThat(cluster.runningTasks("j-1")).hasSize(3);
   }
 
   /**
@@ -114,14 +116,14 @@
   @Test
   void whatIsWrittenWhileTheLimitsAreAsBeforeTheFormerVersionReads() {
     left("j-1", 40, null);
-    world.settle(4);
-    assertThat(world.submit(0, job("j-2", "array", 8)).status()).isEqualTo(201);
-    world.pass(12);
-    world.finish("j-2");
-    world.pass(6);
-    assertThat(world.state.keys("part/")).isEmpty();
-    for (String key : world.state.keys("job/")) {
-      ObjectNode o = world.state.value(key);
+    cluster.awaitLeader(4);
+    assertThat(cluster.submit(0, job("j-2", "array", 8)).status()).isEqualTo(201);
+    cluster.advance(12);
+    cluster.completeTasks("j-2");
+    cluster.advance(6);
+    assertThat(cluster.store.keys("part/")).isEmpty();
+    for (String key : cluster.store.keys("job/")) {
+      ObjectNode o = cluster.store.value(key);
       assertThat(o.get("at").isIntegralNumber()).isTrue();
       assertThat(o.get("piece").isIntegralNumber()).isTrue();
       assertThat(o.get("job").fieldNames())
@@ -146,9 +148,9 @@
               "flush_s")
           .doesNotContain("awaits");
     }
-    assertThat(world.state.keys("run/")).containsExactly("run/j-1", "run/j-2");
-    for (String key : world.state.keys("run/")) {
-      ObjectNode o = world.state.value(key);
+    assertThat(cluster.store.keys("run/")).containsExactly("run/j-1", "run/j-2");
+    for (String key : cluster.store.keys("run/")) {
+      ObjectNode o = cluster.store.value(key);
       assertThat(o.get("next").isIntegralNumber()).isTrue();
       assertThat(o.path("end").asText("done")).isIn("done", "cancelled");
       for (JsonNode a : o.path("open")) {
@@ -158,8 +160,8 @@
       }
     }
     // A large shard of the former version is written on as one while it fits.
-    assertThat(world.state.value("run/j-1").get("open")).hasSize(40);
-    assertThat(Json.bytes(world.state.value("run/j-1")).length).isGreaterThan(1024);
+    assertThat(cluster.store.value("run/j-1").get("open")).hasSize(40);
+    assertThat(Json.bytes(cluster.store.value("run/j-1")).length).isGreaterThan(1024);
   }
 
   @Test
@@ -168,127 +170,130 @@
         job("j-1", "array", 1)
             .replace("\"img\"", "\"" + "i".repeat(450) + "\"")
             .replace("\"c\"", "\"" + "c".repeat(450) + "\"");
-    world.state.plant(
+    cluster.store.put(
         "job/j-1", "{\"at\":900000,\"piece\":" + OLD_PIECE + ",\"job\":" + large + "}");
-    world.settle(4);
+    cluster.awaitLeader(4);
     lower();
     for (int n = 0; n < 3; n++) {
-      assertThat(world.submit(n, large).status()).isEqualTo(200);
+      assertThat(cluster.submit(n, large).status()).isEqualTo(200);
       // A new one of that size would not fit the lower limits: its user is told at once.
-      assertThat(world.submit(n, large.replace("j-1", "j-2")).status()).isEqualTo(400);
+      assertThat(cluster.submit(n, large.replace("j-1", "j-2")).status()).isEqualTo(400);
     }
-    world.pass(12);
-    assertThat(world.running("j-1")).hasSize(1);
+    cluster.advance(12);
+    assertThat(cluster.runningTasks("j-1")).hasSize(1);
   }
 
   @Test
   void newJobsFitTheLowerLimitsFromTheStart() {
-    world.settle(4);
-    assertThat(world.submit(0, job("j-1", "array", 40)).status()).isEqualTo(201);
-    world.pass(12);
+    cluster.awaitLeader(4);
+    assertThat(cluster.submit(0, job("j-1", "array", 40)).status()).isEqualTo(201);
+    cluster.advance(12);
     lower();
-    world.finish("j-1");
-    world.pass(10);
-    assertThat(world.phase(0, "j-1")).isEqualTo("done");
-    assertThat(world.state.malformed).isZero();
-    assertThat(world.state.throttled).isZero();
-    assertThat(world.state.keys("part/")).isEmpty();
+    cluster.completeTasks("j-1");
+    cluster.advance(10);
+    assertThat(cluster.phase(0, "j-1")).isEqualTo("done");
+    assertThat(cluster.store.malformedCount).isZero();
+    assertThat(cluster.store.throttledCount).isZero();
+    assertThat(cluster.store.keys("part/")).isEmpty();
   }
 
   @Test
   void oldPiecesGoOnInPartsOnceTheyDoNotFit() {
     left("j-1", 48, null);
-    world.settle(4);
-    world.pass(12);
-    assertThat(world.running("j-1")).hasSize(48);
+    cluster.awaitLeader(4);
+    cluster.advance(12);
+    assertThat(cluster.runningTasks("j-1")).hasSize(48);
     lower();
-    String before = world.state.value("run/j-1").toString();
-    world.running("j-1").get("j-1/5").exit("j-1/5", "done");
-    world.running("j-1").get("j-1/20").exit("j-1/20", "error");
-    world.pass(15);
-    assertThat(world.state.value("run/j-1").toString()).isEqualTo(before);
-    assertThat(world.state.keys("part/j-1/")).isNotEmpty();
-    assertThat(world.running("j-1")).hasSize(47).doesNotContainKey("j-1/5").containsKey("j-1/20");
+    String before = cluster.store.value("run/j-1").toString();
+    cluster.runningTasks("j-1").get("j-1/5").exitTask("j-1/5", "done");
+    cluster.runningTasks("j-1").get("j-1/20").exitTask("j-1/20", "error");
+    cluster.advance(15);
+    assertThat(cluster.store.value("run/j-1").toString()).isEqualTo(before);
+    assertThat(cluster.store.keys("part/j-1/")).isNotEmpty();
+    assertThat(cluster.runningTasks("j-1"))
+        .hasSize(47)
+        .doesNotContainKey("j-1/5")
+        .containsKey("j-1/20");
     // One refusal tells; nothing is tried at the former size again.
-    assertThat(world.state.malformed).isEqualTo(1);
-    assertThat(world.submit(0, after("j-2", 2, "j-1")).status()).isEqualTo(201);
-    world.finish("j-1");
-    world.pass(12);
-    assertThat(world.phase(1, "j-1")).isEqualTo("done");
-    assertThat(world.running("j-2")).hasSize(2);
-    assertThat(world.state.malformed).isEqualTo(1);
+    assertThat(cluster.store.malformedCount).isEqualTo(1);
+    assertThat(cluster.submit(0, dependentJob("j-2", 2, "j-1")).status()).isEqualTo(201);
+    cluster.completeTasks("j-1");
+    cluster.advance(12);
+    assertThat(cluster.phase(1, "j-1")).isEqualTo("done");
+    assertThat(cluster.runningTasks("j-2")).hasSize(2);
+    assertThat(cluster.store.malformedCount).isEqualTo(1);
   }
 
   @Test
   void aTakeoverReadsPartsOverPieces() {
     left("j-1", 48, null);
-    Node old = world.settle(4);
-    world.pass(12);
+    ControllerNode old = cluster.awaitLeader(4);
+    cluster.advance(12);
     lower();
-    world.running("j-1").get("j-1/5").exit("j-1/5", "done");
-    world.running("j-1").get("j-1/40").exit("j-1/40", "done");
-    world.pass(12);
+    cluster.runningTasks("j-1").get("j-1/5").exitTask("j-1/5", "done");
+    cluster.runningTasks("j-1").get("j-1/40").exitTask("j-1/40", "done");
+    cluster.advance(12);
     old.kill();
-    world.pass(20);
-    assertThat(world.running("j-1")).hasSize(46).doesNotContainKeys("j-1/5", "j-1/40");
-    assertThat(world.abort((old.index + 1) % 3, "j-1").status()).isEqualTo(200);
-    world.pass(6);
-    assertThat(world.running("j-1")).isEmpty();
-    assertThat(world.endInStore("j-1")).isEqualTo("cancelled");
-    Node second = world.leader();
+    cluster.advance(20);
+    assertThat(cluster.runningTasks("j-1")).hasSize(46).doesNotContainKeys("j-1/5", "j-1/40");
+    assertThat(cluster.cancel((old.index + 1) % 3, "j-1").status()).isEqualTo(200);
+    cluster.advance(6);
+    assertThat(cluster.runningTasks("j-1")).isEmpty();
+    assertThat(cluster.storedFinalPhase("j-1")).isEqualTo("cancelled");
+    ControllerNode second = cluster.leader();
     // The end stands in a part, which those read too who answer from the store alone.
-    assertThat(world.state.value("run/j-1").has("end")).isFalse();
+    assertThat(cluster.store.value("run/j-1").has("end")).isFalse();
     old.start();
     second.kill();
-    for (Node n : List.of(old, world.nodes.get(3 - old.index - second.index))) {
-      assertThat(world.phase(n.index, "j-1")).isIn("cancelled", "status 503");
+    for (ControllerNode n : List.of(old, cluster.nodes.get(3 - old.index - second.index))) {
+      assertThat(cluster.phase(n.index, "j-1")).isIn("cancelled", "status 503");
     }
-    world.pass(20);
-    assertThat(world.phase(old.index, "j-1")).isEqualTo("cancelled");
+    cluster.advance(20);
+    assertThat(cluster.phase(old.index, "j-1")).isEqualTo("cancelled");
   }
 
   @Test
   void limitsThatFallInAnUnknownCommitLoseNothing() {
     left("j-1", 48, null);
-    world.settle(4);
-    world.pass(12);
-    world.commitFate = Fate.HELD;
-    world.running("j-1").get("j-1/5").exit("j-1/5", "done");
-    world.running("j-1").get("j-1/6").exit("j-1/6", "error");
-    world.pass(4);
+    cluster.awaitLeader(4);
+    cluster.advance(12);
+    cluster.commitDelivery = Delivery.DELAYED;
+    cluster.runningTasks("j-1").get("j-1/5").exitTask("j-1/5", "done");
+    cluster.runningTasks("j-1").get("j-1/6").exitTask("j-1/6", "error");
+    cluster.advance(4);
     lower();
-    world.commitFate = Fate.ARRIVES;
-    world.pass(8);
+    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.advance(8);
     // The large shard may arrive only now: the parts written since stand above it.
-    world.state.lower(8 * 1024, 12, 100);
-    world.releaseHeld();
+    cluster.store.lowerLimits(8 * 1024, 12, 100);
+    cluster.deliverDelayed();
     lower();
-    world.pass(4);
-    Node old = world.leader();
+    cluster.advance(4);
+    ControllerNode old = cluster.leader();
     old.kill();
-    world.pass(25);
-    assertThat(world.running("j-1")).hasSize(47).doesNotContainKey("j-1/5");
-    world.finish("j-1");
-    world.pass(10);
-    assertThat(world.endInStore("j-1")).isEqualTo("done");
+    cluster.advance(25);
+    assertThat(cluster.runningTasks("j-1")).hasSize(47).doesNotContainKey("j-1/5");
+    cluster.completeTasks("j-1");
+    cluster.advance(10);
+    assertThat(cluster.storedFinalPhase("j-1")).isEqualTo("done");
   }
 
   @Test
   void oneValueThatCannotBeWrittenHoldsUpNoOther() {
-    world.settle(4);
-    assertThat(world.submit(0, job("j-1", "array", 1)).status()).isEqualTo(201);
-    world.pass(12);
+    cluster.awaitLeader(4);
+    assertThat(cluster.submit(0, job("j-1", "array", 1)).status()).isEqualTo(201);
+    cluster.advance(12);
     // Not even one task fits; the others' ends are still to be written.
-    assertThat(world.submit(0, job("j-2", "array", 30)).status()).isEqualTo(201);
-    world.pass(12);
-    world.state.lower(60, 4, 30);
-    world.running("j-2").get("j-2/3").exit("j-2/3", "error");
-    world.pass(3);
-    world.finish("j-1");
-    world.pass(6);
-    assertThat(world.endInStore("j-1")).isEqualTo("done");
-    world.state.lower(1024, 4, 30);
-    world.pass(20);
-    assertThat(world.running("j-2")).hasSize(30);
+    assertThat(cluster.submit(0, job("j-2", "array", 30)).status()).isEqualTo(201);
+    cluster.advance(12);
+    cluster.store.lowerLimits(60, 4, 30);
+    cluster.runningTasks("j-2").get("j-2/3").exitTask("j-2/3", "error");
+    cluster.advance(3);
+    cluster.completeTasks("j-1");
+    cluster.advance(6);
+    assertThat(cluster.storedFinalPhase("j-1")).isEqualTo("done");
+    cluster.store.lowerLimits(1024, 4, 30);
+    cluster.advance(20);
+    assertThat(cluster.runningTasks("j-2")).hasSize(30);
   }
 }
--- a/src/test/java/io/embernotch/faultcombinations/ConfirmedCancellationTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/ConfirmedCancellationTest.java
@@ -5,8 +5,8 @@
 
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Fate;
-import io.embernotch.testkit.SimulatedCluster.Node;
+import io.embernotch.testkit.SimulatedCluster.ControllerNode;
+import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -28,73 +28,73 @@
   private static final String[] SHAPES = {"array", "group", "standing"};
 
   /** Jobs that run on machines which all report to the leader. */
-  private static Node busy(SimulatedCluster world, int jobs) {
-    Node leader = world.settle(3);
+  private static ControllerNode busy(SimulatedCluster cluster, int jobs) {
+    ControllerNode leader = cluster.awaitLeader(3);
     for (int i = 0; i < 2 * jobs; i++) {
-      world.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
+      cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
-    world.pass(7);
-    world.workers.values().forEach(w -> w.node = leader.index);
+    cluster.advance(7);
+    cluster.workers.values().forEach(w -> w.controllerIndex = leader.index);
     for (int i = 0; i < jobs; i++) {
       String json =
           job("j-" + i, SHAPES[i % 3], 4)
               .replace("\"snapshot_s\":10.0", "\"snapshot_s\":" + (i % 2 == 0 ? "10.0" : "0"));
-      assertThat(world.submit(i % 3, json).status()).isEqualTo(201);
+      assertThat(cluster.submit(i % 3, json).status()).isEqualTo(201);
     }
-    world.pass(12);
-    assertThat(world.running("j-0")).hasSize(4);
+    cluster.advance(12);
+    assertThat(cluster.runningTasks("j-0")).hasSize(4);
     return leader;
   }
 
   private static List<String> play(long seed, List<Double> waits) {
     SplittableRandom random = new SplittableRandom(seed);
-    SimulatedCluster world = new SimulatedCluster(3, 100);
+    SimulatedCluster cluster = new SimulatedCluster(3, 100);
     int jobs = 6;
-    Node former = busy(world, jobs);
+    ControllerNode former = busy(cluster, jobs);
     double cancelS = former.settings.workers().cancelS();
     // Refused or not answered; unreachable to the others or not; direct commands lost or not.
-    former.noState = true;
-    former.silentState = random.nextBoolean();
-    former.noPeers = random.nextInt(3) > 0;
+    former.storeUnavailable = true;
+    former.storeUnresponsive = random.nextBoolean();
+    former.peersUnreachable = random.nextInt(3) > 0;
     boolean deaf = random.nextInt(3) == 0;
-    world.directFate = Fate.values()[random.nextInt(3)];
+    cluster.commandDelivery = Delivery.values()[random.nextInt(3)];
     double spell = random.nextDouble(30);
     double outage = random.nextDouble(0.5, 2) * cancelS;
     double cancelsFrom = random.nextDouble(spell + 3);
     boolean killed = random.nextBoolean();
     double back = spell + random.nextDouble(outage);
     for (double t = 0; t < spell + outage; t += 0.5) {
-      if (t >= spell && !world.state.outage && t < spell + 0.5) {
-        world.state.outage = true;
+      if (t >= spell && !cluster.store.outage && t < spell + 0.5) {
+        cluster.store.outage = true;
         if (killed) {
-          Node confirming = world.other(former);
+          ControllerNode confirming = cluster.otherNode(former);
           confirming.kill();
-          world.time.after(3, confirming::start);
+          cluster.time.after(3, confirming::start);
         }
-        world.workers.values().stream().limit(2).forEach(w -> w.deaf = deaf);
+        cluster.workers.values().stream().limit(2).forEach(w -> w.inboundPartitioned = deaf);
       }
-      if (t >= back && former.noState) {
-        former.noState = false;
-        former.noPeers = false;
+      if (t >= back && former.storeUnavailable) {
+        former.storeUnavailable = false;
+        former.peersUnreachable = false;
       }
       if (t >= cancelsFrom && random.nextInt(3) == 0) {
         // Users come again until they are told, at any controller.
-        world.askCancel(random.nextInt(3), "j-" + random.nextInt(jobs));
+        cluster.cancelAsync(random.nextInt(3), "j-" + random.nextInt(jobs));
       }
-      world.pass(0.5);
+      cluster.advance(0.5);
     }
-    world.state.recover();
-    world.directFate = Fate.ARRIVES;
-    world.workers.values().forEach(w -> w.deaf = false);
-    world.releaseHeld();
-    world.pass(15);
+    cluster.store.endOutage();
+    cluster.commandDelivery = Delivery.DELIVERED;
+    cluster.workers.values().forEach(w -> w.inboundPartitioned = false);
+    cluster.deliverDelayed();
+    cluster.advance(15);
     for (int i = 0; i < jobs; i++) {
-      world.askCancel(i % 3, "j-" + i);
+      cluster.cancelAsync(i % 3, "j-" + i);
     }
-    world.pass(cancelS + 15);
-    List<String> wrong = new ArrayList<>(world.broken());
-    wrong.addAll(world.rules.startsAfterCancel);
-    waits.addAll(world.rules.cancelWaits);
+    cluster.advance(cancelS + 15);
+    List<String> wrong = new ArrayList<>(cluster.violations());
+    wrong.addAll(cluster.invariants.startsAfterCancellation);
+    waits.addAll(cluster.invariants.cancellationDelays);
     return wrong;
   }
 
@@ -123,31 +123,31 @@
   @ParameterizedTest
   @CsvSource({"true", "false"})
   void theFormerLeaderKeepsWorkersUnderItsOwnToken(boolean refused) {
-    SimulatedCluster world = new SimulatedCluster(3, 100);
-    Node former = busy(world, 3);
+    SimulatedCluster cluster = new SimulatedCluster(3, 100);
+    ControllerNode former = busy(cluster, 3);
     double cancelS = former.settings.workers().cancelS();
-    former.noState = true;
-    former.silentState = !refused;
-    former.noPeers = true;
-    world.directFate = Fate.LOST;
-    double askedAt = world.time.now();
-    while (!told(world, "j-0") && world.time.now() - askedAt < former.settings.gracePeriodS()) {
-      world.askCancel(world.other(former).index, "j-0");
-      world.pass(0.5);
+    former.storeUnavailable = true;
+    former.storeUnresponsive = !refused;
+    former.peersUnreachable = true;
+    cluster.commandDelivery = Delivery.LOST;
+    double askedAt = cluster.time.now();
+    while (!told(cluster, "j-0") && cluster.time.now() - askedAt < former.settings.gracePeriodS()) {
+      cluster.cancelAsync(cluster.otherNode(former).index, "j-0");
+      cluster.advance(0.5);
     }
     // Not before the former leader's right to renew must be over.
-    assertThat(world.time.now() - askedAt).isGreaterThan(5);
-    world.state.outage = true;
-    world.pass(1.5 * cancelS);
-    assertThat(world.running("j-0")).isEmpty();
-    assertThat(world.broken()).isEmpty();
-    world.state.recover();
-    world.pass(10);
-    assertThat(world.broken()).isEmpty();
+    assertThat(cluster.time.now() - askedAt).isGreaterThan(5);
+    cluster.store.outage = true;
+    cluster.advance(1.5 * cancelS);
+    assertThat(cluster.runningTasks("j-0")).isEmpty();
+    assertThat(cluster.violations()).isEmpty();
+    cluster.store.endOutage();
+    cluster.advance(10);
+    assertThat(cluster.violations()).isEmpty();
   }
 
-  private static boolean told(SimulatedCluster world, String ref) {
-    return "cancelled".equals(world.endInStore(ref));
+  private static boolean told(SimulatedCluster cluster, String ref) {
+    return "cancelled".equals(cluster.storedFinalPhase(ref));
   }
 
   /**
@@ -157,21 +157,21 @@
   @ParameterizedTest
   @CsvSource({"10", "25", "40", "70"})
   void aMachineThatHangsGoesOnWithNothingThatIsCancelled(int hungS) {
-    SimulatedCluster world = new SimulatedCluster(3, 100);
-    Node leader = busy(world, 3);
-    List<FakeWorker> hung = world.running("j-0").values().stream().distinct().toList();
-    world.askCancel(leader.index, "j-0");
+    SimulatedCluster cluster = new SimulatedCluster(3, 100);
+    ControllerNode leader = busy(cluster, 3);
+    List<FakeWorker> hung = cluster.runningTasks("j-0").values().stream().distinct().toList();
+    cluster.cancelAsync(leader.index, "j-0");
     hung.forEach(w -> w.hung = true);
     for (int s = 0; s < hungS; s++) {
-      world.askCancel(world.other(leader).index, "j-0");
-      world.pass(1);
+      cluster.cancelAsync(cluster.otherNode(leader).index, "j-0");
+      cluster.advance(1);
     }
-    hung.forEach(FakeWorker::goOn);
-    world.pass(leader.settings.workers().cancelS() + 10);
-    assertThat(world.phase(0, "j-0")).isEqualTo("cancelled");
-    assertThat(world.running("j-0")).isEmpty();
-    assertThat(world.broken()).isEmpty();
-    assertThat(world.rules.startsAfterCancel).isEmpty();
+    hung.forEach(FakeWorker::resume);
+    cluster.advance(leader.settings.workers().cancelS() + 10);
+    assertThat(cluster.phase(0, "j-0")).isEqualTo("cancelled");
+    assertThat(cluster.runningTasks("j-0")).isEmpty();
+    assertThat(cluster.violations()).isEmpty();
+    assertThat(cluster.invariants.startsAfterCancellation).isEmpty();
   }
 
   /**
@@ -182,36 +182,36 @@
   @ParameterizedTest
   @CsvSource({"0.5,false", "1.2,false", "8,false", "45,false", "0.5,true", "8,true"})
   void aStartThatIsHeldUpIsNotCarriedOutOnceTheCancellationIsTold(double heldS, boolean hung) {
-    SimulatedCluster world = new SimulatedCluster(3, 100);
-    world.settle(3);
-    world.nodes.subList(0, 2).forEach(Node::kill);
-    world.pass(8);
-    world.nodes.subList(0, 2).forEach(Node::start);
-    Node leader = world.leader();
+    SimulatedCluster cluster = new SimulatedCluster(3, 100);
+    cluster.awaitLeader(3);
+    cluster.nodes.subList(0, 2).forEach(ControllerNode::kill);
+    cluster.advance(8);
+    cluster.nodes.subList(0, 2).forEach(ControllerNode::start);
+    ControllerNode leader = cluster.leader();
     assertThat(leader.index).isEqualTo(2);
     for (int i = 0; i < 4; i++) {
-      world.boot("g8", "z2", true);
+      cluster.boot("g8", "z2", true);
     }
-    world.pass(12);
+    cluster.advance(12);
     String there = job("j-9", "array", 6).replace("\"room\":null", "\"room\":\"z2\"");
-    world.directFate = hung ? Fate.ARRIVES : Fate.HELD;
-    world.workers.values().forEach(w -> w.hung = hung);
-    assertThat(world.submit(0, there).status()).isEqualTo(201);
-    world.pass(0.3);
+    cluster.commandDelivery = hung ? Delivery.DELIVERED : Delivery.DELAYED;
+    cluster.workers.values().forEach(w -> w.hung = hung);
+    assertThat(cluster.submit(0, there).status()).isEqualTo(201);
+    cluster.advance(0.3);
     for (double s = 0; s < heldS; s += 0.5) {
-      world.askCancel(leader.index, "j-9");
-      world.pass(0.5);
+      cluster.cancelAsync(leader.index, "j-9");
+      cluster.advance(0.5);
     }
-    world.directFate = Fate.ARRIVES;
-    world.releaseHeld();
-    world.workers.values().forEach(FakeWorker::goOn);
+    cluster.commandDelivery = Delivery.DELIVERED;
+    cluster.deliverDelayed();
+    cluster.workers.values().forEach(FakeWorker::resume);
     for (int s = 0; s < 40; s++) {
-      world.askCancel(leader.index, "j-9");
-      world.pass(1);
+      cluster.cancelAsync(leader.index, "j-9");
+      cluster.advance(1);
     }
-    assertThat(world.phase(1, "j-9")).isEqualTo("cancelled");
-    assertThat(world.rules.startsAfterCancel).isEmpty();
-    assertThat(world.broken()).isEmpty();
+    assertThat(cluster.phase(1, "j-9")).isEqualTo("cancelled");
+    assertThat(cluster.invariants.startsAfterCancellation).isEmpty();
+    assertThat(cluster.violations()).isEmpty();
   }
 
   /**
@@ -221,29 +221,29 @@
   @ParameterizedTest
   @CsvSource({"1", "6"})
   void anEndThatIsCarriedOutLateIsToldOnlyWhereNothingOutlivesIt(int lateS) {
-    SimulatedCluster world = new SimulatedCluster(3, 100);
-    Node leader = busy(world, 3);
-    world.commitFate = Fate.HELD;
-    world.askCancel(leader.index, "j-0");
-    world.pass(lateS);
-    leader.noState = true;
-    leader.noPeers = true;
-    world.commitFate = Fate.ARRIVES;
-    world.releaseHeld();
+    SimulatedCluster cluster = new SimulatedCluster(3, 100);
+    ControllerNode leader = busy(cluster, 3);
+    cluster.commitDelivery = Delivery.DELAYED;
+    cluster.cancelAsync(leader.index, "j-0");
+    cluster.advance(lateS);
+    leader.storeUnavailable = true;
+    leader.peersUnreachable = true;
+    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.deliverDelayed();
     for (int s = 0; s < 20; s++) {
-      world.poll(world.other(leader).index, "j-0");
-      world.pass(0.5);
+      cluster.poll(cluster.otherNode(leader).index, "j-0");
+      cluster.advance(0.5);
     }
-    world.state.outage = true;
-    world.pass(1.5 * leader.settings.workers().cancelS());
-    world.state.recover();
-    leader.noState = false;
-    leader.noPeers = false;
-    world.pass(20);
-    world.askCancel(0, "j-0");
-    world.pass(leader.settings.workers().cancelS());
-    assertThat(world.phase(0, "j-0")).isEqualTo("cancelled");
-    assertThat(world.broken()).isEmpty();
+    cluster.store.outage = true;
+    cluster.advance(1.5 * leader.settings.workers().cancelS());
+    cluster.store.endOutage();
+    leader.storeUnavailable = false;
+    leader.peersUnreachable = false;
+    cluster.advance(20);
+    cluster.cancelAsync(0, "j-0");
+    cluster.advance(leader.settings.workers().cancelS());
+    assertThat(cluster.phase(0, "j-0")).isEqualTo("cancelled");
+    assertThat(cluster.violations()).isEmpty();
   }
 
   /**
@@ -252,34 +252,34 @@
    */
   @Test
   void anEndOfAFormerLeaderIsNotCarriedOutOnceTheNextHasRead() {
-    SimulatedCluster world = new SimulatedCluster(3, 100);
-    Node former = busy(world, 3);
-    world.commitFate = Fate.HELD;
-    world.askCancel(former.index, "j-0");
-    world.pass(1);
+    SimulatedCluster cluster = new SimulatedCluster(3, 100);
+    ControllerNode former = busy(cluster, 3);
+    cluster.commitDelivery = Delivery.DELAYED;
+    cluster.cancelAsync(former.index, "j-0");
+    cluster.advance(1);
     former.kill();
-    world.commitFate = Fate.ARRIVES;
+    cluster.commitDelivery = Delivery.DELIVERED;
     // What ran must not be news to the next leader, or it would write the same key first.
-    world.workers.values().forEach(w -> w.mute = true);
-    Node next = null;
+    cluster.workers.values().forEach(w -> w.outboundPartitioned = true);
+    ControllerNode next = null;
     while (next == null) {
-      world.time.pass(0.05);
-      next = world.leader();
+      cluster.time.advance(0.05);
+      next = cluster.leader();
     }
-    world.pass(0.1);
-    world.releaseHeld();
+    cluster.advance(0.1);
+    cluster.deliverDelayed();
     int leads = next.index;
-    world.nodes.stream()
+    cluster.nodes.stream()
         .filter(n -> n.index != leads && n != former)
-        .forEach(n -> n.noPeers = true);
+        .forEach(n -> n.peersUnreachable = true);
     for (int s = 0; s < 10; s++) {
-      world.nodes.stream().filter(n -> n != former).forEach(n -> world.poll(n.index, "j-0"));
-      world.pass(0.5);
+      cluster.nodes.stream().filter(n -> n != former).forEach(n -> cluster.poll(n.index, "j-0"));
+      cluster.advance(0.5);
     }
-    world.nodes.forEach(n -> n.noPeers = false);
-    world.workers.values().forEach(w -> w.mute = false);
+    cluster.nodes.forEach(n -> n.peersUnreachable = false);
+    cluster.workers.values().forEach(w -> w.outboundPartitioned = false);
     former.start();
-    world.pass(next.settings.workers().cancelS() + 10);
-    assertThat(world.broken()).isEmpty();
+    cluster.advance(next.settings.workers().cancelS() + 10);
+    assertThat(cluster.violations()).isEmpty();
   }
 }
--- a/src/test/java/io/embernotch/faultcombinations/FailoverTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/FailoverTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Node;
+import io.embernotch.testkit.SimulatedCluster.ControllerNode;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -18,25 +18,25 @@
   private static final double STEP_S = 0.5;
 
   private final FaultScenario scenario = FaultScenario.large();
-  private final SimulatedCluster world = scenario.world;
+  private final SimulatedCluster cluster = scenario.cluster;
 
-  private void handOver(String how, Node leader) {
+  private void handOver(String how, ControllerNode leader) {
     switch (how) {
       case "ends" -> {
         leader.kill();
-        world.time.after(7, leader::start);
+        cluster.time.after(7, leader::start);
       }
       case "returns at once" -> {
         leader.kill();
-        world.time.after(0.2, leader::start);
+        cluster.time.after(0.2, leader::start);
       }
       case "refused" -> {
-        leader.noState = true;
-        world.time.after(9, () -> leader.noState = false);
+        leader.storeUnavailable = true;
+        cluster.time.after(9, () -> leader.storeUnavailable = false);
       }
       default -> {
-        leader.noState = leader.noPeers = true;
-        world.time.after(9, () -> leader.noState = leader.noPeers = false);
+        leader.storeUnavailable = leader.peersUnreachable = true;
+        cluster.time.after(9, () -> leader.storeUnavailable = leader.peersUnreachable = false);
       }
     }
   }
@@ -45,33 +45,34 @@
   @ParameterizedTest
   @CsvSource({"ends", "returns at once", "refused", "alone"})
   void aCancellationAroundAHandOver(String how) {
-    world.settle(3);
+    cluster.awaitLeader(3);
     int i = 0;
     for (double at = FROM_S; at <= TO_S; at += STEP_S) {
       String ref = "j-" + i++;
       String fresh = "j-" + (100 + i);
-      scenario.told.submit(i % 3, ref, List.of("array", "group", "standing").get(i % 3), 4);
-      world.pass(i == 1 ? 12 : 3);
-      Node leader = world.settle(10);
+      scenario.answers.submit(i % 3, ref, List.of("array", "group", "standing").get(i % 3), 4);
+      cluster.advance(i == 1 ? 12 : 3);
+      ControllerNode leader = cluster.awaitLeader(10);
       int asked = i % 3;
-      world.time.after(-FROM_S, () -> handOver(how, leader));
-      world.time.after(-FROM_S + at, () -> scenario.cancelUntilTold(ref, asked, 12));
+      cluster.time.after(-FROM_S, () -> handOver(how, leader));
+      cluster.time.after(-FROM_S + at, () -> scenario.cancelUntilConfirmed(ref, asked, 12));
       // One that is just being started meets it too.
-      world.time.after(
+      cluster.time.after(
           Math.max(0, -FROM_S + at - 0.2),
-          () -> world.askSubmit(asked, SimulatedCluster.job(fresh, "array", 3)));
-      world.time.after(-FROM_S + at, () -> scenario.cancelUntilTold(fresh, (asked + 1) % 3, 12));
-      scenario.lookAround(ref, 2 * TO_S + 4, 0.25);
-      world.pass(-FROM_S + TO_S + 8);
+          () -> cluster.submitAsync(asked, SimulatedCluster.job(fresh, "array", 3)));
+      cluster.time.after(
+          -FROM_S + at, () -> scenario.cancelUntilConfirmed(fresh, (asked + 1) % 3, 12));
+      scenario.pollAllNodes(ref, 2 * TO_S + 4, 0.25);
+      cluster.advance(-FROM_S + TO_S + 8);
     }
-    world.pass(scenario.cancelS());
+    cluster.advance(scenario.cancelS());
     for (int j = 0; j < i; j++) {
-      world.askCancel(j % 3, "j-" + j);
-      world.pass(0.2);
-      assertThat(world.phase((j + 1) % 3, "j-" + j)).as("j-" + j).isEqualTo("cancelled");
-      assertThat(world.running("j-" + j)).isEmpty();
+      cluster.cancelAsync(j % 3, "j-" + j);
+      cluster.advance(0.2);
+      assertThat(cluster.phase((j + 1) % 3, "j-" + j)).as("j-" + j).isEqualTo("cancelled");
+      assertThat(cluster.runningTasks("j-" + j)).isEmpty();
     }
-    scenario.allIsWell();
+    scenario.verifyRecovery();
   }
 
   /**
@@ -81,23 +82,23 @@
   @ParameterizedTest
   @CsvSource({"0.001", "0.003", "0.005", "0.01", "0.05"})
   void aDecisionThatItsLeaderDidNotLiveToTell(double afterS) {
-    Node leader = world.settle(3);
-    scenario.told.submit(0, "j-1", "array", 8);
-    world.pass(12);
+    ControllerNode leader = cluster.awaitLeader(3);
+    scenario.answers.submit(0, "j-1", "array", 8);
+    cluster.advance(12);
     // Neither the stops nor the answers to heartbeats reach them any more.
-    world.workers.values().forEach(w -> w.mute = true);
-    world.directFate = SimulatedCluster.Fate.LOST;
-    world.askCancel(leader.index, "j-1");
-    world.pass(afterS);
+    cluster.workers.values().forEach(w -> w.outboundPartitioned = true);
+    cluster.commandDelivery = SimulatedCluster.Delivery.LOST;
+    cluster.cancelAsync(leader.index, "j-1");
+    cluster.advance(afterS);
     leader.kill();
-    world.pass(6);
-    world.workers.values().forEach(w -> w.mute = false);
-    world.directFate = SimulatedCluster.Fate.ARRIVES;
-    scenario.cancelUntilTold("j-1", 0, 10);
-    world.pass(20);
+    cluster.advance(6);
+    cluster.workers.values().forEach(w -> w.outboundPartitioned = false);
+    cluster.commandDelivery = SimulatedCluster.Delivery.DELIVERED;
+    scenario.cancelUntilConfirmed("j-1", 0, 10);
+    cluster.advance(20);
     leader.start();
-    assertThat(world.running("j-1")).isEmpty();
-    scenario.allIsWell();
-    assertThat(world.phase(0, "j-1")).isEqualTo("cancelled");
+    assertThat(cluster.runningTasks("j-1")).isEmpty();
+    scenario.verifyRecovery();
+    assertThat(cluster.phase(0, "j-1")).isEqualTo("cancelled");
   }
 }
--- a/src/test/java/io/embernotch/faultcombinations/FastBootTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/FastBootTest.java
@@ -4,8 +4,8 @@
 
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Fate;
-import io.embernotch.testkit.SimulatedCluster.Node;
+import io.embernotch.testkit.SimulatedCluster.ControllerNode;
+import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -19,31 +19,31 @@
   private static final double FAST_S = 1.2;
 
   private final FaultScenario scenario = FaultScenario.large();
-  private final SimulatedCluster world = scenario.world;
+  private final SimulatedCluster cluster = scenario.cluster;
 
   @ParameterizedTest
   @CsvSource({"1,0.3,2", "2,0.3,4", "3,0.6,2", "4,0.6,4", "5,0.6,7"})
   void newMachinesGetWorkWhileWritesLagAndTheLeaderEnds(long seed, double late, double endsAfterS) {
-    world.random = new java.util.SplittableRandom(seed);
-    Node leader = world.settle(3);
-    world.cloud.bootS = FAST_S;
-    world.lateWrites = late;
+    cluster.random = new java.util.SplittableRandom(seed);
+    ControllerNode leader = cluster.awaitLeader(3);
+    cluster.cloud.bootS = FAST_S;
+    cluster.delayedCommitShare = late;
     for (int i = 0; i < 4; i++) {
-      scenario.told.submit(i % 3, "j-" + i, List.of("array", "group", "standing").get(i % 3), 4);
+      scenario.answers.submit(i % 3, "j-" + i, List.of("array", "group", "standing").get(i % 3), 4);
     }
-    world.time.after(endsAfterS, leader::kill);
-    world.time.after(endsAfterS + 4, leader::start);
-    world.pass(endsAfterS);
+    cluster.time.after(endsAfterS, leader::kill);
+    cluster.time.after(endsAfterS + 4, leader::start);
+    cluster.advance(endsAfterS);
     // The list lags: the next leader does not find them there.
-    world.cloud.unlisted.addAll(world.workers.keySet());
-    world.pass(8);
-    world.cloud.unlisted.clear();
+    cluster.cloud.unlisted.addAll(cluster.workers.keySet());
+    cluster.advance(8);
+    cluster.cloud.unlisted.clear();
     // One is back under its name, with its session or counting anew.
-    world.workers.values().stream().limit(2).forEach(w -> w.back(w.name.endsWith("1")));
-    world.pass(4);
-    scenario.told.submit(0, "j-4", "array", 4);
-    world.pass(20);
-    scenario.allIsWell();
+    cluster.workers.values().stream().limit(2).forEach(w -> w.restart(w.name.endsWith("1")));
+    cluster.advance(4);
+    scenario.answers.submit(0, "j-4", "array", 4);
+    cluster.advance(20);
+    scenario.verifyRecovery();
   }
 
   /**
@@ -52,26 +52,26 @@
    */
   @Test
   void aStartThatWasNotCommittedHasNotLeft() {
-    Node leader = world.settle(3);
-    world.cloud.bootS = FAST_S;
-    scenario.told.submit(0, "j-0", "standing", 1);
-    world.pass(12);
-    world.commitFate = Fate.LOST;
-    scenario.told.submit(leader.index, "j-1", "array", 4);
-    world.pass(3);
-    List<FakeWorker> there = List.copyOf(world.workers.values());
-    there.forEach(w -> w.mute = true);
-    world.directFate = Fate.LOST;
-    world.cloud.unlisted.addAll(world.workers.keySet());
+    ControllerNode leader = cluster.awaitLeader(3);
+    cluster.cloud.bootS = FAST_S;
+    scenario.answers.submit(0, "j-0", "standing", 1);
+    cluster.advance(12);
+    cluster.commitDelivery = Delivery.LOST;
+    scenario.answers.submit(leader.index, "j-1", "array", 4);
+    cluster.advance(3);
+    List<FakeWorker> there = List.copyOf(cluster.workers.values());
+    there.forEach(w -> w.outboundPartitioned = true);
+    cluster.commandDelivery = Delivery.LOST;
+    cluster.cloud.unlisted.addAll(cluster.workers.keySet());
     leader.kill();
-    world.commitFate = Fate.ARRIVES;
-    world.pass(12);
-    world.directFate = Fate.ARRIVES;
-    world.pass(4);
-    there.forEach(w -> w.mute = false);
-    world.cloud.unlisted.clear();
+    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.advance(12);
+    cluster.commandDelivery = Delivery.DELIVERED;
+    cluster.advance(4);
+    there.forEach(w -> w.outboundPartitioned = false);
+    cluster.cloud.unlisted.clear();
     leader.start();
-    scenario.allIsWell();
-    assertThat(world.running("j-1")).hasSize(4);
+    scenario.verifyRecovery();
+    assertThat(cluster.runningTasks("j-1")).hasSize(4);
   }
 }
--- a/src/test/java/io/embernotch/faultcombinations/FaultCombinationsRandomizedTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/FaultCombinationsRandomizedTest.java
@@ -6,8 +6,8 @@
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.RecordedAnswers;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Fate;
-import io.embernotch.testkit.SimulatedCluster.Node;
+import io.embernotch.testkit.SimulatedCluster.ControllerNode;
+import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -33,22 +33,24 @@
 
   private static final class History {
     private final SplittableRandom random;
-    private final SimulatedCluster world = new SimulatedCluster(3, 10);
-    private final RecordedAnswers told = new RecordedAnswers(world);
+    private final SimulatedCluster cluster = new SimulatedCluster(3, 10);
+    private final RecordedAnswers answers = new RecordedAnswers(cluster);
 
     History(long seed) {
       random = new SplittableRandom(seed);
-      world.random = random.split();
+      cluster.random = random.split();
     }
 
-    private Node node() {
-      Node leader = world.leader();
-      return leader != null && random.nextInt(3) > 0 ? leader : world.nodes.get(random.nextInt(3));
+    private ControllerNode node() {
+      ControllerNode leader = cluster.leader();
+      return leader != null && random.nextInt(3) > 0
+          ? leader
+          : cluster.nodes.get(random.nextInt(3));
     }
 
     private List<FakeWorker> some(double share) {
       List<FakeWorker> out = new ArrayList<>();
-      for (FakeWorker w : world.workers.values()) {
+      for (FakeWorker w : cluster.workers.values()) {
         if (random.nextDouble() < share) {
           out.add(w);
         }
@@ -57,73 +59,79 @@
     }
 
     private Trouble draw() {
-      Node n = node();
+      ControllerNode n = node();
       switch (random.nextInt(20)) {
         case 0 -> {
           return new Trouble(
-              "leader refused by the store", () -> n.noState = true, () -> n.noState = false);
+              "leader refused by the store",
+              () -> n.storeUnavailable = true,
+              () -> n.storeUnavailable = false);
         }
         case 1 -> {
           boolean silent = random.nextBoolean();
           return new Trouble(
               "controller cut from store and peers",
               () -> {
-                n.noState = n.noPeers = true;
-                n.silentState = silent;
+                n.storeUnavailable = n.peersUnreachable = true;
+                n.storeUnresponsive = silent;
               },
-              () -> n.noState = n.noPeers = n.silentState = false);
+              () -> n.storeUnavailable = n.peersUnreachable = n.storeUnresponsive = false);
         }
         case 2, 3 -> {
           return new Trouble(
               "store outage",
-              () -> world.state.outage = true,
+              () -> cluster.store.outage = true,
               () -> {
-                if (world.state.outage) {
-                  world.state.recover();
+                if (cluster.store.outage) {
+                  cluster.store.endOutage();
                 }
               });
         }
         case 4 -> {
           return new Trouble(
-              "late writes", () -> world.lateWrites = 0.4, () -> world.lateWrites = 0);
+              "late writes",
+              () -> cluster.delayedCommitShare = 0.4,
+              () -> cluster.delayedCommitShare = 0);
         }
         case 5 -> {
           return new Trouble(
-              "late reports", () -> world.lateHeartbeats = 0.4, () -> world.lateHeartbeats = 0);
+              "late reports",
+              () -> cluster.duplicatedHeartbeatShare = 0.4,
+              () -> cluster.duplicatedHeartbeatShare = 0);
         }
         case 6 -> {
           List<FakeWorker> hit = some(0.4);
           return new Trouble(
               "deaf machines",
-              () -> hit.forEach(w -> w.deaf = true),
-              () -> hit.forEach(w -> w.deaf = false));
+              () -> hit.forEach(w -> w.inboundPartitioned = true),
+              () -> hit.forEach(w -> w.inboundPartitioned = false));
         }
         case 7 -> {
           List<FakeWorker> hit = some(0.4);
           return new Trouble(
               "mute machines",
-              () -> hit.forEach(w -> w.mute = true),
-              () -> hit.forEach(w -> w.mute = false));
+              () -> hit.forEach(w -> w.outboundPartitioned = true),
+              () -> hit.forEach(w -> w.outboundPartitioned = false));
         }
         case 8 -> {
           List<FakeWorker> hit = some(0.4);
           return new Trouble(
               "hung machines",
               () -> hit.forEach(w -> w.hung = true),
-              () -> hit.forEach(FakeWorker::goOn));
+              () -> hit.forEach(FakeWorker::resume));
         }
         case 9 -> {
           List<FakeWorker> hit = some(0.3);
           return new Trouble(
               "cut machines",
-              () -> hit.forEach(w -> w.cut = true),
-              () -> hit.forEach(w -> w.cut = false));
+              () -> hit.forEach(w -> w.partitioned = true),
+              () -> hit.forEach(w -> w.partitioned = false));
         }
         case 10 -> {
           return new Trouble(
               "zone cut",
-              () -> world.cutZone = random.nextBoolean() ? "z1" : "z2",
-              () -> world.cutZone = null);
+              () -> cluster.partitionedZone = random.nextBoolean() ? "z1" : "z2",
+              () -> cluster.partitionedZone = null);
         }
         case 11 -> {
           double backS = random.nextBoolean() ? 0.2 : random.nextDouble(10);
@@ -131,7 +139,7 @@
               "controller ends",
               () -> {
                 n.kill();
-                world.time.after(
+                cluster.time.after(
                     backS,
                     () -> {
                       if (n.down) {
@@ -146,10 +154,10 @@
           return new Trouble(
               "all controllers end",
               () ->
-                  world.nodes.forEach(
+                  cluster.nodes.forEach(
                       m -> {
                         m.kill();
-                        world.time.after(
+                        cluster.time.after(
                             backS,
                             () -> {
                               if (m.down) {
@@ -160,48 +168,52 @@
               () -> {});
         }
         case 13 -> {
-          Fate fate = random.nextBoolean() ? Fate.HELD : Fate.LOST;
+          Delivery fate = random.nextBoolean() ? Delivery.DELAYED : Delivery.LOST;
           return new Trouble(
               "direct commands lost or held",
-              () -> world.directFate = fate,
+              () -> cluster.commandDelivery = fate,
               () -> {
-                world.directFate = Fate.ARRIVES;
-                world.releaseHeld();
+                cluster.commandDelivery = Delivery.DELIVERED;
+                cluster.deliverDelayed();
               });
         }
         case 14 -> {
           return new Trouble(
               "frames held",
-              () -> world.holdFrames = true,
+              () -> cluster.delayFrames = true,
               () -> {
-                world.holdFrames = false;
-                world.releaseHeld();
+                cluster.delayFrames = false;
+                cluster.deliverDelayed();
               });
         }
         case 15 -> {
           return new Trouble(
               "answers of the store lost",
-              () -> world.lostAnswers = 0.4,
-              () -> world.lostAnswers = 0);
+              () -> cluster.lostCommitResponseShare = 0.4,
+              () -> cluster.lostCommitResponseShare = 0);
         }
         case 16 -> {
           return new Trouble(
-              "commands late", () -> world.lateCommands = 0.5, () -> world.lateCommands = 0);
+              "commands late",
+              () -> cluster.delayedCommandShare = 0.5,
+              () -> cluster.delayedCommandShare = 0);
         }
         case 17 -> {
           return new Trouble(
               "reports kept for the next leader",
-              () -> world.heartbeatsForNext = 0.5,
-              () -> world.heartbeatsForNext = 0);
+              () -> cluster.replayedHeartbeatShare = 0.5,
+              () -> cluster.replayedHeartbeatShare = 0);
         }
         case 18 -> {
           double lost = random.nextDouble(0.6);
           return new Trouble(
-              "reads of the store lost", () -> world.lostReads = lost, () -> world.lostReads = 0);
+              "reads of the store lost",
+              () -> cluster.lostReadShare = lost,
+              () -> cluster.lostReadShare = 0);
         }
         default -> {
           return new Trouble(
-              "slow store", () -> world.stateSlowS = 1.2, () -> world.stateSlowS = 0);
+              "slow store", () -> cluster.storeLatencyS = 1.2, () -> cluster.storeLatencyS = 0);
         }
       }
     }
@@ -210,29 +222,29 @@
     private void lookClosely(String ref) {
       for (double at = 0; at < 1; at += random.nextDouble(0.06)) {
         int node = random.nextInt(3);
-        world.time.after(at, () -> world.askPoll(node, ref));
+        cluster.time.after(at, () -> cluster.pollAsync(node, ref));
       }
     }
 
     private void trace(String what) {
       if (TRACE) {
-        System.out.printf("%.3f %s%n", world.time.now(), what);
+        System.out.printf("%.3f %s%n", cluster.time.now(), what);
       }
     }
 
     private String anyJob() {
-      return told.accepted.get(random.nextInt(told.accepted.size()));
+      return answers.accepted.get(random.nextInt(answers.accepted.size()));
     }
 
     private List<String> play() {
-      world.settle(3);
-      world.userDelayS = random.nextBoolean() ? 0 : 0.05;
-      world.cloud.bootS = random.nextBoolean() ? 5 : 1.2;
+      cluster.awaitLeader(3);
+      cluster.maxUserDelayS = random.nextBoolean() ? 0 : 0.05;
+      cluster.cloud.bootS = random.nextBoolean() ? 5 : 1.2;
       int next = 0;
       for (String shape : List.of("array", "group", "standing", "array")) {
-        told.submit(next % 3, "j-" + next++, shape, 2 + random.nextInt(6));
+        answers.submit(next % 3, "j-" + next++, shape, 2 + random.nextInt(6));
       }
-      world.pass(12);
+      cluster.advance(12);
       List<Trouble> on = new ArrayList<>();
       for (int step = 0; step < STEPS; step++) {
         if (on.isEmpty() || (on.size() < 3 && random.nextInt(6) == 0)) {
@@ -249,7 +261,7 @@
         for (int i = random.nextInt(4); i > 0; i--) {
           switch (random.nextInt(6)) {
             case 0 ->
-                told.submit(
+                answers.submit(
                     random.nextInt(3),
                     "j-" + next++,
                     List.of("array", "group", "standing").get(random.nextInt(3)),
@@ -257,36 +269,39 @@
             case 1 -> {
               String ref = anyJob();
               lookClosely(ref);
-              world.time.after(random.nextDouble(0.3), () -> world.finish(ref));
+              cluster.time.after(random.nextDouble(0.3), () -> cluster.completeTasks(ref));
             }
             case 2 -> {
               String ref = anyJob();
               lookClosely(ref);
-              world.askCancel(random.nextInt(3), ref);
+              cluster.cancelAsync(random.nextInt(3), ref);
             }
             case 3 -> {
               String ref = "j-" + next++;
               String json = job(ref, "array", 1 + random.nextInt(2));
-              world.askSubmit(random.nextInt(3), json);
-              world.askSubmit(random.nextInt(3), json);
+              cluster.submitAsync(random.nextInt(3), json);
+              cluster.submitAsync(random.nextInt(3), json);
               lookClosely(ref);
             }
-            default -> told.ask(random.nextInt(3), anyJob());
+            default -> answers.poll(random.nextInt(3), anyJob());
           }
         }
-        world.pass(random.nextInt(4) == 0 ? random.nextDouble(6) : random.nextDouble(1));
+        cluster.advance(random.nextInt(4) == 0 ? random.nextDouble(6) : random.nextDouble(1));
       }
       on.forEach(t -> t.end.run());
-      world.userDelayS = 0;
-      world.nodes.stream().filter(n -> n.down).forEach(Node::start);
-      world.workers.values().forEach(w -> w.cut = w.deaf = w.mute = false);
-      world.pass(30);
-      world.rules.quiet = true;
-      told.answered();
-      world.pass(95);
-      told.atTheEnd();
-      List<String> wrong = new ArrayList<>(told.wrong);
-      wrong.addAll(world.rules.startsAfterCancel);
+      cluster.maxUserDelayS = 0;
+      cluster.nodes.stream().filter(n -> n.down).forEach(ControllerNode::start);
+      cluster
+          .workers
+          .values()
+          .forEach(w -> w.partitioned = w.inboundPartitioned = w.outboundPartitioned = false);
+      cluster.advance(30);
+      cluster.invariants.faultsOver = true;
+      answers.awaitAllAnswered();
+      cluster.advance(95);
+      answers.verifyFinalState();
+      List<String> wrong = new ArrayList<>(answers.violations);
+      wrong.addAll(cluster.invariants.startsAfterCancellation);
       return wrong;
     }
   }
--- a/src/test/java/io/embernotch/faultcombinations/FaultCombinationsTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/FaultCombinationsTest.java
@@ -6,8 +6,8 @@
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.RecordedAnswers;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Fate;
-import io.embernotch.testkit.SimulatedCluster.Node;
+import io.embernotch.testkit.SimulatedCluster.ControllerNode;
+import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -20,8 +20,8 @@
  */
 class FaultCombinationsTest {
   private FaultScenario scenario = new FaultScenario(new SimulatedCluster(3));
-  private SimulatedCluster world = scenario.world;
-  private RecordedAnswers told = scenario.told;
+  private SimulatedCluster cluster = scenario.cluster;
+  private RecordedAnswers answers = scenario.answers;
 
   private double cancelS() {
     return scenario.cancelS();
@@ -34,12 +34,12 @@
   /** Many more machines and a larger limit than most of these need. */
   private void large() {
     scenario = FaultScenario.large();
-    world = scenario.world;
-    told = scenario.told;
+    cluster = scenario.cluster;
+    answers = scenario.answers;
   }
 
   private void allIsWell() {
-    scenario.allIsWell();
+    scenario.verifyRecovery();
   }
 
   /**
@@ -49,40 +49,42 @@
   @ParameterizedTest
   @CsvSource({"cut", "hung", "deaf"})
   void aTeamAtItsLimitWhileLeadershipMovesAndMachinesCannotBeAsked(String how) {
-    world.settle(3);
-    world.nodes.subList(0, 2).forEach(Node::kill);
-    world.pass(8);
-    world.nodes.subList(0, 2).forEach(Node::start);
-    world.pass(3);
-    told.accepted.addAll(List.of("j-1", "j-2", "j-3"));
+    cluster.awaitLeader(3);
+    cluster.nodes.subList(0, 2).forEach(ControllerNode::kill);
+    cluster.advance(8);
+    cluster.nodes.subList(0, 2).forEach(ControllerNode::start);
+    cluster.advance(3);
+    answers.accepted.addAll(List.of("j-1", "j-2", "j-3"));
     for (String json : List.of(job("j-1", "array", 16), job("j-2", "array", 8))) {
-      assertThat(world.submit(0, json.replace("\"room\":null", "\"room\":\"z2\"")).status())
+      assertThat(cluster.submit(0, json.replace("\"room\":null", "\"room\":\"z2\"")).status())
           .isEqualTo(201);
     }
-    world.pass(12);
-    assertThat(world.submit(1, job("j-3", "array", 24)).status()).isEqualTo(201);
-    List<FakeWorker> unreachable = world.running("j-2").values().stream().distinct().toList();
+    cluster.advance(12);
+    assertThat(cluster.submit(1, job("j-3", "array", 24)).status()).isEqualTo(201);
+    List<FakeWorker> unreachable =
+        cluster.runningTasks("j-2").values().stream().distinct().toList();
     assertThat(unreachable).isNotEmpty();
-    world.cloud.down = true;
+    cluster.cloud.down = true;
     unreachable.forEach(
         w -> {
-          w.cut = how.equals("cut");
+          w.partitioned = how.equals("cut");
           w.hung = how.equals("hung");
-          w.deaf = how.equals("deaf");
+          w.inboundPartitioned = how.equals("deaf");
         });
     for (int s = 0; s < 30; s++) {
-      world.askCancel(2, "j-2");
+      cluster.cancelAsync(2, "j-2");
       if (s == 8) {
-        assertThat(world.phase(2, "j-2")).isEqualTo("cancelled");
-        world.nodes.get(2).kill();
-        world.time.after(15, world.nodes.get(2)::start);
+        assertThat(cluster.phase(2, "j-2")).isEqualTo("cancelled");
+        cluster.nodes.get(2).kill();
+        cluster.time.after(15, cluster.nodes.get(2)::start);
       }
-      world.pass(1);
+      cluster.advance(1);
     }
-    world.cloud.down = false;
-    world.pass(cancelS());
+    cluster.cloud.down = false;
+    cluster.advance(cancelS());
     allIsWell();
-    assertThat(world.running("j-3").size() + world.running("j-1").size()).isEqualTo(24);
+    assertThat(cluster.runningTasks("j-3").size() + cluster.runningTasks("j-1").size())
+        .isEqualTo(24);
   }
 
   /**
@@ -91,28 +93,28 @@
   @Test
   void aHeartbeatIsHeldBackUntilTheNextLeaderHasActed() {
     large();
-    Node leader = world.settle(3);
-    told.submit(0, "j-1", "array", 4);
-    world.pass(12);
-    Map<String, FakeWorker> on = world.running("j-1");
+    ControllerNode leader = cluster.awaitLeader(3);
+    answers.submit(0, "j-1", "array", 4);
+    cluster.advance(12);
+    Map<String, FakeWorker> on = cluster.runningTasks("j-1");
     List<byte[]> before = on.values().stream().distinct().map(FakeWorker::heartbeat).toList();
     leader.kill();
-    world.pass(8);
+    cluster.advance(8);
     leader.start();
-    Node next = world.settle(4);
+    ControllerNode next = cluster.awaitLeader(4);
     // Its own stops and what has ended since.
-    told.submit(next.index, "j-2", "array", 4);
-    world.pass(4);
-    told.cancel(next.index, "j-1");
-    world.pass(8);
-    assertThat(world.running("j-2").values()).containsAnyElementsOf(on.values());
-    Map<String, FakeWorker> after = world.running("j-2");
-    before.forEach(r -> world.nodes.forEach(n -> world.late(n, r)));
-    world.pass(1);
-    before.forEach(r -> world.late(next, r));
-    world.pass(5);
-    assertThat(world.running("j-2")).hasSize(4).isEqualTo(after);
-    assertThat(scenario.starts("j-2")).isEqualTo(4);
+    answers.submit(next.index, "j-2", "array", 4);
+    cluster.advance(4);
+    answers.cancel(next.index, "j-1");
+    cluster.advance(8);
+    assertThat(cluster.runningTasks("j-2").values()).containsAnyElementsOf(on.values());
+    Map<String, FakeWorker> after = cluster.runningTasks("j-2");
+    before.forEach(r -> cluster.nodes.forEach(n -> cluster.deliverHeartbeat(n, r)));
+    cluster.advance(1);
+    before.forEach(r -> cluster.deliverHeartbeat(next, r));
+    cluster.advance(5);
+    assertThat(cluster.runningTasks("j-2")).hasSize(4).isEqualTo(after);
+    assertThat(scenario.startCount("j-2")).isEqualTo(4);
     allIsWell();
   }
 
@@ -121,86 +123,86 @@
   @CsvSource({"0.4", "1.4", "2.5"})
   void aSlowStateServiceWhileUsersCancelAndAsk(double slowS) {
     large();
-    Node leader = world.settle(3);
+    ControllerNode leader = cluster.awaitLeader(3);
     for (int i = 0; i < 6; i++) {
-      told.submit(i % 3, "j-" + i, i % 2 == 0 ? "array" : "standing", 3);
+      answers.submit(i % 3, "j-" + i, i % 2 == 0 ? "array" : "standing", 3);
     }
-    world.pass(12);
-    world.stateSlowS = slowS;
+    cluster.advance(12);
+    cluster.storeLatencyS = slowS;
     for (int s = 0; s < 80; s++) {
-      world.askCancel(s % 3, "j-" + s % 4);
-      told.ask((s + 1) % 3, "j-" + s % 6);
+      cluster.cancelAsync(s % 3, "j-" + s % 4);
+      answers.poll((s + 1) % 3, "j-" + s % 6);
       if (s == 40) {
         leader.kill();
       }
-      world.pass(0.5);
+      cluster.advance(0.5);
     }
     allIsWell();
-    assertThat(world.running("j-5")).hasSize(3);
+    assertThat(cluster.runningTasks("j-5")).hasSize(3);
   }
 
   /** Row 4. Users reach the leader that is partitioned, too, and ask it. */
   @Test
   void aLeaderWithWorkersAndUsersOnlyWhileJobsAreCancelledThroughTheNextOne() {
     large();
-    Node former = world.settle(3);
-    told.submit(0, "j-1", "array", 8);
-    told.submit(0, "j-2", "standing", 8);
-    world.pass(12);
-    world.workers.values().forEach(w -> w.node = former.index);
-    former.noState = true;
-    former.noPeers = true;
-    double until = world.time.now() + former.settings.gracePeriodS() + leaseS() + 10;
-    while (world.time.now() < until) {
-      world.askCancel(world.other(former).index, "j-1");
-      world.askCancel(former.index, "j-1");
-      told.ask(former.index, "j-1");
-      told.ask(world.other(former).index, "j-1");
-      world.pass(1);
+    ControllerNode former = cluster.awaitLeader(3);
+    answers.submit(0, "j-1", "array", 8);
+    answers.submit(0, "j-2", "standing", 8);
+    cluster.advance(12);
+    cluster.workers.values().forEach(w -> w.controllerIndex = former.index);
+    former.storeUnavailable = true;
+    former.peersUnreachable = true;
+    double until = cluster.time.now() + former.settings.gracePeriodS() + leaseS() + 10;
+    while (cluster.time.now() < until) {
+      cluster.cancelAsync(cluster.otherNode(former).index, "j-1");
+      cluster.cancelAsync(former.index, "j-1");
+      answers.poll(former.index, "j-1");
+      answers.poll(cluster.otherNode(former).index, "j-1");
+      cluster.advance(1);
     }
-    assertThat(world.phase(world.other(former).index, "j-1")).isEqualTo("cancelled");
+    assertThat(cluster.phase(cluster.otherNode(former).index, "j-1")).isEqualTo("cancelled");
     allIsWell();
-    assertThat(world.running("j-2")).hasSize(8);
+    assertThat(cluster.runningTasks("j-2")).hasSize(8);
   }
 
   /** Row 5. */
   @Test
   void jobsBoundToAZoneLoseMachines() {
     large();
-    world.settle(3);
+    cluster.awaitLeader(3);
     String bound = job("j-1", "array", 12).replace("\"room\":null", "\"room\":\"z2\"");
     String one = job("j-2", "group", 12).replace("\"one_zone\":false", "\"one_zone\":true");
     String array = job("j-3", "array", 12).replace("\"one_zone\":false", "\"one_zone\":true");
     for (String j : List.of(bound, one, array)) {
-      assertThat(world.submit(0, j).status()).isEqualTo(201);
+      assertThat(cluster.submit(0, j).status()).isEqualTo(201);
     }
-    told.accepted.addAll(List.of("j-1", "j-2", "j-3"));
-    world.pass(15);
-    Node leader = world.leader();
+    answers.accepted.addAll(List.of("j-1", "j-2", "j-3"));
+    cluster.advance(15);
+    ControllerNode leader = cluster.leader();
     String zone = scenario.machinesOf("j-3").get(0).zone;
-    world.cloud.full = true;
+    cluster.cloud.outOfCapacity = true;
     for (String ref : List.of("j-1", "j-2", "j-3")) {
-      List<FakeWorker> on = world.running(ref).values().stream().distinct().toList();
-      on.get(0).cut = true;
-      on.get(on.size() - 1).deaf = true;
+      List<FakeWorker> on = cluster.runningTasks(ref).values().stream().distinct().toList();
+      on.get(0).partitioned = true;
+      on.get(on.size() - 1).inboundPartitioned = true;
     }
-    world.pass(3);
+    cluster.advance(3);
     leader.kill();
     // Where they may not go there is room, and nowhere else any machine to be had.
     for (int i = 0; i < 4; i++) {
-      world.boot("g8", zone.equals("z1") ? "z2" : "z1", true);
+      cluster.boot("g8", zone.equals("z1") ? "z2" : "z1", true);
     }
-    world.pass(20);
+    cluster.advance(20);
     leader.start();
     for (int i = 0; i < 4; i++) {
-      world.boot("g8", zone.equals("z1") ? "z2" : "z1", true);
+      cluster.boot("g8", zone.equals("z1") ? "z2" : "z1", true);
     }
-    world.pass(20);
-    world.cloud.full = false;
+    cluster.advance(20);
+    cluster.cloud.outOfCapacity = false;
     allIsWell();
-    assertThat(world.running("j-1")).hasSize(12);
-    assertThat(world.running("j-2")).hasSize(12);
-    assertThat(world.running("j-3")).hasSize(12);
+    assertThat(cluster.runningTasks("j-1")).hasSize(12);
+    assertThat(cluster.runningTasks("j-2")).hasSize(12);
+    assertThat(cluster.runningTasks("j-3")).hasSize(12);
   }
 
   /** Row 6. */
@@ -208,30 +210,30 @@
   @CsvSource({"cut", "deaf", "hung"})
   void aLeaderEndsWhileMachinesWithLongTasksCannotBeReachedOrDoNotHear(String how) {
     large();
-    Node leader = world.settle(3);
-    told.submit(0, "j-1", "standing", 12);
-    told.submit(0, "j-2", "array", 12);
-    world.pass(15);
-    List<FakeWorker> hit = world.running("j-2").values().stream().distinct().toList();
+    ControllerNode leader = cluster.awaitLeader(3);
+    answers.submit(0, "j-1", "standing", 12);
+    answers.submit(0, "j-2", "array", 12);
+    cluster.advance(15);
+    List<FakeWorker> hit = cluster.runningTasks("j-2").values().stream().distinct().toList();
     hit.forEach(
         w -> {
-          w.cut = how.equals("cut");
-          w.deaf = how.equals("deaf");
+          w.partitioned = how.equals("cut");
+          w.inboundPartitioned = how.equals("deaf");
           w.hung = how.equals("hung");
         });
     leader.kill();
-    world.cloud.down = true;
-    world.pass(leaseS() * 0.6);
+    cluster.cloud.down = true;
+    cluster.advance(leaseS() * 0.6);
     leader.start();
     hit.forEach(
         w -> {
-          w.cut = w.deaf = false;
-          w.goOn();
+          w.partitioned = w.inboundPartitioned = false;
+          w.resume();
         });
-    world.pass(5);
+    cluster.advance(5);
     allIsWell();
-    assertThat(world.running("j-1")).hasSize(12);
-    assertThat(world.running("j-2")).hasSize(12);
+    assertThat(cluster.runningTasks("j-1")).hasSize(12);
+    assertThat(cluster.runningTasks("j-2")).hasSize(12);
   }
 
   /** Row 7. */
@@ -239,34 +241,34 @@
   @CsvSource({"0.2", "6"})
   void tenLeadersInTwoMinutesAnOutageAmongThem(double backS) {
     large();
-    world.settle(3);
-    told.submit(0, "j-1", "standing", 8);
-    told.submit(0, "j-2", "array", 8);
-    told.submit(0, "j-3", "group", 8);
-    world.pass(12);
-    Map<String, FakeWorker> before = world.running("j-1");
+    cluster.awaitLeader(3);
+    answers.submit(0, "j-1", "standing", 8);
+    answers.submit(0, "j-2", "array", 8);
+    answers.submit(0, "j-3", "group", 8);
+    cluster.advance(12);
+    Map<String, FakeWorker> before = cluster.runningTasks("j-1");
     for (int i = 0; i < 10; i++) {
-      Node leader = world.leader();
+      ControllerNode leader = cluster.leader();
       if (i == 4) {
-        world.state.outage = true;
+        cluster.store.outage = true;
       }
       if (i == 6) {
-        world.state.recover();
+        cluster.store.endOutage();
       }
       if (leader != null) {
         leader.kill();
-        world.time.after(backS, leader::start);
+        cluster.time.after(backS, leader::start);
       }
       for (int s = 0; s < 12; s++) {
         // The user comes again until told.
-        world.askCancel((i + s) % 3, "j-2");
-        world.pass(1);
+        cluster.cancelAsync((i + s) % 3, "j-2");
+        cluster.advance(1);
       }
     }
     allIsWell();
-    assertThat(world.running("j-1")).isEqualTo(before);
-    assertThat(world.running("j-2")).isEmpty();
-    assertThat(world.running("j-3")).hasSize(8);
+    assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
+    assertThat(cluster.runningTasks("j-2")).isEmpty();
+    assertThat(cluster.runningTasks("j-3")).hasSize(8);
   }
 
   /** Row 8. */
@@ -274,35 +276,35 @@
   @CsvSource({"array", "group"})
   void tasksThatEndFarApartAcrossAChange(String shape) {
     large();
-    Node leader = world.settle(3);
-    told.submit(0, "j-1", shape, 3);
-    world.pass(12);
-    Map<String, FakeWorker> on = world.running("j-1");
-    world.commitFate = Fate.LOST;
-    on.get("j-1/0").exit("j-1/0", "done");
-    world.pass(3);
+    ControllerNode leader = cluster.awaitLeader(3);
+    answers.submit(0, "j-1", shape, 3);
+    cluster.advance(12);
+    Map<String, FakeWorker> on = cluster.runningTasks("j-1");
+    cluster.commitDelivery = Delivery.LOST;
+    on.get("j-1/0").exitTask("j-1/0", "done");
+    cluster.advance(3);
     leader.kill();
-    world.commitFate = Fate.ARRIVES;
-    world.pass(15);
+    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.advance(15);
     leader.start();
-    told.ask(0, "j-1");
+    answers.poll(0, "j-1");
     if (shape.equals("array")) {
-      assertThat(world.phase(world.settle(1).index, "j-1")).isEqualTo("running");
+      assertThat(cluster.phase(cluster.awaitLeader(1).index, "j-1")).isEqualTo("running");
     }
-    world.pass(20);
+    cluster.advance(20);
     for (String t : List.of("j-1/1", "j-1/2")) {
-      world
-          .running("j-1")
+      cluster
+          .runningTasks("j-1")
           .forEach(
               (task, w) -> {
                 if (task.equals(t)) {
-                  w.exit(t, "done");
+                  w.exitTask(t, "done");
                 }
               });
-      world.pass(8);
+      cluster.advance(8);
     }
-    told.ask(1, "j-1");
-    assertThat(world.phase(1, "j-1")).isEqualTo("done");
+    answers.poll(1, "j-1");
+    assertThat(cluster.phase(1, "j-1")).isEqualTo("done");
     allIsWell();
   }
 
@@ -310,23 +312,23 @@
   @Test
   void workersThatReachNoControllerWhileCommandsReachThem() {
     large();
-    Node leader = world.settle(3);
-    told.submit(0, "j-1", "standing", 8);
-    told.submit(0, "j-2", "array", 16);
-    world.pass(12);
-    List<FakeWorker> mute = world.running("j-2").values().stream().distinct().toList();
-    mute.forEach(w -> w.mute = true);
-    world.pass(4);
+    ControllerNode leader = cluster.awaitLeader(3);
+    answers.submit(0, "j-1", "standing", 8);
+    answers.submit(0, "j-2", "array", 16);
+    cluster.advance(12);
+    List<FakeWorker> mute = cluster.runningTasks("j-2").values().stream().distinct().toList();
+    mute.forEach(w -> w.outboundPartitioned = true);
+    cluster.advance(4);
     leader.kill();
-    world.pass(6);
+    cluster.advance(6);
     leader.start();
     for (int s = 0; s < 30; s++) {
-      world.askCancel(s % 3, "j-2");
-      world.pass(1);
+      cluster.cancelAsync(s % 3, "j-2");
+      cluster.advance(1);
     }
-    assertThat(world.phase(0, "j-2")).isEqualTo("cancelled");
+    assertThat(cluster.phase(0, "j-2")).isEqualTo("cancelled");
     allIsWell();
-    assertThat(world.running("j-1")).hasSize(8);
+    assertThat(cluster.runningTasks("j-1")).hasSize(8);
   }
 
   /** Row 10. */
@@ -334,22 +336,22 @@
   @CsvSource({"25", "32", "90"})
   void allControllersAreAwayForAboutALeaseAndLonger(int awayS) {
     large();
-    world.settle(3);
-    told.submit(0, "j-1", "standing", 8);
-    told.submit(0, "j-2", "array", 8);
-    world.pass(12);
-    world.askCancel(0, "j-2");
-    world.pass(0.004);
-    world.nodes.forEach(Node::kill);
-    world.directFate = Fate.HELD;
-    world.pass(awayS);
-    world.directFate = Fate.ARRIVES;
-    world.nodes.forEach(Node::start);
-    world.pass(4);
-    world.releaseHeld();
-    world.askCancel(1, "j-2");
+    cluster.awaitLeader(3);
+    answers.submit(0, "j-1", "standing", 8);
+    answers.submit(0, "j-2", "array", 8);
+    cluster.advance(12);
+    cluster.cancelAsync(0, "j-2");
+    cluster.advance(0.004);
+    cluster.nodes.forEach(ControllerNode::kill);
+    cluster.commandDelivery = Delivery.DELAYED;
+    cluster.advance(awayS);
+    cluster.commandDelivery = Delivery.DELIVERED;
+    cluster.nodes.forEach(ControllerNode::start);
+    cluster.advance(4);
+    cluster.deliverDelayed();
+    cluster.cancelAsync(1, "j-2");
     allIsWell();
-    assertThat(world.running("j-1")).hasSize(8);
+    assertThat(cluster.runningTasks("j-1")).hasSize(8);
   }
 
   /** Row 11. Node 2 is in z2. */
@@ -357,25 +359,25 @@
   @CsvSource({"33", "60", "100"})
   void aZoneWithWorkersAndAControllerIsCutOffForLongerThanALease(int cutS) {
     large();
-    world.settle(3);
+    cluster.awaitLeader(3);
     String spread = job("j-1", "standing", 6).replace("\"scatter\":false", "\"scatter\":true");
-    assertThat(world.submit(0, spread).status()).isEqualTo(201);
+    assertThat(cluster.submit(0, spread).status()).isEqualTo(201);
     String there = job("j-2", "array", 6).replace("\"room\":null", "\"room\":\"z2\"");
-    assertThat(world.submit(0, there).status()).isEqualTo(201);
-    told.accepted.addAll(List.of("j-1", "j-2"));
-    world.pass(12);
-    world.cutZone = "z2";
+    assertThat(cluster.submit(0, there).status()).isEqualTo(201);
+    answers.accepted.addAll(List.of("j-1", "j-2"));
+    cluster.advance(12);
+    cluster.partitionedZone = "z2";
     for (int s = 0; s < cutS; s++) {
       // Before anybody can have noticed, and for as long as it lasts.
-      world.askCancel(s % 2, "j-2");
+      cluster.cancelAsync(s % 2, "j-2");
       if (s == 20) {
-        world.nodes.get(s % 2).kill();
+        cluster.nodes.get(s % 2).kill();
       }
-      world.pass(1);
+      cluster.advance(1);
     }
     allIsWell();
-    assertThat(world.running("j-1")).hasSize(6);
-    assertThat(world.running("j-2")).isEmpty();
+    assertThat(cluster.runningTasks("j-1")).hasSize(6);
+    assertThat(cluster.runningTasks("j-2")).isEmpty();
   }
 
   /**
@@ -385,24 +387,24 @@
   @CsvSource({"2", "6", "20", "28"})
   void aCommandOrItsAnswerIsHeldUpAndTheMachineGoesOn(int heldS) {
     large();
-    Node leader = world.settle(3);
-    told.submit(0, "j-1", "array", 8);
-    world.pass(12);
-    List<FakeWorker> all = List.copyOf(world.workers.values());
-    told.submit(0, "j-2", "standing", 4);
-    told.submit(0, "j-3", "array", 4);
+    ControllerNode leader = cluster.awaitLeader(3);
+    answers.submit(0, "j-1", "array", 8);
+    cluster.advance(12);
+    List<FakeWorker> all = List.copyOf(cluster.workers.values());
+    answers.submit(0, "j-2", "standing", 4);
+    answers.submit(0, "j-3", "array", 4);
     all.forEach(w -> w.hung = true);
-    world.pass(1);
-    world.askCancel(leader.index, "j-3");
-    world.askCancel(leader.index, "j-1");
-    world.pass(heldS);
-    all.forEach(FakeWorker::goOn);
-    world.pass(3);
-    world.askCancel(leader.index, "j-3");
-    world.askCancel(leader.index, "j-1");
+    cluster.advance(1);
+    cluster.cancelAsync(leader.index, "j-3");
+    cluster.cancelAsync(leader.index, "j-1");
+    cluster.advance(heldS);
+    all.forEach(FakeWorker::resume);
+    cluster.advance(3);
+    cluster.cancelAsync(leader.index, "j-3");
+    cluster.cancelAsync(leader.index, "j-1");
     allIsWell();
-    assertThat(world.running("j-2")).hasSize(4);
-    assertThat(world.running("j-1")).isEmpty();
+    assertThat(cluster.runningTasks("j-2")).hasSize(4);
+    assertThat(cluster.runningTasks("j-1")).isEmpty();
   }
 
   /** Row 13. */
@@ -419,68 +421,68 @@
   })
   void cancellationsAtTheMomentOfARefusalAndASecondLaterTheOutage(double atS, boolean leaderEnds) {
     large();
-    Node leader = world.settle(3);
+    ControllerNode leader = cluster.awaitLeader(3);
     for (int i = 0; i < 6; i++) {
-      told.submit(0, "j-" + i, List.of("array", "group", "standing").get(i % 3), 4);
+      answers.submit(0, "j-" + i, List.of("array", "group", "standing").get(i % 3), 4);
     }
-    world.pass(12);
-    double refusedAt = world.time.now() + 1;
-    world.time.after(1, () -> leader.noState = true);
-    world.time.after(2, () -> world.state.outage = true);
+    cluster.advance(12);
+    double refusedAt = cluster.time.now() + 1;
+    cluster.time.after(1, () -> leader.storeUnavailable = true);
+    cluster.time.after(2, () -> cluster.store.outage = true);
     for (int i = 0; i < 4; i++) {
       String ref = "j-" + i;
       int node = i % 3;
-      world.time.after(1 + atS, () -> world.askCancel(node, ref));
+      cluster.time.after(1 + atS, () -> cluster.cancelAsync(node, ref));
     }
-    world.time.after(15, () -> leader.noState = false);
+    cluster.time.after(15, () -> leader.storeUnavailable = false);
     if (leaderEnds) {
       // What it has told must not have been known to it alone.
-      world.time.after(8, leader::kill);
-      world.time.after(40, leader::start);
+      cluster.time.after(8, leader::kill);
+      cluster.time.after(40, leader::start);
     }
-    world.pass(1.25 * cancelS());
-    assertThat(world.time.now()).isGreaterThan(refusedAt + cancelS());
-    world.state.recover();
+    cluster.advance(1.25 * cancelS());
+    assertThat(cluster.time.now()).isGreaterThan(refusedAt + cancelS());
+    cluster.store.endOutage();
     for (int s = 0; s < 20; s++) {
-      world.askCancel(s % 3, "j-" + s % 4);
-      world.pass(1);
+      cluster.cancelAsync(s % 3, "j-" + s % 4);
+      cluster.advance(1);
     }
     allIsWell();
-    assertThat(world.running("j-5")).hasSize(4);
+    assertThat(cluster.runningTasks("j-5")).hasSize(4);
   }
 
   /** Row 14. */
   @Test
   void moreWorkThanRoomUrgentAndNotOverSlowLinks() {
     large();
-    Node leader = world.settle(3);
+    ControllerNode leader = cluster.awaitLeader(3);
     for (int i = 0; i < 6; i++) {
-      world.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
+      cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
-    world.pass(6);
-    world.cloud.full = true;
-    told.submit(0, "j-1", "array", 100);
-    world.pass(6);
-    world.stateSlowS = 0.3;
+    cluster.advance(6);
+    cluster.cloud.outOfCapacity = true;
+    answers.submit(0, "j-1", "array", 100);
+    cluster.advance(6);
+    cluster.storeLatencyS = 0.3;
     String urgent = job("j-2", "standing", 12).replace("standard", "production");
-    assertThat(world.submit(0, urgent).status()).isEqualTo(201);
+    assertThat(cluster.submit(0, urgent).status()).isEqualTo(201);
     String gang = job("j-3", "group", 8).replace("standard", "high");
-    assertThat(world.submit(1, gang).status()).isEqualTo(201);
-    world.pass(3);
+    assertThat(cluster.submit(1, gang).status()).isEqualTo(201);
+    cluster.advance(3);
     leader.kill();
-    world.pass(8);
+    cluster.advance(8);
     leader.start();
-    world.pass(15);
+    cluster.advance(15);
     // Nothing has come free by itself.
-    assertThat(world.running("j-2")).hasSize(12);
+    assertThat(cluster.runningTasks("j-2")).hasSize(12);
     for (int s = 0; s < 60; s++) {
-      world.finish("j-1");
-      world.pass(2);
+      cluster.completeTasks("j-1");
+      cluster.advance(2);
     }
-    told.accepted.addAll(List.of("j-2", "j-3"));
+    answers.accepted.addAll(List.of("j-2", "j-3"));
     allIsWell();
-    assertThat(world.running("j-2")).hasSize(12);
-    assertThat(world.running("j-3")).hasSize(8);
+    assertThat(cluster.runningTasks("j-2")).hasSize(12);
+    assertThat(cluster.runningTasks("j-3")).hasSize(8);
   }
 
   /** Row 15. */
@@ -488,39 +490,39 @@
   @CsvSource({"0.3,1", "0.3,2", "0.6,3", "0.6,4"})
   void transactionsAreCarriedOutLateAfterNewerOnesOfTheSameController(double share, int seed) {
     large();
-    world.random = new java.util.SplittableRandom(seed);
-    world.settle(3);
-    world.lateWrites = share;
+    cluster.random = new java.util.SplittableRandom(seed);
+    cluster.awaitLeader(3);
+    cluster.delayedCommitShare = share;
     for (int s = 0; s < 120; s++) {
       if (s % 6 == 0) {
-        told.submit(s % 3, "j-" + s, List.of("array", "group", "standing").get(s / 6 % 3), 3);
+        answers.submit(s % 3, "j-" + s, List.of("array", "group", "standing").get(s / 6 % 3), 3);
       }
       if (s % 7 == 3) {
-        world.askCancel(s % 3, "j-" + (s / 12 * 6));
+        cluster.cancelAsync(s % 3, "j-" + (s / 12 * 6));
       }
       if (s % 5 == 2) {
-        world.finish("j-" + (s / 10 * 6));
+        cluster.completeTasks("j-" + (s / 10 * 6));
       }
       if (s == 50) {
-        Node leader = world.leader();
+        ControllerNode leader = cluster.leader();
         if (leader != null) {
           leader.kill();
-          world.time.after(0.2, leader::start);
+          cluster.time.after(0.2, leader::start);
         }
       }
       if (s == 80) {
-        world.state.outage = true;
+        cluster.store.outage = true;
       }
       if (s == 90) {
-        world.state.recover();
+        cluster.store.endOutage();
       }
-      for (String ref : told.accepted) {
-        told.ask(s % 3, ref);
+      for (String ref : answers.accepted) {
+        answers.poll(s % 3, ref);
       }
-      world.pass(1);
+      cluster.advance(1);
     }
-    world.lateWrites = 0;
-    world.pass(15);
+    cluster.delayedCommitShare = 0;
+    cluster.advance(15);
     allIsWell();
   }
 
@@ -529,38 +531,38 @@
   @CsvSource({"0.2", "0.9", "5"})
   void handOverAndBackAllEndAndOneReturns(double backS) {
     large();
-    Node first = world.settle(3);
-    told.submit(0, "j-1", "standing", 8);
-    told.submit(0, "j-2", "array", 8);
-    world.pass(12);
-    Map<String, FakeWorker> before = world.running("j-1");
-    first.noState = true;
-    world.pass(5);
-    Node second = world.settle(1);
-    first.noState = false;
+    ControllerNode first = cluster.awaitLeader(3);
+    answers.submit(0, "j-1", "standing", 8);
+    answers.submit(0, "j-2", "array", 8);
+    cluster.advance(12);
+    Map<String, FakeWorker> before = cluster.runningTasks("j-1");
+    first.storeUnavailable = true;
+    cluster.advance(5);
+    ControllerNode second = cluster.awaitLeader(1);
+    first.storeUnavailable = false;
     second.kill();
-    world.pass(backS);
+    cluster.advance(backS);
     second.start();
-    world.askCancel(first.index, "j-2");
-    world.nodes.forEach(Node::kill);
-    world.pass(backS);
+    cluster.cancelAsync(first.index, "j-2");
+    cluster.nodes.forEach(ControllerNode::kill);
+    cluster.advance(backS);
     first.start();
-    world.settle(8);
-    assertThat(world.running("j-1")).isEqualTo(before);
+    cluster.awaitLeader(8);
+    assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
     for (int s = 0; s < 10; s++) {
-      world.askCancel(first.index, "j-2");
-      world.pass(1);
+      cluster.cancelAsync(first.index, "j-2");
+      cluster.advance(1);
     }
     allIsWell();
-    assertThat(world.running("j-1")).isEqualTo(before);
-    assertThat(world.running("j-2")).isEmpty();
+    assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
+    assertThat(cluster.runningTasks("j-2")).isEmpty();
   }
 
   private void endFirstTask(String ref) {
     String task = ref + "/0";
-    FakeWorker on = world.running(ref).get(task);
+    FakeWorker on = cluster.runningTasks(ref).get(task);
     if (on != null) {
-      on.exit(task, "done");
+      on.exitTask(task, "done");
     }
   }
 
@@ -568,7 +570,7 @@
   @Test
   void aCancellationAQuestionOrARepeatMeetsTheEndOfAJobsLastTask() {
     large();
-    world.settle(3);
+    cluster.awaitLeader(3);
     int n = 0;
     // A tenth of a second apart around all of it, and a millisecond apart where the stop and the
     // end cross.
@@ -582,28 +584,28 @@
     for (double at : moments) {
       for (String shape : List.of("array", "group")) {
         String ref = "j-" + n++;
-        told.submit(n % 3, ref, shape, 2);
-        world.pass(n == 1 ? 12 : 1.5);
-        assertThat(world.running(ref)).hasSize(2);
+        answers.submit(n % 3, ref, shape, 2);
+        cluster.advance(n == 1 ? 12 : 1.5);
+        assertThat(cluster.runningTasks(ref)).hasSize(2);
         int node = n % 3;
         boolean cancels = n % 4 < 2 || Math.abs(at) < 0.05;
         if (shape.equals("array")) {
-          world.time.after(0.1, () -> endFirstTask(ref));
+          cluster.time.after(0.1, () -> endFirstTask(ref));
         }
-        world.time.after(0.3, () -> world.finish(ref));
-        world.time.after(
+        cluster.time.after(0.3, () -> cluster.completeTasks(ref));
+        cluster.time.after(
             0.3 + at,
             () -> {
               if (cancels) {
-                world.askCancel(node, ref);
+                cluster.cancelAsync(node, ref);
               }
             });
-        world.pass(0.3 + at);
-        told.ask((node + 1) % 3, ref);
-        assertThat(world.submit((node + 2) % 3, job(ref, shape, 2)).status()).isEqualTo(200);
-        world.pass(4);
-        told.ask(node, ref);
-        assertThat(world.phase(node, ref)).isIn("done", "cancelled");
+        cluster.advance(0.3 + at);
+        answers.poll((node + 1) % 3, ref);
+        assertThat(cluster.submit((node + 2) % 3, job(ref, shape, 2)).status()).isEqualTo(200);
+        cluster.advance(4);
+        answers.poll(node, ref);
+        assertThat(cluster.phase(node, ref)).isIn("done", "cancelled");
       }
     }
     allIsWell();
@@ -613,31 +615,31 @@
   @Test
   void oldHeartbeatsArriveAfterNewerOnes() {
     large();
-    Node leader = world.settle(3);
-    told.submit(0, "j-1", "array", 8);
-    told.submit(0, "j-2", "standing", 4);
-    world.pass(12);
-    world.lateHeartbeats = 0.3;
-    FakeWorker w = world.running("j-1").get("j-1/0");
-    List<byte[]> first = List.copyOf(world.heartbeatsOf(w.name));
-    w.exit("j-1/0", "error");
-    world.pass(10);
-    Map<String, FakeWorker> running = world.running("j-1");
-    first.forEach(r -> world.late(leader, r));
-    world.pass(2);
-    assertThat(world.running("j-1")).isEqualTo(running);
-    w.cut = true;
-    world.pass(leaseS() + 3);
-    w.cut = false;
-    world.pass(3);
-    first.forEach(r -> world.nodes.forEach(n -> world.late(n, r)));
+    ControllerNode leader = cluster.awaitLeader(3);
+    answers.submit(0, "j-1", "array", 8);
+    answers.submit(0, "j-2", "standing", 4);
+    cluster.advance(12);
+    cluster.duplicatedHeartbeatShare = 0.3;
+    FakeWorker w = cluster.runningTasks("j-1").get("j-1/0");
+    List<byte[]> first = List.copyOf(cluster.heartbeatsOf(w.name));
+    w.exitTask("j-1/0", "error");
+    cluster.advance(10);
+    Map<String, FakeWorker> running = cluster.runningTasks("j-1");
+    first.forEach(r -> cluster.deliverHeartbeat(leader, r));
+    cluster.advance(2);
+    assertThat(cluster.runningTasks("j-1")).isEqualTo(running);
+    w.partitioned = true;
+    cluster.advance(leaseS() + 3);
+    w.partitioned = false;
+    cluster.advance(3);
+    first.forEach(r -> cluster.nodes.forEach(n -> cluster.deliverHeartbeat(n, r)));
     leader.kill();
-    world.pass(6);
-    first.forEach(r -> world.nodes.forEach(n -> world.late(n, r)));
+    cluster.advance(6);
+    first.forEach(r -> cluster.nodes.forEach(n -> cluster.deliverHeartbeat(n, r)));
     leader.start();
-    world.pass(10);
+    cluster.advance(10);
     allIsWell();
-    assertThat(world.running("j-1")).hasSize(8);
-    assertThat(world.running("j-2")).hasSize(4);
+    assertThat(cluster.runningTasks("j-1")).hasSize(8);
+    assertThat(cluster.runningTasks("j-2")).hasSize(4);
   }
 }
--- a/src/test/java/io/embernotch/faultcombinations/FaultScenario.java
+++ b/src/test/java/io/embernotch/faultcombinations/FaultScenario.java
@@ -6,7 +6,7 @@
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.RecordedAnswers;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Fate;
+import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.List;
 import java.util.SplittableRandom;
 
@@ -21,12 +21,12 @@
   /** Longer than a job may wait beside room for it. */
   private static final double QUIET_S = 100;
 
-  final SimulatedCluster world;
-  final RecordedAnswers told;
+  final SimulatedCluster cluster;
+  final RecordedAnswers answers;
 
-  FaultScenario(SimulatedCluster world) {
-    this.world = world;
-    this.told = new RecordedAnswers(world);
+  FaultScenario(SimulatedCluster cluster) {
+    this.cluster = cluster;
+    this.answers = new RecordedAnswers(cluster);
   }
 
   /** Teams may use a good deal more than most histories need. */
@@ -35,14 +35,14 @@
   }
 
   /** The same with troubles that are drawn by a seed. */
-  static FaultScenario drawn(long seed) {
+  static FaultScenario withRandomFaults(long seed) {
     FaultScenario s = large();
-    s.world.random = new SplittableRandom(seed);
+    s.cluster.random = new SplittableRandom(seed);
     return s;
   }
 
   Settings settings() {
-    return world.nodes.get(0).settings;
+    return cluster.nodes.get(0).settings;
   }
 
   double cancelS() {
@@ -55,84 +55,85 @@
 
   /** Machines on which tasks of a job run. */
   List<FakeWorker> machinesOf(String ref) {
-    return world.running(ref).values().stream().distinct().toList();
+    return cluster.runningTasks(ref).values().stream().distinct().toList();
   }
 
   /** How often tasks of a job were started on the machines that are there. */
-  long starts(String ref) {
-    return world.workers.values().stream()
-        .flatMap(w -> w.started.stream())
+  long startCount(String ref) {
+    return cluster.workers.values().stream()
+        .flatMap(w -> w.startedAttempts.stream())
         .filter(s -> s.startsWith(ref + "/"))
         .count();
   }
 
   /** Asks for a job's state at every node in turn, {@code everyS} apart. */
-  void lookAround(String ref, double forS, double everyS) {
+  void pollAllNodes(String ref, double forS, double everyS) {
     int node = 0;
     for (double at = 0; at < forS; at += everyS) {
-      int asked = node++ % world.nodes.size();
-      world.time.after(at, () -> world.askPoll(asked, ref));
+      int asked = node++ % cluster.nodes.size();
+      cluster.time.after(at, () -> cluster.pollAsync(asked, ref));
     }
   }
 
   /**
    * Asks for a cancellation, at another node each time, until it is confirmed or the time is out.
    */
-  void cancelUntilTold(String ref, int firstNode, double forS) {
+  void cancelUntilConfirmed(String ref, int firstNode, double forS) {
     for (int i = 0; i < forS; i++) {
-      int node = (firstNode + i) % world.nodes.size();
-      world.time.after(i, () -> world.askCancel(node, ref));
+      int node = (firstNode + i) % cluster.nodes.size();
+      cluster.time.after(i, () -> cluster.cancelAsync(node, ref));
     }
   }
 
   /** Ends all troubles. */
-  void mend() {
-    world.directFate = Fate.ARRIVES;
-    world.commitFate = Fate.ARRIVES;
-    world.holdFrames = false;
-    world.lateWrites = 0;
-    world.lateHeartbeats = 0;
-    world.lateCommands = 0;
-    world.lostAnswers = 0;
-    world.lostReads = 0;
-    world.heartbeatsForNext = 0;
-    world.stateSlowS = 0;
-    world.userDelayS = 0;
-    world.cutZone = null;
-    world.cloud.down = false;
-    if (world.state.outage) {
-      world.state.recover();
+  void endAllFaults() {
+    cluster.commandDelivery = Delivery.DELIVERED;
+    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.delayFrames = false;
+    cluster.delayedCommitShare = 0;
+    cluster.duplicatedHeartbeatShare = 0;
+    cluster.delayedCommandShare = 0;
+    cluster.lostCommitResponseShare = 0;
+    cluster.lostReadShare = 0;
+    cluster.replayedHeartbeatShare = 0;
+    cluster.storeLatencyS = 0;
+    cluster.maxUserDelayS = 0;
+    cluster.partitionedZone = null;
+    cluster.cloud.down = false;
+    if (cluster.store.outage) {
+      cluster.store.endOutage();
     }
-    world.nodes.forEach(
+    cluster.nodes.forEach(
         n -> {
-          n.noState = n.noPeers = n.noWorkers = n.silentState = false;
+          n.storeUnavailable =
+              n.peersUnreachable = n.workersUnreachable = n.storeUnresponsive = false;
           if (n.down) {
             n.start();
           }
         });
-    world
+    cluster
         .workers
         .values()
         .forEach(
             w -> {
-              w.cut = w.deaf = w.mute = false;
-              w.goOn();
+              w.partitioned = w.inboundPartitioned = w.outboundPartitioned = false;
+              w.resume();
             });
-    world.releaseHeld();
+    cluster.deliverDelayed();
   }
 
   /**
    * Troubles are over: all that was accepted is answered for, nothing waits beside room, and no
    * rule was broken.
    */
-  void allIsWell() {
-    mend();
-    world.pass(RECOVERY_S);
-    world.rules.quiet = true;
-    world.pass(QUIET_S);
-    told.atTheEnd();
-    assertThat(told.wrong).isEmpty();
-    assertThat(world.broken()).isEmpty();
-    assertThat(world.rules.startsAfterCancel).isEmpty();
+  void verifyRecovery() {
+    endAllFaults();
+    cluster.advance(RECOVERY_S);
+    cluster.invariants.faultsOver = true;
+    cluster.advance(QUIET_S);
+    answers.verifyFinalState();
+    assertThat(answers.violations).isEmpty();
+    assertThat(cluster.violations()).isEmpty();
+    assertThat(cluster.invariants.startsAfterCancellation).isEmpty();
   }
 }
--- a/src/test/java/io/embernotch/faultcombinations/InvariantCheckerTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/InvariantCheckerTest.java
@@ -19,7 +19,7 @@
 /** Each check of {@link InvariantChecker} reports a history in which the fault was planted. */
 class InvariantCheckerTest {
   private final InvariantChecker rules =
-      new InvariantChecker(SettingsReader.parse(SimulatedCluster.toml(0)));
+      new InvariantChecker(SettingsReader.parse(SimulatedCluster.settingsToml(0)));
   private final List<FakeWorker> machines = new ArrayList<>();
 
   private FakeWorker machine(String zone, boolean spot) {
@@ -41,22 +41,22 @@
   }
 
   private void start(FakeWorker w, String task, double now) {
-    w.direct(
+    w.executeCommands(
         ("{\"baton\":1,\"tenure\":1,\"orders\":[{\"verb\":\"run\",\"shard\":\""
                 + task
                 + "\",\"try\":"
                 + (int) (now + 1)
                 + "}]}")
             .getBytes(StandardCharsets.UTF_8));
-    rules.started(w, task, null, machines, now);
+    rules.taskStarted(w, task, null, machines, now);
   }
 
   private void told(String ref, JobPhase phase, double now) {
-    rules.heard(ref, HttpResponse.of(200, JobCodec.status(ref, phase, 0, 0)), now, now);
+    rules.statusReceived(ref, HttpResponse.of(200, JobCodec.status(ref, phase, 0, 0)), now, now);
   }
 
   private void heartbeats(String what) {
-    assertThat(rules.broken()).hasSize(1).first().asString().contains(what);
+    assertThat(rules.violations()).hasSize(1).first().asString().contains(what);
   }
 
   @Test
@@ -65,13 +65,13 @@
     FakeWorker w = machine("z1", true);
     start(w, "j-1/0", 1);
     start(w, "j-1/1", 1);
-    rules.quiet = true;
-    rules.look(machines, 200);
-    rules.exited("j-1/0", "done");
-    rules.exited("j-1/1", "done");
+    rules.faultsOver = true;
+    rules.checkMachines(machines, 200);
+    rules.taskExited("j-1/0", "done");
+    rules.taskExited("j-1/1", "done");
     told("j-1", JobPhase.DONE, 201);
-    rules.look(machines, 400);
-    assertThat(rules.broken()).isEmpty();
+    rules.checkMachines(machines, 400);
+    assertThat(rules.violations()).isEmpty();
   }
 
   @Test
@@ -107,7 +107,7 @@
     start(w, "j-4/2", 1);
     accept(job("j-5", "array", 1).replace("\"flavors\":null", "\"flavors\":[\"g4\"]"));
     start(w, "j-5/0", 1);
-    assertThat(rules.broken()).hasSize(5).allMatch(b -> b.contains("wrong place"));
+    assertThat(rules.violations()).hasSize(5).allMatch(b -> b.contains("wrong place"));
   }
 
   @Test
@@ -115,22 +115,22 @@
     accept(job("j-1", "array", 2));
     FakeWorker w = machine("z1", true);
     start(w, "j-1/0", 1);
-    rules.cancelAsked("j-1", 2);
+    rules.cancelRequested("j-1", 2);
     told("j-1", JobPhase.CANCELLED, 4);
     start(w, "j-1/1", 10);
-    assertThat(rules.startsAfterCancel).hasSize(1);
-    assertThat(rules.cancelWaits).containsExactly(2.0);
+    assertThat(rules.startsAfterCancellation).hasSize(1);
+    assertThat(rules.cancellationDelays).containsExactly(2.0);
     w.hung = true;
-    rules.look(machines, 53.9);
-    assertThat(rules.broken()).isEmpty();
-    rules.look(machines, 54.1);
-    assertThat(rules.broken()).hasSize(2).allMatch(b -> b.contains("later than cancel_s"));
+    rules.checkMachines(machines, 53.9);
+    assertThat(rules.violations()).isEmpty();
+    rules.checkMachines(machines, 54.1);
+    assertThat(rules.violations()).hasSize(2).allMatch(b -> b.contains("later than cancel_s"));
   }
 
   @Test
   void startsLongAfterAConfirmation() {
     accept(job("j-1", "array", 2));
-    rules.cancelAsked("j-1", 2);
+    rules.cancelRequested("j-1", 2);
     told("j-1", JobPhase.CANCELLED, 4);
     start(machine("z1", true), "j-1/0", 60);
     heartbeats("starts later than cancel_s");
@@ -147,21 +147,21 @@
         1);
     rules.polled(
         "j-2", HttpResponse.of(200, JobCodec.status("j-2", JobPhase.QUEUED, 0, 0)), 1, 1, false);
-    rules.cancelAsked("j-1", 1);
+    rules.cancelRequested("j-1", 1);
     told("j-1", JobPhase.CANCELLED, 2);
     told("j-1", JobPhase.RUNNING, 3);
-    assertThat(rules.broken()).hasSize(4);
+    assertThat(rules.violations()).hasSize(4);
   }
 
   @Test
   void doneTooEarlyAndCancelledByItself() {
     accept(job("j-1", "array", 2));
-    rules.exited("j-1/0", "done");
+    rules.taskExited("j-1/0", "done");
     told("j-1", JobPhase.DONE, 2);
     heartbeats("before all of its tasks");
     accept(job("j-2", "array", 2));
     told("j-2", JobPhase.CANCELLED, 2);
-    assertThat(rules.broken()).hasSize(2);
+    assertThat(rules.violations()).hasSize(2);
   }
 
   private void asked(String ref, HttpResponse answer, double askedAt, double now) {
@@ -178,17 +178,17 @@
     accept(job("j-1", "array", 4));
     asked("j-1", running("j-1", 2), 5.0, 5.1);
     asked("j-1", running("j-1", 1), 5.05, 5.2);
-    rules.cancelAsked("j-1", 5.2);
+    rules.cancelRequested("j-1", 5.2);
     told("j-1", JobPhase.CANCELLED, 6);
     asked("j-1", running("j-1", 2), 5.9, 6.5);
-    assertThat(rules.broken()).isEmpty();
+    assertThat(rules.violations()).isEmpty();
   }
 
   @Test
   void aDenialOfWhatWasAcceptedBeforeItWasAsked() {
     asked("j-1", HttpResponse.error(404, "x"), 0.5, 0.9);
     accept(job("j-1", "array", 1));
-    assertThat(rules.broken()).isEmpty();
+    assertThat(rules.violations()).isEmpty();
     asked("j-1", HttpResponse.error(404, "x"), 0.01, 0.02);
     heartbeats("UNKNOWN");
   }
@@ -204,7 +204,7 @@
   @Test
   void anEndThatIsTakenBackByALaterQuestion() {
     accept(job("j-1", "array", 1));
-    rules.cancelAsked("j-1", 1);
+    rules.cancelRequested("j-1", 1);
     told("j-1", JobPhase.CANCELLED, 2);
     asked("j-1", running("j-1", 0), 2.001, 2.01);
     heartbeats("ENDED");
@@ -218,7 +218,7 @@
     asked("j-1", running("j-1", 0), 2, 2.1);
     HttpResponse queued = HttpResponse.of(200, JobCodec.status("j-1", JobPhase.QUEUED, 0, 0));
     asked("j-1", queued, 2.05, 2.2);
-    assertThat(rules.broken()).isEmpty();
+    assertThat(rules.violations()).isEmpty();
     asked("j-1", queued, 2.3, 2.4);
     heartbeats("runs on, and is told to be queued");
   }
@@ -245,11 +245,11 @@
   void aJobThatWaitsBesideRoomForIt() {
     machine("z1", true);
     accept(job("j-1", "group", 4));
-    rules.quiet = true;
-    rules.look(machines, 0);
-    rules.look(machines, 90);
-    assertThat(rules.broken()).isEmpty();
-    rules.look(machines, 91);
+    rules.faultsOver = true;
+    rules.checkMachines(machines, 0);
+    rules.checkMachines(machines, 90);
+    assertThat(rules.violations()).isEmpty();
+    rules.checkMachines(machines, 91);
     heartbeats("beside room");
   }
 
@@ -258,9 +258,9 @@
     machine("z1", true);
     accept(job("j-1", "group", 9));
     accept(job("j-2", "group", 6).replace("\"scatter\":false", "\"scatter\":true"));
-    rules.quiet = true;
-    rules.look(machines, 0);
-    rules.look(machines, 100);
-    assertThat(rules.broken()).isEmpty();
+    rules.faultsOver = true;
+    rules.checkMachines(machines, 0);
+    rules.checkMachines(machines, 100);
+    assertThat(rules.violations()).isEmpty();
   }
 }
--- a/src/test/java/io/embernotch/faultcombinations/LostResponseTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/LostResponseTest.java
@@ -4,8 +4,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Fate;
-import io.embernotch.testkit.SimulatedCluster.Node;
+import io.embernotch.testkit.SimulatedCluster.ControllerNode;
+import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -18,7 +18,7 @@
  */
 class LostResponseTest {
   private final FaultScenario scenario = FaultScenario.large();
-  private final SimulatedCluster world = scenario.world;
+  private final SimulatedCluster cluster = scenario.cluster;
 
   /**
    * Every transaction of one kind, with the answers to the reads that follow lost as well or not,
@@ -41,40 +41,40 @@
   void onlyTheAnswerIsLost(String kind, double readsLost, boolean leaderEnds) {
     if (kind.equals("era")) {
       // The first claim begins the incarnation.
-      world.commitsWith = kind;
-      world.commitFate = Fate.ANSWER_LOST;
-      world.pass(4);
-      world.commitFate = Fate.ARRIVES;
+      cluster.commitDeliveryFilter = kind;
+      cluster.commitDelivery = Delivery.RESPONSE_LOST;
+      cluster.advance(4);
+      cluster.commitDelivery = Delivery.DELIVERED;
     }
-    Node leader = world.settle(12);
-    scenario.told.submit(0, "j-1", "array", 3);
-    scenario.told.submit(1, "j-2", "standing", 3);
-    scenario.told.submit(2, "j-3", "group", 3);
-    world.pass(12);
-    world.commitsWith = kind;
-    world.commitFate = Fate.ANSWER_LOST;
-    world.lostReads = readsLost;
-    world.askSubmit(0, job("j-4", "array", 3));
-    world.askSubmit(1, job("j-4", "array", 3));
-    world.askSubmit(
+    ControllerNode leader = cluster.awaitLeader(12);
+    scenario.answers.submit(0, "j-1", "array", 3);
+    scenario.answers.submit(1, "j-2", "standing", 3);
+    scenario.answers.submit(2, "j-3", "group", 3);
+    cluster.advance(12);
+    cluster.commitDeliveryFilter = kind;
+    cluster.commitDelivery = Delivery.RESPONSE_LOST;
+    cluster.lostReadShare = readsLost;
+    cluster.submitAsync(0, job("j-4", "array", 3));
+    cluster.submitAsync(1, job("j-4", "array", 3));
+    cluster.submitAsync(
         2, job("j-5", "standing", 3).replace("\"rank\":\"standard\"", "\"rank\":\"production\""));
-    scenario.cancelUntilTold("j-2", 1, 6);
-    world.time.after(0.5, () -> world.finish("j-1"));
+    scenario.cancelUntilConfirmed("j-2", 1, 6);
+    cluster.time.after(0.5, () -> cluster.completeTasks("j-1"));
     for (String ref : List.of("j-1", "j-2", "j-3", "j-4", "j-5")) {
-      scenario.lookAround(ref, 7, 0.05);
+      scenario.pollAllNodes(ref, 7, 0.05);
     }
     if (leaderEnds) {
-      world.time.after(2, leader::kill);
-      world.time.after(4, leader::start);
+      cluster.time.after(2, leader::kill);
+      cluster.time.after(4, leader::start);
     }
-    world.pass(8);
-    world.commitFate = Fate.ARRIVES;
-    world.lostReads = 0;
-    world.pass(8);
-    scenario.told.submit(0, "j-4", "array", 3);
-    scenario.told.submit(1, "j-5", "standing", 3);
-    scenario.cancelUntilTold("j-2", 0, 3);
-    world.pass(20);
+    cluster.advance(8);
+    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.lostReadShare = 0;
+    cluster.advance(8);
+    scenario.answers.submit(0, "j-4", "array", 3);
+    scenario.answers.submit(1, "j-5", "standing", 3);
+    scenario.cancelUntilConfirmed("j-2", 0, 3);
+    cluster.advance(20);
     Map<String, String> ends =
         Map.of(
             "j-1",
@@ -88,29 +88,29 @@
             "j-5",
             "running");
     ends.forEach(
-        (ref, end) -> assertThat(world.phase(ref.charAt(2) % 3, ref)).as(ref).isEqualTo(end));
-    scenario.allIsWell();
+        (ref, end) -> assertThat(cluster.phase(ref.charAt(2) % 3, ref)).as(ref).isEqualTo(end));
+    scenario.verifyRecovery();
   }
 
   /** The leader does not know that its start is in the store; whoever follows it does. */
   @Test
   void aStartWhoseCommitIsNotKnownLeavesNoController() {
-    Node leader = world.settle(3);
-    world.boot("g8", "z1", true);
-    world.pass(10);
-    world.commitFate = Fate.ANSWER_LOST;
-    world.lostReads = 1;
-    scenario.told.submit(leader.index, "j-1", "array", 4);
-    world.pass(2);
-    assertThat(world.state.value("run/j-1")).isNotNull();
-    assertThat(world.running("j-1")).isEmpty();
+    ControllerNode leader = cluster.awaitLeader(3);
+    cluster.boot("g8", "z1", true);
+    cluster.advance(10);
+    cluster.commitDelivery = Delivery.RESPONSE_LOST;
+    cluster.lostReadShare = 1;
+    scenario.answers.submit(leader.index, "j-1", "array", 4);
+    cluster.advance(2);
+    assertThat(cluster.store.value("run/j-1")).isNotNull();
+    assertThat(cluster.runningTasks("j-1")).isEmpty();
     leader.kill();
-    world.commitFate = Fate.ARRIVES;
-    world.lostReads = 0;
-    world.pass(15);
-    assertThat(world.running("j-1")).hasSize(4);
+    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.lostReadShare = 0;
+    cluster.advance(15);
+    assertThat(cluster.runningTasks("j-1")).hasSize(4);
     leader.start();
-    scenario.allIsWell();
+    scenario.verifyRecovery();
   }
 
   /**
@@ -120,20 +120,20 @@
   @ParameterizedTest
   @CsvSource({"1", "4"})
   void aClaimThatIsNotKnownToBeMade(int forS) {
-    Node leader = world.settle(3);
-    scenario.told.submit(0, "j-1", "standing", 6);
-    world.pass(12);
-    Map<String, ?> before = world.running("j-1");
-    world.commitsWith = "steward";
-    world.commitFate = Fate.ANSWER_LOST;
-    world.lostReads = 1;
+    ControllerNode leader = cluster.awaitLeader(3);
+    scenario.answers.submit(0, "j-1", "standing", 6);
+    cluster.advance(12);
+    Map<String, ?> before = cluster.runningTasks("j-1");
+    cluster.commitDeliveryFilter = "steward";
+    cluster.commitDelivery = Delivery.RESPONSE_LOST;
+    cluster.lostReadShare = 1;
     leader.kill();
-    world.pass(3 + forS);
-    world.commitFate = Fate.ARRIVES;
-    world.lostReads = 0;
-    world.settle(12);
+    cluster.advance(3 + forS);
+    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.lostReadShare = 0;
+    cluster.awaitLeader(12);
     leader.start();
-    scenario.allIsWell();
-    assertThat(world.running("j-1")).isEqualTo(before);
+    scenario.verifyRecovery();
+    assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
   }
 }
--- a/src/test/java/io/embernotch/faultcombinations/ReadConsistencyTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/ReadConsistencyTest.java
@@ -7,8 +7,8 @@
 import io.embernotch.codec.Json;
 import io.embernotch.http.HttpResponse;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Fate;
-import io.embernotch.testkit.SimulatedCluster.Node;
+import io.embernotch.testkit.SimulatedCluster.ControllerNode;
+import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -24,34 +24,35 @@
   private static final double MOST_APART_S = 0.02;
 
   private final FaultScenario scenario = FaultScenario.large();
-  private final SimulatedCluster world = scenario.world;
+  private final SimulatedCluster cluster = scenario.cluster;
 
   private void look(String ref) {
-    for (double at = 0; at < LOOKS_S; at += world.random.nextDouble(MOST_APART_S)) {
-      int node = world.random.nextInt(3);
-      world.time.after(at, () -> world.askPoll(node, ref));
+    for (double at = 0; at < LOOKS_S; at += cluster.random.nextDouble(MOST_APART_S)) {
+      int node = cluster.random.nextInt(3);
+      cluster.time.after(at, () -> cluster.pollAsync(node, ref));
     }
   }
 
   private void later(double mostS, Runnable what) {
-    world.time.after(world.random.nextDouble(mostS), what);
+    cluster.time.after(cluster.random.nextDouble(mostS), what);
   }
 
-  private void trouble(String kind, Node leader) {
+  private void trouble(String kind, ControllerNode leader) {
     switch (kind) {
       case "leader ends" ->
           later(
               LOOKS_S,
               () -> {
                 leader.kill();
-                world.time.after(3, leader::start);
+                cluster.time.after(3, leader::start);
               });
-      case "leader refused" -> later(LOOKS_S, () -> leader.noState = true);
-      case "leader alone" -> later(LOOKS_S, () -> leader.noState = leader.noPeers = true);
-      case "follower alone" -> world.other(leader).noPeers = true;
-      case "slow store" -> world.stateSlowS = 0.2;
-      case "answers lost" -> world.lostAnswers = 0.3;
-      case "late writes" -> world.lateWrites = 0.3;
+      case "leader refused" -> later(LOOKS_S, () -> leader.storeUnavailable = true);
+      case "leader alone" ->
+          later(LOOKS_S, () -> leader.storeUnavailable = leader.peersUnreachable = true);
+      case "follower alone" -> cluster.otherNode(leader).peersUnreachable = true;
+      case "slow store" -> cluster.storeLatencyS = 0.2;
+      case "answers lost" -> cluster.lostCommitResponseShare = 0.3;
+      case "late writes" -> cluster.delayedCommitShare = 0.3;
       default -> {}
     }
   }
@@ -68,39 +69,40 @@
     "late writes"
   })
   void noNodeAnswersOlderThanWhatWasTold(String kind) {
-    world.settle(3);
-    world.userDelayS = 0.05;
+    cluster.awaitLeader(3);
+    cluster.maxUserDelayS = 0.05;
     for (int i = 0; i < 10; i++) {
-      Node leader = world.settle(8);
+      ControllerNode leader = cluster.awaitLeader(8);
       trouble(kind, leader);
       String ref = "j-" + i;
       String json = job(ref, List.of("array", "group", "standing").get(i % 3), 1 + i % 3);
-      scenario.told.accepted.add(ref);
+      scenario.answers.accepted.add(ref);
       for (int repeat = 0; repeat < 4; repeat++) {
         int node = (i + repeat) % 3;
-        world.time.after(0.02 * repeat, () -> world.askSubmit(node, json));
+        cluster.time.after(0.02 * repeat, () -> cluster.submitAsync(node, json));
       }
       look(ref);
       if (i % 4 == 1) {
-        scenario.cancelUntilTold(ref, i % 3, 6);
+        scenario.cancelUntilConfirmed(ref, i % 3, 6);
       }
-      world.pass(LOOKS_S + 4);
-      world.time.after(0.5, () -> world.finish(ref));
+      cluster.advance(LOOKS_S + 4);
+      cluster.time.after(0.5, () -> cluster.completeTasks(ref));
       if (i % 4 == 2) {
-        world.time.after(
-            0.4 + world.random.nextDouble(0.3), () -> scenario.cancelUntilTold(ref, i(ref), 4));
+        cluster.time.after(
+            0.4 + cluster.random.nextDouble(0.3),
+            () -> scenario.cancelUntilConfirmed(ref, i(ref), 4));
       }
       look(ref);
-      world.time.after(1, () -> look(ref));
-      world.pass(LOOKS_S + 3);
-      world.nodes.forEach(n -> n.noState = n.noPeers = false);
+      cluster.time.after(1, () -> look(ref));
+      cluster.advance(LOOKS_S + 3);
+      cluster.nodes.forEach(n -> n.storeUnavailable = n.peersUnreachable = false);
     }
-    scenario.mend();
-    world.pass(5);
+    scenario.endAllFaults();
+    cluster.advance(5);
     // A submission whose every answer was lost is repeated by its user until one comes.
     for (int i = 0; i < 10; i++) {
       assertThat(
-              world
+              cluster
                       .submit(
                           i % 3,
                           job(
@@ -111,7 +113,7 @@
                   / 100)
           .isEqualTo(2);
     }
-    scenario.allIsWell();
+    scenario.verifyRecovery();
   }
 
   private static int i(String ref) {
@@ -121,27 +123,27 @@
   /** Another node reads the end in the store while the leader's own commit of it is unanswered. */
   @Test
   void anEndThatAnotherNodeHasReadIsNotDeniedByItsLeader() {
-    Node leader = world.settle(3);
-    Node alone = world.other(leader);
-    scenario.told.submit(leader.index, "j-1", "array", 2);
-    world.pass(12);
-    alone.noPeers = true;
-    world.pass(4);
-    world.commitFate = Fate.ANSWER_LOST;
-    world.finish("j-1");
+    ControllerNode leader = cluster.awaitLeader(3);
+    ControllerNode alone = cluster.otherNode(leader);
+    scenario.answers.submit(leader.index, "j-1", "array", 2);
+    cluster.advance(12);
+    alone.peersUnreachable = true;
+    cluster.advance(4);
+    cluster.commitDelivery = Delivery.RESPONSE_LOST;
+    cluster.completeTasks("j-1");
     String elsewhere = "";
     for (int i = 0; i < 40 && !elsewhere.equals("done"); i++) {
-      elsewhere = world.phase(alone.index, "j-1");
-      assertThat(world.phase(leader.index, "j-1")).isIn("running", "done", "status 503");
-      world.pass(0.25);
+      elsewhere = cluster.phase(alone.index, "j-1");
+      assertThat(cluster.phase(leader.index, "j-1")).isIn("running", "done", "status 503");
+      cluster.advance(0.25);
     }
     assertThat(elsewhere).isEqualTo("done");
     for (int i = 0; i < 8; i++) {
-      assertThat(world.phase(leader.index, "j-1")).isIn("done", "status 503");
-      world.pass(0.25);
+      assertThat(cluster.phase(leader.index, "j-1")).isIn("done", "status 503");
+      cluster.advance(0.25);
     }
-    world.commitFate = Fate.ARRIVES;
-    scenario.allIsWell();
+    cluster.commitDelivery = Delivery.DELIVERED;
+    scenario.verifyRecovery();
   }
 
   /**
@@ -150,70 +152,70 @@
    */
   @Test
   void aCountOfDoneTasksThatWasToldIsNotTakenBack() {
-    Node leader = world.settle(3);
-    scenario.told.submit(leader.index, "j-1", "array", 4);
-    world.pass(12);
-    world.running("j-1").get("j-1/0").exit("j-1/0", "done");
+    ControllerNode leader = cluster.awaitLeader(3);
+    scenario.answers.submit(leader.index, "j-1", "array", 4);
+    cluster.advance(12);
+    cluster.runningTasks("j-1").get("j-1/0").exitTask("j-1/0", "done");
     for (int i = 0; i < 12; i++) {
-      world.poll(leader.index, "j-1");
-      world.pass(0.25);
+      cluster.poll(leader.index, "j-1");
+      cluster.advance(0.25);
     }
     leader.kill();
     // Their heartbeats alone would tell the next leader.
-    world.workers.values().forEach(w -> w.mute = true);
+    cluster.workers.values().forEach(w -> w.outboundPartitioned = true);
     for (int i = 0; i < 40; i++) {
-      world.poll(world.other(leader).index, "j-1");
-      world.pass(0.25);
+      cluster.poll(cluster.otherNode(leader).index, "j-1");
+      cluster.advance(0.25);
     }
-    scenario.allIsWell();
+    scenario.verifyRecovery();
   }
 
   /** Another node reads more done marks in the store than the leader knows to be there. */
   @Test
   void aCountThatAnotherNodeHasReadIsNotDeniedByItsLeader() {
-    Node leader = world.settle(3);
-    Node alone = world.other(leader);
-    scenario.told.submit(leader.index, "j-1", "array", 4);
-    world.pass(12);
-    alone.noPeers = true;
-    world.pass(4);
-    world.commitFate = Fate.ANSWER_LOST;
-    world.running("j-1").get("j-1/0").exit("j-1/0", "done");
+    ControllerNode leader = cluster.awaitLeader(3);
+    ControllerNode alone = cluster.otherNode(leader);
+    scenario.answers.submit(leader.index, "j-1", "array", 4);
+    cluster.advance(12);
+    alone.peersUnreachable = true;
+    cluster.advance(4);
+    cluster.commitDelivery = Delivery.RESPONSE_LOST;
+    cluster.runningTasks("j-1").get("j-1/0").exitTask("j-1/0", "done");
     int counted = 0;
     for (int i = 0; i < 60; i++) {
-      HttpResponse elsewhere = world.poll(alone.index, "j-1");
+      HttpResponse elsewhere = cluster.poll(alone.index, "j-1");
       counted =
           Math.max(
               counted,
               elsewhere.status() == 200
                   ? Json.parseObject(elsewhere.body()).path("done").asInt()
                   : 0);
-      world.poll(leader.index, "j-1");
-      world.pass(0.25);
+      cluster.poll(leader.index, "j-1");
+      cluster.advance(0.25);
     }
     assertThat(counted).isEqualTo(1);
-    world.commitFate = Fate.ARRIVES;
-    scenario.allIsWell();
+    cluster.commitDelivery = Delivery.DELIVERED;
+    scenario.verifyRecovery();
   }
 
   /** A new leader that has not heard the machines yet. */
   @Test
   void aJobThatRunsIsNotToldToBeQueuedByTheNextLeader() {
-    world.settle(3);
-    scenario.told.submit(0, "j-1", "standing", 4);
-    world.pass(12);
-    assertThat(world.phase(0, "j-1")).isEqualTo("running");
-    world.workers.values().forEach(w -> w.mute = true);
-    world.cloud.down = true;
-    world.nodes.forEach(Node::kill);
-    world.pass(1);
-    world.nodes.forEach(Node::start);
+    cluster.awaitLeader(3);
+    scenario.answers.submit(0, "j-1", "standing", 4);
+    cluster.advance(12);
+    assertThat(cluster.phase(0, "j-1")).isEqualTo("running");
+    cluster.workers.values().forEach(w -> w.outboundPartitioned = true);
+    cluster.cloud.down = true;
+    cluster.nodes.forEach(ControllerNode::kill);
+    cluster.advance(1);
+    cluster.nodes.forEach(ControllerNode::start);
     for (int i = 0; i < 20; i++) {
-      world.poll(i % 3, "j-1");
-      world.pass(0.5);
+      cluster.poll(i % 3, "j-1");
+      cluster.advance(0.5);
     }
-    scenario.allIsWell();
-    assertThat(world.running("j-1")).hasSize(4);
+    scenario.verifyRecovery();
+    assertThat(cluster.runningTasks("j-1")).hasSize(4);
   }
 
   /**
@@ -222,49 +224,49 @@
    */
   @Test
   void aQuestionThatOvertakesItsSubmissionIsNoSignOfALoss() {
-    Node leader = world.settle(3);
-    Node alone = world.other(leader);
-    alone.noPeers = true;
-    world.pass(4);
+    ControllerNode leader = cluster.awaitLeader(3);
+    ControllerNode alone = cluster.otherNode(leader);
+    alone.peersUnreachable = true;
+    cluster.advance(4);
     for (int i = 0; i < 5; i++) {
-      world.askPoll(alone.index, "j-" + i);
-      world.askSubmit(alone.index, job("j-" + i, "array", 1));
-      scenario.told.accepted.add("j-" + i);
-      world.pass(1);
-      ObjectNode overview = Json.parseObject(world.await(alone.controller.overview()).body());
+      cluster.pollAsync(alone.index, "j-" + i);
+      cluster.submitAsync(alone.index, job("j-" + i, "array", 1));
+      scenario.answers.accepted.add("j-" + i);
+      cluster.advance(1);
+      ObjectNode overview = Json.parseObject(cluster.await(alone.controller.overview()).body());
       assertThat(overview.get("losses").asInt()).isZero();
     }
-    scenario.allIsWell();
+    scenario.verifyRecovery();
   }
 
   /**
    * The first submission is under way at a node that then ends; it is repeated there and elsewhere.
    */
   @ParameterizedTest
-  @CsvSource({"ANSWER_LOST", "HELD", "LOST"})
-  void aRepeatMeetsTheFirstSubmissionUnderWay(Fate fate) {
-    Node leader = world.settle(3);
-    Node first = world.other(leader);
+  @CsvSource({"RESPONSE_LOST", "DELAYED", "LOST"})
+  void aRepeatMeetsTheFirstSubmissionUnderWay(Delivery fate) {
+    ControllerNode leader = cluster.awaitLeader(3);
+    ControllerNode first = cluster.otherNode(leader);
     String json = job("j-1", "array", 2);
-    world.commitsWith = "job/";
-    world.commitFate = fate;
-    world.askSubmit(first.index, json);
-    world.pass(0.1);
-    world.askSubmit(first.index, json);
-    scenario.lookAround("j-1", LOOKS_S, 0.01);
-    world.pass(0.1);
-    world.commitFate = Fate.ARRIVES;
-    world.time.after(0.02, first::kill);
-    world.askSubmit(leader.index, json);
-    world.askSubmit(3 - first.index - leader.index, json);
-    world.pass(1);
-    world.releaseHeld();
-    world.pass(3);
+    cluster.commitDeliveryFilter = "job/";
+    cluster.commitDelivery = fate;
+    cluster.submitAsync(first.index, json);
+    cluster.advance(0.1);
+    cluster.submitAsync(first.index, json);
+    scenario.pollAllNodes("j-1", LOOKS_S, 0.01);
+    cluster.advance(0.1);
+    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.time.after(0.02, first::kill);
+    cluster.submitAsync(leader.index, json);
+    cluster.submitAsync(3 - first.index - leader.index, json);
+    cluster.advance(1);
+    cluster.deliverDelayed();
+    cluster.advance(3);
     first.start();
-    world.pass(3);
-    scenario.lookAround("j-1", LOOKS_S, 0.01);
-    scenario.told.submit(first.index, "j-1", "array", 2);
-    assertThat(world.running("j-1")).hasSize(2);
-    scenario.allIsWell();
+    cluster.advance(3);
+    scenario.pollAllNodes("j-1", LOOKS_S, 0.01);
+    scenario.answers.submit(first.index, "j-1", "array", 2);
+    assertThat(cluster.runningTasks("j-1")).hasSize(2);
+    scenario.verifyRecovery();
   }
 }
--- a/src/test/java/io/embernotch/faultcombinations/SmallJobsTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/SmallJobsTest.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.Json;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Node;
+import io.embernotch.testkit.SimulatedCluster.ControllerNode;
 import java.util.ArrayDeque;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -25,60 +25,64 @@
   @ParameterizedTest
   @CsvSource({"false", "true"})
   void oneTaskJobsForMinutes(boolean troubles) {
-    SimulatedCluster world = SimulatedCluster.withStateLimits(100, WRITES_PER_S);
-    world.state.changesPerS = WRITES_PER_S;
-    FaultScenario scenario = new FaultScenario(world);
-    world.settle(3);
+    SimulatedCluster cluster = SimulatedCluster.withStoreLimits(100, WRITES_PER_S);
+    cluster.store.maxChangesPerS = WRITES_PER_S;
+    FaultScenario scenario = new FaultScenario(cluster);
+    cluster.awaitLeader(3);
     ArrayDeque<String> under = new ArrayDeque<>();
     int mostKnown = 0;
     for (int i = 0; i < JOBS; i++) {
       String ref = "j-" + i;
-      world.askSubmit(
+      cluster.submitAsync(
           i % 3, job(ref, "array", 1).replace("\"rank\":\"standard\"", "\"rank\":\"high\""));
       under.add(ref);
       if (i % 4 == 3) {
-        scenario.cancelUntilTold(ref, i % 3, 3);
+        scenario.cancelUntilConfirmed(ref, i % 3, 3);
       }
       if (under.size() > RUNS_FOR) {
-        world.finish(under.poll());
+        cluster.completeTasks(under.poll());
       }
       if (troubles && (i == JOBS / 4 || i == JOBS * 3 / 4)) {
-        Node leader = world.settle(4);
+        ControllerNode leader = cluster.awaitLeader(4);
         leader.kill();
-        world.time.after(8, leader::start);
+        cluster.time.after(8, leader::start);
       }
       if (troubles && i == JOBS / 2) {
-        world.state.outage = true;
-        world.time.after(20, world.state::recover);
+        cluster.store.outage = true;
+        cluster.time.after(20, cluster.store::endOutage);
       }
-      world.pass(EVERY_S);
+      cluster.advance(EVERY_S);
       if (i % 40 == 39 && !troubles) {
-        mostKnown = Math.max(mostKnown, unfinished(world));
+        mostKnown = Math.max(mostKnown, unfinished(cluster));
       }
     }
     // What was refused for want of changes is sent again, as users do.
     for (int i = 0; i < JOBS; i++) {
-      scenario.told.submit(i % 3, "j-" + i, "array", 1);
-      scenario.told.cancel((i + 1) % 3, i % 4 == 3 ? "j-" + i : "j-3");
-      world.finish("j-" + i);
-      world.pass(0.1);
+      scenario.answers.submit(i % 3, "j-" + i, "array", 1);
+      scenario.answers.cancel((i + 1) % 3, i % 4 == 3 ? "j-" + i : "j-3");
+      cluster.completeTasks("j-" + i);
+      cluster.advance(0.1);
     }
     if (!troubles) {
-      double mean = world.rules.cancelWaits.stream().mapToDouble(w -> w).average().orElseThrow();
+      double mean =
+          cluster.invariants.cancellationDelays.stream()
+              .mapToDouble(w -> w)
+              .average()
+              .orElseThrow();
       assertThat(mean).isLessThan(scenario.settings().workers().heartbeatIntervalS());
       // Jobs that have ended are let go: what the leader knows does not grow with the minutes.
       assertThat(mostKnown).isLessThan(3 * RUNS_FOR);
     }
-    world.pass(30);
-    world.rules.quiet = true;
-    assertThat(world.rules.startsAfterCancel).isEmpty();
-    assertThat(world.state.malformed).isZero();
-    scenario.allIsWell();
+    cluster.advance(30);
+    cluster.invariants.faultsOver = true;
+    assertThat(cluster.invariants.startsAfterCancellation).isEmpty();
+    assertThat(cluster.store.malformedCount).isZero();
+    scenario.verifyRecovery();
   }
 
-  private static int unfinished(SimulatedCluster world) {
-    Node leader = world.settle(0);
-    ObjectNode overview = Json.parseObject(world.await(leader.controller.overview()).body());
+  private static int unfinished(SimulatedCluster cluster) {
+    ControllerNode leader = cluster.awaitLeader(0);
+    ObjectNode overview = Json.parseObject(cluster.await(leader.controller.overview()).body());
     return overview.path("cluster").path("queue").path("c").path("jobs").asInt();
   }
 }
--- a/src/test/java/io/embernotch/faultcombinations/StaleHeartbeatTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/StaleHeartbeatTest.java
@@ -4,7 +4,7 @@
 
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Node;
+import io.embernotch.testkit.SimulatedCluster.ControllerNode;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -15,11 +15,11 @@
  */
 class StaleHeartbeatTest {
   private final FaultScenario scenario = FaultScenario.large();
-  private final SimulatedCluster world = scenario.world;
+  private final SimulatedCluster cluster = scenario.cluster;
 
   private void atEveryNode(byte[] heartbeat, byte[] another) {
-    for (Node n : world.nodes) {
-      world.late(n, n.index == 1 ? another : heartbeat);
+    for (ControllerNode n : cluster.nodes) {
+      cluster.deliverHeartbeat(n, n.index == 1 ? another : heartbeat);
     }
   }
 
@@ -27,38 +27,38 @@
   @ParameterizedTest
   @CsvSource({"0", "1.5", "2.9", "3.05", "3.1", "3.2", "3.5", "5"})
   void oldHeartbeatsAtEveryNodeAsANewLeaderBegins(double afterS) {
-    Node leader = world.settle(3);
-    scenario.told.submit(0, "j-0", "standing", 2);
-    world.pass(12);
+    ControllerNode leader = cluster.awaitLeader(3);
+    scenario.answers.submit(0, "j-0", "standing", 2);
+    cluster.advance(12);
     FakeWorker first = scenario.machinesOf("j-0").get(0);
     byte[] beforeStart = first.heartbeat();
-    scenario.told.submit(0, "j-1", "array", 6);
-    scenario.told.submit(1, "j-2", "group", 4);
-    world.pass(6);
-    List<FakeWorker> machines = List.copyOf(world.workers.values());
+    scenario.answers.submit(0, "j-1", "array", 6);
+    scenario.answers.submit(1, "j-2", "group", 4);
+    cluster.advance(6);
+    List<FakeWorker> machines = List.copyOf(cluster.workers.values());
     List<byte[]> running = machines.stream().map(FakeWorker::heartbeat).toList();
     // Another attempt of a task of j-1, and one that has ended for good.
-    world.running("j-1").get("j-1/0").exit("j-1/0", "error");
-    world.running("j-1").get("j-1/1").exit("j-1/1", "done");
-    world.pass(8);
+    cluster.runningTasks("j-1").get("j-1/0").exitTask("j-1/0", "error");
+    cluster.runningTasks("j-1").get("j-1/1").exitTask("j-1/1", "done");
+    cluster.advance(8);
     List<byte[]> after = machines.stream().map(FakeWorker::heartbeat).toList();
-    world.workers.values().forEach(w -> w.mute = true);
+    cluster.workers.values().forEach(w -> w.outboundPartitioned = true);
     leader.kill();
-    world.pass(afterS);
+    cluster.advance(afterS);
     atEveryNode(beforeStart, running.get(0));
     for (int i = 0; i < machines.size(); i++) {
       atEveryNode(running.get(i), after.get(i));
     }
-    world.pass(0.3);
+    cluster.advance(0.3);
     atEveryNode(after.get(0), beforeStart);
-    world.pass(6);
-    world.workers.values().forEach(w -> w.mute = false);
+    cluster.advance(6);
+    cluster.workers.values().forEach(w -> w.outboundPartitioned = false);
     atEveryNode(running.get(0), beforeStart);
-    world.pass(6);
+    cluster.advance(6);
     leader.start();
-    scenario.allIsWell();
-    assertThat(world.running("j-1")).hasSize(5);
-    assertThat(world.running("j-2")).hasSize(4);
+    scenario.verifyRecovery();
+    assertThat(cluster.runningTasks("j-1")).hasSize(5);
+    assertThat(cluster.runningTasks("j-2")).hasSize(4);
   }
 
   /**
@@ -68,53 +68,53 @@
   @ParameterizedTest
   @CsvSource({"3.2", "4", "6"})
   void aHeartbeatFromBeforeTheStartProvesNothingToTheNextLeader(double afterS) {
-    Node leader = world.settle(3);
-    scenario.told.submit(0, "j-0", "standing", 2);
-    world.pass(12);
-    List<FakeWorker> machines = List.copyOf(world.workers.values());
+    ControllerNode leader = cluster.awaitLeader(3);
+    scenario.answers.submit(0, "j-0", "standing", 2);
+    cluster.advance(12);
+    List<FakeWorker> machines = List.copyOf(cluster.workers.values());
     List<byte[]> before = machines.stream().map(FakeWorker::heartbeat).toList();
-    scenario.told.submit(0, "j-1", "array", 6);
-    world.pass(6);
-    var running = world.running("j-1");
+    scenario.answers.submit(0, "j-1", "array", 6);
+    cluster.advance(6);
+    var running = cluster.runningTasks("j-1");
     assertThat(running).hasSize(6);
-    machines.forEach(w -> w.mute = true);
-    world.nodes.forEach(Node::kill);
-    world.pass(0.5);
-    world.nodes.stream().filter(n -> n != leader).forEach(Node::start);
-    world.pass(afterS);
+    machines.forEach(w -> w.outboundPartitioned = true);
+    cluster.nodes.forEach(ControllerNode::kill);
+    cluster.advance(0.5);
+    cluster.nodes.stream().filter(n -> n != leader).forEach(ControllerNode::start);
+    cluster.advance(afterS);
     before.forEach(r -> atEveryNode(r, r));
-    world.pass(5);
-    machines.forEach(w -> w.mute = false);
+    cluster.advance(5);
+    machines.forEach(w -> w.outboundPartitioned = false);
     leader.start();
-    world.pass(5);
-    assertThat(world.running("j-1")).isEqualTo(running);
-    scenario.allIsWell();
+    cluster.advance(5);
+    assertThat(cluster.runningTasks("j-1")).isEqualTo(running);
+    scenario.verifyRecovery();
   }
 
   /** Copies of drawn reports, kept for whoever leads next, five times in a row. */
   @ParameterizedTest
   @CsvSource({"1", "2", "3"})
   void copiesKeptForTheNextLeader(long seed) {
-    world.random = new java.util.SplittableRandom(seed);
-    world.settle(3);
-    world.heartbeatsForNext = 0.5;
+    cluster.random = new java.util.SplittableRandom(seed);
+    cluster.awaitLeader(3);
+    cluster.replayedHeartbeatShare = 0.5;
     for (int i = 0; i < 5; i++) {
-      scenario.told.submit(i % 3, "j-" + i, List.of("array", "group", "standing").get(i % 3), 4);
-      world.pass(9);
-      world.finish("j-" + (i - 2));
-      world.askCancel(i % 3, "j-" + (i - 1));
-      List<FakeWorker> machines = List.copyOf(world.workers.values());
+      scenario.answers.submit(i % 3, "j-" + i, List.of("array", "group", "standing").get(i % 3), 4);
+      cluster.advance(9);
+      cluster.completeTasks("j-" + (i - 2));
+      cluster.cancelAsync(i % 3, "j-" + (i - 1));
+      List<FakeWorker> machines = List.copyOf(cluster.workers.values());
       FakeWorker hit = machines.get(i % machines.size());
-      hit.cut = true;
-      Node leader = world.leader();
+      hit.partitioned = true;
+      ControllerNode leader = cluster.leader();
       if (leader != null) {
         leader.kill();
-        world.time.after(i % 2 == 0 ? 0.2 : 6, leader::start);
+        cluster.time.after(i % 2 == 0 ? 0.2 : 6, leader::start);
       }
-      world.pass(i % 2 == 0 ? 4 : scenario.leaseS() + 3);
-      hit.cut = false;
-      world.pass(3);
+      cluster.advance(i % 2 == 0 ? 4 : scenario.leaseS() + 3);
+      hit.partitioned = false;
+      cluster.advance(3);
     }
-    scenario.allIsWell();
+    scenario.verifyRecovery();
   }
 }
--- a/src/test/java/io/embernotch/faultcombinations/TeamLimitTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/TeamLimitTest.java
@@ -5,7 +5,7 @@
 
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Node;
+import io.embernotch.testkit.SimulatedCluster.ControllerNode;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -20,13 +20,13 @@
   private static final int BLUE_LIMIT = 64;
 
   private final FaultScenario scenario = new FaultScenario(new SimulatedCluster(3));
-  private final SimulatedCluster world = scenario.world;
+  private final SimulatedCluster cluster = scenario.cluster;
 
   private void submit(String ref, String team, int tasks) {
     String json =
         job(ref, "array", tasks).replace("\"owner\":\"red\"", "\"owner\":\"" + team + "\"");
-    assertThat(world.submit(ref.charAt(2) % 3, json).status()).isEqualTo(201);
-    scenario.told.accepted.add(ref);
+    assertThat(cluster.submit(ref.charAt(2) % 3, json).status()).isEqualTo(201);
+    scenario.answers.accepted.add(ref);
   }
 
   @ParameterizedTest
@@ -35,43 +35,44 @@
   })
   void allTeamsAtTheirLimitsWhileJobsAreCancelledAndTheLeaderChanges(
       String how, int leaderEndsAtS) {
-    world.settle(3);
+    cluster.awaitLeader(3);
     submit("j-1", "red", RED_LIMIT);
     submit("j-2", "blue", BLUE_LIMIT);
-    world.pass(20);
+    cluster.advance(20);
     submit("j-3", "red", RED_LIMIT);
     submit("j-4", "blue", BLUE_LIMIT);
-    world.pass(5);
-    assertThat(world.running("j-1")).hasSize(RED_LIMIT);
-    assertThat(world.running("j-2")).hasSize(BLUE_LIMIT);
-    assertThat(world.running("j-3")).isEmpty();
-    List<FakeWorker> hit = world.workers.values().stream().limit(world.workers.size() / 2).toList();
-    world.cloud.down = true;
+    cluster.advance(5);
+    assertThat(cluster.runningTasks("j-1")).hasSize(RED_LIMIT);
+    assertThat(cluster.runningTasks("j-2")).hasSize(BLUE_LIMIT);
+    assertThat(cluster.runningTasks("j-3")).isEmpty();
+    List<FakeWorker> hit =
+        cluster.workers.values().stream().limit(cluster.workers.size() / 2).toList();
+    cluster.cloud.down = true;
     hit.forEach(
         w -> {
-          w.cut = how.equals("cut");
+          w.partitioned = how.equals("cut");
           w.hung = how.equals("hung");
-          w.deaf = how.equals("deaf");
+          w.inboundPartitioned = how.equals("deaf");
         });
-    Node leader = world.leader();
-    world.time.after(3 + leaderEndsAtS, leader::kill);
-    world.time.after(20 + leaderEndsAtS, leader::start);
-    world.pass(3);
-    scenario.cancelUntilTold("j-1", 0, scenario.cancelS());
-    scenario.cancelUntilTold("j-2", 1, scenario.cancelS());
-    world.pass(scenario.leaseS() - 8);
+    ControllerNode leader = cluster.leader();
+    cluster.time.after(3 + leaderEndsAtS, leader::kill);
+    cluster.time.after(20 + leaderEndsAtS, leader::start);
+    cluster.advance(3);
+    scenario.cancelUntilConfirmed("j-1", 0, scenario.cancelS());
+    scenario.cancelUntilConfirmed("j-2", 1, scenario.cancelS());
+    cluster.advance(scenario.leaseS() - 8);
     // Within their leases: what is on them has run on, unless it was stopped.
     hit.forEach(
         w -> {
-          w.cut = w.deaf = false;
-          w.goOn();
+          w.partitioned = w.inboundPartitioned = false;
+          w.resume();
         });
-    world.cloud.down = false;
-    world.pass(scenario.cancelS());
-    scenario.allIsWell();
-    assertThat(world.phase(0, "j-1")).isEqualTo("cancelled");
-    assertThat(world.phase(1, "j-2")).isEqualTo("cancelled");
-    assertThat(world.running("j-3")).hasSize(RED_LIMIT);
-    assertThat(world.running("j-4")).hasSize(BLUE_LIMIT);
+    cluster.cloud.down = false;
+    cluster.advance(scenario.cancelS());
+    scenario.verifyRecovery();
+    assertThat(cluster.phase(0, "j-1")).isEqualTo("cancelled");
+    assertThat(cluster.phase(1, "j-2")).isEqualTo("cancelled");
+    assertThat(cluster.runningTasks("j-3")).hasSize(RED_LIMIT);
+    assertThat(cluster.runningTasks("j-4")).hasSize(BLUE_LIMIT);
   }
 }
--- a/src/test/java/io/embernotch/forwarding/DelegatedRenewalTest.java
+++ b/src/test/java/io/embernotch/forwarding/DelegatedRenewalTest.java
@@ -14,7 +14,7 @@
 import io.embernotch.testkit.FakeTime;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Node;
+import io.embernotch.testkit.SimulatedCluster.ControllerNode;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
@@ -29,49 +29,49 @@
 class DelegatedRenewalTest {
   private static final double CUT_S = 56;
 
-  private final SimulatedCluster world = new SimulatedCluster(3, 4);
-  private final Settings settings = world.nodes.get(0).settings;
+  private final SimulatedCluster cluster = new SimulatedCluster(3, 4);
+  private final Settings settings = cluster.nodes.get(0).settings;
 
   /** A leader outside of z2, and a service with replicas in both zones. */
   private Map<String, FakeWorker> spreadService(String ref) {
-    world.pass(2);
-    if (world.leader() == world.nodes.get(2)) {
-      world.nodes.get(2).kill();
-      world.pass(6);
-      world.nodes.get(2).start();
+    cluster.advance(2);
+    if (cluster.leader() == cluster.nodes.get(2)) {
+      cluster.nodes.get(2).kill();
+      cluster.advance(6);
+      cluster.nodes.get(2).start();
     }
     assertThat(
-            world
+            cluster
                 .submit(0, job(ref, "standing", 6).replace("\"scatter\":false", "\"scatter\":true"))
                 .status())
         .isEqualTo(201);
-    world.pass(15);
-    Map<String, FakeWorker> on = world.running(ref);
+    cluster.advance(15);
+    Map<String, FakeWorker> on = cluster.runningTasks(ref);
     assertThat(on).hasSize(6);
     assertThat(on.values().stream().filter(w -> w.zone.equals("z2"))).hasSize(3);
     return on;
   }
 
   private boolean anyInZ2(String ref) {
-    return world.running(ref).values().stream().anyMatch(w -> w.zone.equals("z2"));
+    return cluster.runningTasks(ref).values().stream().anyMatch(w -> w.zone.equals("z2"));
   }
 
   @AfterEach
   void nothingEverRanTwice() {
-    assertThat(world.broken()).isEmpty();
+    assertThat(cluster.violations()).isEmpty();
   }
 
   @Test
   void replicasBehindACutRunOnUntilItIsOver() {
     Map<String, FakeWorker> before = spreadService("j-1");
-    world.cutZone = "z2";
+    cluster.partitionedZone = "z2";
     for (int i = 0; i < CUT_S; i++) {
-      world.pass(1);
-      assertThat(world.running("j-1")).isEqualTo(before);
+      cluster.advance(1);
+      assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
     }
-    world.cutZone = null;
-    world.pass(20);
-    assertThat(world.running("j-1")).isEqualTo(before);
+    cluster.partitionedZone = null;
+    cluster.advance(20);
+    assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
   }
 
   /**
@@ -81,7 +81,7 @@
   @Test
   void eachCutRenewsWorkersBeforeItSendsThemAway() {
     FakeTime time = new FakeTime();
-    Settings far = world.nodes.get(2).settings;
+    Settings far = cluster.nodes.get(2).settings;
     DelegatedRenewal delegatedRenewal =
         new DelegatedRenewal(
             new ControllerContext(
@@ -101,85 +101,86 @@
     for (int cut = 0; cut < 2; cut++) {
       delegatedRenewal.acknowledged(
           new Frame.DelegateHeartbeatAck(1, delegatedRenewal.nextHeartbeat().seq(), true));
-      time.pass(far.contactTimeoutS() * 1.1);
+      time.advance(far.contactTimeoutS() * 1.1);
       assertThat(delegatedRenewal.renew(heartbeat, "c0").status()).isEqualTo(200);
-      time.pass(far.workers().leaseS() / 2);
+      time.advance(far.workers().leaseS() / 2);
       assertThat(delegatedRenewal.renew(heartbeat, "c0").status()).isEqualTo(421);
-      time.pass(far.workers().leaseS() / 2);
+      time.advance(far.workers().leaseS() / 2);
     }
   }
 
   @Test
   void theyRunOnThoughTheLeaderEndsDuringTheCut() {
     Map<String, FakeWorker> before = spreadService("j-1");
-    world.cutZone = "z2";
-    world.pass(10);
-    world.leader().kill();
-    world.pass(CUT_S - 10);
-    world.cutZone = null;
-    world.pass(20);
-    assertThat(world.running("j-1")).isEqualTo(before);
+    cluster.partitionedZone = "z2";
+    cluster.advance(10);
+    cluster.leader().kill();
+    cluster.advance(CUT_S - 10);
+    cluster.partitionedZone = null;
+    cluster.advance(20);
+    assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
   }
 
   @Test
   void aLongerCutEndsThemAndOnlyThenTheyStartElsewhere() {
     spreadService("j-1");
-    world.submit(0, job("j-2", "standing", 4).replace("\"room\":null", "\"room\":\"z2\""));
-    world.pass(15);
-    assertThat(world.running("j-2")).hasSize(4);
-    world.cutZone = "z2";
-    world.cloud.down = true;
+    cluster.submit(0, job("j-2", "standing", 4).replace("\"room\":null", "\"room\":\"z2\""));
+    cluster.advance(15);
+    assertThat(cluster.runningTasks("j-2")).hasSize(4);
+    cluster.partitionedZone = "z2";
+    cluster.cloud.down = true;
     // The renewals end, and then the leases; the checker sees to it that nothing starts before.
-    world.pass(settings.gracePeriodS() + settings.workers().leaseS() + 5);
+    cluster.advance(settings.gracePeriodS() + settings.workers().leaseS() + 5);
     assertThat(anyInZ2("j-1")).isFalse();
-    world.cutZone = null;
-    world.cloud.down = false;
-    world.pass(25);
-    assertThat(world.running("j-1")).hasSize(6);
-    assertThat(world.running("j-2")).hasSize(4);
+    cluster.partitionedZone = null;
+    cluster.cloud.down = false;
+    cluster.advance(25);
+    assertThat(cluster.runningTasks("j-1")).hasSize(6);
+    assertThat(cluster.runningTasks("j-2")).hasSize(4);
   }
 
   @Test
   void aCancellationIsToldOnlyOnceWhatIsBehindTheCutMustEndInTime() {
     spreadService("j-1");
-    world.cutZone = "z2";
-    world.cloud.down = true;
-    world.pass(12);
-    assertThat(world.abort(0, "j-1").status()).isEqualTo(503);
-    assertThat(world.phase(0, "j-1")).isNotEqualTo("cancelled");
+    cluster.partitionedZone = "z2";
+    cluster.cloud.down = true;
+    cluster.advance(12);
+    assertThat(cluster.cancel(0, "j-1").status()).isEqualTo(503);
+    assertThat(cluster.phase(0, "j-1")).isNotEqualTo("cancelled");
     // What can be reached ends at once, and nothing starts again.
-    assertThat(world.running("j-1").values()).allMatch(w -> w.zone.equals("z2"));
+    assertThat(cluster.runningTasks("j-1").values()).allMatch(w -> w.zone.equals("z2"));
     double waited = 12;
-    while (world.abort(1, "j-1").status() != 200) {
-      world.pass(1);
+    while (cluster.cancel(1, "j-1").status() != 200) {
+      cluster.advance(1);
       waited += 1;
       assertThat(waited).isLessThan(settings.gracePeriodS());
     }
     assertThat(anyInZ2("j-1")).isTrue();
-    world.pass(settings.workers().cancelS() - 1);
-    assertThat(world.running("j-1")).isEmpty();
+    cluster.advance(settings.workers().cancelS() - 1);
+    assertThat(cluster.runningTasks("j-1")).isEmpty();
   }
 
   @Test
   void aCancellationToldBeforeACutLeavesNothingBehindIt() {
     spreadService("j-1");
-    assertThat(world.abort(0, "j-1").status()).isEqualTo(200);
-    world.cutZone = "z2";
-    assertThat(world.running("j-1")).isEmpty();
+    assertThat(cluster.cancel(0, "j-1").status()).isEqualTo(200);
+    cluster.partitionedZone = "z2";
+    assertThat(cluster.runningTasks("j-1")).isEmpty();
   }
 
   @Test
   void noRightIsGivenWhileAControllerMayBeOfTheFormerVersion() {
     spreadService("j-1");
     // It never wrote to this leader, as a former version would not.
-    Node silent = world.leader() == world.nodes.get(0) ? world.nodes.get(1) : world.nodes.get(0);
-    silent.noPeers = true;
-    world.leader().kill();
-    world.pass(10);
-    world.nodes.stream().filter(n -> n.down).forEach(Node::start);
-    world.pass(settings.gracePeriodS() + 10);
-    world.cutZone = "z2";
-    world.pass(settings.workers().leaseS() + 4);
+    ControllerNode silent =
+        cluster.leader() == cluster.nodes.get(0) ? cluster.nodes.get(1) : cluster.nodes.get(0);
+    silent.peersUnreachable = true;
+    cluster.leader().kill();
+    cluster.advance(10);
+    cluster.nodes.stream().filter(n -> n.down).forEach(ControllerNode::start);
+    cluster.advance(settings.gracePeriodS() + 10);
+    cluster.partitionedZone = "z2";
+    cluster.advance(settings.workers().leaseS() + 4);
     assertThat(anyInZ2("j-1")).isFalse();
   }
 
@@ -190,7 +191,7 @@
   @Test
   void noTwoLivesGiveTheSameNumbers() {
     FakeTime time = new FakeTime();
-    Settings far = world.nodes.get(2).settings;
+    Settings far = cluster.nodes.get(2).settings;
     List<Frame.DelegateHeartbeat> first =
         Stream.of("one", "two")
             .map(
@@ -219,7 +220,7 @@
 
   @Test
   void theLeaderKnowsUntilWhenAControllerMayHaveRenewed() {
-    Settings s = SettingsReader.parse(SimulatedCluster.toml(0));
+    Settings s = SettingsReader.parse(SimulatedCluster.settingsToml(0));
     RenewalDelegations delegations = new RenewalDelegations(s, 100, new HashSet<>());
     double hold = s.gracePeriodS() * (1 + Settings.DRIFT);
     // Nothing heard: it may hold a right of an earlier leader.
--- a/src/test/java/io/embernotch/http/HttpApiServerTest.java
+++ b/src/test/java/io/embernotch/http/HttpApiServerTest.java
@@ -32,7 +32,8 @@
 class HttpApiServerTest implements RequestHandler {
   private final Settings settings =
       SettingsReader.parse(
-          SimulatedCluster.toml(0).replace("max_connections = 1000", "max_connections = 12"));
+          SimulatedCluster.settingsToml(0)
+              .replace("max_connections = 1000", "max_connections = 12"));
   private final Vertx vertx = Vertx.vertx();
   private final FakeTime time = new FakeTime();
   private final BlockingQueue<Runnable> core = new LinkedBlockingQueue<>();
@@ -80,7 +81,7 @@
     Future<Integer> late = ask(HttpMethod.GET, "/api/jobs/j-1", "");
     Runnable waiting = core.poll(20, TimeUnit.SECONDS);
     // Users give a poll two seconds.
-    time.pass(2.5);
+    time.advance(2.5);
     waiting.run();
     assertThat(await(late)).isEqualTo(503);
     assertThat(polled).isZero();
@@ -105,11 +106,11 @@
     Future<Integer> before = ask(HttpMethod.GET, "/api/jobs/j-1", "");
     runNext();
     assertThat(await(before)).isEqualTo(200);
-    time.pass(30);
+    time.advance(30);
     Future<Integer> late = ask(HttpMethod.GET, "/api/jobs/j-1", "");
     assertThat(late.toCompletionStage().toCompletableFuture()).failsWithin(20, TimeUnit.SECONDS);
     assertThat(core).isEmpty();
-    time.pass(1);
+    time.advance(1);
     Future<Integer> after = ask(HttpMethod.GET, "/api/jobs/j-1", "");
     runNext();
     assertThat(await(after)).isEqualTo(200);
--- a/src/test/java/io/embernotch/incarnation/DataLossAtScaleTest.java
+++ b/src/test/java/io/embernotch/incarnation/DataLossAtScaleTest.java
@@ -3,7 +3,7 @@
 import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.embernotch.testkit.FakeStore.Held;
+import io.embernotch.testkit.FakeStore.Snapshot;
 import io.embernotch.testkit.SimulatedCluster;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -13,29 +13,29 @@
   private static final int MACHINES = 300;
   private static final int EACH = 8;
 
-  private final SimulatedCluster world = new SimulatedCluster(3, 200);
+  private final SimulatedCluster cluster = new SimulatedCluster(3, 200);
 
   @BeforeEach
   void full() {
-    world.settle(3);
+    cluster.awaitLeader(3);
     for (int i = 0; i < MACHINES; i++) {
-      world.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
+      cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
-    world.pass(world.cloud.bootS + 2);
+    cluster.advance(cluster.cloud.bootS + 2);
     int n = 0;
-    for (var w : world.workers.values()) {
-      w.node = n++ % 3;
+    for (var w : cluster.workers.values()) {
+      w.controllerIndex = n++ % 3;
     }
     for (int i = 0; i < MACHINES; i++) {
-      world.submit(
+      cluster.submit(
           i % 3, job("j-1" + i, "standing", EACH).replace("\"standard\"", "\"production\""));
     }
-    world.pass(15);
+    cluster.advance(15);
     assertThat(tasks()).isEqualTo(MACHINES * EACH);
   }
 
   private int tasks() {
-    return world.workers.values().stream().mapToInt(w -> w.alive().size()).sum();
+    return cluster.workers.values().stream().mapToInt(w -> w.runningTasks().size()).sum();
   }
 
   /**
@@ -43,49 +43,49 @@
    * touched.
    */
   private void liveAgain() {
-    world.boot("g8", "z1", true);
-    double lostAt = world.time.now();
+    cluster.boot("g8", "z1", true);
+    double lostAt = cluster.time.now();
     // 200 if its first try went into contents that had been put back, and was not told.
-    while (world
+    while (cluster
                 .submit(1, job("j-20", "standing", 1).replace("\"standard\"", "\"production\""))
                 .status()
             / 100
         != 2) {
-      world.pass(0.1);
-      assertThat(world.time.now() - lostAt).as("submissions are taken again").isLessThan(5);
+      cluster.advance(0.1);
+      assertThat(cluster.time.now() - lostAt).as("submissions are taken again").isLessThan(5);
     }
-    world.pass(world.cloud.bootS + 3);
-    assertThat(world.running("j-20")).hasSize(1);
+    cluster.advance(cluster.cloud.bootS + 3);
+    assertThat(cluster.runningTasks("j-20")).hasSize(1);
     assertThat(tasks()).isEqualTo(MACHINES * EACH + 1);
-    assertThat(world.workers.values()).allSatisfy(w -> assertThat(w.session).isEqualTo(1));
-    assertThat(world.broken()).isEmpty();
+    assertThat(cluster.workers.values()).allSatisfy(w -> assertThat(w.epoch).isEqualTo(1));
+    assertThat(cluster.violations()).isEmpty();
     // Packed, 300 jobs with their tasks take a few changes, where their keys would take 600.
-    assertThat(world.state.keys("block/")).hasSizeLessThan(20);
+    assertThat(cluster.store.keys("block/")).hasSizeLessThan(20);
   }
 
   @Test
   void everythingGone() {
-    world.state.loseAll();
+    cluster.store.wipe();
     liveAgain();
   }
 
   @Test
   void putBackToBeforeWorkThatEndedAndWorkThatStarted() {
-    Held then = world.state.held();
+    Snapshot then = cluster.store.snapshot();
     for (int i = 0; i < 20; i++) {
-      assertThat(world.abort(i % 3, "j-1" + i).status()).isEqualTo(200);
+      assertThat(cluster.cancel(i % 3, "j-1" + i).status()).isEqualTo(200);
     }
-    world.pass(10);
+    cluster.advance(10);
     assertThat(tasks()).isEqualTo((MACHINES - 20) * EACH);
     for (int i = 0; i < 20; i++) {
-      assertThat(world.submit(i % 3, job("j-3" + i, "standing", EACH)).status()).isEqualTo(201);
+      assertThat(cluster.submit(i % 3, job("j-3" + i, "standing", EACH)).status()).isEqualTo(201);
     }
-    world.pass(10);
-    world.state.putBack(then, false);
+    cluster.advance(10);
+    cluster.store.restore(then, false);
     liveAgain();
     for (int i = 0; i < 20; i++) {
-      assertThat(world.phase(i % 3, "j-1" + i)).isEqualTo("cancelled");
-      assertThat(world.phase(i % 3, "j-3" + i)).isEqualTo("running");
+      assertThat(cluster.phase(i % 3, "j-1" + i)).isEqualTo("cancelled");
+      assertThat(cluster.phase(i % 3, "j-3" + i)).isEqualTo("running");
     }
   }
 }
--- a/src/test/java/io/embernotch/incarnation/DataLossRandomizedTest.java
+++ b/src/test/java/io/embernotch/incarnation/DataLossRandomizedTest.java
@@ -2,11 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.embernotch.testkit.FakeStore.Held;
+import io.embernotch.testkit.FakeStore.Snapshot;
 import io.embernotch.testkit.RecordedAnswers;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Fate;
-import io.embernotch.testkit.SimulatedCluster.Node;
+import io.embernotch.testkit.SimulatedCluster.ControllerNode;
+import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -26,57 +26,58 @@
   /** Plays one seed; returns what went wrong. */
   private static List<String> play(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    SimulatedCluster world = new SimulatedCluster(3, 10);
-    RecordedAnswers told = new RecordedAnswers(world);
-    world.settle(3);
-    List<Held> moments = new ArrayList<>();
+    SimulatedCluster cluster = new SimulatedCluster(3, 10);
+    RecordedAnswers answers = new RecordedAnswers(cluster);
+    cluster.awaitLeader(3);
+    List<Snapshot> moments = new ArrayList<>();
     int next = 1;
     for (int step = 0; step < 30; step++) {
       int node = random.nextInt(3);
       switch (random.nextInt(10)) {
         case 0, 1, 2 ->
-            told.submit(
+            answers.submit(
                 node,
                 "j-" + next++,
                 random.nextInt(3) == 0 ? "standing" : "array",
                 1 + random.nextInt(4));
         case 3, 4 -> {
-          if (!told.accepted.isEmpty()) {
-            world.finish(told.accepted.get(random.nextInt(told.accepted.size())));
+          if (!answers.accepted.isEmpty()) {
+            cluster.completeTasks(answers.accepted.get(random.nextInt(answers.accepted.size())));
           }
         }
         case 5 -> {
-          if (!told.accepted.isEmpty()) {
-            told.cancel(node, told.accepted.get(random.nextInt(told.accepted.size())));
+          if (!answers.accepted.isEmpty()) {
+            answers.cancel(node, answers.accepted.get(random.nextInt(answers.accepted.size())));
           }
         }
-        case 6 -> world.commitFate = random.nextBoolean() ? Fate.HELD : Fate.ARRIVES;
-        case 7 -> world.releaseHeld();
+        case 6 ->
+            cluster.commitDelivery = random.nextBoolean() ? Delivery.DELAYED : Delivery.DELIVERED;
+        case 7 -> cluster.deliverDelayed();
         case 8 -> {
           if (random.nextInt(3) == 0) {
-            world.state.outage = true;
-            world.pass(random.nextDouble(6));
-            world.state.recover();
+            cluster.store.outage = true;
+            cluster.advance(random.nextDouble(6));
+            cluster.store.endOutage();
           }
         }
         default -> {
-          world.commitFate = Fate.ARRIVES;
-          lose(world, random, moments);
+          cluster.commitDelivery = Delivery.DELIVERED;
+          lose(cluster, random, moments);
         }
       }
       if (random.nextInt(4) == 0) {
-        moments.add(world.state.held());
+        moments.add(cluster.store.snapshot());
       }
-      world.pass(random.nextDouble(5));
-      for (String ref : told.accepted) {
-        told.ask(random.nextInt(3), ref);
+      cluster.advance(random.nextDouble(5));
+      for (String ref : answers.accepted) {
+        answers.poll(random.nextInt(3), ref);
       }
     }
-    world.commitFate = Fate.ARRIVES;
-    world.releaseHeld();
-    world.pass(80);
-    told.atTheEnd();
-    return told.wrong;
+    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.deliverDelayed();
+    cluster.advance(80);
+    answers.verifyFinalState();
+    return answers.violations;
   }
 
   /**
@@ -84,20 +85,21 @@
    * the one that ends knew is lost with it: a submission whose frame to the leader did not arrive.
    * So it ends only once what it was told last has had the time to arrive.
    */
-  private static void lose(SimulatedCluster world, SplittableRandom random, List<Held> moments) {
-    Node leader = world.leader();
+  private static void lose(
+      SimulatedCluster cluster, SplittableRandom random, List<Snapshot> moments) {
+    ControllerNode leader = cluster.leader();
     if (leader != null && random.nextInt(3) == 0) {
       // One that is not leader restarts: it knows nothing of what was.
-      Node other = world.other(leader);
-      world.pass(1);
+      ControllerNode other = cluster.otherNode(leader);
+      cluster.advance(1);
       other.kill();
-      world.pass(random.nextDouble(2));
+      cluster.advance(random.nextDouble(2));
       other.start();
     }
     if (moments.isEmpty() || random.nextInt(2) == 0) {
-      world.state.loseAll();
+      cluster.store.wipe();
     } else {
-      world.state.putBack(moments.remove(random.nextInt(moments.size())), random.nextBoolean());
+      cluster.store.restore(moments.remove(random.nextInt(moments.size())), random.nextBoolean());
     }
     moments.clear();
   }
