--- a/src/test/java/io/embernotch/incarnation/DataLossTest.java
+++ b/src/test/java/io/embernotch/incarnation/DataLossTest.java
@@ -1,262 +1,262 @@
 package io.embernotch.incarnation;
 
-import static io.embernotch.testkit.SimulatedCluster.after;
+import static io.embernotch.testkit.SimulatedCluster.dependentJob;
 import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.codec.Json;
-import io.embernotch.testkit.FakeStore.Held;
+import io.embernotch.testkit.FakeStore.Snapshot;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Fate;
-import io.embernotch.testkit.SimulatedCluster.Node;
+import io.embernotch.testkit.SimulatedCluster.ControllerNode;
+import io.embernotch.testkit.SimulatedCluster.Delivery;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
 /** The store loses data while controllers and workers go on. */
 class DataLossTest {
-  private final SimulatedCluster world = new SimulatedCluster(3, 10);
-  private Node leader;
+  private final SimulatedCluster cluster = new SimulatedCluster(3, 10);
+  private ControllerNode leader;
 
   /** A job that is done, a service and an array that run, one that waits for the array. */
   private void work() {
-    leader = world.settle(3);
+    leader = cluster.awaitLeader(3);
     for (String json :
         new String[] {
           job("j-1", "array", 2),
           job("j-2", "standing", 3),
           job("j-3", "array", 4),
-          after("j-4", 1, "j-3")
+          dependentJob("j-4", 1, "j-3")
         }) {
-      assertThat(world.submit(0, json).status()).isEqualTo(201);
+      assertThat(cluster.submit(0, json).status()).isEqualTo(201);
     }
-    world.pass(15);
-    world.finish("j-1");
-    world.pass(4);
+    cluster.advance(15);
+    cluster.completeTasks("j-1");
+    cluster.advance(4);
     for (int n = 0; n < 3; n++) {
-      assertThat(world.phase(n, "j-1")).isEqualTo("done");
+      assertThat(cluster.phase(n, "j-1")).isEqualTo("done");
     }
-    assertThat(world.running("j-2")).hasSize(3);
-    assertThat(world.running("j-3")).hasSize(4);
+    assertThat(cluster.runningTasks("j-2")).hasSize(3);
+    assertThat(cluster.runningTasks("j-3")).hasSize(4);
   }
 
   /** All is as if nothing had been lost, within so many seconds, and goes on from there. */
   private void allIsServedAgain(double within) {
     for (double left = within; left > 0; left -= 0.25) {
-      world.pass(0.25);
+      cluster.advance(0.25);
       for (int n = 0; n < 3; n++) {
         for (String ref : new String[] {"j-1", "j-2", "j-3", "j-4"}) {
-          assertThat(world.phase(n, ref)).as(ref + " asked of " + n).isNotEqualTo("status 404");
+          assertThat(cluster.phase(n, ref)).as(ref + " asked of " + n).isNotEqualTo("status 404");
         }
-        assertThat(world.phase(n, "j-1")).isIn("done", "status 503");
+        assertThat(cluster.phase(n, "j-1")).isIn("done", "status 503");
       }
     }
-    world.pass(30);
-    assertThat(world.workers.values())
+    cluster.advance(30);
+    assertThat(cluster.workers.values())
         .as("no worker's lease ran out")
-        .allSatisfy(w -> assertThat(w.session).isEqualTo(1));
-    assertThat(world.running("j-2")).hasSize(3);
-    assertThat(world.running("j-3")).hasSize(4);
+        .allSatisfy(w -> assertThat(w.epoch).isEqualTo(1));
+    assertThat(cluster.runningTasks("j-2")).hasSize(3);
+    assertThat(cluster.runningTasks("j-3")).hasSize(4);
     for (int n = 0; n < 3; n++) {
-      assertThat(world.phase(n, "j-1")).isEqualTo("done");
-      assertThat(world.phase(n, "j-2")).isEqualTo("running");
-      assertThat(world.phase(n, "j-4")).isEqualTo("queued");
-      assertThat(world.phase(n, "j-99")).isEqualTo("status 404");
+      assertThat(cluster.phase(n, "j-1")).isEqualTo("done");
+      assertThat(cluster.phase(n, "j-2")).isEqualTo("running");
+      assertThat(cluster.phase(n, "j-4")).isEqualTo("queued");
+      assertThat(cluster.phase(n, "j-99")).isEqualTo("status 404");
       // A repeat is a repeat.
-      assertThat(world.submit(n, job("j-1", "array", 2)).status()).isEqualTo(200);
-      assertThat(world.submit(n, job("j-3", "array", 4)).status()).isEqualTo(200);
+      assertThat(cluster.submit(n, job("j-1", "array", 2)).status()).isEqualTo(200);
+      assertThat(cluster.submit(n, job("j-3", "array", 4)).status()).isEqualTo(200);
     }
-    world.finish("j-3");
-    world.pass(20);
-    assertThat(world.phase(1, "j-3")).isEqualTo("done");
-    assertThat(world.running("j-4")).hasSize(1);
-    assertThat(world.submit(2, job("j-5", "array", 2)).status()).isEqualTo(201);
-    world.pass(15);
-    assertThat(world.running("j-5")).hasSize(2);
+    cluster.completeTasks("j-3");
+    cluster.advance(20);
+    assertThat(cluster.phase(1, "j-3")).isEqualTo("done");
+    assertThat(cluster.runningTasks("j-4")).hasSize(1);
+    assertThat(cluster.submit(2, job("j-5", "array", 2)).status()).isEqualTo(201);
+    cluster.advance(15);
+    assertThat(cluster.runningTasks("j-5")).hasSize(2);
   }
 
-  private static int losses(SimulatedCluster world) {
+  private static int losses(SimulatedCluster cluster) {
     int n = 0;
-    for (Node node : world.nodes) {
-      n += Json.parseObject(world.await(node.controller.overview()).body()).get("losses").asInt();
+    for (ControllerNode node : cluster.nodes) {
+      n += Json.parseObject(cluster.await(node.controller.overview()).body()).get("losses").asInt();
     }
     return n;
   }
 
   @AfterEach
   void nothingEverRanTwice() {
-    assertThat(world.broken()).isEmpty();
+    assertThat(cluster.violations()).isEmpty();
   }
 
   @Test
   void everythingGoneInAQuietMoment() {
     work();
-    world.state.loseAll();
+    cluster.store.wipe();
     allIsServedAgain(6);
-    assertThat(world.leader()).as("who was steward knows most, and leads").isSameAs(leader);
+    assertThat(cluster.leader()).as("who was steward knows most, and leads").isSameAs(leader);
   }
 
   @Test
   void everythingGoneTwiceInARow() {
     work();
-    world.state.loseAll();
-    world.pass(2.2);
-    world.state.loseAll();
+    cluster.store.wipe();
+    cluster.advance(2.2);
+    cluster.store.wipe();
     allIsServedAgain(8);
-    world.state.loseAll();
-    world.pass(10);
-    assertThat(world.phase(1, "j-3")).isEqualTo("done");
-    assertThat(world.phase(2, "j-1")).isEqualTo("done");
+    cluster.store.wipe();
+    cluster.advance(10);
+    assertThat(cluster.phase(1, "j-3")).isEqualTo("done");
+    assertThat(cluster.phase(2, "j-1")).isEqualTo("done");
   }
 
   @Test
   void putBackToAnEarlierMomentWhoseLeadersKeyStandsThere() {
     work();
-    Held then = world.state.held();
-    world.submit(1, job("j-7", "array", 2));
-    world.submit(1, job("j-8", "array", 2));
-    world.pass(6);
-    assertThat(world.running("j-7")).hasSize(2);
-    world.finish("j-8");
-    world.pass(4);
-    assertThat(world.phase(2, "j-8")).isEqualTo("done");
-    world.state.putBack(then, true);
+    Snapshot then = cluster.store.snapshot();
+    cluster.submit(1, job("j-7", "array", 2));
+    cluster.submit(1, job("j-8", "array", 2));
+    cluster.advance(6);
+    assertThat(cluster.runningTasks("j-7")).hasSize(2);
+    cluster.completeTasks("j-8");
+    cluster.advance(4);
+    assertThat(cluster.phase(2, "j-8")).isEqualTo("done");
+    cluster.store.restore(then, true);
     allIsServedAgain(6);
-    assertThat(world.phase(0, "j-8")).isEqualTo("done");
-    assertThat(world.running("j-7")).hasSize(2);
+    assertThat(cluster.phase(0, "j-8")).isEqualTo("done");
+    assertThat(cluster.runningTasks("j-7")).hasSize(2);
   }
 
   @Test
   void putBackWithoutLeasesWhileAnotherLeaderHasBeenSince() {
     work();
-    Held then = world.state.held();
+    Snapshot then = cluster.store.snapshot();
     leader.kill();
-    world.pass(12);
-    Node second = world.leader();
+    cluster.advance(12);
+    ControllerNode second = cluster.leader();
     assertThat(second).isNotNull().isNotSameAs(leader);
     leader.start();
-    world.pass(3);
-    world.state.putBack(then, false);
+    cluster.advance(3);
+    cluster.store.restore(then, false);
     allIsServedAgain(6);
-    assertThat(world.leader()).isSameAs(second);
+    assertThat(cluster.leader()).isSameAs(second);
   }
 
   @Test
   void goneBetweenACommitAndItsAnswerWhichArrivesInTheNextIncarnation() {
     work();
-    world.commitFate = Fate.HELD;
-    world.submit(1, job("j-6", "array", 2));
-    world.pass(1.2);
-    assertThat(world.heldCount()).isPositive();
-    world.state.loseAll();
-    world.commitFate = Fate.ARRIVES;
-    world.pass(6);
-    int before = world.state.keys("").size();
-    world.releaseHeld();
+    cluster.commitDelivery = Delivery.DELAYED;
+    cluster.submit(1, job("j-6", "array", 2));
+    cluster.advance(1.2);
+    assertThat(cluster.delayedCount()).isPositive();
+    cluster.store.wipe();
+    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.advance(6);
+    int before = cluster.store.keys("").size();
+    cluster.deliverDelayed();
     // Stamps begin again after a loss, and the late one finds those that it names.
-    assertThat(world.state.keys("").size()).isEqualTo(before);
+    assertThat(cluster.store.keys("").size()).isEqualTo(before);
     allIsServedAgain(1);
   }
 
   /** A submission's transaction is held back, and everything is lost before it arrives. */
   private void aLateSubmission() {
     work();
-    world.commitFate = Fate.HELD;
-    world.commitsWith = "job/j-6";
-    assertThat(world.submit(1, job("j-6", "array", 2)).status()).isEqualTo(503);
-    assertThat(world.heldCount()).isPositive();
-    world.state.loseAll();
-    world.commitFate = Fate.ARRIVES;
-    world.pass(8);
-    world.releaseHeld();
+    cluster.commitDelivery = Delivery.DELAYED;
+    cluster.commitDeliveryFilter = "job/j-6";
+    assertThat(cluster.submit(1, job("j-6", "array", 2)).status()).isEqualTo(503);
+    assertThat(cluster.delayedCount()).isPositive();
+    cluster.store.wipe();
+    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.advance(8);
+    cluster.deliverDelayed();
   }
 
   @Test
   void aTransactionFromBeforeTheLossIsNotAppliedThoughItsModRevisionsCoincide() {
     aLateSubmission();
-    assertThat(world.state.value("job/j-6")).isNull();
+    assertThat(cluster.store.value("job/j-6")).isNull();
     allIsServedAgain(1);
   }
 
   @Test
   void itIsTheConditionOnTheIncarnationThatRefusesIt() {
-    world.state.blindTo = "era/";
+    cluster.store.ignoredConditionPrefix = "era/";
     aLateSubmission();
-    assertThat(world.state.value("job/j-6")).isNotNull();
+    assertThat(cluster.store.value("job/j-6")).isNotNull();
   }
 
   @Test
   void aWorkerThatHasSeenAHigherTokenThanAnybodyKnowsIsServedInAnIncarnationAboveIt() {
     work();
-    FakeWorker w = world.running("j-2").values().iterator().next();
-    w.token = 1L << 50;
-    world.pass(25);
-    assertThat(world.leader()).isNotNull();
-    assertThat(w.session).isEqualTo(1);
-    assertThat(w.token).isGreaterThan(1L << 50);
-    assertThat(world.running("j-2")).hasSize(3);
+    FakeWorker w = cluster.runningTasks("j-2").values().iterator().next();
+    w.fencingToken = 1L << 50;
+    cluster.advance(25);
+    assertThat(cluster.leader()).isNotNull();
+    assertThat(w.epoch).isEqualTo(1);
+    assertThat(w.fencingToken).isGreaterThan(1L << 50);
+    assertThat(cluster.runningTasks("j-2")).hasSize(3);
     // No data was lost.
-    assertThat(losses(world)).isZero();
+    assertThat(losses(cluster)).isZero();
   }
 
   @Test
   void goneAsAnOutageEnds() {
     work();
-    world.state.outage = true;
-    world.pass(8);
-    world.state.loseAll();
-    world.state.recover();
+    cluster.store.outage = true;
+    cluster.advance(8);
+    cluster.store.wipe();
+    cluster.store.endOutage();
     allIsServedAgain(6);
   }
 
   @Test
   void goneWhileAUserCancels() {
     work();
-    FakeWorker w = world.running("j-3").values().iterator().next();
-    w.cut = true;
-    assertThat(world.abort(1, "j-3").status()).isEqualTo(503);
-    world.state.loseAll();
-    world.pass(6);
-    w.cut = false;
-    world.pass(6);
-    assertThat(world.abort(1, "j-3").status()).isEqualTo(200);
-    world.state.loseAll();
-    world.pass(8);
+    FakeWorker w = cluster.runningTasks("j-3").values().iterator().next();
+    w.partitioned = true;
+    assertThat(cluster.cancel(1, "j-3").status()).isEqualTo(503);
+    cluster.store.wipe();
+    cluster.advance(6);
+    w.partitioned = false;
+    cluster.advance(6);
+    assertThat(cluster.cancel(1, "j-3").status()).isEqualTo(200);
+    cluster.store.wipe();
+    cluster.advance(8);
     for (int n = 0; n < 3; n++) {
-      assertThat(world.phase(n, "j-3")).isEqualTo("cancelled");
-      assertThat(world.phase(n, "j-4")).isEqualTo("cancelled");
+      assertThat(cluster.phase(n, "j-3")).isEqualTo("cancelled");
+      assertThat(cluster.phase(n, "j-4")).isEqualTo("cancelled");
     }
-    assertThat(world.running("j-3")).isEmpty();
+    assertThat(cluster.runningTasks("j-3")).isEmpty();
   }
 
   @Test
   void theLeaderEndsWithTheDataAndWhatIsLeftGoesOnWithoutRunningTwice() {
     work();
-    Held then = world.state.held();
-    world.submit(1, job("j-7", "array", 2));
-    world.pass(6);
-    world.state.putBack(then, false);
+    Snapshot then = cluster.store.snapshot();
+    cluster.submit(1, job("j-7", "array", 2));
+    cluster.advance(6);
+    cluster.store.restore(then, false);
     leader.kill();
-    world.pass(25);
-    assertThat(world.leader()).isNotNull();
-    assertThat(world.phase(world.leader().index, "j-1")).isEqualTo("done");
-    world.pass(100);
-    assertThat(world.running("j-2")).hasSize(3);
+    cluster.advance(25);
+    assertThat(cluster.leader()).isNotNull();
+    assertThat(cluster.phase(cluster.leader().index, "j-1")).isEqualTo("done");
+    cluster.advance(100);
+    assertThat(cluster.runningTasks("j-2")).hasSize(3);
     // Accepted by a controller that is still there: written again, and run once nothing of it can
     // be anywhere.
-    assertThat(world.running("j-7")).hasSize(2);
+    assertThat(cluster.runningTasks("j-7")).hasSize(2);
   }
 
   @Test
   void aControllerThatWasAwayDuringTheLossGoesOverToTheNewIncarnation() {
     work();
-    Node other = world.other(leader);
-    other.noState = true;
-    other.noPeers = true;
-    world.state.loseAll();
-    world.pass(15);
-    other.noState = false;
-    other.noPeers = false;
+    ControllerNode other = cluster.otherNode(leader);
+    other.storeUnavailable = true;
+    other.peersUnreachable = true;
+    cluster.store.wipe();
+    cluster.advance(15);
+    other.storeUnavailable = false;
+    other.peersUnreachable = false;
     allIsServedAgain(8);
   }
 
@@ -264,34 +264,34 @@
   void takeoversOutagesAndRestartsAreNoLoss() {
     work();
     for (int i = 0; i < 3; i++) {
-      Node now = world.leader();
+      ControllerNode now = cluster.leader();
       now.kill();
-      world.pass(14);
+      cluster.advance(14);
       now.start();
-      world.state.outage = true;
-      world.pass(5);
-      world.state.recover();
-      world.pass(5);
+      cluster.store.outage = true;
+      cluster.advance(5);
+      cluster.store.endOutage();
+      cluster.advance(5);
     }
-    assertThat(losses(world)).isZero();
-    world.state.loseAll();
-    world.pass(8);
-    assertThat(losses(world)).isEqualTo(3);
+    assertThat(losses(cluster)).isZero();
+    cluster.store.wipe();
+    cluster.advance(8);
+    assertThat(losses(cluster)).isEqualTo(3);
   }
 
   @Test
   void theLossIsNoticedWithinOneLeaseOfTheLeader() {
     work();
     double lease = leader.settings.workers().leaseS() / 10;
-    Held then = world.state.held();
-    world.pass(5);
-    world.state.loseAll();
-    world.pass(lease);
-    assertThat(losses(world)).isPositive();
-    world.pass(20);
-    int before = losses(world);
-    world.state.putBack(then, true);
-    world.pass(lease);
-    assertThat(losses(world)).isGreaterThan(before);
+    Snapshot then = cluster.store.snapshot();
+    cluster.advance(5);
+    cluster.store.wipe();
+    cluster.advance(lease);
+    assertThat(losses(cluster)).isPositive();
+    cluster.advance(20);
+    int before = losses(cluster);
+    cluster.store.restore(then, true);
+    cluster.advance(lease);
+    assertThat(losses(cluster)).isGreaterThan(before);
   }
 }
--- a/src/test/java/io/embernotch/jobs/DependencyGraphTest.java
+++ b/src/test/java/io/embernotch/jobs/DependencyGraphTest.java
@@ -1,6 +1,6 @@
 package io.embernotch.jobs;
 
-import static io.embernotch.testkit.SimulatedCluster.after;
+import static io.embernotch.testkit.SimulatedCluster.dependentJob;
 import static io.embernotch.testkit.SimulatedCluster.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -25,7 +25,7 @@
   private final FakeTime time = new FakeTime();
   private final ControllerContext context =
       new ControllerContext(
-          SettingsReader.parse(SimulatedCluster.toml(0)),
+          SettingsReader.parse(SimulatedCluster.settingsToml(0)),
           OperatorSettings.DEFAULTS,
           time,
           time,
@@ -77,9 +77,10 @@
   @Test
   void jobsTakeTheHighestRankAndTheTightestTimeOfAllThatNeedThem() {
     Job first = add(job("j-1", "array", 1).replace("standard", "idle"));
-    Job left = add(after("j-2", 1, "j-1"));
-    Job right = add(after("j-3", 1, "j-1").replace("\"expect_s\":30.0", "\"expect_s\":50.0"));
-    Job last = add(with(after("j-4", 1, "j-2", "j-3"), "high", 300));
+    Job left = add(dependentJob("j-2", 1, "j-1"));
+    Job right =
+        add(dependentJob("j-3", 1, "j-1").replace("\"expect_s\":30.0", "\"expect_s\":50.0"));
+    Job last = add(with(dependentJob("j-4", 1, "j-2", "j-3"), "high", 300));
     dependencyGraph.propagateUrgency();
     // Submitted at 1 s and due 300 s later; each stage takes its own estimate.
     assertThat(last.latestStartMs).isEqualTo(1_000 + 300_000 - 30_000);
@@ -100,7 +101,7 @@
   void nothingInheritsTheRankOfALiveService() {
     Job before = add(job("j-1", "array", 1));
     add(
-        after("j-2", 1, "j-1")
+        dependentJob("j-2", 1, "j-1")
             .replace("standard", "production")
             .replace("\"array\"", "\"standing\""));
     dependencyGraph.propagateUrgency();
@@ -111,14 +112,14 @@
   void aJobIsLetGoWithTheLastThatItNeedsAndCountsFromThen() {
     Job one = add(job("j-1", "array", 1));
     Job two = add(job("j-2", "array", 1));
-    Job last = add(after("j-3", 1, "j-1", "j-2"));
+    Job last = add(dependentJob("j-3", 1, "j-1", "j-2"));
     end(one, JobPhase.DONE, 50_000);
     assertThat(released).isEmpty();
     end(two, JobPhase.DONE, 40_000);
     assertThat(released).containsExactly("j-3");
     assertThat(last.eligibleSinceMs).isEqualTo(50_000);
     // One that comes when all is over, or after a takeover, comes to the same.
-    Job late = add(after("j-4", 1, "j-1", "j-2"));
+    Job late = add(dependentJob("j-4", 1, "j-1", "j-2"));
     assertThat(late.blocked()).isFalse();
     assertThat(late.eligibleSinceMs).isEqualTo(50_000);
   }
@@ -127,7 +128,7 @@
   void aCancellationGoesThroughTheGraphOnceHoweverItIsTied() {
     Job first = add(job("j-0", "array", 1));
     for (int i = 1; i < 2_000; i++) {
-      add(after("j-" + i, 1, "j-" + (i - 1), "j-" + i / 2));
+      add(dependentJob("j-" + i, 1, "j-" + (i - 1), "j-" + i / 2));
     }
     end(first, JobPhase.CANCELLED, 5_000);
     assertThat(cancelled).hasSize(1_999).doesNotHaveDuplicates();
--- a/src/test/java/io/embernotch/reservation/ReservationTest.java
+++ b/src/test/java/io/embernotch/reservation/ReservationTest.java
@@ -10,8 +10,8 @@
 import io.embernotch.settings.SettingsException;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Fate;
-import io.embernotch.testkit.SimulatedCluster.Node;
+import io.embernotch.testkit.SimulatedCluster.ControllerNode;
+import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
@@ -25,13 +25,13 @@
   private static final String TEN =
       "generation: 1 reserve { name: 'live' serves { priority: LIVE } gpus: 10 }";
 
-  private SimulatedCluster world;
+  private SimulatedCluster cluster;
   private ReservedCapacity room;
 
   private void begin(String file) {
-    world = new SimulatedCluster(OperatorSettings.parse(file));
-    room = new ReservedCapacity(world);
-    world.settle(3);
+    cluster = new SimulatedCluster(OperatorSettings.parse(file));
+    room = new ReservedCapacity(cluster);
+    cluster.awaitLeader(3);
   }
 
   private static String live(String ref, int tasks) {
@@ -45,9 +45,10 @@
   }
 
   private JsonNode seen() {
-    JsonNode cluster =
-        Json.parseObject(world.await(world.leader().controller.overview()).body()).get("cluster");
-    return cluster.get("reserved").get("reservations").get(0);
+    JsonNode overview =
+        Json.parseObject(cluster.await(cluster.leader().controller.overview()).body())
+            .get("cluster");
+    return overview.get("reserved").get("reservations").get(0);
   }
 
   /**
@@ -59,14 +60,14 @@
     begin(TEN);
     room.pass(20);
     assertThat(room.heldInAll()).isGreaterThanOrEqualTo(10);
-    world.cloud.noBoot = true;
-    world.submit(0, array("j-1", 100));
+    cluster.cloud.bootDisabled = true;
+    cluster.submit(0, array("j-1", 100));
     room.pass(20);
     assertThat(seen().get("held").get("gpus").asDouble()).isGreaterThanOrEqualTo(10);
     assertThat(seen().get("idle_cost_per_hour").asDouble()).isGreaterThan(0);
-    world.submit(1, live("j-2", 10));
+    cluster.submit(1, live("j-2", 10));
     room.pass(3);
-    assertThat(world.running("j-2")).hasSize(10);
+    assertThat(cluster.runningTasks("j-2")).hasSize(10);
     assertThat(seen().get("filled").get("gpus").asDouble()).isEqualTo(10);
     assertThat(room.wrong).isEmpty();
   }
@@ -77,28 +78,28 @@
   @Test
   void allControllersEndWhileABurstWaitsAndNothingIsLent() {
     begin("");
-    world.submit(0, live("j-1", 14));
+    cluster.submit(0, live("j-1", 14));
     room.pass(15);
-    world.cloud.noBoot = true;
-    world.submit(1, array("j-2", 200));
+    cluster.cloud.bootDisabled = true;
+    cluster.submit(1, array("j-2", 200));
     room.pass(15);
     double held = room.heldInAll();
     assertThat(held).isGreaterThanOrEqualTo(14);
-    world.nodes.forEach(Node::kill);
+    cluster.nodes.forEach(ControllerNode::kill);
     room.pass(1);
     int gone = 0;
-    for (FakeWorker w : world.running("j-1").values()) {
-      for (String t : List.copyOf(w.alive())) {
+    for (FakeWorker w : cluster.runningTasks("j-1").values()) {
+      for (String t : List.copyOf(w.runningTasks())) {
         if (t.startsWith("j-1/") && gone < 6) {
-          w.exit(t, "error");
+          w.exitTask(t, "error");
           gone++;
         }
       }
     }
-    assertThat(world.running("j-1")).hasSize(8);
-    world.nodes.forEach(Node::start);
+    assertThat(cluster.runningTasks("j-1")).hasSize(8);
+    cluster.nodes.forEach(ControllerNode::start);
     room.pass(25);
-    assertThat(world.running("j-1")).hasSize(14);
+    assertThat(cluster.runningTasks("j-1")).hasSize(14);
     assertThat(room.wrong).isEmpty();
   }
 
@@ -106,25 +107,25 @@
   @Test
   void whatMayBeWrittenIsKeptThoughItIsWantedNoMore() {
     begin("");
-    world.boot("g8", "z1", false);
+    cluster.boot("g8", "z1", false);
     room.pass(7);
-    world.cloud.full = true;
-    world.commitsWith = "shared/";
-    world.commitFate = Fate.HELD;
-    world.submit(0, live("j-1", 8));
+    cluster.cloud.outOfCapacity = true;
+    cluster.commitDeliveryFilter = "shared/";
+    cluster.commitDelivery = Delivery.DELAYED;
+    cluster.submit(0, live("j-1", 8));
     room.pass(9);
-    assertThat(world.running("j-1")).hasSize(8);
-    world.submit(1, array("j-2", 50));
+    assertThat(cluster.runningTasks("j-1")).hasSize(8);
+    cluster.submit(1, array("j-2", 50));
     for (int i = 0; i < 200 && room.heldInAll() < 8; i++) {
       room.pass(0.05);
-      world.releaseHeld();
+      cluster.deliverDelayed();
     }
     assertThat(room.heldInAll()).isGreaterThanOrEqualTo(8);
-    world.abort(0, "j-1");
+    cluster.cancel(0, "j-1");
     room.pass(1);
-    world.commitFate = Fate.ARRIVES;
+    cluster.commitDelivery = Delivery.DELIVERED;
     room.pass(40);
-    assertThat(world.running("j-2")).isNotEmpty();
+    assertThat(cluster.runningTasks("j-2")).isNotEmpty();
     assertThat(room.wrong).isEmpty();
   }
 
@@ -133,21 +134,22 @@
   void aMachineThatIsNotHeardYetKeepsWhatIsHeldThere() {
     begin(TEN);
     room.pass(25);
-    world.cloud.noBoot = true;
-    world.nodes.forEach(Node::kill);
-    world.workers.values().forEach(w -> w.cut = true);
-    world.cloud.unlisted.addAll(world.workers.keySet());
+    cluster.cloud.bootDisabled = true;
+    cluster.nodes.forEach(ControllerNode::kill);
+    cluster.workers.values().forEach(w -> w.partitioned = true);
+    cluster.cloud.unlisted.addAll(cluster.workers.keySet());
     room.pass(1);
-    world.submit(0, array("j-1", 1));
-    world.nodes.forEach(Node::start);
+    cluster.submit(0, array("j-1", 1));
+    cluster.nodes.forEach(ControllerNode::start);
     room.pass(9);
     assertThat(room.heldInAll()).isGreaterThanOrEqualTo(10);
-    world.workers.values().forEach(w -> w.cut = false);
-    world.cloud.unlisted.clear();
-    world.submit(0, array("j-2", 60));
+    cluster.workers.values().forEach(w -> w.partitioned = false);
+    cluster.cloud.unlisted.clear();
+    cluster.submit(0, array("j-2", 60));
     room.pass(12);
     assertThat(room.heldInAll()).isGreaterThanOrEqualTo(10);
-    assertThat(world.running("j-2").size()).isLessThanOrEqualTo(world.workers.size() * 8 - 10);
+    assertThat(cluster.runningTasks("j-2").size())
+        .isLessThanOrEqualTo(cluster.workers.size() * 8 - 10);
   }
 
   /**
@@ -157,22 +159,22 @@
   @Test
   void whatIsGivenUpIsLentOnlyOnceThatIsKnownToBeWritten() {
     begin("");
-    world.submit(0, live("j-1", 16));
+    cluster.submit(0, live("j-1", 16));
     room.pass(15);
-    world.cloud.noBoot = true;
-    world.submit(1, array("j-2", 200));
+    cluster.cloud.bootDisabled = true;
+    cluster.submit(1, array("j-2", 200));
     room.pass(10);
-    world.commitsWith = "shared/";
-    world.commitFate = Fate.HELD;
-    world.abort(0, "j-1");
+    cluster.commitDeliveryFilter = "shared/";
+    cluster.commitDelivery = Delivery.DELAYED;
+    cluster.cancel(0, "j-1");
     room.pass(8);
     double still = room.heldInAll();
     assertThat(still).isGreaterThanOrEqualTo(16);
-    world.commitFate = Fate.ARRIVES;
-    world.releaseHeld();
+    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.deliverDelayed();
     room.pass(60);
     assertThat(room.heldInAll()).isLessThan(still / 2);
-    assertThat(world.running("j-2").size()).isGreaterThan(8);
+    assertThat(cluster.runningTasks("j-2").size()).isGreaterThan(8);
     assertThat(room.wrong).isEmpty();
   }
 
@@ -183,28 +185,28 @@
   @Test
   void aFixedAmountIsRestoredByStoppingLesserWork() {
     begin("reserve_live: false");
-    String name = world.boot("g8", "z1", false);
+    String name = cluster.boot("g8", "z1", false);
     room.pass(8);
-    world.cloud.full = true;
-    world.submit(0, array("j-1", 8).replace("standard", "idle"));
+    cluster.cloud.outOfCapacity = true;
+    cluster.submit(0, array("j-1", 8).replace("standard", "idle"));
     room.pass(8);
-    assertThat(world.workers.get(name).alive()).hasSize(8);
+    assertThat(cluster.workers.get(name).runningTasks()).hasSize(8);
     restartWith("generation: 1 reserve { name: 'live' serves { priority: LIVE } gpus: 4 }");
     room.pass(25);
     assertThat(room.held(name)).isEqualTo(4);
-    assertThat(world.workers.get(name).alive()).hasSize(4);
-    world.submit(0, live("j-2", 4));
+    assertThat(cluster.workers.get(name).runningTasks()).hasSize(4);
+    cluster.submit(0, live("j-2", 4));
     room.pass(3);
-    assertThat(world.running("j-2")).hasSize(4);
+    assertThat(cluster.runningTasks("j-2")).hasSize(4);
     assertThat(room.wrong).isEmpty();
   }
 
   private void restartWith(String file) {
-    world.operator(OperatorSettings.parse(file));
-    world.nodes.forEach(Node::kill);
-    world.pass(2);
-    world.nodes.forEach(Node::start);
-    world.settle(8);
+    cluster.operatorSettings(OperatorSettings.parse(file));
+    cluster.nodes.forEach(ControllerNode::kill);
+    cluster.advance(2);
+    cluster.nodes.forEach(ControllerNode::start);
+    cluster.awaitLeader(8);
   }
 
   /**
@@ -219,7 +221,7 @@
     restartWith(TEN);
     room.pass(20);
     assertThat(seen().get("name").asText()).isEqualTo("new");
-    assertThat(world.state.value("shared/reserve").get("gen").asLong()).isEqualTo(3);
+    assertThat(cluster.store.value("shared/reserve").get("gen").asLong()).isEqualTo(3);
     assertThat(room.heldInAll()).isGreaterThanOrEqualTo(12);
   }
 
@@ -227,18 +229,18 @@
   @Test
   void aLossOfTheStoreLosesNoHold() {
     begin(TEN);
-    world.submit(0, live("j-1", 6));
+    cluster.submit(0, live("j-1", 6));
     room.pass(25);
     double held = room.heldInAll();
-    world.cloud.noBoot = true;
-    world.submit(1, array("j-2", 100));
+    cluster.cloud.bootDisabled = true;
+    cluster.submit(1, array("j-2", 100));
     room.pass(5);
-    world.state.loseAll();
+    cluster.store.wipe();
     room.pass(40);
-    world.settle(5);
+    cluster.awaitLeader(5);
     assertThat(seen().get("held").get("gpus").asDouble())
         .isGreaterThanOrEqualTo(Math.min(held, 10));
-    assertThat(world.running("j-1")).hasSize(6);
+    assertThat(cluster.runningTasks("j-1")).hasSize(6);
     assertThat(room.wrong).isEmpty();
   }
 
@@ -246,41 +248,42 @@
     SplittableRandom random = new SplittableRandom(seed);
     ReservationTest t = new ReservationTest();
     t.begin(random.nextBoolean() ? "" : TEN);
-    SimulatedCluster world = t.world;
+    SimulatedCluster cluster = t.cluster;
     int next = 1;
     for (int step = 0; step < 25; step++) {
       int node = random.nextInt(3);
       switch (random.nextInt(9)) {
-        case 0, 1 -> submit(world, node, live("j-" + next++, 1 + random.nextInt(6)));
-        case 2 -> submit(world, node, array("j-" + next++, 1 + random.nextInt(40)));
-        case 3 -> world.finish("j-" + (1 + random.nextInt(next)));
+        case 0, 1 -> submit(cluster, node, live("j-" + next++, 1 + random.nextInt(6)));
+        case 2 -> submit(cluster, node, array("j-" + next++, 1 + random.nextInt(40)));
+        case 3 -> cluster.completeTasks("j-" + (1 + random.nextInt(next)));
         case 4 -> {
-          if (!world.nodes.get(node).down) {
-            world.abort(node, "j-" + (1 + random.nextInt(next)));
+          if (!cluster.nodes.get(node).down) {
+            cluster.cancel(node, "j-" + (1 + random.nextInt(next)));
           }
         }
         case 5 -> {
-          world.commitsWith = random.nextBoolean() ? "shared/" : "run/";
-          world.commitFate = Fate.values()[random.nextInt(3)];
+          cluster.commitDeliveryFilter = random.nextBoolean() ? "shared/" : "run/";
+          cluster.commitDelivery = Delivery.values()[random.nextInt(3)];
         }
-        case 6 -> world.releaseHeld();
-        case 7 -> world.cloud.noBoot = !world.cloud.noBoot;
+        case 6 -> cluster.deliverDelayed();
+        case 7 -> cluster.cloud.bootDisabled = !cluster.cloud.bootDisabled;
         default -> {
-          List<Node> nodes = random.nextInt(3) == 0 ? world.nodes : List.of(world.nodes.get(node));
-          nodes.forEach(Node::kill);
+          List<ControllerNode> nodes =
+              random.nextInt(3) == 0 ? cluster.nodes : List.of(cluster.nodes.get(node));
+          nodes.forEach(ControllerNode::kill);
           t.room.pass(random.nextDouble(1.0));
-          nodes.forEach(Node::start);
+          nodes.forEach(ControllerNode::start);
         }
       }
       t.room.pass(random.nextDouble(5));
     }
-    t.room.wrong.addAll(world.broken());
+    t.room.wrong.addAll(cluster.violations());
     return t.room.wrong;
   }
 
-  private static void submit(SimulatedCluster world, int node, String json) {
-    if (!world.nodes.get(node).down) {
-      world.submit(node, json);
+  private static void submit(SimulatedCluster cluster, int node, String json) {
+    if (!cluster.nodes.get(node).down) {
+      cluster.submit(node, json);
     }
   }
 
--- a/src/test/java/io/embernotch/reservation/ReservedCapacity.java
+++ b/src/test/java/io/embernotch/reservation/ReservedCapacity.java
@@ -18,29 +18,29 @@
 final class ReservedCapacity {
   private static final int GPUS = 8;
 
-  private final SimulatedCluster world;
+  private final SimulatedCluster cluster;
   private final Map<String, Set<String>> before = new HashMap<>();
   final List<String> wrong = new ArrayList<>();
 
-  ReservedCapacity(SimulatedCluster world) {
-    this.world = world;
+  ReservedCapacity(SimulatedCluster cluster) {
+    this.cluster = cluster;
   }
 
   /** GPUs that are held on a machine. */
   double held(String machine) {
     double out = 0;
-    for (String key : world.state.keys("shared/held/")) {
-      out += world.state.value(key).path("on").path(machine).path(1).asDouble() / 1000;
+    for (String key : cluster.store.keys("shared/held/")) {
+      out += cluster.store.value(key).path("on").path(machine).path(1).asDouble() / 1000;
     }
     return out;
   }
 
   double heldInAll() {
-    return world.workers.keySet().stream().mapToDouble(this::held).sum();
+    return cluster.workers.keySet().stream().mapToDouble(this::held).sum();
   }
 
   private boolean live(String task) {
-    ObjectNode job = world.state.value("job/" + task.substring(0, task.indexOf('/')));
+    ObjectNode job = cluster.store.value("job/" + task.substring(0, task.indexOf('/')));
     JsonNode rank = job == null ? null : job.path("job").path("rank");
     return rank != null && rank.asText().equals("production");
   }
@@ -49,11 +49,11 @@
   void pass(double seconds) {
     for (double t = 0; t < seconds; t += 0.05) {
       Map<String, Double> heldBefore = new HashMap<>();
-      world.workers.keySet().forEach(n -> heldBefore.put(n, held(n)));
-      world.pass(0.05);
-      for (FakeWorker w : world.workers.values()) {
+      cluster.workers.keySet().forEach(n -> heldBefore.put(n, held(n)));
+      cluster.advance(0.05);
+      for (FakeWorker w : cluster.workers.values()) {
         Set<String> others = new TreeSet<>();
-        w.alive().stream().filter(x -> !live(x)).forEach(others::add);
+        w.runningTasks().stream().filter(x -> !live(x)).forEach(others::add);
         Set<String> new_ = new TreeSet<>(others);
         new_.removeAll(before.getOrDefault(w.name, Set.of()));
         // What was committed just before a hold was written may begin just after it, so both must
--- a/src/test/java/io/embernotch/rounds/MachineViewPublisherTest.java
+++ b/src/test/java/io/embernotch/rounds/MachineViewPublisherTest.java
@@ -24,7 +24,7 @@
   private final MachineViewPublisher machineViewPublisher =
       new MachineViewPublisher(
           new ControllerContext(
-              SettingsReader.parse(SimulatedCluster.toml(0)),
+              SettingsReader.parse(SimulatedCluster.settingsToml(0)),
               OperatorSettings.DEFAULTS,
               time,
               time,
@@ -52,7 +52,7 @@
     }
     for (double t = 0; t < OperatorSettings.DEFAULTS.roundS(); t += 0.4) {
       machineViewPublisher.publish(Set.of("c0", "c1", "c2"));
-      time.pass(0.4);
+      time.advance(0.4);
     }
     assertThat(views).hasSize(40);
     assertThat(views)
--- a/src/test/java/io/embernotch/scheduling/DeadlinesTest.java
+++ b/src/test/java/io/embernotch/scheduling/DeadlinesTest.java
@@ -60,7 +60,7 @@
     final Scheduler planner =
         new Scheduler(
             SettingsReader.parse(
-                SimulatedCluster.toml(0)
+                SimulatedCluster.settingsToml(0)
                     .replace("gpus_max = 64.0", "gpus_max = 0.0")
                     .replace("gpus = 8.0\ngpus_max = 0.0", "gpus = 0.0\ngpus_max = 0.0")),
             OperatorSettings.DEFAULTS);
--- a/src/test/java/io/embernotch/scheduling/SchedulerTest.java
+++ b/src/test/java/io/embernotch/scheduling/SchedulerTest.java
@@ -30,7 +30,8 @@
 
   private final Scheduler planner =
       new Scheduler(
-          SettingsReader.parse(SimulatedCluster.toml(0) + GUESTS), OperatorSettings.DEFAULTS);
+          SettingsReader.parse(SimulatedCluster.settingsToml(0) + GUESTS),
+          OperatorSettings.DEFAULTS);
   private final List<Job> jobs = new ArrayList<>();
   private final List<Machine> machines = new ArrayList<>();
   private boolean full;
--- a/src/test/java/io/embernotch/scheduling/TopologySpreadTest.java
+++ b/src/test/java/io/embernotch/scheduling/TopologySpreadTest.java
@@ -29,7 +29,7 @@
   private final Scheduler planner =
       new Scheduler(
           SettingsReader.parse(
-              SimulatedCluster.toml(0).replace("gpus_max = 64.0", "gpus_max = 4000.0")),
+              SimulatedCluster.settingsToml(0).replace("gpus_max = 64.0", "gpus_max = 4000.0")),
           OperatorSettings.DEFAULTS);
   private final List<Job> jobs = new ArrayList<>();
   private final List<Machine> machines = new ArrayList<>();
--- a/src/test/java/io/embernotch/settings/SettingsTest.java
+++ b/src/test/java/io/embernotch/settings/SettingsTest.java
@@ -11,7 +11,8 @@
 class SettingsTest {
   @Test
   void readsTheFileAndIgnoresWhatItDoesNotKnow() {
-    Settings s = SettingsReader.parse("novelty = 3\n" + SimulatedCluster.toml(1) + "novelty = 4\n");
+    Settings s =
+        SettingsReader.parse("novelty = 3\n" + SimulatedCluster.settingsToml(1) + "novelty = 4\n");
     assertThat(s.node()).isEqualTo("c1");
     assertThat(s.members()).extracting(Settings.Member::node).containsExactly("c0", "c2");
     assertThat(s.teams().get("red").gpusMax()).isEqualTo(24);
@@ -20,10 +21,11 @@
 
   @Test
   void whatIsWrittenGoesByTheSmallerOfPresentAndComingLimits() {
-    Settings same = SettingsReader.parse(SimulatedCluster.toml(1));
+    Settings same = SettingsReader.parse(SimulatedCluster.settingsToml(1));
     assertThat(same.minStoreLimits()).isEqualTo(same.storeLimits());
     String next = "txn_ops = 12\n[cluster.state.next]\ntxn_ops = 4\nwrite_rps = 200.0\n";
-    Settings s = SettingsReader.parse(SimulatedCluster.toml(1).replace("txn_ops = 12\n", next));
+    Settings s =
+        SettingsReader.parse(SimulatedCluster.settingsToml(1).replace("txn_ops = 12\n", next));
     assertThat(s.minStoreLimits()).isEqualTo(new Settings.StoreLimits(250, 100, 8, 4));
   }
 
@@ -45,7 +47,7 @@
         "txn_ops = 12 | txn_ops = 12\\n[cluster.state.next]\\nvalue_kb = 'x' | cluster.state.next.value_kb"
       })
   void aWrongFieldIsNamed(String good, String bad, String message) {
-    String toml = SimulatedCluster.toml(1);
+    String toml = SimulatedCluster.settingsToml(1);
     assertThat(toml).contains(good);
     assertThatThrownBy(() -> SettingsReader.parse(toml.replace(good, bad.replace("\\n", "\n"))))
         .isInstanceOf(SettingsException.class)
--- a/src/test/java/io/embernotch/snapshot/file/SnapshotArchiveTest.java
+++ b/src/test/java/io/embernotch/snapshot/file/SnapshotArchiveTest.java
@@ -15,7 +15,7 @@
 import io.embernotch.snapshot.proto.SnapshotProto.JobSnapshot;
 import io.embernotch.snapshot.proto.SnapshotProto.OpenAttemptSnapshot;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Node;
+import io.embernotch.testkit.SimulatedCluster.ControllerNode;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -134,38 +134,38 @@
 
   @Test
   void allControllersAndAllDataGoneAndASnapshotIsLeft() {
-    SimulatedCluster world =
+    SimulatedCluster cluster =
         new SimulatedCluster(
             OperatorSettings.parse("snapshots { directory: '" + dir + "' every_s: 5 keep: 2 }"));
-    world.settle(8);
-    world.submit(0, job("j-1", "array", 2));
-    world.submit(0, job("j-2", "standing", 3));
-    world.pass(15);
-    world.finish("j-1");
-    world.pass(12);
-    assertThat(world.phase(1, "j-1")).isEqualTo("done");
-    assertThat(world.running("j-2")).hasSize(3);
-    world.nodes.forEach(Node::kill);
-    world.state.loseAll();
-    world.pass(3);
-    world.nodes.forEach(Node::start);
+    cluster.awaitLeader(8);
+    cluster.submit(0, job("j-1", "array", 2));
+    cluster.submit(0, job("j-2", "standing", 3));
+    cluster.advance(15);
+    cluster.completeTasks("j-1");
+    cluster.advance(12);
+    assertThat(cluster.phase(1, "j-1")).isEqualTo("done");
+    assertThat(cluster.runningTasks("j-2")).hasSize(3);
+    cluster.nodes.forEach(ControllerNode::kill);
+    cluster.store.wipe();
+    cluster.advance(3);
+    cluster.nodes.forEach(ControllerNode::start);
     for (int i = 0; i < 40; i++) {
-      world.pass(0.5);
+      cluster.advance(0.5);
       for (int n = 0; n < 3; n++) {
-        assertThat(world.phase(n, "j-1")).isIn("done", "status 503");
-        assertThat(world.phase(n, "j-2")).isNotEqualTo("status 404");
+        assertThat(cluster.phase(n, "j-1")).isIn("done", "status 503");
+        assertThat(cluster.phase(n, "j-2")).isNotEqualTo("status 404");
       }
     }
-    assertThat(world.leader()).isNotNull();
-    world.pass(10);
+    assertThat(cluster.leader()).isNotNull();
+    cluster.advance(10);
     for (int n = 0; n < 3; n++) {
-      assertThat(world.phase(n, "j-1")).isEqualTo("done");
-      assertThat(world.phase(n, "j-2")).isEqualTo("running");
-      assertThat(world.submit(n, job("j-1", "array", 2)).status()).isEqualTo(200);
+      assertThat(cluster.phase(n, "j-1")).isEqualTo("done");
+      assertThat(cluster.phase(n, "j-2")).isEqualTo("running");
+      assertThat(cluster.submit(n, job("j-1", "array", 2)).status()).isEqualTo(200);
     }
     // It was running all the time: the snapshot knew of its attempts.
-    assertThat(world.running("j-2")).hasSize(3);
-    assertThat(world.workers.values()).allSatisfy(w -> assertThat(w.session).isEqualTo(1));
-    assertThat(world.broken()).isEmpty();
+    assertThat(cluster.runningTasks("j-2")).hasSize(3);
+    assertThat(cluster.workers.values()).allSatisfy(w -> assertThat(w.epoch).isEqualTo(1));
+    assertThat(cluster.violations()).isEmpty();
   }
 }
--- a/src/test/java/io/embernotch/state/FailureAttributionTest.java
+++ b/src/test/java/io/embernotch/state/FailureAttributionTest.java
@@ -22,7 +22,7 @@
   private final FailureAttribution failureAttribution =
       new FailureAttribution(
           new ControllerContext(
-              SettingsReader.parse(SimulatedCluster.toml(0)),
+              SettingsReader.parse(SimulatedCluster.settingsToml(0)),
               OperatorSettings.DEFAULTS,
               time,
               time,
--- a/src/test/java/io/embernotch/store/LeaseRenewerTest.java
+++ b/src/test/java/io/embernotch/store/LeaseRenewerTest.java
@@ -54,33 +54,33 @@
   @Test
   void itIsRenewedThoughTheCoreIsBusyButNotForEver() {
     leaseRenewer.keep(7, time.now(), ended::add);
-    time.pass(7);
+    time.advance(7);
     assertThat(left()).isGreaterThan(LIFE_S / 2);
     // No sign of the core for longer than it may be busy: somebody else is to lead.
-    time.pass(8);
+    time.advance(8);
     assertThat(left()).isNegative();
     leaseRenewer.coreAlive();
-    time.pass(2);
+    time.advance(2);
     assertThat(left()).isPositive();
   }
 
   @Test
   void aRenewalCountsFromItsSendingAndOneWithoutAnswerNotAtAll() {
     leaseRenewer.keep(7, time.now(), ended::add);
-    time.pass(0.5);
+    time.advance(0.5);
     double proven = leaseRenewer.provenUntil();
     status = 0;
-    time.pass(2);
+    time.advance(2);
     assertThat(leaseRenewer.provenUntil()).isEqualTo(proven);
     status = 503;
-    time.pass(2);
+    time.advance(2);
     assertThat(left()).isNegative();
     status = 404;
-    time.pass(1);
+    time.advance(1);
     core.forEach(Runnable::run);
     assertThat(ended).containsExactly(7L);
     int before = asked.size();
-    time.pass(5);
+    time.advance(5);
     assertThat(asked).hasSize(before);
   }
 
@@ -88,7 +88,7 @@
   void anAnswerAboutAFormerLeaseProvesNothingOfTheNextOne() {
     late = Promise.promise();
     leaseRenewer.keep(7, time.now(), ended::add);
-    time.pass(0.1);
+    time.advance(0.1);
     Promise<HttpReply> old = late;
     late = Promise.promise();
     leaseRenewer.release();
@@ -96,7 +96,7 @@
     leaseRenewer.keep(8, time.now() - 2, ended::add);
     double proven = leaseRenewer.provenUntil();
     old.complete(new HttpReply(200, new byte[0]));
-    time.pass(0.1);
+    time.advance(0.1);
     assertThat(leaseRenewer.provenUntil()).isEqualTo(proven);
     assertThat(asked).last().isEqualTo("/leases/8/extend");
   }
--- a/src/test/java/io/embernotch/store/StoreClientTest.java
+++ b/src/test/java/io/embernotch/store/StoreClientTest.java
@@ -17,7 +17,7 @@
 
 class StoreClientTest {
   private final FakeTime time = new FakeTime();
-  private final Settings settings = SettingsReader.parse(SimulatedCluster.toml(0));
+  private final Settings settings = SettingsReader.parse(SimulatedCluster.settingsToml(0));
 
   @Test
   void whatTheServiceRefusesForBeingTooMuchIsTriedAgainNoFasterThanItMay() {
@@ -45,7 +45,7 @@
                   new Transaction().when(key, 0).write(key, Json.object()),
                   RequestPriority.NORMAL));
     }
-    time.pass(5);
+    time.advance(5);
     assertThat(calls[0])
         .isLessThanOrEqualTo((int) (settings.storeLimits().writeRps() * 0.7 * 5.5) + 1);
     assertThat(calls[0]).isGreaterThan(100);
@@ -59,11 +59,11 @@
     pacer.acquire(1, RequestPriority.BACKGROUND, () -> order.add("spare"));
     pacer.acquire(1, RequestPriority.NORMAL, () -> order.add("usual"));
     pacer.acquire(1, RequestPriority.HIGH, () -> order.add("first"));
-    time.pass(0.25);
+    time.advance(0.25);
     assertThat(order).containsExactly("burst", "first", "usual");
-    time.pass(0.3);
+    time.advance(0.3);
     assertThat(order).hasSize(3);
-    time.pass(0.3);
+    time.advance(0.3);
     assertThat(order).containsExactly("burst", "first", "usual", "spare");
   }
 }
--- a/src/test/java/io/embernotch/testkit/AnswerOrderChecker.java
+++ b/src/test/java/io/embernotch/testkit/AnswerOrderChecker.java
@@ -34,7 +34,7 @@
   private final TreeMap<State, Double> receivedAt = new TreeMap<>();
 
   /** A later state that was received by {@code sentAt}; null if there is none. */
-  State contradicts(State told, double sentAt) {
+  State contradictedBy(State told, double sentAt) {
     for (Map.Entry<State, Double> later : receivedAt.tailMap(told, false).entrySet()) {
       if (later.getValue() <= sentAt) {
         return later.getKey();
--- a/src/test/java/io/embernotch/testkit/FakeCloud.java
+++ b/src/test/java/io/embernotch/testkit/FakeCloud.java
@@ -17,7 +17,7 @@
 public final class FakeCloud {
   private final FakeTime time;
   private final TreeMap<String, FakeWorker> workers;
-  private final Consumer<FakeWorker> booted;
+  private final Consumer<FakeWorker> bootListener;
   private final Map<String, List<String>> bookings = new HashMap<>();
   private int nextMachine = 1;
 
@@ -25,7 +25,7 @@
   public final List<String> deleted = new ArrayList<>();
 
   /** How many machines each rental asked for. */
-  public final List<Integer> rentals = new ArrayList<>();
+  public final List<Integer> rentalSizes = new ArrayList<>();
 
   /** Every request is refused. */
   public boolean down;
@@ -34,10 +34,10 @@
   public final TreeSet<String> unlisted = new TreeSet<>();
 
   /** No machine is left to be rented. */
-  public boolean full;
+  public boolean outOfCapacity;
 
   /** Rented machines do not come up. */
-  public boolean noBoot;
+  public boolean bootDisabled;
 
   /** Seconds until a rented machine is up. */
   public double bootS = 5;
@@ -51,7 +51,7 @@
   FakeCloud(FakeTime time, TreeMap<String, FakeWorker> workers, Consumer<FakeWorker> booted) {
     this.time = time;
     this.workers = workers;
-    this.booted = booted;
+    this.bootListener = booted;
   }
 
   /** Answers a request. */
@@ -77,13 +77,13 @@
   private HttpReply rent(ObjectNode request) {
     String booking = request.get("booking").asText();
     List<String> names = bookings.get(booking);
-    if (names == null && full) {
+    if (names == null && outOfCapacity) {
       return error("no capacity");
     }
     if (names == null) {
       names = new ArrayList<>();
       int number = request.get("number").asInt();
-      rentals.add(number);
+      rentalSizes.add(number);
       for (int i = 0; i < number; i++) {
         names.add(
             boot(
@@ -129,14 +129,14 @@
   String boot(String type, String zone, boolean spot) {
     String name = String.format("n-%06d", nextMachine++);
     String address = "10.1.0." + nextMachine + ":9000";
-    if (!noBoot) {
+    if (!bootDisabled) {
       time.after(
           bootS,
           () -> {
             if (!deleted.contains(name)) {
               FakeWorker machine = new FakeWorker(name, type, zone, spot, address, time.now());
               workers.put(name, machine);
-              booted.accept(machine);
+              bootListener.accept(machine);
             }
           });
     }
--- a/src/test/java/io/embernotch/testkit/FakeStore.java
+++ b/src/test/java/io/embernotch/testkit/FakeStore.java
@@ -33,7 +33,7 @@
   private final FakeTime time;
 
   /** What it held at some moment. */
-  public record Held(TreeMap<String, Object> data, long epoch) {}
+  public record Snapshot(TreeMap<String, Object> data, long epoch) {}
 
   private final TreeMap<String, Value> data = new TreeMap<>();
   private final Map<Long, Lease> leases = new HashMap<>();
@@ -46,33 +46,33 @@
   public boolean outage;
 
   /** Lists are not answered. */
-  public boolean slowLists;
+  public boolean listsUnanswered;
 
-  public int commits;
+  public int commitCount;
 
   /**
    * Limits as PROTOCOL has them; a transaction beyond them gets 400, changes beyond the rate 429.
    */
-  public int valueBytes = 8 * 1024;
+  public int maxValueBytes = 8 * 1024;
 
-  public int txnOps = 12;
-  public double changesPerS = 100;
+  public int maxTransactionOperations = 12;
+  public double maxChangesPerS = 100;
   private double credit;
   private double creditAt;
 
   /** Transactions refused as malformed, and for being too many. */
-  public int malformed;
+  public int malformedCount;
 
-  public int throttled;
+  public int throttledCount;
 
   /** Jobs whose end was ever written as done, whatever became of it since. */
-  public final Set<String> everDone = new HashSet<>();
+  public final Set<String> jobsEverDone = new HashSet<>();
 
   /** Runs whenever somebody has become leader. */
-  Runnable onLeader = () -> {};
+  Runnable onLeaderChange = () -> {};
 
   /** How often each key was written. */
-  public final Map<String, Integer> writes = new TreeMap<>();
+  public final Map<String, Integer> writeCounts = new TreeMap<>();
 
   public FakeStore(FakeTime time) {
     this.time = time;
@@ -114,13 +114,13 @@
   }
 
   /** Ends an outage: every lease gets its full time again. */
-  public void recover() {
+  public void endOutage() {
     outage = false;
     leases.values().forEach(l -> l.until = time.now() + l.leaseTtlS);
   }
 
   /** Everything is gone: keys, leases, changes; revisions and the names of leases begin anew. */
-  public void loseAll() {
+  public void wipe() {
     data.clear();
     leases.clear();
     changes.clear();
@@ -129,14 +129,14 @@
   }
 
   /** What it holds now, to be put back later. */
-  public Held held() {
-    return new Held(new TreeMap<>(data), epoch);
+  public Snapshot snapshot() {
+    return new Snapshot(new TreeMap<>(data), epoch);
   }
 
   /**
    * Everything is as it was then, the leader's key and its lease included, if {@code withLeases}.
    */
-  public void putBack(Held then, boolean withLeases) {
+  public void restore(Snapshot then, boolean withLeases) {
     data.clear();
     then.data.forEach((k, v) -> data.put(k, (Value) v));
     epoch = then.epoch;
@@ -147,7 +147,7 @@
   }
 
   /** Keys under a prefix are gone; revisions go on, and no watch is told. */
-  public void lose(String prefix) {
+  public void deletePrefix(String prefix) {
     data.keySet().removeIf(k -> k.startsWith(prefix));
   }
 
@@ -155,17 +155,17 @@
    * Conditions on keys with this prefix are not looked at, as if nobody had made them; null: all
    * are.
    */
-  public String blindTo;
+  public String ignoredConditionPrefix;
 
   /** Lowers the limits, without notice. */
-  public void lower(int bytes, int ops, double perS) {
-    valueBytes = bytes;
-    txnOps = ops;
-    changesPerS = perS;
+  public void lowerLimits(int bytes, int ops, double perS) {
+    maxValueBytes = bytes;
+    maxTransactionOperations = ops;
+    maxChangesPerS = perS;
   }
 
   /** Puts a value there as another version would have left it. */
-  public void plant(String key, String json) {
+  public void put(String key, String json) {
     epoch++;
     ObjectNode v = Json.parseObject(json.getBytes(StandardCharsets.UTF_8));
     data.put(key, new Value(v, epoch, 0));
@@ -195,7 +195,7 @@
       return get(path.substring(7));
     }
     if (path.startsWith("/store?")) {
-      return slowLists
+      return listsUnanswered
           ? Promise.<HttpReply>promise().future()
           : list(query(path, "starts"), query(path, "after"));
     }
@@ -255,26 +255,30 @@
 
   private Future<HttpReply> commit(ObjectNode o) {
     int size = o.path("apply").size();
-    commits += size > 0 ? 1 : 0;
+    commitCount += size > 0 ? 1 : 0;
     boolean large =
-        size > txnOps || o.get("when").size() > 4 * txnOps || Json.bytes(o).length > 64 * 1024;
+        size > maxTransactionOperations
+            || o.get("when").size() > 4 * maxTransactionOperations
+            || Json.bytes(o).length > 64 * 1024;
     for (JsonNode a : o.path("apply")) {
-      large |= a.has("write") && Json.bytes(a.get("v")).length > valueBytes;
+      large |= a.has("write") && Json.bytes(a.get("v")).length > maxValueBytes;
     }
     if (large) {
-      malformed++;
+      malformedCount++;
       return reply(400, Json.object().put("error", "over the limits"));
     }
-    credit = Math.min(changesPerS, credit + (time.now() - creditAt) * changesPerS);
+    credit = Math.min(maxChangesPerS, credit + (time.now() - creditAt) * maxChangesPerS);
     creditAt = time.now();
     if (credit < size) {
-      throttled++;
+      throttledCount++;
       return reply(429, Json.object().put("error", "too many changes"));
     }
     credit -= size;
     ArrayNode failed = Json.object().putArray("failed");
     for (JsonNode w : o.get("when")) {
-      boolean seen = blindTo == null || !w.get("key").asText().startsWith(blindTo);
+      boolean seen =
+          ignoredConditionPrefix == null
+              || !w.get("key").asText().startsWith(ignoredConditionPrefix);
       if (seen && modRevision(w.get("key").asText()) != w.get("stamp").asLong()) {
         failed.add(w.get("key").asText());
       }
@@ -297,14 +301,14 @@
       if (a.has("write")) {
         String key = a.get("write").asText();
         ObjectNode v = a.get("v").deepCopy();
-        writes.merge(key, 1, Integer::sum);
+        writeCounts.merge(key, 1, Integer::sum);
         if (v.path("end").asText().equals("done")) {
-          everDone.add(key.split("/")[1]);
+          jobsEverDone.add(key.split("/")[1]);
         }
         data.put(key, new Value(v, epoch, a.path("permit").asLong(0)));
         changed(key, v);
         if (key.equals(JobProgressCodec.LEADER)) {
-          onLeader.run();
+          onLeaderChange.run();
         }
       } else {
         data.remove(a.get("drop").asText());
--- a/src/test/java/io/embernotch/testkit/FakeTime.java
+++ b/src/test/java/io/embernotch/testkit/FakeTime.java
@@ -50,7 +50,7 @@
   }
 
   /** Lets so much time pass, carrying out what falls due. */
-  public void pass(double seconds) {
+  public void advance(double seconds) {
     double until = now + seconds;
     while (!queue.isEmpty() && queue.peek().at <= until) {
       Due d = queue.poll();
--- a/src/test/java/io/embernotch/testkit/FakeWorker.java
+++ b/src/test/java/io/embernotch/testkit/FakeWorker.java
@@ -36,16 +36,16 @@
   private final Map<String, Task> tasks = new LinkedHashMap<>();
 
   /** Every start that was carried out, as JOB/TASK#TRY. */
-  public final List<String> started = new ArrayList<>();
+  public final List<String> startedAttempts = new ArrayList<>();
 
-  public final List<String> reaped = new ArrayList<>();
-  public long session = 1;
-  public long seq;
-  public long token;
-  public Double recallS;
+  public final List<String> reapedAttempts = new ArrayList<>();
+  public long epoch = 1;
+  public long sequence;
+  public long fencingToken;
+  public Double reclaimNoticeS;
 
   /** Neither reports leave nor commands arrive. */
-  public boolean cut;
+  public boolean partitioned;
 
   /** It takes connections, and neither answers nor reports. */
   public boolean hung;
@@ -54,36 +54,36 @@
    * Its heartbeats arrive; answers and commands do not reach it, so it goes on to the next
    * controller.
    */
-  public boolean deaf;
+  public boolean inboundPartitioned;
 
   /** It reaches no controller; direct commands reach it. */
-  public boolean mute;
+  public boolean outboundPartitioned;
 
   /** Commands that reached it while it hung; it carries them out once it goes on. */
-  private final List<byte[]> queued = new ArrayList<>();
+  private final List<byte[]> queuedCommands = new ArrayList<>();
 
   /** Are told of each start that is carried out, and of each end with its cause. */
-  Consumer<String> onStart = t -> {};
+  Consumer<String> startListener = t -> {};
 
-  BiConsumer<String, String> onExit = (t, cause) -> {};
+  BiConsumer<String, String> exitListener = (t, cause) -> {};
 
   /** Is told of each task that is no longer on the machine, however it ended. */
-  Consumer<String> onLeave = t -> {};
+  Consumer<String> removalListener = t -> {};
 
-  double heartbeatsAgainAt;
+  double nextHeartbeatAt;
 
   /** Starts that were sent to it while it was unreachable. */
-  public int startsLost;
+  public int lostStartCount;
 
   /** Every task that starts fails at once. */
-  public boolean sick;
+  public boolean failsTasks;
 
   double lastRenewed;
 
   /** The controller that it reports to, and how often it went to another. */
-  public int node;
+  public int controllerIndex;
 
-  public int moves;
+  public int controllerChanges;
 
   public FakeWorker(
       String name, String type, String zone, boolean spot, String address, double now) {
@@ -96,7 +96,7 @@
   }
 
   /** Task names that are on the machine and have not exited. */
-  public TreeSet<String> alive() {
+  public TreeSet<String> runningTasks() {
     TreeSet<String> out = new TreeSet<>();
     tasks.forEach(
         (k, t) -> {
@@ -107,69 +107,69 @@
     return out;
   }
 
-  public boolean holds(String task) {
+  public boolean hasTask(String task) {
     return tasks.containsKey(task);
   }
 
-  public void exit(String task, String cause) {
+  public void exitTask(String task, String cause) {
     tasks.get(task).phase = "exited";
     tasks.get(task).cause = cause;
-    onExit.accept(task, cause);
-    onLeave.accept(task);
+    exitListener.accept(task, cause);
+    removalListener.accept(task);
   }
 
   private void killAll() {
-    alive().forEach(onLeave);
+    runningTasks().forEach(removalListener);
     tasks.clear();
   }
 
   /** A command reaches it while it hangs. */
-  void queue(byte[] direct) {
-    queued.add(direct);
+  void queueCommands(byte[] direct) {
+    queuedCommands.add(direct);
   }
 
   /** It goes on, and first carries out what has reached it meanwhile. */
-  public void goOn() {
+  public void resume() {
     hung = false;
-    queued.forEach(this::direct);
-    queued.clear();
+    queuedCommands.forEach(this::executeCommands);
+    queuedCommands.clear();
   }
 
   /** The cloud has deleted it, with all that was on it and on its way to it. */
   void delete() {
     killAll();
-    queued.clear();
-    token = Long.MAX_VALUE;
+    queuedCommands.clear();
+    fencingToken = Long.MAX_VALUE;
   }
 
-  void endSession(double now) {
+  void expireLease(double now) {
     killAll();
-    session++;
-    seq = 0;
+    epoch++;
+    sequence = 0;
     lastRenewed = now;
   }
 
   /** Back at once without its tasks; {@code anew}: as if it had never been there. */
-  public void back(boolean anew) {
+  public void restart(boolean anew) {
     killAll();
     if (anew) {
-      session = 1;
-      seq = 0;
-      token = 0;
+      epoch = 1;
+      sequence = 0;
+      fencingToken = 0;
     }
   }
 
   public byte[] heartbeat() {
-    seq++;
+    sequence++;
     ObjectNode o = Json.object();
     o.put("hearth", name)
         .put("address", address)
         .put("flavor", type)
         .put("room", zone)
         .put("loaner", spot);
-    o.put("tenure", session).put("tick", seq).put("baton", token);
-    if (recallS != null) {
-      o.put("recall_s", recallS);
+    o.put("tenure", epoch).put("tick", sequence).put("baton", fencingToken);
+    if (reclaimNoticeS != null) {
+      o.put("recall_s", reclaimNoticeS);
     }
     ArrayNode list = o.putArray("shards");
     tasks.forEach(
@@ -184,29 +184,29 @@
   }
 
   /** Takes the answer to a heartbeat; true if it renews the lease. */
-  boolean answer(byte[] body) {
+  boolean handleHeartbeatResponse(byte[] body) {
     ObjectNode o = Json.parseObject(body);
     long given = o.path("baton").asLong(-1);
-    if (given < token) {
+    if (given < fencingToken) {
       return false;
     }
-    token = given;
-    obey(o.get("orders"));
+    fencingToken = given;
+    execute(o.get("orders"));
     return true;
   }
 
   /** POST /do. */
-  public HttpReply direct(byte[] body) {
+  public HttpReply executeCommands(byte[] body) {
     ObjectNode o = Json.parseObject(body);
-    if (o.get("baton").asLong() < token || o.get("tenure").asLong() != session) {
+    if (o.get("baton").asLong() < fencingToken || o.get("tenure").asLong() != epoch) {
       return new HttpReply(409, heartbeat());
     }
-    token = o.get("baton").asLong();
-    obey(o.get("orders"));
+    fencingToken = o.get("baton").asLong();
+    execute(o.get("orders"));
     return new HttpReply(200, heartbeat());
   }
 
-  private void obey(JsonNode orders) {
+  private void execute(JsonNode orders) {
     for (JsonNode c : orders) {
       String task = c.get("shard").asText();
       long attempt = c.get("try").asLong();
@@ -220,12 +220,12 @@
               continue;
             }
             tasks.put(task, n);
-            started.add(task + "#" + attempt);
-            onStart.accept(task);
-            if (sick) {
+            startedAttempts.add(task + "#" + attempt);
+            startListener.accept(task);
+            if (failsTasks) {
               n.phase = "exited";
               n.cause = "error";
-              onLeave.accept(task);
+              removalListener.accept(task);
             }
           }
         }
@@ -233,13 +233,13 @@
           if (t != null && t.attempt == attempt && !t.phase.equals("exited")) {
             t.phase = "exited";
             t.cause = "halted";
-            onLeave.accept(task);
+            removalListener.accept(task);
           }
         }
         default -> {
           if (t != null && t.attempt == attempt && t.phase.equals("exited")) {
             tasks.remove(task);
-            reaped.add(task + "#" + attempt);
+            reapedAttempts.add(task + "#" + attempt);
           }
         }
       }
--- a/src/test/java/io/embernotch/testkit/InvariantChecker.java
+++ b/src/test/java/io/embernotch/testkit/InvariantChecker.java
@@ -32,54 +32,54 @@
 
   private final Settings settings;
   private final Map<String, JobSpec> specs = new TreeMap<>();
-  private final Set<String> sent = new TreeSet<>();
-  private final Set<String> accepted = new TreeSet<>();
-  private final Set<String> created = new TreeSet<>();
-  private final Map<String, AnswerOrderChecker> orders = new HashMap<>();
+  private final Set<String> submittedJobs = new TreeSet<>();
+  private final Set<String> acceptedJobs = new TreeSet<>();
+  private final Set<String> createdJobs = new TreeSet<>();
+  private final Map<String, AnswerOrderChecker> answerOrders = new HashMap<>();
 
   /** How many tasks of each job are on machines. */
-  private final Map<String, Integer> onMachines = new HashMap<>();
+  private final Map<String, Integer> tasksOnMachines = new HashMap<>();
 
   /** When a task of each job was last started. */
-  private final Map<String, Double> startedAt = new HashMap<>();
+  private final Map<String, Double> lastStartAt = new HashMap<>();
 
   /**
    * When a user was first told that a job runs, counted anew whenever a task of it leaves a
    * machine.
    */
-  private final Map<String, Double> runningToldAt = new HashMap<>();
+  private final Map<String, Double> runningReportedAt = new HashMap<>();
 
-  private final Map<String, String> ends = new TreeMap<>();
-  private final Map<String, Double> cancelAskedAt = new TreeMap<>();
+  private final Map<String, String> finalPhases = new TreeMap<>();
+  private final Map<String, Double> cancelRequestedAt = new TreeMap<>();
   private final Map<String, Double> cancelledAt = new TreeMap<>();
-  private final Map<String, BitSet> done = new HashMap<>();
+  private final Map<String, BitSet> doneTasks = new HashMap<>();
   private final Map<String, Double> idleSince = new HashMap<>();
-  private final Set<String> reported = new TreeSet<>();
-  private final List<String> broken = new ArrayList<>();
+  private final Set<String> reportedViolations = new TreeSet<>();
+  private final List<String> violations = new ArrayList<>();
 
   /**
    * Starts after a cancellation was confirmed; within {@code cancel_s} they break no rule, and
    * there should be none.
    */
-  public final List<String> startsAfterCancel = new ArrayList<>();
+  public final List<String> startsAfterCancellation = new ArrayList<>();
 
   /** From the first time that a user asked for a cancellation to its confirmation, in seconds. */
-  public final List<Double> cancelWaits = new ArrayList<>();
+  public final List<Double> cancellationDelays = new ArrayList<>();
 
   /** Troubles are over: no job may be left waiting beside room for it. */
-  public boolean quiet;
+  public boolean faultsOver;
 
   public InvariantChecker(Settings settings) {
     this.settings = settings;
   }
 
-  public List<String> broken() {
-    return broken;
+  public List<String> violations() {
+    return violations;
   }
 
-  void breaks(String what) {
-    if (reported.add(what)) {
-      broken.add(what);
+  void reportViolation(String what) {
+    if (reportedViolations.add(what)) {
+      violations.add(what);
     }
   }
 
@@ -93,89 +93,91 @@
       spec = JobCodec.read(o);
     } catch (MalformedInputException e) {
       // A job that is known gets its state, whatever else is sent under its name.
-      if (a.status() == 201 || (a.status() == 200 && !accepted.contains(o.path("ref").asText()))) {
-        breaks("a submission that lacks something is accepted: " + e.getMessage());
+      if (a.status() == 201
+          || (a.status() == 200 && !acceptedJobs.contains(o.path("ref").asText()))) {
+        reportViolation("a submission that lacks something is accepted: " + e.getMessage());
       }
       return;
     }
     String ref = spec.ref();
-    sent.add(ref);
+    submittedJobs.add(ref);
     specs.putIfAbsent(ref, spec);
-    if (a.status() == 201 && !created.add(ref)) {
-      breaks(ref + " is created twice");
+    if (a.status() == 201 && !createdJobs.add(ref)) {
+      reportViolation(ref + " is created twice");
     }
     if (a.status() == 201 || a.status() == 200) {
-      accepted.add(ref);
-      heard(ref, a, askedAt, now);
-    } else if ((a.status() == 400 || a.status() == 422) && accepted.contains(ref)) {
-      breaks(ref + " was accepted, and submitted again gets " + a.status());
+      acceptedJobs.add(ref);
+      statusReceived(ref, a, askedAt, now);
+    } else if ((a.status() == 400 || a.status() == 422) && acceptedJobs.contains(ref)) {
+      reportViolation(ref + " was accepted, and submitted again gets " + a.status());
     }
   }
 
   public void polled(String ref, HttpResponse a, double askedAt, double now, boolean inStore) {
     if (a.status() == 404) {
-      ordered(ref, new AnswerOrderChecker.State(AnswerOrderChecker.Stage.UNKNOWN, 0), askedAt, now);
+      checkOrder(
+          ref, new AnswerOrderChecker.State(AnswerOrderChecker.Stage.UNKNOWN, 0), askedAt, now);
     }
-    if (a.status() == 200 && !sent.contains(ref) && !inStore) {
-      breaks(ref + " is invented");
+    if (a.status() == 200 && !submittedJobs.contains(ref) && !inStore) {
+      reportViolation(ref + " is invented");
     }
-    heard(ref, a, askedAt, now);
+    statusReceived(ref, a, askedAt, now);
   }
 
-  public void cancelAsked(String ref, double now) {
-    cancelAskedAt.putIfAbsent(ref, now);
+  public void cancelRequested(String ref, double now) {
+    cancelRequestedAt.putIfAbsent(ref, now);
   }
 
   /**
    * An answer to what was asked at {@code askedAt}: older than what was told after that it may be,
    * unless both are ends.
    */
-  public void heard(String ref, HttpResponse a, double askedAt, double now) {
+  public void statusReceived(String ref, HttpResponse a, double askedAt, double now) {
     if (a.status() != 200 && a.status() != 201) {
       return;
     }
     ObjectNode body = Json.parseObject(a.body());
     String phase = body.path("phase").asText();
     boolean isEnd = phase.equals("done") || phase.equals("cancelled");
-    String end = ends.get(ref);
+    String end = finalPhases.get(ref);
     if (isEnd && end != null && !end.equals(phase)) {
-      breaks(ref + " was " + end + " and is " + phase);
+      reportViolation(ref + " was " + end + " and is " + phase);
     }
     int counted = body.path("done").asInt(Integer.MAX_VALUE);
-    ordered(
+    checkOrder(
         ref,
         isEnd
             ? new AnswerOrderChecker.State(AnswerOrderChecker.Stage.ENDED, 0)
             : new AnswerOrderChecker.State(AnswerOrderChecker.Stage.ACCEPTED, counted),
         askedAt,
         now);
-    presence(ref, phase, askedAt, now);
+    checkRunningReported(ref, phase, askedAt, now);
     JobSpec spec = specs.get(ref);
     if (phase.equals("done") && spec != null && !allDone(ref, spec)) {
-      breaks(ref + " is called done before all of its tasks are");
+      reportViolation(ref + " is called done before all of its tasks are");
     }
     if (phase.equals("cancelled")) {
       boolean byItself =
-          !cancelAskedAt.containsKey(ref)
-              && sent.contains(ref)
+          !cancelRequestedAt.containsKey(ref)
+              && submittedJobs.contains(ref)
               && (spec == null || spec.dependencies().isEmpty());
       if (byItself) {
-        breaks(ref + " is called cancelled, and nobody asked for it");
+        reportViolation(ref + " is called cancelled, and nobody asked for it");
       }
-      if (cancelledAt.putIfAbsent(ref, now) == null && cancelAskedAt.containsKey(ref)) {
-        cancelWaits.add(now - cancelAskedAt.get(ref));
+      if (cancelledAt.putIfAbsent(ref, now) == null && cancelRequestedAt.containsKey(ref)) {
+        cancellationDelays.add(now - cancelRequestedAt.get(ref));
       }
     }
     if (isEnd) {
-      ends.put(ref, phase);
+      finalPhases.put(ref, phase);
     }
   }
 
-  private void ordered(String ref, AnswerOrderChecker.State told, double askedAt, double now) {
-    AnswerOrderChecker order = orders.computeIfAbsent(ref, r -> new AnswerOrderChecker());
-    AnswerOrderChecker.State later = order.contradicts(told, askedAt);
+  private void checkOrder(String ref, AnswerOrderChecker.State told, double askedAt, double now) {
+    AnswerOrderChecker order = answerOrders.computeIfAbsent(ref, r -> new AnswerOrderChecker());
+    AnswerOrderChecker.State later = order.contradictedBy(told, askedAt);
     if (later != null) {
-      breaks(ref + " was told as " + later + " and then, asked after that, as " + told);
+      reportViolation(ref + " was told as " + later + " and then, asked after that, as " + told);
     }
     order.received(told, now);
   }
@@ -185,28 +187,28 @@
    * queued. A leader that has sent a start learns from the answer that it was carried out, so those
    * just started do not count yet.
    */
-  private void presence(String ref, String phase, double askedAt, double now) {
+  private void checkRunningReported(String ref, String phase, double askedAt, double now) {
     double knownS = settings.workers().heartbeatIntervalS() / 6;
-    if (onMachines.getOrDefault(ref, 0) == 0
-        || askedAt - startedAt.getOrDefault(ref, 0.0) < knownS) {
+    if (tasksOnMachines.getOrDefault(ref, 0) == 0
+        || askedAt - lastStartAt.getOrDefault(ref, 0.0) < knownS) {
       return;
     }
     if (phase.equals("running")) {
-      runningToldAt.putIfAbsent(ref, now);
+      runningReportedAt.putIfAbsent(ref, now);
     } else if (phase.equals("queued")
-        && askedAt > runningToldAt.getOrDefault(ref, Double.MAX_VALUE)) {
-      breaks(ref + " was told to run, runs on, and is told to be queued");
+        && askedAt > runningReportedAt.getOrDefault(ref, Double.MAX_VALUE)) {
+      reportViolation(ref + " was told to run, runs on, and is told to be queued");
     }
   }
 
   /** A task is no longer on its machine. */
-  void left(String task) {
-    onMachines.merge(refOf(task), -1, Integer::sum);
-    runningToldAt.remove(refOf(task));
+  void taskRemoved(String task) {
+    tasksOnMachines.merge(refOf(task), -1, Integer::sum);
+    runningReportedAt.remove(refOf(task));
   }
 
   private boolean allDone(String ref, JobSpec spec) {
-    int n = done.getOrDefault(ref, new BitSet()).cardinality();
+    int n = doneTasks.getOrDefault(ref, new BitSet()).cardinality();
     return spec.shape() == JobShape.GANG ? n > 0 : n >= spec.tasks();
   }
 
@@ -220,27 +222,27 @@
     return Integer.parseInt(task.substring(task.lastIndexOf('/') + 1));
   }
 
-  public void exited(String task, String cause) {
+  public void taskExited(String task, String cause) {
     if (cause.equals("done")) {
-      done.computeIfAbsent(refOf(task), r -> new BitSet()).set(indexOf(task));
+      doneTasks.computeIfAbsent(refOf(task), r -> new BitSet()).set(indexOf(task));
     }
   }
 
   /**
    * A task has started on a machine; {@code job} is its description as the store has it, or null.
    */
-  public void started(
+  public void taskStarted(
       FakeWorker on, String task, JsonNode job, Iterable<FakeWorker> workers, double now) {
     String ref = refOf(task);
-    onMachines.merge(ref, 1, Integer::sum);
-    startedAt.put(ref, now);
+    tasksOnMachines.merge(ref, 1, Integer::sum);
+    lastStartAt.put(ref, now);
     if (job != null) {
       specs.putIfAbsent(ref, JobCodec.read(job));
     }
     JobSpec spec = specs.get(ref);
     Double told = cancelledAt.get(ref);
     if (told != null) {
-      startsAfterCancel.add(
+      startsAfterCancellation.add(
           task
               + " on "
               + on.name
@@ -248,7 +250,7 @@
               + Math.round(now - told)
               + " s after its cancellation was told");
       if (now - told > settings.workers().cancelS()) {
-        breaks(task + " starts later than cancel_s after its cancellation was told");
+        reportViolation(task + " starts later than cancel_s after its cancellation was told");
       }
     }
     if (spec == null) {
@@ -258,10 +260,10 @@
     double gpus = 0;
     double cpus = 0;
     for (FakeWorker w : workers) {
-      for (String t : w.alive()) {
+      for (String t : w.runningTasks()) {
         JobSpec s = specs.get(refOf(t));
         if (w != on && t.equals(task)) {
-          breaks(task + " starts on " + on.name + " while it is on " + w.name);
+          reportViolation(task + " starts on " + on.name + " while it is on " + w.name);
         }
         if (refOf(t).equals(ref)) {
           perZone.merge(w.zone, 1, Integer::sum);
@@ -276,65 +278,70 @@
     if (team != null
         && ((team.gpusMax() > 0 && gpus > team.gpusMax() + 1e-6)
             || (team.cpusMax() > 0 && cpus > team.cpusMax() + 1e-6))) {
-      breaks("team " + spec.team() + " is over its limit with " + task + " on " + on.name);
+      reportViolation("team " + spec.team() + " is over its limit with " + task + " on " + on.name);
     }
     boolean place =
         spec.allows(on.type, on.zone, on.spot)
             && (!spec.oneZone() || perZone.size() < 2)
             && perZone.getOrDefault(on.zone, 0) <= spec.zoneCap();
     if (!place) {
-      breaks(task + " starts at a wrong place, " + on.name + " in " + on.zone);
+      reportViolation(task + " starts at a wrong place, " + on.name + " in " + on.zone);
     }
   }
 
   // ---- what is on machines as time goes by
 
   /** Looks at all machines, hung and cut ones too. */
-  public void look(Iterable<FakeWorker> workers, double now) {
+  public void checkMachines(Iterable<FakeWorker> workers, double now) {
     double late = settings.workers().cancelS();
     boolean any = cancelledAt.values().stream().anyMatch(at -> now - at > late);
-    if (!any && !quiet) {
+    if (!any && !faultsOver) {
       return;
     }
     for (FakeWorker w : workers) {
-      for (String t : w.alive()) {
+      for (String t : w.runningTasks()) {
         Double at = cancelledAt.get(refOf(t));
         if (at != null && now - at > late) {
-          breaks(t + " is on " + w.name + " later than cancel_s after its cancellation was told");
+          reportViolation(
+              t + " is on " + w.name + " later than cancel_s after its cancellation was told");
         }
       }
     }
-    if (quiet) {
-      waiting(workers, now);
+    if (faultsOver) {
+      checkWaitingJobs(workers, now);
     }
   }
 
-  private void waiting(Iterable<FakeWorker> workers, double now) {
+  private void checkWaitingJobs(Iterable<FakeWorker> workers, double now) {
     Map<String, Integer> on = new HashMap<>();
     Map<String, Double> used = new HashMap<>();
     List<FakeWorker> up = new ArrayList<>();
     for (FakeWorker w : workers) {
-      if (!w.cut && !w.hung && !w.deaf && !w.mute && w.recallS == null) {
+      if (!w.partitioned
+          && !w.hung
+          && !w.inboundPartitioned
+          && !w.outboundPartitioned
+          && w.reclaimNoticeS == null) {
         up.add(w);
       }
-      for (String t : w.alive()) {
+      for (String t : w.runningTasks()) {
         on.merge(refOf(t), 1, Integer::sum);
         JobSpec s = specs.get(refOf(t));
         used.merge(s == null ? "" : s.team(), s == null ? 0 : s.gpus(), Double::sum);
       }
     }
-    for (String ref : accepted) {
+    for (String ref : acceptedJobs) {
       JobSpec s = specs.get(ref);
       int left =
           s.tasks()
               - on.getOrDefault(ref, 0)
               - (s.shape() == JobShape.ARRAY
-                  ? done.getOrDefault(ref, new BitSet()).cardinality()
+                  ? doneTasks.getOrDefault(ref, new BitSet()).cardinality()
                   : 0);
       boolean gang = s.shape() == JobShape.GANG;
       boolean waits =
-          !ends.containsKey(ref)
-              && !cancelAskedAt.containsKey(ref)
+          !finalPhases.containsKey(ref)
+              && !cancelRequestedAt.containsKey(ref)
               && s.dependencies().isEmpty()
               && (gang ? on.getOrDefault(ref, 0) == 0 && !allDone(ref, s) : left > 0);
       double max = settings.teams().get(s.team()).gpusMax();
@@ -346,7 +353,7 @@
       if (!room) {
         idleSince.remove(ref);
       } else if (now - idleSince.computeIfAbsent(ref, r -> now) > IDLE_S) {
-        breaks(ref + " waits for " + IDLE_S + " s beside room for it");
+        reportViolation(ref + " waits for " + IDLE_S + " s beside room for it");
       }
     }
   }
@@ -360,7 +367,7 @@
       if (s.allows(w.type, w.zone, w.spot)) {
         double gpus = FakeWorker.GPUS;
         double cpus = FakeWorker.CPUS;
-        for (String t : w.alive()) {
+        for (String t : w.runningTasks()) {
           JobSpec o = specs.get(refOf(t));
           gpus -= o == null ? FakeWorker.GPUS : o.gpus();
           cpus -= o == null ? FakeWorker.CPUS : o.cpus();
--- a/src/test/java/io/embernotch/testkit/RecordedAnswers.java
+++ b/src/test/java/io/embernotch/testkit/RecordedAnswers.java
@@ -13,48 +13,48 @@
 
 /** What users were told, and whether that was ever taken back. */
 public final class RecordedAnswers {
-  private final SimulatedCluster world;
-  private final Map<String, String> ends = new TreeMap<>();
+  private final SimulatedCluster cluster;
+  private final Map<String, String> finalPhases = new TreeMap<>();
   public final List<String> accepted = new ArrayList<>();
-  public final List<String> wrong = new ArrayList<>();
+  public final List<String> violations = new ArrayList<>();
 
-  public RecordedAnswers(SimulatedCluster world) {
-    this.world = world;
+  public RecordedAnswers(SimulatedCluster cluster) {
+    this.cluster = cluster;
   }
 
   public void submit(int node, String ref, String shape, int tasks) {
-    if (!world.nodes.get(node).down
-        && world.submit(node, job(ref, shape, tasks)).status() / 100 == 2) {
+    if (!cluster.nodes.get(node).down
+        && cluster.submit(node, job(ref, shape, tasks)).status() / 100 == 2) {
       accepted.add(ref);
     }
   }
 
-  public void ask(int node, String ref) {
-    if (!world.nodes.get(node).down) {
-      hear(ref, world.poll(node, ref));
+  public void poll(int node, String ref) {
+    if (!cluster.nodes.get(node).down) {
+      record(ref, cluster.poll(node, ref));
     }
   }
 
-  private void hear(String ref, HttpResponse a) {
+  private void record(String ref, HttpResponse a) {
     String phase =
         a.status() == 200
             ? Json.parseObject(a.body()).get("phase").asText()
             : "status " + a.status();
-    String end = ends.get(ref);
+    String end = finalPhases.get(ref);
     if (phase.equals("status 404")) {
-      wrong.add(ref + " is forgotten");
+      violations.add(ref + " is forgotten");
     } else if (end != null && a.status() == 200 && !phase.equals(end)) {
-      wrong.add(ref + " was " + end + " and is " + phase);
+      violations.add(ref + " was " + end + " and is " + phase);
     } else if (phase.equals("done") || phase.equals("cancelled")) {
-      ends.put(ref, phase);
+      finalPhases.put(ref, phase);
     }
   }
 
   public void cancel(int node, String ref) {
-    if (!world.nodes.get(node).down) {
-      HttpResponse a = world.abort(node, ref);
+    if (!cluster.nodes.get(node).down) {
+      HttpResponse a = cluster.cancel(node, ref);
       if (a.status() == 200) {
-        hear(ref, a);
+        record(ref, a);
       }
     }
   }
@@ -64,27 +64,27 @@
    * for within 75 s of polls, five seconds apart, at any controller; what has not ended runs or has
    * its place in the queue.
    */
-  public void answered() {
+  public void awaitAllAnswered() {
     Set<String> left = new TreeSet<>(accepted);
     for (int s = 0; s < 75 && !left.isEmpty(); s += 5) {
       int round = s / 5;
       left.removeIf(
           ref -> {
-            HttpResponse a = world.poll((round + ref.hashCode() % 3 + 3) % 3, ref);
-            hear(ref, a);
+            HttpResponse a = cluster.poll((round + ref.hashCode() % 3 + 3) % 3, ref);
+            record(ref, a);
             return a.status() == 200;
           });
-      world.pass(left.isEmpty() ? 0 : 5);
+      cluster.advance(left.isEmpty() ? 0 : 5);
     }
-    left.forEach(ref -> wrong.add(ref + " has no answer for 75 s"));
+    left.forEach(ref -> violations.add(ref + " has no answer for 75 s"));
   }
 
   /** Tasks of jobs that were told to have ended are on no machine. */
   private void nothingRunsAfterItsEnd() {
-    ends.forEach(
+    finalPhases.forEach(
         (ref, end) -> {
-          if (!world.running(ref).isEmpty()) {
-            wrong.add(ref + " is " + end + " and on a machine");
+          if (!cluster.runningTasks(ref).isEmpty()) {
+            violations.add(ref + " is " + end + " and on a machine");
           }
         });
   }
@@ -93,20 +93,20 @@
    * Once all has settled: repeats are known, what ended is gone, somebody leads, and no rule was
    * broken.
    */
-  public void atTheEnd() {
-    answered();
+  public void verifyFinalState() {
+    awaitAllAnswered();
     for (int i = 0; i < accepted.size(); i++) {
       String ref = accepted.get(i);
-      ask(i % 3, ref);
-      HttpResponse again = world.submit((i + 1) % 3, job(ref, "array", 1));
+      poll(i % 3, ref);
+      HttpResponse again = cluster.submit((i + 1) % 3, job(ref, "array", 1));
       if (again.status() != 200) {
-        wrong.add(ref + " submitted again gets " + again.status());
+        violations.add(ref + " submitted again gets " + again.status());
       }
     }
     nothingRunsAfterItsEnd();
-    if (world.leader() == null) {
-      wrong.add("nobody is steward");
+    if (cluster.leader() == null) {
+      violations.add("nobody is steward");
     }
-    wrong.addAll(world.broken());
+    violations.addAll(cluster.violations());
   }
 }
--- a/src/test/java/io/embernotch/testkit/SimulatedCluster.java
+++ b/src/test/java/io/embernotch/testkit/SimulatedCluster.java
@@ -36,14 +36,14 @@
 /** Controllers, store, cloud and workers on one fake clock, each to be disturbed at will. */
 public final class SimulatedCluster {
   /** What a message on its way to a worker meets. */
-  public enum Fate {
-    ARRIVES,
+  public enum Delivery {
+    DELIVERED,
     /** It is never carried out, and no answer comes. */
     LOST,
     /** The sender gives up; {@link #releaseHeld()} delivers it later. */
-    HELD,
+    DELAYED,
     /** It is carried out at once, and only its answer is lost. */
-    ANSWER_LOST
+    RESPONSE_LOST
   }
 
   private static final double HOP_S = 0.002;
@@ -52,20 +52,20 @@
   private static final double ANSWER_S = 4;
 
   public final FakeTime time = new FakeTime();
-  public final FakeStore state = new FakeStore(time);
+  public final FakeStore store = new FakeStore(time);
   public final TreeMap<String, FakeWorker> workers = new TreeMap<>();
   public final FakeCloud cloud = new FakeCloud(time, workers, this::booted);
-  public final List<Node> nodes = new ArrayList<>();
+  public final List<ControllerNode> nodes = new ArrayList<>();
   private final List<Runnable> held = new ArrayList<>();
 
   /** What users, workers and the store saw, held against the rules. */
-  public final InvariantChecker rules;
+  public final InvariantChecker invariants;
 
   /** Copies of commands and heartbeats that were carried out. */
   private final List<Runnable> copies = new ArrayList<>();
 
   /** Frames arrive with {@link #releaseHeld()}, at whoever has the receiver's name then. */
-  public boolean holdFrames;
+  public boolean delayFrames;
 
   private final Map<String, List<byte[]>> heartbeats = new HashMap<>();
 
@@ -73,13 +73,13 @@
    * The least that was left of a lease, as a share of it, when a worker that had gone on was
    * answered again.
    */
-  public double leastLeft = 1;
+  public double minRemainingLeaseShare = 1;
 
-  public Fate directFate = Fate.ARRIVES;
-  public Fate commitFate = Fate.ARRIVES;
+  public Delivery commandDelivery = Delivery.DELIVERED;
+  public Delivery commitDelivery = Delivery.DELIVERED;
 
   /** Only transactions with this in them meet {@link #commitFate}. */
-  public String commitsWith = "run/";
+  public String commitDeliveryFilter = "run/";
 
   /** Draws what the two shares below hit; a seed makes a run repeat. */
   public SplittableRandom random = new SplittableRandom(1);
@@ -88,7 +88,7 @@
    * This share of transactions gets no answer and is carried out {@link #LATE_LEAST_S} to {@link
    * #LATE_MOST_S} later.
    */
-  public double lateWrites;
+  public double delayedCommitShare;
 
   private static final double LATE_LEAST_S = 2;
   private static final double LATE_MOST_S = 12;
@@ -97,19 +97,19 @@
    * Of this share of the heartbeats a copy arrives again, up to two leases later, at any
    * controller.
    */
-  public double lateHeartbeats;
+  public double duplicatedHeartbeatShare;
 
   /** This share of transactions is carried out at once, and gets no answer. */
-  public double lostAnswers;
+  public double lostCommitResponseShare;
 
   /** This share of reads of the store gets no answer. */
-  public double lostReads;
+  public double lostReadShare;
 
   /**
    * This share of direct commands gets no answer and is carried out once, {@link #LATE_LEAST_S} to
    * {@link #LATE_COMMAND_S} later.
    */
-  public double lateCommands;
+  public double delayedCommandShare;
 
   private static final double LATE_COMMAND_S = 16;
 
@@ -117,53 +117,53 @@
    * Of this share of the heartbeats a copy is kept, and arrives at every controller as the next
    * leader begins.
    */
-  public double heartbeatsForNext;
+  public double replayedHeartbeatShare;
 
   private final List<byte[]> keptForNext = new ArrayList<>();
 
   /** Questions of users and answers to them take up to this long on their way, each by itself. */
-  public double userDelayS;
+  public double maxUserDelayS;
 
   /** Every answer of the store takes so much longer. */
-  public double stateSlowS;
+  public double storeLatencyS;
 
   /** A zone that is partitioned from everything, or null. */
-  public String cutZone;
+  public String partitionedZone;
 
   private int names;
-  private OperatorSettings operator;
+  private OperatorSettings operatorSettings;
 
   /** One controller, as long as it lives. */
-  public final class Node {
+  public final class ControllerNode {
     public final int index;
     public final Settings settings;
     public Controller controller;
     public boolean down;
-    public boolean noState;
+    public boolean storeUnavailable;
 
     /** The store does not answer it at all, rather than refuse it. */
-    public boolean silentState;
+    public boolean storeUnresponsive;
 
-    public boolean noPeers;
-    public boolean noWorkers;
-    private int life;
-    private BiConsumer<Frame, PeerLink.ReplyChannel> frames;
+    public boolean peersUnreachable;
+    public boolean workersUnreachable;
+    private int incarnation;
+    private BiConsumer<Frame, PeerLink.ReplyChannel> frameHandler;
 
-    Node(int index, Settings settings) {
+    ControllerNode(int index, Settings settings) {
       this.index = index;
       this.settings = settings;
     }
 
     public void start() {
-      int mine = ++life;
+      int mine = ++incarnation;
       down = false;
-      FakeTimeOf clock = new FakeTimeOf(this, mine);
+      NodeTimers clock = new NodeTimers(this, mine);
       HttpCaller caller =
           (method, to, path, body, timeout) -> call(this, mine, method, to, path, body, timeout);
       ControllerContext context =
           new ControllerContext(
               settings,
-              operator,
+              operatorSettings,
               time,
               clock,
               clock,
@@ -191,19 +191,19 @@
     /** Ends the process: its timers and the answers to its calls go nowhere. */
     public void kill() {
       down = true;
-      life++;
+      incarnation++;
     }
   }
 
   /** The timers of one incarnation of a node: they stop with it. */
-  private final class FakeTimeOf
+  private final class NodeTimers
       implements io.embernotch.actor.Timers, java.util.concurrent.Executor {
-    private final Node node;
-    private final int life;
+    private final ControllerNode node;
+    private final int incarnation;
 
-    FakeTimeOf(Node node, int life) {
+    NodeTimers(ControllerNode node, int life) {
       this.node = node;
-      this.life = life;
+      this.incarnation = life;
     }
 
     @Override
@@ -211,7 +211,7 @@
       return time.after(
           seconds,
           () -> {
-            if (node.life == life) {
+            if (node.incarnation == incarnation) {
               task.run();
             }
           });
@@ -224,20 +224,20 @@
   }
 
   private final class Link implements PeerLink {
-    private final Node from;
+    private final ControllerNode from;
 
-    Link(Node from) {
+    Link(ControllerNode from) {
       this.from = from;
     }
 
     @Override
     public void onFrame(BiConsumer<Frame, ReplyChannel> handler) {
-      from.frames = handler;
+      from.frameHandler = handler;
     }
 
     @Override
     public void send(String node, Frame frame) {
-      for (Node to : nodes) {
+      for (ControllerNode to : nodes) {
         if (to.settings.node().equals(node)) {
           deliver(from, to, frame);
         }
@@ -250,18 +250,18 @@
     }
   }
 
-  private void deliver(Node from, Node to, Frame frame) {
-    frames++;
-    if (holdFrames) {
-      held.add(() -> to.frames.accept(frame, reply -> deliver(to, from, reply)));
+  private void deliver(ControllerNode from, ControllerNode to, Frame frame) {
+    frameCount++;
+    if (delayFrames) {
+      held.add(() -> to.frameHandler.accept(frame, reply -> deliver(to, from, reply)));
       return;
     }
     time.after(
         HOP_S,
         () -> {
           boolean cut = apart(from.settings.location(), to.settings.location());
-          if (!from.down && !to.down && !from.noPeers && !to.noPeers && !cut) {
-            to.frames.accept(frame, reply -> deliver(to, from, reply));
+          if (!from.down && !to.down && !from.peersUnreachable && !to.peersUnreachable && !cut) {
+            to.frameHandler.accept(frame, reply -> deliver(to, from, reply));
           }
         });
   }
@@ -281,31 +281,31 @@
   }
 
   private SimulatedCluster(int controllers, IntFunction<String> toml, OperatorSettings operator) {
-    this.operator = operator;
+    this.operatorSettings = operator;
     for (int i = 0; i < controllers; i++) {
-      nodes.add(new Node(i, SettingsReader.parse(toml.apply(i))));
+      nodes.add(new ControllerNode(i, SettingsReader.parse(toml.apply(i))));
     }
-    rules = new InvariantChecker(nodes.get(0).settings);
-    state.onLeader = this::deliverKept;
-    nodes.forEach(Node::start);
+    invariants = new InvariantChecker(nodes.get(0).settings);
+    store.onLeaderChange = this::deliverKept;
+    nodes.forEach(ControllerNode::start);
   }
 
-  public static String toml(int index) {
+  public static String settingsToml(int index) {
     return TestSettings.toml(index, 1, "");
   }
 
   /** A world in which the store is going to lower its limits. */
-  public static SimulatedCluster lowering() {
+  public static SimulatedCluster withDecreasingStoreLimits() {
     String next = "[cluster.state.next]\nwrite_rps = 30.0\nvalue_kb = 1.0\ntxn_ops = 4\n";
     return new SimulatedCluster(3, i -> TestSettings.toml(i, 2, next), OperatorSettings.DEFAULTS);
   }
 
   private boolean apart(String one, String other) {
-    return cutZone != null && cutZone.equals(one) != cutZone.equals(other);
+    return partitionedZone != null && partitionedZone.equals(one) != partitionedZone.equals(other);
   }
 
   /** A world whose store takes so many requests and changes a second. */
-  public static SimulatedCluster withStateLimits(double rps, double writeRps) {
+  public static SimulatedCluster withStoreLimits(double rps, double writeRps) {
     return new SimulatedCluster(
         3,
         i ->
@@ -316,19 +316,19 @@
   }
 
   /** The file that processes started from now on are given. */
-  public void operator(OperatorSettings newer) {
-    operator = newer;
+  public void operatorSettings(OperatorSettings newer) {
+    operatorSettings = newer;
   }
 
   // ---- time
 
   /** Lets time pass, with workers reporting, and checks the rules on the way. */
-  public void pass(double seconds) {
+  public void advance(double seconds) {
     for (double left = seconds; left > 0; left -= 0.25) {
-      time.pass(Math.min(0.25, left));
+      time.advance(Math.min(0.25, left));
       checkRunTwice();
       checkChains();
-      rules.look(workers.values(), time.now());
+      invariants.checkMachines(workers.values(), time.now());
     }
   }
 
@@ -337,13 +337,14 @@
    */
   private void checkChains() {
     for (FakeWorker w : workers.values()) {
-      for (String t : w.alive()) {
+      for (String t : w.runningTasks()) {
         String ref = t.substring(0, t.indexOf('/'));
-        ObjectNode job = state.value("job/" + ref);
+        ObjectNode job = store.value("job/" + ref);
         for (JsonNode before : job == null ? Json.object() : job.path("job").path("awaits")) {
-          if (!state.everDone.contains(before.asText())
-              && !"done".equals(endInStore(before.asText()))) {
-            rules.breaks(t + " is on a machine before " + before.asText() + " is done");
+          if (!store.jobsEverDone.contains(before.asText())
+              && !"done".equals(storedFinalPhase(before.asText()))) {
+            invariants.reportViolation(
+                t + " is on a machine before " + before.asText() + " is done");
           }
         }
       }
@@ -351,18 +352,18 @@
   }
 
   /** The end of a job that the store holds, in whatever shard; null if it has none. */
-  public String endInStore(String ref) {
+  public String storedFinalPhase(String ref) {
     String end = null;
-    for (String key : state.keys("run/" + ref)) {
+    for (String key : store.keys("run/" + ref)) {
       end =
-          key.equals("run/" + ref) && state.value(key).has("end")
-              ? state.value(key).get("end").asText()
+          key.equals("run/" + ref) && store.value(key).has("end")
+              ? store.value(key).get("end").asText()
               : end;
     }
-    for (String key : state.keys("part/" + ref + "/")) {
+    for (String key : store.keys("part/" + ref + "/")) {
       end =
-          key.endsWith("/0") && state.value(key).has("end")
-              ? state.value(key).get("end").asText()
+          key.endsWith("/0") && store.value(key).has("end")
+              ? store.value(key).get("end").asText()
               : end;
     }
     return end;
@@ -371,18 +372,18 @@
   private void checkRunTwice() {
     Map<String, String> where = new HashMap<>();
     for (FakeWorker w : workers.values()) {
-      for (String t : w.alive()) {
+      for (String t : w.runningTasks()) {
         String other = where.put(t, w.name);
         if (other != null) {
-          rules.breaks(t + " is on " + other + " and " + w.name);
+          invariants.reportViolation(t + " is on " + other + " and " + w.name);
         }
       }
     }
   }
 
   /** Rules seen broken so far. */
-  public List<String> broken() {
-    return rules.broken();
+  public List<String> violations() {
+    return invariants.violations();
   }
 
   // ---- users
@@ -399,22 +400,22 @@
     byte[] body = json.getBytes(StandardCharsets.UTF_8);
     double askedAt = time.now();
     HttpResponse a = orNone(await(nodes.get(node).controller.submit(body)));
-    rules.submitted(body, a, askedAt, time.now());
+    invariants.submitted(body, a, askedAt, time.now());
     return a;
   }
 
   public HttpResponse poll(int node, String ref) {
     double askedAt = time.now();
     HttpResponse a = orNone(await(nodes.get(node).controller.poll(ref)));
-    rules.polled(ref, a, askedAt, time.now(), state.value("job/" + ref) != null);
+    invariants.polled(ref, a, askedAt, time.now(), store.value("job/" + ref) != null);
     return a;
   }
 
-  public HttpResponse abort(int node, String ref) {
+  public HttpResponse cancel(int node, String ref) {
     double askedAt = time.now();
-    rules.cancelAsked(ref, askedAt);
+    invariants.cancelRequested(ref, askedAt);
     HttpResponse a = orNone(await(nodes.get(node).controller.abort(ref)));
-    rules.heard(ref, a, askedAt, time.now());
+    invariants.statusReceived(ref, a, askedAt, time.now());
     return a;
   }
 
@@ -425,35 +426,35 @@
    * Asks for a job's state and goes on; the answer is held against the rules when it comes, if the
    * user still waits.
    */
-  public void askPoll(int node, String ref) {
+  public void pollAsync(int node, String ref) {
     askLater(
         node,
         POLL_PATIENCE_S,
         n -> n.controller.poll(ref),
         (askedAt, a) ->
-            rules.polled(ref, a, askedAt, time.now(), state.value("job/" + ref) != null));
+            invariants.polled(ref, a, askedAt, time.now(), store.value("job/" + ref) != null));
   }
 
   /** Submits a job and goes on, like {@link #askPoll}. */
-  public void askSubmit(int node, String json) {
+  public void submitAsync(int node, String json) {
     byte[] body = json.getBytes(StandardCharsets.UTF_8);
     askLater(
         node,
         SUBMIT_PATIENCE_S,
         n -> n.controller.submit(body),
-        (askedAt, a) -> rules.submitted(body, a, askedAt, time.now()));
+        (askedAt, a) -> invariants.submitted(body, a, askedAt, time.now()));
   }
 
   private double userDelay() {
-    return userDelayS > 0 ? random.nextDouble(userDelayS) : 0;
+    return maxUserDelayS > 0 ? random.nextDouble(maxUserDelayS) : 0;
   }
 
   private void askLater(
       int node,
       double patienceS,
-      Function<Node, Future<HttpResponse>> question,
+      Function<ControllerNode, Future<HttpResponse>> question,
       BiConsumer<Double, HttpResponse> heard) {
-    Node n = nodes.get(node);
+    ControllerNode n = nodes.get(node);
     double askedAt = time.now();
     time.after(
         userDelay(),
@@ -461,7 +462,7 @@
           if (n.down) {
             return;
           }
-          int life = n.life;
+          int life = n.incarnation;
           question
               .apply(n)
               .onSuccess(
@@ -469,7 +470,7 @@
                       time.after(
                           userDelay(),
                           () -> {
-                            if (n.life == life && time.now() - askedAt < patienceS) {
+                            if (n.incarnation == life && time.now() - askedAt < patienceS) {
                               heard.accept(askedAt, a);
                             }
                           }));
@@ -480,18 +481,18 @@
    * Asks for a cancellation and goes on; whoever answers is heard when the answer comes, as a user
    * would be.
    */
-  public void askCancel(int node, String ref) {
-    Node n = nodes.get(node);
+  public void cancelAsync(int node, String ref) {
+    ControllerNode n = nodes.get(node);
     if (!n.down) {
-      int life = n.life;
+      int life = n.incarnation;
       double askedAt = time.now();
-      rules.cancelAsked(ref, askedAt);
+      invariants.cancelRequested(ref, askedAt);
       n.controller
           .abort(ref)
           .onSuccess(
               a -> {
-                if (n.life == life) {
-                  rules.heard(ref, a, askedAt, time.now());
+                if (n.incarnation == life) {
+                  invariants.statusReceived(ref, a, askedAt, time.now());
                 }
               });
     }
@@ -506,15 +507,15 @@
 
   public <T> T await(Future<T> f) {
     for (int i = 0; i < 500 && !f.isComplete(); i++) {
-      time.pass(0.01);
+      time.advance(0.01);
     }
     return f.result();
   }
 
   /** Lets so much time pass, by the end of which there must be a leader. */
-  public Node settle(double seconds) {
-    pass(seconds);
-    Node n = leader();
+  public ControllerNode awaitLeader(double seconds) {
+    advance(seconds);
+    ControllerNode n = leader();
     if (n == null) {
       throw new AssertionError("no steward after " + seconds + " s");
     }
@@ -522,13 +523,13 @@
   }
 
   /** Another of three controllers. */
-  public Node other(Node n) {
+  public ControllerNode otherNode(ControllerNode n) {
     return nodes.get((n.index + 1) % 3);
   }
 
   /** The node that is leader and can prove it, or null. */
-  public Node leader() {
-    for (Node n : nodes) {
+  public ControllerNode leader() {
+    for (ControllerNode n : nodes) {
       if (!n.down) {
         HttpResponse a = await(n.controller.overview());
         if (Json.parseObject(a.body()).get("live").asBoolean()) {
@@ -542,18 +543,27 @@
   // ---- the network
 
   private Future<HttpReply> call(
-      Node from, int life, String method, HostPort to, String path, byte[] body, double timeout) {
+      ControllerNode from,
+      int life,
+      String method,
+      HostPort to,
+      String path,
+      byte[] body,
+      double timeout) {
     Promise<HttpReply> promise = Promise.promise();
     // A probe of what is partitioned does not even get a connection.
     FakeWorker w = at(to);
     boolean reached =
         w == null
-            || !(w.cut || w.deaf || from.noWorkers || apart(from.settings.location(), w.zone));
+            || !(w.partitioned
+                || w.inboundPartitioned
+                || from.workersUnreachable
+                || apart(from.settings.location(), w.zone));
     boolean connects = reached || !path.equals("/status");
     time.after(
         timeout,
         () -> {
-          if (from.life == life) {
+          if (from.incarnation == life) {
             promise.tryFail(new CallFailedException(connects, "no answer in time"));
           }
         });
@@ -567,7 +577,7 @@
                     time.after(
                         HOP_S,
                         () -> {
-                          if (from.life == life) {
+                          if (from.incarnation == life) {
                             promise.tryComplete(r);
                           }
                         }));
@@ -577,93 +587,97 @@
   }
 
   private Future<HttpReply> arrive(
-      Node from, String method, HostPort to, String path, byte[] body) {
-    if (from.settings.location().equals(cutZone)
+      ControllerNode from, String method, HostPort to, String path, byte[] body) {
+    if (from.settings.location().equals(partitionedZone)
         && (to.equals(from.settings.storeAddress()) || to.equals(from.settings.cloudAddress()))) {
       return null;
     }
     if (to.equals(from.settings.storeAddress())) {
-      if (from.noState) {
-        return from.silentState
+      if (from.storeUnavailable) {
+        return from.storeUnresponsive
             ? null
             : Future.succeededFuture(new HttpReply(503, "{}".getBytes(StandardCharsets.UTF_8)));
       }
-      if (lostReads > 0 && path.startsWith("/store") && random.nextDouble() < lostReads) {
+      if (lostReadShare > 0 && path.startsWith("/store") && random.nextDouble() < lostReadShare) {
         return null;
       }
-      if (lostAnswers > 0 && path.equals("/commit") && random.nextDouble() < lostAnswers) {
-        state.handle(method, path, body);
+      if (lostCommitResponseShare > 0
+          && path.equals("/commit")
+          && random.nextDouble() < lostCommitResponseShare) {
+        store.handle(method, path, body);
         return null;
       }
-      if (path.equals("/commit") && random.nextDouble() < lateWrites) {
+      if (path.equals("/commit") && random.nextDouble() < delayedCommitShare) {
         time.after(
             LATE_LEAST_S + random.nextDouble(LATE_MOST_S - LATE_LEAST_S),
-            () -> state.handle(method, path, body));
+            () -> store.handle(method, path, body));
         return null;
       }
-      if (stateSlowS > 0 && !path.startsWith("/changes")) {
+      if (storeLatencyS > 0 && !path.startsWith("/changes")) {
         Promise<HttpReply> slow = Promise.promise();
-        time.after(stateSlowS, () -> state.handle(method, path, body).onSuccess(slow::complete));
+        time.after(storeLatencyS, () -> store.handle(method, path, body).onSuccess(slow::complete));
         return slow.future();
       }
       if (path.equals("/commit")
-          && commitFate != Fate.ARRIVES
-          && new String(body).contains(commitsWith)) {
-        if (commitFate == Fate.HELD) {
-          held.add(() -> state.handle(method, path, body));
+          && commitDelivery != Delivery.DELIVERED
+          && new String(body).contains(commitDeliveryFilter)) {
+        if (commitDelivery == Delivery.DELAYED) {
+          held.add(() -> store.handle(method, path, body));
         }
-        if (commitFate == Fate.ANSWER_LOST) {
-          state.handle(method, path, body);
+        if (commitDelivery == Delivery.RESPONSE_LOST) {
+          store.handle(method, path, body);
         }
         return null;
       }
-      return state.handle(method, path, body);
+      return store.handle(method, path, body);
     }
     if (to.equals(from.settings.cloudAddress())) {
       return Future.succeededFuture(cloud.handle(method, path, body));
     }
     FakeWorker w = at(to);
-    if (w != null && w.deaf && !w.cut) {
-      w.startsLost += path.equals("/do") ? starts(body) : 0;
+    if (w != null && w.inboundPartitioned && !w.partitioned) {
+      w.lostStartCount += path.equals("/do") ? starts(body) : 0;
       return null;
     }
     if (w != null
         && w.hung
-        && !w.cut
+        && !w.partitioned
         && path.equals("/do")
-        && directFate == Fate.ARRIVES
-        && !from.noWorkers) {
-      w.queue(body);
+        && commandDelivery == Delivery.DELIVERED
+        && !from.workersUnreachable) {
+      w.queueCommands(body);
       return null;
     }
     if (w == null
-        || w.cut
+        || w.partitioned
         || w.hung
-        || from.noWorkers
+        || from.workersUnreachable
         || apart(from.settings.location(), w.zone)
-        || directFate == Fate.LOST) {
+        || commandDelivery == Delivery.LOST) {
       return null;
     }
-    directs += path.equals("/do") ? 1 : 0;
-    if (lateCommands > 0 && path.equals("/do") && random.nextDouble() < lateCommands) {
+    commandCount += path.equals("/do") ? 1 : 0;
+    if (delayedCommandShare > 0
+        && path.equals("/do")
+        && random.nextDouble() < delayedCommandShare) {
       time.after(
           LATE_LEAST_S + random.nextDouble(LATE_COMMAND_S - LATE_LEAST_S),
           () -> arriveLate(w, body));
       return null;
     }
-    if (directFate == Fate.ANSWER_LOST && path.equals("/do")) {
-      w.direct(body);
+    if (commandDelivery == Delivery.RESPONSE_LOST && path.equals("/do")) {
+      w.executeCommands(body);
       return null;
     }
-    if (directFate == Fate.HELD && path.equals("/do")) {
-      held.add(() -> w.direct(body));
+    if (commandDelivery == Delivery.DELAYED && path.equals("/do")) {
+      held.add(() -> w.executeCommands(body));
       return null;
     }
     if (path.equals("/do")) {
-      copies.add(() -> w.direct(body));
+      copies.add(() -> w.executeCommands(body));
     }
     return Future.succeededFuture(
-        path.equals("/do") ? w.direct(body) : new HttpReply(200, w.heartbeat()));
+        path.equals("/do") ? w.executeCommands(body) : new HttpReply(200, w.heartbeat()));
   }
 
   /**
@@ -672,9 +686,9 @@
    */
   private void arriveLate(FakeWorker w, byte[] body) {
     if (w.hung) {
-      w.queue(body);
+      w.queueCommands(body);
     } else if (workers.get(w.name) == w) {
-      w.direct(body);
+      w.executeCommands(body);
     }
   }
 
@@ -683,9 +697,9 @@
     List<byte[]> kept = List.copyOf(keptForNext);
     keptForNext.clear();
     for (byte[] heartbeat : kept) {
-      for (Node to : nodes) {
+      for (ControllerNode to : nodes) {
         // Before the leader has read the store, while it reads, and after.
-        time.after(random.nextDouble(2), () -> late(to, heartbeat));
+        time.after(random.nextDouble(2), () -> deliverHeartbeat(to, heartbeat));
       }
     }
   }
@@ -702,16 +716,16 @@
   }
 
   /** Delivers what was held back, minutes late perhaps. */
-  public void releaseHeld() {
+  public void deliverDelayed() {
     List<Runnable> all = new ArrayList<>(held);
     held.clear();
     all.forEach(Runnable::run);
   }
 
   /** Commands sent straight to workers, and frames between controllers, so far. */
-  public int directs;
+  public int commandCount;
 
-  public int frames;
+  public int frameCount;
 
   /** All that a machine has reported so far, the oldest first. */
   public List<byte[]> heartbeatsOf(String machine) {
@@ -719,18 +733,18 @@
   }
 
   /** A copy of a heartbeat arrives at a controller, whatever its age. */
-  public void late(Node to, byte[] heartbeat) {
+  public void deliverHeartbeat(ControllerNode to, byte[] heartbeat) {
     if (!to.down) {
       to.controller.handleHeartbeat(WorkerCodec.read(heartbeat));
     }
   }
 
   /** All that was commanded straight, and all that was reported, arrives once more. */
-  public void repeatAll() {
+  public void redeliverAll() {
     List.copyOf(copies).forEach(Runnable::run);
   }
 
-  public int heldCount() {
+  public int delayedCount() {
     return held.size();
   }
 
@@ -742,16 +756,16 @@
   }
 
   private void booted(FakeWorker w) {
-    w.onStart = t -> rules.started(w, t, described(t), workers.values(), time.now());
-    w.onExit = rules::exited;
-    w.onLeave = rules::left;
+    w.startListener = t -> invariants.taskStarted(w, t, described(t), workers.values(), time.now());
+    w.exitListener = invariants::taskExited;
+    w.removalListener = invariants::taskRemoved;
     heartbeatLoop(w);
     leaseLoop(w);
   }
 
   /** The description that the store has of a task's job, or null. */
   private JsonNode described(String task) {
-    ObjectNode v = state.value("job/" + task.substring(0, task.lastIndexOf('/')));
+    ObjectNode v = store.value("job/" + task.substring(0, task.lastIndexOf('/')));
     return v == null ? null : v.get("job");
   }
 
@@ -761,7 +775,7 @@
     if (workers.get(w.name) != w) {
       return;
     }
-    if (!w.cut && !w.hung && !w.mute && time.now() >= w.heartbeatsAgainAt) {
+    if (!w.partitioned && !w.hung && !w.outboundPartitioned && time.now() >= w.nextHeartbeatAt) {
       heartbeat(w, 0);
     }
     time.after(1.0, () -> heartbeatLoop(w));
@@ -769,21 +783,21 @@
 
   private void leaseLoop(FakeWorker w) {
     if (time.now() - w.lastRenewed > nodes.get(0).settings.workers().leaseS()) {
-      w.endSession(time.now());
+      w.expireLease(time.now());
     }
     time.after(0.1, () -> leaseLoop(w));
   }
 
   private void heartbeat(FakeWorker w, int hops) {
-    Node n = nodes.get(w.node);
-    if (n.down || n.noWorkers || apart(n.settings.location(), w.zone)) {
-      w.node = (w.node + 1) % nodes.size();
-      w.moves++;
+    ControllerNode n = nodes.get(w.controllerIndex);
+    if (n.down || n.workersUnreachable || apart(n.settings.location(), w.zone)) {
+      w.controllerIndex = (w.controllerIndex + 1) % nodes.size();
+      w.controllerChanges++;
       return;
     }
     double sentAt = time.now();
-    int life = n.life;
-    long session = w.session;
+    int life = n.incarnation;
+    long session = w.epoch;
     byte[] said = w.heartbeat();
     heartbeats.computeIfAbsent(w.name, k -> new ArrayList<>()).add(said);
     copies.add(
@@ -792,42 +806,42 @@
             n.controller.handleHeartbeat(WorkerCodec.read(said));
           }
         });
-    if (heartbeatsForNext > 0 && random.nextDouble() < heartbeatsForNext) {
+    if (replayedHeartbeatShare > 0 && random.nextDouble() < replayedHeartbeatShare) {
       keptForNext.add(said);
     }
-    if (random.nextDouble() < lateHeartbeats) {
+    if (random.nextDouble() < duplicatedHeartbeatShare) {
       int to = random.nextInt(nodes.size());
       time.after(
           LATE_LEAST_S + random.nextDouble(2 * n.settings.workers().leaseS()),
-          () -> late(nodes.get(to), said));
+          () -> deliverHeartbeat(nodes.get(to), said));
     }
-    if (w.deaf) {
+    if (w.inboundPartitioned) {
       // It waits four seconds for the answer, and a second more.
-      w.node = (w.node + 1) % nodes.size();
-      w.heartbeatsAgainAt = time.now() + 5;
+      w.controllerIndex = (w.controllerIndex + 1) % nodes.size();
+      w.nextHeartbeatAt = time.now() + 5;
     }
     n.controller
         .handleHeartbeat(WorkerCodec.read(said))
         .onSuccess(
             a -> {
               boolean late = time.now() - sentAt > ANSWER_S;
-              if (n.life != life
+              if (n.incarnation != life
                   || late
-                  || w.cut
+                  || w.partitioned
                   || w.hung
-                  || w.session != session
+                  || w.epoch != session
                   || apart(n.settings.location(), w.zone)) {
                 return;
               }
-              if (w.deaf) {
-                w.startsLost += a.status() == 200 ? starts(a.body()) : 0;
+              if (w.inboundPartitioned) {
+                w.lostStartCount += a.status() == 200 ? starts(a.body()) : 0;
                 return;
               }
               if (a.status() == 200) {
-                if (w.answer(a.body())) {
-                  leastLeft =
+                if (w.handleHeartbeatResponse(a.body())) {
+                  minRemainingLeaseShare =
                       Math.min(
-                          leastLeft,
+                          minRemainingLeaseShare,
                           1
                               - (time.now() - w.lastRenewed)
                                   / nodes.get(0).settings.workers().leaseS());
@@ -836,9 +850,11 @@
               } else {
                 String to =
                     a.status() == 421 ? Json.parseObject(a.body()).path("steward").asText("") : "";
-                w.moves++;
-                w.node =
-                    to.isEmpty() ? (w.node + 1) % nodes.size() : Integer.parseInt(to.substring(1));
+                w.controllerChanges++;
+                w.controllerIndex =
+                    to.isEmpty()
+                        ? (w.controllerIndex + 1) % nodes.size()
+                        : Integer.parseInt(to.substring(1));
                 if (!to.isEmpty() && hops < 2) {
                   heartbeat(w, hops + 1);
                 }
@@ -847,21 +863,21 @@
   }
 
   /** Ends the run of every task of a job that is on a machine. */
-  public void finish(String ref) {
+  public void completeTasks(String ref) {
     for (FakeWorker w : workers.values()) {
-      for (String t : w.alive()) {
+      for (String t : w.runningTasks()) {
         if (t.startsWith(ref + "/")) {
-          w.exit(t, "done");
+          w.exitTask(t, "done");
         }
       }
     }
   }
 
   /** Where each live task of a job is. */
-  public Map<String, FakeWorker> running(String ref) {
+  public Map<String, FakeWorker> runningTasks(String ref) {
     Map<String, FakeWorker> out = new TreeMap<>();
     for (FakeWorker w : workers.values()) {
-      for (String t : w.alive()) {
+      for (String t : w.runningTasks()) {
         if (t.startsWith(ref + "/")) {
           out.put(t, w);
         }
@@ -871,7 +887,7 @@
   }
 
   /** An array that awaits others. */
-  public static String after(String ref, int tasks, String... others) {
+  public static String dependentJob(String ref, int tasks, String... others) {
     return job(ref, "array", tasks)
         .replace("}", ",\"awaits\":[\"" + String.join("\",\"", others) + "\"]}");
   }
