--- a/src/test/java/io/embernotch/agents/AgentReconcilerTest.java
+++ b/src/test/java/io/embernotch/agents/AgentReconcilerTest.java
@@ -20,6 +20,7 @@
 import io.embernotch.state.ClusterState;
 import io.embernotch.testkit.FakeTime;
 import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.TestJobs;
 import io.vertx.core.Promise;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -64,8 +65,7 @@
           new RenewalDelegations(settings, time.now(), new HashSet<>()),
           this);
   private final Job job =
-      new Job(
-          JobCodec.read(Json.parseObject(SimulatedCluster.job("j-1", "array", 16).getBytes())), 0);
+      new Job(JobCodec.read(Json.parseObject(TestJobs.job("j-1", "array", 16).getBytes())), 0);
   private boolean leads = true;
   private final List<Attempt> gone = new ArrayList<>();
 
--- a/src/test/java/io/embernotch/agents/LateHeartbeatCopiesTest.java
+++ b/src/test/java/io/embernotch/agents/LateHeartbeatCopiesTest.java
@@ -1,12 +1,12 @@
 package io.embernotch.agents;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.embernotch.testkit.ControllerNode;
+import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
-import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -125,7 +125,7 @@
     byte[] former = dead.heartbeat();
     dead.restart(true);
     dead.sequence = laterSeq == 0 ? 0 : seq + laterSeq;
-    cluster.commandDelivery = Delivery.DELAYED;
+    cluster.faults.commandDelivery = Delivery.DELAYED;
     cluster.cloud.bootDisabled = true;
     return former;
   }
@@ -141,7 +141,7 @@
     cluster.deliverDelayed();
     assertThat(dead.runningTasks()).hasSize(1);
     cluster.nodes.forEach(n -> cluster.deliverHeartbeat(n, former));
-    cluster.commandDelivery = Delivery.DELIVERED;
+    cluster.faults.commandDelivery = Delivery.DELIVERED;
     cluster.cloud.bootDisabled = false;
     cluster.boot("g8", "z1", true);
     cluster.advance(20);
@@ -186,10 +186,10 @@
     byte[] former = cluster.heartbeatsOf(name).get(cluster.heartbeatsOf(name).size() - 1);
     w.restart(true);
     cluster.advance(8);
-    cluster.commandDelivery = Delivery.DELAYED;
+    cluster.faults.commandDelivery = Delivery.DELAYED;
     cluster.submit(0, job("j-3", "array", 4));
     cluster.advance(4);
-    cluster.commandDelivery = Delivery.DELIVERED;
+    cluster.faults.commandDelivery = Delivery.DELIVERED;
     // Carried out now; its answer goes nowhere.
     cluster.deliverDelayed();
     cluster.nodes.forEach(n -> cluster.deliverHeartbeat(n, former));
--- a/src/test/java/io/embernotch/api/SubmissionHandlerTest.java
+++ b/src/test/java/io/embernotch/api/SubmissionHandlerTest.java
@@ -1,11 +1,11 @@
 package io.embernotch.api;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.http.HttpResponse;
+import io.embernotch.testkit.ControllerNode;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
 import io.vertx.core.Future;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -72,7 +72,7 @@
     ControllerNode follower = cluster.nodes.get((cluster.leader().index + 1) % 3);
     assertThat(cluster.await(submitSoon(follower, "j-7")).status()).isEqualTo(201);
     cluster.advance(15);
-    int frames = cluster.frameCount;
+    int frames = cluster.frameCount();
     List<Future<HttpResponse>> answers = new ArrayList<>();
     for (int i = 0; i < 10_000; i++) {
       answers.add(follower.controller.poll("j-7"));
@@ -86,7 +86,7 @@
         answers.stream().filter(f -> f.isComplete() && f.result().status() == 503).count();
     assertThat(refused).isGreaterThanOrEqualTo(10_000 - (long) most - 1);
     cluster.advance(0.2);
-    assertThat(cluster.frameCount - frames).isLessThanOrEqualTo(2 * (int) most + 20);
+    assertThat(cluster.frameCount() - frames).isLessThanOrEqualTo(2 * (int) most + 20);
     assertThat(answers).allMatch(Future::isComplete);
     cluster.advance(3);
     assertThat(cluster.phase(follower.index, "j-7")).isEqualTo("running");
--- a/src/test/java/io/embernotch/calendar/ReleaseCalendarTest.java
+++ b/src/test/java/io/embernotch/calendar/ReleaseCalendarTest.java
@@ -1,14 +1,14 @@
 package io.embernotch.calendar;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.embernotch.codec.Json;
 import io.embernotch.settings.OperatorSettings;
+import io.embernotch.testkit.ControllerNode;
+import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
-import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -131,7 +131,7 @@
   }
 
   private void restartWith(String file) {
-    cluster.operatorSettings(OperatorSettings.parse(file));
+    cluster.setOperatorSettings(OperatorSettings.parse(file));
     cluster.nodes.forEach(ControllerNode::kill);
     cluster.advance(1);
     cluster.nodes.forEach(ControllerNode::start);
@@ -177,8 +177,8 @@
         }
         switch (random.nextInt(6)) {
           case 0 -> {
-            cluster.commitDeliveryFilter = random.nextBoolean() ? "shared/" : "run/";
-            cluster.commitDelivery = Delivery.values()[random.nextInt(3)];
+            cluster.faults.commitDeliveryFilter = random.nextBoolean() ? "shared/" : "run/";
+            cluster.faults.commitDelivery = Delivery.values()[random.nextInt(3)];
           }
           case 1 -> cluster.deliverDelayed();
           case 2 -> cluster.completeTasks("j-" + random.nextInt(12));
--- a/src/test/java/io/embernotch/controller/FaultSequencesTest.java
+++ b/src/test/java/io/embernotch/controller/FaultSequencesTest.java
@@ -1,12 +1,12 @@
 package io.embernotch.controller;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.embernotch.testkit.ControllerNode;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.RecordedAnswers;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/io/embernotch/controller/HeartbeatForwardingTest.java
+++ b/src/test/java/io/embernotch/controller/HeartbeatForwardingTest.java
@@ -1,6 +1,6 @@
 package io.embernotch.controller;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.actor.EventLoopProfile;
@@ -13,10 +13,10 @@
 import io.embernotch.leader.LeaderMessage;
 import io.embernotch.model.Heartbeat;
 import io.embernotch.settings.OperatorSettings;
+import io.embernotch.testkit.ControllerNode;
 import io.embernotch.testkit.FakeTime;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
 import io.vertx.core.Promise;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/src/test/java/io/embernotch/controller/InvariantsTest.java
+++ b/src/test/java/io/embernotch/controller/InvariantsTest.java
@@ -1,12 +1,12 @@
 package io.embernotch.controller;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.embernotch.testkit.ControllerNode;
+import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
-import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.Map;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -114,12 +114,12 @@
     String name = cluster.boot("g8", "z1", true);
     cluster.advance(8);
     FakeWorker w = cluster.workers.get(name);
-    cluster.commandDelivery = Delivery.DELAYED;
+    cluster.faults.commandDelivery = Delivery.DELAYED;
     cluster.submit(0, job("j-6", "array", 1));
     cluster.advance(0.5);
     assertThat(cluster.delayedCount()).isPositive();
     old.kill();
-    cluster.commandDelivery = Delivery.DELIVERED;
+    cluster.faults.commandDelivery = Delivery.DELIVERED;
     cluster.advance(20);
     assertThat(cluster.runningTasks("j-6")).hasSize(1);
     int starts = w.startedAttempts.size();
@@ -133,10 +133,10 @@
     cluster.awaitLeader(2);
     cluster.boot("g8", "z1", true);
     cluster.advance(8);
-    cluster.commandDelivery = Delivery.DELAYED;
+    cluster.faults.commandDelivery = Delivery.DELAYED;
     cluster.submit(0, job("j-7", "array", 1));
     cluster.advance(10);
-    cluster.commandDelivery = Delivery.DELIVERED;
+    cluster.faults.commandDelivery = Delivery.DELIVERED;
     cluster.advance(5);
     assertThat(cluster.runningTasks("j-7")).hasSize(1);
     cluster.completeTasks("j-7");
@@ -153,11 +153,11 @@
     cluster.awaitLeader(2);
     cluster.boot("g8", "z1", true);
     cluster.advance(8);
-    cluster.commitDelivery = Delivery.DELAYED;
+    cluster.faults.commitDelivery = Delivery.DELAYED;
     cluster.submit(0, job("j-8", "array", 1));
     cluster.advance(1);
     assertThat(cluster.runningTasks("j-8")).isEmpty();
-    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.faults.commitDelivery = Delivery.DELIVERED;
     cluster.advance(5);
     assertThat(cluster.runningTasks("j-8")).hasSize(1);
     cluster.completeTasks("j-8");
@@ -172,12 +172,12 @@
     cluster.awaitLeader(2);
     cluster.boot("g8", "z1", true);
     cluster.advance(8);
-    cluster.commandDelivery = Delivery.DELAYED;
+    cluster.faults.commandDelivery = Delivery.DELAYED;
     cluster.submit(0, job("j-9", "standing", 2));
     cluster.advance(0.3);
     // The start may still arrive: the cancellation can't be told yet.
     assertThat(cluster.cancel(1, "j-9").status()).isEqualTo(503);
-    cluster.commandDelivery = Delivery.DELIVERED;
+    cluster.faults.commandDelivery = Delivery.DELIVERED;
     cluster.advance(2);
     assertThat(cluster.cancel(1, "j-9").status()).isEqualTo(200);
     cluster.advance(10);
@@ -278,11 +278,11 @@
   void anEndThatOthersMayReadInTheStoreIsNotDeniedByALeaderWithoutItsAnswer() {
     ControllerNode leader = cluster.awaitLeader(8);
     run(job("j-18", "array", 1), "j-18", 1);
-    cluster.commitDelivery = Delivery.DELAYED;
+    cluster.faults.commitDelivery = Delivery.DELAYED;
     cluster.completeTasks("j-18");
     cluster.advance(3);
     cluster.deliverDelayed();
-    assertThat(cluster.storedFinalPhase("j-18")).isEqualTo("done");
+    assertThat(cluster.store.finalPhase("j-18")).isEqualTo("done");
     // The leader can't tell, so the store is asked; before, it said running.
     assertThat(cluster.phase(leader.index, "j-18")).isEqualTo("done");
   }
--- a/src/test/java/io/embernotch/controller/JobDependenciesTest.java
+++ b/src/test/java/io/embernotch/controller/JobDependenciesTest.java
@@ -1,14 +1,14 @@
 package io.embernotch.controller;
 
-import static io.embernotch.testkit.SimulatedCluster.dependentJob;
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.dependentJob;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.codec.Json;
 import io.embernotch.http.HttpResponse;
+import io.embernotch.testkit.ControllerNode;
+import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
-import io.embernotch.testkit.SimulatedCluster.Delivery;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -92,12 +92,12 @@
     accept(0, job("j-1", "array", 1));
     accept(0, dependentJob("j-2", 1, "j-1"));
     cluster.advance(15);
-    cluster.commitDelivery = Delivery.LOST;
+    cluster.faults.commitDelivery = Delivery.LOST;
     cluster.completeTasks("j-1");
     cluster.advance(5);
     assertThat(cluster.runningTasks("j-2")).isEmpty();
     assertThat(cluster.phase(0, "j-2")).isEqualTo("queued");
-    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.faults.commitDelivery = Delivery.DELIVERED;
     cluster.advance(10);
     finish("j-2");
   }
@@ -115,7 +115,7 @@
     assertThat(cluster.runningTasks("j-2")).isEmpty();
     cluster.completeTasks("j-1");
     // The next leader goes right after the end is committed.
-    for (int i = 0; i < 200 && cluster.storedFinalPhase("j-1") == null; i++) {
+    for (int i = 0; i < 200 && cluster.store.finalPhase("j-1") == null; i++) {
       cluster.advance(0.05);
     }
     ControllerNode second = cluster.leader();
@@ -126,7 +126,7 @@
     cluster.advance(30);
     cluster.completeTasks("j-2");
     cluster.advance(8);
-    assertThat(cluster.storedFinalPhase("j-2")).isEqualTo("done");
+    assertThat(cluster.store.finalPhase("j-2")).isEqualTo("done");
     assertThat(cluster.runningTasks("j-3")).hasSize(1);
   }
 
@@ -149,7 +149,7 @@
     accept(2, dependentJob("j-5", 1, "j-4"));
     cluster.advance(3);
     assertThat(cluster.phase(0, "j-5")).isEqualTo("cancelled");
-    assertThat(cluster.storedFinalPhase("j-5")).isEqualTo("cancelled");
+    assertThat(cluster.store.finalPhase("j-5")).isEqualTo("cancelled");
     assertThat(cluster.phase(0, "j-9")).isEqualTo("running");
   }
 
@@ -185,7 +185,7 @@
     cluster.advance(30);
     for (int i = 0; i < 40; i++) {
       assertThat(cluster.phase(left.index, "j-" + i)).isEqualTo("cancelled");
-      assertThat(cluster.storedFinalPhase("j-" + i)).isEqualTo("cancelled");
+      assertThat(cluster.store.finalPhase("j-" + i)).isEqualTo("cancelled");
     }
   }
 
@@ -235,7 +235,7 @@
     assertThat(low.phase(1, "j-300")).isEqualTo("cancelled");
     low.advance(0.6 * low.nodes.get(0).settings.workers().cancelS());
     for (int i = 0; i <= 300; i++) {
-      assertThat(low.storedFinalPhase("j-" + i)).isEqualTo("cancelled");
+      assertThat(low.store.finalPhase("j-" + i)).isEqualTo("cancelled");
     }
     assertThat(low.violations()).isEmpty();
   }
--- a/src/test/java/io/embernotch/controller/ProcessIncarnationsRandomizedTest.java
+++ b/src/test/java/io/embernotch/controller/ProcessIncarnationsRandomizedTest.java
@@ -2,11 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.embernotch.testkit.ControllerNode;
+import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.RecordedAnswers;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
-import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
@@ -39,9 +39,9 @@
                 1 + random.nextInt(4));
         case 3 -> some(answers, random).forEach(cluster::completeTasks);
         case 4 -> some(answers, random).forEach(ref -> answers.cancel(node, ref));
-        case 5 -> cluster.commitDelivery = Delivery.values()[random.nextInt(3)];
-        case 6 -> cluster.commandDelivery = Delivery.values()[random.nextInt(3)];
-        case 7 -> cluster.delayFrames = !cluster.delayFrames;
+        case 5 -> cluster.faults.commitDelivery = Delivery.values()[random.nextInt(3)];
+        case 6 -> cluster.faults.commandDelivery = Delivery.values()[random.nextInt(3)];
+        case 7 -> cluster.faults.delayFrames = !cluster.faults.delayFrames;
         case 8 -> {
           cluster.deliverDelayed();
           cluster.redeliverAll();
@@ -66,9 +66,9 @@
         answers.poll(random.nextInt(3), ref);
       }
     }
-    cluster.commitDelivery = Delivery.DELIVERED;
-    cluster.commandDelivery = Delivery.DELIVERED;
-    cluster.delayFrames = false;
+    cluster.faults.commitDelivery = Delivery.DELIVERED;
+    cluster.faults.commandDelivery = Delivery.DELIVERED;
+    cluster.faults.delayFrames = false;
     cluster.nodes.forEach(n -> n.storeUnavailable = n.peersUnreachable = false);
     cluster.workers.values().forEach(w -> w.inboundPartitioned = false);
     cluster.deliverDelayed();
--- a/src/test/java/io/embernotch/controller/ProcessIncarnationsTest.java
+++ b/src/test/java/io/embernotch/controller/ProcessIncarnationsTest.java
@@ -1,12 +1,12 @@
 package io.embernotch.controller;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.election.LeaderObserver;
+import io.embernotch.testkit.ControllerNode;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
 import java.util.Map;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -73,12 +73,12 @@
   void framesOfFormerLivesThatArriveSecondsAndMinutesLateChangeNothing() {
     Map<String, FakeWorker> before = service();
     for (double lateS : new double[] {1, 10, 70}) {
-      cluster.delayFrames = true;
+      cluster.faults.delayFrames = true;
       cluster.advance(1);
       ControllerNode leader = cluster.leader();
       back(leader);
       back(cluster.otherNode(leader));
-      cluster.delayFrames = false;
+      cluster.faults.delayFrames = false;
       cluster.advance(lateS);
       cluster.deliverDelayed();
       cluster.awaitLeader(8);
--- a/src/test/java/io/embernotch/controller/RollingUpgradeTest.java
+++ b/src/test/java/io/embernotch/controller/RollingUpgradeTest.java
@@ -1,15 +1,15 @@
 package io.embernotch.controller;
 
-import static io.embernotch.testkit.SimulatedCluster.dependentJob;
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.dependentJob;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.Json;
+import io.embernotch.testkit.ControllerNode;
+import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
-import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.Base64;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
@@ -239,7 +239,7 @@
     assertThat(cluster.cancel((old.index + 1) % 3, "j-1").status()).isEqualTo(200);
     cluster.advance(6);
     assertThat(cluster.runningTasks("j-1")).isEmpty();
-    assertThat(cluster.storedFinalPhase("j-1")).isEqualTo("cancelled");
+    assertThat(cluster.store.finalPhase("j-1")).isEqualTo("cancelled");
     ControllerNode second = cluster.leader();
     // The end stands in a part, which those read too who answer from the store alone.
     assertThat(cluster.store.value("run/j-1").has("end")).isFalse();
@@ -257,12 +257,12 @@
     left("j-1", 48, null);
     cluster.awaitLeader(4);
     cluster.advance(12);
-    cluster.commitDelivery = Delivery.DELAYED;
+    cluster.faults.commitDelivery = Delivery.DELAYED;
     cluster.runningTasks("j-1").get("j-1/5").exitTask("j-1/5", "done");
     cluster.runningTasks("j-1").get("j-1/6").exitTask("j-1/6", "error");
     cluster.advance(4);
     lower();
-    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.faults.commitDelivery = Delivery.DELIVERED;
     cluster.advance(8);
     // The large shard may arrive only now: the parts written since stand above it.
     cluster.store.lowerLimits(8 * 1024, 12, 100);
@@ -275,7 +275,7 @@
     assertThat(cluster.runningTasks("j-1")).hasSize(47).doesNotContainKey("j-1/5");
     cluster.completeTasks("j-1");
     cluster.advance(10);
-    assertThat(cluster.storedFinalPhase("j-1")).isEqualTo("done");
+    assertThat(cluster.store.finalPhase("j-1")).isEqualTo("done");
   }
 
   @Test
@@ -291,7 +291,7 @@
     cluster.advance(3);
     cluster.completeTasks("j-1");
     cluster.advance(6);
-    assertThat(cluster.storedFinalPhase("j-1")).isEqualTo("done");
+    assertThat(cluster.store.finalPhase("j-1")).isEqualTo("done");
     cluster.store.lowerLimits(1024, 4, 30);
     cluster.advance(20);
     assertThat(cluster.runningTasks("j-2")).hasSize(30);
--- a/src/test/java/io/embernotch/controller/ScaleTest.java
+++ b/src/test/java/io/embernotch/controller/ScaleTest.java
@@ -1,6 +1,6 @@
 package io.embernotch.controller;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
@@ -40,19 +40,19 @@
     fill();
     cluster.advance(10);
     int commits = cluster.store.commitCount;
-    int directs = cluster.commandCount;
-    int frames = cluster.frameCount;
+    int directs = cluster.commandCount();
+    int frames = cluster.frameCount();
     long plans = cluster().get("plans").asLong();
     double passed = 30;
     // Thirty thousand heartbeats, each of eight tasks that run on.
     cluster.advance(passed);
     assertThat(cluster.store.commitCount - commits).isZero();
-    assertThat(cluster.commandCount - directs).isZero();
+    assertThat(cluster.commandCount() - directs).isZero();
     // Plans go by time: one in each third of a heartbeat interval at most when nothing changes.
     assertThat(cluster().get("plans").asLong() - plans).isLessThanOrEqualTo((long) passed + 2);
     // Views are repeated every fourth round; beats come every third of a heartbeat interval.
     long views = (long) Math.ceil(passed / 20 + 1) * MACHINES;
-    assertThat(cluster.frameCount - frames)
+    assertThat(cluster.frameCount() - frames)
         .isLessThanOrEqualTo((int) views + 6 * (int) (passed + 2) + 100);
   }
 
@@ -61,12 +61,12 @@
     fill();
     cluster.advance(10);
     int commits = cluster.store.commitCount;
-    int directs = cluster.commandCount;
+    int directs = cluster.commandCount();
     cluster.completeTasks("j-0");
     cluster.advance(10);
     assertThat(cluster.phase(0, "j-0")).isEqualTo("done");
     // Two hundred ends: the job's end, its further shards, and nothing for each task.
     assertThat(cluster.store.commitCount - commits).isLessThanOrEqualTo(6);
-    assertThat(cluster.commandCount - directs).isZero();
+    assertThat(cluster.commandCount() - directs).isZero();
   }
 }
--- a/src/test/java/io/embernotch/faultcombinations/ConfirmedCancellationTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/ConfirmedCancellationTest.java
@@ -1,12 +1,12 @@
 package io.embernotch.faultcombinations;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.embernotch.testkit.ControllerNode;
+import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
-import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -57,7 +57,7 @@
     former.storeUnresponsive = random.nextBoolean();
     former.peersUnreachable = random.nextInt(3) > 0;
     boolean deaf = random.nextInt(3) == 0;
-    cluster.commandDelivery = Delivery.values()[random.nextInt(3)];
+    cluster.faults.commandDelivery = Delivery.values()[random.nextInt(3)];
     double spell = random.nextDouble(30);
     double outage = random.nextDouble(0.5, 2) * cancelS;
     double cancelsFrom = random.nextDouble(spell + 3);
@@ -84,7 +84,7 @@
       cluster.advance(0.5);
     }
     cluster.store.endOutage();
-    cluster.commandDelivery = Delivery.DELIVERED;
+    cluster.faults.commandDelivery = Delivery.DELIVERED;
     cluster.workers.values().forEach(w -> w.inboundPartitioned = false);
     cluster.deliverDelayed();
     cluster.advance(15);
@@ -93,8 +93,8 @@
     }
     cluster.advance(cancelS + 15);
     List<String> wrong = new ArrayList<>(cluster.violations());
-    wrong.addAll(cluster.invariants.startsAfterCancellation);
-    waits.addAll(cluster.invariants.cancellationDelays);
+    wrong.addAll(cluster.invariants.startsAfterCancellation());
+    waits.addAll(cluster.invariants.cancellationDelays());
     return wrong;
   }
 
@@ -129,7 +129,7 @@
     former.storeUnavailable = true;
     former.storeUnresponsive = !refused;
     former.peersUnreachable = true;
-    cluster.commandDelivery = Delivery.LOST;
+    cluster.faults.commandDelivery = Delivery.LOST;
     double askedAt = cluster.time.now();
     while (!told(cluster, "j-0") && cluster.time.now() - askedAt < former.settings.gracePeriodS()) {
       cluster.cancelAsync(cluster.otherNode(former).index, "j-0");
@@ -147,7 +147,7 @@
   }
 
   private static boolean told(SimulatedCluster cluster, String ref) {
-    return "cancelled".equals(cluster.storedFinalPhase(ref));
+    return "cancelled".equals(cluster.store.finalPhase(ref));
   }
 
   /**
@@ -171,7 +171,7 @@
     assertThat(cluster.phase(0, "j-0")).isEqualTo("cancelled");
     assertThat(cluster.runningTasks("j-0")).isEmpty();
     assertThat(cluster.violations()).isEmpty();
-    assertThat(cluster.invariants.startsAfterCancellation).isEmpty();
+    assertThat(cluster.invariants.startsAfterCancellation()).isEmpty();
   }
 
   /**
@@ -194,7 +194,7 @@
     }
     cluster.advance(12);
     String there = job("j-9", "array", 6).replace("\"room\":null", "\"room\":\"z2\"");
-    cluster.commandDelivery = hung ? Delivery.DELIVERED : Delivery.DELAYED;
+    cluster.faults.commandDelivery = hung ? Delivery.DELIVERED : Delivery.DELAYED;
     cluster.workers.values().forEach(w -> w.hung = hung);
     assertThat(cluster.submit(0, there).status()).isEqualTo(201);
     cluster.advance(0.3);
@@ -202,7 +202,7 @@
       cluster.cancelAsync(leader.index, "j-9");
       cluster.advance(0.5);
     }
-    cluster.commandDelivery = Delivery.DELIVERED;
+    cluster.faults.commandDelivery = Delivery.DELIVERED;
     cluster.deliverDelayed();
     cluster.workers.values().forEach(FakeWorker::resume);
     for (int s = 0; s < 40; s++) {
@@ -210,7 +210,7 @@
       cluster.advance(1);
     }
     assertThat(cluster.phase(1, "j-9")).isEqualTo("cancelled");
-    assertThat(cluster.invariants.startsAfterCancellation).isEmpty();
+    assertThat(cluster.invariants.startsAfterCancellation()).isEmpty();
     assertThat(cluster.violations()).isEmpty();
   }
 
@@ -223,12 +223,12 @@
   void anEndThatIsCarriedOutLateIsToldOnlyWhereNothingOutlivesIt(int lateS) {
     SimulatedCluster cluster = new SimulatedCluster(3, 100);
     ControllerNode leader = busy(cluster, 3);
-    cluster.commitDelivery = Delivery.DELAYED;
+    cluster.faults.commitDelivery = Delivery.DELAYED;
     cluster.cancelAsync(leader.index, "j-0");
     cluster.advance(lateS);
     leader.storeUnavailable = true;
     leader.peersUnreachable = true;
-    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.faults.commitDelivery = Delivery.DELIVERED;
     cluster.deliverDelayed();
     for (int s = 0; s < 20; s++) {
       cluster.poll(cluster.otherNode(leader).index, "j-0");
@@ -254,11 +254,11 @@
   void anEndOfAFormerLeaderIsNotCarriedOutOnceTheNextHasRead() {
     SimulatedCluster cluster = new SimulatedCluster(3, 100);
     ControllerNode former = busy(cluster, 3);
-    cluster.commitDelivery = Delivery.DELAYED;
+    cluster.faults.commitDelivery = Delivery.DELAYED;
     cluster.cancelAsync(former.index, "j-0");
     cluster.advance(1);
     former.kill();
-    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.faults.commitDelivery = Delivery.DELIVERED;
     // What ran must not be news to the next leader, or it would write the same key first.
     cluster.workers.values().forEach(w -> w.outboundPartitioned = true);
     ControllerNode next = null;
--- a/src/test/java/io/embernotch/faultcombinations/FailoverTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/FailoverTest.java
@@ -2,8 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.embernotch.testkit.ControllerNode;
+import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
+import io.embernotch.testkit.TestJobs;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -59,7 +61,7 @@
       // One that is just being started meets it too.
       cluster.time.after(
           Math.max(0, -FROM_S + at - 0.2),
-          () -> cluster.submitAsync(asked, SimulatedCluster.job(fresh, "array", 3)));
+          () -> cluster.submitAsync(asked, TestJobs.job(fresh, "array", 3)));
       cluster.time.after(
           -FROM_S + at, () -> scenario.cancelUntilConfirmed(fresh, (asked + 1) % 3, 12));
       scenario.pollAllNodes(ref, 2 * TO_S + 4, 0.25);
@@ -87,13 +89,13 @@
     cluster.advance(12);
     // Neither the stops nor the answers to heartbeats reach them any more.
     cluster.workers.values().forEach(w -> w.outboundPartitioned = true);
-    cluster.commandDelivery = SimulatedCluster.Delivery.LOST;
+    cluster.faults.commandDelivery = Delivery.LOST;
     cluster.cancelAsync(leader.index, "j-1");
     cluster.advance(afterS);
     leader.kill();
     cluster.advance(6);
     cluster.workers.values().forEach(w -> w.outboundPartitioned = false);
-    cluster.commandDelivery = SimulatedCluster.Delivery.DELIVERED;
+    cluster.faults.commandDelivery = Delivery.DELIVERED;
     scenario.cancelUntilConfirmed("j-1", 0, 10);
     cluster.advance(20);
     leader.start();
--- a/src/test/java/io/embernotch/faultcombinations/FastBootTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/FastBootTest.java
@@ -2,10 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.embernotch.testkit.ControllerNode;
+import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
-import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -24,10 +24,10 @@
   @ParameterizedTest
   @CsvSource({"1,0.3,2", "2,0.3,4", "3,0.6,2", "4,0.6,4", "5,0.6,7"})
   void newMachinesGetWorkWhileWritesLagAndTheLeaderEnds(long seed, double late, double endsAfterS) {
-    cluster.random = new java.util.SplittableRandom(seed);
+    cluster.faults.random = new java.util.SplittableRandom(seed);
     ControllerNode leader = cluster.awaitLeader(3);
     cluster.cloud.bootS = FAST_S;
-    cluster.delayedCommitShare = late;
+    cluster.faults.delayedCommitShare = late;
     for (int i = 0; i < 4; i++) {
       scenario.answers.submit(i % 3, "j-" + i, List.of("array", "group", "standing").get(i % 3), 4);
     }
@@ -56,17 +56,17 @@
     cluster.cloud.bootS = FAST_S;
     scenario.answers.submit(0, "j-0", "standing", 1);
     cluster.advance(12);
-    cluster.commitDelivery = Delivery.LOST;
+    cluster.faults.commitDelivery = Delivery.LOST;
     scenario.answers.submit(leader.index, "j-1", "array", 4);
     cluster.advance(3);
     List<FakeWorker> there = List.copyOf(cluster.workers.values());
     there.forEach(w -> w.outboundPartitioned = true);
-    cluster.commandDelivery = Delivery.LOST;
+    cluster.faults.commandDelivery = Delivery.LOST;
     cluster.cloud.unlisted.addAll(cluster.workers.keySet());
     leader.kill();
-    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.faults.commitDelivery = Delivery.DELIVERED;
     cluster.advance(12);
-    cluster.commandDelivery = Delivery.DELIVERED;
+    cluster.faults.commandDelivery = Delivery.DELIVERED;
     cluster.advance(4);
     there.forEach(w -> w.outboundPartitioned = false);
     cluster.cloud.unlisted.clear();
--- a/src/test/java/io/embernotch/faultcombinations/FaultCombinationsRandomizedTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/FaultCombinationsRandomizedTest.java
@@ -1,13 +1,13 @@
 package io.embernotch.faultcombinations;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.embernotch.testkit.ControllerNode;
+import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.RecordedAnswers;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
-import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -38,7 +38,7 @@
 
     History(long seed) {
       random = new SplittableRandom(seed);
-      cluster.random = random.split();
+      cluster.faults.random = random.split();
     }
 
     private ControllerNode node() {
@@ -90,14 +90,14 @@
         case 4 -> {
           return new Trouble(
               "late writes",
-              () -> cluster.delayedCommitShare = 0.4,
-              () -> cluster.delayedCommitShare = 0);
+              () -> cluster.faults.delayedCommitShare = 0.4,
+              () -> cluster.faults.delayedCommitShare = 0);
         }
         case 5 -> {
           return new Trouble(
               "late reports",
-              () -> cluster.duplicatedHeartbeatShare = 0.4,
-              () -> cluster.duplicatedHeartbeatShare = 0);
+              () -> cluster.faults.duplicatedHeartbeatShare = 0.4,
+              () -> cluster.faults.duplicatedHeartbeatShare = 0);
         }
         case 6 -> {
           List<FakeWorker> hit = some(0.4);
@@ -130,8 +130,8 @@
         case 10 -> {
           return new Trouble(
               "zone cut",
-              () -> cluster.partitionedZone = random.nextBoolean() ? "z1" : "z2",
-              () -> cluster.partitionedZone = null);
+              () -> cluster.faults.partitionedZone = random.nextBoolean() ? "z1" : "z2",
+              () -> cluster.faults.partitionedZone = null);
         }
         case 11 -> {
           double backS = random.nextBoolean() ? 0.2 : random.nextDouble(10);
@@ -171,49 +171,51 @@
           Delivery fate = random.nextBoolean() ? Delivery.DELAYED : Delivery.LOST;
           return new Trouble(
               "direct commands lost or held",
-              () -> cluster.commandDelivery = fate,
+              () -> cluster.faults.commandDelivery = fate,
               () -> {
-                cluster.commandDelivery = Delivery.DELIVERED;
+                cluster.faults.commandDelivery = Delivery.DELIVERED;
                 cluster.deliverDelayed();
               });
         }
         case 14 -> {
           return new Trouble(
               "frames held",
-              () -> cluster.delayFrames = true,
+              () -> cluster.faults.delayFrames = true,
               () -> {
-                cluster.delayFrames = false;
+                cluster.faults.delayFrames = false;
                 cluster.deliverDelayed();
               });
         }
         case 15 -> {
           return new Trouble(
               "answers of the store lost",
-              () -> cluster.lostCommitResponseShare = 0.4,
-              () -> cluster.lostCommitResponseShare = 0);
+              () -> cluster.faults.lostCommitResponseShare = 0.4,
+              () -> cluster.faults.lostCommitResponseShare = 0);
         }
         case 16 -> {
           return new Trouble(
               "commands late",
-              () -> cluster.delayedCommandShare = 0.5,
-              () -> cluster.delayedCommandShare = 0);
+              () -> cluster.faults.delayedCommandShare = 0.5,
+              () -> cluster.faults.delayedCommandShare = 0);
         }
         case 17 -> {
           return new Trouble(
               "reports kept for the next leader",
-              () -> cluster.replayedHeartbeatShare = 0.5,
-              () -> cluster.replayedHeartbeatShare = 0);
+              () -> cluster.faults.replayedHeartbeatShare = 0.5,
+              () -> cluster.faults.replayedHeartbeatShare = 0);
         }
         case 18 -> {
           double lost = random.nextDouble(0.6);
           return new Trouble(
               "reads of the store lost",
-              () -> cluster.lostReadShare = lost,
-              () -> cluster.lostReadShare = 0);
+              () -> cluster.faults.lostReadShare = lost,
+              () -> cluster.faults.lostReadShare = 0);
         }
         default -> {
           return new Trouble(
-              "slow store", () -> cluster.storeLatencyS = 1.2, () -> cluster.storeLatencyS = 0);
+              "slow store",
+              () -> cluster.faults.storeLatencyS = 1.2,
+              () -> cluster.faults.storeLatencyS = 0);
         }
       }
     }
@@ -238,7 +240,7 @@
 
     private List<String> play() {
       cluster.awaitLeader(3);
-      cluster.maxUserDelayS = random.nextBoolean() ? 0 : 0.05;
+      cluster.faults.maxUserDelayS = random.nextBoolean() ? 0 : 0.05;
       cluster.cloud.bootS = random.nextBoolean() ? 5 : 1.2;
       int next = 0;
       for (String shape : List.of("array", "group", "standing", "array")) {
@@ -289,7 +291,7 @@
         cluster.advance(random.nextInt(4) == 0 ? random.nextDouble(6) : random.nextDouble(1));
       }
       on.forEach(t -> t.end.run());
-      cluster.maxUserDelayS = 0;
+      cluster.faults.maxUserDelayS = 0;
       cluster.nodes.stream().filter(n -> n.down).forEach(ControllerNode::start);
       cluster
           .workers
@@ -301,7 +303,7 @@
       cluster.advance(95);
       answers.verifyFinalState();
       List<String> wrong = new ArrayList<>(answers.violations);
-      wrong.addAll(cluster.invariants.startsAfterCancellation);
+      wrong.addAll(cluster.invariants.startsAfterCancellation());
       return wrong;
     }
   }
--- a/src/test/java/io/embernotch/faultcombinations/FaultCombinationsTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/FaultCombinationsTest.java
@@ -1,13 +1,13 @@
 package io.embernotch.faultcombinations;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.embernotch.testkit.ControllerNode;
+import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.RecordedAnswers;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
-import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -128,7 +128,7 @@
       answers.submit(i % 3, "j-" + i, i % 2 == 0 ? "array" : "standing", 3);
     }
     cluster.advance(12);
-    cluster.storeLatencyS = slowS;
+    cluster.faults.storeLatencyS = slowS;
     for (int s = 0; s < 80; s++) {
       cluster.cancelAsync(s % 3, "j-" + s % 4);
       answers.poll((s + 1) % 3, "j-" + s % 6);
@@ -280,11 +280,11 @@
     answers.submit(0, "j-1", shape, 3);
     cluster.advance(12);
     Map<String, FakeWorker> on = cluster.runningTasks("j-1");
-    cluster.commitDelivery = Delivery.LOST;
+    cluster.faults.commitDelivery = Delivery.LOST;
     on.get("j-1/0").exitTask("j-1/0", "done");
     cluster.advance(3);
     leader.kill();
-    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.faults.commitDelivery = Delivery.DELIVERED;
     cluster.advance(15);
     leader.start();
     answers.poll(0, "j-1");
@@ -343,9 +343,9 @@
     cluster.cancelAsync(0, "j-2");
     cluster.advance(0.004);
     cluster.nodes.forEach(ControllerNode::kill);
-    cluster.commandDelivery = Delivery.DELAYED;
+    cluster.faults.commandDelivery = Delivery.DELAYED;
     cluster.advance(awayS);
-    cluster.commandDelivery = Delivery.DELIVERED;
+    cluster.faults.commandDelivery = Delivery.DELIVERED;
     cluster.nodes.forEach(ControllerNode::start);
     cluster.advance(4);
     cluster.deliverDelayed();
@@ -366,7 +366,7 @@
     assertThat(cluster.submit(0, there).status()).isEqualTo(201);
     answers.accepted.addAll(List.of("j-1", "j-2"));
     cluster.advance(12);
-    cluster.partitionedZone = "z2";
+    cluster.faults.partitionedZone = "z2";
     for (int s = 0; s < cutS; s++) {
       // Before anybody can have noticed, and for as long as it lasts.
       cluster.cancelAsync(s % 2, "j-2");
@@ -463,7 +463,7 @@
     cluster.cloud.outOfCapacity = true;
     answers.submit(0, "j-1", "array", 100);
     cluster.advance(6);
-    cluster.storeLatencyS = 0.3;
+    cluster.faults.storeLatencyS = 0.3;
     String urgent = job("j-2", "standing", 12).replace("standard", "production");
     assertThat(cluster.submit(0, urgent).status()).isEqualTo(201);
     String gang = job("j-3", "group", 8).replace("standard", "high");
@@ -490,9 +490,9 @@
   @CsvSource({"0.3,1", "0.3,2", "0.6,3", "0.6,4"})
   void transactionsAreCarriedOutLateAfterNewerOnesOfTheSameController(double share, int seed) {
     large();
-    cluster.random = new java.util.SplittableRandom(seed);
+    cluster.faults.random = new java.util.SplittableRandom(seed);
     cluster.awaitLeader(3);
-    cluster.delayedCommitShare = share;
+    cluster.faults.delayedCommitShare = share;
     for (int s = 0; s < 120; s++) {
       if (s % 6 == 0) {
         answers.submit(s % 3, "j-" + s, List.of("array", "group", "standing").get(s / 6 % 3), 3);
@@ -521,7 +521,7 @@
       }
       cluster.advance(1);
     }
-    cluster.delayedCommitShare = 0;
+    cluster.faults.delayedCommitShare = 0;
     cluster.advance(15);
     allIsWell();
   }
@@ -619,7 +619,7 @@
     answers.submit(0, "j-1", "array", 8);
     answers.submit(0, "j-2", "standing", 4);
     cluster.advance(12);
-    cluster.duplicatedHeartbeatShare = 0.3;
+    cluster.faults.duplicatedHeartbeatShare = 0.3;
     FakeWorker w = cluster.runningTasks("j-1").get("j-1/0");
     List<byte[]> first = List.copyOf(cluster.heartbeatsOf(w.name));
     w.exitTask("j-1/0", "error");
--- a/src/test/java/io/embernotch/faultcombinations/FaultScenario.java
+++ b/src/test/java/io/embernotch/faultcombinations/FaultScenario.java
@@ -3,10 +3,10 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.settings.Settings;
+import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.RecordedAnswers;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.List;
 import java.util.SplittableRandom;
 
@@ -37,7 +37,7 @@
   /** The same with troubles that are drawn by a seed. */
   static FaultScenario withRandomFaults(long seed) {
     FaultScenario s = large();
-    s.cluster.random = new SplittableRandom(seed);
+    s.cluster.faults.random = new SplittableRandom(seed);
     return s;
   }
 
@@ -87,18 +87,18 @@
 
   /** Ends all troubles. */
   void endAllFaults() {
-    cluster.commandDelivery = Delivery.DELIVERED;
-    cluster.commitDelivery = Delivery.DELIVERED;
-    cluster.delayFrames = false;
-    cluster.delayedCommitShare = 0;
-    cluster.duplicatedHeartbeatShare = 0;
-    cluster.delayedCommandShare = 0;
-    cluster.lostCommitResponseShare = 0;
-    cluster.lostReadShare = 0;
-    cluster.replayedHeartbeatShare = 0;
-    cluster.storeLatencyS = 0;
-    cluster.maxUserDelayS = 0;
-    cluster.partitionedZone = null;
+    cluster.faults.commandDelivery = Delivery.DELIVERED;
+    cluster.faults.commitDelivery = Delivery.DELIVERED;
+    cluster.faults.delayFrames = false;
+    cluster.faults.delayedCommitShare = 0;
+    cluster.faults.duplicatedHeartbeatShare = 0;
+    cluster.faults.delayedCommandShare = 0;
+    cluster.faults.lostCommitResponseShare = 0;
+    cluster.faults.lostReadShare = 0;
+    cluster.faults.replayedHeartbeatShare = 0;
+    cluster.faults.storeLatencyS = 0;
+    cluster.faults.maxUserDelayS = 0;
+    cluster.faults.partitionedZone = null;
     cluster.cloud.down = false;
     if (cluster.store.outage) {
       cluster.store.endOutage();
@@ -134,6 +134,6 @@
     answers.verifyFinalState();
     assertThat(answers.violations).isEmpty();
     assertThat(cluster.violations()).isEmpty();
-    assertThat(cluster.invariants.startsAfterCancellation).isEmpty();
+    assertThat(cluster.invariants.startsAfterCancellation()).isEmpty();
   }
 }
--- a/src/test/java/io/embernotch/faultcombinations/InvariantCheckerTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/InvariantCheckerTest.java
@@ -1,6 +1,6 @@
 package io.embernotch.faultcombinations;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.codec.JobCodec;
@@ -118,8 +118,8 @@
     rules.cancelRequested("j-1", 2);
     told("j-1", JobPhase.CANCELLED, 4);
     start(w, "j-1/1", 10);
-    assertThat(rules.startsAfterCancellation).hasSize(1);
-    assertThat(rules.cancellationDelays).containsExactly(2.0);
+    assertThat(rules.startsAfterCancellation()).hasSize(1);
+    assertThat(rules.cancellationDelays()).containsExactly(2.0);
     w.hung = true;
     rules.checkMachines(machines, 53.9);
     assertThat(rules.violations()).isEmpty();
--- a/src/test/java/io/embernotch/faultcombinations/LateCommandTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/LateCommandTest.java
@@ -2,10 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.embernotch.testkit.ControllerNode;
+import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
-import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -36,7 +36,7 @@
     ControllerNode leader = cluster.awaitLeader(3);
     scenario.answers.submit(0, "j-0", "standing", 8);
     cluster.advance(12);
-    cluster.commandDelivery = Delivery.DELAYED;
+    cluster.faults.commandDelivery = Delivery.DELAYED;
     scenario.answers.submit(leader.index, "j-1", "array", 6);
     scenario.answers.submit(leader.index, "j-2", "group", 4);
     cluster.advance(0.5);
@@ -47,7 +47,7 @@
       leader.storeUnavailable = leader.peersUnreachable = true;
     }
     cluster.advance(0.2);
-    cluster.commandDelivery = Delivery.DELIVERED;
+    cluster.faults.commandDelivery = Delivery.DELIVERED;
     if (cancelled) {
       scenario.cancelUntilConfirmed("j-1", 0, heldS + 10);
     }
@@ -73,14 +73,14 @@
     ControllerNode leader = cluster.awaitLeader(3);
     scenario.answers.submit(0, "j-0", "standing", 2);
     cluster.advance(12);
-    cluster.commandDelivery = Delivery.DELAYED;
+    cluster.faults.commandDelivery = Delivery.DELAYED;
     scenario.answers.submit(leader.index, "j-1", "array", 6);
     cluster.advance(0.5);
     assertThat(cluster.delayedCount()).isPositive();
     List<FakeWorker> there = List.copyOf(cluster.workers.values());
     there.forEach(w -> w.outboundPartitioned = true);
     leader.kill();
-    cluster.commandDelivery = Delivery.LOST;
+    cluster.faults.commandDelivery = Delivery.LOST;
     cluster.cloud.down = true;
     if (cancelled) {
       scenario.cancelUntilConfirmed("j-1", 0, heldS + 60);
@@ -89,7 +89,7 @@
     cluster.deliverDelayed();
     cluster.advance(2);
     there.forEach(w -> w.outboundPartitioned = false);
-    cluster.commandDelivery = Delivery.DELIVERED;
+    cluster.faults.commandDelivery = Delivery.DELIVERED;
     cluster.cloud.down = false;
     cluster.advance(40);
     leader.start();
@@ -104,9 +104,9 @@
   @ParameterizedTest
   @CsvSource({"1,0.3", "2,0.3", "3,0.7", "4,0.7"})
   void commandsAreHeldUpWhileLeadersChange(long seed, double share) {
-    cluster.random = new java.util.SplittableRandom(seed);
+    cluster.faults.random = new java.util.SplittableRandom(seed);
     cluster.awaitLeader(3);
-    cluster.delayedCommandShare = share;
+    cluster.faults.delayedCommandShare = share;
     for (int i = 0; i < 8; i++) {
       scenario.answers.submit(i % 3, "j-" + i, List.of("array", "group", "standing").get(i % 3), 4);
       cluster.advance(i == 0 ? 8 : 2);
--- a/src/test/java/io/embernotch/faultcombinations/LostResponseTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/LostResponseTest.java
@@ -1,11 +1,11 @@
 package io.embernotch.faultcombinations;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.embernotch.testkit.ControllerNode;
+import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
-import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -41,19 +41,19 @@
   void onlyTheAnswerIsLost(String kind, double readsLost, boolean leaderEnds) {
     if (kind.equals("era")) {
       // The first claim begins the incarnation.
-      cluster.commitDeliveryFilter = kind;
-      cluster.commitDelivery = Delivery.RESPONSE_LOST;
+      cluster.faults.commitDeliveryFilter = kind;
+      cluster.faults.commitDelivery = Delivery.RESPONSE_LOST;
       cluster.advance(4);
-      cluster.commitDelivery = Delivery.DELIVERED;
+      cluster.faults.commitDelivery = Delivery.DELIVERED;
     }
     ControllerNode leader = cluster.awaitLeader(12);
     scenario.answers.submit(0, "j-1", "array", 3);
     scenario.answers.submit(1, "j-2", "standing", 3);
     scenario.answers.submit(2, "j-3", "group", 3);
     cluster.advance(12);
-    cluster.commitDeliveryFilter = kind;
-    cluster.commitDelivery = Delivery.RESPONSE_LOST;
-    cluster.lostReadShare = readsLost;
+    cluster.faults.commitDeliveryFilter = kind;
+    cluster.faults.commitDelivery = Delivery.RESPONSE_LOST;
+    cluster.faults.lostReadShare = readsLost;
     cluster.submitAsync(0, job("j-4", "array", 3));
     cluster.submitAsync(1, job("j-4", "array", 3));
     cluster.submitAsync(
@@ -68,8 +68,8 @@
       cluster.time.after(4, leader::start);
     }
     cluster.advance(8);
-    cluster.commitDelivery = Delivery.DELIVERED;
-    cluster.lostReadShare = 0;
+    cluster.faults.commitDelivery = Delivery.DELIVERED;
+    cluster.faults.lostReadShare = 0;
     cluster.advance(8);
     scenario.answers.submit(0, "j-4", "array", 3);
     scenario.answers.submit(1, "j-5", "standing", 3);
@@ -98,15 +98,15 @@
     ControllerNode leader = cluster.awaitLeader(3);
     cluster.boot("g8", "z1", true);
     cluster.advance(10);
-    cluster.commitDelivery = Delivery.RESPONSE_LOST;
-    cluster.lostReadShare = 1;
+    cluster.faults.commitDelivery = Delivery.RESPONSE_LOST;
+    cluster.faults.lostReadShare = 1;
     scenario.answers.submit(leader.index, "j-1", "array", 4);
     cluster.advance(2);
     assertThat(cluster.store.value("run/j-1")).isNotNull();
     assertThat(cluster.runningTasks("j-1")).isEmpty();
     leader.kill();
-    cluster.commitDelivery = Delivery.DELIVERED;
-    cluster.lostReadShare = 0;
+    cluster.faults.commitDelivery = Delivery.DELIVERED;
+    cluster.faults.lostReadShare = 0;
     cluster.advance(15);
     assertThat(cluster.runningTasks("j-1")).hasSize(4);
     leader.start();
@@ -124,13 +124,13 @@
     scenario.answers.submit(0, "j-1", "standing", 6);
     cluster.advance(12);
     Map<String, ?> before = cluster.runningTasks("j-1");
-    cluster.commitDeliveryFilter = "steward";
-    cluster.commitDelivery = Delivery.RESPONSE_LOST;
-    cluster.lostReadShare = 1;
+    cluster.faults.commitDeliveryFilter = "steward";
+    cluster.faults.commitDelivery = Delivery.RESPONSE_LOST;
+    cluster.faults.lostReadShare = 1;
     leader.kill();
     cluster.advance(3 + forS);
-    cluster.commitDelivery = Delivery.DELIVERED;
-    cluster.lostReadShare = 0;
+    cluster.faults.commitDelivery = Delivery.DELIVERED;
+    cluster.faults.lostReadShare = 0;
     cluster.awaitLeader(12);
     leader.start();
     scenario.verifyRecovery();
--- a/src/test/java/io/embernotch/faultcombinations/ReadConsistencyTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/ReadConsistencyTest.java
@@ -1,14 +1,14 @@
 package io.embernotch.faultcombinations;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.Json;
 import io.embernotch.http.HttpResponse;
+import io.embernotch.testkit.ControllerNode;
+import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
-import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -27,14 +27,14 @@
   private final SimulatedCluster cluster = scenario.cluster;
 
   private void look(String ref) {
-    for (double at = 0; at < LOOKS_S; at += cluster.random.nextDouble(MOST_APART_S)) {
-      int node = cluster.random.nextInt(3);
+    for (double at = 0; at < LOOKS_S; at += cluster.faults.random.nextDouble(MOST_APART_S)) {
+      int node = cluster.faults.random.nextInt(3);
       cluster.time.after(at, () -> cluster.pollAsync(node, ref));
     }
   }
 
   private void later(double mostS, Runnable what) {
-    cluster.time.after(cluster.random.nextDouble(mostS), what);
+    cluster.time.after(cluster.faults.random.nextDouble(mostS), what);
   }
 
   private void trouble(String kind, ControllerNode leader) {
@@ -50,9 +50,9 @@
       case "leader alone" ->
           later(LOOKS_S, () -> leader.storeUnavailable = leader.peersUnreachable = true);
       case "follower alone" -> cluster.otherNode(leader).peersUnreachable = true;
-      case "slow store" -> cluster.storeLatencyS = 0.2;
-      case "answers lost" -> cluster.lostCommitResponseShare = 0.3;
-      case "late writes" -> cluster.delayedCommitShare = 0.3;
+      case "slow store" -> cluster.faults.storeLatencyS = 0.2;
+      case "answers lost" -> cluster.faults.lostCommitResponseShare = 0.3;
+      case "late writes" -> cluster.faults.delayedCommitShare = 0.3;
       default -> {}
     }
   }
@@ -70,7 +70,7 @@
   })
   void noNodeAnswersOlderThanWhatWasTold(String kind) {
     cluster.awaitLeader(3);
-    cluster.maxUserDelayS = 0.05;
+    cluster.faults.maxUserDelayS = 0.05;
     for (int i = 0; i < 10; i++) {
       ControllerNode leader = cluster.awaitLeader(8);
       trouble(kind, leader);
@@ -89,7 +89,7 @@
       cluster.time.after(0.5, () -> cluster.completeTasks(ref));
       if (i % 4 == 2) {
         cluster.time.after(
-            0.4 + cluster.random.nextDouble(0.3),
+            0.4 + cluster.faults.random.nextDouble(0.3),
             () -> scenario.cancelUntilConfirmed(ref, i(ref), 4));
       }
       look(ref);
@@ -129,7 +129,7 @@
     cluster.advance(12);
     alone.peersUnreachable = true;
     cluster.advance(4);
-    cluster.commitDelivery = Delivery.RESPONSE_LOST;
+    cluster.faults.commitDelivery = Delivery.RESPONSE_LOST;
     cluster.completeTasks("j-1");
     String elsewhere = "";
     for (int i = 0; i < 40 && !elsewhere.equals("done"); i++) {
@@ -142,7 +142,7 @@
       assertThat(cluster.phase(leader.index, "j-1")).isIn("done", "status 503");
       cluster.advance(0.25);
     }
-    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.faults.commitDelivery = Delivery.DELIVERED;
     scenario.verifyRecovery();
   }
 
@@ -179,7 +179,7 @@
     cluster.advance(12);
     alone.peersUnreachable = true;
     cluster.advance(4);
-    cluster.commitDelivery = Delivery.RESPONSE_LOST;
+    cluster.faults.commitDelivery = Delivery.RESPONSE_LOST;
     cluster.runningTasks("j-1").get("j-1/0").exitTask("j-1/0", "done");
     int counted = 0;
     for (int i = 0; i < 60; i++) {
@@ -194,7 +194,7 @@
       cluster.advance(0.25);
     }
     assertThat(counted).isEqualTo(1);
-    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.faults.commitDelivery = Delivery.DELIVERED;
     scenario.verifyRecovery();
   }
 
@@ -248,14 +248,14 @@
     ControllerNode leader = cluster.awaitLeader(3);
     ControllerNode first = cluster.otherNode(leader);
     String json = job("j-1", "array", 2);
-    cluster.commitDeliveryFilter = "job/";
-    cluster.commitDelivery = fate;
+    cluster.faults.commitDeliveryFilter = "job/";
+    cluster.faults.commitDelivery = fate;
     cluster.submitAsync(first.index, json);
     cluster.advance(0.1);
     cluster.submitAsync(first.index, json);
     scenario.pollAllNodes("j-1", LOOKS_S, 0.01);
     cluster.advance(0.1);
-    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.faults.commitDelivery = Delivery.DELIVERED;
     cluster.time.after(0.02, first::kill);
     cluster.submitAsync(leader.index, json);
     cluster.submitAsync(3 - first.index - leader.index, json);
--- a/src/test/java/io/embernotch/faultcombinations/SmallJobsTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/SmallJobsTest.java
@@ -1,12 +1,12 @@
 package io.embernotch.faultcombinations;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.Json;
+import io.embernotch.testkit.ControllerNode;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
 import java.util.ArrayDeque;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -26,7 +26,7 @@
   @CsvSource({"false", "true"})
   void oneTaskJobsForMinutes(boolean troubles) {
     SimulatedCluster cluster = SimulatedCluster.withStoreLimits(100, WRITES_PER_S);
-    cluster.store.maxChangesPerS = WRITES_PER_S;
+    cluster.store.setMaxChangesPerS(WRITES_PER_S);
     FaultScenario scenario = new FaultScenario(cluster);
     cluster.awaitLeader(3);
     ArrayDeque<String> under = new ArrayDeque<>();
@@ -65,7 +65,7 @@
     }
     if (!troubles) {
       double mean =
-          cluster.invariants.cancellationDelays.stream()
+          cluster.invariants.cancellationDelays().stream()
               .mapToDouble(w -> w)
               .average()
               .orElseThrow();
@@ -75,7 +75,7 @@
     }
     cluster.advance(30);
     cluster.invariants.faultsOver = true;
-    assertThat(cluster.invariants.startsAfterCancellation).isEmpty();
+    assertThat(cluster.invariants.startsAfterCancellation()).isEmpty();
     assertThat(cluster.store.malformedCount).isZero();
     scenario.verifyRecovery();
   }
--- a/src/test/java/io/embernotch/faultcombinations/StaleHeartbeatTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/StaleHeartbeatTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.embernotch.testkit.ControllerNode;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -95,9 +95,9 @@
   @ParameterizedTest
   @CsvSource({"1", "2", "3"})
   void copiesKeptForTheNextLeader(long seed) {
-    cluster.random = new java.util.SplittableRandom(seed);
+    cluster.faults.random = new java.util.SplittableRandom(seed);
     cluster.awaitLeader(3);
-    cluster.replayedHeartbeatShare = 0.5;
+    cluster.faults.replayedHeartbeatShare = 0.5;
     for (int i = 0; i < 5; i++) {
       scenario.answers.submit(i % 3, "j-" + i, List.of("array", "group", "standing").get(i % 3), 4);
       cluster.advance(9);
--- a/src/test/java/io/embernotch/forwarding/DelegatedRenewalTest.java
+++ b/src/test/java/io/embernotch/forwarding/DelegatedRenewalTest.java
@@ -1,6 +1,6 @@
 package io.embernotch.forwarding;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.actor.EventLoopProfile;
@@ -11,10 +11,10 @@
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.Settings;
 import io.embernotch.settings.SettingsReader;
+import io.embernotch.testkit.ControllerNode;
 import io.embernotch.testkit.FakeTime;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
@@ -64,12 +64,12 @@
   @Test
   void replicasBehindACutRunOnUntilItIsOver() {
     Map<String, FakeWorker> before = spreadService("j-1");
-    cluster.partitionedZone = "z2";
+    cluster.faults.partitionedZone = "z2";
     for (int i = 0; i < CUT_S; i++) {
       cluster.advance(1);
       assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
     }
-    cluster.partitionedZone = null;
+    cluster.faults.partitionedZone = null;
     cluster.advance(20);
     assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
   }
@@ -112,11 +112,11 @@
   @Test
   void theyRunOnThoughTheLeaderEndsDuringTheCut() {
     Map<String, FakeWorker> before = spreadService("j-1");
-    cluster.partitionedZone = "z2";
+    cluster.faults.partitionedZone = "z2";
     cluster.advance(10);
     cluster.leader().kill();
     cluster.advance(CUT_S - 10);
-    cluster.partitionedZone = null;
+    cluster.faults.partitionedZone = null;
     cluster.advance(20);
     assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
   }
@@ -127,12 +127,12 @@
     cluster.submit(0, job("j-2", "standing", 4).replace("\"room\":null", "\"room\":\"z2\""));
     cluster.advance(15);
     assertThat(cluster.runningTasks("j-2")).hasSize(4);
-    cluster.partitionedZone = "z2";
+    cluster.faults.partitionedZone = "z2";
     cluster.cloud.down = true;
     // The renewals end, and then the leases; the checker sees to it that nothing starts before.
     cluster.advance(settings.gracePeriodS() + settings.workers().leaseS() + 5);
     assertThat(anyInZ2("j-1")).isFalse();
-    cluster.partitionedZone = null;
+    cluster.faults.partitionedZone = null;
     cluster.cloud.down = false;
     cluster.advance(25);
     assertThat(cluster.runningTasks("j-1")).hasSize(6);
@@ -142,7 +142,7 @@
   @Test
   void aCancellationIsToldOnlyOnceWhatIsBehindTheCutMustEndInTime() {
     spreadService("j-1");
-    cluster.partitionedZone = "z2";
+    cluster.faults.partitionedZone = "z2";
     cluster.cloud.down = true;
     cluster.advance(12);
     assertThat(cluster.cancel(0, "j-1").status()).isEqualTo(503);
@@ -164,7 +164,7 @@
   void aCancellationToldBeforeACutLeavesNothingBehindIt() {
     spreadService("j-1");
     assertThat(cluster.cancel(0, "j-1").status()).isEqualTo(200);
-    cluster.partitionedZone = "z2";
+    cluster.faults.partitionedZone = "z2";
     assertThat(cluster.runningTasks("j-1")).isEmpty();
   }
 
@@ -179,7 +179,7 @@
     cluster.advance(10);
     cluster.nodes.stream().filter(n -> n.down).forEach(ControllerNode::start);
     cluster.advance(settings.gracePeriodS() + 10);
-    cluster.partitionedZone = "z2";
+    cluster.faults.partitionedZone = "z2";
     cluster.advance(settings.workers().leaseS() + 4);
     assertThat(anyInZ2("j-1")).isFalse();
   }
--- a/src/test/java/io/embernotch/forwarding/IsolatedControllerTest.java
+++ b/src/test/java/io/embernotch/forwarding/IsolatedControllerTest.java
@@ -1,12 +1,12 @@
 package io.embernotch.forwarding;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.agents.FencingTokens;
+import io.embernotch.testkit.ControllerNode;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.AfterEach;
@@ -31,7 +31,7 @@
     assertThat(cluster.submit(0, job("j-1", "standing", 90)).status()).isEqualTo(201);
     cluster.advance(15);
     assertThat(cluster.runningTasks("j-1")).hasSize(90);
-    cluster.minRemainingLeaseShare = 1;
+    cluster.resetMinRemainingLeaseShare();
     return cluster.runningTasks("j-1");
   }
 
@@ -70,7 +70,7 @@
     cluster.advance(40);
     assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
     // Of a lease that was last renewed there, this was left when another controller renewed it.
-    assertThat(cluster.minRemainingLeaseShare).isGreaterThan(0.4);
+    assertThat(cluster.minRemainingLeaseShare()).isGreaterThan(0.4);
   }
 
   /**
--- a/src/test/java/io/embernotch/incarnation/DataLossRandomizedTest.java
+++ b/src/test/java/io/embernotch/incarnation/DataLossRandomizedTest.java
@@ -2,11 +2,11 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.embernotch.testkit.ControllerNode;
+import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.FakeStore.Snapshot;
 import io.embernotch.testkit.RecordedAnswers;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
-import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -51,7 +51,8 @@
           }
         }
         case 6 ->
-            cluster.commitDelivery = random.nextBoolean() ? Delivery.DELAYED : Delivery.DELIVERED;
+            cluster.faults.commitDelivery =
+                random.nextBoolean() ? Delivery.DELAYED : Delivery.DELIVERED;
         case 7 -> cluster.deliverDelayed();
         case 8 -> {
           if (random.nextInt(3) == 0) {
@@ -61,7 +62,7 @@
           }
         }
         default -> {
-          cluster.commitDelivery = Delivery.DELIVERED;
+          cluster.faults.commitDelivery = Delivery.DELIVERED;
           lose(cluster, random, moments);
         }
       }
@@ -73,7 +74,7 @@
         answers.poll(random.nextInt(3), ref);
       }
     }
-    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.faults.commitDelivery = Delivery.DELIVERED;
     cluster.deliverDelayed();
     cluster.advance(80);
     answers.verifyFinalState();
--- a/src/test/java/io/embernotch/incarnation/DataLossTest.java
+++ b/src/test/java/io/embernotch/incarnation/DataLossTest.java
@@ -1,15 +1,15 @@
 package io.embernotch.incarnation;
 
-import static io.embernotch.testkit.SimulatedCluster.dependentJob;
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.dependentJob;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.codec.Json;
+import io.embernotch.testkit.ControllerNode;
+import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.FakeStore.Snapshot;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
-import io.embernotch.testkit.SimulatedCluster.Delivery;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
@@ -144,12 +144,12 @@
   @Test
   void goneBetweenACommitAndItsAnswerWhichArrivesInTheNextIncarnation() {
     work();
-    cluster.commitDelivery = Delivery.DELAYED;
+    cluster.faults.commitDelivery = Delivery.DELAYED;
     cluster.submit(1, job("j-6", "array", 2));
     cluster.advance(1.2);
     assertThat(cluster.delayedCount()).isPositive();
     cluster.store.wipe();
-    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.faults.commitDelivery = Delivery.DELIVERED;
     cluster.advance(6);
     int before = cluster.store.keys("").size();
     cluster.deliverDelayed();
@@ -161,12 +161,12 @@
   /** A submission's transaction is held back, and everything is lost before it arrives. */
   private void aLateSubmission() {
     work();
-    cluster.commitDelivery = Delivery.DELAYED;
-    cluster.commitDeliveryFilter = "job/j-6";
+    cluster.faults.commitDelivery = Delivery.DELAYED;
+    cluster.faults.commitDeliveryFilter = "job/j-6";
     assertThat(cluster.submit(1, job("j-6", "array", 2)).status()).isEqualTo(503);
     assertThat(cluster.delayedCount()).isPositive();
     cluster.store.wipe();
-    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.faults.commitDelivery = Delivery.DELIVERED;
     cluster.advance(8);
     cluster.deliverDelayed();
   }
--- a/src/test/java/io/embernotch/jobs/DependencyGraphTest.java
+++ b/src/test/java/io/embernotch/jobs/DependencyGraphTest.java
@@ -1,7 +1,7 @@
 package io.embernotch.jobs;
 
-import static io.embernotch.testkit.SimulatedCluster.dependentJob;
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.dependentJob;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.codec.JobCodec;
--- a/src/test/java/io/embernotch/reservation/ReservationTest.java
+++ b/src/test/java/io/embernotch/reservation/ReservationTest.java
@@ -1,6 +1,6 @@
 package io.embernotch.reservation;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
@@ -8,10 +8,10 @@
 import io.embernotch.codec.Json;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.SettingsException;
+import io.embernotch.testkit.ControllerNode;
+import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
-import io.embernotch.testkit.SimulatedCluster.Delivery;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
@@ -110,8 +110,8 @@
     cluster.boot("g8", "z1", false);
     room.pass(7);
     cluster.cloud.outOfCapacity = true;
-    cluster.commitDeliveryFilter = "shared/";
-    cluster.commitDelivery = Delivery.DELAYED;
+    cluster.faults.commitDeliveryFilter = "shared/";
+    cluster.faults.commitDelivery = Delivery.DELAYED;
     cluster.submit(0, live("j-1", 8));
     room.pass(9);
     assertThat(cluster.runningTasks("j-1")).hasSize(8);
@@ -123,7 +123,7 @@
     assertThat(room.heldInAll()).isGreaterThanOrEqualTo(8);
     cluster.cancel(0, "j-1");
     room.pass(1);
-    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.faults.commitDelivery = Delivery.DELIVERED;
     room.pass(40);
     assertThat(cluster.runningTasks("j-2")).isNotEmpty();
     assertThat(room.wrong).isEmpty();
@@ -164,13 +164,13 @@
     cluster.cloud.bootDisabled = true;
     cluster.submit(1, array("j-2", 200));
     room.pass(10);
-    cluster.commitDeliveryFilter = "shared/";
-    cluster.commitDelivery = Delivery.DELAYED;
+    cluster.faults.commitDeliveryFilter = "shared/";
+    cluster.faults.commitDelivery = Delivery.DELAYED;
     cluster.cancel(0, "j-1");
     room.pass(8);
     double still = room.heldInAll();
     assertThat(still).isGreaterThanOrEqualTo(16);
-    cluster.commitDelivery = Delivery.DELIVERED;
+    cluster.faults.commitDelivery = Delivery.DELIVERED;
     cluster.deliverDelayed();
     room.pass(60);
     assertThat(room.heldInAll()).isLessThan(still / 2);
@@ -202,7 +202,7 @@
   }
 
   private void restartWith(String file) {
-    cluster.operatorSettings(OperatorSettings.parse(file));
+    cluster.setOperatorSettings(OperatorSettings.parse(file));
     cluster.nodes.forEach(ControllerNode::kill);
     cluster.advance(2);
     cluster.nodes.forEach(ControllerNode::start);
@@ -262,8 +262,8 @@
           }
         }
         case 5 -> {
-          cluster.commitDeliveryFilter = random.nextBoolean() ? "shared/" : "run/";
-          cluster.commitDelivery = Delivery.values()[random.nextInt(3)];
+          cluster.faults.commitDeliveryFilter = random.nextBoolean() ? "shared/" : "run/";
+          cluster.faults.commitDelivery = Delivery.values()[random.nextInt(3)];
         }
         case 6 -> cluster.deliverDelayed();
         case 7 -> cluster.cloud.bootDisabled = !cluster.cloud.bootDisabled;
--- a/src/test/java/io/embernotch/scheduling/DeadlinesTest.java
+++ b/src/test/java/io/embernotch/scheduling/DeadlinesTest.java
@@ -12,6 +12,7 @@
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.SettingsReader;
 import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.TestJobs;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -113,7 +114,7 @@
         // Owners' estimates are wrong by up to half.
         double estimate = run * (0.5 + random.nextDouble());
         String json =
-            SimulatedCluster.job("j-" + next++, "array", tasks)
+            TestJobs.job("j-" + next++, "array", tasks)
                 .replace("\"expect_s\":30.0", "\"expect_s\":" + estimate)
                 .replace("red", "blue")
                 .replace(
--- a/src/test/java/io/embernotch/scheduling/SchedulerTest.java
+++ b/src/test/java/io/embernotch/scheduling/SchedulerTest.java
@@ -1,6 +1,6 @@
 package io.embernotch.scheduling;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.codec.JobCodec;
--- a/src/test/java/io/embernotch/scheduling/TopologySpreadTest.java
+++ b/src/test/java/io/embernotch/scheduling/TopologySpreadTest.java
@@ -11,6 +11,7 @@
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.SettingsReader;
 import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.TestJobs;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -49,7 +50,7 @@
 
   private Job service(String ref, int replicas, double gb) {
     String json =
-        SimulatedCluster.job(ref, "standing", replicas)
+        TestJobs.job(ref, "standing", replicas)
             .replace("standard", "production")
             .replace("\"owner\":\"red\"", "\"owner\":\"blue\"")
             .replace("\"loaner\":true", "\"loaner\":false")
--- a/src/test/java/io/embernotch/snapshot/file/SnapshotArchiveTest.java
+++ b/src/test/java/io/embernotch/snapshot/file/SnapshotArchiveTest.java
@@ -1,6 +1,6 @@
 package io.embernotch.snapshot.file;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
@@ -14,8 +14,8 @@
 import io.embernotch.snapshot.proto.SnapshotProto.EndedJobSnapshot;
 import io.embernotch.snapshot.proto.SnapshotProto.JobSnapshot;
 import io.embernotch.snapshot.proto.SnapshotProto.OpenAttemptSnapshot;
+import io.embernotch.testkit.ControllerNode;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
--- a/src/test/java/io/embernotch/state/FailureAttributionTest.java
+++ b/src/test/java/io/embernotch/state/FailureAttributionTest.java
@@ -12,6 +12,7 @@
 import io.embernotch.settings.SettingsReader;
 import io.embernotch.testkit.FakeTime;
 import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.TestJobs;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
@@ -39,9 +40,7 @@
     return state.jobs.computeIfAbsent(
         "j-" + i,
         ref ->
-            new Job(
-                JobCodec.read(Json.parseObject(SimulatedCluster.job(ref, "array", 40).getBytes())),
-                0));
+            new Job(JobCodec.read(Json.parseObject(TestJobs.job(ref, "array", 40).getBytes())), 0));
   }
 
   private Machine machine(int i) {
--- a/src/test/java/io/embernotch/state/LargestJobWaitTimesTest.java
+++ b/src/test/java/io/embernotch/state/LargestJobWaitTimesTest.java
@@ -5,15 +5,14 @@
 import io.embernotch.codec.JobCodec;
 import io.embernotch.codec.Json;
 import io.embernotch.model.Job;
-import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.TestJobs;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 class LargestJobWaitTimesTest {
   private static Job job(int n, int tasks) {
     return new Job(
-        JobCodec.read(Json.parseObject(SimulatedCluster.job("j-" + n, "array", tasks).getBytes())),
-        1000);
+        JobCodec.read(Json.parseObject(TestJobs.job("j-" + n, "array", tasks).getBytes())), 1000);
   }
 
   @Test
--- a/src/test/java/io/embernotch/testkit/AnswerOrderChecker.java
+++ b/src/test/java/io/embernotch/testkit/AnswerOrderChecker.java
@@ -4,10 +4,10 @@
 import java.util.TreeMap;
 
 /**
- * The answers that users got about one job, held against linearizability. What is told of a job
- * only moves on: it is unknown, then accepted, then ended, and the count of its done tasks does not
- * fall. So an answer is wrong only if another one that was <em>received before its question was
- * sent</em> told a later state; answers whose times overlap may come in any order.
+ * Checks the answers that users got about one job for linearizability. A job's state only moves
+ * forward: it is unknown, then accepted, then ended, and the count of its done tasks does not fall.
+ * So an answer is wrong only if another one that was <em>received before its request was sent</em>
+ * gave a later state; answers whose times overlap may come in any order.
  */
 final class AnswerOrderChecker {
   /** How far a job has come. */
@@ -17,25 +17,25 @@
     ENDED
   }
 
-  /** What one answer tells; {@code done} counts done tasks while the job has not ended. */
+  /**
+   * The state that one answer gives.
+   *
+   * @param done done tasks while the job has not ended; {@link Integer#MAX_VALUE} if the answer has
+   *     no count, which so is never too low
+   */
   record State(Stage stage, int done) implements Comparable<State> {
     @Override
     public int compareTo(State other) {
       int byStage = stage.compareTo(other.stage);
       return byStage != 0 ? byStage : Integer.compare(done, other.done);
     }
-
-    /** An answer that tells no count, and so is never too low. */
-    static State accepted() {
-      return new State(Stage.ACCEPTED, Integer.MAX_VALUE);
-    }
   }
 
   private final TreeMap<State, Double> receivedAt = new TreeMap<>();
 
   /** A later state that was received by {@code sentAt}; null if there is none. */
-  State contradictedBy(State told, double sentAt) {
-    for (Map.Entry<State, Double> later : receivedAt.tailMap(told, false).entrySet()) {
+  State contradictedBy(State answered, double sentAt) {
+    for (Map.Entry<State, Double> later : receivedAt.tailMap(answered, false).entrySet()) {
       if (later.getValue() <= sentAt) {
         return later.getKey();
       }
@@ -43,9 +43,9 @@
     return null;
   }
 
-  /** Takes note of what an answer told. */
-  void received(State told, double now) {
-    State noted = told.done == Integer.MAX_VALUE ? new State(told.stage, 0) : told;
-    receivedAt.putIfAbsent(noted, now);
+  /** Notes the state that an answer gave. */
+  void received(State answered, double now) {
+    boolean counted = answered.done != Integer.MAX_VALUE;
+    receivedAt.putIfAbsent(counted ? answered : new State(answered.stage, 0), now);
   }
 }
--- /dev/null
+++ b/src/test/java/io/embernotch/testkit/ControllerNode.java
@@ -0,0 +1,71 @@
+package io.embernotch.testkit;
+
+import io.embernotch.controller.Controller;
+import io.embernotch.peer.Frame;
+import io.embernotch.peer.PeerLink;
+import io.embernotch.settings.Settings;
+import java.util.function.BiConsumer;
+
+/** The machine of one controller. Each start begins a new incarnation of the process. */
+public final class ControllerNode {
+  public final int index;
+  public final Settings settings;
+  public Controller controller;
+
+  /** The process has ended and was not started again. */
+  public boolean down;
+
+  /** The store refuses its requests. */
+  public boolean storeUnavailable;
+
+  /** The store does not answer at all, rather than refuse; while {@link #storeUnavailable}. */
+  public boolean storeUnresponsive;
+
+  /** No frame to or from another controller arrives. */
+  public boolean peersUnreachable;
+
+  /** Neither commands to workers nor heartbeats from them arrive. */
+  public boolean workersUnreachable;
+
+  private final ControllerFactory factory;
+  private int incarnation;
+  private BiConsumer<Frame, PeerLink.ReplyChannel> frameHandler;
+
+  ControllerNode(int index, Settings settings, ControllerFactory factory) {
+    this.index = index;
+    this.settings = settings;
+    this.factory = factory;
+  }
+
+  /** Starts the process. */
+  public void start() {
+    incarnation++;
+    down = false;
+    controller = factory.create(this);
+    controller.start();
+  }
+
+  /** Ends the process: its timers and the responses to its calls go nowhere. */
+  public void kill() {
+    down = true;
+    incarnation++;
+  }
+
+  /** Number of the present incarnation; what an earlier one waited for must not reach it. */
+  int incarnation() {
+    return incarnation;
+  }
+
+  void onFrame(BiConsumer<Frame, PeerLink.ReplyChannel> handler) {
+    frameHandler = handler;
+  }
+
+  void receive(Frame frame, PeerLink.ReplyChannel replies) {
+    frameHandler.accept(frame, replies);
+  }
+
+  /** Whether a fault keeps it from exchanging messages with a worker in the given zone. */
+  boolean isPartitionedFromWorkers(NetworkFaults faults, String workerZone) {
+    return workersUnreachable || faults.separates(settings.location(), workerZone);
+  }
+}
--- a/src/test/java/io/embernotch/testkit/FakeStore.java
+++ b/src/test/java/io/embernotch/testkit/FakeStore.java
@@ -6,193 +6,175 @@
 import io.embernotch.codec.JobProgressCodec;
 import io.embernotch.codec.Json;
 import io.embernotch.http.HttpReply;
+import io.embernotch.testkit.StoreData.Entry;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
 
-/** The store of PROTOCOL, in memory. */
+/** The store of PROTOCOL, in memory. Tests look into it, and set its limits and faults. */
 public final class FakeStore {
-  private record Value(ObjectNode v, long modRevision, long leaseId) {}
+  private static final double EXPIRY_CHECK_INTERVAL_S = 0.05;
+  private static final double MS_PER_S = 1000;
 
-  private record Change(String key, ObjectNode v, long modRevision) {}
+  /** What the store held at some moment. */
+  public static final class Snapshot {
+    private final TreeMap<String, Entry> entries;
+    private final long revision;
 
-  private record Watch(String prefix, long after, Promise<HttpReply> promise) {}
-
-  private static final class Lease {
-    double leaseTtlS;
-    double until;
+    private Snapshot(TreeMap<String, Entry> entries, long revision) {
+      this.entries = entries;
+      this.revision = revision;
+    }
   }
 
   private final FakeTime time;
+  private final StoreData data;
+  private final StoreLeases leases;
+  private final StoreLimits limits;
 
-  /** What it held at some moment. */
-  public record Snapshot(TreeMap<String, Object> data, long epoch) {}
-
-  private final TreeMap<String, Value> data = new TreeMap<>();
-  private final Map<Long, Lease> leases = new HashMap<>();
-  private final List<Change> changes = new ArrayList<>();
-  private final List<Watch> watches = new ArrayList<>();
-  private long epoch = 10;
-  private long nextLease = 1;
-
-  /** Every request is refused, and no lease runs out. */
+  /** Every request is refused, and no lease expires. */
   public boolean outage;
 
-  /** Lists are not answered. */
+  /** Requests for lists get no response. */
   public boolean listsUnanswered;
 
-  public int commitCount;
-
   /**
-   * Limits as PROTOCOL has them; a transaction beyond them gets 400, changes beyond the rate 429.
+   * Conditions on keys with this prefix are ignored, as if nobody had set them; null: all are
+   * checked.
    */
-  public int maxValueBytes = 8 * 1024;
+  public String ignoredConditionPrefix;
 
-  public int maxTransactionOperations = 12;
-  public double maxChangesPerS = 100;
-  private double credit;
-  private double creditAt;
+  /** Transactions with changes, whether they were carried out or not. */
+  public int commitCount;
 
-  /** Transactions refused as malformed, and for being too many. */
+  /** Transactions refused with 400 for being larger than the limits. */
   public int malformedCount;
 
+  /** Transactions refused with 429 for too many changes a second. */
   public int throttledCount;
 
+  /** How often each key was written. */
+  public final Map<String, Integer> writeCounts = new TreeMap<>();
+
   /** Jobs whose end was ever written as done, whatever became of it since. */
-  public final Set<String> jobsEverDone = new HashSet<>();
+  final Set<String> jobsEverDone = new HashSet<>();
 
-  /** Runs whenever somebody has become leader. */
+  /** Runs whenever a controller has become leader. */
   Runnable onLeaderChange = () -> {};
 
-  /** How often each key was written. */
-  public final Map<String, Integer> writeCounts = new TreeMap<>();
-
   public FakeStore(FakeTime time) {
     this.time = time;
-    sweep();
+    data = new StoreData(time);
+    leases = new StoreLeases(time, data);
+    limits = new StoreLimits(time);
+    scheduleExpiry();
   }
 
-  private void sweep() {
+  private void scheduleExpiry() {
     time.after(
-        0.05,
+        EXPIRY_CHECK_INTERVAL_S,
         () -> {
           if (!outage) {
-            expire();
+            leases.expire();
           }
-          sweep();
+          scheduleExpiry();
         });
   }
 
-  private void expire() {
-    leases
-        .entrySet()
-        .removeIf(
-            e -> {
-              if (e.getValue().until > time.now()) {
-                return false;
-              }
-              dropAttached(e.getKey());
-              return true;
-            });
-  }
-
-  private void dropAttached(long leaseId) {
-    for (String key : List.copyOf(data.keySet())) {
-      if (data.get(key).leaseId == leaseId) {
-        epoch++;
-        data.remove(key);
-        changed(key, null);
-      }
-    }
-  }
+  // ---- faults
 
   /** Ends an outage: every lease gets its full time again. */
   public void endOutage() {
     outage = false;
-    leases.values().forEach(l -> l.until = time.now() + l.leaseTtlS);
+    leases.renewAll();
   }
 
-  /** Everything is gone: keys, leases, changes; revisions and the names of leases begin anew. */
+  /** Everything is lost: keys, leases, changes; revisions and lease ids begin anew. */
   public void wipe() {
-    data.clear();
-    leases.clear();
-    changes.clear();
-    epoch = 0;
-    nextLease = 1;
+    data.wipe();
+    leases.wipe();
   }
 
-  /** What it holds now, to be put back later. */
+  /** What the store holds now, to be restored later. */
   public Snapshot snapshot() {
-    return new Snapshot(new TreeMap<>(data), epoch);
+    return new Snapshot(data.copyOfEntries(), data.revision());
   }
 
-  /**
-   * Everything is as it was then, the leader's key and its lease included, if {@code withLeases}.
-   */
-  public void restore(Snapshot then, boolean withLeases) {
-    data.clear();
-    then.data.forEach((k, v) -> data.put(k, (Value) v));
-    epoch = then.epoch;
-    changes.removeIf(c -> c.modRevision > epoch);
-    if (!withLeases) {
+  /** Goes back to a snapshot, the leader's key included; leases stay if {@code keepLeases}. */
+  public void restore(Snapshot snapshot, boolean keepLeases) {
+    data.restore(snapshot.entries, snapshot.revision);
+    if (!keepLeases) {
       leases.clear();
     }
   }
 
-  /** Keys under a prefix are gone; revisions go on, and no watch is told. */
+  /** Keys under a prefix are lost; revisions go on, and no watch is notified. */
   public void deletePrefix(String prefix) {
-    data.keySet().removeIf(k -> k.startsWith(prefix));
+    data.deleteSilently(prefix);
   }
 
-  /**
-   * Conditions on keys with this prefix are not looked at, as if nobody had made them; null: all
-   * are.
-   */
-  public String ignoredConditionPrefix;
+  /** Sets the limits on transactions, without notice. */
+  public void lowerLimits(int valueBytes, int operations, double changesPerS) {
+    limits.set(valueBytes, operations, changesPerS);
+  }
 
-  /** Lowers the limits, without notice. */
-  public void lowerLimits(int bytes, int ops, double perS) {
-    maxValueBytes = bytes;
-    maxTransactionOperations = ops;
-    maxChangesPerS = perS;
+  public void setMaxChangesPerS(double changesPerS) {
+    limits.setMaxChangesPerS(changesPerS);
   }
 
-  /** Puts a value there as another version would have left it. */
+  // ---- content
+
+  /** Writes a value as another version of the program would have left it. */
   public void put(String key, String json) {
-    epoch++;
-    ObjectNode v = Json.parseObject(json.getBytes(StandardCharsets.UTF_8));
-    data.put(key, new Value(v, epoch, 0));
-    changed(key, v);
+    data.nextRevision();
+    data.write(key, Json.parseObject(json.getBytes(StandardCharsets.UTF_8)), 0);
   }
 
   /** All keys under a prefix. */
   public List<String> keys(String prefix) {
-    return data.keySet().stream().filter(k -> k.startsWith(prefix)).toList();
+    return data.keys(prefix);
   }
 
+  /** The value of a key, or null. */
   public ObjectNode value(String key) {
-    Value v = data.get(key);
-    return v == null ? null : v.v;
+    Entry entry = data.get(key);
+    return entry == null ? null : entry.value();
   }
 
+  /** The revision that wrote a key; 0 if there is none. */
   public long modRevision(String key) {
-    Value v = data.get(key);
-    return v == null ? 0 : v.modRevision;
+    Entry entry = data.get(key);
+    return entry == null ? 0 : entry.modRevision();
+  }
+
+  /** The end of a job that the store holds, in whatever shard; null if it has none. */
+  public String finalPhase(String ref) {
+    String phase = null;
+    for (String key : keys("run/" + ref)) {
+      boolean ended = key.equals("run/" + ref) && value(key).has("end");
+      phase = ended ? value(key).get("end").asText() : phase;
+    }
+    for (String key : keys("part/" + ref + "/")) {
+      boolean ended = key.endsWith("/0") && value(key).has("end");
+      phase = ended ? value(key).get("end").asText() : phase;
+    }
+    return phase;
   }
 
+  // ---- requests
+
+  /** The response to a request; one for lists never completes while they are unanswered. */
   public Future<HttpReply> handle(String method, String path, byte[] body) {
     if (outage) {
       return reply(503, Json.object().put("error", "down"));
     }
     if (path.startsWith("/store/")) {
-      return get(path.substring(7));
+      return get(path.substring("/store/".length()));
     }
     if (path.startsWith("/store?")) {
       return listsUnanswered
@@ -200,165 +182,115 @@
           : list(query(path, "starts"), query(path, "after"));
     }
     if (path.startsWith("/changes")) {
-      return watch(
-          query(path, "starts"),
-          Long.parseLong(query(path, "after")),
-          Double.parseDouble(query(path, "hold_ms")) / 1000);
+      long afterRevision = Long.parseLong(query(path, "after"));
+      double timeoutS = Double.parseDouble(query(path, "hold_ms")) / MS_PER_S;
+      return data.watch(query(path, "starts"), afterRevision, timeoutS);
     }
     if (path.equals("/commit")) {
       return commit(Json.parseObject(body));
     }
     if (path.equals("/leases")) {
-      Lease l = new Lease();
-      l.leaseTtlS = Json.parseObject(body).get("life_ms").asDouble() / 1000;
-      l.until = time.now() + l.leaseTtlS;
-      leases.put(nextLease, l);
-      return reply(200, Json.object().put("permit", nextLease++));
+      double ttlS = Json.parseObject(body).get("life_ms").asDouble() / MS_PER_S;
+      return reply(200, Json.object().put("permit", leases.grant(ttlS)));
     }
-    long leaseId = Long.parseLong(path.split("/")[2]);
-    Lease l = leases.get(leaseId);
-    if (l == null) {
+    return handleLease(method, Long.parseLong(path.split("/")[2]));
+  }
+
+  private Future<HttpReply> handleLease(String method, long leaseId) {
+    if (!leases.exists(leaseId)) {
       return reply(404, Json.object());
     }
     if (method.equals("DELETE")) {
-      leases.remove(leaseId);
-      dropAttached(leaseId);
+      leases.revoke(leaseId);
     } else {
-      l.until = time.now() + l.leaseTtlS;
+      leases.renew(leaseId);
     }
     return reply(200, Json.object());
   }
 
   private Future<HttpReply> get(String key) {
-    Value v = data.get(key);
-    if (v == null) {
-      return reply(404, Json.object().put("epoch", epoch));
+    Entry entry = data.get(key);
+    if (entry == null) {
+      return reply(404, revisionBody());
     }
-    ObjectNode o = Json.object().put("key", key).put("stamp", v.modRevision);
-    o.set("v", v.v);
-    return reply(200, o);
+    return reply(200, describe(Json.object(), key, entry));
   }
 
   private Future<HttpReply> list(String prefix, String after) {
-    ObjectNode o = Json.object().put("epoch", epoch).put("truncated", false);
-    ArrayNode pairs = o.putArray("pairs");
-    data.tailMap(prefix)
-        .forEach(
-            (k, v) -> {
-              if (k.startsWith(prefix) && (after == null || k.compareTo(after) > 0)) {
-                ObjectNode p = pairs.addObject().put("key", k).put("stamp", v.modRevision);
-                p.set("v", v.v);
-              }
-            });
-    return reply(200, o);
+    ObjectNode body = revisionBody().put("truncated", false);
+    ArrayNode pairs = body.putArray("pairs");
+    data.list(prefix, after).forEach((key, entry) -> describe(pairs.addObject(), key, entry));
+    return reply(200, body);
   }
 
-  private Future<HttpReply> commit(ObjectNode o) {
-    int size = o.path("apply").size();
-    commitCount += size > 0 ? 1 : 0;
-    boolean large =
-        size > maxTransactionOperations
-            || o.get("when").size() > 4 * maxTransactionOperations
-            || Json.bytes(o).length > 64 * 1024;
-    for (JsonNode a : o.path("apply")) {
-      large |= a.has("write") && Json.bytes(a.get("v")).length > maxValueBytes;
-    }
-    if (large) {
+  private static ObjectNode describe(ObjectNode target, String key, Entry entry) {
+    target.put("key", key).put("stamp", entry.modRevision());
+    target.set("v", entry.value());
+    return target;
+  }
+
+  // ---- transactions
+
+  private Future<HttpReply> commit(ObjectNode transaction) {
+    JsonNode changes = transaction.path("apply");
+    commitCount += changes.isEmpty() ? 0 : 1;
+    if (limits.isOversized(transaction)) {
       malformedCount++;
       return reply(400, Json.object().put("error", "over the limits"));
     }
-    credit = Math.min(maxChangesPerS, credit + (time.now() - creditAt) * maxChangesPerS);
-    creditAt = time.now();
-    if (credit < size) {
+    if (!limits.tryTake(changes.size())) {
       throttledCount++;
       return reply(429, Json.object().put("error", "too many changes"));
     }
-    credit -= size;
-    ArrayNode failed = Json.object().putArray("failed");
-    for (JsonNode w : o.get("when")) {
-      boolean seen =
-          ignoredConditionPrefix == null
-              || !w.get("key").asText().startsWith(ignoredConditionPrefix);
-      if (seen && modRevision(w.get("key").asText()) != w.get("stamp").asLong()) {
-        failed.add(w.get("key").asText());
-      }
-    }
-    for (JsonNode a : o.path("apply")) {
-      if (a.has("permit") && !leases.containsKey(a.get("permit").asLong())) {
+    ArrayNode failed = failedConditions(transaction.get("when"));
+    for (JsonNode change : changes) {
+      if (change.has("permit") && !leases.exists(change.get("permit").asLong())) {
         return reply(400, Json.object().put("error", "no such lease"));
       }
     }
     if (!failed.isEmpty()) {
-      ObjectNode r = Json.object().put("epoch", epoch);
-      r.set("failed", failed);
-      return reply(409, r);
-    }
-    if (size == 0) {
-      return reply(200, Json.object().put("epoch", epoch));
+      ObjectNode body = revisionBody();
+      body.set("failed", failed);
+      return reply(409, body);
     }
-    epoch++;
-    for (JsonNode a : o.get("apply")) {
-      if (a.has("write")) {
-        String key = a.get("write").asText();
-        ObjectNode v = a.get("v").deepCopy();
-        writeCounts.merge(key, 1, Integer::sum);
-        if (v.path("end").asText().equals("done")) {
-          jobsEverDone.add(key.split("/")[1]);
-        }
-        data.put(key, new Value(v, epoch, a.path("permit").asLong(0)));
-        changed(key, v);
-        if (key.equals(JobProgressCodec.LEADER)) {
-          onLeaderChange.run();
-        }
-      } else {
-        data.remove(a.get("drop").asText());
-        changed(a.get("drop").asText(), null);
-      }
+    if (!changes.isEmpty()) {
+      data.nextRevision();
+      changes.forEach(this::apply);
     }
-    return reply(200, Json.object().put("epoch", epoch));
+    return reply(200, revisionBody());
   }
 
-  private void changed(String key, ObjectNode v) {
-    changes.add(new Change(key, v, epoch));
-    for (Watch w : List.copyOf(watches)) {
-      if (key.startsWith(w.prefix)) {
-        watches.remove(w);
-        time.execute(() -> w.promise.tryComplete(events(w.prefix, w.after)));
+  private ArrayNode failedConditions(JsonNode conditions) {
+    ArrayNode failed = Json.object().putArray("failed");
+    for (JsonNode condition : conditions) {
+      String key = condition.get("key").asText();
+      boolean ignored = ignoredConditionPrefix != null && key.startsWith(ignoredConditionPrefix);
+      if (!ignored && modRevision(key) != condition.get("stamp").asLong()) {
+        failed.add(key);
       }
     }
+    return failed;
   }
 
-  private Future<HttpReply> watch(String prefix, long after, double gracePeriodS) {
-    Promise<HttpReply> promise = Promise.promise();
-    boolean any = changes.stream().anyMatch(c -> c.modRevision > after && c.key.startsWith(prefix));
-    if (any) {
-      promise.complete(events(prefix, after));
-    } else {
-      Watch w = new Watch(prefix, after, promise);
-      watches.add(w);
-      time.after(
-          gracePeriodS,
-          () -> {
-            watches.remove(w);
-            promise.tryComplete(events(prefix, after));
-          });
+  private void apply(JsonNode change) {
+    if (!change.has("write")) {
+      data.delete(change.get("drop").asText());
+      return;
+    }
+    String key = change.get("write").asText();
+    ObjectNode value = change.get("v").deepCopy();
+    writeCounts.merge(key, 1, Integer::sum);
+    if (value.path("end").asText().equals("done")) {
+      jobsEverDone.add(key.split("/")[1]);
+    }
+    data.write(key, value, change.path("permit").asLong(0));
+    if (key.equals(JobProgressCodec.LEADER)) {
+      onLeaderChange.run();
     }
-    return promise.future();
   }
 
-  private HttpReply events(String prefix, long after) {
-    ObjectNode o = Json.object().put("epoch", epoch);
-    ArrayNode list = o.putArray("events");
-    for (Change c : changes) {
-      if (c.modRevision > after && c.key.startsWith(prefix)) {
-        ObjectNode e =
-            list.addObject().put(c.v == null ? "drop" : "write", c.key).put("stamp", c.modRevision);
-        if (c.v != null) {
-          e.set("v", c.v);
-        }
-      }
-    }
-    return new HttpReply(200, Json.bytes(o));
+  private ObjectNode revisionBody() {
+    return Json.object().put("epoch", data.revision());
   }
 
   private static String query(String path, String name) {
@@ -370,7 +302,7 @@
     return null;
   }
 
-  private static Future<HttpReply> reply(int status, ObjectNode o) {
-    return Future.succeededFuture(new HttpReply(status, Json.bytes(o)));
+  private static Future<HttpReply> reply(int status, ObjectNode body) {
+    return Future.succeededFuture(new HttpReply(status, Json.bytes(body)));
   }
 }
--- a/src/test/java/io/embernotch/testkit/FakeTime.java
+++ b/src/test/java/io/embernotch/testkit/FakeTime.java
@@ -2,22 +2,27 @@
 
 import io.embernotch.actor.Clock;
 import io.embernotch.actor.Timers;
+import io.vertx.core.Future;
 import java.util.PriorityQueue;
 import java.util.concurrent.Executor;
 
-/** A clock that is turned by hand, with the timers and the loop that go by it. */
+/** A clock that tests advance, with the timers and the event loop that run on it. */
 public final class FakeTime implements Clock, Timers, Executor {
-  private record Due(double at, long order, Runnable task) implements Comparable<Due> {
+  private static final double AWAIT_STEP_S = 0.01;
+  private static final int MAX_AWAIT_STEPS = 500;
+
+  private record ScheduledTask(double at, long order, Runnable task)
+      implements Comparable<ScheduledTask> {
     @Override
-    public int compareTo(Due o) {
-      int c = Double.compare(at, o.at);
-      return c != 0 ? c : Long.compare(order, o.order);
+    public int compareTo(ScheduledTask other) {
+      int byTime = Double.compare(at, other.at);
+      return byTime != 0 ? byTime : Long.compare(order, other.order);
     }
   }
 
-  private final PriorityQueue<Due> queue = new PriorityQueue<>();
+  private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>();
   private double now = 1000;
-  private long order;
+  private long nextOrder;
 
   @Override
   public double now() {
@@ -33,9 +38,9 @@
   public Runnable after(double seconds, Runnable task) {
     boolean[] cancelled = new boolean[1];
     queue.add(
-        new Due(
+        new ScheduledTask(
             now + seconds,
-            order++,
+            nextOrder++,
             () -> {
               if (!cancelled[0]) {
                 task.run();
@@ -49,14 +54,22 @@
     after(0, task);
   }
 
-  /** Lets so much time pass, carrying out what falls due. */
+  /** Lets so much time pass, and runs the tasks that are due by then in their order. */
   public void advance(double seconds) {
     double until = now + seconds;
     while (!queue.isEmpty() && queue.peek().at <= until) {
-      Due d = queue.poll();
-      now = Math.max(now, d.at);
-      d.task.run();
+      ScheduledTask next = queue.poll();
+      now = Math.max(now, next.at);
+      next.task.run();
     }
     now = until;
   }
+
+  /** Lets time pass until a future completes, 5 s at most; its result, or null. */
+  <T> T await(Future<T> future) {
+    for (int i = 0; i < MAX_AWAIT_STEPS && !future.isComplete(); i++) {
+      advance(AWAIT_STEP_S);
+    }
+    return future.result();
+  }
 }
--- a/src/test/java/io/embernotch/testkit/FakeWorker.java
+++ b/src/test/java/io/embernotch/testkit/FakeWorker.java
@@ -14,19 +14,37 @@
 import java.util.function.Consumer;
 
 /**
- * A worker of PROTOCOL: keeps the highest token, obeys orders, and kills all when its lease ends.
+ * A worker of PROTOCOL: keeps the highest fencing token, executes commands, and kills its tasks
+ * when its lease expires.
  */
 public final class FakeWorker {
+  /** What every machine of the cluster has. */
+  public static final double CPUS = 48;
+
+  public static final double GPUS = 8;
+
+  private static final String RUNNING = "running";
+  private static final String EXITED = "exited";
+
+  /** One attempt of a task; it stays after its exit until a controller has it reaped. */
   private static final class Task {
-    long attempt;
-    String phase = "running";
+    final long attempt;
+    String phase = RUNNING;
     String cause;
-  }
 
-  /** What every machine of the world has. */
-  public static final double CPUS = 48;
+    Task(long attempt) {
+      this.attempt = attempt;
+    }
 
-  public static final double GPUS = 8;
+    boolean hasExited() {
+      return phase.equals(EXITED);
+    }
+
+    void exit(String exitCause) {
+      phase = EXITED;
+      cause = exitCause;
+    }
+  }
 
   public final String name;
   public final String type;
@@ -35,23 +53,32 @@
   public final String address;
   private final Map<String, Task> tasks = new LinkedHashMap<>();
 
-  /** Every start that was carried out, as JOB/TASK#TRY. */
+  /** Every start that was carried out, as JOB/TASK#ATTEMPT. */
   public final List<String> startedAttempts = new ArrayList<>();
 
+  /** Every exited attempt that was removed on command, as JOB/TASK#ATTEMPT. */
   public final List<String> reapedAttempts = new ArrayList<>();
+
+  /** The agent's epoch; its heartbeats are numbered anew in each. */
   public long epoch = 1;
+
+  /** Number of the last heartbeat in this epoch. */
   public long sequence;
+
+  /** The highest fencing token that it was shown. */
   public long fencingToken;
+
+  /** Seconds until the cloud reclaims this spot machine; null if it has not announced that. */
   public Double reclaimNoticeS;
 
-  /** Neither reports leave nor commands arrive. */
+  /** Neither heartbeats leave nor commands arrive. */
   public boolean partitioned;
 
-  /** It takes connections, and neither answers nor reports. */
+  /** It takes connections, and neither answers nor sends heartbeats. */
   public boolean hung;
 
   /**
-   * Its heartbeats arrive; answers and commands do not reach it, so it goes on to the next
+   * Its heartbeats arrive; responses and commands do not reach it, so it goes on to the next
    * controller.
    */
   public boolean inboundPartitioned;
@@ -59,30 +86,33 @@
   /** It reaches no controller; direct commands reach it. */
   public boolean outboundPartitioned;
 
-  /** Commands that reached it while it hung; it carries them out once it goes on. */
+  /** Every task that starts fails at once. */
+  public boolean failsTasks;
+
+  /** Commands that reached it while it hung; it carries them out once it resumes. */
   private final List<byte[]> queuedCommands = new ArrayList<>();
 
-  /** Are told of each start that is carried out, and of each end with its cause. */
-  Consumer<String> startListener = t -> {};
+  /** Is given each task whose start is carried out. */
+  Consumer<String> startListener = task -> {};
 
-  BiConsumer<String, String> exitListener = (t, cause) -> {};
+  /** Is given each task that exits by itself, and the cause. */
+  BiConsumer<String, String> exitListener = (task, cause) -> {};
 
-  /** Is told of each task that is no longer on the machine, however it ended. */
-  Consumer<String> removalListener = t -> {};
+  /** Is given each task that is no longer on the machine, however it ended. */
+  Consumer<String> removalListener = task -> {};
 
   double nextHeartbeatAt;
 
-  /** Starts that were sent to it while it was unreachable. */
-  public int lostStartCount;
-
-  /** Every task that starts fails at once. */
-  public boolean failsTasks;
-
+  /** When the heartbeat was sent whose response renewed the lease last. */
   double lastRenewed;
 
-  /** The controller that it reports to, and how often it went to another. */
+  /** Starts that were sent to it while it was inbound-partitioned. */
+  public int lostStartCount;
+
+  /** The controller that it sends heartbeats to. */
   public int controllerIndex;
 
+  /** How often it went to another controller. */
   public int controllerChanges;
 
   public FakeWorker(
@@ -95,25 +125,37 @@
     this.lastRenewed = now;
   }
 
+  // ---- what is on it
+
   /** Task names that are on the machine and have not exited. */
   public TreeSet<String> runningTasks() {
-    TreeSet<String> out = new TreeSet<>();
+    TreeSet<String> running = new TreeSet<>();
     tasks.forEach(
-        (k, t) -> {
-          if (!t.phase.equals("exited")) {
-            out.add(k);
+        (name, task) -> {
+          if (!task.hasExited()) {
+            running.add(name);
           }
         });
-    return out;
+    return running;
   }
 
+  /** Whether a task is on the machine, exited or not. */
   public boolean hasTask(String task) {
     return tasks.containsKey(task);
   }
 
+  /** Whether no fault keeps it from running and keeping tasks. */
+  boolean isHealthy() {
+    return !partitioned
+        && !hung
+        && !inboundPartitioned
+        && !outboundPartitioned
+        && reclaimNoticeS == null;
+  }
+
+  /** A task's process exits by itself. */
   public void exitTask(String task, String cause) {
-    tasks.get(task).phase = "exited";
-    tasks.get(task).cause = cause;
+    tasks.get(task).exit(cause);
     exitListener.accept(task, cause);
     removalListener.accept(task);
   }
@@ -123,12 +165,14 @@
     tasks.clear();
   }
 
-  /** A command reaches it while it hangs. */
-  void queueCommands(byte[] direct) {
-    queuedCommands.add(direct);
+  // ---- faults of the machine
+
+  /** Commands reach it while it hangs. */
+  void queueCommands(byte[] body) {
+    queuedCommands.add(body);
   }
 
-  /** It goes on, and first carries out what has reached it meanwhile. */
+  /** It no longer hangs, and first carries out what has reached it meanwhile. */
   public void resume() {
     hung = false;
     queuedCommands.forEach(this::executeCommands);
@@ -142,6 +186,7 @@
     fencingToken = Long.MAX_VALUE;
   }
 
+  /** Its lease has expired: it kills its tasks and begins a new epoch. */
   void expireLease(double now) {
     killAll();
     epoch++;
@@ -149,100 +194,104 @@
     lastRenewed = now;
   }
 
-  /** Back at once without its tasks; {@code anew}: as if it had never been there. */
-  public void restart(boolean anew) {
+  /** It is back at once without its tasks, and without epoch and token if {@code losesState}. */
+  public void restart(boolean losesState) {
     killAll();
-    if (anew) {
+    if (losesState) {
       epoch = 1;
       sequence = 0;
       fencingToken = 0;
     }
   }
 
+  // ---- protocol
+
+  /** The next heartbeat that it sends. */
   public byte[] heartbeat() {
     sequence++;
-    ObjectNode o = Json.object();
-    o.put("hearth", name)
-        .put("address", address)
-        .put("flavor", type)
-        .put("room", zone)
-        .put("loaner", spot);
-    o.put("tenure", epoch).put("tick", sequence).put("baton", fencingToken);
+    ObjectNode body = Json.object();
+    body.put("hearth", name).put("address", address).put("flavor", type);
+    body.put("room", zone).put("loaner", spot);
+    body.put("tenure", epoch).put("tick", sequence).put("baton", fencingToken);
     if (reclaimNoticeS != null) {
-      o.put("recall_s", reclaimNoticeS);
+      body.put("recall_s", reclaimNoticeS);
+    }
+    ArrayNode shards = body.putArray("shards");
+    tasks.forEach((name, task) -> describe(shards.addObject(), name, task));
+    return Json.bytes(body);
+  }
+
+  private static void describe(ObjectNode shard, String name, Task task) {
+    shard.put("shard", name).put("try", task.attempt).put("phase", task.phase);
+    if (task.cause != null) {
+      shard.put("cause", task.cause);
     }
-    ArrayNode list = o.putArray("shards");
-    tasks.forEach(
-        (k, t) -> {
-          ObjectNode n =
-              list.addObject().put("shard", k).put("try", t.attempt).put("phase", t.phase);
-          if (t.cause != null) {
-            n.put("cause", t.cause);
-          }
-        });
-    return Json.bytes(o);
   }
 
-  /** Takes the answer to a heartbeat; true if it renews the lease. */
+  /** Takes the response to a heartbeat; true if it renews the lease. */
   boolean handleHeartbeatResponse(byte[] body) {
-    ObjectNode o = Json.parseObject(body);
-    long given = o.path("baton").asLong(-1);
-    if (given < fencingToken) {
+    ObjectNode response = Json.parseObject(body);
+    long token = response.path("baton").asLong(-1);
+    if (token < fencingToken) {
       return false;
     }
-    fencingToken = given;
-    execute(o.get("orders"));
+    fencingToken = token;
+    execute(response.get("orders"));
     return true;
   }
 
-  /** POST /do. */
+  /** Executes commands that were sent directly, if they are meant for this epoch and token. */
   public HttpReply executeCommands(byte[] body) {
-    ObjectNode o = Json.parseObject(body);
-    if (o.get("baton").asLong() < fencingToken || o.get("tenure").asLong() != epoch) {
+    ObjectNode request = Json.parseObject(body);
+    long token = request.get("baton").asLong();
+    if (token < fencingToken || request.get("tenure").asLong() != epoch) {
       return new HttpReply(409, heartbeat());
     }
-    fencingToken = o.get("baton").asLong();
-    execute(o.get("orders"));
+    fencingToken = token;
+    execute(request.get("orders"));
     return new HttpReply(200, heartbeat());
   }
 
-  private void execute(JsonNode orders) {
-    for (JsonNode c : orders) {
-      String task = c.get("shard").asText();
-      long attempt = c.get("try").asLong();
-      Task t = tasks.get(task);
-      switch (c.get("verb").asText()) {
-        case "run" -> {
-          if (t == null || t.attempt != attempt) {
-            Task n = new Task();
-            n.attempt = attempt;
-            if (t != null && !t.phase.equals("exited")) {
-              continue;
-            }
-            tasks.put(task, n);
-            startedAttempts.add(task + "#" + attempt);
-            startListener.accept(task);
-            if (failsTasks) {
-              n.phase = "exited";
-              n.cause = "error";
-              removalListener.accept(task);
-            }
-          }
-        }
-        case "stop" -> {
-          if (t != null && t.attempt == attempt && !t.phase.equals("exited")) {
-            t.phase = "exited";
-            t.cause = "halted";
-            removalListener.accept(task);
-          }
-        }
-        default -> {
-          if (t != null && t.attempt == attempt && t.phase.equals("exited")) {
-            tasks.remove(task);
-            reapedAttempts.add(task + "#" + attempt);
-          }
-        }
+  private void execute(JsonNode commands) {
+    for (JsonNode command : commands) {
+      String task = command.get("shard").asText();
+      long attempt = command.get("try").asLong();
+      switch (command.get("verb").asText()) {
+        case "run" -> start(task, attempt);
+        case "stop" -> stop(task, attempt);
+        default -> reap(task, attempt);
       }
     }
   }
+
+  private void start(String name, long attempt) {
+    Task former = tasks.get(name);
+    if (former != null && (former.attempt == attempt || !former.hasExited())) {
+      return;
+    }
+    Task task = new Task(attempt);
+    tasks.put(name, task);
+    startedAttempts.add(name + "#" + attempt);
+    startListener.accept(name);
+    if (failsTasks) {
+      task.exit("error");
+      removalListener.accept(name);
+    }
+  }
+
+  private void stop(String name, long attempt) {
+    Task task = tasks.get(name);
+    if (task != null && task.attempt == attempt && !task.hasExited()) {
+      task.exit("halted");
+      removalListener.accept(name);
+    }
+  }
+
+  private void reap(String name, long attempt) {
+    Task task = tasks.get(name);
+    if (task != null && task.attempt == attempt && task.hasExited()) {
+      tasks.remove(name);
+      reapedAttempts.add(name + "#" + attempt);
+    }
+  }
 }
--- a/src/test/java/io/embernotch/weights/ImageLocalityTest.java
+++ b/src/test/java/io/embernotch/weights/ImageLocalityTest.java
@@ -1,11 +1,11 @@
 package io.embernotch.weights;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.embernotch.testkit.ControllerNode;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.ControllerNode;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
