--- a/src/test/java/io/embernotch/faultcombinations/FaultScenario.java
+++ b/src/test/java/io/embernotch/faultcombinations/FaultScenario.java
@@ -3,23 +3,23 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.settings.Settings;
+import io.embernotch.testkit.ControllerNode;
 import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.RecordedAnswers;
 import io.embernotch.testkit.SimulatedCluster;
 import java.util.List;
-import java.util.SplittableRandom;
+import java.util.function.IntUnaryOperator;
 
-/**
- * Three controllers, what their users were told, and the end that every meeting of troubles has in
- * common.
- */
+/** A cluster, what its users were answered, and the final checks that all fault tests share. */
 final class FaultScenario {
-  /** So long after the last trouble everything is expected to run again. */
+  /** So long after the last fault everything is expected to run again. */
   private static final double RECOVERY_S = 20;
 
   /** Longer than a job may wait beside room for it. */
-  private static final double QUIET_S = 100;
+  private static final double WAITING_CHECK_S = 100;
+
+  private static final int LARGE_QUOTA_SCALE = 10;
 
   final SimulatedCluster cluster;
   final RecordedAnswers answers;
@@ -29,16 +29,9 @@
     this.answers = new RecordedAnswers(cluster);
   }
 
-  /** Teams may use a good deal more than most histories need. */
+  /** Three controllers, and a quota that most tests do not reach. */
   static FaultScenario large() {
-    return new FaultScenario(new SimulatedCluster(3, 10));
-  }
-
-  /** The same with troubles that are drawn by a seed. */
-  static FaultScenario withRandomFaults(long seed) {
-    FaultScenario s = large();
-    s.cluster.faults.random = new SplittableRandom(seed);
-    return s;
+    return new FaultScenario(new SimulatedCluster(3, LARGE_QUOTA_SCALE));
   }
 
   Settings settings() {
@@ -61,32 +54,58 @@
   /** How often tasks of a job were started on the machines that are there. */
   long startCount(String ref) {
     return cluster.workers.values().stream()
-        .flatMap(w -> w.startedAttempts.stream())
-        .filter(s -> s.startsWith(ref + "/"))
+        .flatMap(worker -> worker.startedAttempts.stream())
+        .filter(attempt -> attempt.startsWith(ref + "/"))
         .count();
   }
 
-  /** Asks for a job's state at every node in turn, {@code everyS} apart. */
-  void pollAllNodes(String ref, double forS, double everyS) {
-    int node = 0;
-    for (double at = 0; at < forS; at += everyS) {
-      int asked = node++ % cluster.nodes.size();
-      cluster.time.after(at, () -> cluster.pollAsync(asked, ref));
+  /** Submits a job that must be accepted; it is answered for at the end like the others. */
+  void submitAccepted(int node, String ref, String json) {
+    assertThat(cluster.submit(node, json).status()).isEqualTo(201);
+    answers.accepted.add(ref);
+  }
+
+  /** Polls a job's state at every node in turn, {@code intervalS} apart. */
+  void pollAllNodes(String ref, double durationS, double intervalS) {
+    int polls = 0;
+    for (double at = 0; at < durationS; at += intervalS) {
+      int node = polls++ % cluster.nodes.size();
+      cluster.time.after(at, () -> cluster.pollAsync(node, ref));
     }
   }
 
-  /**
-   * Asks for a cancellation, at another node each time, until it is confirmed or the time is out.
-   */
-  void cancelUntilConfirmed(String ref, int firstNode, double forS) {
-    for (int i = 0; i < forS; i++) {
+  /** Asks for a cancellation once a second, at another node each time, while time goes on. */
+  void cancelUntilConfirmed(String ref, int firstNode, double durationS) {
+    for (int i = 0; i < durationS; i++) {
       int node = (firstNode + i) % cluster.nodes.size();
       cluster.time.after(i, () -> cluster.cancelAsync(node, ref));
     }
   }
 
-  /** Ends all troubles. */
+  /** Lets time pass, and asks for a cancellation each second at the node chosen for it. */
+  void advanceCancelling(String ref, int seconds, IntUnaryOperator nodeOfSecond) {
+    for (int second = 0; second < seconds; second++) {
+      cluster.cancelAsync(nodeOfSecond.applyAsInt(second), ref);
+      cluster.advance(1);
+    }
+  }
+
+  /** Ends all faults. */
   void endAllFaults() {
+    endNetworkFaults();
+    cluster.cloud.down = false;
+    if (cluster.store.outage) {
+      cluster.store.endOutage();
+    }
+    cluster.nodes.forEach(FaultScenario::endFaults);
+    for (FakeWorker worker : cluster.workers.values()) {
+      worker.outboundPartitioned = false;
+      MachineFault.clear(worker);
+    }
+    cluster.deliverDelayed();
+  }
+
+  private void endNetworkFaults() {
     cluster.faults.commandDelivery = Delivery.DELIVERED;
     cluster.faults.commitDelivery = Delivery.DELIVERED;
     cluster.faults.delayFrames = false;
@@ -99,38 +118,27 @@
     cluster.faults.storeLatencyS = 0;
     cluster.faults.maxUserDelayS = 0;
     cluster.faults.partitionedZone = null;
-    cluster.cloud.down = false;
-    if (cluster.store.outage) {
-      cluster.store.endOutage();
+  }
+
+  private static void endFaults(ControllerNode node) {
+    node.storeUnavailable = false;
+    node.storeUnresponsive = false;
+    node.peersUnreachable = false;
+    node.workersUnreachable = false;
+    if (node.down) {
+      node.start();
     }
-    cluster.nodes.forEach(
-        n -> {
-          n.storeUnavailable =
-              n.peersUnreachable = n.workersUnreachable = n.storeUnresponsive = false;
-          if (n.down) {
-            n.start();
-          }
-        });
-    cluster
-        .workers
-        .values()
-        .forEach(
-            w -> {
-              w.partitioned = w.inboundPartitioned = w.outboundPartitioned = false;
-              w.resume();
-            });
-    cluster.deliverDelayed();
   }
 
   /**
-   * Troubles are over: all that was accepted is answered for, nothing waits beside room, and no
-   * rule was broken.
+   * Ends all faults: all that was accepted is answered for, nothing waits beside room, and no
+   * invariant was violated.
    */
   void verifyRecovery() {
     endAllFaults();
     cluster.advance(RECOVERY_S);
     cluster.invariants.faultsOver = true;
-    cluster.advance(QUIET_S);
+    cluster.advance(WAITING_CHECK_S);
     answers.verifyFinalState();
     assertThat(answers.violations).isEmpty();
     assertThat(cluster.violations()).isEmpty();
--- a/src/test/java/io/embernotch/testkit/SimulatedCluster.java
+++ b/src/test/java/io/embernotch/testkit/SimulatedCluster.java
@@ -142,6 +142,12 @@
     return nodes.get((node.index + 1) % 3);
   }
 
+  /** Ends a controller's process, and starts it again after a while. */
+  public void restartAfter(ControllerNode node, double seconds) {
+    node.kill();
+    time.after(seconds, node::start);
+  }
+
   /** Violations of invariants seen so far. */
   public List<String> violations() {
     return invariants.violations();
--- a/src/test/java/io/embernotch/testkit/TestJobs.java
+++ b/src/test/java/io/embernotch/testkit/TestJobs.java
@@ -1,13 +1,18 @@
 package io.embernotch.testkit;
 
+import java.util.List;
+
 /** Job descriptions as users submit them, and the names of their tasks. */
 public final class TestJobs {
+  /** An array of tasks, a gang and a service, as on the wire. */
+  public static final List<String> SHAPES = List.of("array", "group", "standing");
+
   private TestJobs() {}
 
   /**
    * A job of the team red.
    *
-   * @param shape {@code array}, {@code group} or {@code standing}, as on the wire
+   * @param shape one of {@link #SHAPES}
    */
   public static String job(String ref, String shape, int tasks) {
     return "{\"ref\":\""
@@ -27,6 +32,41 @@
         .replace("}", ",\"awaits\":[\"" + String.join("\",\"", dependencies) + "\"]}");
   }
 
+  /** The shape of the job with a number, where shapes alternate. */
+  public static String shapeOf(int number) {
+    return SHAPES.get(number % SHAPES.size());
+  }
+
+  /** The same job, allowed in one zone only. */
+  public static String inZone(String job, String zone) {
+    return job.replace("\"room\":null", "\"room\":\"" + zone + "\"");
+  }
+
+  /** The same job, whose tasks must all be in one zone, whichever that is. */
+  public static String inOneZone(String job) {
+    return job.replace("\"one_zone\":false", "\"one_zone\":true");
+  }
+
+  /** The same job, whose tasks must be spread over the zones. */
+  public static String spreadOverZones(String job) {
+    return job.replace("\"scatter\":false", "\"scatter\":true");
+  }
+
+  /** The same job with a priority other than {@code standard}. */
+  public static String withPriority(String job, String priority) {
+    return job.replace("\"rank\":\"standard\"", "\"rank\":\"" + priority + "\"");
+  }
+
+  /** The same job, which may not run on spot machines. */
+  public static String withoutSpot(String job) {
+    return job.replace("\"loaner\":true", "\"loaner\":false");
+  }
+
+  /** The same job of a team other than red. */
+  public static String ofTeam(String job, String team) {
+    return job.replace("\"owner\":\"red\"", "\"owner\":\"" + team + "\"");
+  }
+
   /** The job of a task, whose name is JOB/INDEX. */
   static String refOf(String task) {
     return task.substring(0, task.lastIndexOf('/'));
