--- a/src/test/java/io/embernotch/controller/InvariantsTest.java
+++ b/src/test/java/io/embernotch/controller/InvariantsTest.java
@@ -1,6 +1,9 @@
 package io.embernotch.controller;
 
+import static io.embernotch.testkit.TestJobs.inZone;
 import static io.embernotch.testkit.TestJobs.job;
+import static io.embernotch.testkit.TestJobs.spreadOverZones;
+import static io.embernotch.testkit.TestJobs.withoutSpot;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.testkit.ControllerNode;
@@ -302,10 +305,7 @@
     cluster.boot("g8", "z1", true);
     cluster.boot("g8", "z2", false);
     cluster.advance(8);
-    String picky =
-        job("j-20", "standing", 2)
-            .replace("\"loaner\":true", "\"loaner\":false")
-            .replace("\"room\":null", "\"room\":\"z1\"");
+    String picky = inZone(withoutSpot(job("j-20", "standing", 2)), "z1");
     cluster.submit(0, picky);
     cluster.advance(12);
     assertThat(cluster.runningTasks("j-20")).hasSize(2);
@@ -317,7 +317,7 @@
     cluster.awaitLeader(2);
     cluster.boot("g8", "z1", true);
     cluster.advance(8);
-    cluster.submit(0, job("j-21", "standing", 5).replace("\"scatter\":false", "\"scatter\":true"));
+    cluster.submit(0, spreadOverZones(job("j-21", "standing", 5)));
     cluster.advance(15);
     assertThat(cluster.runningTasks("j-21")).hasSize(5);
     assertThat(
--- a/src/test/java/io/embernotch/controller/JobDependenciesTest.java
+++ b/src/test/java/io/embernotch/controller/JobDependenciesTest.java
@@ -2,6 +2,7 @@
 
 import static io.embernotch.testkit.TestJobs.dependentJob;
 import static io.embernotch.testkit.TestJobs.job;
+import static io.embernotch.testkit.TestJobs.ofTeam;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.codec.Json;
@@ -292,7 +293,7 @@
     cluster.advance(15);
     for (ControllerNode n : cluster.nodes) {
       // Limits, teams and checks may have changed since it was accepted.
-      String other = job("j-1", "array", 1).replace("\"owner\":\"red\"", "\"owner\":\"gone\"");
+      String other = ofTeam(job("j-1", "array", 1), "gone");
       assertThat(cluster.submit(n.index, other).status()).isEqualTo(200);
       assertThat(cluster.submit(n.index, "{\"ref\":\"j-1\"}").status()).isEqualTo(200);
       String names = "j-" + "9".repeat(60);
--- a/src/test/java/io/embernotch/faultcombinations/ConfirmedCancellationTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/ConfirmedCancellationTest.java
@@ -1,43 +1,47 @@
 package io.embernotch.faultcombinations;
 
+import static io.embernotch.testkit.TestJobs.inZone;
 import static io.embernotch.testkit.TestJobs.job;
+import static io.embernotch.testkit.TestJobs.shapeOf;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.testkit.ControllerNode;
 import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.FakeWorker;
+import io.embernotch.testkit.SeedRange;
 import io.embernotch.testkit.SimulatedCluster;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The meeting before all others: the store refuses the leader alone, another controller confirms
- * cancellations, then the store is away for all for longer than {@code cancel_s} while workers keep
- * reporting to the former leader. What was confirmed is gone in time all the same. {@code
- * -Dmeetings.seeds=N} draws more variants.
+ * The store refuses the leader alone, another controller confirms cancellations, then the store is
+ * away for all for longer than {@code cancel_s} while workers keep sending heartbeats to the former
+ * leader. What was confirmed is gone in time all the same. {@code -Dfaultcombinations.seeds=N}
+ * draws more variants.
  */
 class ConfirmedCancellationTest {
-  private static final int SEEDS = Integer.getInteger("meetings.seeds", 60);
-  private static final int FROM = Integer.getInteger("meetings.from", 1);
-  private static final String[] SHAPES = {"array", "group", "standing"};
+  private static final SeedRange SEEDS = SeedRange.fromProperties("faultcombinations", 60);
+  private static final int RANDOMIZED_JOBS = 6;
+  private static final double STEP_S = 0.5;
 
-  /** Jobs that run on machines which all report to the leader. */
-  private static ControllerNode busy(SimulatedCluster cluster, int jobs) {
+  private final SimulatedCluster cluster = new SimulatedCluster(3, 100);
+
+  /** Starts jobs on machines that all send their heartbeats to the leader, and returns it. */
+  private static ControllerNode startJobs(SimulatedCluster cluster, int jobs) {
     ControllerNode leader = cluster.awaitLeader(3);
     for (int i = 0; i < 2 * jobs; i++) {
       cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
     cluster.advance(7);
-    cluster.workers.values().forEach(w -> w.controllerIndex = leader.index);
+    cluster.workers.values().forEach(worker -> worker.controllerIndex = leader.index);
     for (int i = 0; i < jobs; i++) {
       String json =
-          job("j-" + i, SHAPES[i % 3], 4)
+          job("j-" + i, shapeOf(i), 4)
               .replace("\"snapshot_s\":10.0", "\"snapshot_s\":" + (i % 2 == 0 ? "10.0" : "0"));
       assertThat(cluster.submit(i % 3, json).status()).isEqualTo(201);
     }
@@ -46,97 +50,110 @@
     return leader;
   }
 
-  private static List<String> play(long seed, List<Double> waits) {
-    SplittableRandom random = new SplittableRandom(seed);
-    SimulatedCluster cluster = new SimulatedCluster(3, 100);
-    int jobs = 6;
-    ControllerNode former = busy(cluster, jobs);
-    double cancelS = former.settings.workers().cancelS();
-    // Refused or not answered; unreachable to the others or not; direct commands lost or not.
-    former.storeUnavailable = true;
-    former.storeUnresponsive = random.nextBoolean();
-    former.peersUnreachable = random.nextInt(3) > 0;
-    boolean deaf = random.nextInt(3) == 0;
-    cluster.faults.commandDelivery = Delivery.values()[random.nextInt(3)];
-    double spell = random.nextDouble(30);
-    double outage = random.nextDouble(0.5, 2) * cancelS;
-    double cancelsFrom = random.nextDouble(spell + 3);
-    boolean killed = random.nextBoolean();
-    double back = spell + random.nextDouble(outage);
-    for (double t = 0; t < spell + outage; t += 0.5) {
-      if (t >= spell && !cluster.store.outage && t < spell + 0.5) {
-        cluster.store.outage = true;
-        if (killed) {
-          ControllerNode confirming = cluster.otherNode(former);
-          confirming.kill();
-          cluster.time.after(3, confirming::start);
+  /** A variant that is drawn by a seed. */
+  private static final class RandomizedRun {
+    private final SplittableRandom random;
+    private final SimulatedCluster cluster = new SimulatedCluster(3, 100);
+    private final ControllerNode former = startJobs(cluster, RANDOMIZED_JOBS);
+    private final double cancelS = former.settings.workers().cancelS();
+
+    RandomizedRun(long seed) {
+      random = new SplittableRandom(seed);
+    }
+
+    /** The violations; the delays until each confirmation are added to {@code delays}. */
+    List<String> violations(List<Double> delays) {
+      // Refused or not answered; unreachable to the others or not; direct commands lost or not.
+      former.storeUnavailable = true;
+      former.storeUnresponsive = random.nextBoolean();
+      former.peersUnreachable = random.nextInt(3) > 0;
+      boolean inboundPartitioned = random.nextInt(3) == 0;
+      cluster.faults.commandDelivery = Delivery.values()[random.nextInt(3)];
+      double outageAt = random.nextDouble(30);
+      double outageS = random.nextDouble(0.5, 2) * cancelS;
+      double cancelsFrom = random.nextDouble(outageAt + 3);
+      boolean confirmingControllerEnds = random.nextBoolean();
+      double leaderServedAt = outageAt + random.nextDouble(outageS);
+      for (double at = 0; at < outageAt + outageS; at += STEP_S) {
+        if (at >= outageAt && !cluster.store.outage && at < outageAt + STEP_S) {
+          beginOutage(confirmingControllerEnds, inboundPartitioned);
         }
-        cluster.workers.values().stream().limit(2).forEach(w -> w.inboundPartitioned = deaf);
-      }
-      if (t >= back && former.storeUnavailable) {
-        former.storeUnavailable = false;
-        former.peersUnreachable = false;
+        if (at >= leaderServedAt && former.storeUnavailable) {
+          former.storeUnavailable = false;
+          former.peersUnreachable = false;
+        }
+        if (at >= cancelsFrom && random.nextInt(3) == 0) {
+          // Users come again until the cancellation is confirmed, at any controller.
+          cluster.cancelAsync(random.nextInt(3), "j-" + random.nextInt(RANDOMIZED_JOBS));
+        }
+        cluster.advance(STEP_S);
       }
-      if (t >= cancelsFrom && random.nextInt(3) == 0) {
-        // Users come again until they are told, at any controller.
-        cluster.cancelAsync(random.nextInt(3), "j-" + random.nextInt(jobs));
+      recoverAndCancelAll();
+      List<String> violations = new ArrayList<>(cluster.violations());
+      violations.addAll(cluster.invariants.startsAfterCancellation());
+      delays.addAll(cluster.invariants.cancellationDelays());
+      return violations;
+    }
+
+    private void beginOutage(boolean confirmingControllerEnds, boolean inboundPartitioned) {
+      cluster.store.outage = true;
+      if (confirmingControllerEnds) {
+        cluster.restartAfter(cluster.otherNode(former), 3);
       }
-      cluster.advance(0.5);
+      cluster.workers.values().stream()
+          .limit(2)
+          .forEach(worker -> worker.inboundPartitioned = inboundPartitioned);
     }
-    cluster.store.endOutage();
-    cluster.faults.commandDelivery = Delivery.DELIVERED;
-    cluster.workers.values().forEach(w -> w.inboundPartitioned = false);
-    cluster.deliverDelayed();
-    cluster.advance(15);
-    for (int i = 0; i < jobs; i++) {
-      cluster.cancelAsync(i % 3, "j-" + i);
+
+    private void recoverAndCancelAll() {
+      cluster.store.endOutage();
+      cluster.faults.commandDelivery = Delivery.DELIVERED;
+      cluster.workers.values().forEach(worker -> worker.inboundPartitioned = false);
+      cluster.deliverDelayed();
+      cluster.advance(15);
+      for (int i = 0; i < RANDOMIZED_JOBS; i++) {
+        cluster.cancelAsync(i % 3, "j-" + i);
+      }
+      cluster.advance(cancelS + 15);
     }
-    cluster.advance(cancelS + 15);
-    List<String> wrong = new ArrayList<>(cluster.violations());
-    wrong.addAll(cluster.invariants.startsAfterCancellation());
-    waits.addAll(cluster.invariants.cancellationDelays());
-    return wrong;
   }
 
   @Test
-  void nothingOutlivesItsConfirmationWhoeverGoesOnRenewing() {
-    Map<Long, List<String>> wrong = new TreeMap<>();
-    List<Double> waits = new ArrayList<>();
-    for (long seed = FROM; seed < FROM + SEEDS; seed++) {
-      List<String> found = play(seed, waits);
-      if (!found.isEmpty()) {
-        wrong.put(seed, found);
-      }
-    }
+  void noTaskOutlivesItsConfirmedCancellation() {
+    List<Double> delays = new ArrayList<>();
+    Map<Long, List<String>> violations =
+        SEEDS.violations(seed -> new RandomizedRun(seed).violations(delays));
     System.out.printf(
         "%d variants, %d cancellations confirmed, %.1f s until then in the mean%n",
-        SEEDS, waits.size(), waits.stream().mapToDouble(w -> w).average().orElse(0));
-    assertThat(wrong).isEmpty();
+        SEEDS.count(),
+        delays.size(),
+        delays.stream().mapToDouble(delay -> delay).average().orElse(0));
+    assertThat(violations).isEmpty();
     // All of them were asked for, and confirmed in the end.
-    assertThat(waits).hasSize(6 * SEEDS);
+    assertThat(delays).hasSize(RANDOMIZED_JOBS * SEEDS.count());
   }
 
   /**
-   * The operators' case to the second: whoever leads next tells users, and has no means to reach a
-   * worker.
+   * The operators' case to the second: the next leader confirms to users, and has no means to reach
+   * a worker.
    */
   @ParameterizedTest
   @CsvSource({"true", "false"})
-  void theFormerLeaderKeepsWorkersUnderItsOwnToken(boolean refused) {
-    SimulatedCluster cluster = new SimulatedCluster(3, 100);
-    ControllerNode former = busy(cluster, 3);
+  void formerLeaderKeepsRenewingWorkersUnderItsOwnToken(boolean refused) {
+    ControllerNode former = startJobs(cluster, 3);
     double cancelS = former.settings.workers().cancelS();
     former.storeUnavailable = true;
     former.storeUnresponsive = !refused;
     former.peersUnreachable = true;
     cluster.faults.commandDelivery = Delivery.LOST;
-    double askedAt = cluster.time.now();
-    while (!told(cluster, "j-0") && cluster.time.now() - askedAt < former.settings.gracePeriodS()) {
+    double requestedAt = cluster.time.now();
+    while (!"cancelled".equals(cluster.store.finalPhase("j-0"))
+        && cluster.time.now() - requestedAt < former.settings.gracePeriodS()) {
       cluster.cancelAsync(cluster.otherNode(former).index, "j-0");
-      cluster.advance(0.5);
+      cluster.advance(STEP_S);
     }
     // Not before the former leader's right to renew must be over.
-    assertThat(cluster.time.now() - askedAt).isGreaterThan(5);
+    assertThat(cluster.time.now() - requestedAt).isGreaterThan(5);
     cluster.store.outage = true;
     cluster.advance(1.5 * cancelS);
     assertThat(cluster.runningTasks("j-0")).isEmpty();
@@ -146,22 +163,14 @@
     assertThat(cluster.violations()).isEmpty();
   }
 
-  private static boolean told(SimulatedCluster cluster, String ref) {
-    return "cancelled".equals(cluster.store.finalPhase(ref));
-  }
-
-  /**
-   * A start whose answer was lost, a machine that hangs: it goes on within its lease, and with what
-   * reached it meanwhile.
-   */
+  /** A hung machine resumes within its lease, and with the commands that reached it meanwhile. */
   @ParameterizedTest
   @CsvSource({"10", "25", "40", "70"})
-  void aMachineThatHangsGoesOnWithNothingThatIsCancelled(int hungS) {
-    SimulatedCluster cluster = new SimulatedCluster(3, 100);
-    ControllerNode leader = busy(cluster, 3);
+  void hungMachineResumesWithNothingThatIsCancelled(int hungS) {
+    ControllerNode leader = startJobs(cluster, 3);
     List<FakeWorker> hung = cluster.runningTasks("j-0").values().stream().distinct().toList();
     cluster.cancelAsync(leader.index, "j-0");
-    hung.forEach(w -> w.hung = true);
+    hung.forEach(worker -> worker.hung = true);
     for (int s = 0; s < hungS; s++) {
       cluster.cancelAsync(cluster.otherNode(leader).index, "j-0");
       cluster.advance(1);
@@ -181,8 +190,7 @@
    */
   @ParameterizedTest
   @CsvSource({"0.5,false", "1.2,false", "8,false", "45,false", "0.5,true", "8,true"})
-  void aStartThatIsHeldUpIsNotCarriedOutOnceTheCancellationIsTold(double heldS, boolean hung) {
-    SimulatedCluster cluster = new SimulatedCluster(3, 100);
+  void delayedStartIsNotCarriedOutAfterTheCancellation(double delayS, boolean hung) {
     cluster.awaitLeader(3);
     cluster.nodes.subList(0, 2).forEach(ControllerNode::kill);
     cluster.advance(8);
@@ -193,14 +201,13 @@
       cluster.boot("g8", "z2", true);
     }
     cluster.advance(12);
-    String there = job("j-9", "array", 6).replace("\"room\":null", "\"room\":\"z2\"");
     cluster.faults.commandDelivery = hung ? Delivery.DELIVERED : Delivery.DELAYED;
-    cluster.workers.values().forEach(w -> w.hung = hung);
-    assertThat(cluster.submit(0, there).status()).isEqualTo(201);
+    cluster.workers.values().forEach(worker -> worker.hung = hung);
+    assertThat(cluster.submit(0, inZone(job("j-9", "array", 6), "z2")).status()).isEqualTo(201);
     cluster.advance(0.3);
-    for (double s = 0; s < heldS; s += 0.5) {
+    for (double s = 0; s < delayS; s += STEP_S) {
       cluster.cancelAsync(leader.index, "j-9");
-      cluster.advance(0.5);
+      cluster.advance(STEP_S);
     }
     cluster.faults.commandDelivery = Delivery.DELIVERED;
     cluster.deliverDelayed();
@@ -215,24 +222,23 @@
   }
 
   /**
-   * The commit of the end gets no answer and is carried out late; another controller reads it from
-   * the store and tells it.
+   * The commit of the cancellation gets no response and is carried out late; another controller
+   * reads it from the store and confirms it.
    */
   @ParameterizedTest
   @CsvSource({"1", "6"})
-  void anEndThatIsCarriedOutLateIsToldOnlyWhereNothingOutlivesIt(int lateS) {
-    SimulatedCluster cluster = new SimulatedCluster(3, 100);
-    ControllerNode leader = busy(cluster, 3);
+  void lateCommitIsConfirmedOnlyWhereNoTaskOutlivesIt(int delayS) {
+    ControllerNode leader = startJobs(cluster, 3);
     cluster.faults.commitDelivery = Delivery.DELAYED;
     cluster.cancelAsync(leader.index, "j-0");
-    cluster.advance(lateS);
+    cluster.advance(delayS);
     leader.storeUnavailable = true;
     leader.peersUnreachable = true;
     cluster.faults.commitDelivery = Delivery.DELIVERED;
     cluster.deliverDelayed();
-    for (int s = 0; s < 20; s++) {
+    for (int i = 0; i < 20; i++) {
       cluster.poll(cluster.otherNode(leader).index, "j-0");
-      cluster.advance(0.5);
+      cluster.advance(STEP_S);
     }
     cluster.store.outage = true;
     cluster.advance(1.5 * leader.settings.workers().cancelS());
@@ -247,20 +253,19 @@
   }
 
   /**
-   * The former leader's end is carried out when the next one has read the store; a third controller
-   * reads it there.
+   * The former leader's commit arrives when the next leader has read the store; a third controller
+   * reads there.
    */
   @Test
-  void anEndOfAFormerLeaderIsNotCarriedOutOnceTheNextHasRead() {
-    SimulatedCluster cluster = new SimulatedCluster(3, 100);
-    ControllerNode former = busy(cluster, 3);
+  void commitOfAFormerLeaderIsRefusedOnceTheNextHasRead() {
+    ControllerNode former = startJobs(cluster, 3);
     cluster.faults.commitDelivery = Delivery.DELAYED;
     cluster.cancelAsync(former.index, "j-0");
     cluster.advance(1);
     former.kill();
     cluster.faults.commitDelivery = Delivery.DELIVERED;
-    // What ran must not be news to the next leader, or it would write the same key first.
-    cluster.workers.values().forEach(w -> w.outboundPartitioned = true);
+    // What ran must not be reported to the next leader, or it would write the same key first.
+    cluster.workers.values().forEach(worker -> worker.outboundPartitioned = true);
     ControllerNode next = null;
     while (next == null) {
       cluster.time.advance(0.05);
@@ -268,16 +273,15 @@
     }
     cluster.advance(0.1);
     cluster.deliverDelayed();
-    int leads = next.index;
-    cluster.nodes.stream()
-        .filter(n -> n.index != leads && n != former)
-        .forEach(n -> n.peersUnreachable = true);
-    for (int s = 0; s < 10; s++) {
-      cluster.nodes.stream().filter(n -> n != former).forEach(n -> cluster.poll(n.index, "j-0"));
-      cluster.advance(0.5);
+    cluster.nodes.get(3 - former.index - next.index).peersUnreachable = true;
+    for (int i = 0; i < 10; i++) {
+      cluster.nodes.stream()
+          .filter(node -> node != former)
+          .forEach(node -> cluster.poll(node.index, "j-0"));
+      cluster.advance(STEP_S);
     }
-    cluster.nodes.forEach(n -> n.peersUnreachable = false);
-    cluster.workers.values().forEach(w -> w.outboundPartitioned = false);
+    cluster.nodes.forEach(node -> node.peersUnreachable = false);
+    cluster.workers.values().forEach(worker -> worker.outboundPartitioned = false);
     former.start();
     cluster.advance(next.settings.workers().cancelS() + 10);
     assertThat(cluster.violations()).isEmpty();
--- a/src/test/java/io/embernotch/faultcombinations/FastBootTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/FastBootTest.java
@@ -1,5 +1,6 @@
 package io.embernotch.faultcombinations;
 
+import static io.embernotch.testkit.TestJobs.shapeOf;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.testkit.ControllerNode;
@@ -7,29 +8,28 @@
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
 import java.util.List;
+import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/**
- * New machines are up within two seconds and get work at once while writes lag, and the leader
- * ends.
- */
+/** New machines are up within two seconds and get work at once while writes lag, and a failover. */
 class FastBootTest {
-  private static final double FAST_S = 1.2;
+  private static final double FAST_BOOT_S = 1.2;
 
   private final FaultScenario scenario = FaultScenario.large();
   private final SimulatedCluster cluster = scenario.cluster;
 
   @ParameterizedTest
   @CsvSource({"1,0.3,2", "2,0.3,4", "3,0.6,2", "4,0.6,4", "5,0.6,7"})
-  void newMachinesGetWorkWhileWritesLagAndTheLeaderEnds(long seed, double late, double endsAfterS) {
-    cluster.faults.random = new java.util.SplittableRandom(seed);
+  void newMachinesGetTasksWhileCommitsLagAndTheLeaderEnds(
+      long seed, double delayedCommitShare, double endsAfterS) {
+    cluster.faults.random = new SplittableRandom(seed);
     ControllerNode leader = cluster.awaitLeader(3);
-    cluster.cloud.bootS = FAST_S;
-    cluster.faults.delayedCommitShare = late;
+    cluster.cloud.bootS = FAST_BOOT_S;
+    cluster.faults.delayedCommitShare = delayedCommitShare;
     for (int i = 0; i < 4; i++) {
-      scenario.answers.submit(i % 3, "j-" + i, List.of("array", "group", "standing").get(i % 3), 4);
+      scenario.answers.submit(i % 3, "j-" + i, shapeOf(i), 4);
     }
     cluster.time.after(endsAfterS, leader::kill);
     cluster.time.after(endsAfterS + 4, leader::start);
@@ -38,8 +38,10 @@
     cluster.cloud.unlisted.addAll(cluster.workers.keySet());
     cluster.advance(8);
     cluster.cloud.unlisted.clear();
-    // One is back under its name, with its session or counting anew.
-    cluster.workers.values().stream().limit(2).forEach(w -> w.restart(w.name.endsWith("1")));
+    // One is back under its name, with its epoch or counting anew.
+    cluster.workers.values().stream()
+        .limit(2)
+        .forEach(worker -> worker.restart(worker.name.endsWith("1")));
     cluster.advance(4);
     scenario.answers.submit(0, "j-4", "array", 4);
     cluster.advance(20);
@@ -48,19 +50,20 @@
 
   /**
    * The start's commit is never known, and never made: a command that had left all the same would
-   * run where nobody knows of it, since the machine is silent when the next leader begins.
+   * run where no controller knows of it, since the machine sends no heartbeat when the next leader
+   * begins.
    */
   @Test
-  void aStartThatWasNotCommittedHasNotLeft() {
+  void startIsNotSentBeforeItsCommit() {
     ControllerNode leader = cluster.awaitLeader(3);
-    cluster.cloud.bootS = FAST_S;
+    cluster.cloud.bootS = FAST_BOOT_S;
     scenario.answers.submit(0, "j-0", "standing", 1);
     cluster.advance(12);
     cluster.faults.commitDelivery = Delivery.LOST;
     scenario.answers.submit(leader.index, "j-1", "array", 4);
     cluster.advance(3);
-    List<FakeWorker> there = List.copyOf(cluster.workers.values());
-    there.forEach(w -> w.outboundPartitioned = true);
+    List<FakeWorker> machines = List.copyOf(cluster.workers.values());
+    machines.forEach(worker -> worker.outboundPartitioned = true);
     cluster.faults.commandDelivery = Delivery.LOST;
     cluster.cloud.unlisted.addAll(cluster.workers.keySet());
     leader.kill();
@@ -68,7 +71,7 @@
     cluster.advance(12);
     cluster.faults.commandDelivery = Delivery.DELIVERED;
     cluster.advance(4);
-    there.forEach(w -> w.outboundPartitioned = false);
+    machines.forEach(worker -> worker.outboundPartitioned = false);
     cluster.cloud.unlisted.clear();
     leader.start();
     scenario.verifyRecovery();
--- a/src/test/java/io/embernotch/faultcombinations/LateCommandTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/LateCommandTest.java
@@ -1,5 +1,6 @@
 package io.embernotch.faultcombinations;
 
+import static io.embernotch.testkit.TestJobs.shapeOf;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.testkit.ControllerNode;
@@ -7,6 +8,7 @@
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
 import java.util.List;
+import java.util.SplittableRandom;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -15,24 +17,31 @@
   private final FaultScenario scenario = FaultScenario.large();
   private final SimulatedCluster cluster = scenario.cluster;
 
+  /** How the former leader lost its leadership. */
+  private enum LeaderFault {
+    ENDED,
+    DEPOSED
+  }
+
   /**
-   * Starts of the former leader are held up; its job is cancelled or goes on under the next one.
+   * Starts of the former leader are delayed; its job is cancelled or goes on under the next one.
    */
   @ParameterizedTest
   @CsvSource({
-    "ends,1,false",
-    "ends,6,false",
-    "ends,16,false",
-    "ends,45,false",
-    "ends,6,true",
-    "ends,16,true",
-    "deposed,6,false",
-    "deposed,16,false",
-    "deposed,45,false",
-    "deposed,6,true",
-    "deposed,16,true"
+    "ENDED,1,false",
+    "ENDED,6,false",
+    "ENDED,16,false",
+    "ENDED,45,false",
+    "ENDED,6,true",
+    "ENDED,16,true",
+    "DEPOSED,6,false",
+    "DEPOSED,16,false",
+    "DEPOSED,45,false",
+    "DEPOSED,6,true",
+    "DEPOSED,16,true"
   })
-  void startsOfAFormerLeaderArriveAfterTheNextOnes(String how, double heldS, boolean cancelled) {
+  void startsOfAFormerLeaderArriveAfterThoseOfTheNext(
+      LeaderFault fault, double delayS, boolean cancelled) {
     ControllerNode leader = cluster.awaitLeader(3);
     scenario.answers.submit(0, "j-0", "standing", 8);
     cluster.advance(12);
@@ -41,20 +50,22 @@
     scenario.answers.submit(leader.index, "j-2", "group", 4);
     cluster.advance(0.5);
     assertThat(cluster.delayedCount()).isPositive();
-    if (how.equals("ends")) {
+    if (fault == LeaderFault.ENDED) {
       leader.kill();
     } else {
-      leader.storeUnavailable = leader.peersUnreachable = true;
+      leader.storeUnavailable = true;
+      leader.peersUnreachable = true;
     }
     cluster.advance(0.2);
     cluster.faults.commandDelivery = Delivery.DELIVERED;
     if (cancelled) {
-      scenario.cancelUntilConfirmed("j-1", 0, heldS + 10);
+      scenario.cancelUntilConfirmed("j-1", 0, delayS + 10);
     }
-    cluster.advance(heldS);
+    cluster.advance(delayS);
     cluster.deliverDelayed();
     cluster.advance(10);
-    leader.storeUnavailable = leader.peersUnreachable = false;
+    leader.storeUnavailable = false;
+    leader.peersUnreachable = false;
     if (leader.down) {
       leader.start();
     }
@@ -64,12 +75,12 @@
   }
 
   /**
-   * The worker reaches nobody, so that it has seen no newer token when the former leader's start
-   * arrives.
+   * The worker reaches no controller, so that it has seen no newer fencing token when the former
+   * leader's start arrives.
    */
   @ParameterizedTest
   @CsvSource({"5,false", "14,false", "26,false", "5,true", "14,true", "26,true"})
-  void aStartReachesAWorkerThatHasHeardNothingSince(double heldS, boolean cancelled) {
+  void delayedStartReachesAWorkerWithoutANewerToken(double delayS, boolean cancelled) {
     ControllerNode leader = cluster.awaitLeader(3);
     scenario.answers.submit(0, "j-0", "standing", 2);
     cluster.advance(12);
@@ -77,18 +88,18 @@
     scenario.answers.submit(leader.index, "j-1", "array", 6);
     cluster.advance(0.5);
     assertThat(cluster.delayedCount()).isPositive();
-    List<FakeWorker> there = List.copyOf(cluster.workers.values());
-    there.forEach(w -> w.outboundPartitioned = true);
+    List<FakeWorker> machines = List.copyOf(cluster.workers.values());
+    machines.forEach(worker -> worker.outboundPartitioned = true);
     leader.kill();
     cluster.faults.commandDelivery = Delivery.LOST;
     cluster.cloud.down = true;
     if (cancelled) {
-      scenario.cancelUntilConfirmed("j-1", 0, heldS + 60);
+      scenario.cancelUntilConfirmed("j-1", 0, delayS + 60);
     }
-    cluster.advance(heldS);
+    cluster.advance(delayS);
     cluster.deliverDelayed();
     cluster.advance(2);
-    there.forEach(w -> w.outboundPartitioned = false);
+    machines.forEach(worker -> worker.outboundPartitioned = false);
     cluster.faults.commandDelivery = Delivery.DELIVERED;
     cluster.cloud.down = false;
     cluster.advance(40);
@@ -99,24 +110,23 @@
   }
 
   /**
-   * A share of all commands is held up for 2 to 16 s, while leaders change and jobs are cancelled.
+   * A share of all commands is delayed by 2 to 16 s, while leaders change and jobs are cancelled.
    */
   @ParameterizedTest
   @CsvSource({"1,0.3", "2,0.3", "3,0.7", "4,0.7"})
-  void commandsAreHeldUpWhileLeadersChange(long seed, double share) {
-    cluster.faults.random = new java.util.SplittableRandom(seed);
+  void commandsAreDelayedWhileLeadersChange(long seed, double share) {
+    cluster.faults.random = new SplittableRandom(seed);
     cluster.awaitLeader(3);
     cluster.faults.delayedCommandShare = share;
     for (int i = 0; i < 8; i++) {
-      scenario.answers.submit(i % 3, "j-" + i, List.of("array", "group", "standing").get(i % 3), 4);
+      scenario.answers.submit(i % 3, "j-" + i, shapeOf(i), 4);
       cluster.advance(i == 0 ? 8 : 2);
       if (i % 2 == 1) {
         scenario.cancelUntilConfirmed("j-" + i, i % 3, 30);
       }
       ControllerNode leader = cluster.leader();
       if (leader != null) {
-        leader.kill();
-        cluster.time.after(i % 3 == 0 ? 0.2 : 5, leader::start);
+        cluster.restartAfter(leader, i % 3 == 0 ? 0.2 : 5);
       }
       List<FakeWorker> machines = List.copyOf(cluster.workers.values());
       if (i % 3 == 2 && !machines.isEmpty()) {
--- a/src/test/java/io/embernotch/faultcombinations/LostResponseTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/LostResponseTest.java
@@ -1,6 +1,7 @@
 package io.embernotch.faultcombinations;
 
 import static io.embernotch.testkit.TestJobs.job;
+import static io.embernotch.testkit.TestJobs.withPriority;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.testkit.ControllerNode;
@@ -13,16 +14,19 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A transaction is carried out at once and only its answer is lost, while other nodes read what it
- * wrote.
+ * A transaction is carried out at once and only its response is lost, while other nodes read what
+ * it wrote.
  */
 class LostResponseTest {
+  private static final String INCARNATION_KEY = "era";
+  private static final String LEADER_KEY = "steward";
+
   private final FaultScenario scenario = FaultScenario.large();
   private final SimulatedCluster cluster = scenario.cluster;
 
   /**
-   * Every transaction of one kind, with the answers to the reads that follow lost as well or not,
-   * and the leader ending or not.
+   * Every transaction on one kind of keys, with the responses to the reads that follow lost as well
+   * or not, and the leader ending or not.
    */
   @ParameterizedTest
   @CsvSource({
@@ -38,44 +42,32 @@
     "shared/,0.5,true",
     "era,0.5,true"
   })
-  void onlyTheAnswerIsLost(String kind, double readsLost, boolean leaderEnds) {
-    if (kind.equals("era")) {
+  void responsesToTransactionsAreLost(String keys, double lostReadShare, boolean leaderEnds) {
+    if (keys.equals(INCARNATION_KEY)) {
       // The first claim begins the incarnation.
-      cluster.faults.commitDeliveryFilter = kind;
-      cluster.faults.commitDelivery = Delivery.RESPONSE_LOST;
+      loseResponses(keys, 0);
       cluster.advance(4);
-      cluster.faults.commitDelivery = Delivery.DELIVERED;
+      deliverResponses();
     }
     ControllerNode leader = cluster.awaitLeader(12);
     scenario.answers.submit(0, "j-1", "array", 3);
     scenario.answers.submit(1, "j-2", "standing", 3);
     scenario.answers.submit(2, "j-3", "group", 3);
     cluster.advance(12);
-    cluster.faults.commitDeliveryFilter = kind;
-    cluster.faults.commitDelivery = Delivery.RESPONSE_LOST;
-    cluster.faults.lostReadShare = readsLost;
-    cluster.submitAsync(0, job("j-4", "array", 3));
-    cluster.submitAsync(1, job("j-4", "array", 3));
-    cluster.submitAsync(
-        2, job("j-5", "standing", 3).replace("\"rank\":\"standard\"", "\"rank\":\"production\""));
-    scenario.cancelUntilConfirmed("j-2", 1, 6);
-    cluster.time.after(0.5, () -> cluster.completeTasks("j-1"));
-    for (String ref : List.of("j-1", "j-2", "j-3", "j-4", "j-5")) {
-      scenario.pollAllNodes(ref, 7, 0.05);
-    }
+    loseResponses(keys, lostReadShare);
+    submitCancelCompleteAndPoll();
     if (leaderEnds) {
       cluster.time.after(2, leader::kill);
       cluster.time.after(4, leader::start);
     }
     cluster.advance(8);
-    cluster.faults.commitDelivery = Delivery.DELIVERED;
-    cluster.faults.lostReadShare = 0;
+    deliverResponses();
     cluster.advance(8);
     scenario.answers.submit(0, "j-4", "array", 3);
     scenario.answers.submit(1, "j-5", "standing", 3);
     scenario.cancelUntilConfirmed("j-2", 0, 3);
     cluster.advance(20);
-    Map<String, String> ends =
+    Map<String, String> phases =
         Map.of(
             "j-1",
             "done",
@@ -87,14 +79,36 @@
             "running",
             "j-5",
             "running");
-    ends.forEach(
-        (ref, end) -> assertThat(cluster.phase(ref.charAt(2) % 3, ref)).as(ref).isEqualTo(end));
+    phases.forEach(
+        (ref, phase) -> assertThat(cluster.phase(ref.charAt(2) % 3, ref)).as(ref).isEqualTo(phase));
     scenario.verifyRecovery();
   }
 
+  private void loseResponses(String keys, double lostReadShare) {
+    cluster.faults.commitDeliveryFilter = keys;
+    cluster.faults.commitDelivery = Delivery.RESPONSE_LOST;
+    cluster.faults.lostReadShare = lostReadShare;
+  }
+
+  private void deliverResponses() {
+    cluster.faults.commitDelivery = Delivery.DELIVERED;
+    cluster.faults.lostReadShare = 0;
+  }
+
+  private void submitCancelCompleteAndPoll() {
+    cluster.submitAsync(0, job("j-4", "array", 3));
+    cluster.submitAsync(1, job("j-4", "array", 3));
+    cluster.submitAsync(2, withPriority(job("j-5", "standing", 3), "production"));
+    scenario.cancelUntilConfirmed("j-2", 1, 6);
+    cluster.time.after(0.5, () -> cluster.completeTasks("j-1"));
+    for (String ref : List.of("j-1", "j-2", "j-3", "j-4", "j-5")) {
+      scenario.pollAllNodes(ref, 7, 0.05);
+    }
+  }
+
   /** The leader does not know that its start is in the store; whoever follows it does. */
   @Test
-  void aStartWhoseCommitIsNotKnownLeavesNoController() {
+  void startWithUnknownCommitIsNotSent() {
     ControllerNode leader = cluster.awaitLeader(3);
     cluster.boot("g8", "z1", true);
     cluster.advance(10);
@@ -105,8 +119,7 @@
     assertThat(cluster.store.value("run/j-1")).isNotNull();
     assertThat(cluster.runningTasks("j-1")).isEmpty();
     leader.kill();
-    cluster.faults.commitDelivery = Delivery.DELIVERED;
-    cluster.faults.lostReadShare = 0;
+    deliverResponses();
     cluster.advance(15);
     assertThat(cluster.runningTasks("j-1")).hasSize(4);
     leader.start();
@@ -114,23 +127,20 @@
   }
 
   /**
-   * Its claim is in the store, and neither that nor the key can be read back: it must not act, nor
-   * block the others.
+   * A candidate's claim is in the store, and neither that nor the key can be read back: it must not
+   * act, nor block the others.
    */
   @ParameterizedTest
   @CsvSource({"1", "4"})
-  void aClaimThatIsNotKnownToBeMade(int forS) {
+  void claimOfLeadershipWithUnknownOutcome(int durationS) {
     ControllerNode leader = cluster.awaitLeader(3);
     scenario.answers.submit(0, "j-1", "standing", 6);
     cluster.advance(12);
     Map<String, ?> before = cluster.runningTasks("j-1");
-    cluster.faults.commitDeliveryFilter = "steward";
-    cluster.faults.commitDelivery = Delivery.RESPONSE_LOST;
-    cluster.faults.lostReadShare = 1;
+    loseResponses(LEADER_KEY, 1);
     leader.kill();
-    cluster.advance(3 + forS);
-    cluster.faults.commitDelivery = Delivery.DELIVERED;
-    cluster.faults.lostReadShare = 0;
+    cluster.advance(3 + durationS);
+    deliverResponses();
     cluster.awaitLeader(12);
     leader.start();
     scenario.verifyRecovery();
--- a/src/test/java/io/embernotch/faultcombinations/RandomFaults.java
+++ b/src/test/java/io/embernotch/faultcombinations/RandomFaults.java
@@ -31,11 +31,7 @@
       case 1 -> isolated(node);
       case 2, 3 -> storeOutage();
       case 4 -> share("delayed commits", 0.4, value -> cluster.faults.delayedCommitShare = value);
-      case 5 ->
-          share(
-              "duplicated heartbeats",
-              0.4,
-              value -> cluster.faults.duplicatedHeartbeatShare = value);
+      case 5 -> duplicatedHeartbeats();
       case 6 -> inboundPartitionedMachines();
       case 7 -> outboundPartitionedMachines();
       case 8 -> hungMachines();
@@ -52,11 +48,7 @@
               value -> cluster.faults.lostCommitResponseShare = value);
       case 16 ->
           share("commands delayed", 0.5, value -> cluster.faults.delayedCommandShare = value);
-      case 17 ->
-          share(
-              "heartbeats replayed to the next leader",
-              0.5,
-              value -> cluster.faults.replayedHeartbeatShare = value);
+      case 17 -> replayedHeartbeats();
       case 18 ->
           share(
               "reads of the store lost",
@@ -170,6 +162,18 @@
         });
   }
 
+  private Fault duplicatedHeartbeats() {
+    return share(
+        "duplicated heartbeats", 0.4, value -> cluster.faults.duplicatedHeartbeatShare = value);
+  }
+
+  private Fault replayedHeartbeats() {
+    return share(
+        "heartbeats replayed to the next leader",
+        0.5,
+        value -> cluster.faults.replayedHeartbeatShare = value);
+  }
+
   // ---- machines
 
   private Fault inboundPartitionedMachines() {
--- a/src/test/java/io/embernotch/faultcombinations/ReadConsistencyTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/ReadConsistencyTest.java
@@ -1,6 +1,7 @@
 package io.embernotch.faultcombinations;
 
 import static io.embernotch.testkit.TestJobs.job;
+import static io.embernotch.testkit.TestJobs.shapeOf;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
@@ -9,135 +10,135 @@
 import io.embernotch.testkit.ControllerNode;
 import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.SimulatedCluster;
-import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Users ask at all nodes, again and again within milliseconds, repeat the submission and cancel,
+ * Users poll at all nodes, again and again within milliseconds, repeat the submission and cancel,
  * right after a job was accepted, ended or confirmed as cancelled. No node may then answer
  * something older.
  */
 class ReadConsistencyTest {
-  private static final double LOOKS_S = 2;
-  private static final double MOST_APART_S = 0.02;
+  private static final int JOBS = 10;
+  private static final double POLLING_S = 2;
+  private static final double MAX_POLL_INTERVAL_S = 0.02;
 
   private final FaultScenario scenario = FaultScenario.large();
   private final SimulatedCluster cluster = scenario.cluster;
 
-  private void look(String ref) {
-    for (double at = 0; at < LOOKS_S; at += cluster.faults.random.nextDouble(MOST_APART_S)) {
+  /** The fault during which users poll. */
+  private enum Fault {
+    NONE,
+    LEADER_ENDS,
+    LEADER_REFUSED,
+    LEADER_ISOLATED,
+    FOLLOWER_ISOLATED,
+    SLOW_STORE,
+    RESPONSES_LOST,
+    COMMITS_DELAYED
+  }
+
+  private void pollAtRandom(String ref) {
+    for (double at = 0;
+        at < POLLING_S;
+        at += cluster.faults.random.nextDouble(MAX_POLL_INTERVAL_S)) {
       int node = cluster.faults.random.nextInt(3);
       cluster.time.after(at, () -> cluster.pollAsync(node, ref));
     }
   }
 
-  private void later(double mostS, Runnable what) {
-    cluster.time.after(cluster.faults.random.nextDouble(mostS), what);
+  private void whilePolling(Runnable task) {
+    cluster.time.after(cluster.faults.random.nextDouble(POLLING_S), task);
   }
 
-  private void trouble(String kind, ControllerNode leader) {
-    switch (kind) {
-      case "leader ends" ->
-          later(
-              LOOKS_S,
+  private void begin(Fault fault, ControllerNode leader) {
+    switch (fault) {
+      case LEADER_ENDS -> whilePolling(() -> cluster.restartAfter(leader, 3));
+      case LEADER_REFUSED -> whilePolling(() -> leader.storeUnavailable = true);
+      case LEADER_ISOLATED ->
+          whilePolling(
               () -> {
-                leader.kill();
-                cluster.time.after(3, leader::start);
+                leader.storeUnavailable = true;
+                leader.peersUnreachable = true;
               });
-      case "leader refused" -> later(LOOKS_S, () -> leader.storeUnavailable = true);
-      case "leader alone" ->
-          later(LOOKS_S, () -> leader.storeUnavailable = leader.peersUnreachable = true);
-      case "follower alone" -> cluster.otherNode(leader).peersUnreachable = true;
-      case "slow store" -> cluster.faults.storeLatencyS = 0.2;
-      case "answers lost" -> cluster.faults.lostCommitResponseShare = 0.3;
-      case "late writes" -> cluster.faults.delayedCommitShare = 0.3;
+      case FOLLOWER_ISOLATED -> cluster.otherNode(leader).peersUnreachable = true;
+      case SLOW_STORE -> cluster.faults.storeLatencyS = 0.2;
+      case RESPONSES_LOST -> cluster.faults.lostCommitResponseShare = 0.3;
+      case COMMITS_DELAYED -> cluster.faults.delayedCommitShare = 0.3;
       default -> {}
     }
   }
 
   @ParameterizedTest
-  @CsvSource({
-    "none",
-    "leader ends",
-    "leader refused",
-    "leader alone",
-    "follower alone",
-    "slow store",
-    "answers lost",
-    "late writes"
-  })
-  void noNodeAnswersOlderThanWhatWasTold(String kind) {
+  @EnumSource(Fault.class)
+  void noNodeAnswersOlderThanWhatUsersKnow(Fault fault) {
     cluster.awaitLeader(3);
     cluster.faults.maxUserDelayS = 0.05;
-    for (int i = 0; i < 10; i++) {
-      ControllerNode leader = cluster.awaitLeader(8);
-      trouble(kind, leader);
-      String ref = "j-" + i;
-      String json = job(ref, List.of("array", "group", "standing").get(i % 3), 1 + i % 3);
-      scenario.answers.accepted.add(ref);
-      for (int repeat = 0; repeat < 4; repeat++) {
-        int node = (i + repeat) % 3;
-        cluster.time.after(0.02 * repeat, () -> cluster.submitAsync(node, json));
-      }
-      look(ref);
-      if (i % 4 == 1) {
-        scenario.cancelUntilConfirmed(ref, i % 3, 6);
+    for (int i = 0; i < JOBS; i++) {
+      begin(fault, cluster.awaitLeader(8));
+      submitAndComplete(i);
+      for (ControllerNode node : cluster.nodes) {
+        node.storeUnavailable = false;
+        node.peersUnreachable = false;
       }
-      cluster.advance(LOOKS_S + 4);
-      cluster.time.after(0.5, () -> cluster.completeTasks(ref));
-      if (i % 4 == 2) {
-        cluster.time.after(
-            0.4 + cluster.faults.random.nextDouble(0.3),
-            () -> scenario.cancelUntilConfirmed(ref, i(ref), 4));
-      }
-      look(ref);
-      cluster.time.after(1, () -> look(ref));
-      cluster.advance(LOOKS_S + 3);
-      cluster.nodes.forEach(n -> n.storeUnavailable = n.peersUnreachable = false);
     }
     scenario.endAllFaults();
     cluster.advance(5);
-    // A submission whose every answer was lost is repeated by its user until one comes.
-    for (int i = 0; i < 10; i++) {
-      assertThat(
-              cluster
-                      .submit(
-                          i % 3,
-                          job(
-                              "j-" + i,
-                              List.of("array", "group", "standing").get(i % 3),
-                              1 + i % 3))
-                      .status()
-                  / 100)
-          .isEqualTo(2);
+    // A submission whose every response was lost is repeated by its user until one comes.
+    for (int i = 0; i < JOBS; i++) {
+      assertThat(cluster.submit(i % 3, jobOf(i)).status() / 100).isEqualTo(2);
     }
     scenario.verifyRecovery();
   }
 
-  private static int i(String ref) {
-    return Integer.parseInt(ref.substring(2)) % 3;
+  private static String jobOf(int number) {
+    return job("j-" + number, shapeOf(number), 1 + number % 3);
+  }
+
+  /** One job from its submission, which is repeated, to its end; some are cancelled. */
+  private void submitAndComplete(int number) {
+    String ref = "j-" + number;
+    scenario.answers.accepted.add(ref);
+    for (int repeat = 0; repeat < 4; repeat++) {
+      int node = (number + repeat) % 3;
+      cluster.time.after(0.02 * repeat, () -> cluster.submitAsync(node, jobOf(number)));
+    }
+    pollAtRandom(ref);
+    if (number % 4 == 1) {
+      scenario.cancelUntilConfirmed(ref, number % 3, 6);
+    }
+    cluster.advance(POLLING_S + 4);
+    cluster.time.after(0.5, () -> cluster.completeTasks(ref));
+    if (number % 4 == 2) {
+      cluster.time.after(
+          0.4 + cluster.faults.random.nextDouble(0.3),
+          () -> scenario.cancelUntilConfirmed(ref, number % 3, 4));
+    }
+    pollAtRandom(ref);
+    cluster.time.after(1, () -> pollAtRandom(ref));
+    cluster.advance(POLLING_S + 3);
   }
 
   /** Another node reads the end in the store while the leader's own commit of it is unanswered. */
   @Test
-  void anEndThatAnotherNodeHasReadIsNotDeniedByItsLeader() {
+  void leaderDoesNotDenyAnEndThatAnotherNodeHasRead() {
     ControllerNode leader = cluster.awaitLeader(3);
-    ControllerNode alone = cluster.otherNode(leader);
+    ControllerNode isolated = cluster.otherNode(leader);
     scenario.answers.submit(leader.index, "j-1", "array", 2);
     cluster.advance(12);
-    alone.peersUnreachable = true;
+    isolated.peersUnreachable = true;
     cluster.advance(4);
     cluster.faults.commitDelivery = Delivery.RESPONSE_LOST;
     cluster.completeTasks("j-1");
-    String elsewhere = "";
-    for (int i = 0; i < 40 && !elsewhere.equals("done"); i++) {
-      elsewhere = cluster.phase(alone.index, "j-1");
+    String phaseElsewhere = "";
+    for (int i = 0; i < 40 && !phaseElsewhere.equals("done"); i++) {
+      phaseElsewhere = cluster.phase(isolated.index, "j-1");
       assertThat(cluster.phase(leader.index, "j-1")).isIn("running", "done", "status 503");
       cluster.advance(0.25);
     }
-    assertThat(elsewhere).isEqualTo("done");
+    assertThat(phaseElsewhere).isEqualTo("done");
     for (int i = 0; i < 8; i++) {
       assertThat(cluster.phase(leader.index, "j-1")).isIn("done", "status 503");
       cluster.advance(0.25);
@@ -147,65 +148,64 @@
   }
 
   /**
-   * Done marks are written in their own time; what was told of them is told by the next leader and
-   * by the store too.
+   * Marks of done tasks are written in their own time; what users were told of them, the next
+   * leader and the store tell too.
    */
   @Test
-  void aCountOfDoneTasksThatWasToldIsNotTakenBack() {
+  void countOfDoneTasksDoesNotFallAcrossFailover() {
     ControllerNode leader = cluster.awaitLeader(3);
     scenario.answers.submit(leader.index, "j-1", "array", 4);
     cluster.advance(12);
     cluster.runningTasks("j-1").get("j-1/0").exitTask("j-1/0", "done");
-    for (int i = 0; i < 12; i++) {
-      cluster.poll(leader.index, "j-1");
-      cluster.advance(0.25);
-    }
+    pollRepeatedly(leader, 12);
     leader.kill();
     // Their heartbeats alone would tell the next leader.
-    cluster.workers.values().forEach(w -> w.outboundPartitioned = true);
-    for (int i = 0; i < 40; i++) {
-      cluster.poll(cluster.otherNode(leader).index, "j-1");
+    cluster.workers.values().forEach(worker -> worker.outboundPartitioned = true);
+    pollRepeatedly(cluster.otherNode(leader), 40);
+    scenario.verifyRecovery();
+  }
+
+  private void pollRepeatedly(ControllerNode node, int times) {
+    for (int i = 0; i < times; i++) {
+      cluster.poll(node.index, "j-1");
       cluster.advance(0.25);
     }
-    scenario.verifyRecovery();
   }
 
-  /** Another node reads more done marks in the store than the leader knows to be there. */
+  /** Another node reads more marks of done tasks in the store than the leader knows to be there. */
   @Test
-  void aCountThatAnotherNodeHasReadIsNotDeniedByItsLeader() {
+  void leaderDoesNotDenyACountThatAnotherNodeHasRead() {
     ControllerNode leader = cluster.awaitLeader(3);
-    ControllerNode alone = cluster.otherNode(leader);
+    ControllerNode isolated = cluster.otherNode(leader);
     scenario.answers.submit(leader.index, "j-1", "array", 4);
     cluster.advance(12);
-    alone.peersUnreachable = true;
+    isolated.peersUnreachable = true;
     cluster.advance(4);
     cluster.faults.commitDelivery = Delivery.RESPONSE_LOST;
     cluster.runningTasks("j-1").get("j-1/0").exitTask("j-1/0", "done");
-    int counted = 0;
+    int maxCount = 0;
     for (int i = 0; i < 60; i++) {
-      HttpResponse elsewhere = cluster.poll(alone.index, "j-1");
-      counted =
-          Math.max(
-              counted,
-              elsewhere.status() == 200
-                  ? Json.parseObject(elsewhere.body()).path("done").asInt()
-                  : 0);
+      HttpResponse elsewhere = cluster.poll(isolated.index, "j-1");
+      if (elsewhere.status() == 200) {
+        int count = Json.parseObject(elsewhere.body()).path("done").asInt();
+        maxCount = Math.max(maxCount, count);
+      }
       cluster.poll(leader.index, "j-1");
       cluster.advance(0.25);
     }
-    assertThat(counted).isEqualTo(1);
+    assertThat(maxCount).isEqualTo(1);
     cluster.faults.commitDelivery = Delivery.DELIVERED;
     scenario.verifyRecovery();
   }
 
-  /** A new leader that has not heard the machines yet. */
+  /** The new leader has no heartbeat of the machines yet. */
   @Test
-  void aJobThatRunsIsNotToldToBeQueuedByTheNextLeader() {
+  void nextLeaderDoesNotReportARunningJobAsQueued() {
     cluster.awaitLeader(3);
     scenario.answers.submit(0, "j-1", "standing", 4);
     cluster.advance(12);
     assertThat(cluster.phase(0, "j-1")).isEqualTo("running");
-    cluster.workers.values().forEach(w -> w.outboundPartitioned = true);
+    cluster.workers.values().forEach(worker -> worker.outboundPartitioned = true);
     cluster.cloud.down = true;
     cluster.nodes.forEach(ControllerNode::kill);
     cluster.advance(1);
@@ -219,21 +219,21 @@
   }
 
   /**
-   * The question finds nothing yet, and its answer comes when the job has just been accepted by the
+   * The poll finds nothing yet, and its response comes when the job has just been accepted by the
    * same node.
    */
   @Test
-  void aQuestionThatOvertakesItsSubmissionIsNoSignOfALoss() {
+  void pollThatOvertakesItsSubmissionIsNoSignOfDataLoss() {
     ControllerNode leader = cluster.awaitLeader(3);
-    ControllerNode alone = cluster.otherNode(leader);
-    alone.peersUnreachable = true;
+    ControllerNode isolated = cluster.otherNode(leader);
+    isolated.peersUnreachable = true;
     cluster.advance(4);
     for (int i = 0; i < 5; i++) {
-      cluster.pollAsync(alone.index, "j-" + i);
-      cluster.submitAsync(alone.index, job("j-" + i, "array", 1));
+      cluster.pollAsync(isolated.index, "j-" + i);
+      cluster.submitAsync(isolated.index, job("j-" + i, "array", 1));
       scenario.answers.accepted.add("j-" + i);
       cluster.advance(1);
-      ObjectNode overview = Json.parseObject(cluster.await(alone.controller.overview()).body());
+      ObjectNode overview = Json.parseObject(cluster.await(isolated.controller.overview()).body());
       assertThat(overview.get("losses").asInt()).isZero();
     }
     scenario.verifyRecovery();
@@ -244,16 +244,16 @@
    */
   @ParameterizedTest
   @CsvSource({"RESPONSE_LOST", "DELAYED", "LOST"})
-  void aRepeatMeetsTheFirstSubmissionUnderWay(Delivery fate) {
+  void submissionIsRepeatedWhileTheFirstIsUnderWay(Delivery commitDelivery) {
     ControllerNode leader = cluster.awaitLeader(3);
     ControllerNode first = cluster.otherNode(leader);
     String json = job("j-1", "array", 2);
     cluster.faults.commitDeliveryFilter = "job/";
-    cluster.faults.commitDelivery = fate;
+    cluster.faults.commitDelivery = commitDelivery;
     cluster.submitAsync(first.index, json);
     cluster.advance(0.1);
     cluster.submitAsync(first.index, json);
-    scenario.pollAllNodes("j-1", LOOKS_S, 0.01);
+    scenario.pollAllNodes("j-1", POLLING_S, 0.01);
     cluster.advance(0.1);
     cluster.faults.commitDelivery = Delivery.DELIVERED;
     cluster.time.after(0.02, first::kill);
@@ -264,7 +264,7 @@
     cluster.advance(3);
     first.start();
     cluster.advance(3);
-    scenario.pollAllNodes("j-1", LOOKS_S, 0.01);
+    scenario.pollAllNodes("j-1", POLLING_S, 0.01);
     scenario.answers.submit(first.index, "j-1", "array", 2);
     assertThat(cluster.runningTasks("j-1")).hasSize(2);
     scenario.verifyRecovery();
