--- a/src/test/java/io/embernotch/controller/HeartbeatForwardingTest.java
+++ b/src/test/java/io/embernotch/controller/HeartbeatForwardingTest.java
@@ -21,198 +21,199 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
 /** Workers whose heartbeats a controller passes on, or keeps until there is a leader. */
-class HeartbeatForwardingTest {
-  private final SimulatedCluster cluster = new SimulatedCluster(3, 10);
+class HeartbeatForwardingTest extends ClusterTest {
+  HeartbeatForwardingTest() {
+    super(new SimulatedCluster(3, 10));
+  }
 
   /** Machines that heartbeat to the given controller, with room for eight tasks each. */
-  private void machines(int count, ControllerNode at) {
+  private void bootMachines(int count, ControllerNode sentAt) {
     for (int i = 0; i < count; i++) {
       cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
     cluster.advance(cluster.cloud.bootS + 0.5);
-    cluster.workers.values().forEach(w -> w.controllerIndex = at.index);
+    cluster.workers.values().forEach(worker -> worker.controllerIndex = sentAt.index);
     cluster.advance(2);
-    cluster.workers.values().forEach(w -> w.controllerChanges = 0);
+    cluster.workers.values().forEach(worker -> worker.controllerChanges = 0);
   }
 
   /** The same, each full of replicas, so that none is returned for being idle. */
-  private void busy(int count, ControllerNode at) {
-    machines(count, at);
+  private void bootBusyMachines(int count, ControllerNode sentAt) {
+    bootMachines(count, sentAt);
     for (int i = 0; i < count; i++) {
       cluster.submit(0, job("j-10" + i, "standing", 8));
     }
     cluster.advance(4);
-    assertThat(cluster.workers.values().stream().mapToInt(w -> w.runningTasks().size()).sum())
+    assertThat(
+            cluster.workers.values().stream()
+                .mapToInt(worker -> worker.runningTasks().size())
+                .sum())
         .isEqualTo(8 * count);
     assertThat(cluster.workers).hasSize(count);
   }
 
-  private HttpResponse heartbeat(ControllerNode n, FakeWorker w) {
-    return cluster.await(n.controller.handleHeartbeat(WorkerCodec.read(w.heartbeat())));
-  }
-
-  private long moves() {
-    return cluster.workers.values().stream().mapToInt(w -> w.controllerChanges).sum();
+  private HttpResponse heartbeat(ControllerNode node, FakeWorker worker) {
+    return cluster.await(node.controller.handleHeartbeat(WorkerCodec.read(worker.heartbeat())));
   }
 
-  @AfterEach
-  void nothingEverRanTwice() {
-    assertThat(cluster.violations()).isEmpty();
+  private long controllerChanges() {
+    return cluster.workers.values().stream().mapToInt(worker -> worker.controllerChanges).sum();
   }
 
   @Test
-  void workersStayWhereTheyAreWhenTheLeaderChangesAndItsSuccessorKnowsThemAtOnce() {
-    ControllerNode old = cluster.awaitLeader(2);
-    machines(6, cluster.otherNode(old));
+  void workersStayWithTheirControllerAcrossFailover() {
+    ControllerNode leader = cluster.awaitLeader(2);
+    bootMachines(6, cluster.otherNode(leader));
     cluster.submit(0, job("j-1", "standing", 8));
     cluster.advance(4);
     assertThat(cluster.runningTasks("j-1")).hasSize(8);
     var before = cluster.runningTasks("j-1");
-    old.kill();
+    leader.kill();
     // Its key lasts three seconds more; then reports need not be waited for.
     cluster.advance(4);
-    ControllerNode now = cluster.leader();
-    assertThat(now).isNotNull().isNotSameAs(old);
-    cluster.submit(now.index, job("j-2", "standing", 8));
+    ControllerNode successor = cluster.leader();
+    assertThat(successor).isNotNull().isNotSameAs(leader);
+    cluster.submit(successor.index, job("j-2", "standing", 8));
     cluster.advance(1.5);
     assertThat(cluster.runningTasks("j-2")).hasSize(8);
     assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
     cluster.advance(40);
-    assertThat(moves()).isZero();
+    assertThat(controllerChanges()).isZero();
     assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
   }
 
   @Test
-  void withoutALeaderWorkersAreToldToStayAndNothingIsRenewed() {
-    ControllerNode old = cluster.awaitLeader(2);
-    ControllerNode follower = cluster.otherNode(old);
-    machines(1, follower);
-    FakeWorker w = cluster.workers.firstEntry().getValue();
-    cluster.nodes.forEach(n -> n.storeUnavailable = n != old);
-    old.kill();
+  void withoutALeaderWorkersStayAndNoLeaseIsRenewed() {
+    ControllerNode leader = cluster.awaitLeader(2);
+    ControllerNode follower = cluster.otherNode(leader);
+    bootMachines(1, follower);
+    FakeWorker worker = cluster.workers.firstEntry().getValue();
+    cluster.nodes.forEach(node -> node.storeUnavailable = node != leader);
+    leader.kill();
     cluster.advance(4);
-    HttpResponse a = heartbeat(follower, w);
-    assertThat(a.status()).isEqualTo(200);
-    assertThat(Json.parseObject(a.body()).has("baton")).isFalse();
-    assertThat(moves()).isZero();
+    HttpResponse response = heartbeat(follower, worker);
+    assertThat(response.status()).isEqualTo(200);
+    assertThat(Json.parseObject(response.body()).has("baton")).isFalse();
+    assertThat(controllerChanges()).isZero();
   }
 
   @Test
-  void aNodeThatTheStoreRefusesSendsItsWorkersAwayOnceAnotherIsServed() {
-    ControllerNode old = cluster.awaitLeader(2);
-    ControllerNode refused = cluster.otherNode(old);
-    busy(2, refused);
+  void nodeWithoutStoreRedirectsItsWorkers() {
+    ControllerNode leader = cluster.awaitLeader(2);
+    ControllerNode refused = cluster.otherNode(leader);
+    bootBusyMachines(2, refused);
     refused.storeUnavailable = true;
     refused.peersUnreachable = true;
     cluster.advance(12);
     // It can neither pass anything on nor learn who is leader.
-    assertThat(cluster.workers.values()).allMatch(w -> w.controllerIndex != refused.index);
+    assertThat(cluster.workers.values())
+        .allMatch(worker -> worker.controllerIndex != refused.index);
     assertThat(cluster.cloud.deleted).isEmpty();
   }
 
   @Test
-  void aLeaderOfTheFormerVersionIsNotPassedHeartbeats() {
-    ControllerNode old = cluster.awaitLeader(2);
+  void heartbeatsAreNotForwardedToALeaderOfTheFormerVersion() {
+    ControllerNode leader = cluster.awaitLeader(2);
     cluster.nodes.forEach(ControllerNode::kill);
     cluster.advance(5);
     String key =
         "{\"when\":[],\"apply\":[{\"write\":\"steward\",\"v\":{\"node\":\"c9\",\"permit\":1}}]}";
     cluster.store.handle("POST", "/commit", key.getBytes(StandardCharsets.UTF_8));
-    ControllerNode follower = cluster.otherNode(old);
+    ControllerNode follower = cluster.otherNode(leader);
     follower.start();
     cluster.advance(1);
     cluster.boot("g8", "z1", true);
     cluster.advance(cluster.cloud.bootS + 0.3);
-    HttpResponse a = heartbeat(follower, cluster.workers.firstEntry().getValue());
-    assertThat(a.status()).isEqualTo(421);
-    assertThat(Json.parseObject(a.body()).get("steward").asText()).isEqualTo("c9");
+    HttpResponse response = heartbeat(follower, cluster.workers.firstEntry().getValue());
+    assertThat(response.status()).isEqualTo(421);
+    assertThat(Json.parseObject(response.body()).get("steward").asText()).isEqualTo("c9");
   }
 
   @Test
-  void aLeaderThatNoWorkerReachesHearsThemThroughOthers() {
-    ControllerNode old = cluster.awaitLeader(2);
-    busy(4, old);
-    old.workersUnreachable = true;
+  void leaderUnreachableForWorkersGetsForwardedHeartbeats() {
+    ControllerNode leader = cluster.awaitLeader(2);
+    bootBusyMachines(4, leader);
+    leader.workersUnreachable = true;
     cluster.advance(6);
     cluster.submit(0, job("j-3", "standing", 8));
     cluster.advance(35);
     // Direct commands fail, so the starts go out with the answers to heartbeats.
-    assertThat(cluster.leader()).isSameAs(old);
+    assertThat(cluster.leader()).isSameAs(leader);
     assertThat(cluster.runningTasks("j-3")).hasSize(8);
     assertThat(cluster.cloud.deleted).isEmpty();
   }
 
   @Test
-  void aLeaderThatHearsMostMachinesNoMoreGivesWay() {
-    ControllerNode old = cluster.awaitLeader(2);
-    busy(10, cluster.otherNode(old));
-    cluster.nodes.forEach(n -> n.workersUnreachable = true);
+  void leaderWithoutHeartbeatsOfMostMachinesResigns() {
+    ControllerNode leader = cluster.awaitLeader(2);
+    bootBusyMachines(10, cluster.otherNode(leader));
+    cluster.nodes.forEach(node -> node.workersUnreachable = true);
     cluster.advance(18);
-    assertThat(cluster.leader()).isNotSameAs(old);
+    assertThat(cluster.leader()).isNotSameAs(leader);
     // What holds replicas is waited for; what is returned held nothing.
     assertThat(cluster.runningTasks("j-100")).hasSize(8);
   }
 
   @Test
-  void moreThanHalfOfTheMachinesMayFallSilentAndTheLeaderGoesOn() {
+  void leaderStaysWhenMoreThanHalfOfTheMachinesArePartitioned() {
     // A zone can hold more than half: each leader in turn then took itself for the one partitioned.
-    ControllerNode old = cluster.awaitLeader(2);
-    busy(10, old);
-    cluster.workers.values().stream().limit(6).forEach(w -> w.partitioned = true);
+    ControllerNode leader = cluster.awaitLeader(2);
+    bootBusyMachines(10, leader);
+    cluster.workers.values().stream().limit(6).forEach(worker -> worker.partitioned = true);
     cluster.advance(29);
-    assertThat(cluster.leader()).isSameAs(old);
+    assertThat(cluster.leader()).isSameAs(leader);
     assertThat(cluster.cloud.deleted).hasSize(6);
   }
 
   @Test
-  void beforeTheStoreIsReadNobodyIsKeptWaiting() {
-    ControllerNode old = cluster.awaitLeader(2);
-    busy(1, old);
-    FakeWorker w = cluster.workers.firstEntry().getValue();
-    ControllerNode next = cluster.otherNode(old);
+  void requestsAreAnsweredBeforeTheStoreIsRead() {
+    ControllerNode leader = cluster.awaitLeader(2);
+    bootBusyMachines(1, leader);
+    FakeWorker worker = cluster.workers.firstEntry().getValue();
+    ControllerNode next = cluster.otherNode(leader);
     cluster.store.listsUnanswered = true;
-    old.kill();
+    leader.kill();
     cluster.advance(5);
-    ControllerNode now =
+    ControllerNode successor =
         cluster.nodes.stream()
-            .filter(n -> n.controller != null && !n.down && n != next)
+            .filter(node -> node.controller != null && !node.down && node != next)
             .findFirst()
             .orElseThrow();
-    for (ControllerNode n : new ControllerNode[] {next, now}) {
-      HttpResponse a = heartbeat(n, w);
-      assertThat(a.status()).isEqualTo(200);
-      assertThat(Json.parseObject(a.body()).has("baton")).isFalse();
-      assertThat(cluster.poll(n.index, "j-77").status()).isIn(404, 503);
+    for (ControllerNode node : new ControllerNode[] {next, successor}) {
+      HttpResponse response = heartbeat(node, worker);
+      assertThat(response.status()).isEqualTo(200);
+      assertThat(Json.parseObject(response.body()).has("baton")).isFalse();
+      assertThat(cluster.poll(node.index, "j-77").status()).isIn(404, 503);
     }
     cluster.store.listsUnanswered = false;
     cluster.advance(8);
     assertThat(cluster.leader()).isNotNull();
     // The pages that were read are not asked for again, and what was reported meanwhile is known.
-    assertThat(Json.parseObject(heartbeat(now, w).body()).has("baton")).isTrue();
+    assertThat(Json.parseObject(heartbeat(successor, worker).body()).has("baton")).isTrue();
   }
 
   @Test
-  void aFloodOfHeartbeatsLeavesTurnsToEverythingElse() {
+  void floodOfHeartbeatsDoesNotStarveOtherTasks() {
     FakeTime time = new FakeTime();
     List<String> order = new ArrayList<>();
-    HeartbeatQueue queue = new HeartbeatQueue(time, time, m -> order.add("report"), m -> {});
+    HeartbeatQueue queue =
+        new HeartbeatQueue(time, time, message -> order.add("report"), message -> {});
     time.after(0.0015, () -> order.add("commit"));
     for (int i = 0; i < 100; i++) {
-      queue.add(reported(i, 1));
+      queue.add(heartbeatReceived(i, 1));
     }
     time.advance(0.1);
     assertThat(order).hasSize(101);
     assertThat(order.indexOf("commit")).isBetween(1, 20);
     // In a quiet moment one is taken as it comes.
-    queue.add(reported(0, 2));
+    queue.add(heartbeatReceived(0, 2));
     assertThat(order).hasSize(102);
   }
 
-  private static LeaderMessage.HeartbeatReceived reported(int machine, long seq) {
+  private static LeaderMessage.HeartbeatReceived heartbeatReceived(int machine, long seq) {
     return new LeaderMessage.HeartbeatReceived(
         new Heartbeat(
             "n-" + machine, "10.0.1.1:9000", "g8", "z1", false, 1, seq, 0, null, List.of()),
@@ -225,38 +226,38 @@
    * gone on.
    */
   @Test
-  void whereMoreHeartbeatsComeThanCanBeTakenOnlyThoseThatAreWaitedForAreTaken() {
+  void overloadedQueueTakesOnlyHeartbeatsThatAreAwaited() {
     FakeTime time = new FakeTime();
-    double[] at = new double[1000];
+    double[] sentAt = new double[1000];
     List<Double> ages = new ArrayList<>();
     HeartbeatQueue queue =
         new HeartbeatQueue(
             time,
             (after, task) -> time.after(after + 0.1, task),
-            m -> {
-              int machine = Integer.parseInt(m.heartbeat().machine().substring(2));
-              ages.add(time.now() - at[machine]);
+            message -> {
+              int machine = Integer.parseInt(message.heartbeat().machine().substring(2));
+              ages.add(time.now() - sentAt[machine]);
             },
-            m -> {});
+            message -> {});
     // A thousand workers, each again after four seconds and a second more; some 80 reports a second
     // can be taken.
     for (int round = 1; round <= 8; round++) {
       for (int i = 0; i < 1000; i++) {
-        at[i] = time.now();
-        queue.add(reported(i, round));
-        queue.add(reported(i, round));
+        sentAt[i] = time.now();
+        queue.add(heartbeatReceived(i, round));
+        queue.add(heartbeatReceived(i, round));
         time.advance(0.005);
       }
     }
     time.advance(10);
     assertThat(ages).hasSizeGreaterThan(2500);
-    assertThat(ages).allMatch(a -> a <= 4);
+    assertThat(ages).allMatch(response -> response <= 4);
     assertThat(ages.stream().sorted().toList().get(ages.size() / 2)).isLessThan(1);
   }
 
   /** It made a machine look alive to the next leader. */
   @Test
-  void aCopyOfWhatWasReportedLongAgoIsNotHandedOn() {
+  void staleCopyOfAHeartbeatIsNotForwarded() {
     FakeTime time = new FakeTime();
     ControllerContext context =
         new ControllerContext(
@@ -273,26 +274,26 @@
             null);
     HeartbeatForwarder heartbeatForwarder = new HeartbeatForwarder(context, null);
     heartbeatForwarder.leaderChanged("c1", 1, false);
-    heartbeatForwarder.handleHeartbeat(reported(1, 7).heartbeat());
+    heartbeatForwarder.handleHeartbeat(heartbeatReceived(1, 7).heartbeat());
     time.advance(40);
-    heartbeatForwarder.handleHeartbeat(reported(1, 6).heartbeat());
+    heartbeatForwarder.handleHeartbeat(heartbeatReceived(1, 6).heartbeat());
     assertThat(heartbeatForwarder.recentHeartbeats()).isEmpty();
-    heartbeatForwarder.handleHeartbeat(reported(1, 8).heartbeat());
+    heartbeatForwarder.handleHeartbeat(heartbeatReceived(1, 8).heartbeat());
     assertThat(heartbeatForwarder.recentHeartbeats()).hasSize(1);
   }
 
   @Test
-  void aHeartbeatThatWasOvertakenStopsAndForgetsNothing() {
-    ControllerNode n = cluster.awaitLeader(2);
-    machines(1, n);
-    FakeWorker w = cluster.workers.firstEntry().getValue();
+  void overtakenHeartbeatCausesNoStopAndNoReap() {
+    ControllerNode node = cluster.awaitLeader(2);
+    bootMachines(1, node);
+    FakeWorker worker = cluster.workers.firstEntry().getValue();
     cluster.submit(0, job("j-4", "array", 2));
     cluster.advance(3);
-    assertThat(w.runningTasks()).hasSize(2);
-    Heartbeat old = WorkerCodec.read(w.heartbeat());
+    assertThat(worker.runningTasks()).hasSize(2);
+    Heartbeat leader = WorkerCodec.read(worker.heartbeat());
     cluster.completeTasks("j-4");
     cluster.advance(3);
-    String answer = new String(cluster.await(n.controller.handleHeartbeat(old)).body());
+    String answer = new String(cluster.await(node.controller.handleHeartbeat(leader)).body());
     assertThat(answer).contains("\"orders\":[]");
   }
 }
--- a/src/test/java/io/embernotch/controller/JobDependenciesTest.java
+++ b/src/test/java/io/embernotch/controller/JobDependenciesTest.java
@@ -10,7 +10,6 @@
 import io.embernotch.testkit.ControllerNode;
 import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.SimulatedCluster;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -18,27 +17,24 @@
 /**
  * Jobs that wait for others: nothing starts too early, and no job is left behind a cancelled one.
  */
-class JobDependenciesTest {
-  private final SimulatedCluster cluster = new SimulatedCluster(3);
+class JobDependenciesTest extends ClusterTest {
+  JobDependenciesTest() {
+    super(new SimulatedCluster(3));
+  }
 
   private void accept(int node, String json) {
     assertThat(cluster.submit(node, json).status()).isEqualTo(201);
   }
 
-  private void finish(String ref) {
+  private void complete(String ref) {
     assertThat(cluster.runningTasks(ref)).isNotEmpty();
     cluster.completeTasks(ref);
     cluster.advance(3);
     assertThat(cluster.phase(0, ref)).isEqualTo("done");
   }
 
-  @AfterEach
-  void noRuleWasBroken() {
-    assertThat(cluster.violations()).isEmpty();
-  }
-
   @Test
-  void aDiamondRunsStageByStageWhicheverNodeTookItsJobs() {
+  void diamondRunsStageByStageWhicheverNodeAcceptedItsJobs() {
     cluster.awaitLeader(4);
     accept(0, job("j-1", "array", 2));
     accept(1, dependentJob("j-2", 2, "j-1"));
@@ -52,22 +48,22 @@
     HttpResponse waiting = cluster.poll(1, "j-4");
     assertThat(Json.parseObject(waiting.body()).get("phase").asText()).isEqualTo("queued");
     assertThat(Json.parseObject(waiting.body()).get("awaited").asInt()).isEqualTo(3);
-    finish("j-1");
+    complete("j-1");
     cluster.advance(5);
-    finish("j-2");
+    complete("j-2");
     cluster.advance(5);
     assertThat(cluster.phase(0, "j-4")).isEqualTo("queued");
-    finish("j-3");
+    complete("j-3");
     cluster.advance(5);
-    finish("j-4");
+    complete("j-4");
     // The last was submitted when the others were long over.
     accept(2, dependentJob("j-5", 1, "j-4", "j-1"));
     cluster.advance(5);
-    finish("j-5");
+    complete("j-5");
   }
 
   @Test
-  void waitingJobsHoldNeitherMachinesNorQuotaNorGuarantee() {
+  void waitingJobsReserveNeitherMachinesNorQuota() {
     cluster.awaitLeader(4);
     accept(0, job("j-1", "array", 1));
     cluster.advance(15);
@@ -88,7 +84,7 @@
   }
 
   @Test
-  void anUncommittedEndLetsNothingStart() {
+  void uncommittedEndStartsNoDependentJob() {
     cluster.awaitLeader(4);
     accept(0, job("j-1", "array", 1));
     accept(0, dependentJob("j-2", 1, "j-1"));
@@ -100,17 +96,17 @@
     assertThat(cluster.phase(0, "j-2")).isEqualTo("queued");
     cluster.faults.commitDelivery = Delivery.DELIVERED;
     cluster.advance(10);
-    finish("j-2");
+    complete("j-2");
   }
 
   @Test
-  void aTakeoverKeepsWaitingJobsWaitingAndLetsThemGoOn() {
-    ControllerNode old = cluster.awaitLeader(4);
+  void failoverKeepsDependenciesOfWaitingJobs() {
+    ControllerNode leader = cluster.awaitLeader(4);
     accept(0, job("j-1", "array", 1));
     accept(0, dependentJob("j-2", 1, "j-1"));
     accept(0, dependentJob("j-3", 1, "j-2"));
     cluster.advance(15);
-    old.kill();
+    leader.kill();
     cluster.advance(20);
     assertThat(cluster.runningTasks("j-1")).hasSize(1);
     assertThat(cluster.runningTasks("j-2")).isEmpty();
@@ -121,7 +117,7 @@
     }
     ControllerNode second = cluster.leader();
     if (second != null) {
-      old.start();
+      leader.start();
       second.kill();
     }
     cluster.advance(30);
@@ -132,7 +128,7 @@
   }
 
   @Test
-  void aCancellationReachesAllThatNeedTheJobWhenItIsTold() {
+  void confirmedCancellationCoversAllDependentJobs() {
     cluster.awaitLeader(4);
     accept(0, job("j-1", "array", 1));
     accept(0, dependentJob("j-2", 1, "j-1"));
@@ -141,9 +137,9 @@
     accept(0, dependentJob("j-4", 1, "j-3", "j-9"));
     cluster.advance(15);
     assertThat(cluster.cancel(1, "j-1").status()).isEqualTo(200);
-    for (int n = 0; n < 3; n++) {
+    for (int node = 0; node < 3; node++) {
       for (String ref : new String[] {"j-2", "j-3", "j-4"}) {
-        assertThat(cluster.phase(n, ref)).isEqualTo("cancelled");
+        assertThat(cluster.phase(node, ref)).isEqualTo("cancelled");
       }
     }
     // One that is submitted afterwards is accepted all the same, and cancelled.
@@ -155,29 +151,29 @@
   }
 
   @Test
-  void afterADoneJobACancellationStopsNothing() {
+  void cancellationOfADoneJobStopsNothing() {
     cluster.awaitLeader(4);
     accept(0, job("j-1", "array", 1));
     accept(0, dependentJob("j-2", 1, "j-1"));
     cluster.advance(15);
-    finish("j-1");
+    complete("j-1");
     assertThat(new String(cluster.cancel(0, "j-1").body())).contains("done");
     cluster.advance(5);
     assertThat(cluster.runningTasks("j-2")).hasSize(1);
   }
 
   @Test
-  void aCascadeIsTakenUpByTheNextLeaderWhereverTheFirstOneStopped() {
-    ControllerNode old = cluster.awaitLeader(4);
+  void nextLeaderContinuesACascadeOfCancellations() {
+    ControllerNode leader = cluster.awaitLeader(4);
     accept(0, job("j-0", "array", 1));
     for (int i = 1; i < 40; i++) {
       accept(0, dependentJob("j-" + i, 1, "j-" + (i - 1)));
     }
     cluster.advance(10);
-    assertThat(cluster.cancel(old.index, "j-0").status()).isEqualTo(200);
+    assertThat(cluster.cancel(leader.index, "j-0").status()).isEqualTo(200);
     // Only the first end is sure to be in the store; the leader goes.
-    old.kill();
-    ControllerNode left = cluster.otherNode(old);
+    leader.kill();
+    ControllerNode left = cluster.otherNode(leader);
     // Without a leader the store tells, as far as it is asked; it never says queued.
     for (String ref : new String[] {"j-1", "j-5", "j-39"}) {
       assertThat(cluster.phase(left.index, ref)).isIn("cancelled", "status 503");
@@ -196,18 +192,18 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.01, 0.05, 0.2, 1})
-  void noStepOfACascadeIsLostWithItsLeader(double afterS) {
-    ControllerNode old = cluster.awaitLeader(4);
+  void noStepOfACascadeIsLostInAFailover(double afterS) {
+    ControllerNode leader = cluster.awaitLeader(4);
     accept(0, job("j-0", "array", 1));
     for (int i = 1; i <= 60; i++) {
       accept(i % 3, dependentJob("j-" + i, 1, "j-" + i / 2, "j-" + i / 3));
     }
     cluster.advance(10);
-    assertThat(cluster.cancel(old.index, "j-0").status()).isEqualTo(200);
+    assertThat(cluster.cancel(leader.index, "j-0").status()).isEqualTo(200);
     cluster.time.advance(afterS);
-    old.kill();
+    leader.kill();
     // One that names them comes while nobody leads.
-    ControllerNode left = cluster.otherNode(old);
+    ControllerNode left = cluster.otherNode(leader);
     assertThat(cluster.submit(left.index, dependentJob("j-99", 1, "j-60")).status()).isIn(200, 201);
     cluster.advance(30);
     for (int i = 1; i <= 60; i++) {
@@ -217,47 +213,47 @@
   }
 
   @Test
-  void someHundredCancelledJobsAreWrittenInTimeUnderLoweredLimits() {
-    SimulatedCluster low = SimulatedCluster.withDecreasingStoreLimits();
-    low.advance(4);
-    low.submit(0, job("j-0", "array", 1));
+  void hundredsOfCancelledJobsAreWrittenInTimeUnderLoweredLimits() {
+    SimulatedCluster cluster = SimulatedCluster.withDecreasingStoreLimits();
+    cluster.advance(4);
+    cluster.submit(0, job("j-0", "array", 1));
     for (int i = 1; i <= 300; i++) {
       int before = i % 3 == 0 ? i - 1 : 0;
-      HttpResponse a = low.submit(i % 3, dependentJob("j-" + i, 1, "j-" + before));
-      assertThat(a.status()).isIn(201, 503);
-      if (a.status() == 503) {
-        low.advance(1);
+      HttpResponse response = cluster.submit(i % 3, dependentJob("j-" + i, 1, "j-" + before));
+      assertThat(response.status()).isIn(201, 503);
+      if (response.status() == 503) {
+        cluster.advance(1);
         i--;
       }
     }
-    low.store.lowerLimits(1024, 4, 30);
-    low.advance(2);
-    assertThat(low.cancel(0, "j-0").status()).isEqualTo(200);
-    assertThat(low.phase(1, "j-300")).isEqualTo("cancelled");
-    low.advance(0.6 * low.nodes.get(0).settings.workers().cancelS());
+    cluster.store.lowerLimits(1024, 4, 30);
+    cluster.advance(2);
+    assertThat(cluster.cancel(0, "j-0").status()).isEqualTo(200);
+    assertThat(cluster.phase(1, "j-300")).isEqualTo("cancelled");
+    cluster.advance(0.6 * cluster.nodes.get(0).settings.workers().cancelS());
     for (int i = 0; i <= 300; i++) {
-      assertThat(low.store.finalPhase("j-" + i)).isEqualTo("cancelled");
+      assertThat(cluster.store.finalPhase("j-" + i)).isEqualTo("cancelled");
     }
-    assertThat(low.violations()).isEmpty();
+    assertThat(cluster.violations()).isEmpty();
   }
 
   @Test
-  void whatANameIsOnlyTheStoreTells() {
+  void dependenciesAreValidatedAgainstTheStore() {
     ControllerNode leader = cluster.awaitLeader(4);
-    ControllerNode n = cluster.otherNode(leader);
-    accept(n.index, job("j-1", "standing", 1));
-    accept(n.index, job("j-2", "array", 1));
-    HttpResponse never = cluster.submit(n.index, dependentJob("j-3", 1, "j-2", "j-77"));
+    ControllerNode node = cluster.otherNode(leader);
+    accept(node.index, job("j-1", "standing", 1));
+    accept(node.index, job("j-2", "array", 1));
+    HttpResponse never = cluster.submit(node.index, dependentJob("j-3", 1, "j-2", "j-77"));
     assertThat(never.status()).isEqualTo(422);
     assertThat(new String(never.body())).contains("j-77");
-    assertThat(cluster.submit(n.index, dependentJob("j-3", 1, "j-3")).status()).isEqualTo(422);
-    assertThat(cluster.submit(n.index, dependentJob("j-3", 1, "j-1")).status()).isEqualTo(422);
+    assertThat(cluster.submit(node.index, dependentJob("j-3", 1, "j-3")).status()).isEqualTo(422);
+    assertThat(cluster.submit(node.index, dependentJob("j-3", 1, "j-1")).status()).isEqualTo(422);
     assertThat(
             cluster
-                .submit(n.index, job("j-3", "array", 1).replace("}", ",\"awaits\":\"j-2\"}"))
+                .submit(node.index, job("j-3", "array", 1).replace("}", ",\"awaits\":\"j-2\"}"))
                 .status())
         .isEqualTo(400);
-    accept(n.index, job("j-4", "array", 1).replace("}", ",\"awaits\":[]}"));
+    accept(node.index, job("j-4", "array", 1).replace("}", ",\"awaits\":[]}"));
     // A store that does not answer proves nothing.
     cluster.store.outage = true;
     HttpResponse later = cluster.submit(leader.index, dependentJob("j-5", 1, "j-66"));
@@ -270,34 +266,34 @@
   }
 
   @Test
-  void aLeaderThatHasNotHeardOfANamedJobWaitsForIt() {
+  void leaderWaitsForADependencyItDoesNotKnowYet() {
     ControllerNode leader = cluster.awaitLeader(4);
     accept(leader.index, job("j-9", "array", 1));
     // Both were written by a node whose messages do not arrive, and the watch has not told either.
-    ControllerNode n = cluster.otherNode(leader);
-    n.peersUnreachable = true;
-    accept(n.index, job("j-1", "array", 1));
-    accept(n.index, dependentJob("j-2", 1, "j-1"));
-    n.peersUnreachable = false;
+    ControllerNode node = cluster.otherNode(leader);
+    node.peersUnreachable = true;
+    accept(node.index, job("j-1", "array", 1));
+    accept(node.index, dependentJob("j-2", 1, "j-1"));
+    node.peersUnreachable = false;
     cluster.advance(15);
     assertThat(cluster.runningTasks("j-2")).isEmpty();
-    finish("j-1");
+    complete("j-1");
     cluster.advance(5);
-    finish("j-2");
+    complete("j-2");
   }
 
   @Test
-  void aRepeatedSubmissionGetsItsStateWhateverWouldBeSaidOfItNow() {
+  void repeatedSubmissionGetsItsStateWhateverItHoldsNow() {
     ControllerNode leader = cluster.awaitLeader(4);
     accept(0, job("j-1", "array", 1));
     cluster.advance(15);
-    for (ControllerNode n : cluster.nodes) {
+    for (ControllerNode node : cluster.nodes) {
       // Limits, teams and checks may have changed since it was accepted.
       String other = ofTeam(job("j-1", "array", 1), "gone");
-      assertThat(cluster.submit(n.index, other).status()).isEqualTo(200);
-      assertThat(cluster.submit(n.index, "{\"ref\":\"j-1\"}").status()).isEqualTo(200);
+      assertThat(cluster.submit(node.index, other).status()).isEqualTo(200);
+      assertThat(cluster.submit(node.index, "{\"ref\":\"j-1\"}").status()).isEqualTo(200);
       String names = "j-" + "9".repeat(60);
-      assertThat(cluster.submit(n.index, dependentJob("j-1", 1, names)).status()).isEqualTo(200);
+      assertThat(cluster.submit(node.index, dependentJob("j-1", 1, names)).status()).isEqualTo(200);
     }
     assertThat(cluster.submit(leader.index, "{\"ref\":\"j-8\"}").status()).isEqualTo(400);
   }
--- /dev/null
+++ b/src/test/java/io/embernotch/controller/JobStateTest.java
@@ -0,0 +1,152 @@
+package io.embernotch.controller;
+
+import static io.embernotch.testkit.TestJobs.job;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import io.embernotch.testkit.ControllerNode;
+import io.embernotch.testkit.Delivery;
+import io.embernotch.testkit.FakeWorker;
+import io.embernotch.testkit.SimulatedCluster;
+import org.junit.jupiter.api.Test;
+
+/** Jobs keep the state that users were told, whatever becomes of commands and commits. */
+class JobStateTest extends ClusterTest {
+  JobStateTest() {
+    super(new SimulatedCluster(3));
+  }
+
+  @Test
+  void completedJobIsDoneOnEveryNode() {
+    cluster.awaitLeader(2);
+    runJob(job("j-1", "array", 3), "j-1", 3);
+    assertThat(cluster.phase(1, "j-1")).isEqualTo("running");
+    cluster.completeTasks("j-1");
+    cluster.advance(3);
+    for (int node = 0; node < 3; node++) {
+      assertThat(cluster.phase(node, "j-1")).isEqualTo("done");
+      assertThat(cluster.submit(node, job("j-1", "array", 3)).status()).isEqualTo(200);
+    }
+    // Only after the end is kept is the worker allowed to forget.
+    assertThat(cluster.store.value("run/j-1").get("end").asText()).isEqualTo("done");
+    cluster.advance(3);
+    assertThat(
+            cluster.workers.values().stream()
+                .mapToInt(worker -> worker.reapedAttempts.size())
+                .sum())
+        .isEqualTo(3);
+  }
+
+  @Test
+  void delayedCommandOfADeposedLeaderStartsNothing() {
+    ControllerNode former = cluster.awaitLeader(2);
+    String name = cluster.boot("g8", "z1", true);
+    cluster.advance(8);
+    FakeWorker worker = cluster.workers.get(name);
+    cluster.faults.commandDelivery = Delivery.DELAYED;
+    cluster.submit(0, job("j-6", "array", 1));
+    cluster.advance(0.5);
+    assertThat(cluster.delayedCount()).isPositive();
+    former.kill();
+    cluster.faults.commandDelivery = Delivery.DELIVERED;
+    cluster.advance(20);
+    assertThat(cluster.runningTasks("j-6")).hasSize(1);
+    int starts = worker.startedAttempts.size();
+    cluster.deliverDelayed();
+    cluster.advance(1);
+    assertThat(worker.startedAttempts).hasSize(starts);
+  }
+
+  @Test
+  void unansweredCommandIsReplacedOnlyUnderANewerToken() {
+    cluster.awaitLeader(2);
+    cluster.boot("g8", "z1", true);
+    cluster.advance(8);
+    cluster.faults.commandDelivery = Delivery.DELAYED;
+    cluster.submit(0, job("j-7", "array", 1));
+    cluster.advance(10);
+    cluster.faults.commandDelivery = Delivery.DELIVERED;
+    cluster.advance(5);
+    assertThat(cluster.runningTasks("j-7")).hasSize(1);
+    cluster.completeTasks("j-7");
+    cluster.advance(6);
+    // The late start must not bring the finished task back, though the worker has forgotten it.
+    cluster.deliverDelayed();
+    cluster.advance(1);
+    assertThat(cluster.runningTasks("j-7")).isEmpty();
+    assertThat(cluster.phase(0, "j-7")).isEqualTo("done");
+  }
+
+  @Test
+  void delayedTransactionDoesNotUndoANewerOne() {
+    cluster.awaitLeader(2);
+    cluster.boot("g8", "z1", true);
+    cluster.advance(8);
+    cluster.faults.commitDelivery = Delivery.DELAYED;
+    cluster.submit(0, job("j-8", "array", 1));
+    cluster.advance(1);
+    assertThat(cluster.runningTasks("j-8")).isEmpty();
+    cluster.faults.commitDelivery = Delivery.DELIVERED;
+    cluster.advance(5);
+    assertThat(cluster.runningTasks("j-8")).hasSize(1);
+    cluster.completeTasks("j-8");
+    cluster.advance(4);
+    cluster.deliverDelayed();
+    assertThat(cluster.store.value("run/j-8").get("end").asText()).isEqualTo("done");
+    assertThat(cluster.phase(1, "j-8")).isEqualTo("done");
+  }
+
+  @Test
+  void cancellationThatRacesAStartLeavesNothingRunning() {
+    cluster.awaitLeader(2);
+    cluster.boot("g8", "z1", true);
+    cluster.advance(8);
+    cluster.faults.commandDelivery = Delivery.DELAYED;
+    cluster.submit(0, job("j-9", "standing", 2));
+    cluster.advance(0.3);
+    // The start may still arrive: the cancellation can't be told yet.
+    assertThat(cluster.cancel(1, "j-9").status()).isEqualTo(503);
+    cluster.faults.commandDelivery = Delivery.DELIVERED;
+    cluster.advance(2);
+    assertThat(cluster.cancel(1, "j-9").status()).isEqualTo(200);
+    cluster.advance(10);
+    cluster.deliverDelayed();
+    cluster.advance(5);
+    assertThat(cluster.runningTasks("j-9")).isEmpty();
+    assertThat(cluster.phase(2, "j-9")).isEqualTo("cancelled");
+  }
+
+  @Test
+  void cancelledJobStaysCancelledWhileItsTasksEnd() {
+    // A poll once said "running" again when closing the attempts made the job's shard dirty.
+    cluster.awaitLeader(2);
+    runJob(job("j-10", "standing", 4), "j-10", 4);
+    assertThat(cluster.cancel(0, "j-10").status()).isEqualTo(200);
+    for (int i = 0; i < 40; i++) {
+      assertThat(cluster.phase(i % 3, "j-10")).isEqualTo("cancelled");
+      cluster.advance(0.1);
+    }
+    assertThat(cluster.cancel(1, "j-10").status()).isEqualTo(200);
+  }
+
+  @Test
+  void unknownJobsGet404AndAreNotInvented() {
+    cluster.awaitLeader(2);
+    assertThat(cluster.poll(0, "j-999").status()).isEqualTo(404);
+    assertThat(cluster.poll(1, "j-999").status()).isEqualTo(404);
+    assertThat(cluster.cancel(2, "j-999").status()).isEqualTo(404);
+    assertThat(cluster.poll(0, "not-a-job").status()).isEqualTo(404);
+  }
+
+  @Test
+  void leaderWithoutCommitResponseDoesNotDenyAnEnd() {
+    ControllerNode leader = cluster.awaitLeader(8);
+    runJob(job("j-18", "array", 1), "j-18", 1);
+    cluster.faults.commitDelivery = Delivery.DELAYED;
+    cluster.completeTasks("j-18");
+    cluster.advance(3);
+    cluster.deliverDelayed();
+    assertThat(cluster.store.finalPhase("j-18")).isEqualTo("done");
+    // The leader can't tell, so the store is asked; before, it said running.
+    assertThat(cluster.phase(leader.index, "j-18")).isEqualTo("done");
+  }
+}
--- /dev/null
+++ b/src/test/java/io/embernotch/controller/MachineFailureTest.java
@@ -0,0 +1,152 @@
+package io.embernotch.controller;
+
+import static io.embernotch.testkit.TestJobs.job;
+import static io.embernotch.testkit.TestJobs.withPriority;
+import static io.embernotch.testkit.TestJobs.withoutSpot;
+import static org.assertj.core.api.Assertions.assertThat;
+
+import io.embernotch.testkit.ControllerNode;
+import io.embernotch.testkit.FakeWorker;
+import io.embernotch.testkit.SimulatedCluster;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+/** Machines fail, hang or are partitioned: tasks restart elsewhere once they are proven gone. */
+class MachineFailureTest extends ClusterTest {
+  MachineFailureTest() {
+    super(new SimulatedCluster(3));
+  }
+
+  @Test
+  void lostMachineUsesQuotaUntilItsTasksAreProvenGone() {
+    cluster.awaitLeader(2);
+    runJob(job("j-3", "array", 24), "j-3", 24);
+    FakeWorker worker = cluster.runningTasks("j-3").get("j-3/0");
+    int tasksOnIt = worker.runningTasks().size();
+    worker.partitioned = true;
+    cluster.cloud.down = true;
+    cluster.submit(0, job("j-4", "array", 8));
+    cluster.advance(25);
+    // Neither deletion nor lease has proven anything yet.
+    assertThat(cluster.runningTasks("j-4")).isEmpty();
+    assertThat(worker.runningTasks()).hasSize(tasksOnIt);
+    cluster.cloud.down = false;
+    cluster.advance(30);
+    assertThat(cluster.cloud.deleted).contains(worker.name);
+    assertThat(cluster.runningTasks("j-3")).hasSize(24);
+  }
+
+  @Test
+  void leaseExpiryProvesTheEndWithoutTheCloud() {
+    cluster.awaitLeader(2);
+    runJob(job("j-5", "array", 1), "j-5", 1);
+    FakeWorker worker = cluster.runningTasks("j-5").get("j-5/0");
+    cluster.boot("g8", "z1", true);
+    cluster.advance(6);
+    worker.partitioned = true;
+    cluster.cloud.down = true;
+    cluster.advance(26);
+    assertThat(cluster.runningTasks("j-5").get("j-5/0")).isSameAs(worker);
+    cluster.advance(10);
+    assertThat(cluster.runningTasks("j-5").get("j-5/0")).isNotNull().isNotSameAs(worker);
+  }
+
+  @Test
+  void machineListThatLacksAMachineEndsNoTask() {
+    cluster.awaitLeader(2);
+    Map<String, FakeWorker> machines = runJob(job("j-18", "standing", 2), "j-18", 2);
+    machines.values().forEach(worker -> cluster.cloud.unlisted.add(worker.name));
+    cluster.advance(30);
+    assertThat(cluster.runningTasks("j-18")).isEqualTo(machines);
+  }
+
+  @Test
+  void machineThatFailsAllTasksIsAvoidedAndScaledIn() {
+    cluster.awaitLeader(2);
+    String failing = cluster.boot("g8", "z1", true);
+    cluster.advance(6);
+    cluster.workers.get(failing).failsTasks = true;
+    cluster.submit(0, job("j-22", "array", 4));
+    cluster.advance(25);
+    assertThat(cluster.runningTasks("j-22")).hasSize(4);
+    // The failures of one job are evidence enough once the job has succeeded elsewhere.
+    assertThat(cluster.cloud.deleted).doesNotContain(failing);
+    cluster.completeTasks("j-22");
+    cluster.advance(6);
+    assertThat(cluster.cloud.deleted).contains(failing);
+  }
+
+  @Test
+  void spotReclaimNoticeEmptiesAMachine() {
+    cluster.awaitLeader(2);
+    Map<String, FakeWorker> machines = runJob(job("j-23", "array", 2), "j-23", 2);
+    FakeWorker reclaimed = machines.get("j-23/0");
+    reclaimed.reclaimNoticeS = 12.0;
+    cluster.advance(12);
+    assertThat(cluster.runningTasks("j-23")).hasSize(2);
+    assertThat(cluster.runningTasks("j-23").values()).noneMatch(on -> on == reclaimed);
+  }
+
+  @Test
+  void hungMachineIsReplacedSoonerThanAPartitionedOne() {
+    // Behind a partition a service runs on; on a machine that takes connections and never answers
+    // it does not.
+    cluster.awaitLeader(2);
+    runJob(job("j-28", "standing", 8), "j-28", 8);
+    FakeWorker hung = cluster.runningTasks("j-28").get("j-28/0");
+    hung.hung = true;
+    cluster.advance(14);
+    assertThat(cluster.cloud.deleted).containsExactly(hung.name);
+    cluster.advance(8);
+    assertThat(cluster.runningTasks("j-28")).hasSize(8);
+    FakeWorker worker = cluster.runningTasks("j-28").get("j-28/0");
+    worker.partitioned = true;
+    cluster.advance(20);
+    assertThat(cluster.cloud.deleted).doesNotContain(worker.name);
+  }
+
+  @Test
+  void machinePartitionedDuringFailoverIsReplacedSoon() {
+    // Without a heartbeat to the new leader it must not be taken for a machine that still boots.
+    ControllerNode leader = cluster.awaitLeader(2);
+    runJob(job("j-25", "standing", 8), "j-25", 8);
+    runJob(job("j-26", "standing", 8), "j-26", 8);
+    runJob(job("j-27", "standing", 8), "j-27", 8);
+    FakeWorker worker = cluster.runningTasks("j-25").get("j-25/0");
+    worker.partitioned = true;
+    leader.kill();
+    cluster.advance(24);
+    assertThat(cluster.cloud.deleted).containsExactly(worker.name);
+    assertThat(cluster.runningTasks("j-25").get("j-25/0")).isNotNull();
+  }
+
+  @Test
+  void serviceSurvivesAPartitionShorterThanItsLease() {
+    // Such machines must not be scaled in after a few missing heartbeats, nor their services be
+    // started anew elsewhere.
+    cluster.awaitLeader(2);
+    String service = withoutSpot(withPriority(job("j-70", "standing", 1), "production"));
+    FakeWorker worker = runJob(service, "j-70", 1).get("j-70/0");
+    cluster.boot("g8", "z1", false);
+    cluster.advance(6);
+    worker.partitioned = true;
+    cluster.advance(20);
+    assertThat(cluster.cloud.deleted).doesNotContain(worker.name);
+    worker.partitioned = false;
+    cluster.advance(5);
+    assertThat(cluster.runningTasks("j-70").get("j-70/0")).isSameAs(worker);
+    assertThat(worker.startedAttempts).hasSize(1);
+  }
+
+  @Test
+  void unresponsiveMachineWithArraysIsDeletedOnceAProbeFails() {
+    cluster.awaitLeader(2);
+    FakeWorker worker = runJob(job("j-71", "array", 1), "j-71", 1).get("j-71/0");
+    cluster.boot("g8", "z1", true);
+    cluster.advance(6);
+    worker.partitioned = true;
+    cluster.advance(10);
+    assertThat(cluster.cloud.deleted).contains(worker.name);
+    assertThat(cluster.runningTasks("j-71").get("j-71/0")).isNotNull().isNotSameAs(worker);
+  }
+}
--- a/src/test/java/io/embernotch/controller/ProcessIncarnationsRandomizedTest.java
+++ b/src/test/java/io/embernotch/controller/ProcessIncarnationsRandomizedTest.java
@@ -37,8 +37,8 @@
                 "j-" + next++,
                 random.nextInt(3) == 0 ? "standing" : "array",
                 1 + random.nextInt(4));
-        case 3 -> some(answers, random).forEach(cluster::completeTasks);
-        case 4 -> some(answers, random).forEach(ref -> answers.cancel(node, ref));
+        case 3 -> drawJob(answers, random).forEach(cluster::completeTasks);
+        case 4 -> drawJob(answers, random).forEach(ref -> answers.cancel(node, ref));
         case 5 -> cluster.faults.commitDelivery = Delivery.values()[random.nextInt(3)];
         case 6 -> cluster.faults.commandDelivery = Delivery.values()[random.nextInt(3)];
         case 7 -> cluster.faults.delayFrames = !cluster.faults.delayFrames;
@@ -52,14 +52,14 @@
             all.get(random.nextInt(all.size())).restart(random.nextBoolean());
           }
         }
-        case 10 -> alone(cluster, random);
+        case 10 -> isolateOneOrNone(cluster, random);
         case 11 -> {
-          for (FakeWorker w : cluster.workers.values()) {
-            w.inboundPartitioned = random.nextInt(4) == 0;
+          for (FakeWorker worker : cluster.workers.values()) {
+            worker.inboundPartitioned = random.nextInt(4) == 0;
           }
         }
-        case 12 -> copies(cluster, random);
-        default -> back(cluster, random);
+        case 12 -> deliverStaleHeartbeats(cluster, random);
+        default -> restartOneOrAll(cluster, random);
       }
       cluster.advance(random.nextDouble(4));
       for (String ref : answers.accepted) {
@@ -70,7 +70,7 @@
     cluster.faults.commandDelivery = Delivery.DELIVERED;
     cluster.faults.delayFrames = false;
     cluster.nodes.forEach(n -> n.storeUnavailable = n.peersUnreachable = false);
-    cluster.workers.values().forEach(w -> w.inboundPartitioned = false);
+    cluster.workers.values().forEach(worker -> worker.inboundPartitioned = false);
     cluster.deliverDelayed();
     cluster.redeliverAll();
     cluster.advance(80);
@@ -80,32 +80,33 @@
     return answers.violations;
   }
 
-  private static List<String> some(RecordedAnswers answers, SplittableRandom random) {
+  private static List<String> drawJob(RecordedAnswers answers, SplittableRandom random) {
     return answers.accepted.isEmpty()
         ? List.of()
         : List.of(answers.accepted.get(random.nextInt(answers.accepted.size())));
   }
 
   /** One loses the store and the others, but not its workers; or has them again. */
-  private static void alone(SimulatedCluster cluster, SplittableRandom random) {
+  private static void isolateOneOrNone(SimulatedCluster cluster, SplittableRandom random) {
     int which = random.nextInt(6);
     cluster.nodes.forEach(n -> n.storeUnavailable = n.peersUnreachable = n.index == which);
   }
 
   /** Copies of any age of what some machine has said reach any controller. */
-  private static void copies(SimulatedCluster cluster, SplittableRandom random) {
+  private static void deliverStaleHeartbeats(SimulatedCluster cluster, SplittableRandom random) {
     List<String> names = List.copyOf(cluster.workers.keySet());
     if (!names.isEmpty()) {
-      List<byte[]> said = cluster.heartbeatsOf(names.get(random.nextInt(names.size())));
-      for (int i = 0; i < 5 && !said.isEmpty(); i++) {
+      List<byte[]> heartbeats = cluster.heartbeatsOf(names.get(random.nextInt(names.size())));
+      for (int i = 0; i < 5 && !heartbeats.isEmpty(); i++) {
         cluster.deliverHeartbeat(
-            cluster.nodes.get(random.nextInt(3)), said.get(random.nextInt(said.size())));
+            cluster.nodes.get(random.nextInt(3)),
+            heartbeats.get(random.nextInt(heartbeats.size())));
       }
     }
   }
 
   /** One, or all of them, end and are back after up to half a second. */
-  private static void back(SimulatedCluster cluster, SplittableRandom random) {
+  private static void restartOneOrAll(SimulatedCluster cluster, SplittableRandom random) {
     int which = random.nextInt(5);
     List<ControllerNode> nodes = which < 3 ? List.of(cluster.nodes.get(which)) : cluster.nodes;
     nodes.forEach(ControllerNode::kill);
@@ -114,7 +115,7 @@
   }
 
   @Test
-  void nothingToldIsTakenBackAndNothingRunsTwice() {
+  void restartsAndStaleMessagesViolateNoInvariant() {
     Map<Long, List<String>> wrong = new TreeMap<>();
     for (long seed = FROM; seed < FROM + SEEDS; seed++) {
       List<String> found = play(seed);
--- a/src/test/java/io/embernotch/controller/ProcessIncarnationsTest.java
+++ b/src/test/java/io/embernotch/controller/ProcessIncarnationsTest.java
@@ -8,45 +8,41 @@
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
 import java.util.Map;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
 /**
  * Processes and machines that are back within a fraction of a second, and what was said before and
  * arrives after.
  */
-class ProcessIncarnationsTest {
-  private static final double SOON_S = 0.2;
+class ProcessIncarnationsTest extends ClusterTest {
+  private static final double RESTART_S = 0.2;
 
-  private final SimulatedCluster cluster = new SimulatedCluster(3, 10);
+  ProcessIncarnationsTest() {
+    super(new SimulatedCluster(3, 10));
+  }
 
   /** A service with eight replicas, and where they run. */
-  private Map<String, FakeWorker> service() {
-    ControllerNode n = cluster.awaitLeader(2);
-    assertThat(cluster.submit(n.index, job("j-1", "standing", 8)).status()).isEqualTo(201);
+  private Map<String, FakeWorker> startService() {
+    ControllerNode node = cluster.awaitLeader(2);
+    assertThat(cluster.submit(node.index, job("j-1", "standing", 8)).status()).isEqualTo(201);
     cluster.advance(15);
     assertThat(cluster.runningTasks("j-1")).hasSize(8);
     return cluster.runningTasks("j-1");
   }
 
-  private void back(ControllerNode n) {
-    n.kill();
-    cluster.advance(SOON_S);
-    n.start();
-  }
-
-  @AfterEach
-  void nothingEverRanTwice() {
-    assertThat(cluster.violations()).isEmpty();
+  private void restart(ControllerNode node) {
+    node.kill();
+    cluster.advance(RESTART_S);
+    node.start();
   }
 
   @Test
-  void aLeaderThatIsBackTwiceWithinItsLeaseCostsNothingThatRuns() {
-    Map<String, FakeWorker> before = service();
+  void leaderThatRestartsTwiceWithinItsLeaseStopsNoTask() {
+    Map<String, FakeWorker> before = startService();
     ControllerNode leader = cluster.leader();
-    back(leader);
+    restart(leader);
     cluster.advance(0.5);
-    back(leader);
+    restart(leader);
     // Its own key of a former incarnation is no right to act, nor one to wait for.
     cluster.awaitLeader(2);
     cluster.advance(60);
@@ -54,14 +50,14 @@
   }
 
   @Test
-  void allThreeAtOnceInMidElectionCostNothingThatRuns() {
-    Map<String, FakeWorker> before = service();
+  void restartOfAllControllersDuringElectionStopsNoTask() {
+    Map<String, FakeWorker> before = startService();
     cluster.leader().kill();
     // The key is about to go, and the others to claim it.
     for (int i = 0; i < 12; i++) {
       cluster.advance(0.3);
       cluster.nodes.forEach(ControllerNode::kill);
-      cluster.advance(SOON_S / 4);
+      cluster.advance(RESTART_S / 4);
       cluster.nodes.forEach(ControllerNode::start);
     }
     cluster.awaitLeader(6);
@@ -70,14 +66,14 @@
   }
 
   @Test
-  void framesOfFormerLivesThatArriveSecondsAndMinutesLateChangeNothing() {
-    Map<String, FakeWorker> before = service();
+  void delayedFramesOfFormerIncarnationsChangeNothing() {
+    Map<String, FakeWorker> before = startService();
     for (double lateS : new double[] {1, 10, 70}) {
       cluster.faults.delayFrames = true;
       cluster.advance(1);
       ControllerNode leader = cluster.leader();
-      back(leader);
-      back(cluster.otherNode(leader));
+      restart(leader);
+      restart(cluster.otherNode(leader));
       cluster.faults.delayFrames = false;
       cluster.advance(lateS);
       cluster.deliverDelayed();
@@ -91,7 +87,7 @@
    * gone.
    */
   @Test
-  void aBeatOfATermThatIsOverIsNotBelieved() {
+  void peerHeartbeatOfAnEndedTermIsIgnored() {
     LeaderObserver leaderObserver = new LeaderObserver();
     assertThat(leaderObserver.observeClaim("c1", 7)).isTrue();
     leaderObserver.update(null, 0);
@@ -104,22 +100,25 @@
 
   /** Once a worker had been let forget an attempt, a repeated start ran it once more. */
   @Test
-  void repeatedCommandsStartNothingThatWasForgotten() {
-    ControllerNode n = cluster.awaitLeader(2);
-    cluster.submit(n.index, job("j-2", "array", 3));
+  void repeatedCommandsDoNotStartReapedAttempts() {
+    ControllerNode node = cluster.awaitLeader(2);
+    cluster.submit(node.index, job("j-2", "array", 3));
     cluster.advance(15);
     cluster.completeTasks("j-2");
     cluster.advance(8);
-    assertThat(cluster.workers.values().stream().mapToInt(w -> w.reapedAttempts.size()).sum())
+    assertThat(
+            cluster.workers.values().stream()
+                .mapToInt(worker -> worker.reapedAttempts.size())
+                .sum())
         .isEqualTo(3);
     cluster.redeliverAll();
     assertThat(cluster.runningTasks("j-2")).isEmpty();
   }
 
   @Test
-  void aMachineThatIsBackWithoutItsTasksGetsThemOnlyOnceNoCopyOfTheirStartsCounts() {
-    FakeWorker w = service().get("j-1/0");
-    w.restart(false);
+  void restartedMachineGetsTasksOnceNoCopyOfTheirStartsIsValid() {
+    FakeWorker worker = startService().get("j-1/0");
+    worker.restart(false);
     cluster.advance(1.1);
     cluster.redeliverAll();
     cluster.advance(8);
@@ -133,16 +132,16 @@
    * down for good.
    */
   @Test
-  void aMachineThatCountsAnewIsBelievedOnceItAnswers() {
-    Map<String, FakeWorker> before = service();
-    FakeWorker w = before.get("j-1/0");
+  void machineThatLostItsStateIsAcceptedOnceItAnswers() {
+    Map<String, FakeWorker> before = startService();
+    FakeWorker worker = before.get("j-1/0");
     cluster.advance(30);
-    w.restart(true);
+    worker.restart(true);
     cluster.advance(12);
     assertThat(cluster.runningTasks("j-1")).hasSize(8);
     cluster.redeliverAll();
     cluster.advance(12);
     assertThat(cluster.runningTasks("j-1")).hasSize(8);
-    assertThat(cluster.cloud.deleted).doesNotContain(w.name);
+    assertThat(cluster.cloud.deleted).doesNotContain(worker.name);
   }
 }
--- a/src/test/java/io/embernotch/controller/RollingUpgradeTest.java
+++ b/src/test/java/io/embernotch/controller/RollingUpgradeTest.java
@@ -12,41 +12,42 @@
 import io.embernotch.testkit.SimulatedCluster;
 import java.util.Base64;
 import java.util.List;
-import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
 /**
  * Data of the version before job chains, and a store that lowers its limits. That version made
  * shards as large as the limits of its time, 85 tasks in 8 KiB.
  */
-class RollingUpgradeTest {
-  private static final int OLD_PIECE = 85;
-  private final SimulatedCluster cluster = SimulatedCluster.withDecreasingStoreLimits();
+class RollingUpgradeTest extends ClusterTest {
+  private static final int FORMER_SHARD_TASKS = 85;
+
+  RollingUpgradeTest() {
+    super(SimulatedCluster.withDecreasingStoreLimits());
+  }
 
   /** A job as the former version left it: its description, and its progress where it has any. */
-  private void left(String ref, int tasks, String run) {
+  private void putFormerJob(String ref, int tasks, String run) {
     cluster.store.put(
         "job/" + ref,
-        "{\"at\":900000,\"piece\":" + OLD_PIECE + ",\"job\":" + job(ref, "array", tasks) + "}");
+        "{\"at\":900000,\"piece\":"
+            + FORMER_SHARD_TASKS
+            + ",\"job\":"
+            + job(ref, "array", tasks)
+            + "}");
     if (run != null) {
       cluster.store.put("run/" + ref, run);
     }
   }
 
-  private void lower() {
+  private void lowerLimits() {
     cluster.store.lowerLimits(1024, 4, 30);
   }
 
-  @AfterEach
-  void noRuleWasBroken() {
-    assertThat(cluster.violations()).isEmpty();
-  }
-
   /** One such value kept every new leader reading the store over and over, and all jobs waiting. */
   @Test
-  void aValueThatCannotBeReadKeepsNoOtherJobWaitingAndItsOwnStaysKnown() {
-    left("j-1", 3, null);
-    left("j-2", 3, "{\"next\":\"x\",\"open\":7}");
+  void unreadableValueDelaysNoOtherJobAndItsJobStaysKnown() {
+    putFormerJob("j-1", 3, null);
+    putFormerJob("j-2", 3, "{\"next\":\"x\",\"open\":7}");
     cluster.store.put(
         "job/j-3", "{\"at\":900000,\"piece\":85,\"job\":{\"ref\":\"j-3\",\"shards\":\"many\"}}");
     cluster.awaitLeader(4);
@@ -60,18 +61,18 @@
     assertThat(cluster.runningTasks("j-2")).hasSize(3);
     // The watch for new jobs goes on behind it.
     cluster.store.put("job/j-4", "{\"at\":900000,\"piece\":85,\"job\":[]}");
-    left("j-5", 2, null);
+    putFormerJob("j-5", 2, null);
     cluster.advance(20);
     assertThat(cluster.runningTasks("j-5")).hasSize(2);
   }
 
   @Test
-  void whatTheFormerVersionWroteIsReadAsItMeantIt() {
+  void valuesOfTheFormerVersionAreRead() {
     // 40 tasks, of which 0, 1 and 9 are done; and two that have ended, one before ends had a time.
     String marks = Base64.getEncoder().encodeToString(new byte[] {3, 2});
-    left("j-1", 40, "{\"next\":7,\"done\":\"" + marks + "\",\"open\":[]}");
-    left("j-2", 3, "{\"next\":2,\"end\":\"done\"}");
-    left("j-3", 3, "{\"next\":2,\"end\":\"cancelled\"}");
+    putFormerJob("j-1", 40, "{\"next\":7,\"done\":\"" + marks + "\",\"open\":[]}");
+    putFormerJob("j-2", 3, "{\"next\":2,\"end\":\"done\"}");
+    putFormerJob("j-3", 3, "{\"next\":2,\"end\":\"cancelled\"}");
     cluster.awaitLeader(4);
     cluster.advance(12);
     assertThat(cluster.runningTasks("j-1"))
@@ -88,12 +89,12 @@
   }
 
   @Test
-  void aLeaderOfTheFormerVersionMayGoInTheMiddleOfStarts() {
+  void leaderOfTheFormerVersionEndsInTheMiddleOfStarts() {
     String name = cluster.boot("g8", "z1", true);
     cluster.advance(6);
     // Two starts are written, of which no command left or none arrived; one is on a machine that is
     // gone.
-    left(
+    putFormerJob(
         "j-1",
         3,
         "{\"next\":6,\"open\":[[0,5,\""
@@ -101,8 +102,8 @@
             + "\",\"z1\"],[1,5,\""
             + name
             + "\",\"z1\"],[2,5,\"n-999999\",\"z1\"]]}");
-    ControllerNode old = cluster.leader();
-    old.kill();
+    ControllerNode leader = cluster.leader();
+    leader.kill();
     cluster.advance(12);
     assertThat(cluster.runningTasks("j-1")).containsOnlyKeys("j-1/0", "j-1/1");
     // What was on the machine that is gone starts elsewhere only when its lease must be over.
@@ -114,8 +115,8 @@
    * The demands of the former version's reader, which dies of a key or a value that it cannot read.
    */
   @Test
-  void whatIsWrittenWhileTheLimitsAreAsBeforeTheFormerVersionReads() {
-    left("j-1", 40, null);
+  void formerVersionReadsWhatIsWrittenUnderItsLimits() {
+    putFormerJob("j-1", 40, null);
     cluster.awaitLeader(4);
     assertThat(cluster.submit(0, job("j-2", "array", 8)).status()).isEqualTo(201);
     cluster.advance(12);
@@ -123,10 +124,10 @@
     cluster.advance(6);
     assertThat(cluster.store.keys("part/")).isEmpty();
     for (String key : cluster.store.keys("job/")) {
-      ObjectNode o = cluster.store.value(key);
-      assertThat(o.get("at").isIntegralNumber()).isTrue();
-      assertThat(o.get("piece").isIntegralNumber()).isTrue();
-      assertThat(o.get("job").fieldNames())
+      ObjectNode value = cluster.store.value(key);
+      assertThat(value.get("at").isIntegralNumber()).isTrue();
+      assertThat(value.get("piece").isIntegralNumber()).isTrue();
+      assertThat(value.get("job").fieldNames())
           .toIterable()
           .contains(
               "ref",
@@ -150,13 +151,13 @@
     }
     assertThat(cluster.store.keys("run/")).containsExactly("run/j-1", "run/j-2");
     for (String key : cluster.store.keys("run/")) {
-      ObjectNode o = cluster.store.value(key);
-      assertThat(o.get("next").isIntegralNumber()).isTrue();
-      assertThat(o.path("end").asText("done")).isIn("done", "cancelled");
-      for (JsonNode a : o.path("open")) {
-        assertThat(a.get(0).isInt()).isTrue();
-        assertThat(a.get(1).isIntegralNumber()).isTrue();
-        assertThat(a.get(2).isTextual() && a.get(3).isTextual()).isTrue();
+      ObjectNode value = cluster.store.value(key);
+      assertThat(value.get("next").isIntegralNumber()).isTrue();
+      assertThat(value.path("end").asText("done")).isIn("done", "cancelled");
+      for (JsonNode attempt : value.path("open")) {
+        assertThat(attempt.get(0).isInt()).isTrue();
+        assertThat(attempt.get(1).isIntegralNumber()).isTrue();
+        assertThat(attempt.get(2).isTextual() && attempt.get(3).isTextual()).isTrue();
       }
     }
     // A large shard of the former version is written on as one while it fits.
@@ -165,19 +166,19 @@
   }
 
   @Test
-  void aDescriptionAcceptedUnderLargerLimitsIsKnownForGood() {
+  void jobAcceptedUnderLargerLimitsStaysKnown() {
     String large =
         job("j-1", "array", 1)
             .replace("\"img\"", "\"" + "i".repeat(450) + "\"")
             .replace("\"c\"", "\"" + "c".repeat(450) + "\"");
     cluster.store.put(
-        "job/j-1", "{\"at\":900000,\"piece\":" + OLD_PIECE + ",\"job\":" + large + "}");
+        "job/j-1", "{\"at\":900000,\"piece\":" + FORMER_SHARD_TASKS + ",\"job\":" + large + "}");
     cluster.awaitLeader(4);
-    lower();
-    for (int n = 0; n < 3; n++) {
-      assertThat(cluster.submit(n, large).status()).isEqualTo(200);
+    lowerLimits();
+    for (int node = 0; node < 3; node++) {
+      assertThat(cluster.submit(node, large).status()).isEqualTo(200);
       // A new one of that size would not fit the lower limits: its user is told at once.
-      assertThat(cluster.submit(n, large.replace("j-1", "j-2")).status()).isEqualTo(400);
+      assertThat(cluster.submit(node, large.replace("j-1", "j-2")).status()).isEqualTo(400);
     }
     cluster.advance(12);
     assertThat(cluster.runningTasks("j-1")).hasSize(1);
@@ -188,7 +189,7 @@
     cluster.awaitLeader(4);
     assertThat(cluster.submit(0, job("j-1", "array", 40)).status()).isEqualTo(201);
     cluster.advance(12);
-    lower();
+    lowerLimits();
     cluster.completeTasks("j-1");
     cluster.advance(10);
     assertThat(cluster.phase(0, "j-1")).isEqualTo("done");
@@ -198,12 +199,12 @@
   }
 
   @Test
-  void oldPiecesGoOnInPartsOnceTheyDoNotFit() {
-    left("j-1", 48, null);
+  void formerShardsAreSplitOnceTheyExceedTheLimits() {
+    putFormerJob("j-1", 48, null);
     cluster.awaitLeader(4);
     cluster.advance(12);
     assertThat(cluster.runningTasks("j-1")).hasSize(48);
-    lower();
+    lowerLimits();
     String before = cluster.store.value("run/j-1").toString();
     cluster.runningTasks("j-1").get("j-1/5").exitTask("j-1/5", "done");
     cluster.runningTasks("j-1").get("j-1/20").exitTask("j-1/20", "error");
@@ -225,52 +226,53 @@
   }
 
   @Test
-  void aTakeoverReadsPartsOverPieces() {
-    left("j-1", 48, null);
-    ControllerNode old = cluster.awaitLeader(4);
+  void nextLeaderReadsNewShardsOverFormerOnes() {
+    putFormerJob("j-1", 48, null);
+    ControllerNode leader = cluster.awaitLeader(4);
     cluster.advance(12);
-    lower();
+    lowerLimits();
     cluster.runningTasks("j-1").get("j-1/5").exitTask("j-1/5", "done");
     cluster.runningTasks("j-1").get("j-1/40").exitTask("j-1/40", "done");
     cluster.advance(12);
-    old.kill();
+    leader.kill();
     cluster.advance(20);
     assertThat(cluster.runningTasks("j-1")).hasSize(46).doesNotContainKeys("j-1/5", "j-1/40");
-    assertThat(cluster.cancel((old.index + 1) % 3, "j-1").status()).isEqualTo(200);
+    assertThat(cluster.cancel((leader.index + 1) % 3, "j-1").status()).isEqualTo(200);
     cluster.advance(6);
     assertThat(cluster.runningTasks("j-1")).isEmpty();
     assertThat(cluster.store.finalPhase("j-1")).isEqualTo("cancelled");
     ControllerNode second = cluster.leader();
     // The end stands in a part, which those read too who answer from the store alone.
     assertThat(cluster.store.value("run/j-1").has("end")).isFalse();
-    old.start();
+    leader.start();
     second.kill();
-    for (ControllerNode n : List.of(old, cluster.nodes.get(3 - old.index - second.index))) {
-      assertThat(cluster.phase(n.index, "j-1")).isIn("cancelled", "status 503");
+    for (ControllerNode node :
+        List.of(leader, cluster.nodes.get(3 - leader.index - second.index))) {
+      assertThat(cluster.phase(node.index, "j-1")).isIn("cancelled", "status 503");
     }
     cluster.advance(20);
-    assertThat(cluster.phase(old.index, "j-1")).isEqualTo("cancelled");
+    assertThat(cluster.phase(leader.index, "j-1")).isEqualTo("cancelled");
   }
 
   @Test
-  void limitsThatFallInAnUnknownCommitLoseNothing() {
-    left("j-1", 48, null);
+  void limitsLoweredDuringAnUnknownCommitLoseNothing() {
+    putFormerJob("j-1", 48, null);
     cluster.awaitLeader(4);
     cluster.advance(12);
     cluster.faults.commitDelivery = Delivery.DELAYED;
     cluster.runningTasks("j-1").get("j-1/5").exitTask("j-1/5", "done");
     cluster.runningTasks("j-1").get("j-1/6").exitTask("j-1/6", "error");
     cluster.advance(4);
-    lower();
+    lowerLimits();
     cluster.faults.commitDelivery = Delivery.DELIVERED;
     cluster.advance(8);
     // The large shard may arrive only now: the parts written since stand above it.
     cluster.store.lowerLimits(8 * 1024, 12, 100);
     cluster.deliverDelayed();
-    lower();
+    lowerLimits();
     cluster.advance(4);
-    ControllerNode old = cluster.leader();
-    old.kill();
+    ControllerNode leader = cluster.leader();
+    leader.kill();
     cluster.advance(25);
     assertThat(cluster.runningTasks("j-1")).hasSize(47).doesNotContainKey("j-1/5");
     cluster.completeTasks("j-1");
@@ -279,7 +281,7 @@
   }
 
   @Test
-  void oneValueThatCannotBeWrittenHoldsUpNoOther() {
+  void unwritableValueDelaysNoOther() {
     cluster.awaitLeader(4);
     assertThat(cluster.submit(0, job("j-1", "array", 1)).status()).isEqualTo(201);
     cluster.advance(12);
