--- a/src/test/java/io/embernotch/controller/FaultSequencesTest.java
+++ b/src/test/java/io/embernotch/controller/FaultSequencesTest.java
@@ -11,12 +11,16 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Three hundred machines: what is hard to tell from the outside, alone and all together. */
+/** Three hundred machines with faults that are hard to detect, alone and all together. */
 class FaultSequencesTest {
   private static final int MACHINES = 300;
   private static final int UNREACHABLE = 10;
+  private static final int SERVICES = 12;
   private static final int REPLICAS = 1200;
 
+  /** Over how many seconds the running replicas are averaged. */
+  private static final int WINDOW_S = 30;
+
   private final SimulatedCluster cluster = new SimulatedCluster(3, 1000);
   private final RecordedAnswers answers = new RecordedAnswers(cluster);
   private List<FakeWorker> unreachable = List.of();
@@ -31,21 +35,18 @@
     for (FakeWorker worker : cluster.workers.values()) {
       worker.controllerIndex = next++ % 3;
     }
-    for (int number = 0; number < 12; number++) {
-      assertThat(cluster.submit(number % 3, job("j-" + number, "standing", REPLICAS / 12)).status())
-          .isEqualTo(201);
-      answers.accepted.add("j-" + number);
+    for (int i = 0; i < SERVICES; i++) {
+      String json = job("j-" + i, "standing", REPLICAS / SERVICES);
+      assertThat(cluster.submit(i % 3, json).status()).isEqualTo(201);
+      answers.accepted.add("j-" + i);
     }
     cluster.advance(20);
     assertThat(runningReplicas()).isEqualTo(REPLICAS);
     unreachable =
-        List.copyOf(cluster.runningTasks("j-0").values()).stream()
-            .distinct()
-            .limit(UNREACHABLE)
-            .toList();
+        cluster.runningTasks("j-0").values().stream().distinct().limit(UNREACHABLE).toList();
   }
 
-  /** Replicas on machines that are there. */
+  /** Replicas on machines that are not partitioned. */
   private int runningReplicas() {
     return cluster.workers.values().stream()
         .filter(worker -> !worker.partitioned)
@@ -53,94 +54,80 @@
         .sum();
   }
 
-  /** The least share of the replicas that was up over any 30 s. */
-  private double minRunningShare(double seconds, Runnable each) {
-    List<Integer> ups = new ArrayList<>();
+  /** The least share of the replicas that ran over any 30 s; {@code task} runs each second. */
+  private double minRunningShare(double seconds, Runnable task) {
+    List<Integer> running = new ArrayList<>();
     for (double at = 0; at < seconds; at += 1) {
-      each.run();
+      task.run();
       cluster.advance(1);
-      ups.add(Math.min(REPLICAS, runningReplicas()));
+      running.add(Math.min(REPLICAS, runningReplicas()));
     }
-    double worst = 1;
-    for (int i = 0; i + 30 <= ups.size(); i++) {
-      worst =
-          Math.min(
-              worst,
-              ups.subList(i, i + 30).stream().mapToInt(count -> count).average().orElse(0)
-                  / REPLICAS);
+    double least = 1;
+    for (int from = 0; from + WINDOW_S <= running.size(); from++) {
+      List<Integer> window = running.subList(from, from + WINDOW_S);
+      double mean = window.stream().mapToInt(count -> count).average().orElse(0);
+      least = Math.min(least, mean / REPLICAS);
     }
-    return worst;
-  }
-
-  private double shareWithInboundPartitions() {
-    startServices();
-    unreachable.forEach(worker -> worker.inboundPartitioned = true);
-    return minRunningShare(120, () -> {});
+    return least;
   }
 
   @Test
   void inboundPartitionedMachinesCostServicesNoMoreThanLostOnes() {
-    double deaf = shareWithInboundPartitions();
+    startServices();
+    unreachable.forEach(worker -> worker.inboundPartitioned = true);
+    double shareWithInboundPartitions = minRunningShare(120, () -> {});
     assertThat(cluster.violations()).isEmpty();
-    FaultSequencesTest dead = new FaultSequencesTest();
-    dead.startServices();
-    dead.unreachable.forEach(worker -> worker.partitioned = true);
-    double cut = dead.minRunningShare(120, () -> {});
-    assertThat(deaf).isGreaterThanOrEqualTo(cut - 0.001);
+    FaultSequencesTest other = new FaultSequencesTest();
+    other.startServices();
+    other.unreachable.forEach(worker -> worker.partitioned = true);
+    double shareWithLostMachines = other.minRunningShare(120, () -> {});
+    assertThat(shareWithInboundPartitions).isGreaterThanOrEqualTo(shareWithLostMachines - 0.001);
     assertThat(unreachable.stream().mapToInt(worker -> worker.lostStartCount).sum())
         .isLessThanOrEqualTo(8 * UNREACHABLE);
   }
 
   /**
-   * Deaf machines, copies of all that was reported 40 s ago, the leader alone with its workers, and
-   * all back at once.
+   * Inbound-partitioned machines, copies of all heartbeats of 40 s ago, the leader isolated with
+   * its workers, and restarts of all controllers.
    */
   @Test
   void combinedFaultsCostNoMoreThanInboundPartitions() {
     startServices();
     cluster.advance(45);
     unreachable.forEach(worker -> worker.inboundPartitioned = true);
-    List<FakeWorker> sound =
+    List<FakeWorker> healthy =
         cluster.workers.values().stream().filter(worker -> !worker.inboundPartitioned).toList();
-    List<Long> sessions = sound.stream().map(worker -> worker.epoch).toList();
-    ControllerNode alone = cluster.leader();
-    alone.storeUnavailable = true;
-    alone.peersUnreachable = true;
+    List<Long> epochs = healthy.stream().map(worker -> worker.epoch).toList();
+    ControllerNode isolated = cluster.leader();
+    isolated.storeUnavailable = true;
+    isolated.peersUnreachable = true;
     int[] second = new int[1];
-    double worst =
-        minRunningShare(
-            90,
-            () -> {
-              int s = second[0]++;
-              for (FakeWorker worker : List.copyOf(cluster.workers.values())) {
-                List<byte[]> heartbeats = cluster.heartbeatsOf(worker.name);
-                if (heartbeats.size() > 45) {
-                  cluster.deliverHeartbeat(
-                      cluster.nodes.get((s + worker.name.hashCode() % 3 + 3) % 3),
-                      heartbeats.get(heartbeats.size() - 41));
-                }
-              }
-              if (s == 60) {
-                alone.storeUnavailable = false;
-                alone.peersUnreachable = false;
-              }
-              if (s % 20 == 19) {
-                cluster.nodes.forEach(ControllerNode::kill);
-                cluster.advance(0.2);
-                cluster.nodes.forEach(ControllerNode::start);
-              }
-            });
-    assertThat(worst).isGreaterThan(0.95);
+    assertThat(minRunningShare(90, () -> combinedFaults(second[0]++, isolated)))
+        .isGreaterThan(0.95);
     cluster.advance(60);
-    assertThat(
-            sound.stream()
-                .filter(cluster.workers::containsValue)
-                .map(worker -> worker.epoch)
-                .toList())
-        .isEqualTo(
-            sessions.subList(
-                0, (int) sound.stream().filter(cluster.workers::containsValue).count()));
+    List<FakeWorker> left = healthy.stream().filter(cluster.workers::containsValue).toList();
+    assertThat(left.stream().map(worker -> worker.epoch).toList())
+        .isEqualTo(epochs.subList(0, left.size()));
     answers.verifyFinalState();
     assertThat(answers.violations).isEmpty();
   }
+
+  private void combinedFaults(int second, ControllerNode isolated) {
+    for (FakeWorker worker : List.copyOf(cluster.workers.values())) {
+      List<byte[]> heartbeats = cluster.heartbeatsOf(worker.name);
+      if (heartbeats.size() > 45) {
+        int node = Math.floorMod(second + worker.name.hashCode() % 3, 3);
+        cluster.deliverHeartbeat(cluster.nodes.get(node), heartbeats.get(heartbeats.size() - 41));
+      }
+    }
+    if (second == 60) {
+      isolated.storeUnavailable = false;
+      isolated.peersUnreachable = false;
+    }
+    if (second % 20 == 19) {
+      cluster.nodes.forEach(ControllerNode::kill);
+      cluster.advance(0.2);
+      cluster.nodes.forEach(ControllerNode::start);
+    }
+  }
 }
--- a/src/test/java/io/embernotch/controller/HeartbeatForwardingTest.java
+++ b/src/test/java/io/embernotch/controller/HeartbeatForwardingTest.java
@@ -23,13 +23,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Workers whose heartbeats a controller passes on, or keeps until there is a leader. */
+/** Heartbeats that a controller forwards to the leader, or keeps until there is one. */
 class HeartbeatForwardingTest extends ClusterTest {
   HeartbeatForwardingTest() {
     super(new SimulatedCluster(3, 10));
   }
 
-  /** Machines that heartbeat to the given controller, with room for eight tasks each. */
+  /** Boots machines that send heartbeats to a controller, with room for eight tasks each. */
   private void bootMachines(int count, ControllerNode sentAt) {
     for (int i = 0; i < count; i++) {
       cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
@@ -40,7 +40,7 @@
     cluster.workers.values().forEach(worker -> worker.controllerChanges = 0);
   }
 
-  /** The same, each full of replicas, so that none is returned for being idle. */
+  /** The same, each full of replicas, so that none is scaled in for being idle. */
   private void bootBusyMachines(int count, ControllerNode sentAt) {
     bootMachines(count, sentAt);
     for (int i = 0; i < count; i++) {
@@ -72,7 +72,7 @@
     assertThat(cluster.runningTasks("j-1")).hasSize(8);
     var before = cluster.runningTasks("j-1");
     leader.kill();
-    // Its key lasts three seconds more; then reports need not be waited for.
+    // Its key expires after three seconds; the next leader need not wait for heartbeats then.
     cluster.advance(4);
     ControllerNode successor = cluster.leader();
     assertThat(successor).isNotNull().isNotSameAs(leader);
@@ -108,7 +108,7 @@
     refused.storeUnavailable = true;
     refused.peersUnreachable = true;
     cluster.advance(12);
-    // It can neither pass anything on nor learn who is leader.
+    // It can neither forward anything nor learn who is leader.
     assertThat(cluster.workers.values())
         .allMatch(worker -> worker.controllerIndex != refused.index);
     assertThat(cluster.cloud.deleted).isEmpty();
@@ -140,7 +140,7 @@
     cluster.advance(6);
     cluster.submit(0, job("j-3", "standing", 8));
     cluster.advance(35);
-    // Direct commands fail, so the starts go out with the answers to heartbeats.
+    // Direct commands fail, so the starts go out with the responses to heartbeats.
     assertThat(cluster.leader()).isSameAs(leader);
     assertThat(cluster.runningTasks("j-3")).hasSize(8);
     assertThat(cluster.cloud.deleted).isEmpty();
@@ -153,13 +153,14 @@
     cluster.nodes.forEach(node -> node.workersUnreachable = true);
     cluster.advance(18);
     assertThat(cluster.leader()).isNotSameAs(leader);
-    // What holds replicas is waited for; what is returned held nothing.
+    // Machines with replicas are waited for; those that were scaled in had none.
     assertThat(cluster.runningTasks("j-100")).hasSize(8);
   }
 
   @Test
   void leaderStaysWhenMoreThanHalfOfTheMachinesArePartitioned() {
-    // A zone can hold more than half: each leader in turn then took itself for the one partitioned.
+    // A zone can have more than half of the machines: its loss must not make each leader in turn
+    // take itself for the partitioned one.
     ControllerNode leader = cluster.awaitLeader(2);
     bootBusyMachines(10, leader);
     cluster.workers.values().stream().limit(6).forEach(worker -> worker.partitioned = true);
@@ -191,7 +192,7 @@
     cluster.store.listsUnanswered = false;
     cluster.advance(8);
     assertThat(cluster.leader()).isNotNull();
-    // The pages that were read are not asked for again, and what was reported meanwhile is known.
+    // Pages that were read are not requested again, and heartbeats that came meanwhile count.
     assertThat(Json.parseObject(heartbeat(successor, worker).body()).has("baton")).isTrue();
   }
 
@@ -200,7 +201,7 @@
     FakeTime time = new FakeTime();
     List<String> order = new ArrayList<>();
     HeartbeatQueue queue =
-        new HeartbeatQueue(time, time, message -> order.add("report"), message -> {});
+        new HeartbeatQueue(time, time, message -> order.add("heartbeat"), message -> {});
     time.after(0.0015, () -> order.add("commit"));
     for (int i = 0; i < 100; i++) {
       queue.add(heartbeatReceived(i, 1));
@@ -208,7 +209,7 @@
     time.advance(0.1);
     assertThat(order).hasSize(101);
     assertThat(order.indexOf("commit")).isBetween(1, 20);
-    // In a quiet moment one is taken as it comes.
+    // An idle queue passes a heartbeat on at once.
     queue.add(heartbeatReceived(0, 2));
     assertThat(order).hasSize(102);
   }
@@ -222,8 +223,8 @@
   }
 
   /**
-   * More came than could be taken; in the order they came all were answered after their workers had
-   * gone on.
+   * More heartbeats come than can be processed. In their order of arrival, all would be answered
+   * after their workers had timed out.
    */
   @Test
   void overloadedQueueTakesOnlyHeartbeatsThatAreAwaited() {
@@ -239,8 +240,8 @@
               ages.add(time.now() - sentAt[machine]);
             },
             message -> {});
-    // A thousand workers, each again after four seconds and a second more; some 80 reports a second
-    // can be taken.
+    // A thousand workers, each sending again after a timeout of four seconds and one more; some 80
+    // heartbeats a second can be processed.
     for (int round = 1; round <= 8; round++) {
       for (int i = 0; i < 1000; i++) {
         sentAt[i] = time.now();
@@ -255,7 +256,7 @@
     assertThat(ages.stream().sorted().toList().get(ages.size() / 2)).isLessThan(1);
   }
 
-  /** It made a machine look alive to the next leader. */
+  /** Else a lost machine would look alive to the next leader. */
   @Test
   void staleCopyOfAHeartbeatIsNotForwarded() {
     FakeTime time = new FakeTime();
--- a/src/test/java/io/embernotch/controller/JobDependenciesTest.java
+++ b/src/test/java/io/embernotch/controller/JobDependenciesTest.java
@@ -14,9 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/**
- * Jobs that wait for others: nothing starts too early, and no job is left behind a cancelled one.
- */
+/** Jobs that depend on others: none starts too early, or waits for one that was cancelled. */
 class JobDependenciesTest extends ClusterTest {
   JobDependenciesTest() {
     super(new SimulatedCluster(3));
@@ -56,7 +54,7 @@
     complete("j-3");
     cluster.advance(5);
     complete("j-4");
-    // The last was submitted when the others were long over.
+    // The last is submitted when its dependencies have long ended.
     accept(2, dependentJob("j-5", 1, "j-4", "j-1"));
     cluster.advance(5);
     complete("j-5");
@@ -71,7 +69,7 @@
     accept(0, dependentJob("j-2", 24, "j-1"));
     accept(0, job("j-3", "array", 23).replace("\"loaner\":true", "\"loaner\":true"));
     cluster.advance(20);
-    // All but one of the team's 24 cards are for the job that need not wait.
+    // All but one of the team's 24 GPUs are for the job without dependencies.
     assertThat(cluster.runningTasks("j-3")).hasSize(23);
     assertThat(cluster.runningTasks("j-2")).isEmpty();
     assertThat(
@@ -111,7 +109,7 @@
     assertThat(cluster.runningTasks("j-1")).hasSize(1);
     assertThat(cluster.runningTasks("j-2")).isEmpty();
     cluster.completeTasks("j-1");
-    // The next leader goes right after the end is committed.
+    // The next leader ends right after the job's end is committed.
     for (int i = 0; i < 200 && cluster.store.finalPhase("j-1") == null; i++) {
       cluster.advance(0.05);
     }
@@ -142,7 +140,7 @@
         assertThat(cluster.phase(node, ref)).isEqualTo("cancelled");
       }
     }
-    // One that is submitted afterwards is accepted all the same, and cancelled.
+    // A dependent job that is submitted afterwards is accepted all the same, and cancelled.
     accept(2, dependentJob("j-5", 1, "j-4"));
     cluster.advance(3);
     assertThat(cluster.phase(0, "j-5")).isEqualTo("cancelled");
@@ -171,10 +169,10 @@
     }
     cluster.advance(10);
     assertThat(cluster.cancel(leader.index, "j-0").status()).isEqualTo(200);
-    // Only the first end is sure to be in the store; the leader goes.
+    // Only the first end is sure to be in the store when the leader ends.
     leader.kill();
     ControllerNode left = cluster.otherNode(leader);
-    // Without a leader the store tells, as far as it is asked; it never says queued.
+    // Without a leader the answer comes from the store, as far as it is read; it is never queued.
     for (String ref : new String[] {"j-1", "j-5", "j-39"}) {
       assertThat(cluster.phase(left.index, ref)).isIn("cancelled", "status 503");
     }
@@ -186,10 +184,7 @@
     }
   }
 
-  /**
-   * The end of the first job is in the store in any case; how many of the others are is left to
-   * chance.
-   */
+  /** The end of the first job is in the store in any case; how many of the others are varies. */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.01, 0.05, 0.2, 1})
   void noStepOfACascadeIsLostInAFailover(double afterS) {
@@ -202,7 +197,7 @@
     assertThat(cluster.cancel(leader.index, "j-0").status()).isEqualTo(200);
     cluster.time.advance(afterS);
     leader.kill();
-    // One that names them comes while nobody leads.
+    // A dependent job is submitted while there is no leader.
     ControllerNode left = cluster.otherNode(leader);
     assertThat(cluster.submit(left.index, dependentJob("j-99", 1, "j-60")).status()).isIn(200, 201);
     cluster.advance(30);
@@ -269,7 +264,7 @@
   void leaderWaitsForADependencyItDoesNotKnowYet() {
     ControllerNode leader = cluster.awaitLeader(4);
     accept(leader.index, job("j-9", "array", 1));
-    // Both were written by a node whose messages do not arrive, and the watch has not told either.
+    // Both were written by a node whose frames do not arrive, before the watch has reported either.
     ControllerNode node = cluster.otherNode(leader);
     node.peersUnreachable = true;
     accept(node.index, job("j-1", "array", 1));
--- a/src/test/java/io/embernotch/controller/JobStateTest.java
+++ b/src/test/java/io/embernotch/controller/JobStateTest.java
@@ -26,7 +26,7 @@
       assertThat(cluster.phase(node, "j-1")).isEqualTo("done");
       assertThat(cluster.submit(node, job("j-1", "array", 3)).status()).isEqualTo(200);
     }
-    // Only after the end is kept is the worker allowed to forget.
+    // Only after the end is stored may the worker be told to reap the tasks.
     assertThat(cluster.store.value("run/j-1").get("end").asText()).isEqualTo("done");
     cluster.advance(3);
     assertThat(
@@ -69,7 +69,7 @@
     assertThat(cluster.runningTasks("j-7")).hasSize(1);
     cluster.completeTasks("j-7");
     cluster.advance(6);
-    // The late start must not bring the finished task back, though the worker has forgotten it.
+    // The late start must not bring the finished task back, though the worker has reaped it.
     cluster.deliverDelayed();
     cluster.advance(1);
     assertThat(cluster.runningTasks("j-7")).isEmpty();
@@ -103,7 +103,7 @@
     cluster.faults.commandDelivery = Delivery.DELAYED;
     cluster.submit(0, job("j-9", "standing", 2));
     cluster.advance(0.3);
-    // The start may still arrive: the cancellation can't be told yet.
+    // The start may still arrive: the cancellation can't be confirmed yet.
     assertThat(cluster.cancel(1, "j-9").status()).isEqualTo(503);
     cluster.faults.commandDelivery = Delivery.DELIVERED;
     cluster.advance(2);
@@ -117,7 +117,7 @@
 
   @Test
   void cancelledJobStaysCancelledWhileItsTasksEnd() {
-    // A poll once said "running" again when closing the attempts made the job's shard dirty.
+    // Closing the attempts makes the job's shard dirty, which must not make it running again.
     cluster.awaitLeader(2);
     runJob(job("j-10", "standing", 4), "j-10", 4);
     assertThat(cluster.cancel(0, "j-10").status()).isEqualTo(200);
@@ -146,7 +146,7 @@
     cluster.advance(3);
     cluster.deliverDelayed();
     assertThat(cluster.store.finalPhase("j-18")).isEqualTo("done");
-    // The leader can't tell, so the store is asked; before, it said running.
+    // The leader doesn't know the outcome of its commit, so the store is read.
     assertThat(cluster.phase(leader.index, "j-18")).isEqualTo("done");
   }
 }
--- a/src/test/java/io/embernotch/controller/ProcessIncarnationsTest.java
+++ b/src/test/java/io/embernotch/controller/ProcessIncarnationsTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Processes and machines that are back within a fraction of a second, and what was said before and
- * arrives after.
+ * Processes and machines that restart within a fraction of a second, and messages of their former
+ * incarnations that arrive afterwards.
  */
 class ProcessIncarnationsTest extends ClusterTest {
   private static final double RESTART_S = 0.2;
@@ -21,7 +21,7 @@
     super(new SimulatedCluster(3, 10));
   }
 
-  /** A service with eight replicas, and where they run. */
+  /** Starts a service with eight replicas, and returns the machine of each. */
   private Map<String, FakeWorker> startService() {
     ControllerNode node = cluster.awaitLeader(2);
     assertThat(cluster.submit(node.index, job("j-1", "standing", 8)).status()).isEqualTo(201);
@@ -43,7 +43,7 @@
     restart(leader);
     cluster.advance(0.5);
     restart(leader);
-    // Its own key of a former incarnation is no right to act, nor one to wait for.
+    // The key of its former incarnation neither lets it lead nor makes it wait.
     cluster.awaitLeader(2);
     cluster.advance(60);
     assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
@@ -53,7 +53,7 @@
   void restartOfAllControllersDuringElectionStopsNoTask() {
     Map<String, FakeWorker> before = startService();
     cluster.leader().kill();
-    // The key is about to go, and the others to claim it.
+    // The key is about to expire, and the others to claim it.
     for (int i = 0; i < 12; i++) {
       cluster.advance(0.3);
       cluster.nodes.forEach(ControllerNode::kill);
@@ -83,8 +83,8 @@
   }
 
   /**
-   * A beat that a former leader had sent made it the leader once more, for whoever had seen its key
-   * gone.
+   * A late heartbeat of a former leader must not make it the leader again for a controller that has
+   * seen its key deleted.
    */
   @Test
   void peerHeartbeatOfAnEndedTermIsIgnored() {
@@ -98,7 +98,7 @@
     assertThat(leaderObserver.observeClaim("c1", 8)).isFalse();
   }
 
-  /** Once a worker had been let forget an attempt, a repeated start ran it once more. */
+  /** After the worker has reaped an attempt, a repeated start must not run it again. */
   @Test
   void repeatedCommandsDoNotStartReapedAttempts() {
     ControllerNode node = cluster.awaitLeader(2);
@@ -128,8 +128,8 @@
   }
 
   /**
-   * All that a machine said was taken for late once it counted anew, and what it had held stayed
-   * down for good.
+   * A machine that numbers its heartbeats anew must not be taken for sending stale ones, or its
+   * tasks would stay down for good.
    */
   @Test
   void machineThatLostItsStateIsAcceptedOnceItAnswers() {
--- a/src/test/java/io/embernotch/controller/RollingUpgradeTest.java
+++ b/src/test/java/io/embernotch/controller/RollingUpgradeTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Data of the version before job chains, and a store that lowers its limits. That version made
- * shards as large as the limits of its time, 85 tasks in 8 KiB.
+ * Data of the version before job dependencies, and a store that lowers its limits. That version
+ * made shards as large as the limits of its time, 85 tasks in 8 KiB.
  */
 class RollingUpgradeTest extends ClusterTest {
   private static final int FORMER_SHARD_TASKS = 85;
@@ -43,7 +43,7 @@
     cluster.store.lowerLimits(1024, 4, 30);
   }
 
-  /** One such value kept every new leader reading the store over and over, and all jobs waiting. */
+  /** One such value must not keep each new leader reading the store again, and all jobs waiting. */
   @Test
   void unreadableValueDelaysNoOtherJobAndItsJobStaysKnown() {
     putFormerJob("j-1", 3, null);
@@ -55,11 +55,11 @@
     assertThat(cluster.runningTasks("j-1")).hasSize(3);
     assertThat(cluster.phase(0, "j-3")).isEqualTo("queued");
     assertThat(cluster.phase(1, "j-2")).isEqualTo("queued");
-    // What may run of it is over once no worker can have been renewed for it.
+    // What may run of it has ended once no worker can have its lease renewed for it.
     assertThat(cluster.runningTasks("j-2")).isEmpty();
     cluster.advance(120);
     assertThat(cluster.runningTasks("j-2")).hasSize(3);
-    // The watch for new jobs goes on behind it.
+    // The watch for new jobs continues after it.
     cluster.store.put("job/j-4", "{\"at\":900000,\"piece\":85,\"job\":[]}");
     putFormerJob("j-5", 2, null);
     cluster.advance(20);
@@ -80,7 +80,7 @@
         .doesNotContainKeys("j-1/0", "j-1/1", "j-1/9");
     assertThat(cluster.phase(1, "j-2")).isEqualTo("done");
     assertThat(cluster.phase(2, "j-3")).isEqualTo("cancelled");
-    // They may be named like any other.
+    // Other jobs may depend on them.
     assertThat(cluster.submit(0, dependentJob("j-4", 1, "j-2")).status()).isEqualTo(201);
     assertThat(cluster.submit(0, dependentJob("j-5", 1, "j-3")).status()).isEqualTo(201);
     cluster.advance(6);
@@ -92,8 +92,8 @@
   void leaderOfTheFormerVersionEndsInTheMiddleOfStarts() {
     String name = cluster.boot("g8", "z1", true);
     cluster.advance(6);
-    // Two starts are written, of which no command left or none arrived; one is on a machine that is
-    // gone.
+    // Three starts are written: two whose commands were not sent or did not arrive, and one on a
+    // machine that is gone.
     putFormerJob(
         "j-1",
         3,
@@ -106,14 +106,12 @@
     leader.kill();
     cluster.advance(12);
     assertThat(cluster.runningTasks("j-1")).containsOnlyKeys("j-1/0", "j-1/1");
-    // What was on the machine that is gone starts elsewhere only when its lease must be over.
+    // The task of the machine that is gone starts elsewhere only when its lease must have expired.
     cluster.advance(45);
     assertThat(cluster.runningTasks("j-1")).hasSize(3);
   }
 
-  /**
-   * The demands of the former version's reader, which dies of a key or a value that it cannot read.
-   */
+  /** The former version's reader fails on a key or a value that it cannot read. */
   @Test
   void formerVersionReadsWhatIsWrittenUnderItsLimits() {
     putFormerJob("j-1", 40, null);
@@ -160,7 +158,7 @@
         assertThat(attempt.get(2).isTextual() && attempt.get(3).isTextual()).isTrue();
       }
     }
-    // A large shard of the former version is written on as one while it fits.
+    // A large shard of the former version stays one while it fits.
     assertThat(cluster.store.value("run/j-1").get("open")).hasSize(40);
     assertThat(Json.bytes(cluster.store.value("run/j-1")).length).isGreaterThan(1024);
   }
@@ -177,7 +175,7 @@
     lowerLimits();
     for (int node = 0; node < 3; node++) {
       assertThat(cluster.submit(node, large).status()).isEqualTo(200);
-      // A new one of that size would not fit the lower limits: its user is told at once.
+      // A new job of that size would exceed the lower limits and is refused at once.
       assertThat(cluster.submit(node, large.replace("j-1", "j-2")).status()).isEqualTo(400);
     }
     cluster.advance(12);
@@ -215,7 +213,7 @@
         .hasSize(47)
         .doesNotContainKey("j-1/5")
         .containsKey("j-1/20");
-    // One refusal tells; nothing is tried at the former size again.
+    // One refusal is enough; nothing is tried at the former size again.
     assertThat(cluster.store.malformedCount).isEqualTo(1);
     assertThat(cluster.submit(0, dependentJob("j-2", 2, "j-1")).status()).isEqualTo(201);
     cluster.completeTasks("j-1");
@@ -242,7 +240,7 @@
     assertThat(cluster.runningTasks("j-1")).isEmpty();
     assertThat(cluster.store.finalPhase("j-1")).isEqualTo("cancelled");
     ControllerNode second = cluster.leader();
-    // The end stands in a part, which those read too who answer from the store alone.
+    // The end stands in a new shard, which is also read by controllers that answer from the store.
     assertThat(cluster.store.value("run/j-1").has("end")).isFalse();
     leader.start();
     second.kill();
@@ -266,7 +264,7 @@
     lowerLimits();
     cluster.faults.commitDelivery = Delivery.DELIVERED;
     cluster.advance(8);
-    // The large shard may arrive only now: the parts written since stand above it.
+    // The large shard may arrive only now: the shards written since take precedence.
     cluster.store.lowerLimits(8 * 1024, 12, 100);
     cluster.deliverDelayed();
     lowerLimits();
@@ -285,7 +283,7 @@
     cluster.awaitLeader(4);
     assertThat(cluster.submit(0, job("j-1", "array", 1)).status()).isEqualTo(201);
     cluster.advance(12);
-    // Not even one task fits; the others' ends are still to be written.
+    // Not even one task fits; the ends of other jobs are still written.
     assertThat(cluster.submit(0, job("j-2", "array", 30)).status()).isEqualTo(201);
     cluster.advance(12);
     cluster.store.lowerLimits(60, 4, 30);
--- a/src/test/java/io/embernotch/controller/ScaleTest.java
+++ b/src/test/java/io/embernotch/controller/ScaleTest.java
@@ -8,7 +8,7 @@
 import io.embernotch.testkit.SimulatedCluster;
 import org.junit.jupiter.api.Test;
 
-/** A thousand machines: what a heartbeat costs is bounded by counting, never by time. */
+/** A thousand machines: the cost of a heartbeat is bounded in counts, never in time. */
 class ScaleTest {
   private static final int MACHINES = 1000;
   private static final int PER_JOB = 200;
@@ -49,14 +49,15 @@
     int frames = clusterOverview.frameCount();
     long plans = clusterOverview().get("plans").asLong();
     double passed = 30;
-    // Thirty thousand heartbeats, each of eight tasks that run on.
+    // Thirty thousand heartbeats, each of eight tasks that keep running.
     clusterOverview.advance(passed);
     assertThat(clusterOverview.store.commitCount - commits).isZero();
     assertThat(clusterOverview.commandCount() - directs).isZero();
     // Plans go by time: one in each third of a heartbeat interval at most when nothing changes.
     assertThat(clusterOverview().get("plans").asLong() - plans)
         .isLessThanOrEqualTo((long) passed + 2);
-    // Views are repeated every fourth round; beats come every third of a heartbeat interval.
+    // Views are repeated every fourth round; peer heartbeats come every third of a heartbeat
+    // interval.
     long views = (long) Math.ceil(passed / 20 + 1) * MACHINES;
     assertThat(clusterOverview.frameCount() - frames)
         .isLessThanOrEqualTo((int) views + 6 * (int) (passed + 2) + 100);
@@ -71,7 +72,7 @@
     clusterOverview.completeTasks("j-0");
     clusterOverview.advance(10);
     assertThat(clusterOverview.phase(0, "j-0")).isEqualTo("done");
-    // Two hundred ends: the job's end, its further shards, and nothing for each task.
+    // Two hundred ends: the job's end, its further shards, and no commit for each task.
     assertThat(clusterOverview.store.commitCount - commits).isLessThanOrEqualTo(6);
     assertThat(clusterOverview.commandCount() - directs).isZero();
   }
--- a/src/test/java/io/embernotch/controller/TaskPlacementTest.java
+++ b/src/test/java/io/embernotch/controller/TaskPlacementTest.java
@@ -87,7 +87,7 @@
     cluster.advance(200);
     cluster.completeTasks("j-30");
     cluster.advance(4);
-    // The other machine has proven slow: 200 s for what took the fast one about ten.
+    // The other machine has proven slow: 200 s for tasks that took the fast one about ten.
     runTwelve("j-31");
     completeAll(fastWorker, "j-31");
     cluster.advance(40);
