--- /dev/null
+++ b/src/test/java/io/embernotch/storeddata/StoredDataCompatibilityTest.java
@@ -0,0 +1,209 @@
+package io.embernotch.storeddata;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.embernotch.codec.CalendarCodec;
+import io.embernotch.codec.CloudCodec;
+import io.embernotch.codec.IncarnationCodec;
+import io.embernotch.codec.JobProgressCodec;
+import io.embernotch.codec.Json;
+import io.embernotch.codec.ReservationCodec;
+import io.embernotch.model.Job;
+import io.embernotch.model.StoreIncarnation;
+import io.embernotch.peer.Frame;
+import io.embernotch.peer.FrameCodec;
+import io.embernotch.settings.OperatorSettings;
+import io.embernotch.snapshot.file.SnapshotArchive;
+import io.embernotch.testkit.SimulatedCluster;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/**
+ * Values, frames and a snapshot whose bytes were written by the version before the sources were
+ * renamed. Names in the sources may change at any time; what is stored and sent may not, since
+ * versions serve side by side and stored data outlives them.
+ */
+class StoredDataCompatibilityTest {
+  private static final String RESTORED = "restored-store.json";
+  private static final String REFINED = "refined-store.json";
+  private static final String STORE = "store.json";
+
+  private static byte[] file(String name) throws IOException {
+    try (InputStream in =
+        StoredDataCompatibilityTest.class.getResourceAsStream("/stored-data/" + name)) {
+      return in.readAllBytes();
+    }
+  }
+
+  /** The values of a store by key. */
+  private static Map<String, ObjectNode> store(String name) throws IOException {
+    Map<String, ObjectNode> values = new TreeMap<>();
+    Json.parseObject(file(name))
+        .fields()
+        .forEachRemaining(field -> values.put(field.getKey(), (ObjectNode) field.getValue()));
+    return values;
+  }
+
+  private static void assertSameBytes(ObjectNode written, ObjectNode stored, String key) {
+    assertThat(Json.bytes(written)).as(key).isEqualTo(Json.bytes(stored));
+  }
+
+  @ParameterizedTest
+  @ValueSource(strings = {STORE, REFINED, RESTORED})
+  void incarnationAndMachineTypesAreReadAndWrittenToTheByte(String name) throws IOException {
+    Map<String, ObjectNode> values = store(name);
+    ObjectNode pointer = values.get("era");
+    StoreIncarnation incarnation = IncarnationCodec.read(pointer, 7);
+    ObjectNode expected = pointer.deepCopy();
+    if (pointer.has("since")) {
+      // 0 stands for the key's own modification revision, which is written out from then on.
+      expected.put("since", 7);
+    }
+    assertSameBytes(IncarnationCodec.write(incarnation), expected, "era");
+    assertThat(IncarnationCodec.fence(incarnation)).isEqualTo("era/" + incarnation.name());
+    assertThat(values.get("era/" + incarnation.name())).isEqualTo(pointer);
+    ObjectNode types = values.get("types");
+    assertSameBytes(CloudCodec.writeTypes(CloudCodec.types(types)), types, "types");
+  }
+
+  @Test
+  void jobsAndTheirProgressAreReadAndWrittenToTheByte() throws IOException {
+    Map<String, ObjectNode> values = store(STORE);
+    for (int number = 1; number <= 7; number++) {
+      String ref = "j-" + number;
+      ObjectNode submission = values.get("job/" + ref);
+      Job job = JobProgressCodec.readJob(submission);
+      int shardSize = JobProgressCodec.readShardSize(submission);
+      assertSameBytes(JobProgressCodec.writeJob(job, shardSize), submission, "job/" + ref);
+      ObjectNode progress = values.get(JobProgressCodec.key(ref, 0));
+      // The fifth waits for others, so nothing of its progress was ever written.
+      assertThat(progress == null).isEqualTo(number == 5);
+      if (progress != null) {
+        JobProgressCodec.readRun(progress, job, shardSize, 0);
+        assertSameBytes(JobProgressCodec.writeRun(job, shardSize, 0), progress, "run/" + ref);
+      }
+    }
+  }
+
+  @Test
+  void refinedShardsOverrideTheLargerOnes() throws IOException {
+    Map<String, ObjectNode> values = store(REFINED);
+    Job job = JobProgressCodec.readJob(values.get("job/j-1"));
+    int shardSize = JobProgressCodec.readShardSize(values.get("job/j-1"));
+    JobProgressCodec.readRun(values.get("run/j-1"), job, shardSize, 0);
+    for (int index = 0; index < 4; index++) {
+      ObjectNode refined = values.get(JobProgressCodec.partKey("j-1", 17, index));
+      JobProgressCodec.readPart(refined, job, 17, index);
+    }
+    assertThat(job.done.cardinality()).isEqualTo(48);
+    assertThat(job.openAttempts.keySet())
+        .containsExactly(48, 49, 50, 51, 52, 53, 54, 55, 56, 57, 58, 59);
+  }
+
+  @Test
+  void sharedStateIsReadAndWrittenToTheByte() throws IOException {
+    Map<String, ObjectNode> values = store(STORE);
+    ObjectNode reservations = values.get("shared/reserve");
+    ObjectNode calendar = values.get("shared/calendar");
+    assertWrittenAlike(
+        ReservationCodec.writeTerms(3, ReservationCodec.readTerms(reservations)), reservations);
+    assertWrittenAlike(
+        CalendarCodec.writeReleases(3, CalendarCodec.readReleases(calendar)), calendar);
+    ObjectNode reserved = values.get("shared/held/live/0");
+    assertWrittenAlike(ReservationCodec.writeHeld(ReservationCodec.readHeld(reserved)), reserved);
+    ObjectNode release = values.get("shared/release/late/1970-01-01");
+    assertWrittenAlike(CalendarCodec.write(CalendarCodec.read(release)), release);
+  }
+
+  /** A shared entry's version is added where it is stored. */
+  private static void assertWrittenAlike(ObjectNode written, ObjectNode stored) {
+    ObjectNode withoutVersion = stored.deepCopy();
+    withoutVersion.remove("n");
+    assertSameBytes(written, withoutVersion, "shared entry");
+  }
+
+  @Test
+  void framesAreReadAndWrittenToTheByte() throws IOException {
+    String[] lines =
+        new String(file("frames.txt"), StandardCharsets.US_ASCII).strip().split("\n", -1);
+    assertThat(lines).hasSize(17);
+    for (String line : lines) {
+      String hex = line.substring(line.indexOf(' ') + 1);
+      byte[] bytes = HexFormat.of().parseHex(hex);
+      Frame frame = FrameCodec.decode(ByteBuffer.wrap(bytes, 4, bytes.length - 4).slice());
+      assertThat(HexFormat.of().formatHex(FrameCodec.encode(frame))).as(line).isEqualTo(hex);
+    }
+  }
+
+  @Test
+  void aSnapshotIsReadAndWrittenToTheByte() throws IOException {
+    byte[] bytes = file("snapshot.zip");
+    SnapshotArchive archive;
+    try (InputStream in =
+        StoredDataCompatibilityTest.class.getResourceAsStream("/stored-data/snapshot.zip")) {
+      archive = SnapshotArchive.read(in);
+    }
+    assertThat(archive.head().getEpoch()).isEqualTo(41);
+    assertThat(archive.head().getWallMs()).isEqualTo(1000123);
+    assertThat(archive.copy().getJobList()).extracting(job -> job.getRef()).hasSize(7);
+    ByteArrayOutputStream written = new ByteArrayOutputStream();
+    SnapshotArchive.write(archive.copy(), archive.head().getEra(), written);
+    assertThat(written.toByteArray()).isEqualTo(bytes);
+  }
+
+  /** What users of the version that wrote this data were told at its last moment. */
+  private static final Map<String, String> ANSWERS =
+      Map.of(
+          "j-1", "{\"ref\":\"j-1\",\"phase\":\"running\",\"done\":2,\"running\":4}",
+          "j-2", "{\"ref\":\"j-2\",\"phase\":\"running\",\"done\":0,\"running\":4}",
+          "j-3", "{\"ref\":\"j-3\",\"phase\":\"running\",\"done\":0,\"running\":2}",
+          "j-4", "{\"ref\":\"j-4\",\"phase\":\"done\",\"done\":2,\"running\":0}",
+          "j-5", "{\"ref\":\"j-5\",\"phase\":\"queued\",\"done\":0,\"running\":0,\"awaited\":1}",
+          "j-6", "{\"ref\":\"j-6\",\"phase\":\"cancelled\",\"done\":0,\"running\":0}",
+          "j-7", "{\"ref\":\"j-7\",\"phase\":\"running\",\"done\":0,\"running\":40}");
+
+  /** A plain store, and one that was restored after a loss, with all jobs in a block. */
+  @ParameterizedTest
+  @ValueSource(strings = {STORE, RESTORED})
+  void aLeaderTakesOverWhatIsStored(String name) throws IOException {
+    Map<String, ObjectNode> values = store(name);
+    SimulatedCluster cluster = new SimulatedCluster(OperatorSettings.DEFAULTS);
+    load(cluster, values);
+    cluster.settle(4);
+    ANSWERS.forEach(
+        (ref, body) ->
+            assertThat(new String(cluster.poll(1, ref).body(), StandardCharsets.UTF_8))
+                .as(ref)
+                .isEqualTo(body));
+    assertThat(cluster.poll(0, "j-8").status()).isEqualTo(404);
+  }
+
+  /** Puts values into a store in one transaction, but the leader's key, whose lease is gone. */
+  private static void load(SimulatedCluster cluster, Map<String, ObjectNode> values) {
+    ObjectNode transaction = Json.object();
+    transaction.putArray("when");
+    List<String> keys = values.keySet().stream().filter(key -> !key.equals("steward")).toList();
+    for (String key : keys) {
+      transaction.withArray("apply").addObject().put("write", key).set("v", values.get(key));
+    }
+    int limit = cluster.state.txnOps;
+    cluster.state.txnOps = keys.size();
+    assertThat(
+            cluster
+                .await(cluster.state.handle("POST", "/commit", Json.bytes(transaction)))
+                .status())
+        .isEqualTo(200);
+    cluster.state.txnOps = limit;
+  }
+}
