--- a/src/main/java/io/embernotch/controller/JobAnnouncements.java
+++ b/src/main/java/io/embernotch/controller/JobAnnouncements.java
@@ -12,31 +12,41 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What controllers tell the leader of jobs that they have written. */
+/** Announcements to the leader of jobs that another controller has written to the store. */
 final class JobAnnouncements {
   private static final Logger LOG = LoggerFactory.getLogger(JobAnnouncements.class);
 
   private JobAnnouncements() {}
 
-  /** A job's key was written at revision {@code epoch} of that incarnation. */
-  static Frame of(ObjectNode value, String incarnation, long epoch) {
-    return new Frame.JobAccepted(Json.bytes(IncarnationCodec.told(value, incarnation, epoch)));
+  /**
+   * The announcement of a job.
+   *
+   * @param value what was written to the job's key
+   * @param incarnation name of the store incarnation that it was written to
+   * @param revision store revision of the write
+   */
+  static Frame of(ObjectNode value, String incarnation, long revision) {
+    return new Frame.JobAccepted(Json.bytes(IncarnationCodec.told(value, incarnation, revision)));
   }
 
-  /** Reads it; {@code incarnation}: the one that the leader knows. */
+  /**
+   * Reads an announcement and passes the job on; one that is malformed is logged and dropped.
+   *
+   * @param incarnation name of the store incarnation that the leader knows, "" if there is none
+   */
   static void received(
-      byte[] value, String incarnation, StoreClient store, Consumer<LeaderMessage> leader) {
+      byte[] announcement, String incarnation, StoreClient store, Consumer<LeaderMessage> leader) {
     try {
-      ObjectNode o = Json.parseObject(value);
-      LeaderMessage.JobAccepted job =
+      ObjectNode value = Json.parseObject(announcement);
+      LeaderMessage.JobAccepted accepted =
           new LeaderMessage.JobAccepted(
-              JobProgressCodec.readJob(o), JobProgressCodec.readShardSize(o));
-      if (!incarnation.isEmpty() && incarnation.equals(IncarnationCodec.toldIncarnation(o))) {
-        // Contents that were put back to just before it would else be taken for present.
+              JobProgressCodec.readJob(value), JobProgressCodec.readShardSize(value));
+      if (!incarnation.isEmpty() && incarnation.equals(IncarnationCodec.toldIncarnation(value))) {
+        // Without it, contents restored to a state just before the write would pass for current.
         store.noteRevision(
-            JobProgressCodec.JOB + job.job().spec.ref(), IncarnationCodec.toldEpoch(o));
+            JobProgressCodec.JOB + accepted.job().spec.ref(), IncarnationCodec.toldEpoch(value));
       }
-      leader.accept(job);
+      leader.accept(accepted);
     } catch (MalformedInputException e) {
       LOG.info("malformed job from a controller: {}", e.getMessage());
     }
--- a/src/main/java/io/embernotch/controller/JobQueries.java
+++ b/src/main/java/io/embernotch/controller/JobQueries.java
@@ -12,114 +12,129 @@
 import java.util.function.Predicate;
 
 /**
- * What users ask of a job at any controller: an end that is known is told at once, the leader is
- * asked else, and the store while there is none.
+ * Answers users' polls and aborts of jobs at any controller: a completion that is known here is
+ * answered at once, anything else by the leader, and polls by the store while there is no leader.
  */
 final class JobQueries {
-  /** Passes a question on to the leader, wherever it is; 503 if there is none to be had in time. */
-  interface ToLeader {
-    Future<HttpResponse> ask(Frame.ForwardedRequest.Kind what, String ref, double withinS);
+  /** Forwards a request to the leader, wherever it is; 503 if there is no answer in time. */
+  interface LeaderRequests {
+    Future<HttpResponse> request(Frame.ForwardedRequest.Kind kind, String ref, double withinS);
   }
 
+  private static final int NOT_FOUND = 404;
+  private static final int UNAVAILABLE = 503;
+
   private final ControllerContext context;
-  private final CompletedJobCache ended;
+  private final CompletedJobCache completedJobs;
   private final StoreIncarnationTracker incarnations;
-  private final PersistedStatus stored;
-  private final Predicate<String> accepted;
-  private final ToLeader leader;
+  private final PersistedStatus persistedStatus;
+  private final Predicate<String> acceptedHere;
+  private final LeaderRequests leader;
+  private final double heartbeatIntervalS;
 
-  /** A flood of polls costs other nodes and the store nothing, and workers little. */
-  private final PollRateLimiter turns;
+  /** A flood of polls costs other nodes and the store nothing, and agents little. */
+  private final PollRateLimiter rateLimiter;
 
+  /**
+   * @param acceptedHere whether the job with the given reference was accepted by this process
+   */
   JobQueries(
       ControllerContext context,
-      CompletedJobCache ended,
+      CompletedJobCache completedJobs,
       StoreIncarnationTracker incarnations,
-      Predicate<String> accepted,
-      ToLeader leader) {
+      Predicate<String> acceptedHere,
+      LeaderRequests leader) {
     this.context = context;
-    this.ended = ended;
+    this.completedJobs = completedJobs;
     this.incarnations = incarnations;
-    this.stored = new PersistedStatus(context, ended, incarnations::base);
-    this.accepted = accepted;
+    this.persistedStatus = new PersistedStatus(context, completedJobs, incarnations::base);
+    this.acceptedHere = acceptedHere;
     this.leader = leader;
-    this.turns = new PollRateLimiter(context.clock(), context.timers(), context.settings());
+    this.heartbeatIntervalS = context.settings().workers().heartbeatIntervalS();
+    this.rateLimiter = new PollRateLimiter(context.clock(), context.timers(), context.settings());
   }
 
-  public Future<HttpResponse> poll(String ref) {
+  /** The state of a job: 200, 404 if it was never accepted, or 503. */
+  Future<HttpResponse> poll(String ref) {
     if (!JobCodec.isRef(ref)) {
-      return answer(HttpResponse.error(404, "no such job"));
+      return answer(HttpResponse.error(NOT_FOUND, "no such job"));
     }
-    HttpResponse known = ended.status(ref);
+    HttpResponse known = completedJobs.status(ref);
     if (known != null) {
       return answer(known);
     }
-    if (!turns.admit(ref)) {
+    if (!rateLimiter.admit(ref)) {
       return answer(HttpResponse.later("too many polls"));
     }
     return status(ref)
         .onSuccess(
-            a -> {
-              if (a.status() != 503) {
-                turns.told(ref);
+            response -> {
+              if (response.status() != UNAVAILABLE) {
+                rateLimiter.told(ref);
               }
             });
   }
 
   private Future<HttpResponse> status(String ref) {
     return leader
-        .ask(
-            Frame.ForwardedRequest.Kind.POLL,
-            ref,
-            context.settings().workers().heartbeatIntervalS() / 6)
-        .compose(a -> a.status() == 503 ? readStatus(ref) : answer(a));
+        .request(Frame.ForwardedRequest.Kind.POLL, ref, heartbeatIntervalS / 6)
+        .compose(
+            response -> response.status() == UNAVAILABLE ? statusFromStore(ref) : answer(response));
   }
 
-  /** What the store tells, if it does so in time: users wait two seconds at most. */
-  private Future<HttpResponse> readStatus(String ref) {
+  /** What the store holds, if it answers in time: users wait two seconds at most. */
+  private Future<HttpResponse> statusFromStore(String ref) {
     if (!incarnations.mayAnswerFromStore()) {
-      return answer(HttpResponse.later("what the state service holds is not known yet"));
+      return answer(contentsUnknown());
     }
-    if (context.store().failingForS() > context.settings().workers().heartbeatIntervalS() / 6) {
+    if (context.store().failingForS() > heartbeatIntervalS / 6) {
       return answer(HttpResponse.later("the state service does not answer"));
     }
-    if (context.store().readWaitS() > context.settings().workers().heartbeatIntervalS() / 12) {
-      // A read that waits for its turn is answered after its user has gone, and the next ones too.
+    if (context.store().readWaitS() > heartbeatIntervalS / 12) {
+      // A read that is queued for so long is answered after its user has gone, as are the next.
       return answer(HttpResponse.later("more is asked than the state service takes"));
     }
-    boolean acceptedBefore = accepted.test(ref);
-    return stored.of(ref).map(a -> a.status() == 404 ? denied(ref, a, acceptedBefore) : a);
+    boolean acceptedBefore = acceptedHere.test(ref);
+    return persistedStatus
+        .of(ref)
+        .map(
+            response ->
+                response.status() == NOT_FOUND
+                    ? verifyAbsence(ref, response, acceptedBefore)
+                    : response);
   }
 
-  public Future<HttpResponse> abort(String ref) {
+  /** Cancels a job: the leader's answer, or 503. */
+  Future<HttpResponse> abort(String ref) {
     if (!JobCodec.isRef(ref)) {
-      return answer(HttpResponse.error(404, "no such job"));
+      return answer(HttpResponse.error(NOT_FOUND, "no such job"));
     }
-    HttpResponse known = ended.brief(ref);
+    HttpResponse known = completedJobs.brief(ref);
     return known != null
         ? answer(known)
-        : leader.ask(
-            Frame.ForwardedRequest.Kind.ABORT,
-            ref,
-            context.settings().workers().heartbeatIntervalS());
+        : leader.request(Frame.ForwardedRequest.Kind.ABORT, ref, heartbeatIntervalS);
   }
 
   /**
-   * A job that was accepted here is not denied: that it is not there shows that data is lost. One
-   * that was accepted while the read was under way shows nothing: such a read was once taken for a
-   * loss, and an older copy restored.
+   * A job that was accepted here is not answered as unknown: that the store lacks it shows that
+   * data is lost. One that was accepted while the read was under way shows nothing: taking such a
+   * read for a loss would have an older snapshot restored.
    */
-  private HttpResponse denied(String ref, HttpResponse a, boolean acceptedBefore) {
-    if (!accepted.test(ref)) {
-      return a;
+  private HttpResponse verifyAbsence(String ref, HttpResponse notFound, boolean acceptedBefore) {
+    if (!acceptedHere.test(ref)) {
+      return notFound;
     }
     if (acceptedBefore) {
       incarnations.acceptedJobMissing(ref);
     }
+    return contentsUnknown();
+  }
+
+  private static HttpResponse contentsUnknown() {
     return HttpResponse.later("what the state service holds is not known yet");
   }
 
-  private static Future<HttpResponse> answer(HttpResponse a) {
-    return Future.succeededFuture(a);
+  private static Future<HttpResponse> answer(HttpResponse response) {
+    return Future.succeededFuture(response);
   }
 }
--- /dev/null
+++ b/src/main/java/io/embernotch/controller/LeaderClient.java
@@ -0,0 +1,115 @@
+package io.embernotch.controller;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.embernotch.election.LeaderElection;
+import io.embernotch.election.LeaderObserver;
+import io.embernotch.election.PeerLiveness;
+import io.embernotch.forwarding.HeartbeatForwarder;
+import io.embernotch.forwarding.PendingRequests;
+import io.embernotch.http.HttpResponse;
+import io.embernotch.leader.Leader;
+import io.embernotch.leader.LeaderMessage;
+import io.embernotch.model.Heartbeat;
+import io.embernotch.model.Job;
+import io.embernotch.peer.Frame;
+import io.embernotch.peer.PeerLink;
+import io.embernotch.straggler.Restart;
+import io.vertx.core.Future;
+import io.vertx.core.Promise;
+import java.util.List;
+
+/** Sends to the leader what is meant for it, whether it runs in this process or on another node. */
+final class LeaderClient {
+  /** In place of a process incarnation: an agent sent its heartbeat to this controller itself. */
+  static final long RECEIVED_DIRECTLY = 0;
+
+  private final String node;
+  private final PeerLink peers;
+  private final PendingRequests pendingRequests;
+  private final PeerLiveness peerLiveness;
+  private final LeaderObserver leaderObserver;
+  private final LeaderElection election;
+  private final LocalLeader localLeader;
+
+  LeaderClient(
+      String node,
+      PeerLink peers,
+      PendingRequests pendingRequests,
+      PeerLiveness peerLiveness,
+      LeaderObserver leaderObserver,
+      LeaderElection election,
+      LocalLeader localLeader) {
+    this.node = node;
+    this.peers = peers;
+    this.pendingRequests = pendingRequests;
+    this.peerLiveness = peerLiveness;
+    this.leaderObserver = leaderObserver;
+    this.election = election;
+    this.localLeader = localLeader;
+  }
+
+  /**
+   * Forwards a user's request to the leader.
+   *
+   * @param ref the job's reference; "" for an overview
+   * @param withinS seconds to wait for an answer of another node
+   * @return the leader's answer, or 503 if there is none in time
+   */
+  Future<HttpResponse> request(Frame.ForwardedRequest.Kind kind, String ref, double withinS) {
+    Promise<HttpResponse> reply = Promise.promise();
+    if (localLeader.tell(new LeaderMessage.UserRequest(kind, ref, reply))) {
+      return reply.future();
+    }
+    String leader = leaderObserver.node();
+    if (leader == null || !peerLiveness.isLive(leader)) {
+      return Future.succeededFuture(HttpResponse.later("no steward is known"));
+    }
+    return pendingRequests.send(leader, id -> new Frame.ForwardedRequest(id, kind, ref), withinS);
+  }
+
+  /**
+   * Hands an agent's heartbeat to the leader of this process.
+   *
+   * @param via process incarnation of the controller that forwarded it, or {@link
+   *     #RECEIVED_DIRECTLY}
+   * @return the leader's answer; 503 unless it leads and its lease, or grace period, lasts
+   */
+  Future<HttpResponse> deliverHeartbeat(Heartbeat heartbeat, long via) {
+    Leader leader = localLeader.current().orElse(null);
+    if (leader == null || election.leaseUnprovenForS() > leader.gracePeriodS()) {
+      return Future.succeededFuture(HttpResponse.later("leadership is not proven"));
+    }
+    Promise<byte[]> reply = Promise.promise();
+    leader.tell(new LeaderMessage.HeartbeatReceived(heartbeat, via, reply));
+    return reply
+        .future()
+        .map(
+            body ->
+                body == null ? HeartbeatForwarder.misdirected(null) : HttpResponse.of(200, body));
+  }
+
+  /**
+   * Tells the leader of a job that this controller has written to the store.
+   *
+   * @param shardSize tasks of the job in one shard
+   * @param value what was written
+   * @param incarnation name of the store incarnation that it was written to
+   * @param revision store revision of the write
+   */
+  void announceJob(Job job, int shardSize, ObjectNode value, String incarnation, long revision) {
+    if (!localLeader.tell(new LeaderMessage.JobAccepted(job, shardSize))
+        && leaderObserver.node() != null) {
+      peers.send(leaderObserver.node(), JobAnnouncements.of(value, incarnation, revision));
+    }
+  }
+
+  /** Proposes restarts from machine views of the given epoch to the leader of that epoch. */
+  void proposeRestarts(long epoch, List<Restart> restarts) {
+    Leader leader = localLeader.current().orElse(null);
+    if (leader != null && leader.epoch() == epoch) {
+      leader.tell(new LeaderMessage.RestartsProposed(node, restarts));
+    } else if (leaderObserver.node() != null) {
+      peers.send(leaderObserver.node(), new Frame.RestartProposals(node, epoch, restarts));
+    }
+  }
+}
--- a/src/main/java/io/embernotch/controller/MachineTypeCatalog.java
+++ b/src/main/java/io/embernotch/controller/MachineTypeCatalog.java
@@ -6,6 +6,8 @@
 import io.embernotch.context.ControllerContext;
 import io.embernotch.model.MachineType;
 import io.embernotch.store.Transaction;
+import java.util.Collections;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import org.slf4j.Logger;
@@ -14,34 +16,45 @@
 /** Machine types: from the store if another node has learned them, else from the cloud. */
 final class MachineTypeCatalog {
   private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
-  private static final String TYPES = "types";
+
+  /** The store's key of the machine types. */
+  private static final String KEY = "types";
+
+  private static final int BYTES_PER_KB = 1024;
 
   private final ControllerContext context;
-  private final Map<String, MachineType> types;
-  private final Runnable known;
+  private final Runnable onLearned;
+  private final Map<String, MachineType> types = new LinkedHashMap<>();
 
-  MachineTypeCatalog(ControllerContext context, Map<String, MachineType> types, Runnable known) {
+  /**
+   * @param onLearned called each time that types have been learned
+   */
+  MachineTypeCatalog(ControllerContext context, Runnable onLearned) {
     this.context = context;
-    this.types = types;
-    this.known = known;
+    this.onLearned = onLearned;
+  }
+
+  /** The known types by name, a view that follows the catalog; empty until they are known. */
+  Map<String, MachineType> types() {
+    return Collections.unmodifiableMap(types);
   }
 
-  /** Tries until they are known. */
+  /** Reads the types, and tries again until they are known. */
   void load() {
     context
         .store()
-        .get(TYPES)
+        .get(KEY)
         .onComplete(
-            r -> {
-              if (r.succeeded() && r.result().present()) {
-                take(CloudCodec.types(r.result().value()));
+            read -> {
+              if (read.succeeded() && read.result().present()) {
+                learn(CloudCodec.types(read.result().value()));
               } else {
-                askCloud();
+                loadFromCloud();
               }
             });
   }
 
-  /** Writes them where they were lost. */
+  /** Writes the known types to a store that has lost them. */
   void store() {
     if (!types.isEmpty()) {
       write(List.copyOf(types.values()));
@@ -50,30 +63,28 @@
 
   private void write(List<MachineType> list) {
     ObjectNode value = CloudCodec.writeTypes(list);
-    if (Json.bytes(value).length <= context.settings().minStoreLimits().valueKb() * 1024) {
-      context.store().commit(new Transaction().when(TYPES, 0).write(TYPES, value));
+    double limitKb = context.settings().minStoreLimits().valueKb();
+    if (Json.bytes(value).length <= limitKb * BYTES_PER_KB) {
+      context.store().commit(new Transaction().when(KEY, 0).write(KEY, value));
     }
   }
 
-  private void askCloud() {
+  private void loadFromCloud() {
+    double retryS = context.settings().workers().heartbeatIntervalS() / 3;
     context
         .cloud()
         .types()
         .onSuccess(
             list -> {
-              take(list);
+              learn(list);
               write(list);
             })
-        .onFailure(
-            e ->
-                context
-                    .timers()
-                    .after(context.settings().workers().heartbeatIntervalS() / 3, this::load));
+        .onFailure(failure -> context.timers().after(retryS, this::load));
   }
 
-  private void take(List<MachineType> list) {
+  private void learn(List<MachineType> list) {
     list.forEach(type -> types.put(type.name(), type));
     LOG.info("machine types: {}", types.keySet());
-    known.run();
+    onLearned.run();
   }
 }
--- /dev/null
+++ b/src/main/java/io/embernotch/controller/NodeStatus.java
@@ -0,0 +1,87 @@
+package io.embernotch.controller;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.embernotch.codec.Json;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.election.LeaderElection;
+import io.embernotch.election.LeaderObserver;
+import io.embernotch.election.PeerLiveness;
+import io.embernotch.http.HttpResponse;
+import io.embernotch.incarnation.StoreIncarnationTracker;
+import io.embernotch.straggler.LocalPartition;
+import java.nio.charset.StandardCharsets;
+
+/** What a controller answers of itself: whether it is ready, and the overview for operators. */
+final class NodeStatus {
+  private static final byte[] EMPTY_OBJECT = "{}".getBytes(StandardCharsets.UTF_8);
+
+  private final ControllerContext context;
+  private final MachineTypeCatalog machineTypes;
+  private final StoreIncarnationTracker incarnations;
+  private final LeaderElection election;
+  private final LeaderObserver leaderObserver;
+  private final PeerLiveness peerLiveness;
+  private final LocalPartition localPartition;
+  private final LocalLeader localLeader;
+
+  NodeStatus(
+      ControllerContext context,
+      MachineTypeCatalog machineTypes,
+      StoreIncarnationTracker incarnations,
+      LeaderElection election,
+      LeaderObserver leaderObserver,
+      PeerLiveness peerLiveness,
+      LocalPartition localPartition,
+      LocalLeader localLeader) {
+    this.context = context;
+    this.machineTypes = machineTypes;
+    this.incarnations = incarnations;
+    this.election = election;
+    this.leaderObserver = leaderObserver;
+    this.peerLiveness = peerLiveness;
+    this.localPartition = localPartition;
+    this.localLeader = localLeader;
+  }
+
+  /** 200 if a load balancer is to send requests here, else 503. */
+  HttpResponse ready() {
+    if (machineTypes.types().isEmpty()) {
+      return HttpResponse.later("machine types are not known yet");
+    }
+    double storeFailingForS = context.store().failingForS();
+    // In an outage all nodes are alike, and leaving the balancer would only delay the return.
+    boolean onlyThisNodeFails =
+        storeFailingForS > context.settings().workers().heartbeatIntervalS() / 2
+            && peerLiveness.anyReachesStore();
+    boolean isolated =
+        !context.settings().members().isEmpty()
+            && peerLiveness.live().isEmpty()
+            && storeFailingForS > 0;
+    return onlyThisNodeFails || isolated
+        ? HttpResponse.later("cannot reach the state service")
+        : HttpResponse.of(200, EMPTY_OBJECT);
+  }
+
+  /**
+   * The overview of this node, with that of the cluster if there is one.
+   *
+   * @param cluster the leader's answer
+   */
+  HttpResponse overview(HttpResponse cluster) {
+    ObjectNode overview = Json.object();
+    overview.put("node", context.settings().node());
+    overview.put("steward", leaderObserver.node());
+    overview.put("live", localLeader.isPresent() && election.isLeaseValid());
+    overview.put("state_ok", context.store().failingForS() == 0);
+    overview.put("era", incarnations.name());
+    overview.put("sound", incarnations.isIntact());
+    overview.put("losses", incarnations.losses());
+    overview.put("part", localPartition.size());
+    var peers = overview.putArray("peers");
+    peerLiveness.live().forEach(peers::add);
+    if (cluster.status() == 200) {
+      overview.set("cluster", Json.parseObject(cluster.body()));
+    }
+    return HttpResponse.of(200, Json.bytes(overview));
+  }
+}
--- /dev/null
+++ b/src/main/java/io/embernotch/controller/PeerFrameDispatcher.java
@@ -0,0 +1,136 @@
+package io.embernotch.controller;
+
+import io.embernotch.api.SubmissionHandler;
+import io.embernotch.context.ProcessIncarnation;
+import io.embernotch.forwarding.HeartbeatForwarder;
+import io.embernotch.forwarding.PendingRequests;
+import io.embernotch.http.HttpResponse;
+import io.embernotch.incarnation.StoreIncarnationTracker;
+import io.embernotch.leader.ImageInventory;
+import io.embernotch.leader.LeaderMessage;
+import io.embernotch.peer.Frame;
+import io.embernotch.peer.PeerLink;
+import io.embernotch.store.StoreClient;
+import io.embernotch.straggler.LocalPartition;
+import io.vertx.core.Promise;
+
+/** Passes each frame that another controller sends to whoever handles frames of its type. */
+final class PeerFrameDispatcher {
+  private final StoreClient store;
+  private final StoreIncarnationTracker incarnations;
+  private final PeerHeartbeats peerHeartbeats;
+  private final HeartbeatForwarder heartbeatForwarder;
+  private final PendingRequests pendingRequests;
+  private final SubmissionHandler submissions;
+  private final LocalPartition localPartition;
+  private final ImageInventory imageInventory;
+  private final LeaderClient leaderClient;
+  private final LocalLeader localLeader;
+
+  PeerFrameDispatcher(
+      StoreClient store,
+      StoreIncarnationTracker incarnations,
+      PeerHeartbeats peerHeartbeats,
+      HeartbeatForwarder heartbeatForwarder,
+      PendingRequests pendingRequests,
+      SubmissionHandler submissions,
+      LocalPartition localPartition,
+      ImageInventory imageInventory,
+      LeaderClient leaderClient,
+      LocalLeader localLeader) {
+    this.store = store;
+    this.incarnations = incarnations;
+    this.peerHeartbeats = peerHeartbeats;
+    this.heartbeatForwarder = heartbeatForwarder;
+    this.pendingRequests = pendingRequests;
+    this.submissions = submissions;
+    this.localPartition = localPartition;
+    this.imageInventory = imageInventory;
+    this.leaderClient = leaderClient;
+    this.localLeader = localLeader;
+  }
+
+  /** Handles a frame; what it asks for is answered over {@code replies}. */
+  void dispatch(Frame frame, PeerLink.ReplyChannel replies) {
+    if (frame instanceof Frame.PeerHeartbeat heartbeat) {
+      peerHeartbeats.received(heartbeat);
+    } else if (frame instanceof Frame.JobAccepted accepted) {
+      jobAccepted(accepted);
+    } else if (frame instanceof Frame.ForwardedRequest request) {
+      forwardedRequest(request, replies);
+    } else if (frame instanceof Frame.ForwardedHeartbeat heartbeat) {
+      forwardedHeartbeat(heartbeat, replies);
+    } else if (frame instanceof Frame.DelegateHeartbeat heartbeat) {
+      delegateHeartbeat(heartbeat, replies);
+    } else if (frame instanceof Frame.DelegateHeartbeatAck acknowledgement) {
+      heartbeatForwarder.delegateHeartbeatAcknowledged(acknowledgement);
+    } else if (frame instanceof Frame.ForwardedSubmission submission) {
+      forwardedSubmission(submission, replies);
+    } else if (frame instanceof Frame.Response response) {
+      pendingRequests.complete(response);
+    } else if (frame instanceof Frame.MachineViewUpdate update) {
+      localPartition.put(update.epoch(), update.view());
+    } else if (frame instanceof Frame.ImageInventoryUpdate update) {
+      imageInventory.update(update);
+    } else if (frame instanceof Frame.MachineViewRemoval removal) {
+      localPartition.forget(removal.epoch(), removal.machine());
+    } else if (frame instanceof Frame.RestartProposals proposals) {
+      restartsProposed(proposals);
+    }
+  }
+
+  private void jobAccepted(Frame.JobAccepted accepted) {
+    localLeader
+        .current()
+        .ifPresent(
+            leader ->
+                JobAnnouncements.received(
+                    accepted.value(), incarnations.name(), store, leader::tell));
+  }
+
+  private void forwardedRequest(Frame.ForwardedRequest request, PeerLink.ReplyChannel replies) {
+    Promise<HttpResponse> reply = Promise.promise();
+    reply.future().onSuccess(response -> replies.send(frameOf(request.id(), response)));
+    if (!localLeader.tell(new LeaderMessage.UserRequest(request.what(), request.ref(), reply))) {
+      reply.complete(HttpResponse.later("not the steward"));
+    }
+  }
+
+  private void forwardedHeartbeat(
+      Frame.ForwardedHeartbeat forwarded, PeerLink.ReplyChannel replies) {
+    if (forwarded.id() == 0) {
+      localLeader.tell(new LeaderMessage.HeartbeatHandedOver(forwarded.heartbeat()));
+      return;
+    }
+    leaderClient
+        .deliverHeartbeat(forwarded.heartbeat(), ProcessIncarnation.of(forwarded.id()))
+        .onSuccess(response -> replies.send(frameOf(forwarded.id(), response)));
+  }
+
+  private void delegateHeartbeat(Frame.DelegateHeartbeat heartbeat, PeerLink.ReplyChannel replies) {
+    localLeader
+        .current()
+        .ifPresent(leader -> replies.send(leader.delegateHeartbeatReceived(heartbeat)));
+  }
+
+  private void forwardedSubmission(
+      Frame.ForwardedSubmission submission, PeerLink.ReplyChannel replies) {
+    submissions
+        .handleForwarded(submission.body())
+        .onSuccess(response -> replies.send(frameOf(submission.id(), response)));
+  }
+
+  private void restartsProposed(Frame.RestartProposals proposals) {
+    localLeader
+        .current()
+        .filter(leader -> leader.epoch() == proposals.epoch())
+        .ifPresent(
+            leader ->
+                leader.tell(
+                    new LeaderMessage.RestartsProposed(proposals.from(), proposals.restarts())));
+  }
+
+  private static Frame.Response frameOf(long id, HttpResponse response) {
+    return new Frame.Response(id, response.status(), response.retryAfterS(), response.body());
+  }
+}
--- a/src/main/java/io/embernotch/controller/PeerHeartbeats.java
+++ b/src/main/java/io/embernotch/controller/PeerHeartbeats.java
@@ -1,35 +1,91 @@
 package io.embernotch.controller;
 
 import io.embernotch.context.ControllerContext;
+import io.embernotch.election.LeaderElection;
+import io.embernotch.election.LeaderObserver;
+import io.embernotch.election.PeerLiveness;
+import io.embernotch.forwarding.HeartbeatForwarder;
 import io.embernotch.incarnation.StoreIncarnationTracker;
 import io.embernotch.peer.Frame;
 import io.embernotch.peer.PeerLink;
 import io.embernotch.settings.Settings;
 
 /**
- * What a controller tells the others of itself, a few times in a heartbeat interval and when it
- * matters.
+ * Heartbeats between controllers: sent a few times in a heartbeat interval and whenever the role
+ * changes. They carry the known leader, its epoch, and whether the store answers the sender.
  */
 final class PeerHeartbeats {
   private final ControllerContext context;
   private final PeerLink peers;
   private final StoreIncarnationTracker incarnations;
+  private final LeaderElection election;
+  private final LeaderObserver leaderObserver;
+  private final PeerLiveness peerLiveness;
+  private final HeartbeatForwarder heartbeatForwarder;
+  private final LocalLeader localLeader;
 
-  PeerHeartbeats(ControllerContext context, PeerLink peers, StoreIncarnationTracker incarnations) {
+  PeerHeartbeats(
+      ControllerContext context,
+      PeerLink peers,
+      StoreIncarnationTracker incarnations,
+      LeaderElection election,
+      LeaderObserver leaderObserver,
+      PeerLiveness peerLiveness,
+      HeartbeatForwarder heartbeatForwarder,
+      LocalLeader localLeader) {
     this.context = context;
     this.peers = peers;
     this.incarnations = incarnations;
+    this.election = election;
+    this.leaderObserver = leaderObserver;
+    this.peerLiveness = peerLiveness;
+    this.heartbeatForwarder = heartbeatForwarder;
+    this.localLeader = localLeader;
   }
 
-  /** {@code leader}: whom this node takes for it, null if nobody; {@code epoch}: that term's. */
-  void send(String leader, long epoch) {
-    Settings s = context.settings();
-    boolean served = context.store().failingForS() == 0;
-    // While data is lost, no leader and an epoch that the store can't reach tell the others so.
-    Frame.PeerHeartbeat beat =
-        incarnations.lost()
-            ? new Frame.PeerHeartbeat(s.node(), null, incarnations.lossEpoch(), served)
-            : new Frame.PeerHeartbeat(s.node(), leader, epoch, served);
-    s.members().forEach(member -> peers.send(member.node(), beat));
+  /** Sends this node's heartbeat to all other controllers. */
+  void send() {
+    Settings settings = context.settings();
+    Frame.PeerHeartbeat heartbeat = current(settings.node());
+    settings.members().forEach(member -> peers.send(member.node(), heartbeat));
+  }
+
+  private Frame.PeerHeartbeat current(String node) {
+    boolean storeReachable = context.store().failingForS() == 0;
+    if (incarnations.lost()) {
+      // While data is lost, no leader and an epoch that the store can't reach tell the others so.
+      return new Frame.PeerHeartbeat(node, null, incarnations.lossEpoch(), storeReachable);
+    }
+    if (localLeader.isPresent() && election.isLeaseValid()) {
+      return new Frame.PeerHeartbeat(node, node, election.epoch(), storeReachable);
+    }
+    return new Frame.PeerHeartbeat(
+        node, leaderObserver.node(), leaderObserver.epoch(), storeReachable);
+  }
+
+  /** Takes in the heartbeat of another controller. */
+  void received(Frame.PeerHeartbeat heartbeat) {
+    String sender = heartbeat.node();
+    peerLiveness.recordHeartbeat(sender, heartbeat.storeReachable());
+    incarnations.peerHeartbeatReceived(sender, heartbeat.leader(), heartbeat.leaderEpoch());
+    if (sender.equals(heartbeat.leader())) {
+      leadershipClaimed(sender, heartbeat.leaderEpoch());
+    }
+  }
+
+  private void leadershipClaimed(String claimant, long claimedEpoch) {
+    if (election.holdsKey() && claimedEpoch > election.epoch()) {
+      election.stepDown(claimant + " is leader since epoch " + claimedEpoch);
+    }
+    if (!leaderObserver.observeClaim(claimant, claimedEpoch)) {
+      return;
+    }
+    // Whether the claimant accepts forwarded heartbeats stands in its key, which will be read if
+    // the store answers. Without the store, agents are sent to the claimant itself.
+    if (context.store().failingForS() == 0) {
+      heartbeatForwarder.leaderChanged(null, 0, false);
+    } else {
+      heartbeatForwarder.leaderChanged(claimant, claimedEpoch, false);
+    }
   }
 }
--- /dev/null
+++ b/src/main/java/io/embernotch/controller/RoleTransitions.java
@@ -0,0 +1,94 @@
+package io.embernotch.controller;
+
+import io.embernotch.context.ControllerContext;
+import io.embernotch.election.LeaderElection;
+import io.embernotch.election.LeaderObserver;
+import io.embernotch.election.PeerLiveness;
+import io.embernotch.forwarding.HeartbeatForwarder;
+import io.embernotch.incarnation.StoreIncarnationTracker;
+import io.embernotch.leader.Leader;
+import io.embernotch.leader.LeaderContext;
+import io.embernotch.leader.LeaderMessage;
+
+/**
+ * What a controller does when the election makes it leader or follower, or finds another leader.
+ */
+final class RoleTransitions implements LeaderElection.Listener {
+  private final ControllerContext context;
+  private final LeaderContext leaderContext;
+  private final MachineTypeCatalog machineTypes;
+  private final StoreIncarnationTracker incarnations;
+  private final HeartbeatForwarder heartbeatForwarder;
+  private final PeerHeartbeats peerHeartbeats;
+  private final PeerLiveness peerLiveness;
+  private final LeaderObserver leaderObserver;
+  private final LeaderClient leaderClient;
+  private final LocalLeader localLeader;
+
+  RoleTransitions(
+      ControllerContext context,
+      LeaderContext leaderContext,
+      MachineTypeCatalog machineTypes,
+      StoreIncarnationTracker incarnations,
+      HeartbeatForwarder heartbeatForwarder,
+      PeerHeartbeats peerHeartbeats,
+      PeerLiveness peerLiveness,
+      LeaderObserver leaderObserver,
+      LeaderClient leaderClient,
+      LocalLeader localLeader) {
+    this.context = context;
+    this.leaderContext = leaderContext;
+    this.machineTypes = machineTypes;
+    this.incarnations = incarnations;
+    this.heartbeatForwarder = heartbeatForwarder;
+    this.peerHeartbeats = peerHeartbeats;
+    this.peerLiveness = peerLiveness;
+    this.leaderObserver = leaderObserver;
+    this.leaderClient = leaderClient;
+    this.localLeader = localLeader;
+  }
+
+  @Override
+  public void leadershipAcquired(long epoch, long modRevision) {
+    context.store().setLeading(true);
+    Leader leader =
+        new Leader(
+            context,
+            leaderContext,
+            epoch,
+            modRevision,
+            machineTypes.types().values(),
+            incarnations.base(),
+            incarnations.takeInitialSnapshot(),
+            heartbeatForwarder.controllersDelayingCancellations());
+    localLeader.begin(leader);
+    heartbeatForwarder
+        .recentHeartbeats()
+        .forEach(heartbeat -> leader.tell(new LeaderMessage.HeartbeatHandedOver(heartbeat)));
+    heartbeatForwarder.releaseParked(
+        heartbeat -> leaderClient.deliverHeartbeat(heartbeat, LeaderClient.RECEIVED_DIRECTLY));
+    leader.start();
+    peerHeartbeats.send();
+  }
+
+  @Override
+  public void leadershipLost(String why) {
+    context.store().setLeading(false);
+    localLeader.end();
+    leaderObserver.update(null, 0);
+    heartbeatForwarder.leaderChanged(null, 0, false);
+  }
+
+  @Override
+  public void leaderChanged(String node, long epoch, boolean acceptsForwarded) {
+    leaderObserver.update(node, epoch);
+    localLeader.observeEpoch(epoch);
+    heartbeatForwarder.leaderChanged(node, epoch, acceptsForwarded);
+  }
+
+  @Override
+  public boolean shouldYield() {
+    return machineTypes.types().isEmpty()
+        || (!context.settings().members().isEmpty() && peerLiveness.live().isEmpty());
+  }
+}
--- /dev/null
+++ b/src/main/java/io/embernotch/controller/SubmissionContext.java
@@ -0,0 +1,75 @@
+package io.embernotch.controller;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.embernotch.api.SubmissionHandler;
+import io.embernotch.election.PeerLiveness;
+import io.embernotch.forwarding.PendingRequests;
+import io.embernotch.http.HttpResponse;
+import io.embernotch.incarnation.StoreIncarnationTracker;
+import io.embernotch.model.Job;
+import io.embernotch.peer.Frame;
+import io.embernotch.snapshot.BaseSnapshot;
+import io.vertx.core.Future;
+import java.util.function.Function;
+
+/** What handling submissions needs of the controller that received them. */
+final class SubmissionContext implements SubmissionHandler.Host {
+  private final StoreIncarnationTracker incarnations;
+  private final PeerLiveness peerLiveness;
+  private final PendingRequests pendingRequests;
+  private final LeaderClient leaderClient;
+  private final int shardSize;
+  private final Function<String, Future<HttpResponse>> poll;
+
+  /**
+   * @param shardSize tasks of a job in one shard
+   * @param poll answers a poll for the job with the given reference
+   */
+  SubmissionContext(
+      StoreIncarnationTracker incarnations,
+      PeerLiveness peerLiveness,
+      PendingRequests pendingRequests,
+      LeaderClient leaderClient,
+      int shardSize,
+      Function<String, Future<HttpResponse>> poll) {
+    this.incarnations = incarnations;
+    this.peerLiveness = peerLiveness;
+    this.pendingRequests = pendingRequests;
+    this.leaderClient = leaderClient;
+    this.shardSize = shardSize;
+    this.poll = poll;
+  }
+
+  @Override
+  public void submissionAccepted(Job job, ObjectNode value, long epoch) {
+    leaderClient.announceJob(job, shardSize, value, incarnations.name(), epoch);
+  }
+
+  @Override
+  public boolean storeIsIntact() {
+    return incarnations.isIntact();
+  }
+
+  @Override
+  public String incarnationName() {
+    return incarnations.name();
+  }
+
+  @Override
+  public BaseSnapshot base() {
+    return incarnations.base();
+  }
+
+  @Override
+  public Future<HttpResponse> poll(String ref) {
+    return poll.apply(ref);
+  }
+
+  @Override
+  public Future<HttpResponse> submitElsewhere(byte[] body, double withinS) {
+    String node = peerLiveness.nextWithStore();
+    return node == null
+        ? null
+        : pendingRequests.send(node, id -> new Frame.ForwardedSubmission(id, body), withinS);
+  }
+}
--- a/src/main/java/io/embernotch/election/Candidacy.java
+++ b/src/main/java/io/embernotch/election/Candidacy.java
@@ -2,20 +2,22 @@
 
 import io.embernotch.store.Transaction;
 
-/** On what terms this node may be leader: of which incarnation of the store's contents. */
+/** On what terms this node may lead: of which incarnation of the store's contents. */
 public interface Candidacy {
   /**
-   * What a claim to the leader's key stands for.
+   * What a claim to the leader key stands for.
    *
-   * @param floor added to the key's modification revision to get the epoch
-   * @param waitS seconds for which a leader from before the loss may yet count itself live
+   * @param incarnation name of the store incarnation that is led
+   * @param epochFloor added to the key's modification revision to get the epoch
+   * @param waitS seconds for which a leader from before a loss of data may yet count its lease as
+   *     valid; at most 0 if there is none to wait for
    */
   record Claim(String incarnation, long epochFloor, double waitS) {}
 
-  /** The contents are ours, or ready to be made ours. */
+  /** True if the store's contents are known, or ready to begin a new incarnation. */
   boolean mayClaim();
 
-  /** Data is lost: whoever the leader's key names is none, and a claim takes its place. */
+  /** True if data is lost: whoever the key names does not lead, and a claim takes its place. */
   boolean startsNewIncarnation();
 
   /** Added to a leader's modification revision in the present incarnation to get its epoch. */
@@ -31,14 +33,16 @@
   void claimRefused();
 
   /**
-   * The leader's key names this incarnation: "" if a version before incarnations leads, null if
-   * nobody does.
+   * The leader key was read.
+   *
+   * @param incarnation the one that the key names: "" if a version before incarnations leads, null
+   *     if the key is absent
    */
   void incarnationNamed(String incarnation);
 
-  /** The leader's key is ours though our lease is not: is what the service holds still ours? */
+  /** The leader key is ours though our lease is not: checks whether the contents still are. */
   void probe();
 
-  /** The leader's key stands there though the lease is gone that it hangs on: leases are lost. */
+  /** The leader key is there though the lease is gone that it was attached to: leases are lost. */
   void leaderKeyOrphaned(String holder);
 }
--- a/src/main/java/io/embernotch/election/LeaderElection.java
+++ b/src/main/java/io/embernotch/election/LeaderElection.java
@@ -1,57 +1,73 @@
 package io.embernotch.election;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.actor.Clock;
 import io.embernotch.actor.Timers;
-import io.embernotch.codec.JobProgressCodec;
-import io.embernotch.codec.Json;
-import io.embernotch.settings.Settings;
+import io.embernotch.context.ControllerContext;
 import io.embernotch.store.LeaseRenewer;
-import io.embernotch.store.RateLimiter.RequestPriority;
 import io.embernotch.store.StoreClient;
-import io.embernotch.store.StoreException;
-import io.embernotch.store.Transaction;
 import io.embernotch.store.VersionedEntry;
+import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Leadership: whoever holds the key {@code steward} in the store, attached to its own short lease,
- * is the one that writes. The key's modification revision names the term: every commit of the
- * leader conditions on it, so nothing that an earlier leader sent can be applied later.
+ * Leadership: whoever holds the leader key in the store, attached to its own short lease, is the
+ * one that writes. The key's modification revision names the term: every commit of the leader
+ * conditions on it, so nothing that an earlier leader sent can be applied later.
+ *
+ * <p>A state machine. A follower reads the key, and waits for its change while another node holds
+ * it. Once it is absent the follower becomes a candidate, which makes one {@link LeaderClaim} and
+ * ends as leader or as follower. A leader becomes a follower when its lease ends, when it resigns,
+ * or when a newer leader is known.
  */
 public final class LeaderElection {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
-  private static final String KEY = JobProgressCodec.LEADER;
+
+  /** Seconds of the shortest pause: the next iteration of the loop. */
+  static final double IMMEDIATELY_S = 0.001;
+
+  /** Seconds until the key is read again after the lease of a former process was revoked. */
+  private static final double AFTER_REVOCATION_S = 0.01;
+
+  /** In place of a time: this node need not keep from contending. */
+  private static final double NEVER = -1;
 
   /** What is told of leadership. */
   public interface Listener {
     /**
-     * This node is leader; {@code modification revision} is that of the key, {@code epoch} names
-     * the term in all incarnations.
+     * This node leads from now on.
+     *
+     * @param epoch names the term in all store incarnations
+     * @param modRevision modification revision of the leader key
      */
     void leadershipAcquired(long epoch, long modRevision);
 
-    void leadershipLost(String why);
-
     /**
-     * The leader is {@code node} now, or nobody if null; whether it takes reports that others pass
-     * on.
+     * This node leads no more, or does not get to lead though it held the key.
+     *
+     * @param why the reason, for the log
      */
-    void leaderChanged(String node, long epoch, boolean relays);
-
-    /** The controller has been heard from lately. */
-    boolean isLive(String node);
+    void leadershipLost(String why);
 
     /**
-     * True if another controller is better placed to contend, so that this one lets it go first.
+     * The leader key was read, or is this node's own now.
+     *
+     * @param node the leader, null if there is none
+     * @param epoch the leader's epoch, 0 if there is none
+     * @param acceptsForwarded whether the leader accepts heartbeats that others forward
      */
+    void leaderChanged(String node, long epoch, boolean acceptsForwarded);
+
+    /** True if another controller is better placed to lead, so that this one contends later. */
     boolean shouldYield();
   }
 
   private enum State {
+    /** Reads the key, or waits for its change or for the next reading. */
     FOLLOWER,
+    /** A claim to the key is under way. */
     CANDIDATE,
+    /** Holds the key; leads once the leases of leaders from before a loss of data have expired. */
     LEADER
   }
 
@@ -59,45 +75,59 @@
   private final StoreClient store;
   private final Clock clock;
   private final Timers timers;
-  private final double leaseTtlS;
   private final LeaseRenewer leaseRenewer;
-  private final Listener listener;
   private final Candidacy candidacy;
+  private final OrphanedKeyDetector orphanedKeys;
+  private final double leaseTtlS;
+
+  /** Seconds after a failure until the key is read again. */
+  private final double retryS;
+
+  /** Seconds for which the change of a key that another node holds is waited for. */
+  private final double watchS;
+
+  /** Seconds by which a controller that is badly placed contends later than the others. */
+  private final double yieldS;
+
+  private Listener listener;
   private State state = State.FOLLOWER;
   private long leaseId;
   private long epoch;
   private double leadsFrom;
-  private long watchedModRevision;
-  private double watchedSince;
-
-  /** A key of ours that is still there once its lease has been ended hangs on no lease. */
-  private long revokedModRevision = -1;
-
-  private double avoidUntil = -1;
+  private double avoidUntil = NEVER;
   private boolean reading;
 
+  /**
+   * An election that has not begun: see {@link #start}.
+   *
+   * @param leaseRenewer renews the lease that the key is attached to
+   * @param candidacy tells whether, and on what terms, this node may lead
+   */
   public LeaderElection(
-      Settings settings,
-      StoreClient store,
+      ControllerContext context,
       LeaseRenewer leaseRenewer,
-      Clock clock,
-      Timers timers,
       Candidacy candidacy,
-      Listener listener) {
-    this.candidacy = candidacy;
-    this.node = settings.node();
-    this.store = store;
-    this.clock = clock;
-    this.timers = timers;
+      PeerLiveness peerLiveness) {
+    this.node = context.settings().node();
+    this.store = context.store();
+    this.clock = context.clock();
+    this.timers = context.timers();
     this.leaseRenewer = leaseRenewer;
+    this.candidacy = candidacy;
     this.leaseTtlS = leaseRenewer.leaseTtlS();
-    this.listener = listener;
+    this.retryS = leaseTtlS / 8;
+    this.watchS = 2 * leaseTtlS;
+    this.yieldS = leaseTtlS / 4;
+    this.orphanedKeys = new OrphanedKeyDetector(store, clock, candidacy, peerLiveness, leaseTtlS);
   }
 
-  public void start() {
+  /** Begins as a follower, and contends whenever the key is absent; called once. */
+  public void start(Listener leadershipListener) {
+    listener = leadershipListener;
     readKey();
   }
 
+  /** True while this node is leader, or waits to be one with the key in its hands. */
   public boolean holdsKey() {
     return state == State.LEADER;
   }
@@ -116,11 +146,12 @@
     return clock.now() - leaseRenewer.provenUntil();
   }
 
+  /** The epoch of the last term for which this node held the key; 0 if there was none. */
   public long epoch() {
     return epoch;
   }
 
-  /** Gives leadership up, and does not contend again for a while. */
+  /** Gives leadership up, and does not contend again for {@code avoidS} seconds. */
   public void resign(String why, double avoidS) {
     avoidUntil = clock.now() + avoidS;
     if (state == State.LEADER) {
@@ -136,20 +167,7 @@
     }
   }
 
-  /** Looks at the key at once: there is reason to think that it has changed. */
-  public void nudge() {
-    if (state == State.FOLLOWER && !reading) {
-      readKey();
-    }
-  }
-
-  private void loseLeadership(String why) {
-    LOG.info("no longer leader: {}", why);
-    state = State.FOLLOWER;
-    leaseRenewer.release();
-    listener.leadershipLost(why);
-    readKey();
-  }
+  // ---- follower
 
   private void readKey() {
     if (state != State.FOLLOWER || reading) {
@@ -157,91 +175,54 @@
     }
     reading = true;
     store
-        .get(KEY)
+        .get(LeaderKey.NAME)
         .onSuccess(
             entry -> {
               reading = false;
               keyRead(entry);
             })
         .onFailure(
-            e -> {
+            failure -> {
               reading = false;
-              timers.after(leaseTtlS / 8, this::readKey);
+              readKeyAfter(retryS);
             });
   }
 
+  private void readKeyAfter(double pauseS) {
+    timers.after(pauseS, this::readKey);
+  }
+
   private void keyRead(VersionedEntry entry) {
     if (state != State.FOLLOWER) {
       return;
     }
-    boolean anew = candidacy.startsNewIncarnation();
-    candidacy.incarnationNamed(entry.present() ? entry.value().path("era").asText("") : null);
-    if ((anew || !entry.present()) && !candidacy.mayClaim()) {
+    boolean startsNewIncarnation = candidacy.startsNewIncarnation();
+    Optional<LeaderKey> key = LeaderKey.read(entry);
+    candidacy.incarnationNamed(key.map(LeaderKey::incarnation).orElse(null));
+    if ((startsNewIncarnation || key.isEmpty()) && !candidacy.mayClaim()) {
       listener.leaderChanged(null, 0, false);
-      timers.after(leaseTtlS / 8, this::readKey);
-      return;
-    }
-    if (anew) {
+      readKeyAfter(retryS);
+    } else if (startsNewIncarnation) {
       contend(entry);
-      return;
-    }
-    if (!entry.present()) {
-      listener.leaderChanged(null, 0, false);
-      double wait = Math.max(avoidUntil - clock.now(), listener.shouldYield() ? leaseTtlS / 4 : 0);
-      if (wait > 0) {
-        // After the pause somebody else may have it, so look again rather than contend blindly.
-        avoidUntil = Math.min(avoidUntil, clock.now());
-        timers.after(wait, this::readKeyOrContend);
-      } else {
-        contend(entry);
-      }
-      return;
-    }
-    String holder = entry.value().path("node").asText();
-    if (holder.equals(node)) {
-      // Left by this node's former process, which is dead: its lease need not be waited for. Or put
-      // back,
-      // in which case there may be no lease that could end, and no answer that shows how old the
-      // key is.
-      if (entry.modRevision() == revokedModRevision) {
-        candidacy.leaderKeyOrphaned(node);
-      }
-      candidacy.probe();
-      store
-          .revoke(entry.value().path("permit").asLong())
-          .onSuccess(r -> revokedModRevision = entry.modRevision())
-          .onComplete(r -> timers.after(0.01, this::readKey));
-      return;
+    } else if (key.isEmpty()) {
+      contendWhenDue(entry);
+    } else if (key.get().node().equals(node)) {
+      dropOwnKey(entry, key.get());
+    } else {
+      followHolder(entry, key.get());
     }
-    watchHolder(entry, holder);
-    listener.leaderChanged(
-        holder,
-        entry.value().path("floor").asLong(0) + entry.modRevision(),
-        entry.value().path("relay").asBoolean());
-    store
-        .watch(KEY, entry.modRevision(), 2 * leaseTtlS)
-        .onComplete(r -> timers.after(r.failed() ? leaseTtlS / 8 : 0.001, this::readKey));
   }
 
-  /**
-   * A key whose lease is gone without it would never be dropped, and nobody could ever lead. So
-   * when its holder is not heard for far longer than its lease lasts, the lease is looked for.
-   */
-  private void watchHolder(VersionedEntry entry, String holder) {
-    double now = clock.now();
-    if (entry.modRevision() != watchedModRevision || listener.isLive(holder)) {
-      watchedModRevision = entry.modRevision();
-      watchedSince = now;
-    } else if (now - watchedSince > 4 * leaseTtlS) {
-      watchedSince = now;
-      store
-          .renewIfPresent(entry.value().path("permit").asLong())
-          .onSuccess(
-              there -> {
-                if (!there) {
-                  candidacy.leaderKeyOrphaned(holder);
-                }
-              });
+  /** Nobody holds the key. */
+  private void contendWhenDue(VersionedEntry absent) {
+    listener.leaderChanged(null, 0, false);
+    double pauseS = Math.max(avoidUntil - clock.now(), listener.shouldYield() ? yieldS : 0);
+    if (pauseS > 0) {
+      // After the pause somebody else may have it, so look again rather than contend blindly.
+      avoidUntil = Math.min(avoidUntil, clock.now());
+      timers.after(pauseS, this::readKeyOrContend);
+    } else {
+      contend(absent);
     }
   }
 
@@ -250,7 +231,7 @@
       return;
     }
     store
-        .get(KEY)
+        .get(LeaderKey.NAME)
         .onSuccess(
             entry -> {
               if (entry.present() || !candidacy.mayClaim()) {
@@ -259,107 +240,81 @@
                 contend(entry);
               }
             })
-        .onFailure(e -> timers.after(leaseTtlS / 8, this::readKey));
+        .onFailure(failure -> readKeyAfter(retryS));
   }
 
-  /** Takes a lease and claims the key, which is absent, or left from before a loss. */
-  private void contend(VersionedEntry there) {
-    state = State.CANDIDATE;
-    double sentAt = clock.now();
+  /**
+   * The key names this node, which does not lead. Either a former process of this node left it,
+   * which is dead, so its lease need not be waited for. Or it was put back with older contents:
+   * then there may be no lease that could end, and no answer that shows how old the key is.
+   */
+  private void dropOwnKey(VersionedEntry entry, LeaderKey key) {
+    orphanedKeys.observeOwn(entry, node);
+    candidacy.probe();
     store
-        .grant(leaseTtlS)
-        .onSuccess(granted -> claim(there, granted, sentAt))
-        .onFailure(e -> follow(leaseTtlS / 8));
+        .revoke(key.leaseId())
+        .onSuccess(revoked -> orphanedKeys.leaseRevoked(entry.modRevision()))
+        .onComplete(revoked -> readKeyAfter(AFTER_REVOCATION_S));
   }
 
-  private void claim(VersionedEntry there, long granted, double sentAt) {
-    if (!candidacy.mayClaim() || (there.present() && !candidacy.startsNewIncarnation())) {
-      store.revoke(granted);
-      follow(0.001);
-      return;
-    }
-    Transaction txn = new Transaction().when(KEY, there.modRevision());
-    Candidacy.Claim claim = candidacy.claim(txn);
-    ObjectNode value =
-        Json.object()
-            .put("node", node)
-            .put("permit", granted)
-            .put("relay", true)
-            .put("era", claim.incarnation())
-            .put("floor", claim.epochFloor());
+  private void followHolder(VersionedEntry entry, LeaderKey key) {
+    orphanedKeys.observe(entry, key);
+    listener.leaderChanged(
+        key.node(), key.epochFloor() + entry.modRevision(), key.acceptsForwarded());
     store
-        .commit(txn.write(KEY, value, granted), RequestPriority.URGENT)
-        .onSuccess(
-            commit -> {
-              if (commit.applied()) {
-                if (there.present()) {
-                  // Whoever held the key before can prove its lease no longer.
-                  store.revoke(there.value().path("permit").asLong());
-                }
-                becomeLeader(granted, commit.revision(), claim, sentAt);
-              } else {
-                store.revoke(granted);
-                candidacy.claimRefused();
-                follow(0.001);
-              }
-            })
-        .onFailure(
-            e -> {
-              if (StoreException.kindOf(e) == StoreException.Kind.UNKNOWN) {
-                confirmClaim(granted, claim, sentAt);
-              } else {
-                store.revoke(granted);
-                candidacy.claimRefused();
-                follow(leaseTtlS / 8);
-              }
-            });
+        .watch(LeaderKey.NAME, entry.modRevision(), watchS)
+        .onComplete(change -> readKeyAfter(change.failed() ? retryS : IMMEDIATELY_S));
   }
 
-  /** The claim was not answered: only the key itself tells whether it was made. */
-  private void confirmClaim(long granted, Candidacy.Claim claim, double sentAt) {
-    store
-        .get(KEY)
-        .onSuccess(
-            entry -> {
-              if (entry.present() && entry.value().path("permit").asLong() == granted) {
-                becomeLeader(granted, entry.modRevision(), claim, sentAt);
-              } else {
-                // With its lease gone, the late claim can no longer be applied.
-                store.revoke(granted).onComplete(r -> claimRefused());
-              }
-            })
-        .onFailure(e -> store.revoke(granted).onComplete(r -> claimRefused()));
-  }
+  // ---- candidate
 
-  private void claimRefused() {
-    candidacy.claimRefused();
-    follow(leaseTtlS / 8);
+  /**
+   * Takes a lease and claims the key.
+   *
+   * @param current the key as it was read: absent, or left from before a loss of data
+   */
+  private void contend(VersionedEntry current) {
+    state = State.CANDIDATE;
+    new LeaderClaim(node, store, clock, candidacy, leaseTtlS, retryS, current, new ClaimOutcome())
+        .start();
   }
 
-  private void follow(double afterS) {
-    state = State.FOLLOWER;
-    timers.after(afterS, this::readKey);
+  private final class ClaimOutcome implements LeaderClaim.Outcome {
+    @Override
+    public void succeeded(LeaderClaim.Success success) {
+      becomeLeader(success);
+    }
+
+    @Override
+    public void failed(double retryInS) {
+      state = State.FOLLOWER;
+      readKeyAfter(retryInS);
+    }
   }
 
-  private void becomeLeader(long granted, long modRevision, Candidacy.Claim claim, double sentAt) {
+  // ---- leader
+
+  private void becomeLeader(LeaderClaim.Success success) {
+    double waitS = success.claim().waitS();
+    long modRevision = success.modRevision();
     state = State.LEADER;
-    leaseId = granted;
-    epoch = claim.epochFloor() + modRevision;
-    leadsFrom = clock.now() + claim.waitS();
-    leaseRenewer.keep(granted, sentAt, this::leaseEnded);
+    leaseId = success.leaseId();
+    epoch = success.claim().epochFloor() + modRevision;
+    leadsFrom = clock.now() + waitS;
+    leaseRenewer.keep(leaseId, success.grantSentAt(), this::leaseEnded);
     candidacy.claimSucceeded(modRevision);
-    if (claim.waitS() <= 0) {
-      startLeading(granted, modRevision);
+    if (waitS <= 0) {
+      startLeading(success);
     } else {
       LOG.info(
           "leader of a new store incarnation in {} s, when the lease of any former leader has expired",
-          claim.waitS());
-      timers.after(claim.waitS(), () -> startLeading(granted, modRevision));
+          waitS);
+      timers.after(waitS, () -> startLeading(success));
     }
   }
 
-  private void startLeading(long granted, long modRevision) {
-    if (state != State.LEADER || leaseId != granted) {
+  private void startLeading(LeaderClaim.Success success) {
+    if (state != State.LEADER || leaseId != success.leaseId()) {
       return;
     }
     if (candidacy.startsNewIncarnation()) {
@@ -369,12 +324,20 @@
     }
     LOG.info("leader since epoch {}", epoch);
     listener.leaderChanged(node, epoch, true);
-    listener.leadershipAcquired(epoch, modRevision);
+    listener.leadershipAcquired(epoch, success.modRevision());
   }
 
-  private void leaseEnded(long which) {
-    if (state == State.LEADER && leaseId == which) {
+  private void leaseEnded(long endedLeaseId) {
+    if (state == State.LEADER && leaseId == endedLeaseId) {
       loseLeadership("the lease expired");
     }
   }
+
+  private void loseLeadership(String why) {
+    LOG.info("no longer leader: {}", why);
+    state = State.FOLLOWER;
+    leaseRenewer.release();
+    listener.leadershipLost(why);
+    readKey();
+  }
 }
--- a/src/main/java/io/embernotch/election/LeaderObserver.java
+++ b/src/main/java/io/embernotch/election/LeaderObserver.java
@@ -1,25 +1,32 @@
 package io.embernotch.election;
 
 /**
- * Whom this controller takes for the leader: what the key says, and between two looks at it what a
- * leader says of itself. A beat may be seconds late, and its sender no leader any more or not even
- * alive; so one of a term that the key has shown to be over is believed no more.
+ * The leader that this controller knows: the one that the key names, and between two reads of the
+ * key one that claims leadership in its heartbeat. A heartbeat may be seconds late, and its sender
+ * no leader any more or not even alive; so a claim of a term that the key has shown to be over is
+ * not believed.
  */
 public final class LeaderObserver {
   private String node;
   private long epoch;
   private long endedEpoch;
 
-  /** Null if nobody is known. */
+  /** Name of the leader; null if none is known. */
   public String node() {
     return node;
   }
 
+  /** Epoch of the leader; 0 if none is known. */
   public long epoch() {
     return epoch;
   }
 
-  /** The key was read, or a term here has ended; null: nobody is leader. */
+  /**
+   * The key was read, or a term here has ended.
+   *
+   * @param newNode the leader, null if there is none
+   * @param newEpoch its epoch, 0 if there is none
+   */
   public void update(String newNode, long newEpoch) {
     if (newNode == null) {
       endedEpoch = Math.max(endedEpoch, epoch);
@@ -28,7 +35,7 @@
     epoch = newEpoch;
   }
 
-  /** A controller says that it is leader; false if that is no news, or known to be over. */
+  /** A controller claims to lead; false if that is known already, or known to be over. */
   public boolean observeClaim(String newNode, long newEpoch) {
     if (newEpoch <= Math.max(epoch, endedEpoch)) {
       return false;
--- a/src/main/java/io/embernotch/election/PeerLiveness.java
+++ b/src/main/java/io/embernotch/election/PeerLiveness.java
@@ -9,17 +9,26 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Which of the other controllers have been heard from lately, and what they say of the store. */
+/** Which of the other controllers are live, and which of them the store answers. */
 public final class PeerLiveness {
-  private record Heard(double at, boolean storeReachable) {}
+  private record LastHeartbeat(double at, boolean storeReachable) {}
 
   private final Clock clock;
+
+  /** Seconds after its last heartbeat for which a controller counts as live. */
   private final double liveS;
+
+  /** Seconds between two renewals of the connection to a controller that is not live. */
   private final double renewS;
-  private final Map<String, Heard> recordHeartbeat = new HashMap<>();
-  private int turn;
+
+  private final Map<String, LastHeartbeat> lastHeartbeats = new HashMap<>();
+
+  /** When each connection was last renewed, for all other controllers of the settings. */
   private final Map<String, Double> renewedAt = new HashMap<>();
 
+  private int nextIndex;
+
+  /** Nobody has been heard from yet. */
   public PeerLiveness(Settings settings, Clock clock) {
     this.clock = clock;
     this.liveS = settings.workers().heartbeatIntervalS();
@@ -29,56 +38,64 @@
     }
   }
 
+  /**
+   * A heartbeat has come.
+   *
+   * @param storeReachable whether the store answers the sender
+   */
   public void recordHeartbeat(String node, boolean storeReachable) {
-    recordHeartbeat.put(node, new Heard(clock.now(), storeReachable));
+    lastHeartbeats.put(node, new LastHeartbeat(clock.now(), storeReachable));
   }
 
-  /** Every other controller has been heard from. */
+  /** True once every other controller has been heard from since this process started. */
   public boolean allHeard() {
-    return recordHeartbeat.keySet().containsAll(renewedAt.keySet());
+    return lastHeartbeats.keySet().containsAll(renewedAt.keySet());
   }
 
+  /** True if the controller has been heard from within the last heartbeat interval. */
   public boolean isLive(String node) {
-    Heard h = recordHeartbeat.get(node);
-    return h != null && clock.now() - h.at < liveS;
+    LastHeartbeat last = lastHeartbeats.get(node);
+    return last != null && clock.now() - last.at < liveS;
   }
 
+  /** The controllers that are live, by name; a copy. */
   public Set<String> live() {
-    Set<String> out = new TreeSet<>();
-    for (String node : recordHeartbeat.keySet()) {
+    Set<String> live = new TreeSet<>();
+    for (String node : lastHeartbeats.keySet()) {
       if (isLive(node)) {
-        out.add(node);
+        live.add(node);
       }
     }
-    return out;
+    return live;
   }
 
-  /** Some other controller that is served by the store; null if none is known to be. */
-  public String firstWithStore() {
-    for (String node : live()) {
-      if (recordHeartbeat.get(node).storeReachable) {
-        return node;
-      }
-    }
-    return null;
+  /** True if the store answers some other controller that is live. */
+  public boolean anyReachesStore() {
+    return !liveWithStore().isEmpty();
   }
 
-  /** Like {@link #firstWithState}, each in turn. */
+  /** A live controller that the store answers, another one each time; null if there is none. */
   public String nextWithStore() {
-    List<String> served =
-        live().stream().filter(n -> recordHeartbeat.get(n).storeReachable).toList();
-    return served.isEmpty() ? null : served.get(turn++ % served.size());
+    List<String> candidates = liveWithStore();
+    return candidates.isEmpty() ? null : candidates.get(nextIndex++ % candidates.size());
+  }
+
+  private List<String> liveWithStore() {
+    return live().stream().filter(node -> lastHeartbeats.get(node).storeReachable).toList();
   }
 
-  /** Nodes whose connection is worth renewing now: it may hang behind a cut that is over. */
+  /**
+   * Controllers whose connection is worth renewing now, since it may hang behind a network
+   * partition that is over; each is returned once in a heartbeat interval.
+   */
   public List<String> takeNewlyUnresponsive() {
-    List<String> out = new ArrayList<>();
-    for (Map.Entry<String, Double> e : renewedAt.entrySet()) {
-      if (!isLive(e.getKey()) && clock.now() - e.getValue() > renewS) {
-        e.setValue(clock.now());
-        out.add(e.getKey());
+    List<String> unresponsive = new ArrayList<>();
+    for (Map.Entry<String, Double> renewal : renewedAt.entrySet()) {
+      if (!isLive(renewal.getKey()) && clock.now() - renewal.getValue() > renewS) {
+        renewal.setValue(clock.now());
+        unresponsive.add(renewal.getKey());
       }
     }
-    return out;
+    return unresponsive;
   }
 }
--- a/src/main/java/io/embernotch/leader/Leader.java
+++ b/src/main/java/io/embernotch/leader/Leader.java
@@ -43,6 +43,7 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
+import java.util.Map;
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -439,7 +440,8 @@
     return loaded ? StateSnapshot.of(state, shardLayout::shardSize, sharedState.copy(), epoch, context.clock().wallMs()) : begunWith;
   }
 
-  public ClusterState state() {
-    return state;
+  /** Machine types have been learned; {@code types}: by name. */
+  public void addMachineTypes(Map<String, MachineType> types) {
+    state.types.putAll(types);
   }
 }
