--- a/src/main/java/io/embernotch/controller/RoleTransitions.java
+++ b/src/main/java/io/embernotch/controller/RoleTransitions.java
@@ -9,6 +9,7 @@
 import io.embernotch.leader.Leader;
 import io.embernotch.leader.LeaderContext;
 import io.embernotch.leader.LeaderMessage;
+import io.embernotch.leader.LeaderTerm;
 
 /**
  * What a controller does when the election makes it leader or follower, or finds another leader.
@@ -55,10 +56,8 @@
         new Leader(
             context,
             leaderContext,
-            epoch,
-            modRevision,
+            new LeaderTerm(epoch, modRevision, incarnations.base()),
             machineTypes.types().values(),
-            incarnations.base(),
             incarnations.takeInitialSnapshot(),
             heartbeatForwarder.controllersDelayingCancellations());
     localLeader.begin(leader);
--- /dev/null
+++ b/src/main/java/io/embernotch/leader/AgentEventHandler.java
@@ -0,0 +1,56 @@
+package io.embernotch.leader;
+
+import io.embernotch.agents.AgentReconciler;
+import io.embernotch.agents.FencingTokens;
+import io.embernotch.model.Attempt;
+import io.embernotch.model.ExitCause;
+import io.embernotch.model.Job;
+import io.embernotch.model.Machine;
+import io.embernotch.persistence.StateWriter;
+
+/** What follows from what agents report of attempts and of other leaders. */
+final class AgentEventHandler implements AgentReconciler.Listener {
+  private final LeaderComponents components;
+
+  AgentEventHandler(LeaderComponents components) {
+    this.components = components;
+  }
+
+  @Override
+  public void taskRunning(Attempt attempt, Machine machine) {}
+
+  @Override
+  public void taskExited(Attempt attempt, Machine machine, ExitCause cause, boolean saved) {
+    components.attemptOutcomes.exited(attempt, machine, cause, saved);
+  }
+
+  @Override
+  public void attemptGone(Attempt attempt, Machine machine, String why) {
+    components.attemptOutcomes.gone(attempt, machine, why);
+  }
+
+  @Override
+  public void superseded(long token) {
+    components.leaderContext.observeEpoch(FencingTokens.epochOf(token));
+    components.leaderContext.superseded("a worker has seen fencing token " + token);
+  }
+
+  @Override
+  public void clusterChanged() {
+    components.schedulingLoop.scheduleSoon();
+  }
+
+  @Override
+  public boolean isLeading() {
+    return components.isLeading();
+  }
+
+  @Override
+  public boolean isOutcomePersisted(String ref, int task) {
+    Job job = components.state.jobs.get(ref);
+    StateWriter stateWriter = components.stateWriter;
+    return job == null
+        || !(stateWriter.isDirty(job, task)
+            || stateWriter.isDirty(job, LeaderComponents.FIRST_TASK));
+  }
+}
--- /dev/null
+++ b/src/main/java/io/embernotch/leader/FleetEventHandler.java
@@ -0,0 +1,51 @@
+package io.embernotch.leader;
+
+import io.embernotch.fleet.FleetManager;
+import io.embernotch.model.Attempt;
+import io.embernotch.model.Machine;
+import java.util.List;
+import java.util.Set;
+
+/** What follows from what the fleet reports of machines. */
+final class FleetEventHandler implements FleetManager.Listener {
+  private final LeaderComponents components;
+
+  FleetEventHandler(LeaderComponents components) {
+    this.components = components;
+  }
+
+  @Override
+  public void machineGone(Machine machine) {
+    if (components.state.machines.get(machine.name) != machine) {
+      return;
+    }
+    for (Attempt attempt : List.copyOf(machine.openAttempts.values())) {
+      components.attemptOutcomes.gone(attempt, machine, "its machine was scaled in");
+    }
+    components.state.machines.remove(machine.name);
+    components.imagePublisher.machineRemoved(
+        machine.name, components.term.epoch(), components.leaderContext::broadcast);
+    components.agents.markDeleted(machine.name);
+    components.schedulingLoop.scheduleSoon();
+  }
+
+  @Override
+  public void clusterChanged() {
+    components.schedulingLoop.scheduleSoon();
+  }
+
+  @Override
+  public Set<String> controllers() {
+    return components.leaderContext.controllers();
+  }
+
+  @Override
+  public void startUnreachable(Attempt attempt) {
+    components.stopper.stopWithGang(attempt, 0);
+  }
+
+  @Override
+  public void controllerPartitioned() {
+    components.leaderContext.resign("most machines are unresponsive");
+  }
+}
--- /dev/null
+++ b/src/main/java/io/embernotch/leader/HeartbeatHandler.java
@@ -0,0 +1,56 @@
+package io.embernotch.leader;
+
+import io.embernotch.model.Heartbeat;
+import io.embernotch.model.Machine;
+import io.embernotch.peer.Frame;
+
+/**
+ * Takes in heartbeats of agents and of the controllers that renew agents on the leader's behalf.
+ */
+final class HeartbeatHandler {
+  private final LeaderComponents components;
+
+  HeartbeatHandler(LeaderComponents components) {
+    this.components = components;
+  }
+
+  /** An agent's heartbeat, which is answered. */
+  void received(LeaderMessage.HeartbeatReceived message) {
+    if (components.lifecycle.isStopped()) {
+      LeaderMessageDispatcher.refuse(message);
+      return;
+    }
+    String name = message.heartbeat().machine();
+    Machine before = components.state.machines.get(name);
+    int openBefore = before == null ? 0 : before.openAttempts.size();
+    byte[] body =
+        components.agents.processHeartbeat(
+            message.heartbeat(), components.leaderContext.isLeaseValid(), message.via());
+    message.reply().complete(body);
+    Machine after = components.state.machines.get(name);
+    if (after != null && after.openAttempts.size() != openBefore) {
+      components.schedulingLoop.scheduleSoon();
+    }
+  }
+
+  /** An agent's heartbeat that another controller received, and that nobody waits for. */
+  void handedOver(Heartbeat heartbeat) {
+    if (!components.lifecycle.isStopped() && components.agents.processForwarded(heartbeat)) {
+      components.schedulingLoop.scheduleSoon();
+    }
+  }
+
+  /** Another controller is there; returns the answer to it. */
+  Frame.DelegateHeartbeatAck delegateHeartbeatReceived(Frame.DelegateHeartbeat heartbeat) {
+    if (components.delegations.isNewProcess(heartbeat)) {
+      components.imagePublisher.republishAll();
+    }
+    boolean mayRenew =
+        components.lifecycle.isLoaded()
+            && components.leaderContext.isLeaseValid()
+            && components.completions.zoneHasNoCancelledTasks(
+                components.delegations.zoneOf(heartbeat.node()));
+    return components.delegations.heartbeatReceived(
+        heartbeat, components.term.epoch(), mayRenew, components.context.clock().now());
+  }
+}
--- a/src/main/java/io/embernotch/leader/HeartbeatQueue.java
+++ b/src/main/java/io/embernotch/leader/HeartbeatQueue.java
@@ -2,126 +2,132 @@
 
 import io.embernotch.actor.Clock;
 import io.embernotch.actor.Timers;
+import io.embernotch.model.Heartbeat;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
 /**
- * Reports are taken a few at a time, and between them the loop turns to everything else. After a
- * takeover a thousand come at once; while each turn took all that had come, the commits of live
- * services, which need two turns each, took 2.6 s instead of 20 ms.
+ * Handles agents' heartbeats a few at a time, and lets the loop do everything else in between.
+ * After a failover a thousand come at once; handled in one iteration of the loop, they would delay
+ * the commits of live services, which need two iterations each, from 20 ms to 2.6 s.
  *
- * <p>Where more come than can be taken, only what its worker still waits for is worth taking: of a
- * machine the last one, none that is older than its worker's patience, and the youngest first once
- * they wait for long. Taken in the order they came, each was answered just too late: answers took
- * 6.8 s at the 95th percentile where workers wait for 4, and what ran on those machines ended with
- * its lease.
+ * <p>Where more come than can be handled, only what its agent still waits for is worth handling: of
+ * a machine the last one, none that is older than its agent's patience, and the youngest first once
+ * they are queued for long. Handled in the order they came, each would be answered just too late:
+ * answers took 6.8 s at the 95th percentile where agents wait for 4, and what ran on those machines
+ * ended with its lease.
  */
 public final class HeartbeatQueue {
-  private static final int SLICE = 8;
+  /** Heartbeats handled in one iteration of the loop. */
+  private static final int MAX_PER_ITERATION = 8;
 
-  /** The shortest pause: the next turn of the loop. */
-  private static final double PAUSE_S = 0.001;
+  /** Seconds of the shortest pause: the next iteration of the loop. */
+  private static final double NEXT_ITERATION_S = 0.001;
 
-  /**
-   * Seconds that a worker waits for an answer ("Workers"), and from which on the youngest report
-   * goes first.
-   */
-  private static final double PATIENCE_S = 4;
+  /** Seconds that an agent waits for an answer ("Workers"). */
+  private static final double AGENT_PATIENCE_S = 4;
 
-  private static final double LONG_S = PATIENCE_S / 4;
+  /** Seconds that the oldest is queued from which on the youngest heartbeat goes first. */
+  private static final double OVERLOADED_S = AGENT_PATIENCE_S / 4;
 
-  private record Waiting(LeaderMessage.HeartbeatReceived message, double since) {}
+  /** Seconds that the oldest is queued from which on other work is to make room. */
+  private static final double PRESSURE_S = OVERLOADED_S / 4;
+
+  private record Queued(LeaderMessage.HeartbeatReceived message, double since) {}
 
   private final Clock clock;
   private final Timers timers;
-  private final Consumer<LeaderMessage.HeartbeatReceived> take;
-  private final Consumer<LeaderMessage.HeartbeatReceived> drop;
+  private final Consumer<LeaderMessage.HeartbeatReceived> handler;
+  private final Consumer<LeaderMessage.HeartbeatReceived> onDropped;
 
-  /** In the order they came. */
-  private final TreeMap<Long, Waiting> queue = new TreeMap<>();
+  /** By position: in the order they came. */
+  private final TreeMap<Long, Queued> queue = new TreeMap<>();
 
-  private final Map<String, Long> places = new HashMap<>();
-  private long next;
-  private int left = SLICE;
-  private boolean armed;
+  private final Map<String, Long> positionByMachine = new HashMap<>();
+  private long lastPosition;
+  private int remainingInIteration = MAX_PER_ITERATION;
+  private boolean iterationScheduled;
 
-  /** {@code drop} is told of heartbeats that nobody waits for any more. */
+  /**
+   * An empty queue.
+   *
+   * @param handler handles a heartbeat
+   * @param onDropped gets the heartbeats that nobody waits for any more
+   */
   public HeartbeatQueue(
       Clock clock,
       Timers timers,
-      Consumer<LeaderMessage.HeartbeatReceived> take,
-      Consumer<LeaderMessage.HeartbeatReceived> drop) {
+      Consumer<LeaderMessage.HeartbeatReceived> handler,
+      Consumer<LeaderMessage.HeartbeatReceived> onDropped) {
     this.clock = clock;
     this.timers = timers;
-    this.take = take;
-    this.drop = drop;
+    this.handler = handler;
+    this.onDropped = onDropped;
   }
 
-  /** Takes the heartbeat now if few have been taken in this turn, else in its own. */
-  public void add(LeaderMessage.HeartbeatReceived m) {
-    if (left > 0 && queue.isEmpty()) {
-      left--;
-      arm();
-      take.accept(m);
-      return;
-    }
-    String machine = m.heartbeat().machine();
-    Long place = places.get(machine);
-    LeaderMessage.HeartbeatReceived before = place == null ? null : queue.get(place).message;
-    if (before != null
-        && !m.heartbeat().newerThan(before.heartbeat().agentEpoch(), before.heartbeat().seq())) {
-      // A copy that came late, or one of another incarnation: it must not displace the one that is
-      // waited
-      // for.
-      drop.accept(m);
+  /** Handles the heartbeat now if few were in this iteration of the loop, else queues it. */
+  public void add(LeaderMessage.HeartbeatReceived message) {
+    if (remainingInIteration > 0 && queue.isEmpty()) {
+      remainingInIteration--;
+      scheduleIteration();
+      handler.accept(message);
       return;
     }
-    if (before != null) {
-      drop.accept(remove(place));
+    String machine = message.heartbeat().machine();
+    Long position = positionByMachine.get(machine);
+    if (position != null) {
+      Heartbeat queued = queue.get(position).message.heartbeat();
+      if (!message.heartbeat().newerThan(queued.agentEpoch(), queued.seq())) {
+        // A copy that came late, or one of another incarnation of the agent: it must not displace
+        // the one whose answer is waited for.
+        onDropped.accept(message);
+        return;
+      }
+      onDropped.accept(remove(position));
     }
-    queue.put(++next, new Waiting(m, clock.now()));
-    places.put(machine, next);
+    queue.put(++lastPosition, new Queued(message, clock.now()));
+    positionByMachine.put(machine, lastPosition);
   }
 
-  private void arm() {
-    if (!armed) {
-      armed = true;
-      timers.after(PAUSE_S, this::turn);
+  private void scheduleIteration() {
+    if (!iterationScheduled) {
+      iterationScheduled = true;
+      timers.after(NEXT_ITERATION_S, this::runIteration);
     }
   }
 
-  private void turn() {
-    armed = false;
-    left = SLICE;
+  private void runIteration() {
+    iterationScheduled = false;
+    remainingInIteration = MAX_PER_ITERATION;
     double now = clock.now();
-    while (!queue.isEmpty() && waitedS(now) > PATIENCE_S) {
-      drop.accept(remove(queue.firstKey()));
+    while (!queue.isEmpty() && oldestQueuedForS(now) > AGENT_PATIENCE_S) {
+      onDropped.accept(remove(queue.firstKey()));
     }
     if (queue.isEmpty()) {
       return;
     }
-    arm();
-    boolean behind = waitedS(now) > LONG_S;
-    while (left > 0 && !queue.isEmpty()) {
-      left--;
-      take.accept(remove(behind ? queue.lastKey() : queue.firstKey()));
+    scheduleIteration();
+    boolean overloaded = oldestQueuedForS(now) > OVERLOADED_S;
+    while (remainingInIteration > 0 && !queue.isEmpty()) {
+      remainingInIteration--;
+      handler.accept(remove(overloaded ? queue.lastKey() : queue.firstKey()));
     }
   }
 
-  /** Reports wait for their turn for longer than a worker would notice. */
+  /** True if heartbeats are queued for longer than an agent would notice. */
   public boolean isUnderPressure() {
-    return !queue.isEmpty() && waitedS(clock.now()) > LONG_S / 4;
+    return !queue.isEmpty() && oldestQueuedForS(clock.now()) > PRESSURE_S;
   }
 
-  private double waitedS(double now) {
+  private double oldestQueuedForS(double now) {
     return now - queue.firstEntry().getValue().since;
   }
 
-  private LeaderMessage.HeartbeatReceived remove(long place) {
-    LeaderMessage.HeartbeatReceived m = queue.remove(place).message;
-    places.remove(m.heartbeat().machine());
-    return m;
+  private LeaderMessage.HeartbeatReceived remove(long position) {
+    LeaderMessage.HeartbeatReceived message = queue.remove(position).message;
+    positionByMachine.remove(message.heartbeat().machine());
+    return message;
   }
 }
--- /dev/null
+++ b/src/main/java/io/embernotch/leader/JobEventHandler.java
@@ -0,0 +1,98 @@
+package io.embernotch.leader;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.embernotch.codec.JobProgressCodec;
+import io.embernotch.http.HttpResponse;
+import io.embernotch.jobs.DependencyGraph;
+import io.embernotch.jobs.JobRequestHandler;
+import io.embernotch.model.Job;
+import io.embernotch.state.ClusterState;
+import io.embernotch.store.VersionedEntry;
+import io.vertx.core.Promise;
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * What follows from new jobs, from the completion of their dependencies, and from users' aborts.
+ */
+final class JobEventHandler implements DependencyGraph.Listener, JobRequestHandler.Host {
+  /** The leader's, so that its log lines of jobs keep the name that they are filtered by. */
+  private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
+
+  private final LeaderComponents components;
+
+  JobEventHandler(LeaderComponents components) {
+    this.components = components;
+  }
+
+  /**
+   * A job was accepted; nothing happens if it is known.
+   *
+   * @param shardSize number of its tasks kept in one shard
+   */
+  void jobAccepted(Job job, int shardSize) {
+    ClusterState state = components.state;
+    String ref = job.spec.ref();
+    if (state.jobs.containsKey(ref) || state.endedJobs.containsKey(ref)) {
+      return;
+    }
+    state.jobs.put(ref, job);
+    components.failoverRecovery.delayIfProgressUncertain(job);
+    components.shardLayout.recordShardSize(ref, shardSize);
+    components.dependencyGraph.add(job);
+    if (!job.blocked()) {
+      recordDemand(job);
+    }
+    LOG.debug("job {}: {} x {} of {}", ref, job.spec.tasks(), job.spec.shape(), job.spec.team());
+    components.schedulingLoop.scheduleSoon();
+  }
+
+  private void recordDemand(Job job) {
+    components.demandForecast.seen(job.spec, components.context.clock().now());
+  }
+
+  private void stopOpenAttempts(Job job) {
+    List.copyOf(job.openAttempts.values())
+        .forEach(attempt -> components.stopper.requestStop(attempt, 0));
+  }
+
+  @Override
+  public void released(Job job) {
+    recordDemand(job);
+    components.schedulingLoop.scheduleNow();
+  }
+
+  @Override
+  public void cancelled(Job job) {
+    components.completions.completedByDependency(job);
+    stopOpenAttempts(job);
+  }
+
+  @Override
+  public void jobFound(VersionedEntry entry) {
+    if (!components.lifecycle.isStopped()) {
+      jobAccepted(
+          JobProgressCodec.readJob(entry.value()), JobProgressCodec.readShardSize(entry.value()));
+    }
+  }
+
+  @Override
+  public void cancel(Job job, Promise<HttpResponse> reply) {
+    LOG.debug("job {}: cancellation requested", job.spec.ref());
+    job.cancelRequested = true;
+    stopOpenAttempts(job);
+    components.cancellations.request(job, reply);
+    components.schedulingLoop.scheduleSoon();
+  }
+
+  @Override
+  public boolean isStopped() {
+    return components.lifecycle.isStopped();
+  }
+
+  @Override
+  public void describe(Job job, ObjectNode into) {
+    components.sharedState.describe(job, into);
+  }
+}
--- /dev/null
+++ b/src/main/java/io/embernotch/leader/LeaderComponents.java
@@ -0,0 +1,229 @@
+package io.embernotch.leader;
+
+import io.embernotch.agents.AgentReconciler;
+import io.embernotch.agents.RenewalDelegations;
+import io.embernotch.agents.TaskLauncher;
+import io.embernotch.agents.TaskStopper;
+import io.embernotch.codec.JobProgressCodec;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.fleet.FleetManager;
+import io.embernotch.jobs.AttemptOutcomes;
+import io.embernotch.jobs.Cancellations;
+import io.embernotch.jobs.DependencyGraph;
+import io.embernotch.jobs.FailoverRecovery;
+import io.embernotch.jobs.JobCompletions;
+import io.embernotch.jobs.JobRequestHandler;
+import io.embernotch.model.MachineType;
+import io.embernotch.persistence.ShardLayout;
+import io.embernotch.persistence.StateWriter;
+import io.embernotch.rounds.MachineViewPublisher;
+import io.embernotch.rounds.RestartReviewer;
+import io.embernotch.scheduling.Scheduler;
+import io.embernotch.settings.Settings;
+import io.embernotch.state.ClusterState;
+import io.embernotch.state.DemandForecast;
+import java.util.Collection;
+import java.util.List;
+import java.util.Set;
+import java.util.function.Consumer;
+
+/**
+ * Assembles a leader: builds its components in the order in which they need each other, and
+ * connects them. Components that report to others built later do so through the handlers here,
+ * which look them up when something is reported; nothing is reported during the assembly.
+ */
+final class LeaderComponents {
+  /** The shard of this task holds what is stored of the job as a whole, among it its end. */
+  static final int FIRST_TASK = 0;
+
+  /** Name of the time that agents' heartbeats take, in the log of the event loop's profile. */
+  private static final String HEARTBEAT_PROFILE = "Report";
+
+  final ControllerContext context;
+  final LeaderContext leaderContext;
+  final LeaderTerm term;
+  final LeaderLifecycle lifecycle;
+  final ClusterState state = new ClusterState();
+  final ShardLayout shardLayout;
+  final StateWriter stateWriter;
+  final DemandForecast demandForecast;
+  final DependencyGraph dependencyGraph;
+  final JobCompletions completions;
+  final JobRequestHandler jobRequests;
+  final RenewalDelegations delegations;
+  final AgentReconciler agents;
+  final Cancellations cancellations;
+  final AttemptOutcomes attemptOutcomes;
+  final TaskStopper stopper;
+  final TaskLauncher launcher;
+  final HeartbeatHandler heartbeatHandler;
+  final HeartbeatQueue heartbeatQueue;
+  final FleetManager fleetManager;
+  final MachineViewPublisher machineViewPublisher;
+  final SharedStateServices sharedState;
+  final SchedulingLoop schedulingLoop;
+  final RestartReviewer restartReviewer;
+  final ImageInventoryPublisher imagePublisher;
+  final StatusLogger statusLogger;
+  final FailoverRecovery failoverRecovery;
+  final JobEventHandler jobEvents = new JobEventHandler(this);
+
+  private final double acquiredAt;
+  private final Consumer<LeaderMessage> self;
+
+  /**
+   * @param acquiredAt when the term began, by the steady clock
+   * @param self sends a message to the leader that is assembled
+   */
+  LeaderComponents(
+      ControllerContext context,
+      LeaderContext leaderContext,
+      LeaderTerm term,
+      LeaderLifecycle lifecycle,
+      double acquiredAt,
+      Collection<MachineType> machineTypes,
+      Set<String> controllersDelayingCancellations,
+      Consumer<LeaderMessage> self) {
+    this.context = context;
+    this.leaderContext = leaderContext;
+    this.term = term;
+    this.lifecycle = lifecycle;
+    this.acquiredAt = acquiredAt;
+    this.self = self;
+    Settings settings = context.settings();
+    machineTypes.forEach(type -> state.types.put(type.name(), type));
+    demandForecast = new DemandForecast(spec -> Scheduler.mayWaitForCapacity(settings, spec));
+    shardLayout = createShardLayout();
+    stateWriter = createStateWriter();
+    dependencyGraph = new DependencyGraph(context, state, jobEvents);
+    completions = createCompletions();
+    jobRequests =
+        new JobRequestHandler(context, state, stateWriter, leaderContext::isLeaseValid, jobEvents);
+    delegations = new RenewalDelegations(settings, acquiredAt, controllersDelayingCancellations);
+    agents =
+        new AgentReconciler(context, state, term.epoch(), delegations, new AgentEventHandler(this));
+    cancellations = new Cancellations(context, state, stateWriter, completions, agents);
+    attemptOutcomes = createAttemptOutcomes();
+    stopper = new TaskStopper(context, state, agents, attemptOutcomes::close, lifecycle::isLoaded);
+    attemptOutcomes.setStopper(stopper);
+    heartbeatHandler = new HeartbeatHandler(this);
+    heartbeatQueue = createHeartbeatQueue();
+    launcher = new TaskLauncher(context, state, stateWriter, agents, acquiredAt, this::isLeading);
+    fleetManager =
+        new FleetManager(context, state, agents, term.epoch(), new FleetEventHandler(this));
+    machineViewPublisher = createMachineViewPublisher();
+    sharedState = createSharedState();
+    schedulingLoop = createSchedulingLoop();
+    restartReviewer = new RestartReviewer(context, state, stateWriter, stopper);
+    imagePublisher = new ImageInventoryPublisher(context.operator().roundS());
+    statusLogger = new StatusLogger(context, state, schedulingLoop, stateWriter);
+    failoverRecovery = createFailoverRecovery();
+    state.setImageLookup(this::lastKnownImages);
+  }
+
+  private ShardLayout createShardLayout() {
+    Settings settings = context.settings();
+    return new ShardLayout(
+        JobProgressCodec.shard(settings.minStoreLimits().valueKb(), settings.zones()));
+  }
+
+  private StateWriter createStateWriter() {
+    return new StateWriter(
+        context.settings(),
+        shardLayout,
+        context.store(),
+        context.clock(),
+        context.timers(),
+        context.profile(),
+        term.modRevision(),
+        () -> leaderContext.superseded("a transaction failed on the leader key"));
+  }
+
+  private JobCompletions createCompletions() {
+    return new JobCompletions(
+        context,
+        state,
+        stateWriter,
+        dependencyGraph,
+        (ref, end) -> leaderContext.jobCompleted(ref, end.phase(), end.tasks(), end.done()));
+  }
+
+  private AttemptOutcomes createAttemptOutcomes() {
+    return new AttemptOutcomes(
+        context,
+        state,
+        stateWriter,
+        completions,
+        MachineViewPublisher.LATELY,
+        cancellations::check,
+        this::scheduleSoon);
+  }
+
+  private HeartbeatQueue createHeartbeatQueue() {
+    return new HeartbeatQueue(
+        context.clock(),
+        context.timers(),
+        message ->
+            context.profile().run(HEARTBEAT_PROFILE, () -> heartbeatHandler.received(message)),
+        LeaderMessageDispatcher::refuse);
+  }
+
+  private MachineViewPublisher createMachineViewPublisher() {
+    return new MachineViewPublisher(
+        context,
+        state,
+        (node, view) -> leaderContext.partitionViews().view(node, term.epoch(), view),
+        (node, machine) -> leaderContext.partitionViews().forget(node, term.epoch(), machine));
+  }
+
+  private SharedStateServices createSharedState() {
+    return new SharedStateServices(
+        context,
+        state,
+        term,
+        job -> stateWriter.writeLater(job, FIRST_TASK),
+        () -> leaderContext.superseded("a shared state transaction failed on the leader key"));
+  }
+
+  private SchedulingLoop createSchedulingLoop() {
+    return new SchedulingLoop(
+        context,
+        state,
+        dependencyGraph,
+        fleetManager,
+        sharedState,
+        new SchedulingInputs(context, state, demandForecast, fleetManager, sharedState),
+        new PlanExecutor(fleetManager, launcher, stopper),
+        acquiredAt,
+        this::isLeading,
+        heartbeatQueue::isUnderPressure,
+        () -> self.accept(new LeaderMessage.RunScheduler()));
+  }
+
+  private FailoverRecovery createFailoverRecovery() {
+    return new FailoverRecovery(
+        context,
+        state,
+        stateWriter,
+        shardLayout,
+        dependencyGraph,
+        demandForecast,
+        agents.tokenBase(),
+        acquiredAt,
+        term.baseSnapshot());
+  }
+
+  /** True while this leader may start anything: its term lasts, and its lease is proven. */
+  boolean isLeading() {
+    return !lifecycle.isStopped() && leaderContext.isLeaseValid();
+  }
+
+  private void scheduleSoon() {
+    schedulingLoop.scheduleSoon();
+  }
+
+  private List<String> lastKnownImages(String machine) {
+    List<String> images = leaderContext.lastKnownImages(machine);
+    return images.isEmpty() ? sharedState.images(machine) : images;
+  }
+}
--- a/src/main/java/io/embernotch/leader/LeaderContext.java
+++ b/src/main/java/io/embernotch/leader/LeaderContext.java
@@ -6,28 +6,45 @@
 import java.util.List;
 import java.util.Set;
 
-/** What a leader needs of its controller. */
+/** What a leader needs of the controller that it runs in. Core loop only. */
 public interface LeaderContext {
+  /** True while nobody else can be leader. */
   boolean isLeaseValid();
 
+  /** The controllers that have been heard from lately, this one included. */
   Set<String> controllers();
 
-  /** Brings views to the controllers that own them. */
+  /** Brings machine views to the controllers that own their partitions. */
   PartitionViews partitionViews();
 
+  /**
+   * A newer leader has been seen: this one is to be stopped.
+   *
+   * @param why the reason, for the log
+   */
   void superseded(String why);
 
-  /** Somebody has seen the token of a leader with this epoch. */
+  /** Somebody has seen the fencing token of a leader with this epoch. */
   void observeEpoch(long epoch);
 
-  /** Gives leadership up, since this node is badly placed for it. */
+  /**
+   * Gives leadership up, since this node is badly placed for it.
+   *
+   * @param why the reason, for the log
+   */
   void resign(String why);
 
+  /**
+   * A job's completion is in the store.
+   *
+   * @param tasks number of the job's tasks
+   * @param done number of those that are done
+   */
   void jobCompleted(String ref, JobPhase phase, int tasks, int done);
 
-  /** Says something to all other controllers. */
+  /** Sends a frame to all other controllers, and takes in here what it says to them. */
   void broadcast(Frame frame);
 
-  /** What an earlier leader said of a machine's images. */
+  /** The images that an earlier leader said the machine has; empty if none are known. */
   List<String> lastKnownImages(String machine);
 }
--- a/src/main/java/io/embernotch/leader/PendingHeartbeats.java
+++ b/src/main/java/io/embernotch/leader/PendingHeartbeats.java
@@ -11,66 +11,75 @@
 import java.util.function.Consumer;
 
 /**
- * What workers report before the store is read. Their heartbeats wait for that, since an answer
- * that renews them counts from the heartbeat's sending; before they would give up they are told to
- * stay: an answer without a token renews nothing, but its worker keeps the connection. Left to give
- * up, a thousand workers connected anew and took the time that the reading needed.
+ * Agents' heartbeats that come before the store is loaded. They are kept until it is, since an
+ * answer that renews their leases counts from the heartbeat's sending. Agents that would give up
+ * earlier are told to stay: an answer without a token renews nothing, but its agent keeps the
+ * connection. A thousand agents that gave up and connected anew would take the time that loading
+ * needs.
  */
 final class PendingHeartbeats {
-  /** Reports taken in one turn, so that everything else gets its own. */
-  private static final int SLICE = 32;
+  /** Heartbeats released in one iteration of the loop, so that everything else gets its own. */
+  private static final int MAX_PER_ITERATION = 32;
 
-  private final Map<String, Heartbeat> latest = new LinkedHashMap<>();
-  private final Map<String, LeaderMessage.HeartbeatReceived> waiting = new LinkedHashMap<>();
+  /** The last heartbeat of each machine that nobody waits for any more. */
+  private final Map<String, Heartbeat> unawaited = new LinkedHashMap<>();
 
-  /** A heartbeat whose worker waits; told to stay unless {@link #drain} comes first. */
-  void add(LeaderMessage.HeartbeatReceived m, Timers timers) {
-    String machine = m.heartbeat().machine();
-    LeaderMessage.HeartbeatReceived before = waiting.put(machine, m);
+  /** The heartbeat of each machine whose agent waits for the answer. */
+  private final Map<String, LeaderMessage.HeartbeatReceived> awaited = new LinkedHashMap<>();
+
+  /** A heartbeat whose agent waits; it is told to stay unless {@link #drain} comes first. */
+  void add(LeaderMessage.HeartbeatReceived message, Timers timers) {
+    String machine = message.heartbeat().machine();
+    LeaderMessage.HeartbeatReceived before = awaited.put(machine, message);
     if (before != null) {
       before.reply().tryComplete(WorkerCodec.stay());
     }
     timers.after(
         HeartbeatForwarder.PATIENCE_S,
         () -> {
-          if (waiting.remove(machine, m)) {
-            add(m.heartbeat());
-            m.reply().tryComplete(WorkerCodec.stay());
+          if (awaited.remove(machine, message)) {
+            add(message.heartbeat());
+            message.reply().tryComplete(WorkerCodec.stay());
           }
         });
   }
 
+  /** A heartbeat that nobody waits for; dropped if a newer one of the machine is known. */
   void add(Heartbeat heartbeat) {
-    latest.merge(
+    unawaited.merge(
         heartbeat.machine(),
         heartbeat,
-        (old, now) -> now.newerThan(old.agentEpoch(), old.seq()) ? now : old);
+        (known, added) -> added.newerThan(known.agentEpoch(), known.seq()) ? added : known);
   }
 
-  /** Hands over those that wait for an answer, and then what else was heard, a slice a turn. */
-  void drain(Executor loop, Consumer<LeaderMessage> to) {
-    ArrayDeque<LeaderMessage> left = new ArrayDeque<>(waiting.values());
-    latest
+  /**
+   * Releases those that are waited for, and then the others, some in each iteration of the loop.
+   *
+   * @param handler handles a heartbeat
+   */
+  void drain(Executor loop, Consumer<LeaderMessage> handler) {
+    ArrayDeque<LeaderMessage> pending = new ArrayDeque<>(awaited.values());
+    unawaited
         .values()
-        .forEach(heartbeat -> left.add(new LeaderMessage.HeartbeatHandedOver(heartbeat)));
-    waiting.clear();
-    latest.clear();
-    slice(left, loop, to);
+        .forEach(heartbeat -> pending.add(new LeaderMessage.HeartbeatHandedOver(heartbeat)));
+    awaited.clear();
+    unawaited.clear();
+    drainSome(pending, loop, handler);
   }
 
-  private static void slice(
-      ArrayDeque<LeaderMessage> left, Executor loop, Consumer<LeaderMessage> to) {
-    for (int i = 0; i < SLICE && !left.isEmpty(); i++) {
-      to.accept(left.poll());
+  private static void drainSome(
+      ArrayDeque<LeaderMessage> pending, Executor loop, Consumer<LeaderMessage> handler) {
+    for (int i = 0; i < MAX_PER_ITERATION && !pending.isEmpty(); i++) {
+      handler.accept(pending.poll());
     }
-    if (!left.isEmpty()) {
-      loop.execute(() -> slice(left, loop, to));
+    if (!pending.isEmpty()) {
+      loop.execute(() -> drainSome(pending, loop, handler));
     }
   }
 
-  /** Nobody will read the store here any more. */
+  /** The store will not be loaded here: those that are waited for get no answer. */
   void refuse() {
-    waiting.values().forEach(m -> m.reply().tryComplete(null));
-    waiting.clear();
+    awaited.values().forEach(message -> message.reply().tryComplete(null));
+    awaited.clear();
   }
 }
--- /dev/null
+++ b/src/main/java/io/embernotch/leader/PeriodicTasks.java
@@ -0,0 +1,62 @@
+package io.embernotch.leader;
+
+import io.embernotch.model.Attempt;
+import io.embernotch.model.Machine;
+import java.util.List;
+
+/** What the leader does as time passes, several times in a heartbeat interval. */
+final class PeriodicTasks {
+  private final LeaderComponents components;
+
+  PeriodicTasks(LeaderComponents components) {
+    this.components = components;
+  }
+
+  /** Does what is due; nothing while the lease is not proven. */
+  void run() {
+    if (!components.leaderContext.isLeaseValid()) {
+      return;
+    }
+    double now = components.context.clock().now();
+    expireLeases();
+    checkMachines();
+    components.fleetManager.tick();
+    components.cancellations.checkAll();
+    components.dependencyGraph.resolveUnknown();
+    components.restartReviewer.commitDue();
+    if (components.lifecycle.loadedForS(now)
+        > components.context.settings().workers().heartbeatIntervalS()) {
+      // Right after a failover, what does not serve live services must not take time from them.
+      evictAndPublish(now);
+    }
+    components.sharedState.tick();
+    components.statusLogger.tick(now);
+    components.schedulingLoop.tick(now);
+  }
+
+  private void expireLeases() {
+    for (Attempt attempt : components.fleetManager.attemptsWithExpiredLease()) {
+      Machine machine = components.state.machines.get(attempt.machine);
+      components.attemptOutcomes.gone(attempt, machine, "the worker's lease expired");
+    }
+  }
+
+  private void checkMachines() {
+    for (Machine machine : List.copyOf(components.state.machines.values())) {
+      if (components.stopper.drained(machine)) {
+        components.fleetManager.scaleIn(machine);
+      }
+      components.agents.sendDueCommands(machine);
+    }
+  }
+
+  private void evictAndPublish(double now) {
+    components.completions.evict();
+    components.machineViewPublisher.publish(components.leaderContext.controllers());
+    components.imagePublisher.publish(
+        components.state.machines.values(),
+        components.term.epoch(),
+        now,
+        components.leaderContext::broadcast);
+  }
+}
--- /dev/null
+++ b/src/main/java/io/embernotch/leader/SchedulingInputs.java
@@ -0,0 +1,71 @@
+package io.embernotch.leader;
+
+import io.embernotch.context.ControllerContext;
+import io.embernotch.fleet.FleetManager;
+import io.embernotch.scheduling.FleetView;
+import io.embernotch.scheduling.SchedulingInput;
+import io.embernotch.state.ClusterState;
+import io.embernotch.state.DemandForecast;
+import java.util.List;
+
+/** Gathers what a scheduling run goes by. */
+final class SchedulingInputs {
+  /** Headroom for live services is raised by this factor when a release is near. */
+  private static final double NEAR_RELEASE_FACTOR = 1.5;
+
+  private final ControllerContext context;
+  private final ClusterState state;
+  private final DemandForecast demandForecast;
+  private final FleetManager fleetManager;
+  private final SharedStateServices sharedState;
+
+  SchedulingInputs(
+      ControllerContext context,
+      ClusterState state,
+      DemandForecast demandForecast,
+      FleetManager fleetManager,
+      SharedStateServices sharedState) {
+    this.context = context;
+    this.state = state;
+    this.demandForecast = demandForecast;
+    this.fleetManager = fleetManager;
+    this.sharedState = sharedState;
+  }
+
+  /**
+   * The input of a run; the release calendar is applied to the jobs first.
+   *
+   * @param now seconds of the steady clock
+   */
+  SchedulingInput gather(double now) {
+    long wallMs = context.clock().wallMs();
+    sharedState.calendar().apply(wallMs);
+    List<FleetView.Headroom> headroom = headroom(now, wallMs);
+    return new SchedulingInput(
+        now,
+        wallMs,
+        state.jobs.values(),
+        state.machines.values(),
+        state.types,
+        fleetManager::exhausted,
+        fleetManager.expected(),
+        headroom,
+        sharedState.reservations().holds(headroom),
+        fleetManager.risk());
+  }
+
+  private List<FleetView.Headroom> headroom(double now, long wallMs) {
+    return demandForecast
+        .headroom(context.operator(), state.types.values(), state.jobs.values(), now)
+        .stream()
+        .map(headroom -> raisedIfReleaseNear(headroom, wallMs))
+        .toList();
+  }
+
+  private FleetView.Headroom raisedIfReleaseNear(FleetView.Headroom headroom, long wallMs) {
+    return sharedState.calendar().near(headroom.like(), wallMs)
+        ? new FleetView.Headroom(
+            headroom.like(), (int) Math.ceil(NEAR_RELEASE_FACTOR * headroom.count()))
+        : headroom;
+  }
+}
--- a/src/main/java/io/embernotch/leader/SchedulingLoop.java
+++ b/src/main/java/io/embernotch/leader/SchedulingLoop.java
@@ -1,215 +1,189 @@
 package io.embernotch.leader;
 
 import io.embernotch.actor.LatencyRecorder;
-import io.embernotch.agents.TaskLauncher;
-import io.embernotch.agents.TaskStopper;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.fleet.FleetManager;
 import io.embernotch.jobs.DependencyGraph;
-import io.embernotch.model.Machine;
 import io.embernotch.model.Priority;
-import io.embernotch.scheduling.FleetView;
-import io.embernotch.scheduling.ReservationView;
 import io.embernotch.scheduling.Scheduler;
 import io.embernotch.scheduling.SchedulingInput;
 import io.embernotch.scheduling.SchedulingPlan;
 import io.embernotch.state.ClusterState;
-import io.embernotch.state.DemandForecast;
-import java.util.List;
 import java.util.function.BooleanSupplier;
-import org.slf4j.Logger;
-import org.slf4j.LoggerFactory;
 
-/** When plans are made, and by whom each of their parts is carried out. */
+/** Decides when the scheduler runs, and runs it. */
 final class SchedulingLoop {
-  private static final Logger LOG = LoggerFactory.getLogger(SchedulingLoop.class);
+  /** In place of a time of the steady clock: before any. */
+  private static final double NEVER = -1e9;
 
-  /** So much more room is kept for live services of a release that is near. */
-  private static final double NEAR = 1.5;
+  /** Seconds of the shortest pause: the next iteration of the loop. */
+  private static final double IMMEDIATELY_S = 0.001;
+
+  /** The pause after a run, in times of what the run took. */
+  private static final double PAUSE_FACTOR = 4;
+
+  /** The same while heartbeats are queued, by this process's share of the processor. */
+  private static final double PAUSE_FACTOR_UNDER_PRESSURE = 3;
 
   private final ControllerContext context;
   private final ClusterState state;
   private final DependencyGraph dependencyGraph;
-  private final DemandForecast demandForecast;
   private final FleetManager fleetManager;
-  private final TaskLauncher launcher;
-  private final TaskStopper stopper;
   private final SharedStateServices sharedState;
+  private final SchedulingInputs inputs;
+  private final PlanExecutor executor;
   private final double acquiredAt;
-  private final BooleanSupplier live;
-  private final BooleanSupplier pressed;
-  private final Runnable ask;
-  private final Scheduler planner;
-  private final LatencyRecorder plans = new LatencyRecorder();
-  private double loadedAt = -1;
+  private final BooleanSupplier isLeading;
+  private final BooleanSupplier isUnderPressure;
+  private final Runnable requestRun;
+  private final double heartbeatIntervalS;
+  private final Scheduler scheduler;
+  private final LatencyRecorder latencies = new LatencyRecorder();
+  private boolean loaded;
+  private double loadedAt;
   private boolean closed;
-  private boolean armed;
 
-  /** A job has been let go, and a plan is to be made in this turn. */
-  private boolean asked;
+  /** A run is scheduled at the pace that runs are allowed. */
+  private boolean scheduledSoon;
 
-  private double plannedAt = -1e9;
-  private double tookS;
-  private long planned;
+  /** A run is requested for this iteration of the loop, since a job was released. */
+  private boolean scheduledNow;
+
+  private double lastRunAt = NEVER;
+  private double lastRunTookS;
+  private long runCount;
 
   /**
-   * {@code pressed}: workers' heartbeats wait; {@code ask} has {@link #make} called in a turn of
-   * the leader's own.
+   * @param acquiredAt when the term began, by the steady clock
+   * @param isLeading whether anything may be started
+   * @param isUnderPressure whether agents' heartbeats are queued
+   * @param requestRun has {@link #runScheduler} called by a message of its own
    */
   SchedulingLoop(
       ControllerContext context,
       ClusterState state,
       DependencyGraph dependencyGraph,
-      DemandForecast demandForecast,
       FleetManager fleetManager,
-      TaskLauncher launcher,
-      TaskStopper stopper,
       SharedStateServices sharedState,
+      SchedulingInputs inputs,
+      PlanExecutor executor,
       double acquiredAt,
-      BooleanSupplier live,
-      BooleanSupplier pressed,
-      Runnable ask) {
+      BooleanSupplier isLeading,
+      BooleanSupplier isUnderPressure,
+      Runnable requestRun) {
     this.context = context;
     this.state = state;
     this.dependencyGraph = dependencyGraph;
-    this.demandForecast = demandForecast;
     this.fleetManager = fleetManager;
-    this.launcher = launcher;
-    this.stopper = stopper;
     this.sharedState = sharedState;
+    this.inputs = inputs;
+    this.executor = executor;
     this.acquiredAt = acquiredAt;
-    this.live = live;
-    this.pressed = pressed;
-    this.ask = ask;
-    this.planner = new Scheduler(context.settings(), context.operator());
+    this.isLeading = isLeading;
+    this.isUnderPressure = isUnderPressure;
+    this.requestRun = requestRun;
+    this.heartbeatIntervalS = context.settings().workers().heartbeatIntervalS();
+    this.scheduler = new Scheduler(context.settings(), context.operator());
   }
 
-  /** The store is read: from now on plans are made. */
+  /** The store is loaded: from now on the scheduler runs. */
   void begin() {
+    loaded = true;
     loadedAt = context.clock().now();
-    context.timers().after(firstS(), this::scheduleSoon);
+    context.timers().after(liveServicesFirstS(), this::scheduleSoon);
   }
 
+  /** No run is scheduled any more. */
   void close() {
     closed = true;
   }
 
-  /** How many plans were made. */
-  long planCount() {
-    return planned;
+  /** How often the scheduler ran. */
+  long runCount() {
+    return runCount;
   }
 
-  /** How long plans took since the last line; null if none was made. */
+  /** How long runs took since the last call; null if there was none. */
   String statusLine() {
-    return plans.line();
+    return latencies.line();
   }
 
-  /** Time goes by: a plan is due now and then even if nothing is known to have changed. */
+  /** Time has passed: a run is due now and then even if nothing is known to have changed. */
   void tick(double now) {
-    if (now - plannedAt > context.settings().workers().heartbeatIntervalS() / 3) {
+    if (now - lastRunAt > heartbeatIntervalS / 3) {
       scheduleSoon();
     }
   }
 
-  /** A plan in a turn of its own, whatever the pace of plans: few jobs are let go in a second. */
+  /** A run by a message of its own, whatever the pace: few jobs are released in a second. */
   void scheduleNow() {
-    if (!asked) {
-      asked = true;
-      ask.run();
+    if (!scheduledNow) {
+      scheduledNow = true;
+      requestRun.run();
     }
   }
 
-  /** A plan is made in a moment, at the pace that plans allow. */
+  /** A run at the pace that runs are allowed. */
   void scheduleSoon() {
-    if (!armed && loadedAt >= 0 && !closed) {
-      armed = true;
-      // However long a plan takes, most of the time stays for reports. While these wait for their
-      // turn that is measured
-      // by our share of the processor: four times as long as the last one took left plans half of
-      // it after a takeover.
-      double pause =
-          pressed.getAsBoolean() ? 3 * tookS / context.settings().quota().cpuShare() : 4 * tookS;
-      double spacing = Math.max(context.settings().workers().heartbeatIntervalS() / 60, pause);
-      double wait = Math.max(0.001, plannedAt + spacing - context.clock().now());
-      context.timers().after(wait, ask);
+    if (!scheduledSoon && loaded && !closed) {
+      scheduledSoon = true;
+      double spacingS = Math.max(heartbeatIntervalS / 60, pauseS());
+      double waitS = Math.max(IMMEDIATELY_S, lastRunAt + spacingS - context.clock().now());
+      context.timers().after(waitS, requestRun);
     }
   }
 
-  /** Makes a plan, and has it carried out. */
+  /**
+   * However long a run takes, most of the time stays for heartbeats. While these are queued, that
+   * is measured by this process's share of the processor: a pause of four times what the last run
+   * took would leave half of that share to the scheduler after a failover.
+   */
+  private double pauseS() {
+    return isUnderPressure.getAsBoolean()
+        ? PAUSE_FACTOR_UNDER_PRESSURE * lastRunTookS / context.settings().quota().cpuShare()
+        : PAUSE_FACTOR * lastRunTookS;
+  }
+
+  /** Makes a plan, and has it carried out; nothing while that is not yet, or no longer, allowed. */
   void runScheduler() {
-    armed = false;
-    asked = false;
+    scheduledSoon = false;
+    scheduledNow = false;
     double now = context.clock().now();
-    if (!live.getAsBoolean()
-        || (!fleetManager.listedOnce()
-            && now - acquiredAt < context.settings().workers().heartbeatIntervalS()
-            && state.machines.isEmpty())) {
+    if (!isLeading.getAsBoolean() || fleetUnknown(now)) {
       return;
     }
-    plannedAt = now;
-    planned++;
+    lastRunAt = now;
+    runCount++;
     dependencyGraph.propagateUrgency();
-    boolean liveFirst = liveWaits(now);
-    long wallMs = context.clock().wallMs();
-    sharedState.calendar().apply(wallMs);
-    List<FleetView.Headroom> room =
-        demandForecast
-            .headroom(context.operator(), state.types.values(), state.jobs.values(), now)
-            .stream()
-            .map(
-                h ->
-                    sharedState.calendar().near(h.like(), wallMs)
-                        ? new FleetView.Headroom(h.like(), (int) Math.ceil(NEAR * h.count()))
-                        : h)
-            .toList();
-    ReservationView held = sharedState.holds().holds(room);
-    SchedulingInput at =
-        new SchedulingInput(
-            now,
-            wallMs,
-            state.jobs.values(),
-            state.machines.values(),
-            state.types,
-            fleetManager::exhausted,
-            fleetManager.expected(),
-            room,
-            held,
-            fleetManager.risk());
-    SchedulingPlan plan = liveFirst ? planner.liveOnly(at) : planner.plan(at);
-    sharedState.holds().planned(plan.held);
-    tookS = context.clock().now() - now;
-    plans.record(liveFirst ? "live plan" : "plan", tookS);
-    for (SchedulingPlan.Stop s : plan.stops) {
-      LOG.info("stopping {}: {}", s.attempt(), s.why());
-      stopper.stopWithGang(s.attempt(), s.graceS());
-    }
-    for (SchedulingPlan.Start s : plan.starts) {
-      launcher.launch(s, now);
-    }
-    if (fleetManager.listedOnce()) {
-      plan.scaleOuts.forEach(fleetManager::rent);
-    }
-    if (fleetManager.cloudAnswers()) {
-      for (Machine machine : plan.scaleIns) {
-        LOG.debug("machine {} is idle", machine.name);
-        fleetManager.scaleIn(machine);
-      }
-    }
+    boolean liveServicesOnly = liveServicesWait(now);
+    SchedulingInput input = inputs.gather(now);
+    SchedulingPlan plan = liveServicesOnly ? scheduler.liveOnly(input) : scheduler.plan(input);
+    sharedState.reservations().planned(plan.held);
+    lastRunTookS = context.clock().now() - now;
+    latencies.record(liveServicesOnly ? "live plan" : "plan", lastRunTookS);
+    executor.execute(plan, now);
+  }
+
+  /** A new leader that knows no machines yet, and has no list of the cloud's. */
+  private boolean fleetUnknown(double now) {
+    return !fleetManager.listedOnce()
+        && now - acquiredAt < heartbeatIntervalS
+        && state.machines.isEmpty();
   }
 
   /**
-   * Right after a takeover live services have plans of their own. The first whole plan takes some
-   * 0.4 s on a starved core, knows few machines yet, and keeps the next one waiting for four times
-   * that.
+   * Right after a failover live services are scheduled by themselves. The first run for all jobs
+   * takes some 0.4 s on a starved core, knows few machines yet, and keeps the next one waiting for
+   * four times that.
    */
-  private boolean liveWaits(double now) {
-    return now - loadedAt < firstS()
+  private boolean liveServicesWait(double now) {
+    return now - loadedAt < liveServicesFirstS()
         && state.jobs.values().stream()
             .anyMatch(job -> job.spec.priority() == Priority.PRODUCTION && job.pendingCount() > 0);
   }
 
-  /** So long after a takeover live services come before what else there is to do. */
-  private double firstS() {
-    return context.settings().workers().heartbeatIntervalS() / 2;
+  /** Seconds after a failover for which live services come before everything else. */
+  private double liveServicesFirstS() {
+    return heartbeatIntervalS / 2;
   }
 }
--- a/src/main/java/io/embernotch/leader/SharedStateServices.java
+++ b/src/main/java/io/embernotch/leader/SharedStateServices.java
@@ -16,73 +16,80 @@
 import java.util.function.Consumer;
 
 /**
- * What a term takes over beside jobs, and hands on: read before anything but live services is
- * planned.
+ * What leaders hand on from term to term beside jobs: reservations, the release calendar and the
+ * places of images. It is loaded before anything but live services is scheduled.
  */
 final class SharedStateServices {
-  private final SharedState shared;
-  private final ReservationManager holds;
+  private final SharedState sharedState;
+  private final ReservationManager reservations;
   private final ReleaseCalendar calendar;
-  private final ImageLocality weights;
+  private final ImageLocality imageLocality;
   private final Clock clock;
 
-  /** {@code rewritten} has a job's progress written anew. */
+  /**
+   * @param rewriteProgress has a job's progress written anew
+   * @param onSuperseded called when a transaction failed on the leader key
+   */
   SharedStateServices(
       ControllerContext context,
       ClusterState state,
-      long epoch,
-      long modRevision,
-      Consumer<Job> rewritten,
-      Runnable deposed) {
+      LeaderTerm term,
+      Consumer<Job> rewriteProgress,
+      Runnable onSuperseded) {
     this.clock = context.clock();
-    this.shared = new SharedState(context, modRevision, FencingTokens.base(epoch), deposed);
-    this.holds = new ReservationManager(context, state, shared);
-    this.calendar = new ReleaseCalendar(context, state, shared, rewritten);
-    this.weights = new ImageLocality(context, state, shared);
+    this.sharedState =
+        new SharedState(
+            context, term.modRevision(), FencingTokens.base(term.epoch()), onSuperseded);
+    this.reservations = new ReservationManager(context, state, sharedState);
+    this.calendar = new ReleaseCalendar(context, state, sharedState, rewriteProgress);
+    this.imageLocality = new ImageLocality(context, state, sharedState);
   }
 
+  /** Takes over what the store holds. */
   void load(List<VersionedEntry> entries) {
-    shared.load(entries);
-    holds.load();
+    sharedState.load(entries);
+    reservations.load();
     calendar.load();
-    weights.load();
+    imageLocality.load();
   }
 
+  /** Nothing is written any more. */
   void close() {
-    shared.close();
+    sharedState.close();
   }
 
-  ReservationManager holds() {
-    return holds;
+  ReservationManager reservations() {
+    return reservations;
   }
 
   ReleaseCalendar calendar() {
     return calendar;
   }
 
+  /** Time has passed: what is due is written. */
   void tick() {
     calendar.tick(clock.wallMs());
-    weights.tick(clock.now());
+    imageLocality.tick(clock.now());
   }
 
-  /** Images that a former leader knew a machine to have. */
+  /** The images that a former leader knew a machine to have. */
   List<String> images(String machine) {
-    return weights.of(machine);
+    return imageLocality.of(machine);
   }
 
-  /** What a poll tells of a job beyond its progress. */
+  /** Adds to the answer to a poll what the calendar says of the job. */
   void describe(Job job, ObjectNode into) {
     calendar.status(job, into, clock.wallMs());
   }
 
-  /** Facts by name, for copies. */
+  /** The entries of the shared state by name, for snapshots. */
   Map<String, ObjectNode> copy() {
-    return shared.copy();
+    return sharedState.copy();
   }
 
-  ObjectNode overview(ObjectNode into) {
-    holds.overview(into.putObject("reserved"));
+  /** Adds reservations and the calendar to the overview. */
+  void overview(ObjectNode into) {
+    reservations.overview(into.putObject("reserved"));
     calendar.overview(into.putObject("calendar"), clock.wallMs());
-    return into;
   }
 }
--- a/src/main/java/io/embernotch/leader/StatusLogger.java
+++ b/src/main/java/io/embernotch/leader/StatusLogger.java
@@ -7,15 +7,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What a leader says of itself in the log, every half lease of a worker. */
+/** Writes the leader's status to the log, twice in the time of an agent's lease. */
 final class StatusLogger {
   private static final Logger LOG = LoggerFactory.getLogger(StatusLogger.class);
 
+  /** In place of a time of the steady clock: before any. */
+  private static final double NEVER = -1e9;
+
   private final ControllerContext context;
   private final ClusterState state;
   private final SchedulingLoop schedulingLoop;
   private final StateWriter stateWriter;
-  private double writtenAt = -1e9;
+  private double loggedAt = NEVER;
 
   StatusLogger(
       ControllerContext context,
@@ -28,23 +31,24 @@
     this.stateWriter = stateWriter;
   }
 
+  /** Logs if it is due. */
   void tick(double now) {
-    if (now - writtenAt <= context.settings().workers().leaseS() / 2) {
+    if (now - loggedAt <= context.settings().workers().leaseS() / 2) {
       return;
     }
-    writtenAt = now;
+    loggedAt = now;
     LOG.info("{}", ClusterSummary.of(state));
-    line("planned", schedulingLoop.statusLine());
+    logUnlessNull("planned", schedulingLoop.statusLine());
     context.profile().log();
-    line("written", stateWriter.statusLine());
-    line(
+    logUnlessNull("written", stateWriter.statusLine());
+    logUnlessNull(
         "waits of the largest",
         state.largestJobWaits.line(state.jobs.values(), context.clock().wallMs()));
   }
 
-  private static void line(String what, String text) {
-    if (text != null) {
-      LOG.info("{}: {}", what, text);
+  private static void logUnlessNull(String subject, String status) {
+    if (status != null) {
+      LOG.info("{}: {}", subject, status);
     }
   }
 }
--- /dev/null
+++ b/src/main/java/io/embernotch/leader/UserRequestHandler.java
@@ -0,0 +1,33 @@
+package io.embernotch.leader;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.embernotch.codec.Json;
+import io.embernotch.http.HttpResponse;
+import io.embernotch.state.ClusterOverview;
+
+/** Answers what users ask the leader for: a job's state, its cancellation, or the overview. */
+final class UserRequestHandler {
+  private final LeaderComponents components;
+
+  UserRequestHandler(LeaderComponents components) {
+    this.components = components;
+  }
+
+  void handle(LeaderMessage.UserRequest request) {
+    switch (request.kind()) {
+      case POLL -> components.jobRequests.poll(request.ref(), request.reply());
+      case ABORT -> components.jobRequests.abort(request.ref(), request.reply());
+      case OVERVIEW -> request.reply().complete(HttpResponse.of(200, Json.bytes(overview())));
+    }
+  }
+
+  private ObjectNode overview() {
+    ObjectNode overview =
+        ClusterOverview.of(components.state, components.dependencyGraph.blockedCount());
+    components.sharedState.overview(overview);
+    overview.put("epoch", components.term.epoch());
+    overview.put("plans", components.schedulingLoop.runCount());
+    overview.put("views", components.machineViewPublisher.sentCount());
+    return overview;
+  }
+}
--- a/src/test/java/io/embernotch/leader/ImageInventoryTest.java
+++ b/src/test/java/io/embernotch/leader/ImageInventoryTest.java
@@ -8,32 +8,33 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** What the leader publishes of machines' images, and what a follower remembers of it. */
 class ImageInventoryTest {
   @Test
   void aFollowerKnowsWhatTheLeaderLastSaidAndForgetsWhatIsGone() {
     ImageInventory follower = new ImageInventory(4);
-    ImageInventory.Publisher teller = new ImageInventory.Publisher(5);
+    ImageInventoryPublisher publisher = new ImageInventoryPublisher(5);
     List<Frame> sent = new ArrayList<>();
     Machine machine = new Machine("n-1");
     machine.images.add("a");
-    teller.publish(List.of(machine), 7, 100, sent::add);
-    teller.publish(List.of(machine), 7, 110, sent::add);
+    publisher.publish(List.of(machine), 7, 100, sent::add);
+    publisher.publish(List.of(machine), 7, 110, sent::add);
     assertThat(sent).hasSize(1);
     machine.images.add("b");
-    teller.publish(List.of(machine), 7, 112, sent::add);
+    publisher.publish(List.of(machine), 7, 112, sent::add);
     assertThat(sent).hasSize(1);
-    teller.publish(List.of(machine), 7, 116, sent::add);
+    publisher.publish(List.of(machine), 7, 116, sent::add);
     sent.forEach(f -> follower.update((Frame.ImageInventoryUpdate) f));
     assertThat(follower.of("n-1")).containsExactly("a", "b");
     // What a deposed leader still says changes nothing.
     follower.update(new Frame.ImageInventoryUpdate(6, "n-1", List.of("old")));
     assertThat(follower.of("n-1")).containsExactly("a", "b");
     // A follower that is back with nothing is told again, though nothing has changed.
-    teller.republishAll();
+    publisher.republishAll();
     ImageInventory next = new ImageInventory(4);
-    teller.publish(List.of(machine), 7, 122, f -> next.update((Frame.ImageInventoryUpdate) f));
+    publisher.publish(List.of(machine), 7, 122, f -> next.update((Frame.ImageInventoryUpdate) f));
     assertThat(next.of("n-1")).containsExactly("a", "b");
-    teller.machineRemoved("n-1", 7, f -> follower.update((Frame.ImageInventoryUpdate) f));
+    publisher.machineRemoved("n-1", 7, f -> follower.update((Frame.ImageInventoryUpdate) f));
     assertThat(follower.of("n-1")).isEmpty();
   }
 }
