--- a/src/main/java/io/embernotch/controller/Controller.java
+++ b/src/main/java/io/embernotch/controller/Controller.java
@@ -253,7 +253,8 @@
     @Override
     public void incarnationSettled(BaseSnapshot baseSnapshot) {
       if (localLeader.isPresent()) {
-        // An incarnation of our own is settled before its term begins: this one is another's.
+        // One that this node began is settled before its term begins, so another node began this
+        // one.
         election.stepDown("another store incarnation has begun");
       }
       submissions.storeIncarnationChanged();
@@ -264,7 +265,7 @@
 
     @Override
     public boolean allPeersHeard() {
-      return peerLiveness.allHeard();
+      return peerLiveness.hasHeardFromAll();
     }
 
     @Override
--- a/src/main/java/io/embernotch/controller/LeaderClient.java
+++ b/src/main/java/io/embernotch/controller/LeaderClient.java
@@ -18,7 +18,7 @@
 import io.vertx.core.Promise;
 import java.util.List;
 
-/** Sends to the leader what is meant for it, whether it runs in this process or on another node. */
+/** Sends requests and announcements to the leader, in this process or on another node. */
 final class LeaderClient {
   /** In place of a process incarnation: an agent sent its heartbeat to this controller itself. */
   static final long RECEIVED_DIRECTLY = 0;
@@ -89,7 +89,7 @@
   }
 
   /**
-   * Tells the leader of a job that this controller has written to the store.
+   * Announces to the leader a job that this controller has written to the store.
    *
    * @param shardSize tasks of the job in one shard
    * @param value what was written
--- a/src/main/java/io/embernotch/controller/LocalLeader.java
+++ b/src/main/java/io/embernotch/controller/LocalLeader.java
@@ -7,7 +7,7 @@
 
 /**
  * The leader of this process: present from the moment its node acquires leadership until it loses
- * it. The last one is kept until another leader is known, since it knows what the store held.
+ * it. The last one is kept until another leader is known, for the sake of its snapshot.
  */
 final class LocalLeader {
   private Leader current;
--- a/src/main/java/io/embernotch/controller/PeerHeartbeats.java
+++ b/src/main/java/io/embernotch/controller/PeerHeartbeats.java
@@ -53,7 +53,7 @@
   private Frame.PeerHeartbeat current(String node) {
     boolean storeReachable = context.store().failingForS() == 0;
     if (incarnations.lost()) {
-      // While data is lost, no leader and an epoch that the store can't reach tell the others so.
+      // While data is lost, the heartbeat names no leader and an epoch that the store can't reach.
       return new Frame.PeerHeartbeat(node, null, incarnations.lossEpoch(), storeReachable);
     }
     if (localLeader.isPresent() && election.isLeaseValid()) {
@@ -63,7 +63,7 @@
         node, leaderObserver.node(), leaderObserver.epoch(), storeReachable);
   }
 
-  /** Takes in the heartbeat of another controller. */
+  /** Processes the heartbeat of another controller. */
   void received(Frame.PeerHeartbeat heartbeat) {
     String sender = heartbeat.node();
     peerLiveness.recordHeartbeat(sender, heartbeat.storeReachable());
@@ -80,7 +80,8 @@
     if (!leaderObserver.observeClaim(claimant, claimedEpoch)) {
       return;
     }
-    // Whether the claimant accepts forwarded heartbeats stands in its key, which will be read if
+    // Whether the claimant accepts forwarded heartbeats is written in its key, which will be read
+    // if
     // the store answers. Without the store, agents are sent to the claimant itself.
     if (context.store().failingForS() == 0) {
       heartbeatForwarder.leaderChanged(null, 0, false);
--- a/src/main/java/io/embernotch/election/Candidacy.java
+++ b/src/main/java/io/embernotch/election/Candidacy.java
@@ -40,7 +40,9 @@
    */
   void incarnationNamed(String incarnation);
 
-  /** The leader key is ours though our lease is not: checks whether the contents still are. */
+  /**
+   * The leader key names this node, which does not lead: checks whether the contents are current.
+   */
   void probe();
 
   /** The leader key is there though the lease is gone that it was attached to: leases are lost. */
--- a/src/main/java/io/embernotch/election/LeaderClaim.java
+++ b/src/main/java/io/embernotch/election/LeaderClaim.java
@@ -101,7 +101,7 @@
       refused(LeaderElection.IMMEDIATELY_S);
       return;
     }
-    // Whoever held the key before can prove its lease no longer.
+    // The former holder must not go on proving its lease.
     LeaderKey.read(current).ifPresent(former -> store.revoke(former.leaseId()));
     succeeded(result.revision());
   }
@@ -115,7 +115,7 @@
     }
   }
 
-  /** The write was not answered: only the key itself tells whether it was made. */
+  /** The write was not answered: only the key itself shows whether it was made. */
   private void confirm() {
     store
         .get(LeaderKey.NAME)
--- a/src/main/java/io/embernotch/election/LeaderElection.java
+++ b/src/main/java/io/embernotch/election/LeaderElection.java
@@ -32,7 +32,7 @@
   /** In place of a time: this node need not keep from contending. */
   private static final double NEVER = -1;
 
-  /** What is told of leadership. */
+  /** Is notified of changes of leadership, and asked whether to contend. */
   public interface Listener {
     /**
      * This node leads from now on.
@@ -151,7 +151,7 @@
     return epoch;
   }
 
-  /** Gives leadership up, and does not contend again for {@code avoidS} seconds. */
+  /** Gives up leadership, and does not contend again for {@code avoidS} seconds. */
   public void resign(String why, double avoidS) {
     avoidUntil = clock.now() + avoidS;
     if (state == State.LEADER) {
@@ -160,7 +160,7 @@
     }
   }
 
-  /** Another leader has been seen: a newer token, or a commit that failed on our key. */
+  /** Becomes a follower: another leader has been seen, or a commit failed on the leader key. */
   public void stepDown(String why) {
     if (state == State.LEADER) {
       loseLeadership(why);
@@ -318,7 +318,7 @@
       return;
     }
     if (candidacy.startsNewIncarnation()) {
-      // Data was lost while the claim was under way: it stands in contents that are no more.
+      // Data was lost while the claim was under way: the claim is lost too.
       loseLeadership("the claim was made on store contents that are lost");
       return;
     }
--- a/src/main/java/io/embernotch/election/OrphanedKeyDetector.java
+++ b/src/main/java/io/embernotch/election/OrphanedKeyDetector.java
@@ -6,14 +6,15 @@
 
 /**
  * Finds a leader key whose lease is gone without it. Such a key would never be dropped, and nobody
- * could ever lead. So when its holder has not been heard for far longer than its lease lasts, or
- * the lease was revoked here, the lease is looked for.
+ * could ever lead. So when its holder has not been live for far longer than its lease lasts, or the
+ * lease was revoked here, the lease is looked up.
  */
 final class OrphanedKeyDetector {
   /**
-   * Leases for which the holder of an unchanged key must be unheard before its lease is checked.
+   * Lease times that the holder of an unchanged key must be unresponsive before its lease is
+   * checked.
    */
-  private static final int UNHEARD_LEASES = 4;
+  private static final int UNRESPONSIVE_LEASES = 4;
 
   /** In place of a modification revision: none of this node's leases has been revoked. */
   private static final long NONE_REVOKED = -1;
@@ -22,7 +23,7 @@
   private final Clock clock;
   private final Candidacy candidacy;
   private final PeerLiveness peerLiveness;
-  private final double unheardS;
+  private final double unresponsiveS;
   private long watchedModRevision;
   private double watchedSince;
   private long revokedModRevision = NONE_REVOKED;
@@ -37,7 +38,7 @@
     this.clock = clock;
     this.candidacy = candidacy;
     this.peerLiveness = peerLiveness;
-    this.unheardS = UNHEARD_LEASES * leaseTtlS;
+    this.unresponsiveS = UNRESPONSIVE_LEASES * leaseTtlS;
   }
 
   /** The key, read just now, names another controller as leader. */
@@ -46,7 +47,7 @@
     if (entry.modRevision() != watchedModRevision || peerLiveness.isLive(key.node())) {
       watchedModRevision = entry.modRevision();
       watchedSince = now;
-    } else if (now - watchedSince > unheardS) {
+    } else if (now - watchedSince > unresponsiveS) {
       watchedSince = now;
       store
           .renewIfPresent(key.leaseId())
--- a/src/main/java/io/embernotch/election/PeerLiveness.java
+++ b/src/main/java/io/embernotch/election/PeerLiveness.java
@@ -28,7 +28,7 @@
 
   private int nextIndex;
 
-  /** Nobody has been heard from yet. */
+  /** No heartbeat has been received yet. */
   public PeerLiveness(Settings settings, Clock clock) {
     this.clock = clock;
     this.liveS = settings.workers().heartbeatIntervalS();
@@ -47,12 +47,12 @@
     lastHeartbeats.put(node, new LastHeartbeat(clock.now(), storeReachable));
   }
 
-  /** True once every other controller has been heard from since this process started. */
-  public boolean allHeard() {
+  /** True once a heartbeat of every other controller has been received. */
+  public boolean hasHeardFromAll() {
     return lastHeartbeats.keySet().containsAll(renewedAt.keySet());
   }
 
-  /** True if the controller has been heard from within the last heartbeat interval. */
+  /** True if a heartbeat of the controller was received within the last heartbeat interval. */
   public boolean isLive(String node) {
     LastHeartbeat last = lastHeartbeats.get(node);
     return last != null && clock.now() - last.at < liveS;
--- a/src/main/java/io/embernotch/leader/AgentEventHandler.java
+++ b/src/main/java/io/embernotch/leader/AgentEventHandler.java
@@ -8,7 +8,7 @@
 import io.embernotch.model.Machine;
 import io.embernotch.persistence.StateWriter;
 
-/** What follows from what agents report of attempts and of other leaders. */
+/** Reacts to what agents' heartbeats show of attempts and of other leaders. */
 final class AgentEventHandler implements AgentReconciler.Listener {
   private final LeaderComponents components;
 
--- a/src/main/java/io/embernotch/leader/FleetEventHandler.java
+++ b/src/main/java/io/embernotch/leader/FleetEventHandler.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** What follows from what the fleet reports of machines. */
+/** Reacts to events of the fleet: machines that are gone or that can't be reached. */
 final class FleetEventHandler implements FleetManager.Listener {
   private final LeaderComponents components;
 
--- a/src/main/java/io/embernotch/leader/HeartbeatHandler.java
+++ b/src/main/java/io/embernotch/leader/HeartbeatHandler.java
@@ -4,9 +4,7 @@
 import io.embernotch.model.Machine;
 import io.embernotch.peer.Frame;
 
-/**
- * Takes in heartbeats of agents and of the controllers that renew agents on the leader's behalf.
- */
+/** Processes heartbeats of agents, and of controllers that renew agents' leases for the leader. */
 final class HeartbeatHandler {
   private final LeaderComponents components;
 
@@ -40,7 +38,7 @@
     }
   }
 
-  /** Another controller is there; returns the answer to it. */
+  /** Processes the heartbeat of a controller that may renew leases; returns the acknowledgement. */
   Frame.DelegateHeartbeatAck delegateHeartbeatReceived(Frame.DelegateHeartbeat heartbeat) {
     if (components.delegations.isNewProcess(heartbeat)) {
       components.imagePublisher.republishAll();
--- a/src/main/java/io/embernotch/leader/HeartbeatQueue.java
+++ b/src/main/java/io/embernotch/leader/HeartbeatQueue.java
@@ -16,8 +16,8 @@
  * <p>Where more come than can be handled, only what its agent still waits for is worth handling: of
  * a machine the last one, none that is older than its agent's patience, and the youngest first once
  * they are queued for long. Handled in the order they came, each would be answered just too late:
- * answers took 6.8 s at the 95th percentile where agents wait for 4, and what ran on those machines
- * ended with its lease.
+ * the 95th percentile of answers was 6.8 s where agents wait for 4, and tasks on those machines
+ * ended with their lease.
  */
 public final class HeartbeatQueue {
   /** Heartbeats handled in one iteration of the loop. */
--- a/src/main/java/io/embernotch/leader/ImageInventory.java
+++ b/src/main/java/io/embernotch/leader/ImageInventory.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 
 /**
- * Which images machines have, as the last leader told. Agents do not report it, so a new leader
- * that knew of none would have them fetched anew after each failover. The leader tells the other
- * controllers ({@link ImageInventoryPublisher}); nothing depends on it but where tasks start
- * fastest, so what is lost on the way does no harm.
+ * Which images machines have, as the last leader published it. Agents do not send it, so a new
+ * leader that knew of none would have them fetched anew after each failover. The leader publishes
+ * it to the other controllers ({@link ImageInventoryPublisher}); nothing depends on it but where
+ * tasks start fastest, so a lost update does no harm.
  */
 public final class ImageInventory {
   private final Map<String, List<String>> imagesByMachine;
@@ -18,14 +18,13 @@
   /**
    * An inventory that knows nothing.
    *
-   * @param maxMachines machines to remember; those whose removal was lost on the way must not fill
-   *     memory
+   * @param maxMachines machines to remember; those whose removal was lost must not fill memory
    */
   public ImageInventory(int maxMachines) {
     imagesByMachine = new LeastRecentlyUsed<>(maxMachines);
   }
 
-  /** What a leader says of a machine; dropped if a leader of a later epoch has been heard. */
+  /** Stores the images of a machine; ignored if an update of a later epoch has been seen. */
   public void update(Frame.ImageInventoryUpdate update) {
     if (update.epoch() < epoch) {
       return;
--- a/src/main/java/io/embernotch/leader/ImageInventoryPublisher.java
+++ b/src/main/java/io/embernotch/leader/ImageInventoryPublisher.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Tells the other controllers which images machines have, each machine at most once a round. */
+/** Publishes to the other controllers which images machines have, once a round at most. */
 final class ImageInventoryPublisher {
   /** In place of a time of the steady clock: before any. */
   private static final double NEVER = -1e9;
@@ -26,12 +26,12 @@
     this.roundS = roundS;
   }
 
-  /** A controller was started anew, and knows nothing of what its former process was told. */
+  /** A controller has restarted, and has lost what was published to its former process. */
   void republishAll() {
     published.clear();
   }
 
-  /** The machine is gone; the other controllers are told if they were told of it. */
+  /** The machine is gone; this is published if its images were. */
   void machineRemoved(String machine, long epoch, Consumer<Frame> send) {
     if (published.remove(machine) != null) {
       send.accept(new Frame.ImageInventoryUpdate(epoch, machine, List.of()));
--- a/src/main/java/io/embernotch/leader/JobEventHandler.java
+++ b/src/main/java/io/embernotch/leader/JobEventHandler.java
@@ -13,9 +13,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/**
- * What follows from new jobs, from the completion of their dependencies, and from users' aborts.
- */
+/** Reacts to new jobs, to the completion of jobs that others depend on, and to users' aborts. */
 final class JobEventHandler implements DependencyGraph.Listener, JobRequestHandler.Host {
   /** The leader's, so that its log lines of jobs keep the name that they are filtered by. */
   private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
--- a/src/main/java/io/embernotch/leader/Leader.java
+++ b/src/main/java/io/embernotch/leader/Leader.java
@@ -17,9 +17,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one that writes, for one term: it owns the cluster state, and exists from the moment its node
- * acquires the leader key until it loses it. It loads the store, serves, and is stopped. Core loop
- * only.
+ * The leader of one term, the only one that writes: it owns the cluster state, and exists from the
+ * moment its node acquires the leader key until it loses it. It loads the store, serves, and is
+ * stopped. Core loop only.
  */
 public final class Leader extends Actor<LeaderMessage> {
   private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
@@ -33,7 +33,7 @@
   private final LeaderComponents components;
   private final LeaderMessageDispatcher dispatcher;
 
-  /** Stands for the cluster state until that is loaded; null if there is none, and from then on. */
+  /** Used in place of the cluster state until that is loaded; null if there is none, and after. */
   private ClusterSnapshot initialSnapshot;
 
   /**
@@ -129,7 +129,7 @@
     dispatcher.dispatch(message);
   }
 
-  /** Another controller is there; returns the answer to it. */
+  /** Processes the heartbeat of a controller that may renew leases; returns the acknowledgement. */
   public Frame.DelegateHeartbeatAck delegateHeartbeatReceived(Frame.DelegateHeartbeat heartbeat) {
     return components.heartbeatHandler.delegateHeartbeatReceived(heartbeat);
   }
--- a/src/main/java/io/embernotch/leader/LeaderComponents.java
+++ b/src/main/java/io/embernotch/leader/LeaderComponents.java
@@ -29,11 +29,11 @@
 
 /**
  * Assembles a leader: builds its components in the order in which they need each other, and
- * connects them. Components that report to others built later do so through the handlers here,
- * which look them up when something is reported; nothing is reported during the assembly.
+ * connects them. A component whose events concern others that are built later gets a handler that
+ * looks those up when an event occurs; no event occurs during the assembly.
  */
 final class LeaderComponents {
-  /** The shard of this task holds what is stored of the job as a whole, among it its end. */
+  /** The shard of this task also stores the job as a whole, its completion included. */
   static final int FIRST_TASK = 0;
 
   /** Name of the time that agents' heartbeats take, in the log of the event loop's profile. */
--- a/src/main/java/io/embernotch/leader/LeaderContext.java
+++ b/src/main/java/io/embernotch/leader/LeaderContext.java
@@ -11,10 +11,10 @@
   /** True while nobody else can be leader. */
   boolean isLeaseValid();
 
-  /** The controllers that have been heard from lately, this one included. */
+  /** The live controllers, this one included. */
   Set<String> controllers();
 
-  /** Brings machine views to the controllers that own their partitions. */
+  /** Delivers machine views to the controllers that own their partitions. */
   PartitionViews partitionViews();
 
   /**
@@ -24,7 +24,7 @@
    */
   void superseded(String why);
 
-  /** Somebody has seen the fencing token of a leader with this epoch. */
+  /** A fencing token of this epoch has been seen. */
   void observeEpoch(long epoch);
 
   /**
@@ -42,9 +42,9 @@
    */
   void jobCompleted(String ref, JobPhase phase, int tasks, int done);
 
-  /** Sends a frame to all other controllers, and takes in here what it says to them. */
+  /** Sends a frame to all other controllers; this one learns from it what they do. */
   void broadcast(Frame frame);
 
-  /** The images that an earlier leader said the machine has; empty if none are known. */
+  /** The images that an earlier leader published of the machine; empty if none are known. */
   List<String> lastKnownImages(String machine);
 }
--- a/src/main/java/io/embernotch/leader/LeaderMessageDispatcher.java
+++ b/src/main/java/io/embernotch/leader/LeaderMessageDispatcher.java
@@ -28,7 +28,7 @@
     this.periodicTasks = new PeriodicTasks(components);
   }
 
-  /** Handles, keeps or refuses the message; the time it takes counts for its type. */
+  /** Handles, keeps or refuses the message; its run time is recorded in the profile by type. */
   void dispatch(LeaderMessage message) {
     context
         .profile()
--- a/src/main/java/io/embernotch/leader/PendingHeartbeats.java
+++ b/src/main/java/io/embernotch/leader/PendingHeartbeats.java
@@ -13,9 +13,8 @@
 /**
  * Agents' heartbeats that come before the store is loaded. They are kept until it is, since an
  * answer that renews their leases counts from the heartbeat's sending. Agents that would give up
- * earlier are told to stay: an answer without a token renews nothing, but its agent keeps the
- * connection. A thousand agents that gave up and connected anew would take the time that loading
- * needs.
+ * earlier get an answer without a token: it renews nothing, but its agent keeps the connection. A
+ * thousand agents that gave up and connected anew would take the time that loading needs.
  */
 final class PendingHeartbeats {
   /** Heartbeats released in one iteration of the loop, so that everything else gets its own. */
@@ -27,7 +26,10 @@
   /** The heartbeat of each machine whose agent waits for the answer. */
   private final Map<String, LeaderMessage.HeartbeatReceived> awaited = new LinkedHashMap<>();
 
-  /** A heartbeat whose agent waits; it is told to stay unless {@link #drain} comes first. */
+  /**
+   * A heartbeat whose agent waits; it is answered without a token unless {@link #drain} comes
+   * first.
+   */
   void add(LeaderMessage.HeartbeatReceived message, Timers timers) {
     String machine = message.heartbeat().machine();
     LeaderMessage.HeartbeatReceived before = awaited.put(machine, message);
--- a/src/main/java/io/embernotch/leader/SchedulingInputs.java
+++ b/src/main/java/io/embernotch/leader/SchedulingInputs.java
@@ -8,7 +8,7 @@
 import io.embernotch.state.DemandForecast;
 import java.util.List;
 
-/** Gathers what a scheduling run goes by. */
+/** Gathers the input of a scheduling run from the leader's components. */
 final class SchedulingInputs {
   /** Headroom for live services is raised by this factor when a release is near. */
   private static final double NEAR_RELEASE_FACTOR = 1.5;
--- a/src/main/java/io/embernotch/leader/SchedulingLoop.java
+++ b/src/main/java/io/embernotch/leader/SchedulingLoop.java
@@ -19,10 +19,10 @@
   /** Seconds of the shortest pause: the next iteration of the loop. */
   private static final double IMMEDIATELY_S = 0.001;
 
-  /** The pause after a run, in times of what the run took. */
+  /** The pause after a run, as a multiple of the run's duration. */
   private static final double PAUSE_FACTOR = 4;
 
-  /** The same while heartbeats are queued, by this process's share of the processor. */
+  /** The same while heartbeats are queued, divided by this process's share of the processor. */
   private static final double PAUSE_FACTOR_UNDER_PRESSURE = 3;
 
   private final ControllerContext context;
@@ -103,7 +103,7 @@
     return runCount;
   }
 
-  /** How long runs took since the last call; null if there was none. */
+  /** Durations of the runs since the last call; null if there was none. */
   String statusLine() {
     return latencies.line();
   }
@@ -115,7 +115,7 @@
     }
   }
 
-  /** A run by a message of its own, whatever the pace: few jobs are released in a second. */
+  /** Requests a run regardless of the pace: few jobs are released in a second. */
   void scheduleNow() {
     if (!scheduledNow) {
       scheduledNow = true;
@@ -123,7 +123,7 @@
     }
   }
 
-  /** A run at the pace that runs are allowed. */
+  /** Schedules a run at the pace that runs are allowed. */
   void scheduleSoon() {
     if (!scheduledSoon && loaded && !closed) {
       scheduledSoon = true;
@@ -134,9 +134,9 @@
   }
 
   /**
-   * However long a run takes, most of the time stays for heartbeats. While these are queued, that
-   * is measured by this process's share of the processor: a pause of four times what the last run
-   * took would leave half of that share to the scheduler after a failover.
+   * However long a run lasts, most of the time is left to heartbeats. While these are queued, that
+   * is measured by this process's share of the processor: after a failover, a pause of four times
+   * the last run's duration would leave half of that share to the scheduler.
    */
   private double pauseS() {
     return isUnderPressure.getAsBoolean()
@@ -144,7 +144,7 @@
         : PAUSE_FACTOR * lastRunTookS;
   }
 
-  /** Makes a plan, and has it carried out; nothing while that is not yet, or no longer, allowed. */
+  /** Makes a plan and has it carried out, if this leader may act and knows the fleet. */
   void runScheduler() {
     scheduledSoon = false;
     scheduledNow = false;
@@ -164,7 +164,7 @@
     executor.execute(plan, now);
   }
 
-  /** A new leader that knows no machines yet, and has no list of the cloud's. */
+  /** True for a new leader that knows no machine yet and has no list from the cloud. */
   private boolean fleetUnknown(double now) {
     return !fleetManager.listedOnce()
         && now - acquiredAt < heartbeatIntervalS
--- a/src/main/java/io/embernotch/leader/SharedStateServices.java
+++ b/src/main/java/io/embernotch/leader/SharedStateServices.java
@@ -45,7 +45,7 @@
     this.imageLocality = new ImageLocality(context, state, sharedState);
   }
 
-  /** Takes over what the store holds. */
+  /** Loads what the store holds of it. */
   void load(List<VersionedEntry> entries) {
     sharedState.load(entries);
     reservations.load();
@@ -53,7 +53,7 @@
     imageLocality.load();
   }
 
-  /** Nothing is written any more. */
+  /** Stops writing. */
   void close() {
     sharedState.close();
   }
--- a/src/test/java/io/embernotch/leader/ImageInventoryTest.java
+++ b/src/test/java/io/embernotch/leader/ImageInventoryTest.java
@@ -24,17 +24,19 @@
     publisher.publish(List.of(machine), 7, 112, sent::add);
     assertThat(sent).hasSize(1);
     publisher.publish(List.of(machine), 7, 116, sent::add);
-    sent.forEach(f -> follower.update((Frame.ImageInventoryUpdate) f));
+    sent.forEach(frame -> follower.update((Frame.ImageInventoryUpdate) frame));
     assertThat(follower.of("n-1")).containsExactly("a", "b");
     // What a deposed leader still says changes nothing.
     follower.update(new Frame.ImageInventoryUpdate(6, "n-1", List.of("old")));
     assertThat(follower.of("n-1")).containsExactly("a", "b");
-    // A follower that is back with nothing is told again, though nothing has changed.
+    // After a follower's restart everything is published again, though nothing has changed.
     publisher.republishAll();
     ImageInventory next = new ImageInventory(4);
-    publisher.publish(List.of(machine), 7, 122, f -> next.update((Frame.ImageInventoryUpdate) f));
+    publisher.publish(
+        List.of(machine), 7, 122, frame -> next.update((Frame.ImageInventoryUpdate) frame));
     assertThat(next.of("n-1")).containsExactly("a", "b");
-    publisher.machineRemoved("n-1", 7, f -> follower.update((Frame.ImageInventoryUpdate) f));
+    publisher.machineRemoved(
+        "n-1", 7, frame -> follower.update((Frame.ImageInventoryUpdate) frame));
     assertThat(follower.of("n-1")).isEmpty();
   }
 }
