--- a/src/main/java/io/embernotch/agents/CallConcurrencyLimiter.java
+++ b/src/main/java/io/embernotch/agents/CallConcurrencyLimiter.java
@@ -6,19 +6,27 @@
 import java.util.Map;
 
 /**
- * Calls to machines that are under way, and what waits for its turn: live services first, machines
- * that are not heard last, so that a silent half of the fleet takes nothing from the other. After a
- * takeover a thousand probes and commands left at once; what did not find a connection was given up
- * for most of a heartbeat interval, and live services were started behind all others.
+ * Limits the calls to machines that are in flight, and queues the others by class: production
+ * services first, unresponsive machines last, so that a failed half of the fleet takes no capacity
+ * from the other. Without a limit a thousand probes and commands leave at once after a failover;
+ * those that find no connection are given up for most of a heartbeat interval, and production
+ * services are started behind all others.
+ *
+ * <p>Confined to the leader's event loop.
  */
-public final class CallConcurrencyLimiter {
-  /** Whom a call is for, and which share of all calls may be under way when one more begins. */
-  public enum CallClass {
-    LIVE(1),
+final class CallConcurrencyLimiter {
+  /**
+   * What a call is for, from the first class to be served to the last. A call may begin while the
+   * share of all calls in flight is below that of its class.
+   */
+  enum CallClass {
+    /** Commands that start production services. */
+    PRODUCTION(1),
+    /** All other commands to responsive machines. */
     NORMAL(0.5),
-    /** Commands to and probes of machines that should be heard and are not. */
+    /** Commands to and probes of machines whose heartbeats are overdue. */
     UNRESPONSIVE(0.25),
-    /** Machines that will most likely find us by themselves. */
+    /** Probes of machines that will most likely send a heartbeat by themselves. */
     DISCOVERY(0.0625);
 
     final double share;
@@ -28,58 +36,61 @@
     }
   }
 
-  private final int most;
-  private final Map<CallClass, Map<Machine, Runnable>> waiting = new EnumMap<>(CallClass.class);
-  private int underWay;
+  private final int maxInFlight;
+  private final Map<CallClass, Map<Machine, Runnable>> queues = new EnumMap<>(CallClass.class);
+  private int inFlight;
   private boolean draining;
 
   /**
-   * @param most calls under way at a time
+   * Creates a limiter with no call in flight.
+   *
+   * @param maxInFlight calls in flight at a time
    */
-  public CallConcurrencyLimiter(int most) {
-    this.most = most;
-    for (CallClass n : CallClass.values()) {
-      waiting.put(n, new LinkedHashMap<>());
+  CallConcurrencyLimiter(int maxInFlight) {
+    this.maxInFlight = maxInFlight;
+    for (CallClass callClass : CallClass.values()) {
+      queues.put(callClass, new LinkedHashMap<>());
     }
   }
 
   /**
-   * True if a call may begin now; it ends with {@link #leave}. Else {@code again} asks once there
-   * is room.
+   * True if a call may begin now; it ends with {@link #release}. Otherwise {@code retry} is run
+   * once there is capacity, unless one is queued for this machine and class already.
    */
-  public boolean tryEnter(Machine machine, CallClass callClass, Runnable again) {
-    if (hasRoom(callClass) && (draining || waiting.get(callClass).isEmpty())) {
-      underWay++;
+  boolean tryAcquire(Machine machine, CallClass callClass, Runnable retry) {
+    if (hasCapacity(callClass) && (draining || queues.get(callClass).isEmpty())) {
+      inFlight++;
       return true;
     }
-    waiting.get(callClass).putIfAbsent(machine, again);
+    queues.get(callClass).putIfAbsent(machine, retry);
     return false;
   }
 
-  public void leave() {
-    underWay--;
+  /** A call has ended; runs what is queued for as long as there is capacity. */
+  void release() {
+    inFlight--;
     if (draining) {
       return;
     }
     draining = true;
     for (CallClass callClass : CallClass.values()) {
-      Map<Machine, Runnable> queue = waiting.get(callClass);
-      while (hasRoom(callClass) && !queue.isEmpty()) {
+      Map<Machine, Runnable> queue = queues.get(callClass);
+      while (hasCapacity(callClass) && !queue.isEmpty()) {
         Machine machine = queue.keySet().iterator().next();
-        // It enters by itself, or has nothing to say any more.
+        // It acquires by itself, or has nothing left to send.
         queue.remove(machine).run();
       }
     }
     draining = false;
   }
 
-  /** True while a command to the machine waits for its turn. */
-  public boolean waits(Machine machine) {
-    return waiting.get(CallClass.LIVE).containsKey(machine)
-        || waiting.get(CallClass.NORMAL).containsKey(machine);
+  /** True while a command to the responsive machine is queued. */
+  boolean isCommandQueued(Machine machine) {
+    return queues.get(CallClass.PRODUCTION).containsKey(machine)
+        || queues.get(CallClass.NORMAL).containsKey(machine);
   }
 
-  private boolean hasRoom(CallClass callClass) {
-    return underWay < Math.max(1, callClass.share * most);
+  private boolean hasCapacity(CallClass callClass) {
+    return inFlight < Math.max(1, callClass.share * maxInFlight);
   }
 }
--- /dev/null
+++ b/src/main/java/io/embernotch/agents/CommandSender.java
@@ -0,0 +1,227 @@
+package io.embernotch.agents;
+
+import io.embernotch.agents.CallConcurrencyLimiter.CallClass;
+import io.embernotch.codec.MalformedInputException;
+import io.embernotch.codec.WorkerCodec;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.http.CallFailedException;
+import io.embernotch.http.HttpReply;
+import io.embernotch.model.AgentCommand;
+import io.embernotch.model.Attempt;
+import io.embernotch.model.Attempt.LaunchState;
+import io.embernotch.model.Heartbeat;
+import io.embernotch.model.Machine;
+import io.embernotch.model.Priority;
+import io.embernotch.settings.HostPort;
+import io.embernotch.state.ClusterState;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.BiPredicate;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Sends starts and stops directly to agents, at most one call at a time to each machine, and works
+ * out from the response, or from its absence, where each start is.
+ */
+final class CommandSender {
+  private static final Logger LOG = LoggerFactory.getLogger(CommandSender.class);
+
+  private static final int HTTP_OK = 200;
+
+  /** The commands of one call, and the attempts that they start and stop. */
+  private static final class Batch {
+    final List<AgentCommand> commands = new ArrayList<>();
+    final List<Attempt> starting = new ArrayList<>();
+    final List<Attempt> stopping = new ArrayList<>();
+  }
+
+  private final ControllerContext context;
+  private final ClusterState state;
+  private final AgentReconciler.Listener listener;
+  private final CallConcurrencyLimiter callLimiter;
+  private final ReachabilityTracker reachability;
+  private final AttemptReconciler attempts;
+  private final BiPredicate<Heartbeat, Machine> reconcile;
+  private final double callTimeoutS;
+  private final double heartbeatIntervalS;
+
+  /**
+   * Creates a sender with nothing in flight.
+   *
+   * @param reconcile takes the heartbeat in a response; false if that shows a later term
+   */
+  CommandSender(
+      ControllerContext context,
+      ClusterState state,
+      AgentReconciler.Listener listener,
+      CallConcurrencyLimiter callLimiter,
+      ReachabilityTracker reachability,
+      AttemptReconciler attempts,
+      BiPredicate<Heartbeat, Machine> reconcile,
+      double callTimeoutS) {
+    this.context = context;
+    this.state = state;
+    this.listener = listener;
+    this.callLimiter = callLimiter;
+    this.reachability = reachability;
+    this.attempts = attempts;
+    this.reconcile = reconcile;
+    this.callTimeoutS = callTimeoutS;
+    this.heartbeatIntervalS = context.settings().workers().heartbeatIntervalS();
+  }
+
+  /**
+   * Sends due commands to the machine, unless a call to it is in flight or has just failed. Where
+   * the call limit is reached it is done again once there is capacity.
+   */
+  void sendDue(Machine machine) {
+    double now = context.clock().now();
+    if (machine.commandInFlight
+        || machine.address == null
+        || machine.agentEpoch == 0
+        || now - machine.commandFailedAt < callTimeoutS) {
+      return;
+    }
+    Batch batch = dueCommands(machine, now);
+    if (batch.commands.isEmpty()
+        || !callLimiter.tryAcquire(
+            machine, callClass(machine, batch.starting, now), () -> sendDue(machine))) {
+      return;
+    }
+    for (Attempt attempt : batch.starting) {
+      attempt.launchState = LaunchState.SENDING;
+      attempt.startToken = machine.token;
+      machine.highestSentToken = machine.token;
+    }
+    batch.stopping.forEach(attempt -> attempt.stopSentAt = now);
+    send(machine, batch);
+  }
+
+  private Batch dueCommands(Machine machine, double now) {
+    Batch batch = new Batch();
+    // The call may have been queued, or have waited for the response to another, while leadership
+    // was lost.
+    boolean mayStart = listener.isLeading();
+    for (Attempt attempt : machine.openAttempts.values()) {
+      if (AttemptCommands.isStartDue(attempt) && mayStart) {
+        batch.commands.add(AttemptCommands.start(attempt));
+        batch.starting.add(attempt);
+      } else if (AttemptCommands.isStopDue(attempt)
+          && now - attempt.stopSentAt > heartbeatIntervalS) {
+        batch.commands.add(AttemptCommands.stop(attempt));
+        batch.stopping.add(attempt);
+      }
+    }
+    return batch;
+  }
+
+  private CallClass callClass(Machine machine, List<Attempt> starting, double now) {
+    if (now - machine.lastHeartbeatAt > 2 * heartbeatIntervalS) {
+      return CallClass.UNRESPONSIVE;
+    }
+    boolean production =
+        starting.stream().anyMatch(attempt -> attempt.job.spec.priority() == Priority.PRODUCTION);
+    return production ? CallClass.PRODUCTION : CallClass.NORMAL;
+  }
+
+  private void send(Machine machine, Batch batch) {
+    HostPort address;
+    try {
+      address = HostPort.parse(machine.address);
+    } catch (IllegalArgumentException e) {
+      LOG.info("machine {} has no usable address: {}", machine.name, machine.address);
+      machine.commandFailedAt = context.clock().now();
+      batch.starting.forEach(attempt -> attempts.launchNeverSent(attempt, machine));
+      callLimiter.release();
+      return;
+    }
+    long token = machine.token;
+    machine.commandInFlight = true;
+    byte[] body = WorkerCodec.direct(token, machine.agentEpoch, batch.commands);
+    context
+        .workers()
+        .call("POST", address, "/do", body, callTimeoutS)
+        .onComplete(
+            result ->
+                context
+                    .profile()
+                    .run(
+                        "command",
+                        () -> {
+                          if (result.succeeded()) {
+                            commandAnswered(machine, token, batch.starting, result.result());
+                          } else {
+                            commandFailed(machine, token, batch.starting, result.cause());
+                          }
+                          callLimiter.release();
+                        }));
+  }
+
+  private void commandAnswered(
+      Machine machine, long token, List<Attempt> starting, HttpReply reply) {
+    machine.commandInFlight = false;
+    if (state.machines.get(machine.name) != machine) {
+      return;
+    }
+    reachability.callAnswered(machine, context.clock().now());
+    boolean executed = reply.status() == HTTP_OK;
+    Heartbeat heartbeat;
+    try {
+      heartbeat = WorkerCodec.read(reply.body());
+    } catch (MalformedInputException e) {
+      LOG.info("unreadable answer {} of {}: {}", reply.status(), machine.name, e.getMessage());
+      commandFailed(machine, token, starting, new CallFailedException(executed, e.getMessage()));
+      return;
+    }
+    settleStarts(machine, starting, executed);
+    if (!executed) {
+      machine.commandFailedAt = context.clock().now();
+    }
+    if (executed
+        && !heartbeat.newerThan(machine.agentEpoch, machine.heartbeatSeq)
+        && heartbeat.agentEpoch() == machine.agentEpoch) {
+      // A newer heartbeat overtook this response, and was reconciled before the starts in it were
+      // known to be executed.
+      return;
+    }
+    if (reconcile.test(heartbeat, machine) && executed) {
+      sendDue(machine);
+    }
+  }
+
+  private void settleStarts(Machine machine, List<Attempt> starting, boolean executed) {
+    for (Attempt attempt : starting) {
+      if (attempt.launchState == LaunchState.SENDING) {
+        // Executed: it is listed, or was and has ended since. Refused: nothing of it is left.
+        if (executed) {
+          attempt.launchState = LaunchState.CONFIRMED;
+        } else {
+          attempts.launchNeverSent(attempt, machine);
+        }
+      }
+    }
+  }
+
+  private void commandFailed(Machine machine, long token, List<Attempt> starting, Throwable cause) {
+    machine.commandInFlight = false;
+    machine.commandFailedAt = context.clock().now();
+    boolean sent = !(cause instanceof CallFailedException failure) || failure.sent;
+    LOG.info("command to {} failed, sent {}: {}", machine.name, sent, cause.getMessage());
+    if (sent) {
+      AttemptReconciler.fenceOff(machine, token);
+    }
+    if (sent || !(cause instanceof CallFailedException failure) || failure.tried) {
+      reachability.callUnanswered(machine, context.clock().now());
+    }
+    for (Attempt attempt : starting) {
+      if (attempt.launchState == LaunchState.SENDING) {
+        if (sent) {
+          attempt.launchState = LaunchState.UNCONFIRMED;
+        } else {
+          attempts.launchNeverSent(attempt, machine);
+        }
+      }
+    }
+  }
+}
--- a/src/main/java/io/embernotch/agents/FencingTokens.java
+++ b/src/main/java/io/embernotch/agents/FencingTokens.java
@@ -1,18 +1,21 @@
 package io.embernotch.agents;
 
-/** Tokens: the epoch of a term, and below it a counter that is raised machine by machine. */
+/**
+ * The layout of fencing tokens: the epoch of a term in the upper bits, and below it a counter that
+ * is raised machine by machine. An agent that has seen a token refuses commands with a lower one.
+ */
 public final class FencingTokens {
-  private static final int EPOCH_BITS = 20;
+  private static final int EPOCH_SHIFT_BITS = 20;
 
   private FencingTokens() {}
 
-  /** Lowest token of a term. */
+  /** The lowest token of the term with this epoch. */
   public static long base(long epoch) {
-    return epoch << EPOCH_BITS;
+    return epoch << EPOCH_SHIFT_BITS;
   }
 
-  /** The epoch of the leader that gave a token. */
+  /** The epoch of the term in which a token was issued. */
   public static long epochOf(long token) {
-    return token >>> EPOCH_BITS;
+    return token >>> EPOCH_SHIFT_BITS;
   }
 }
--- /dev/null
+++ b/src/main/java/io/embernotch/agents/HeartbeatProcessor.java
@@ -0,0 +1,198 @@
+package io.embernotch.agents;
+
+import io.embernotch.codec.WorkerCodec;
+import io.embernotch.context.ControllerContext;
+import io.embernotch.model.AgentCommand;
+import io.embernotch.model.Heartbeat;
+import io.embernotch.model.Machine;
+import io.embernotch.settings.Settings;
+import io.embernotch.state.ClusterState;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Works out what a heartbeat proves of its machine, given that it may be late, a copy, or of
+ * another incarnation of the machine, and answers those whose agents wait for a response.
+ */
+final class HeartbeatProcessor {
+  private static final Logger LOG = LoggerFactory.getLogger(HeartbeatProcessor.class);
+
+  /**
+   * Seconds after its heartbeat from which an agent drops the response ("Workers" in the protocol),
+   * whatever its clock's drift.
+   */
+  private static final double RESPONSE_ACCEPTED_S = 4 * (1 + 2 * Settings.DRIFT);
+
+  private final ControllerContext context;
+  private final ClusterState state;
+  private final long tokenBase;
+  private final AgentReconciler.Listener listener;
+  private final AttemptReconciler attempts;
+  private final HeartbeatResponder responder;
+  private final ReachabilityTracker reachability;
+  private final StatusProber prober;
+  private final Set<String> deletedMachines = new HashSet<>();
+
+  HeartbeatProcessor(
+      ControllerContext context,
+      ClusterState state,
+      long tokenBase,
+      AgentReconciler.Listener listener,
+      AttemptReconciler attempts,
+      HeartbeatResponder responder,
+      ReachabilityTracker reachability,
+      StatusProber prober) {
+    this.context = context;
+    this.state = state;
+    this.tokenBase = tokenBase;
+    this.listener = listener;
+    this.attempts = attempts;
+    this.responder = responder;
+    this.reachability = reachability;
+    this.prober = prober;
+  }
+
+  boolean wasDeleted(String name) {
+    return deletedMachines.contains(name);
+  }
+
+  void markDeleted(String name) {
+    deletedMachines.add(name);
+  }
+
+  /** See {@link AgentReconciler#processHeartbeat}. */
+  byte[] process(Heartbeat heartbeat, boolean leaseProven, long forwarder) {
+    if (wasDeleted(heartbeat.machine())) {
+      return null;
+    }
+    Machine machine = state.machine(heartbeat.machine(), tokenBase);
+    boolean ofOtherIncarnation = mayBeOfFormerIncarnation(heartbeat, machine);
+    boolean newer =
+        !ofOtherIncarnation
+            && isNewer(heartbeat, machine)
+            && heartbeat.token() >= machine.highestReportedToken;
+    if (machine.deleting && !newer) {
+      return null;
+    }
+    double now = context.clock().now();
+    if (!newer && !ofOtherIncarnation && now - machine.lastHeartbeatAt > RESPONSE_ACCEPTED_S) {
+      // A copy, or another incarnation that counts anew. Nobody accepts a response to it: its agent
+      // gave up on it before the newest heartbeat was made. So it must renew nothing; copies of a
+      // dead machine's heartbeats would keep its lease assumed, and its services down, for as long
+      // as they arrive.
+      prober.probeAtMostOncePerInterval(machine);
+      return WorkerCodec.stay();
+    }
+    if (newer) {
+      reachability.heartbeatReceived(machine, heartbeat, forwarder, now);
+    }
+    if (!reconcileCurrentIncarnation(heartbeat, machine)) {
+      return null;
+    }
+    machine.leaseRenewedAt = now;
+    List<AgentCommand> commands = responder.commandsFor(machine, heartbeat, leaseProven);
+    reachability.answering(machine);
+    return WorkerCodec.response(machine.token, commands);
+  }
+
+  /** See {@link AgentReconciler#processForwarded}. */
+  boolean processForwarded(Heartbeat heartbeat) {
+    return !wasDeleted(heartbeat.machine())
+        && reconcileCurrentIncarnation(heartbeat, state.machine(heartbeat.machine(), tokenBase));
+  }
+
+  /**
+   * Reconciles with a heartbeat. If the machine has begun another incarnation, only heartbeats that
+   * are certainly of that one count: a copy of the former incarnation's, with a later agent epoch,
+   * would prove gone what has just been started.
+   */
+  private boolean reconcileCurrentIncarnation(Heartbeat heartbeat, Machine machine) {
+    return mayBeOfFormerIncarnation(heartbeat, machine) || reconcile(heartbeat, machine);
+  }
+
+  private static boolean mayBeOfFormerIncarnation(Heartbeat heartbeat, Machine machine) {
+    return heartbeat.token() < machine.incarnationToken;
+  }
+
+  private static boolean isNewer(Heartbeat heartbeat, Machine machine) {
+    return heartbeat.newerThan(machine.agentEpoch, machine.heartbeatSeq);
+  }
+
+  /**
+   * Learns from a heartbeat, whichever way it came.
+   *
+   * @return false if it shows a fencing token of a later term
+   */
+  boolean reconcile(Heartbeat heartbeat, Machine machine) {
+    if (heartbeat.token() > machine.token) {
+      if (FencingTokens.epochOf(heartbeat.token()) > FencingTokens.epochOf(tokenBase)) {
+        listener.superseded(heartbeat.token());
+        return false;
+      }
+      machine.token = heartbeat.token();
+    }
+    boolean newer = isNewer(heartbeat, machine);
+    if (newer && heartbeat.token() >= machine.highestReportedToken) {
+      reconcileNewer(heartbeat, machine);
+    } else if (newer || heartbeat.token() != machine.highestReportedToken) {
+      // Tokens that an agent has seen only rise, so where they contradict the order of messages the
+      // heartbeat is late, or of another incarnation of the machine, which counts anew. The
+      // response
+      // to a probe that is sent now decides.
+      prober.probeAtMostOncePerInterval(machine);
+    }
+    return true;
+  }
+
+  private void reconcileNewer(Heartbeat heartbeat, Machine machine) {
+    double now = context.clock().now();
+    boolean first = !machine.up();
+    if (first) {
+      markUp(machine, now);
+    }
+    updateDescription(heartbeat, machine);
+    boolean newAgentEpoch = heartbeat.agentEpoch() > machine.agentEpoch;
+    boolean agentRestarted = newAgentEpoch && machine.agentEpoch > 0;
+    if (agentRestarted) {
+      machine.images.clear();
+    }
+    machine.lastHeartbeatAt = now;
+    machine.highestReportedToken = heartbeat.token();
+    if (heartbeat.token() >= tokenBase && machine.confirmedAliveAt < 0) {
+      // Made after this term began: no copy from before it.
+      machine.confirmedAliveAt = now;
+    }
+    recordReclaimNotice(heartbeat, machine, now);
+    machine.agentEpoch = heartbeat.agentEpoch();
+    machine.heartbeatSeq = heartbeat.seq();
+    attempts.reconcile(heartbeat, machine, agentRestarted, now);
+    if (first || newAgentEpoch) {
+      listener.clusterChanged();
+    }
+  }
+
+  private static void markUp(Machine machine, double now) {
+    machine.upAt = now;
+    machine.idleSince = now;
+    machine.rentedAt = machine.rentedAt == 0 ? now : machine.rentedAt;
+    LOG.debug("machine {} is up after {} s", machine.name, Math.round(now - machine.rentedAt));
+  }
+
+  private void updateDescription(Heartbeat heartbeat, Machine machine) {
+    machine.type = state.types.getOrDefault(heartbeat.type(), machine.type);
+    machine.zone = heartbeat.zone();
+    machine.spot = heartbeat.spot();
+    machine.address = heartbeat.address();
+  }
+
+  private void recordReclaimNotice(Heartbeat heartbeat, Machine machine, double now) {
+    if (heartbeat.reclaimInS() != null && machine.reclaimAt < 0) {
+      LOG.info("machine {} reclaimed by the cloud in {} s", machine.name, heartbeat.reclaimInS());
+      machine.reclaimAt = now + heartbeat.reclaimInS();
+      listener.clusterChanged();
+    }
+  }
+}
--- a/src/main/java/io/embernotch/agents/HeartbeatResponder.java
+++ b/src/main/java/io/embernotch/agents/HeartbeatResponder.java
@@ -13,7 +13,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What the answer to a worker's heartbeat has it do. */
+/** Chooses the commands that go out with the response to an agent's heartbeat. */
 final class HeartbeatResponder {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatResponder.class);
 
@@ -34,68 +34,46 @@
   }
 
   /**
-   * The orders; {@code trusted}: our lease is proven, so that more may be done than to stop what is
-   * to end.
+   * The commands for the response to a heartbeat that has been reconciled.
+   *
+   * @param leaseProven whether the leader's lease is proven: otherwise nothing but stops is sent
    */
-  List<AgentCommand> commandsFor(Machine machine, Heartbeat heartbeat, boolean trusted) {
-    List<AgentCommand> orders = new ArrayList<>();
+  List<AgentCommand> commandsFor(Machine machine, Heartbeat heartbeat, boolean leaseProven) {
+    List<AgentCommand> commands = new ArrayList<>();
     if (heartbeat.agentEpoch() == machine.agentEpoch) {
-      addStops(machine, orders);
+      addStops(machine, commands);
     }
-    // One that a newer heartbeat or answer has overtaken lists what has ended since as running.
-    if (trusted
+    // A heartbeat that a newer one, or a response, has overtaken lists as running what has exited
+    // since.
+    if (leaseProven
         && heartbeat.agentEpoch() == machine.agentEpoch
         && heartbeat.seq() == machine.heartbeatSeq) {
-      addStarts(machine, orders);
-      addReaps(machine, heartbeat, orders);
+      addStarts(machine, commands);
+      addForgets(machine, heartbeat, commands);
     }
-    return orders;
+    return commands;
   }
 
-  private void addStops(Machine machine, List<AgentCommand> orders) {
+  private void addStops(Machine machine, List<AgentCommand> commands) {
     for (Attempt attempt : machine.openAttempts.values()) {
-      if (stopDue(attempt)) {
-        orders.add(stop(attempt));
+      if (AttemptCommands.isStopDue(attempt)) {
+        commands.add(AttemptCommands.stop(attempt));
         attempt.stopSentAt = context.clock().now();
       }
     }
   }
 
-  static boolean stopDue(Attempt attempt) {
-    return attempt.stopping
-        && (attempt.launchState == LaunchState.CONFIRMED
-            || attempt.launchState == LaunchState.UNCONFIRMED
-            || attempt.launchState == LaunchState.IN_HEARTBEAT_RESPONSE);
-  }
-
-  static AgentCommand stop(Attempt attempt) {
-    return new AgentCommand(
-        AgentCommand.Verb.STOP,
-        attempt.job.spec.ref(),
-        attempt.task,
-        attempt.number,
-        attempt.stopGraceS);
-  }
-
-  static AgentCommand start(Attempt attempt) {
-    return new AgentCommand(
-        AgentCommand.Verb.START, attempt.job.spec.ref(), attempt.task, attempt.number, 0);
-  }
-
-  /**
-   * Where the direct way has just failed, or is waited for, starts go out with the response
-   * instead.
-   */
-  private void addStarts(Machine machine, List<AgentCommand> orders) {
-    boolean failed =
+  /** Where a direct call has just failed, or is queued, starts go out with the response instead. */
+  private void addStarts(Machine machine, List<AgentCommand> commands) {
+    boolean commandFailed =
         context.clock().now() - machine.commandFailedAt
             <= 2 * context.settings().workers().heartbeatIntervalS();
-    if (machine.commandInFlight || !(failed || callLimiter.waits(machine))) {
+    if (machine.commandInFlight || !(commandFailed || callLimiter.isCommandQueued(machine))) {
       return;
     }
     for (Attempt attempt : machine.openAttempts.values()) {
-      if (attempt.launchState == LaunchState.READY && !attempt.stopping) {
-        orders.add(start(attempt));
+      if (AttemptCommands.isStartDue(attempt)) {
+        commands.add(AttemptCommands.start(attempt));
         attempt.launchState = LaunchState.IN_HEARTBEAT_RESPONSE;
         attempt.startToken = machine.token;
       }
@@ -103,34 +81,41 @@
   }
 
   /**
-   * Lets the worker forget exited attempts, once what they mean is in the store and no copy of
-   * their start can be carried out any more: the worker would run a forgotten attempt once more.
-   * Even a command that was answered may be repeated on its way, so the answer that forgets carries
-   * a token above all that starts have left under; the worker takes the token first.
+   * Has the agent forget exited attempts, once their outcome is in the store and no copy of their
+   * start can be executed any more: the agent would run a forgotten attempt once more. Even a
+   * command that was answered may be repeated on its way, so the response that forgets carries a
+   * token above all under which starts were sent; the agent takes the token first.
+   *
+   * <p>An attempt that runs and is not open is stopped.
    */
-  private void addReaps(Machine machine, Heartbeat heartbeat, List<AgentCommand> orders) {
+  private void addForgets(Machine machine, Heartbeat heartbeat, List<AgentCommand> commands) {
     boolean noLateStart =
         !machine.commandInFlight
             && heartbeat.token() > machine.unconfirmedToken
             && heartbeat.token() >= tokenBase;
-    for (TaskStatus t : heartbeat.tasks()) {
-      Attempt attempt = machine.openAttempts.get(Machine.taskKey(t.ref(), t.task()));
-      boolean ours = attempt != null && attempt.number == t.attempt();
-      if (t.state() == TaskState.EXITED) {
-        if (!ours && noLateStart && listener.isOutcomePersisted(t.ref(), t.task())) {
-          machine.token = Math.max(machine.token, machine.highestSentToken + 1);
-          orders.add(new AgentCommand(AgentCommand.Verb.FORGET, t.ref(), t.task(), t.attempt(), 0));
-        }
-      } else if (!ours) {
-        // Nothing that we let run is missing from the cluster state, so this must not run.
+    for (TaskStatus status : heartbeat.tasks()) {
+      Attempt attempt = machine.openAttempts.get(Machine.taskKey(status.ref(), status.task()));
+      boolean open = attempt != null && attempt.number == status.attempt();
+      if (open) {
+        continue;
+      }
+      if (status.state() != TaskState.EXITED) {
+        // The cluster state lacks nothing that was started and may go on, so this must not run.
         LOG.warn(
             "machine {} runs {}/{}#{}, which should be gone",
             machine.name,
-            t.ref(),
-            t.task(),
-            t.attempt());
-        orders.add(new AgentCommand(AgentCommand.Verb.STOP, t.ref(), t.task(), t.attempt(), 0));
+            status.ref(),
+            status.task(),
+            status.attempt());
+        commands.add(command(AgentCommand.Verb.STOP, status));
+      } else if (noLateStart && listener.isOutcomePersisted(status.ref(), status.task())) {
+        machine.token = Math.max(machine.token, machine.highestSentToken + 1);
+        commands.add(command(AgentCommand.Verb.FORGET, status));
       }
     }
   }
+
+  private static AgentCommand command(AgentCommand.Verb verb, TaskStatus status) {
+    return new AgentCommand(verb, status.ref(), status.task(), status.attempt(), 0);
+  }
 }
--- a/src/main/java/io/embernotch/agents/ReachabilityTracker.java
+++ b/src/main/java/io/embernotch/agents/ReachabilityTracker.java
@@ -8,36 +8,42 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Whether a machine hears us. Its heartbeats may arrive while neither answers nor commands reach
- * it: it is no more silent than any other, so it took starts again with each plan, each of them
- * cost commits, and a gang with a task there never began.
+ * Detects machines behind a one-way partition: their heartbeats arrive while neither responses nor
+ * commands reach them. No failure detector finds such a machine unresponsive, so it would be given
+ * starts by each scheduling pass, each of which costs commits, and a gang with a task there would
+ * never begin.
  *
- * <p>What proves hearing is a token of ours that the machine has not shown before, or an answer to
- * a call. What speaks against it: a heartbeat that still shows a lower token than the one before it
- * was answered with; one that comes by another controller right after the last one did, since only
- * who gets no answer goes on; a lease that ran out although its heartbeats were answered; a call
- * that was tried and not answered. Where nothing new was to be shown, the next answer carries a
- * token raised by one, and the heartbeat after it tells.
+ * <p>A machine is proven reachable by a fencing token of this term that it has not reported before,
+ * or by the response to a call. Signs of the contrary: a heartbeat that still shows a lower token
+ * than the one that the previous heartbeat was answered with; one that comes by another controller
+ * right after the previous one did, since an agent changes controllers only if it gets no response;
+ * a lease that expired although its heartbeats were answered; a call that was tried and not
+ * answered. Where the machine had no new token to report, the next response carries a token raised
+ * by one, and the heartbeat after it decides.
  */
 final class ReachabilityTracker {
   private static final Logger LOG = LoggerFactory.getLogger(ReachabilityTracker.class);
 
   /**
-   * So many signs in a row, and it is taken for unreachable: one answer may be late, or a
-   * controller have ended.
+   * So many signs in a row, and a machine is taken for unreachable: a single response may be late,
+   * and a controller may have failed.
    */
-  static final int ENOUGH = 2;
+  private static final int SIGNS_REQUIRED = 2;
 
   /**
-   * Machines whose calls fail one after the other while none is answered: it is rather we who reach
-   * nobody.
+   * So many machines with unanswered calls in a row while none is answered, and it is rather this
+   * leader that reaches nobody.
    */
-  private static final int OURS = 3;
+  private static final int MACHINES_TO_SUSPECT_LEADER = 3;
 
   private final long tokenBase;
   private final double heartbeatIntervalS;
-  private final Set<Machine> accused = new LinkedHashSet<>();
-  private double answeredAt = -1e9;
+
+  /** Machines whose calls were not answered since the last call that was. */
+  private final Set<Machine> unansweredMachines = new LinkedHashSet<>();
+
+  /** When a call to any machine was last answered. */
+  private double lastCallAnsweredAt = SteadyTime.NEVER;
 
   ReachabilityTracker(long tokenBase, double heartbeatIntervalS) {
     this.tokenBase = tokenBase;
@@ -45,36 +51,40 @@
   }
 
   /**
-   * A newer heartbeat came by the controller {@code via}, a number of its life. The state of {@code
-   * m} is from before it.
+   * A newer heartbeat has arrived; {@code machine} is still in the state from before it.
+   *
+   * @param forwarder the process incarnation of the controller that it was sent to
+   * @param now steady seconds
    */
-  void heartbeatReceived(Machine machine, Heartbeat heartbeat, long via, double now) {
-    boolean moved = machine.lastForwarder != Machine.NO_FORWARDER && machine.lastForwarder != via;
+  void heartbeatReceived(Machine machine, Heartbeat heartbeat, long forwarder, double now) {
+    boolean forwarderChanged =
+        machine.lastForwarder != Machine.NO_FORWARDER && machine.lastForwarder != forwarder;
     boolean answered = machine.lastAnsweredToken > 0;
-    machine.lastForwarder = via;
+    machine.lastForwarder = forwarder;
     if (answered && heartbeat.token() < machine.lastAnsweredToken) {
       acknowledgementMissed(machine, now);
     } else if (heartbeat.token() > machine.acknowledgedToken && heartbeat.token() >= tokenBase) {
       confirmReachable(machine, now);
-    } else if (moved) {
-      // Its first move may be because a controller has ended; the next one tells.
+    } else if (forwarderChanged) {
+      // The first change may be because a controller has failed; the next one decides.
       machine.forwarderChanges++;
-      if (machine.forwarderChanges >= ENOUGH) {
+      if (machine.forwarderChanges >= SIGNS_REQUIRED) {
         acknowledgementMissed(machine, now);
         probeWithNextToken(machine);
       }
     } else {
       machine.forwarderChanges = 0;
     }
-    if (answered && heartbeat.agentEpoch() > machine.agentEpoch && machine.agentEpoch > 0) {
-      // Its lease ran out while we answered.
+    boolean agentRestarted = heartbeat.agentEpoch() > machine.agentEpoch && machine.agentEpoch > 0;
+    if (answered && agentRestarted) {
+      // Its lease expired although its heartbeats were answered.
       acknowledgementMissed(machine, now);
       probeWithNextToken(machine);
     }
     machine.acknowledgedToken = Math.max(machine.acknowledgedToken, heartbeat.token());
   }
 
-  /** The next answer carries a token that the machine has not shown yet. */
+  /** The next response carries a token that the machine has not reported yet. */
   private static void probeWithNextToken(Machine machine) {
     machine.token =
         Math.max(machine.token, Math.max(machine.acknowledgedToken, machine.lastAnsweredToken) + 1);
@@ -87,8 +97,8 @@
 
   /** The machine has answered a call. */
   void callAnswered(Machine machine, double now) {
-    answeredAt = now;
-    accused.clear();
+    lastCallAnsweredAt = now;
+    unansweredMachines.clear();
     confirmReachable(machine, now);
   }
 
@@ -107,15 +117,16 @@
   }
 
   /**
-   * A call that was tried got no answer. A leader that reaches no worker at all, and is heard
-   * through the other controllers, must not take each of them for unreachable: their answers to
-   * heartbeats tell.
+   * A call that was tried got no response. A leader that reaches no agent at all, and receives
+   * heartbeats through the other controllers, must not take every machine for unreachable: then the
+   * responses to heartbeats decide.
    */
   void callUnanswered(Machine machine, double now) {
     probeWithNextToken(machine);
-    accused.add(machine);
-    if (accused.size() >= OURS && now - answeredAt > heartbeatIntervalS) {
-      accused.forEach(a -> a.callUnanswered = false);
+    unansweredMachines.add(machine);
+    if (unansweredMachines.size() >= MACHINES_TO_SUSPECT_LEADER
+        && now - lastCallAnsweredAt > heartbeatIntervalS) {
+      unansweredMachines.forEach(unanswered -> unanswered.callUnanswered = false);
       return;
     }
     machine.callUnanswered = true;
@@ -124,7 +135,7 @@
 
   private static void acknowledgementMissed(Machine machine, double now) {
     machine.missedAcknowledgements++;
-    if (machine.missedAcknowledgements >= ENOUGH && machine.unreachableSince < 0) {
+    if (machine.missedAcknowledgements >= SIGNS_REQUIRED && machine.unreachableSince < 0) {
       machine.unreachableSince = now;
       LOG.info(
           "machine {} is unreachable (one-way partition), with {} tasks",
--- a/src/main/java/io/embernotch/agents/RenewalDelegations.java
+++ b/src/main/java/io/embernotch/agents/RenewalDelegations.java
@@ -2,71 +2,99 @@
 
 import io.embernotch.context.LeastRecentlyUsed;
 import io.embernotch.context.ProcessIncarnation;
-import io.embernotch.forwarding.DelegatedRenewal;
 import io.embernotch.peer.Frame;
 import io.embernotch.settings.Settings;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.ToDoubleFunction;
 
 /**
- * What the leader knows of the controllers that may renew workers of their zone when they are
- * partitioned ({@link DelegatedRenewal}): until when each may have done so.
+ * The leader's side of delegated lease renewal. A controller to which the leader has delegated it
+ * may renew the leases of agents in its own zone while it is partitioned together with them; this
+ * class knows until when each controller may have done so.
  *
- * <p>A controller renews nothing before {@code contactS} after the sending of a message that we
- * have answered. Say its message n acknowledges our answer to k, and k acknowledged our answer to
- * j. Then k was sent after we answered j, so up to {@code contactS} after that answer it renewed
- * nothing by itself but what n owns up to. All times are ours; held and late messages only make
- * them earlier.
+ * <p>A controller renews nothing before {@link Settings#contactTimeoutS} after the sending of a
+ * message that the leader has answered. Say its message n acknowledges the answer to k, and k
+ * acknowledged the answer to j. Then k was sent after j was answered, so up to the contact timeout
+ * after that answer it renewed nothing by itself but what n reports. All instants are of this
+ * leader's steady clock; delayed messages only make them earlier.
  *
- * <p>Numbers are never those of another incarnation ({@link ProcessIncarnation}), so a late message
- * of a former one proves the same: the life that followed had not begun when k was sent, and renews
- * nothing for {@code contactS} from its beginning.
+ * <p>Sequence numbers are never those of another incarnation of the process ({@link
+ * ProcessIncarnation}), so a late message of a former one proves the same: the incarnation that
+ * followed had not begun when k was sent, and renews nothing for the contact timeout from its
+ * beginning.
+ *
+ * <p>Confined to the leader's event loop.
  */
 public final class RenewalDelegations {
-  private static final int REMEMBERED = 64;
+  /** Messages of a controller whose acknowledgements and answers are remembered. */
+  private static final int REMEMBERED_MESSAGES = 64;
 
+  /** What is known of one controller. */
   private static final class Delegation {
-    final Map<Long, Double> answeredAt = new LeastRecentlyUsed<>(REMEMBERED);
-    final Map<Long, Long> acks = new LeastRecentlyUsed<>(REMEMBERED);
-    double renewedAt = -1e9;
-    double safeUntil = -1e9;
-    double grantEnds;
-
-    /** The life of the process that wrote last; see {@link ProcessIncarnation}. */
-    long life = -1;
+    final Map<Long, Double> answeredAt = new LeastRecentlyUsed<>(REMEMBERED_MESSAGES);
+    final Map<Long, Long> acknowledgements = new LeastRecentlyUsed<>(REMEMBERED_MESSAGES);
+
+    /** The latest renewal that it has reported, or that it cannot know of and may have made. */
+    double renewedAt = SteadyTime.NEVER;
+
+    /** Up to then it has renewed nothing that it has not reported. */
+    double noUnreportedRenewalUntil = SteadyTime.NEVER;
+
+    /** When the delegation that it was last granted ends; 0 if none was granted. */
+    double grantEndsAt;
+
+    /** The process incarnation that sent the latest message; see {@link ProcessIncarnation}. */
+    long processIncarnation = -1;
   }
 
   private final Settings settings;
   private final double acquiredAt;
   private final Map<String, Delegation> delegations = new HashMap<>();
-  private final Set<String> waiting;
+  private final Set<String> controllersDelayingCancellations;
 
   /**
-   * @param waiting controllers that are known to wait with cancellations, whoever leads; those that
-   *     write are added. A controller is only ever replaced by one of its version or a later one
+   * Creates the delegations of a term, none of them granted.
+   *
+   * @param acquiredAt when the term began, in steady seconds
+   * @param controllersDelayingCancellations controllers that are known to delay cancellations,
+   *     whoever leads; those that send a message are added. A controller is only ever replaced by
+   *     one of its version or a later one
    */
-  public RenewalDelegations(Settings settings, double acquiredAt, Set<String> waiting) {
+  public RenewalDelegations(
+      Settings settings, double acquiredAt, Set<String> controllersDelayingCancellations) {
     this.settings = settings;
     this.acquiredAt = acquiredAt;
-    this.waiting = waiting;
+    this.controllersDelayingCancellations = controllersDelayingCancellations;
   }
 
-  private double longestGracePeriodS() {
+  /**
+   * Seconds of this leader's clock for which anybody can go on renewing without a proven lease,
+   * whatever the drift of their clock.
+   */
+  static double longestGracePeriodS(Settings settings) {
     return settings.gracePeriodS() * (1 + Settings.DRIFT);
   }
 
+  /** Renewals that began before this term, by anybody, end by this instant. */
+  private double formerRenewalsEndAt() {
+    return acquiredAt + longestGracePeriodS(settings);
+  }
+
   /**
-   * Every other controller is known to be of a version that waits with cancellations. While one may
-   * not be, nobody renews for longer than the former version counts on. A leader that was
-   * partitioned alone writes to no successor; what it had answered as a leader tells its version as
-   * well. When only those that wrote counted, a state outage after such a cut ended all that ran.
+   * True if every controller is known to be of a version that delays cancellations. While one may
+   * not be, nobody renews for longer than the former version assumes. A leader that was partitioned
+   * alone sends nothing to its successor; that it answered as a leader proves its version as well.
+   * If only those that send messages counted, a store outage after such a partition would end all
+   * tasks.
    */
-  public boolean allDelayCancellations() {
-    return settings.members().stream().allMatch(member -> waiting.contains(member.node()));
+  private boolean allDelayCancellations() {
+    return settings.members().stream()
+        .allMatch(member -> controllersDelayingCancellations.contains(member.node()));
   }
 
-  /** How long this leader renews workers without a proven lease. */
+  /** How long this leader renews leases of agents without a proven lease of its own, in seconds. */
   public double ownGracePeriodS() {
     return allDelayCancellations() ? settings.gracePeriodS() : settings.legacyGracePeriodS();
   }
@@ -81,84 +109,98 @@
   }
 
   /**
-   * The message is of another incarnation of its process than the one before, or the first at all.
+   * True if the message is of another incarnation of its process than the one before, or the first
+   * message of the controller in this term.
    */
-  public boolean isNewProcess(Frame.DelegateHeartbeat h) {
-    Delegation delegation = delegations.get(h.node());
-    return delegation == null || delegation.life != ProcessIncarnation.of(h.seq());
+  public boolean isNewProcess(Frame.DelegateHeartbeat message) {
+    Delegation delegation = delegations.get(message.node());
+    return delegation == null
+        || delegation.processIncarnation != ProcessIncarnation.of(message.seq());
   }
 
   /**
-   * A controller has written. {@code may} be given the right if our lease is proven, and no job
-   * whose cancellation was told has tasks left in its zone. Returns the answer to send at once.
+   * A controller has sent its heartbeat.
+   *
+   * @param mayGrant whether the delegation may be granted: the leader's lease is proven, and no job
+   *     whose cancellation was confirmed to a user has tasks left in the controller's zone
+   * @param now steady seconds
+   * @return the answer to send at once
    */
   public Frame.DelegateHeartbeatAck heartbeatReceived(
-      Frame.DelegateHeartbeat h, long epoch, boolean may, double now) {
-    waiting.add(h.node());
-    Delegation delegation = delegations.computeIfAbsent(h.node(), n -> new Delegation());
-    delegation.life = ProcessIncarnation.of(h.seq());
-    if (h.ack() == 0 || delegation.answeredAt.isEmpty()) {
-      // What its former process, or it under an earlier leader, has renewed, nobody owns up to.
+      Frame.DelegateHeartbeat message, long epoch, boolean mayGrant, double now) {
+    controllersDelayingCancellations.add(message.node());
+    Delegation delegation = delegations.computeIfAbsent(message.node(), node -> new Delegation());
+    delegation.processIncarnation = ProcessIncarnation.of(message.seq());
+    recordRenewals(delegation, message, now);
+    recordContact(delegation, message);
+    delegation.acknowledgements.put(message.seq(), message.ack());
+    delegation.answeredAt.put(message.seq(), now);
+    boolean granted = mayGrant && allDelayCancellations();
+    if (granted) {
+      delegation.grantEndsAt = now + longestGracePeriodS(settings);
+    }
+    return new Frame.DelegateHeartbeatAck(epoch, message.seq(), granted);
+  }
+
+  private void recordRenewals(Delegation delegation, Frame.DelegateHeartbeat message, double now) {
+    if (message.ack() == 0 || delegation.answeredAt.isEmpty()) {
+      // Nobody reports what its former process, or it under a former leader, has renewed.
       delegation.renewedAt =
           Math.max(
               delegation.renewedAt,
-              Math.min(now, Math.max(acquiredAt + longestGracePeriodS(), delegation.grantEnds)));
+              Math.min(now, Math.max(formerRenewalsEndAt(), delegation.grantEndsAt)));
     }
-    if (h.renewedAgoS() >= 0) {
-      delegation.renewedAt = Math.max(delegation.renewedAt, now - h.renewedAgoS());
+    if (message.renewedAgoS() >= 0) {
+      delegation.renewedAt = Math.max(delegation.renewedAt, now - message.renewedAgoS());
     }
-    Long before = delegation.acks.get(h.ack());
-    Double answered = before == null ? null : delegation.answeredAt.get(before);
-    if (answered != null) {
-      delegation.safeUntil = Math.max(delegation.safeUntil, answered + settings.contactTimeoutS());
-    }
-    delegation.acks.put(h.seq(), h.ack());
-    delegation.answeredAt.put(h.seq(), now);
-    boolean granted = may && allDelayCancellations();
-    if (granted) {
-      delegation.grantEnds = now + longestGracePeriodS();
+  }
+
+  /** Draws the conclusion from n to j that the class comment explains. */
+  private void recordContact(Delegation delegation, Frame.DelegateHeartbeat message) {
+    Long acknowledgedBefore = delegation.acknowledgements.get(message.ack());
+    Double answeredAt =
+        acknowledgedBefore == null ? null : delegation.answeredAt.get(acknowledgedBefore);
+    if (answeredAt != null) {
+      delegation.noUnreportedRenewalUntil =
+          Math.max(delegation.noUnreportedRenewalUntil, answeredAt + settings.contactTimeoutS());
     }
-    return new Frame.DelegateHeartbeatAck(epoch, h.seq(), granted);
   }
 
   /**
-   * No controller has renewed a worker of this zone by itself later than at this time, counted at
-   * {@code now}.
+   * No controller has by itself renewed the lease of an agent in this zone later than at this
+   * instant, as far as is known at {@code now}; far in the past if no controller is in the zone.
    */
   public double renewedUntil(String zone, double now) {
-    double latest = -1e9;
+    return latestOfZone(zone, delegation -> renewedUntil(delegation, now));
+  }
+
+  /** Renewals of this zone's agents that nobody else can stop end by this instant. */
+  public double renewalsEndBy(String zone) {
+    return latestOfZone(
+        zone,
+        delegation ->
+            Math.max(formerRenewalsEndAt(), delegation == null ? 0 : delegation.grantEndsAt));
+  }
+
+  /** The bound takes null for a controller that has sent nothing in this term. */
+  private double latestOfZone(String zone, ToDoubleFunction<Delegation> bound) {
+    double latest = SteadyTime.NEVER;
     for (Settings.Member member : settings.members()) {
       if (member.location().equals(zone)) {
-        latest = Math.max(latest, renewedUntil(delegations.get(member.node()), now));
+        latest = Math.max(latest, bound.applyAsDouble(delegations.get(member.node())));
       }
     }
     return latest;
   }
 
   private double renewedUntil(Delegation delegation, double now) {
-    double others = acquiredAt + longestGracePeriodS();
     if (delegation == null) {
-      return Math.min(now, others);
+      return Math.min(now, formerRenewalsEndAt());
     }
-    return now <= delegation.safeUntil
+    return now <= delegation.noUnreportedRenewalUntil
         ? delegation.renewedAt
-        : Math.max(delegation.renewedAt, Math.min(now, Math.max(others, delegation.grantEnds)));
-  }
-
-  /** Renewals of this zone's workers that nobody else can stop end by this time. */
-  public double renewalsEndBy(String zone) {
-    double latest = -1e9;
-    for (Settings.Member member : settings.members()) {
-      if (member.location().equals(zone)) {
-        Delegation delegation = delegations.get(member.node());
-        latest =
-            Math.max(
-                latest,
-                Math.max(
-                    acquiredAt + longestGracePeriodS(),
-                    delegation == null ? 0 : delegation.grantEnds));
-      }
-    }
-    return latest;
+        : Math.max(
+            delegation.renewedAt,
+            Math.min(now, Math.max(formerRenewalsEndAt(), delegation.grantEndsAt)));
   }
 }
--- a/src/main/java/io/embernotch/agents/StatusProber.java
+++ b/src/main/java/io/embernotch/agents/StatusProber.java
@@ -1,9 +1,11 @@
 package io.embernotch.agents;
 
+import io.embernotch.agents.CallConcurrencyLimiter.CallClass;
 import io.embernotch.codec.MalformedInputException;
 import io.embernotch.codec.WorkerCodec;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.http.CallFailedException;
+import io.embernotch.http.HttpReply;
 import io.embernotch.model.Heartbeat;
 import io.embernotch.model.Machine;
 import io.embernotch.settings.HostPort;
@@ -12,8 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Machines that are asked for their state, because they are silent, not found yet, or said what may
- * be old.
+ * Requests the status of machines that are unresponsive, have not sent a heartbeat yet, or have
+ * sent one that may be old.
  */
 final class StatusProber {
   private static final Logger LOG = LoggerFactory.getLogger(StatusProber.class);
@@ -21,26 +23,30 @@
   private final ControllerContext context;
   private final CallConcurrencyLimiter callLimiter;
   private final ReachabilityTracker reachability;
-  private final double callS;
+  private final double callTimeoutS;
   private final BiConsumer<Heartbeat, Machine> reconcile;
 
-  /** {@code absorb} takes what a machine answers. */
+  /**
+   * Creates a prober with no request in flight.
+   *
+   * @param reconcile takes the status that a machine responds with
+   */
   StatusProber(
       ControllerContext context,
       CallConcurrencyLimiter callLimiter,
       ReachabilityTracker reachability,
-      double callS,
-      BiConsumer<Heartbeat, Machine> absorb) {
+      double callTimeoutS,
+      BiConsumer<Heartbeat, Machine> reconcile) {
     this.context = context;
     this.callLimiter = callLimiter;
     this.reachability = reachability;
-    this.callS = callS;
-    this.reconcile = absorb;
+    this.callTimeoutS = callTimeoutS;
+    this.reconcile = reconcile;
   }
 
   /**
-   * Because of a heartbeat that was no news: copies may come by the hundred, so once in a heartbeat
-   * interval.
+   * Probes because of a heartbeat that proves nothing: copies may come by the hundred, so this is
+   * done once in a heartbeat interval.
    */
   void probeAtMostOncePerInterval(Machine machine) {
     double now = context.clock().now();
@@ -50,32 +56,87 @@
     }
   }
 
-  /** Asks a silent machine for its state; the answer counts as news, but renews nothing. */
+  /**
+   * Requests the status of an unresponsive machine. The response counts as a newer heartbeat, but
+   * renews no lease.
+   */
   void probe(Machine machine) {
     if (!machine.probing
         && machine.address != null
-        && callLimiter.tryEnter(
-            machine, CallConcurrencyLimiter.CallClass.UNRESPONSIVE, () -> probe(machine))) {
+        && callLimiter.tryAcquire(machine, CallClass.UNRESPONSIVE, () -> probe(machine))) {
       requestStatus(machine);
     }
   }
 
-  /** Looks for a machine that has not found us; in vain once it has. */
+  /**
+   * Looks for a machine that has sent no heartbeat yet; does nothing once it has, or if it is being
+   * deleted.
+   */
   void find(Machine machine) {
     if (!machine.up()
         && !machine.deleting
         && !machine.probing
         && machine.address != null
-        && callLimiter.tryEnter(
-            machine, CallConcurrencyLimiter.CallClass.DISCOVERY, () -> find(machine))) {
+        && callLimiter.tryAcquire(machine, CallClass.DISCOVERY, () -> find(machine))) {
       requestStatus(machine);
     }
   }
 
+  /** What a machine had reported when its status was requested. */
+  private record KnownStatus(long agentEpoch, long heartbeatSeq, long reportedToken) {
+    static KnownStatus of(Machine machine) {
+      return new KnownStatus(
+          machine.agentEpoch, machine.heartbeatSeq, machine.highestReportedToken);
+    }
+
+    /** True if the response counts from before it: only another incarnation does. */
+    boolean isContradictedBy(Heartbeat heartbeat) {
+      return !heartbeat.newerThan(agentEpoch, heartbeatSeq) || heartbeat.token() < reportedToken;
+    }
+  }
+
+  private void requestStatus(Machine machine) {
+    machine.probing = true;
+    double requestedAt = context.clock().now();
+    KnownStatus known = KnownStatus.of(machine);
+    context
+        .workers()
+        .call("GET", HostPort.parse(machine.address), "/status", null, callTimeoutS)
+        .onSuccess(reply -> statusReceived(machine, known, reply))
+        .onFailure(cause -> requestFailed(machine, requestedAt, cause));
+  }
+
+  private void statusReceived(Machine machine, KnownStatus known, HttpReply reply) {
+    machine.probing = false;
+    callLimiter.release();
+    reachability.callAnswered(machine, context.clock().now());
+    try {
+      Heartbeat heartbeat = WorkerCodec.read(reply.body());
+      if (known.isContradictedBy(heartbeat)) {
+        resetForNewIncarnation(machine);
+      }
+      reconcile.accept(heartbeat, machine);
+    } catch (MalformedInputException e) {
+      LOG.info("unreadable status of {}: {}", machine.name, e.getMessage());
+    }
+  }
+
+  private void requestFailed(Machine machine, double requestedAt, Throwable cause) {
+    machine.probing = false;
+    callLimiter.release();
+    if (!(cause instanceof CallFailedException failure) || failure.tried) {
+      machine.probeFailedAt = context.clock().now();
+      if (machine.up() && machine.lastHeartbeatAt > requestedAt) {
+        reachability.callUnanswered(machine, machine.probeFailedAt);
+      }
+      machine.probeConnected = cause instanceof CallFailedException failure && failure.sent;
+    }
+  }
+
   /**
-   * What the machine says now counts from before what it has said: it has begun another incarnation
-   * under its name, which knows of no token, and holds what it lists. Without this all it says
-   * would be taken for late.
+   * The status of a machine counts from before its heartbeats: another incarnation has begun under
+   * its name, which has seen no token, and runs just what it lists. Without the reset all its
+   * heartbeats would be taken for late.
    */
   private static void resetForNewIncarnation(Machine machine) {
     LOG.info("machine {} restarted its heartbeat sequence: new incarnation", machine.name);
@@ -84,49 +145,10 @@
     machine.highestReportedToken = 0;
     machine.lastAnsweredToken = 0;
     machine.acknowledgedToken = 0;
-    // No former incarnation has seen this token, so what shows a lower one is of theirs, or says
-    // nothing
-    // yet.
+    // No former incarnation has seen this token, so a heartbeat with a lower one is of theirs, or
+    // proves nothing yet.
     machine.token++;
     machine.incarnationToken = machine.token;
     machine.images.clear();
   }
-
-  private void requestStatus(Machine machine) {
-    machine.probing = true;
-    double since = context.clock().now();
-    long session = machine.agentEpoch;
-    long seq = machine.heartbeatSeq;
-    long seen = machine.highestReportedToken;
-    context
-        .workers()
-        .call("GET", HostPort.parse(machine.address), "/status", null, callS)
-        .onSuccess(
-            reply -> {
-              machine.probing = false;
-              callLimiter.leave();
-              reachability.callAnswered(machine, context.clock().now());
-              try {
-                Heartbeat heartbeat = WorkerCodec.read(reply.body());
-                if (!heartbeat.newerThan(session, seq) || heartbeat.token() < seen) {
-                  resetForNewIncarnation(machine);
-                }
-                reconcile.accept(heartbeat, machine);
-              } catch (MalformedInputException e) {
-                LOG.info("unreadable status of {}: {}", machine.name, e.getMessage());
-              }
-            })
-        .onFailure(
-            e -> {
-              machine.probing = false;
-              callLimiter.leave();
-              if (!(e instanceof CallFailedException f) || f.tried) {
-                machine.probeFailedAt = context.clock().now();
-                if (machine.up() && machine.lastHeartbeatAt > since) {
-                  reachability.callUnanswered(machine, machine.probeFailedAt);
-                }
-                machine.probeConnected = e instanceof CallFailedException f && f.sent;
-              }
-            });
-  }
 }
--- a/src/main/java/io/embernotch/agents/TaskLauncher.java
+++ b/src/main/java/io/embernotch/agents/TaskLauncher.java
@@ -15,81 +15,101 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Carries out what a plan starts: opens attempts, has them committed, and only then sends them. */
+/**
+ * Starts what the scheduler has placed: opens attempts, has them committed, and only then sends
+ * them. Confined to the leader's event loop.
+ */
 public final class TaskLauncher {
   private static final Logger LOG = LoggerFactory.getLogger(TaskLauncher.class);
 
+  private static final int MS_PER_S = 1000;
+
   private final ControllerContext context;
   private final ClusterState state;
   private final StateWriter stateWriter;
   private final AgentReconciler agents;
   private final double acquiredAt;
-  private final BooleanSupplier mayOrder;
-  private final ArrayDeque<Machine> toFlush = new ArrayDeque<>();
-  private boolean liveStarted;
+  private final BooleanSupplier isLeading;
+  private final ArrayDeque<Machine> machinesToSend = new ArrayDeque<>();
+  private boolean serviceStarted;
 
+  /**
+   * Creates the launcher of a term.
+   *
+   * @param acquiredAt when the term began, in steady seconds
+   * @param isLeading whether the leader's lease is proven
+   */
   public TaskLauncher(
       ControllerContext context,
       ClusterState state,
       StateWriter stateWriter,
       AgentReconciler agents,
       double acquiredAt,
-      BooleanSupplier mayOrder) {
+      BooleanSupplier isLeading) {
     this.context = context;
     this.state = state;
     this.stateWriter = stateWriter;
     this.agents = agents;
     this.acquiredAt = acquiredAt;
-    this.mayOrder = mayOrder;
+    this.isLeading = isLeading;
   }
 
-  public void launch(SchedulingPlan.Start s, double now) {
-    Job job = s.job();
+  /**
+   * Opens an attempt for each placement of the start; their commands are sent once committed.
+   *
+   * @param now when the start was scheduled, in steady seconds
+   */
+  public void launch(SchedulingPlan.Start start, double now) {
+    Job job = start.job();
     if (job.openAttempts.isEmpty() && job.done.isEmpty() && job.restartedTasks.isEmpty()) {
       state.largestJobWaits.begins(job, context.clock().wallMs());
     }
     long number = job.nextAttempt++;
-    boolean live = job.spec.priority() == Priority.PRODUCTION;
-    for (SchedulingPlan.Placement p : s.placements()) {
-      Attempt attempt = state.openAttempt(job, p.task(), number, p.machine(), now);
-      job.preferredMachines.remove(p.task());
+    RequestPriority priority = isService(job) ? RequestPriority.HIGH : RequestPriority.NORMAL;
+    for (SchedulingPlan.Placement placement : start.placements()) {
+      Machine machine = placement.machine();
+      Attempt attempt = state.openAttempt(job, placement.task(), number, machine, now);
+      job.preferredMachines.remove(placement.task());
       stateWriter.writeNow(
-          job,
-          p.task(),
-          live ? RequestPriority.HIGH : RequestPriority.NORMAL,
-          () -> {
-            if (ClusterState.isOpen(attempt)
-                && attempt.launchState == Attempt.LaunchState.UNCOMMITTED
-                && job.finalPhase == null) {
-              attempt.launchState = Attempt.LaunchState.READY;
-              flushSoon(p.machine());
-              if (live && !liveStarted) {
-                liveStarted = true;
-                double at = context.clock().now();
-                LOG.info(
-                    "first service start {} ms after the failover, {} ms after it was scheduled",
-                    Math.round((at - acquiredAt) * 1000),
-                    Math.round((at - now) * 1000));
-              }
-            }
-          });
+          job, placement.task(), priority, () -> attemptCommitted(attempt, machine, now));
+    }
+  }
+
+  private static boolean isService(Job job) {
+    return job.spec.priority() == Priority.PRODUCTION;
+  }
+
+  private void attemptCommitted(Attempt attempt, Machine machine, double scheduledAt) {
+    if (!ClusterState.isOpen(attempt)
+        || attempt.launchState != Attempt.LaunchState.UNCOMMITTED
+        || attempt.job.finalPhase != null) {
+      return;
+    }
+    attempt.launchState = Attempt.LaunchState.READY;
+    sendSoon(machine);
+    if (isService(attempt.job) && !serviceStarted) {
+      serviceStarted = true;
+      double at = context.clock().now();
+      LOG.info(
+          "first service start {} ms after the failover, {} ms after it was scheduled",
+          Math.round((at - acquiredAt) * MS_PER_S),
+          Math.round((at - scheduledAt) * MS_PER_S));
+    }
+  }
+
+  /** Collects the starts of one commit, so that each machine gets one command. */
+  private void sendSoon(Machine machine) {
+    if (machinesToSend.isEmpty()) {
+      context.loop().execute(this::sendCollected);
     }
+    machinesToSend.add(machine);
   }
 
-  /** Gathers the starts of one commit, so that each machine gets one command. */
-  private void flushSoon(Machine machine) {
-    if (toFlush.isEmpty()) {
-      context
-          .loop()
-          .execute(
-              () -> {
-                Set<Machine> all = Set.copyOf(toFlush);
-                toFlush.clear();
-                if (mayOrder.getAsBoolean()) {
-                  all.forEach(agents::sendDueCommands);
-                }
-              });
+  private void sendCollected() {
+    Set<Machine> machines = Set.copyOf(machinesToSend);
+    machinesToSend.clear();
+    if (isLeading.getAsBoolean()) {
+      machines.forEach(agents::sendDueCommands);
     }
-    toFlush.add(machine);
   }
 }
--- a/src/main/java/io/embernotch/agents/TaskStopper.java
+++ b/src/main/java/io/embernotch/agents/TaskStopper.java
@@ -10,30 +10,40 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/** Has attempts end: one, a whole gang, or all that is on a machine. */
+/**
+ * Has attempts end: one, a whole gang, or all on a machine. Confined to the leader's event loop.
+ */
 public final class TaskStopper {
   private final ControllerContext context;
   private final ClusterState state;
   private final AgentReconciler agents;
   private final Consumer<Attempt> close;
+  private final BooleanSupplier isLoaded;
 
-  /** Before the store is read, orders wait. */
-  private final BooleanSupplier mayOrder;
-
+  /**
+   * Creates the stopper of a term.
+   *
+   * @param close closes an attempt of which nothing was sent
+   * @param isLoaded whether the store has been read: before that, commands wait
+   */
   public TaskStopper(
       ControllerContext context,
       ClusterState state,
       AgentReconciler agents,
       Consumer<Attempt> close,
-      BooleanSupplier mayOrder) {
+      BooleanSupplier isLoaded) {
     this.context = context;
     this.state = state;
     this.agents = agents;
     this.close = close;
-    this.mayOrder = mayOrder;
+    this.isLoaded = isLoaded;
   }
 
-  /** Wants an attempt to end. One whose start has not left ends here and now. */
+  /**
+   * Has an attempt end. One whose start has not been sent is closed at once.
+   *
+   * @param graceS seconds that the task is given to save; the shortest one requested counts
+   */
   public void requestStop(Attempt attempt, double graceS) {
     if (attempt.launchState == Attempt.LaunchState.UNCOMMITTED
         || attempt.launchState == Attempt.LaunchState.READY) {
@@ -44,16 +54,19 @@
       attempt.stopping = true;
       attempt.stopGraceS = graceS;
       attempt.stopRequestedAt = context.clock().now();
-      attempt.stopSentAt = -1e9;
+      attempt.stopSentAt = SteadyTime.NEVER;
     }
     Machine machine = state.machines.get(attempt.machine);
-    if (machine != null && mayOrder.getAsBoolean()) {
+    if (machine != null && isLoaded.getAsBoolean()) {
       machine.attemptsChanged();
       agents.sendDueCommands(machine);
     }
   }
 
-  /** Stops what is left of a gang's attempt; the next one starts when all of it has ended. */
+  /**
+   * Stops the attempts of a gang that are still open; the next attempt starts when all of them have
+   * ended.
+   */
   public void stopGang(Job job, double graceS) {
     for (Attempt attempt : List.copyOf(job.openAttempts.values())) {
       if (!attempt.stopping) {
@@ -72,8 +85,9 @@
   }
 
   /**
-   * Empties a machine that the cloud takes back; true once one that is to hold nothing more is
-   * empty.
+   * Stops all attempts on a machine that the cloud reclaims.
+   *
+   * @return true once a machine that is to run nothing more is empty
    */
   public boolean drained(Machine machine) {
     if (machine.reclaimAt >= 0) {
--- a/src/test/java/io/embernotch/agents/CallConcurrencyLimiterTest.java
+++ b/src/test/java/io/embernotch/agents/CallConcurrencyLimiterTest.java
@@ -17,7 +17,7 @@
   }
 
   private void call(Machine machine, CallConcurrencyLimiter.CallClass callClass) {
-    if (callLimiter.tryEnter(machine, callClass, () -> call(machine, callClass))) {
+    if (callLimiter.tryAcquire(machine, callClass, () -> call(machine, callClass))) {
       begun.add(machine.name);
     }
   }
@@ -36,29 +36,29 @@
     }
     assertThat(begun).endsWith("usual-0", "usual-1").hasSize(4);
     for (int i = 0; i < 5; i++) {
-      call("live-" + i, CallConcurrencyLimiter.CallClass.LIVE);
+      call("live-" + i, CallConcurrencyLimiter.CallClass.PRODUCTION);
     }
     assertThat(begun).endsWith("live-2", "live-3").hasSize(8);
-    callLimiter.leave();
+    callLimiter.release();
     assertThat(begun).endsWith("live-4").hasSize(9);
     for (int i = 0; i < 4; i++) {
-      callLimiter.leave();
+      callLimiter.release();
     }
     assertThat(begun).hasSize(9);
-    callLimiter.leave();
+    callLimiter.release();
     assertThat(begun).endsWith("usual-2").hasSize(10);
   }
 
   @Test
   void whoHasNothingToSayAnyMoreMakesWayForTheNext() {
     Machine machine = new Machine("gone");
-    callLimiter.tryEnter(new Machine("a"), CallConcurrencyLimiter.CallClass.DISCOVERY, () -> {});
+    callLimiter.tryAcquire(new Machine("a"), CallConcurrencyLimiter.CallClass.DISCOVERY, () -> {});
     assertThat(
-            callLimiter.tryEnter(
+            callLimiter.tryAcquire(
                 machine, CallConcurrencyLimiter.CallClass.DISCOVERY, () -> begun.add("nothing")))
         .isFalse();
     call("next", CallConcurrencyLimiter.CallClass.DISCOVERY);
-    callLimiter.leave();
+    callLimiter.release();
     assertThat(begun).containsExactly("nothing", "next");
   }
 
@@ -68,10 +68,10 @@
     for (int i = 0; i < 4; i++) {
       call("usual-" + i, CallConcurrencyLimiter.CallClass.NORMAL);
     }
-    assertThat(callLimiter.waits(machine)).isFalse();
+    assertThat(callLimiter.isCommandQueued(machine)).isFalse();
     call(machine, CallConcurrencyLimiter.CallClass.NORMAL);
-    assertThat(callLimiter.waits(machine)).isTrue();
-    callLimiter.leave();
-    assertThat(callLimiter.waits(machine)).isFalse();
+    assertThat(callLimiter.isCommandQueued(machine)).isTrue();
+    callLimiter.release();
+    assertThat(callLimiter.isCommandQueued(machine)).isFalse();
   }
 }
