--- a/src/main/java/io/embernotch/forwarding/DelegatedRenewal.java
+++ b/src/main/java/io/embernotch/forwarding/DelegatedRenewal.java
@@ -1,6 +1,5 @@
 package io.embernotch.forwarding;
 
-import io.embernotch.codec.WorkerCodec;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.context.LeastRecentlyUsed;
 import io.embernotch.context.ProcessIncarnation;
@@ -8,90 +7,129 @@
 import io.embernotch.model.Heartbeat;
 import io.embernotch.peer.Frame;
 import io.embernotch.settings.Settings;
-import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 
 /**
- * A controller's right to renew the workers of its own zone while it is partitioned with them.
- * Without it all that runs behind a cut ends with its lease, though nothing is wrong there. The
- * right is given by a live leader with each {@link Frame.DelegateHeartbeatAck}, counts from the
- * sending of what that answers, and is used only once the leader has not answered for {@link
- * Settings#contactS}. {@link Delegations} is the leader's side, which knows until when such
- * renewals may have gone on.
+ * A controller's side of delegated lease renewal: it may renew the leases of agents in its own zone
+ * while it is partitioned together with them. Otherwise all tasks behind a network partition would
+ * end with their leases, though nothing is wrong there.
+ *
+ * <p>The delegation is granted by a live leader with each {@link Frame.DelegateHeartbeatAck},
+ * counts from the sending of the heartbeat that this answers, and is used only once the leader has
+ * not answered for {@link Settings#contactTimeoutS}. The leader's side, {@link
+ * io.embernotch.agents.RenewalDelegations}, knows until when such renewals may have gone on.
+ *
+ * <p>Confined to the controller's event loop.
  */
 public final class DelegatedRenewal {
-  private static final int REMEMBERED = 64;
+  /** Heartbeats of which the instant of sending is remembered. */
+  private static final int REMEMBERED_HEARTBEATS = 64;
+
+  private static final double NEVER = -1e9;
+
+  /** What {@link Frame.DelegateHeartbeat} carries, and this class starts with, for no renewal. */
+  private static final double NOT_RENEWED = -1;
 
   private final ControllerContext context;
-  private final Map<Long, Double> sentAt = new LeastRecentlyUsed<>(REMEMBERED);
-  private long seq;
-  private long ack;
+  private final Settings settings;
+  private final Map<Long, Double> sentAt = new LeastRecentlyUsed<>(REMEMBERED_HEARTBEATS);
+  private long lastSeq;
+  private long highestAcknowledged;
 
-  /**
-   * When the last message was sent that a leader has answered; the same for those that gave the
-   * right.
-   */
+  /** When the latest heartbeat was sent that a leader has answered. */
   private double contactAt;
 
-  private double grantedAt = -1e9;
-  private double renewedAt = -1;
+  /** When the latest heartbeat was sent whose answer granted the delegation. */
+  private double grantedAt = NEVER;
+
+  private double renewedAt = NOT_RENEWED;
 
-  /** When each worker was last sent to look for the leader itself. */
-  private final Map<String, Double> awayAt;
+  /** When each machine's agent was last sent away to find the leader itself. */
+  private final Map<String, Double> sentAwayAt;
 
+  /** Creates a controller's side with nothing granted; the contact timeout counts from now. */
   public DelegatedRenewal(ControllerContext context) {
     this.context = context;
+    this.settings = context.settings();
     this.contactAt = context.clock().now();
-    this.awayAt = new LeastRecentlyUsed<>(context.settings().quota().maxConnections());
-    this.seq = ProcessIncarnation.begin(context.names());
+    this.sentAwayAt = new LeastRecentlyUsed<>(settings.quota().maxConnections());
+    this.lastSeq = ProcessIncarnation.begin(context.names());
   }
 
+  /** This controller's next heartbeat, which the caller sends to the leader at once. */
   public Frame.DelegateHeartbeat nextHeartbeat() {
     double now = context.clock().now();
-    sentAt.put(++seq, now);
+    sentAt.put(++lastSeq, now);
     return new Frame.DelegateHeartbeat(
-        context.settings().node(), seq, ack, renewedAt < 0 ? -1 : now - renewedAt);
+        settings.node(),
+        lastSeq,
+        highestAcknowledged,
+        renewedAt < 0 ? NOT_RENEWED : now - renewedAt);
   }
 
-  public void acknowledged(Frame.DelegateHeartbeatAck n) {
-    Double sent = sentAt.get(n.seq());
+  /** The leader has answered one of these heartbeats; answers to forgotten ones are dropped. */
+  public void acknowledged(Frame.DelegateHeartbeatAck acknowledgement) {
+    Double sent = sentAt.get(acknowledgement.seq());
     if (sent == null) {
       return;
     }
-    ack = Math.max(ack, n.seq());
-    if (context.clock().now() - contactAt > context.settings().contactTimeoutS()) {
-      // The next cut is another one: a worker that is sent away before we have renewed it may lose
-      // its lease.
-      awayAt.clear();
+    highestAcknowledged = Math.max(highestAcknowledged, acknowledgement.seq());
+    if (context.clock().now() - contactAt > settings.contactTimeoutS()) {
+      // The next partition is another one: an agent that is sent away in it before its lease has
+      // been renewed here may lose the lease.
+      sentAwayAt.clear();
     }
     contactAt = Math.max(contactAt, sent);
-    if (n.granted()) {
+    if (acknowledgement.granted()) {
       grantedAt = Math.max(grantedAt, sent);
     }
   }
 
   /**
-   * The answer that renews a worker's lease under the token it has; null if that is not for us to
-   * give. Now and then, with a fresh lease, a worker is sent to look for the leader itself: perhaps
-   * only we are partitioned, and it would get no orders here.
+   * Answers a heartbeat under the delegation. The response renews the agent's lease under the
+   * fencing token that it has. Now and then, while its lease is fresh, an agent is sent away to
+   * find the leader itself instead: perhaps only this controller is partitioned, and the agent
+   * would get no commands here.
+   *
+   * @param leader the node that an agent is sent to; null if none is known
+   * @return empty if this controller may not renew the lease
    */
-  public HttpResponse renew(Heartbeat heartbeat, String leader) {
+  public Optional<HttpResponse> renew(Heartbeat heartbeat, String leader) {
     double now = context.clock().now();
-    Settings s = context.settings();
-    boolean cutOff = now - contactAt > s.contactTimeoutS() * (1 + Settings.DRIFT);
-    boolean granted = now - grantedAt < s.gracePeriodS() * (1 - Settings.DRIFT);
-    if (!cutOff || !granted || heartbeat.token() == 0 || !s.location().equals(heartbeat.zone())) {
-      return null;
+    if (!mayRenew(heartbeat, now)) {
+      return Optional.empty();
     }
-    Double away =
-        awayAt.putIfAbsent(
-            heartbeat.machine(),
-            now - s.workers().leaseS() / 2 + s.workers().heartbeatIntervalS() / 4);
-    if (away != null && now - away > s.workers().leaseS() / 2) {
-      awayAt.put(heartbeat.machine(), now);
-      return HeartbeatForwarder.misdirected(leader);
+    if (sendAwayIfDue(heartbeat, now)) {
+      return Optional.of(HeartbeatResponses.misdirected(leader));
     }
     renewedAt = now;
-    return HttpResponse.of(200, WorkerCodec.response(heartbeat.token(), List.of()));
+    return Optional.of(HeartbeatResponses.renewed(heartbeat));
+  }
+
+  /** An agent without a token has no lease that could be renewed. */
+  private boolean mayRenew(Heartbeat heartbeat, double now) {
+    boolean outOfContact = now - contactAt > settings.contactTimeoutS() * (1 + Settings.DRIFT);
+    boolean granted = now - grantedAt < settings.gracePeriodS() * (1 - Settings.DRIFT);
+    return outOfContact
+        && granted
+        && heartbeat.token() != 0
+        && settings.location().equals(heartbeat.zone());
+  }
+
+  /**
+   * Records that an agent is sent away, every half lease. The first heartbeat in a partition is
+   * always answered with a renewal; one that follows more than a quarter of a heartbeat interval
+   * later sends the agent away.
+   */
+  private boolean sendAwayIfDue(Heartbeat heartbeat, double now) {
+    double halfLeaseS = settings.workers().leaseS() / 2;
+    double assumedAt = now - halfLeaseS + settings.workers().heartbeatIntervalS() / 4;
+    Double sentAway = sentAwayAt.putIfAbsent(heartbeat.machine(), assumedAt);
+    boolean due = sentAway != null && now - sentAway > halfLeaseS;
+    if (due) {
+      sentAwayAt.put(heartbeat.machine(), now);
+    }
+    return due;
   }
 }
--- a/src/main/java/io/embernotch/forwarding/HeartbeatForwarder.java
+++ b/src/main/java/io/embernotch/forwarding/HeartbeatForwarder.java
@@ -1,265 +1,233 @@
 package io.embernotch.forwarding;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.agents.FencingTokens;
-import io.embernotch.codec.Json;
-import io.embernotch.codec.WorkerCodec;
 import io.embernotch.context.ControllerContext;
-import io.embernotch.context.LeastRecentlyUsed;
 import io.embernotch.http.HttpResponse;
 import io.embernotch.model.Heartbeat;
 import io.embernotch.peer.Frame;
 import io.vertx.core.Future;
-import io.vertx.core.Promise;
-import java.util.ArrayList;
 import java.util.HashSet;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Objects;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Function;
 import java.util.function.LongFunction;
-import java.util.stream.Collectors;
 
 /**
- * What a controller that is not leader does with the workers that heartbeat to it: it passes their
- * heartbeats on to the leader, and its answers back. So workers stay where they are when the leader
- * changes. When all of them reported to the leader itself, a thousand connected to its successor at
- * once, and a fifth of a core took up to 30 s to get over that.
+ * Handles the heartbeats that agents send to a controller which does not lead: it forwards them to
+ * the leader, and the answers back. So agents stay where they are when the leader changes. If they
+ * sent their heartbeats to the leader itself, a thousand would connect to its successor at once,
+ * which keeps a fifth of a core busy for up to 30 s.
  *
- * <p>While no leader is known, workers are told to stay. The next one is handed what they last
- * said, so that it knows its machines before their next reports.
+ * <p>While no leader is known, agents are told to stay. The next leader is handed their most recent
+ * heartbeats, so that it knows its machines before they send the next ones.
+ *
+ * <p>Confined to the controller's event loop.
  */
 public final class HeartbeatForwarder {
-  /** Workers give up after four seconds. */
+  /** Seconds to wait for an answer to a heartbeat: its agent gives up after four. */
   public static final double PATIENCE_S = 3;
 
-  private static final int MISDIRECTED = 421;
+  private static final int SERVICE_UNAVAILABLE = 503;
+
+  /** Heartbeats handed to a new leader at once: more would not fit the connection's queue. */
+  private static final int HANDOVER_BATCH = 48;
 
-  /** Reports handed to a new leader in one turn: more would not fit the connection's queue. */
-  private static final int SLICE = 48;
+  /** Batches that are handed over in a heartbeat interval at most. */
+  private static final int HANDOVER_BATCHES_PER_INTERVAL = 200;
 
-  /** What is needed of the controller. */
+  /** What the forwarder needs of its controller. */
   public interface Host {
-    /** Asks another controller; 503 if it does not answer in time. */
+    /**
+     * Sends a request to another controller.
+     *
+     * @param node the controller's name
+     * @param question makes the frame that carries the given request number
+     * @return its answer; 503 if none comes within {@code withinS} seconds
+     */
     Future<HttpResponse> ask(String node, LongFunction<Frame> question, double withinS);
 
+    /** Sends a frame to another controller, without an answer. */
     void send(String node, Frame frame);
 
-    /** The store answers another controller, and not this one. */
+    /** True if the store answers another controller, and not this one. */
     boolean isPartitionedFromStore();
   }
 
-  /** Compared by identity: a heartbeat can be long. */
-  private static final class Parked {
-    final Heartbeat heartbeat;
-    final Promise<HttpResponse> reply = Promise.promise();
-
-    Parked(Heartbeat heartbeat) {
-      this.heartbeat = heartbeat;
-    }
-  }
-
-  private record Last(Heartbeat heartbeat, double at) {}
-
   private final ControllerContext context;
   private final Host host;
-  private final double withinS;
 
-  /** So long a leader that does not answer is waited for. */
-  private final double patienceS;
+  /** Seconds without a leader, or without its answers, after which agents are sent away. */
+  private final double contactTimeoutS;
+
+  private final RecentHeartbeats recentHeartbeats;
+  private final ParkedHeartbeats parkedHeartbeats;
+  private final LeaderResponsiveness leaderResponsiveness;
+  private final DelegatedRenewal delegatedRenewal;
+  private final Set<String> controllersDelayingCancellations = new HashSet<>();
 
-  private final Map<String, Last> lastHeartbeats;
-  private final Set<Parked> parked = new LinkedHashSet<>();
+  /** The leader's node; null while none is known. */
   private String leader;
+
   private long epoch;
 
-  /** The latest term that was ever known here. */
+  /** The latest epoch that was ever known here. */
   private long newestEpoch;
 
   private boolean leaderAcceptsForwarded;
-  private double changedAt;
-
-  /** The first heartbeat passed on since the leader last answered one; below 0 if there is none. */
-  private double unansweredSince = -1;
-
-  private double tryAt;
-  private final DelegatedRenewal delegatedRenewal;
-  private final Set<String> controllersDelayingCancellations = new HashSet<>();
+  private double leaderChangedAt;
 
+  /** Creates the forwarder of a controller that knows of no leader yet. */
   public HeartbeatForwarder(ControllerContext context, Host host) {
     this.context = context;
     this.host = host;
-    this.withinS = PATIENCE_S;
-    this.patienceS = context.settings().workers().leaseS() / 4;
-    this.lastHeartbeats = new LeastRecentlyUsed<>(context.settings().quota().maxConnections());
-    this.changedAt = context.clock().now();
+    this.contactTimeoutS = context.settings().contactTimeoutS();
+    this.recentHeartbeats =
+        new RecentHeartbeats(
+            context.settings().workers().heartbeatIntervalS(),
+            context.settings().quota().maxConnections());
+    this.parkedHeartbeats = new ParkedHeartbeats(context.timers(), PATIENCE_S);
+    this.leaderResponsiveness = new LeaderResponsiveness(contactTimeoutS);
+    this.leaderChangedAt = context.clock().now();
     this.delegatedRenewal = new DelegatedRenewal(context);
   }
 
   /**
-   * Another leader is known, or none. {@code takesReports} tells of a version that is passed
-   * heartbeats.
+   * The known leader may have changed.
+   *
+   * @param node its node, which may be this one; null if none is known
+   * @param newEpoch the epoch of its term; 0 if none is known
+   * @param acceptsForwarded whether the leader is of a version that accepts forwarded heartbeats
    */
-  public void leaderChanged(String node, long newEpoch, boolean takesHeartbeats) {
-    boolean same = Objects.equals(node, leader) && newEpoch == epoch;
-    if (same && takesHeartbeats == leaderAcceptsForwarded) {
+  public void leaderChanged(String node, long newEpoch, boolean acceptsForwarded) {
+    boolean sameLeader = Objects.equals(node, leader) && newEpoch == epoch;
+    if (sameLeader && acceptsForwarded == leaderAcceptsForwarded) {
       return;
     }
-    if (!same) {
-      changedAt = context.clock().now();
-      unansweredSince = -1;
+    if (!sameLeader) {
+      leaderChangedAt = context.clock().now();
+      leaderResponsiveness.reset();
     }
     leader = node;
     epoch = newEpoch;
     newestEpoch = Math.max(newestEpoch, newEpoch);
-    leaderAcceptsForwarded = takesHeartbeats;
-    if (node != null && takesHeartbeats && !node.equals(context.settings().node())) {
-      Set<String> waiting =
-          parked.stream().map(p -> p.heartbeat.machine()).collect(Collectors.toSet());
-      handOver(
-          recentHeartbeats().stream()
-              .filter(heartbeat -> !waiting.contains(heartbeat.machine()))
-              .toList(),
-          0,
-          newEpoch);
-    }
-    if (node != null && !node.equals(context.settings().node())) {
+    leaderAcceptsForwarded = acceptsForwarded;
+    if (anotherLeads()) {
+      if (acceptsForwarded) {
+        handOverRecentHeartbeats();
+      }
       releaseParked(this::handleHeartbeat);
     }
   }
 
-  /** Tells the leader that we are here; called a few times in a heartbeat interval. */
+  private boolean anotherLeads() {
+    return leader != null && !leader.equals(context.settings().node());
+  }
+
+  /** Sends this controller's own heartbeat to the leader; called a few times in an interval. */
   public void sendDelegateHeartbeat() {
-    if (leader != null && leaderAcceptsForwarded && !leader.equals(context.settings().node())) {
+    if (leaderAcceptsForwarded && anotherLeads()) {
       host.send(leader, delegatedRenewal.nextHeartbeat());
     }
   }
 
-  public void delegateHeartbeatAcknowledged(Frame.DelegateHeartbeatAck n) {
-    if (n.epoch() == epoch && leader != null) {
+  /** The leader has answered this controller's heartbeat; an answer of another term is dropped. */
+  public void delegateHeartbeatAcknowledged(Frame.DelegateHeartbeatAck acknowledgement) {
+    if (acknowledgement.epoch() == epoch && leader != null) {
       controllersDelayingCancellations.add(leader);
-      delegatedRenewal.acknowledged(n);
+      delegatedRenewal.acknowledged(acknowledgement);
     }
   }
 
   /**
-   * Controllers that are known to be of a version that waits with cancellations; see {@code
-   * Delegations}.
+   * Controllers that are known to be of a version that delays cancellations; a live set, which the
+   * leader of this process adds to. See {@link io.embernotch.agents.RenewalDelegations}.
    */
   public Set<String> controllersDelayingCancellations() {
     return controllersDelayingCancellations;
   }
 
-  /** What workers said within a heartbeat interval or so. */
+  /** The heartbeats that arrived here within about one heartbeat interval. */
   public List<Heartbeat> recentHeartbeats() {
-    List<Heartbeat> out = new ArrayList<>();
-    double since = context.clock().now() - 1.5 * context.settings().workers().heartbeatIntervalS();
-    for (Last l : lastHeartbeats.values()) {
-      if (l.at >= since) {
-        out.add(l.heartbeat);
-      }
-    }
-    return out;
+    return recentHeartbeats.recent(context.clock().now());
+  }
+
+  /** Parked heartbeats are left out, since the leader is to answer them. */
+  private void handOverRecentHeartbeats() {
+    Set<String> parkedMachines = parkedHeartbeats.machines();
+    List<Heartbeat> heartbeats =
+        recentHeartbeats().stream()
+            .filter(heartbeat -> !parkedMachines.contains(heartbeat.machine()))
+            .toList();
+    handOver(heartbeats, 0, epoch);
   }
 
-  private void handOver(List<Heartbeat> heartbeats, int from, long to) {
-    if (epoch != to) {
+  private void handOver(List<Heartbeat> heartbeats, int from, long toEpoch) {
+    if (epoch != toEpoch) {
       return;
     }
-    int end = Math.min(heartbeats.size(), from + SLICE);
+    int end = Math.min(heartbeats.size(), from + HANDOVER_BATCH);
     for (Heartbeat heartbeat : heartbeats.subList(from, end)) {
       host.send(leader, new Frame.ForwardedHeartbeat(0, heartbeat));
     }
     if (end < heartbeats.size()) {
-      context
-          .timers()
-          .after(
-              context.settings().workers().heartbeatIntervalS() / 200,
-              () -> handOver(heartbeats, end, to));
+      double delayS =
+          context.settings().workers().heartbeatIntervalS() / HANDOVER_BATCHES_PER_INTERVAL;
+      context.timers().after(delayS, () -> handOver(heartbeats, end, toEpoch));
     }
   }
 
-  /** A worker reports to this controller while another one, or none, is leader. */
+  /** Handles a heartbeat that arrives at this controller while another one, or none, leads. */
   public Future<HttpResponse> handleHeartbeat(Heartbeat heartbeat) {
     double now = context.clock().now();
-    Last before = lastHeartbeats.get(heartbeat.machine());
-    if (before == null
-        || heartbeat.newerThan(before.heartbeat.agentEpoch(), before.heartbeat.seq())) {
-      // A copy of an older one is no sign of life, and must not be handed to the next leader as
-      // one.
-      lastHeartbeats.put(heartbeat.machine(), new Last(heartbeat, now));
-    }
+    recentHeartbeats.record(heartbeat, now);
     if (FencingTokens.epochOf(heartbeat.token()) > newestEpoch && host.isPartitionedFromStore()) {
-      // A leader that we know nothing of has reached this worker, and serves it elsewhere.
+      // A leader that is not known here has reached this agent, and serves it elsewhere.
       return Future.succeededFuture(misdirected(null));
     }
-    HttpResponse renewal = delegatedRenewal.renew(heartbeat, leader);
-    if (renewal != null) {
-      return Future.succeededFuture(renewal);
-    }
-    if (leader == null) {
-      // Elsewhere a leader may be known: a node that is partitioned must not keep its workers.
-      boolean leave = now - changedAt > patienceS && host.isPartitionedFromStore();
-      return leave ? Future.succeededFuture(misdirected(null)) : park(heartbeat);
+    Optional<HttpResponse> renewal = delegatedRenewal.renew(heartbeat, leader);
+    if (renewal.isPresent()) {
+      return Future.succeededFuture(renewal.get());
     }
-    boolean deaf = unansweredSince >= 0 && now - unansweredSince > patienceS;
-    if (!leaderAcceptsForwarded || (deaf && now < tryAt)) {
+    return leader == null ? parkOrSendAway(heartbeat, now) : forwardOrSendAway(heartbeat, now);
+  }
+
+  /** A leader may be known elsewhere: a node that is partitioned must not keep its agents. */
+  private Future<HttpResponse> parkOrSendAway(Heartbeat heartbeat, double now) {
+    boolean sendAway = now - leaderChangedAt > contactTimeoutS && host.isPartitionedFromStore();
+    return sendAway ? Future.succeededFuture(misdirected(null)) : parkedHeartbeats.park(heartbeat);
+  }
+
+  private Future<HttpResponse> forwardOrSendAway(Heartbeat heartbeat, double now) {
+    if (!leaderAcceptsForwarded || !leaderResponsiveness.tryForward(now)) {
       return Future.succeededFuture(misdirected(leader));
     }
-    if (deaf) {
-      // Once in a while one heartbeat tells whether the leader answers again.
-      tryAt = now + patienceS / 2;
-    }
-    unansweredSince = unansweredSince < 0 ? now : unansweredSince;
-    long to = epoch;
-    return host.ask(leader, id -> new Frame.ForwardedHeartbeat(id, heartbeat), withinS)
+    long toEpoch = epoch;
+    return host.ask(leader, id -> new Frame.ForwardedHeartbeat(id, heartbeat), PATIENCE_S)
         .map(
-            a -> {
-              if (a.status() == 503) {
-                return stay();
+            response -> {
+              if (response.status() == SERVICE_UNAVAILABLE) {
+                return HeartbeatResponses.stay();
               }
-              if (to == epoch) {
-                unansweredSince = -1;
+              if (toEpoch == epoch) {
+                leaderResponsiveness.reset();
               }
-              return a;
+              return response;
             });
   }
 
-  /** Waits a moment for a leader, so that the worker's lease counts from this heartbeat. */
-  private Future<HttpResponse> park(Heartbeat heartbeat) {
-    Parked p = new Parked(heartbeat);
-    parked.add(p);
-    context
-        .timers()
-        .after(
-            withinS,
-            () -> {
-              if (parked.remove(p)) {
-                p.reply.complete(stay());
-              }
-            });
-    return p.reply.future();
+  /** A leader is known, here or elsewhere: has it answer the heartbeats that wait for one. */
+  public void releaseParked(Function<Heartbeat, Future<HttpResponse>> handler) {
+    parkedHeartbeats.release(handler);
   }
 
-  /** A leader is known, here or elsewhere: those who wait are answered by it. */
-  public void releaseParked(Function<Heartbeat, Future<HttpResponse>> by) {
-    List<Parked> all = List.copyOf(parked);
-    parked.clear();
-    all.forEach(p -> by.apply(p.heartbeat).onSuccess(p.reply::complete));
-  }
-
-  private static HttpResponse stay() {
-    return HttpResponse.of(200, WorkerCodec.stay());
-  }
-
-  /** Names the leader to a worker, or nobody. */
+  /**
+   * The response that sends an agent to another controller.
+   *
+   * @param leader the node to go to; null if this one knows of no leader
+   */
   public static HttpResponse misdirected(String leader) {
-    ObjectNode o = Json.object();
-    if (leader != null) {
-      o.put("steward", leader);
-    }
-    return HttpResponse.of(MISDIRECTED, Json.bytes(o));
+    return HeartbeatResponses.misdirected(leader);
   }
 }
--- /dev/null
+++ b/src/main/java/io/embernotch/forwarding/ParkedHeartbeats.java
@@ -0,0 +1,63 @@
+package io.embernotch.forwarding;
+
+import io.embernotch.actor.Timers;
+import io.embernotch.http.HttpResponse;
+import io.embernotch.model.Heartbeat;
+import io.vertx.core.Future;
+import io.vertx.core.Promise;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import java.util.function.Function;
+import java.util.stream.Collectors;
+
+/**
+ * Heartbeats whose agents wait for a leader to be known, so that their leases count from these
+ * heartbeats. After a timeout an agent is told to stay, which renews nothing.
+ */
+final class ParkedHeartbeats {
+  /** Compared by identity: a heartbeat can be long. */
+  private static final class Parked {
+    final Heartbeat heartbeat;
+    final Promise<HttpResponse> response = Promise.promise();
+
+    Parked(Heartbeat heartbeat) {
+      this.heartbeat = heartbeat;
+    }
+  }
+
+  private final Timers timers;
+  private final double timeoutS;
+  private final Set<Parked> parked = new LinkedHashSet<>();
+
+  ParkedHeartbeats(Timers timers, double timeoutS) {
+    this.timers = timers;
+    this.timeoutS = timeoutS;
+  }
+
+  /** The response to the heartbeat, once it is released or the timeout has passed. */
+  Future<HttpResponse> park(Heartbeat heartbeat) {
+    Parked entry = new Parked(heartbeat);
+    parked.add(entry);
+    timers.after(
+        timeoutS,
+        () -> {
+          if (parked.remove(entry)) {
+            entry.response.complete(HeartbeatResponses.stay());
+          }
+        });
+    return entry.response.future();
+  }
+
+  /** The names of the machines whose heartbeats are parked. */
+  Set<String> machines() {
+    return parked.stream().map(entry -> entry.heartbeat.machine()).collect(Collectors.toSet());
+  }
+
+  /** Has all parked heartbeats answered by {@code handler}; none is parked any more. */
+  void release(Function<Heartbeat, Future<HttpResponse>> handler) {
+    List<Parked> released = List.copyOf(parked);
+    parked.clear();
+    released.forEach(entry -> handler.apply(entry.heartbeat).onSuccess(entry.response::complete));
+  }
+}
--- a/src/main/java/io/embernotch/forwarding/PendingRequests.java
+++ b/src/main/java/io/embernotch/forwarding/PendingRequests.java
@@ -12,49 +12,56 @@
 import java.util.function.LongFunction;
 import java.util.function.Supplier;
 
-/** What other controllers have been asked, until they answer or it is too late. */
+/**
+ * Requests to other controllers, each pending until its answer or its timeout. Confined to the
+ * controller's event loop.
+ */
 public final class PendingRequests {
   private final Timers timers;
   private final PeerLink peers;
-  private final Map<Long, Promise<HttpResponse>> asked = new HashMap<>();
-  private long next;
+  private final Map<Long, Promise<HttpResponse>> pending = new HashMap<>();
+  private long lastId;
 
   /**
-   * @param names makes names that nobody else ever has: an answer to a former incarnation must not
-   *     pass for one to this
+   * Creates the requests of this process, none pending.
+   *
+   * @param names makes names that nobody else ever has: an answer to a former incarnation of the
+   *     process must not pass for one to this
    */
   public PendingRequests(Timers timers, PeerLink peers, Supplier<String> names) {
-    this.next = ProcessIncarnation.begin(names);
+    this.lastId = ProcessIncarnation.begin(names);
     this.timers = timers;
     this.peers = peers;
   }
 
   /**
-   * Asks a controller; the answer is 503 if none has come after {@code withinS} seconds.
+   * Sends a request to a controller.
    *
-   * @param question makes the frame that carries the given number
+   * @param node the controller's name
+   * @param request makes the frame that carries the given request number
+   * @return its answer; 503 if none has come after {@code withinS} seconds
    */
-  public Future<HttpResponse> send(String node, LongFunction<Frame> question, double withinS) {
-    Promise<HttpResponse> reply = Promise.promise();
-    long id = ++next;
-    asked.put(id, reply);
-    peers.send(node, question.apply(id));
-    timers.after(
-        withinS,
-        () -> {
-          Promise<HttpResponse> late = asked.remove(id);
-          if (late != null) {
-            late.tryComplete(HttpResponse.later(node + " does not answer"));
-          }
-        });
-    return reply.future();
+  public Future<HttpResponse> send(String node, LongFunction<Frame> request, double withinS) {
+    Promise<HttpResponse> response = Promise.promise();
+    long id = ++lastId;
+    pending.put(id, response);
+    peers.send(node, request.apply(id));
+    timers.after(withinS, () -> timedOut(id, node));
+    return response.future();
+  }
+
+  private void timedOut(long id, String node) {
+    Promise<HttpResponse> response = pending.remove(id);
+    if (response != null) {
+      response.tryComplete(HttpResponse.later(node + " does not answer"));
+    }
   }
 
-  /** A controller has answered; what nobody waits for any more is dropped. */
-  public void complete(Frame.Response f) {
-    Promise<HttpResponse> p = asked.remove(f.id());
-    if (p != null) {
-      p.tryComplete(new HttpResponse(f.status(), f.body(), f.retryAfterS()));
+  /** A controller has answered; an answer to a request that is not pending any more is dropped. */
+  public void complete(Frame.Response answer) {
+    Promise<HttpResponse> response = pending.remove(answer.id());
+    if (response != null) {
+      response.tryComplete(new HttpResponse(answer.status(), answer.body(), answer.retryAfterS()));
     }
   }
 }
--- a/src/test/java/io/embernotch/forwarding/DelegatedRenewalTest.java
+++ b/src/test/java/io/embernotch/forwarding/DelegatedRenewalTest.java
@@ -102,9 +102,9 @@
       delegatedRenewal.acknowledged(
           new Frame.DelegateHeartbeatAck(1, delegatedRenewal.nextHeartbeat().seq(), true));
       time.pass(far.contactTimeoutS() * 1.1);
-      assertThat(delegatedRenewal.renew(heartbeat, "c0").status()).isEqualTo(200);
+      assertThat(delegatedRenewal.renew(heartbeat, "c0").orElseThrow().status()).isEqualTo(200);
       time.pass(far.workers().leaseS() / 2);
-      assertThat(delegatedRenewal.renew(heartbeat, "c0").status()).isEqualTo(421);
+      assertThat(delegatedRenewal.renew(heartbeat, "c0").orElseThrow().status()).isEqualTo(421);
       time.pass(far.workers().leaseS() / 2);
     }
   }
