--- a/src/test/java/io/embernotch/agents/AgentReconcilerTest.java
+++ b/src/test/java/io/embernotch/agents/AgentReconcilerTest.java
@@ -26,7 +26,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Commands that wait for their turn. */
+/** Commands that are queued for the call limit, and attempts whose start is not in flight. */
 class AgentReconcilerTest implements AgentReconciler.Listener {
   private static final long EPOCH = 7;
 
@@ -35,13 +35,13 @@
       SettingsReader.parse(
           SimulatedCluster.toml(0).replace("max_connections = 1000", "max_connections = 40"));
   private final List<String> called = new ArrayList<>();
-  private final List<Promise<HttpReply>> answers = new ArrayList<>();
+  private final List<Promise<HttpReply>> replies = new ArrayList<>();
   private final HttpCaller caller =
       (method, to, path, body, timeoutS) -> {
-        Promise<HttpReply> answer = Promise.promise();
+        Promise<HttpReply> reply = Promise.promise();
         called.add(to.host() + path);
-        answers.add(answer);
-        return answer.future();
+        replies.add(reply);
+        return reply.future();
       };
   private final ClusterState state = new ClusterState();
   private final AgentReconciler agents =
@@ -65,82 +65,81 @@
   private final Job job =
       new Job(
           JobCodec.read(Json.parseObject(SimulatedCluster.job("j-1", "array", 16).getBytes())), 0);
-  private boolean leads = true;
+  private boolean leading = true;
   private final List<Attempt> gone = new ArrayList<>();
 
-  /** A machine that was just heard, with a committed start. */
-  private Machine starting(int i) {
-    Machine machine = state.machine("n-" + i, agents.tokenBase());
-    agents.processForwarded(heartbeat(i, 1));
-    state.openAttempt(job, i, 1, machine, time.now()).launchState = Attempt.LaunchState.READY;
+  /** A machine whose first heartbeat has just arrived, with a committed start. */
+  private Machine machineWithStart(int index) {
+    Machine machine = state.machine("n-" + index, agents.tokenBase());
+    agents.processForwarded(heartbeat(index, 1));
+    state.openAttempt(job, index, 1, machine, time.now()).launchState = Attempt.LaunchState.READY;
     return machine;
   }
 
-  private static Heartbeat heartbeat(int i, long seq) {
+  private static Heartbeat heartbeat(int index, long seq) {
     return new Heartbeat(
-        "n-" + i, "10.0.1." + i + ":9000", "g8", "z1", false, 1, seq, 0, null, List.of());
+        "n-" + index, "10.0.1." + index + ":9000", "g8", "z1", false, 1, seq, 0, null, List.of());
   }
 
   @Test
-  void aStartThatWaitsGoesWithTheAnswerToAHeartbeatAndOnlyOnce() {
+  void queuedStartIsSentWithAHeartbeatResponseAndOnlyOnce() {
     for (int i = 0; i < 5; i++) {
-      agents.sendDueCommands(starting(i));
+      agents.sendDueCommands(machineWithStart(i));
     }
-    // Half of the eight calls that may be under way.
+    // Half of the eight calls that may be in flight.
     assertThat(called).hasSize(4).doesNotContain("10.0.1.4/do");
     assertThat(new String(agents.processHeartbeat(heartbeat(4, 2), true, 0)))
         .contains("\"run\"")
         .contains("j-1/4");
-    answers.get(0).fail(new CallFailedException(true, "no answer in time"));
+    replies.get(0).fail(new CallFailedException(true, "no answer in time"));
     assertThat(called).hasSize(4);
     assertThat(new String(agents.processHeartbeat(heartbeat(3, 2), true, 0)))
         .doesNotContain("\"run\"");
   }
 
   @Test
-  void aStartThatWaitsIsSentWhenItsTurnComes() {
+  void queuedStartIsSentOnceACallHasEnded() {
     for (int i = 0; i < 5; i++) {
-      agents.sendDueCommands(starting(i));
+      agents.sendDueCommands(machineWithStart(i));
     }
-    answers.get(0).fail(new CallFailedException(true, "no answer in time"));
+    replies.get(0).fail(new CallFailedException(true, "no answer in time"));
     assertThat(called).hasSize(5).endsWith("10.0.1.4/do");
   }
 
   /**
-   * What had waited, or followed an answer, would have been started by a leader that was one no
-   * more.
+   * A queued call, or one that follows a response, must not start anything once leadership is lost.
    */
   @Test
-  void whoLeadsNoMoreStartsNothingThatWaited() {
+  void nothingQueuedIsStartedOnceLeadershipIsLost() {
     for (int i = 0; i < 5; i++) {
-      agents.sendDueCommands(starting(i));
+      agents.sendDueCommands(machineWithStart(i));
     }
-    leads = false;
-    answers.get(0).fail(new CallFailedException(true, "no answer in time"));
+    leading = false;
+    replies.get(0).fail(new CallFailedException(true, "no answer in time"));
     assertThat(called).hasSize(4);
-    agents.sendDueCommands(starting(5));
+    agents.sendDueCommands(machineWithStart(5));
     assertThat(called).hasSize(4);
   }
 
   @Test
-  void machinesThatWillFindUsAreAskedAFewAtATime() {
+  void machinesWithoutAHeartbeatAreProbedAFewAtATime() {
     for (int i = 0; i < 3; i++) {
       state.machine("n-" + i, agents.tokenBase()).address = "10.0.1." + i + ":9000";
       agents.find(state.machines.get("n-" + i));
     }
     assertThat(called).containsExactly("10.0.1.0/status");
     agents.processForwarded(heartbeat(1, 1));
-    answers.get(0).fail(new CallFailedException(true, "no answer in time"));
+    replies.get(0).fail(new CallFailedException(true, "no answer in time"));
     assertThat(called).containsExactly("10.0.1.0/status", "10.0.1.2/status");
   }
 
   /**
-   * A gang's stop that came while the start went with an answer that got lost left the attempt open
-   * for good.
+   * Stopping a gang while a start is in a heartbeat response that gets lost must not leave the
+   * attempt open for good.
    */
   @Test
-  void anAttemptThatIsToEndHasEndedOnceNothingOfItsStartIsOnTheWay() {
-    Machine machine = starting(1);
+  void stoppingAttemptIsGoneOnceNoCopyOfItsStartIsInFlight() {
+    Machine machine = machineWithStart(1);
     machine.commandFailedAt = time.now();
     Attempt attempt = machine.openAttempts.values().iterator().next();
     assertThat(new String(agents.processHeartbeat(heartbeat(1, 2), true, 0))).contains("\"run\"");
@@ -168,7 +167,7 @@
 
   @Override
   public boolean isLeading() {
-    return leads;
+    return leading;
   }
 
   @Override
--- a/src/test/java/io/embernotch/agents/CallConcurrencyLimiterTest.java
+++ b/src/test/java/io/embernotch/agents/CallConcurrencyLimiterTest.java
@@ -7,6 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** The order in which calls of different classes are admitted. */
 class CallConcurrencyLimiterTest {
   private final CallConcurrencyLimiter callLimiter = new CallConcurrencyLimiter(8);
   private final List<String> begun = new ArrayList<>();
@@ -23,34 +24,35 @@
   }
 
   /**
-   * After a takeover a thousand calls left at once, and live services' starts found no connection.
+   * After a failover a thousand calls are due at once; starts of production services must still
+   * find a connection.
    */
   @Test
-  void liveServicesGoBeforeWhatWaitsAndSilentMachinesTakeAQuarterAtMost() {
+  void productionGoesBeforeQueuedCallsAndUnresponsiveMachinesTakeAQuarterAtMost() {
     for (int i = 0; i < 5; i++) {
-      call("silent-" + i, CallConcurrencyLimiter.CallClass.UNRESPONSIVE);
+      call("unresponsive-" + i, CallConcurrencyLimiter.CallClass.UNRESPONSIVE);
     }
-    assertThat(begun).containsExactly("silent-0", "silent-1");
+    assertThat(begun).containsExactly("unresponsive-0", "unresponsive-1");
     for (int i = 0; i < 5; i++) {
-      call("usual-" + i, CallConcurrencyLimiter.CallClass.NORMAL);
+      call("normal-" + i, CallConcurrencyLimiter.CallClass.NORMAL);
     }
-    assertThat(begun).endsWith("usual-0", "usual-1").hasSize(4);
+    assertThat(begun).endsWith("normal-0", "normal-1").hasSize(4);
     for (int i = 0; i < 5; i++) {
-      call("live-" + i, CallConcurrencyLimiter.CallClass.PRODUCTION);
+      call("production-" + i, CallConcurrencyLimiter.CallClass.PRODUCTION);
     }
-    assertThat(begun).endsWith("live-2", "live-3").hasSize(8);
+    assertThat(begun).endsWith("production-2", "production-3").hasSize(8);
     callLimiter.release();
-    assertThat(begun).endsWith("live-4").hasSize(9);
+    assertThat(begun).endsWith("production-4").hasSize(9);
     for (int i = 0; i < 4; i++) {
       callLimiter.release();
     }
     assertThat(begun).hasSize(9);
     callLimiter.release();
-    assertThat(begun).endsWith("usual-2").hasSize(10);
+    assertThat(begun).endsWith("normal-2").hasSize(10);
   }
 
   @Test
-  void whoHasNothingToSayAnyMoreMakesWayForTheNext() {
+  void queuedCallWithNothingLeftToSendMakesWayForTheNext() {
     Machine machine = new Machine("gone");
     callLimiter.tryAcquire(new Machine("a"), CallConcurrencyLimiter.CallClass.DISCOVERY, () -> {});
     assertThat(
@@ -63,10 +65,10 @@
   }
 
   @Test
-  void tellsWhichCommandsWait() {
-    Machine machine = new Machine("m");
+  void knowsWhichCommandsAreQueued() {
+    Machine machine = new Machine("n-1");
     for (int i = 0; i < 4; i++) {
-      call("usual-" + i, CallConcurrencyLimiter.CallClass.NORMAL);
+      call("normal-" + i, CallConcurrencyLimiter.CallClass.NORMAL);
     }
     assertThat(callLimiter.isCommandQueued(machine)).isFalse();
     call(machine, CallConcurrencyLimiter.CallClass.NORMAL);
--- a/src/test/java/io/embernotch/agents/LateHeartbeatCopiesTest.java
+++ b/src/test/java/io/embernotch/agents/LateHeartbeatCopiesTest.java
@@ -13,188 +13,191 @@
 
 /** Copies of heartbeats that arrive from seconds to well over a lease late. */
 class LateHeartbeatCopiesTest {
-  private final SimulatedCluster world = new SimulatedCluster(3, 100);
+  private final SimulatedCluster cluster = new SimulatedCluster(3, 100);
   private FakeWorker dead;
 
   private void service() {
-    world.settle(3);
+    cluster.settle(3);
     for (int i = 0; i < 4; i++) {
-      world.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
+      cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
-    world.pass(8);
-    assertThat(world.submit(0, job("j-1", "standing", 16)).status()).isEqualTo(201);
-    world.pass(12);
-    dead = world.running("j-1").get("j-1/0");
+    cluster.pass(8);
+    assertThat(cluster.submit(0, job("j-1", "standing", 16)).status()).isEqualTo(201);
+    cluster.pass(12);
+    dead = cluster.running("j-1").get("j-1/0");
   }
 
   /**
-   * Seconds until all replicas are up again, while copies of what the dead machine had said come as
-   * long ago as it says.
+   * Seconds until all replicas are up again, while copies of the dead machine's heartbeats arrive
+   * that many seconds late; no copies arrive if it is 0.
    */
-  private double backAfter(double copiesLateS, Node to) {
-    List<byte[]> said = List.copyOf(world.heartbeatsOf(dead.name));
-    int next = Math.max(0, said.size() - (int) copiesLateS);
+  private double recoveryS(double copiesLateS, Node to) {
+    List<byte[]> heartbeats = List.copyOf(cluster.heartbeatsOf(dead.name));
+    int next = Math.max(0, heartbeats.size() - (int) copiesLateS);
     for (double t = 0; t < 90; t += 0.5) {
-      if (world.running("j-1").values().stream().filter(w -> !w.cut).count() == 16) {
+      if (cluster.running("j-1").values().stream().filter(worker -> !worker.cut).count() == 16) {
         return t;
       }
-      if (copiesLateS > 0 && t == Math.floor(t) && next < said.size()) {
-        world.late(to.down ? world.other(to) : to, said.get(next++));
+      if (copiesLateS > 0 && t == Math.floor(t) && next < heartbeats.size()) {
+        cluster.late(to.down ? cluster.other(to) : to, heartbeats.get(next++));
       }
-      world.pass(0.5);
+      cluster.pass(0.5);
     }
     return 90;
   }
 
   @AfterEach
-  void nothingEverRanTwice() {
-    assertThat(world.broken()).isEmpty();
+  void noTaskEverRanTwice() {
+    assertThat(cluster.broken()).isEmpty();
   }
 
-  private double afterADeath(double copiesLateS) {
+  private double recoveryAfterMachineFailure(double copiesLateS) {
     service();
     dead.cut = true;
-    return backAfter(copiesLateS, world.other(world.leader()));
+    return recoveryS(copiesLateS, cluster.other(cluster.leader()));
   }
 
   /**
-   * Each renewed the lease that was assumed, and kept the services of a dead machine down for as
-   * long as copies came.
+   * Copies must not renew the lease that the leader assumes: services of a dead machine would stay
+   * down for as long as copies arrive.
    */
   @Test
-  void copiesOfWhatADeadMachineSaidHoldNothingUp() {
-    double without = afterADeath(0);
+  void copiesOfADeadMachinesHeartbeatsDelayNoRecovery() {
+    double without = recoveryAfterMachineFailure(0);
     LateHeartbeatCopiesTest other = new LateHeartbeatCopiesTest();
-    double with = other.afterADeath(40);
-    assertThat(other.world.broken()).isEmpty();
+    double with = other.recoveryAfterMachineFailure(40);
+    assertThat(other.cluster.broken()).isEmpty();
     assertThat(with)
         .isLessThanOrEqualTo(
-            without + other.world.nodes.get(0).settings.workers().heartbeatIntervalS());
+            without + other.cluster.nodes.get(0).settings.workers().heartbeatIntervalS());
   }
 
-  private double afterATakeover(double copiesLateS) {
+  private double recoveryAfterFailover(double copiesLateS) {
     service();
-    world.pass(40);
+    cluster.pass(40);
     dead.cut = true;
-    Node leader = world.leader();
+    Node leader = cluster.leader();
     leader.kill();
-    return backAfter(copiesLateS, world.other(leader));
+    return recoveryS(copiesLateS, cluster.other(leader));
   }
 
-  /** A new leader first hears of a machine by a copy from 40 s ago, and by others after it. */
+  /** A new leader first learns of a machine by a copy from 40 s ago, and then by others. */
   @Test
-  void aNewLeaderTakesNoCopyForASignOfLife() {
-    double without = afterATakeover(0);
+  void newLeaderTakesNoCopyForASignOfLife() {
+    double without = recoveryAfterFailover(0);
     LateHeartbeatCopiesTest other = new LateHeartbeatCopiesTest();
-    double with = other.afterATakeover(40);
-    assertThat(other.world.broken()).isEmpty();
+    double with = other.recoveryAfterFailover(40);
+    assertThat(other.cluster.broken()).isEmpty();
     assertThat(with)
-        .isLessThanOrEqualTo(without + world.nodes.get(0).settings.workers().heartbeatIntervalS());
+        .isLessThanOrEqualTo(
+            without + cluster.nodes.get(0).settings.workers().heartbeatIntervalS());
   }
 
-  /** A machine that the former leader returned is reported to the next one, by a copy. */
+  /** The next leader learns, by a copy, of a machine that the former one had scaled in. */
   @Test
-  void aCopyOfAReturnedMachineTakesNoWorkForLong() {
+  void copyOfAScaledInMachineGetsNoTasksForLong() {
     service();
-    List<byte[]> said = List.copyOf(world.heartbeatsOf(dead.name));
-    world.workers.remove(dead.name);
-    world.cloud.deleted.add(dead.name);
-    world.pass(60);
-    Node leader = world.leader();
+    List<byte[]> heartbeats = List.copyOf(cluster.heartbeatsOf(dead.name));
+    cluster.workers.remove(dead.name);
+    cluster.cloud.deleted.add(dead.name);
+    cluster.pass(60);
+    Node leader = cluster.leader();
     leader.kill();
-    world.settle(6);
-    Node next = world.leader();
-    said.subList(0, 3).forEach(r -> world.late(next, r));
-    world.submit(next.index, job("j-2", "array", 24));
-    world.pass(15);
-    assertThat(world.running("j-2")).hasSize(24);
+    cluster.settle(6);
+    Node next = cluster.leader();
+    heartbeats.subList(0, 3).forEach(copy -> cluster.late(next, copy));
+    cluster.submit(next.index, job("j-2", "array", 24));
+    cluster.pass(15);
+    assertThat(cluster.running("j-2")).hasSize(24);
   }
 
   /**
-   * One machine, and what its worker would have reported in a later session of the life that ends
-   * now.
+   * Begins another incarnation of the only machine.
+   *
+   * @param laterSeq how far the new incarnation counts on above the former one; 0 if it counts anew
+   * @return a heartbeat that the former incarnation would have sent in a later agent epoch
    */
-  private byte[] lifeThatEnds(int laterSeq) {
-    world.settle(3);
-    String name = world.boot("g8", "z1", true);
-    world.pass(12);
-    dead = world.workers.get(name);
+  private byte[] replaceIncarnation(int laterSeq) {
+    cluster.settle(3);
+    String name = cluster.boot("g8", "z1", true);
+    cluster.pass(12);
+    dead = cluster.workers.get(name);
     long seq = dead.seq;
     dead.session = 2;
     byte[] former = dead.heartbeat();
     dead.back(true);
     dead.seq = laterSeq == 0 ? 0 : seq + laterSeq;
-    world.directFate = Fate.HELD;
-    world.cloud.noBoot = true;
+    cluster.directFate = Fate.HELD;
+    cluster.cloud.noBoot = true;
     return former;
   }
 
   /**
-   * Carries out what was held, without an answer, has the copy arrive, and gives the task another
-   * place to go to.
+   * Has the delayed start executed, with its answer lost, then the copy arrive, and boots another
+   * machine where the task could start a second time.
    */
-  private void carriedOutThenCopied(byte[] former) {
-    for (int i = 0; i < 400 && world.heldCount() == 0; i++) {
-      world.time.pass(0.02);
+  private void executeStartThenDeliver(byte[] former) {
+    for (int i = 0; i < 400 && cluster.heldCount() == 0; i++) {
+      cluster.time.pass(0.02);
     }
-    world.releaseHeld();
+    cluster.releaseHeld();
     assertThat(dead.alive()).hasSize(1);
-    world.nodes.forEach(n -> world.late(n, former));
-    world.directFate = Fate.ARRIVES;
-    world.cloud.noBoot = false;
-    world.boot("g8", "z1", true);
-    world.pass(20);
+    cluster.nodes.forEach(node -> cluster.late(node, former));
+    cluster.directFate = Fate.ARRIVES;
+    cluster.cloud.noBoot = false;
+    cluster.boot("g8", "z1", true);
+    cluster.pass(20);
   }
 
-  /** The same before the present life has shown any token that only it can have seen. */
+  /** Before the present incarnation has reported any token that only it can have seen. */
   @Test
-  void norBeforeThePresentLifeHasShownAToken() {
-    byte[] former = lifeThatEnds(0);
-    world.submit(0, job("j-4", "array", 1));
-    carriedOutThenCopied(former);
+  void copyProvesNothingBeforeThePresentIncarnationHasReportedAToken() {
+    byte[] former = replaceIncarnation(0);
+    cluster.submit(0, job("j-4", "array", 1));
+    executeStartThenDeliver(former);
   }
 
   /**
-   * The same where nobody has noticed that there was another incarnation, since this one counts on
-   * from above it.
+   * Where nobody has noticed that there is another incarnation, since it counts on from above the
+   * former one.
    */
   @Test
-  void norWhereTheOtherLifeWentUnnoticed() {
-    byte[] former = lifeThatEnds(40);
-    world.pass(3);
-    world.submit(0, job("j-5", "array", 1));
-    carriedOutThenCopied(former);
+  void copyProvesNothingWhereTheNewIncarnationWentUnnoticed() {
+    byte[] former = replaceIncarnation(40);
+    cluster.pass(3);
+    cluster.submit(0, job("j-5", "array", 1));
+    executeStartThenDeliver(former);
   }
 
   /**
-   * A copy of a machine's former incarnation, with a later session than it has now, proved gone
-   * what had just been sent to it and not been answered: it was started elsewhere, and then there
-   * too.
+   * A copy of a machine's former incarnation, with a later agent epoch than it has now, must not
+   * prove gone what has just been sent to it and not been answered: that would be started
+   * elsewhere, and then here too.
    */
   @Test
-  void aCopyOfAFormerLifeWithALaterSessionProvesNothing() {
-    world.settle(3);
-    String name = world.boot("g8", "z1", true);
-    world.pass(7);
-    FakeWorker w = world.workers.get(name);
-    w.cut = true;
-    world.pass(12);
-    w.cut = false;
-    w.session = 4;
-    world.pass(4);
-    byte[] former = world.heartbeatsOf(name).get(world.heartbeatsOf(name).size() - 1);
-    w.back(true);
-    world.pass(8);
-    world.directFate = Fate.HELD;
-    world.submit(0, job("j-3", "array", 4));
-    world.pass(4);
-    world.directFate = Fate.ARRIVES;
-    // Carried out now; its answer goes nowhere.
-    world.releaseHeld();
-    world.nodes.forEach(n -> world.late(n, former));
-    world.pass(0.3);
-    world.nodes.forEach(n -> world.late(n, former));
-    world.pass(30);
-    assertThat(world.running("j-3")).hasSize(4);
+  void copyOfAFormerIncarnationWithALaterAgentEpochProvesNothing() {
+    cluster.settle(3);
+    String name = cluster.boot("g8", "z1", true);
+    cluster.pass(7);
+    FakeWorker worker = cluster.workers.get(name);
+    worker.cut = true;
+    cluster.pass(12);
+    worker.cut = false;
+    worker.session = 4;
+    cluster.pass(4);
+    byte[] former = cluster.heartbeatsOf(name).get(cluster.heartbeatsOf(name).size() - 1);
+    worker.back(true);
+    cluster.pass(8);
+    cluster.directFate = Fate.HELD;
+    cluster.submit(0, job("j-3", "array", 4));
+    cluster.pass(4);
+    cluster.directFate = Fate.ARRIVES;
+    // Executed now; its answer is lost.
+    cluster.releaseHeld();
+    cluster.nodes.forEach(node -> cluster.late(node, former));
+    cluster.pass(0.3);
+    cluster.nodes.forEach(node -> cluster.late(node, former));
+    cluster.pass(30);
+    assertThat(cluster.running("j-3")).hasSize(4);
   }
 }
--- a/src/test/java/io/embernotch/forwarding/DelegatedRenewalTest.java
+++ b/src/test/java/io/embernotch/forwarding/DelegatedRenewalTest.java
@@ -10,7 +10,6 @@
 import io.embernotch.peer.Frame;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.Settings;
-import io.embernotch.settings.SettingsReader;
 import io.embernotch.testkit.FakeTime;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
@@ -23,82 +22,69 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A zone that is partitioned: what runs there runs on, and no rule gives way for it. Node 2 is in
- * zone z2.
+ * A partitioned zone: its tasks keep running, and all invariants hold. Node 2 is in zone z2, so
+ * that it is partitioned together with the agents of that zone.
  */
 class DelegatedRenewalTest {
-  private static final double CUT_S = 56;
+  private static final double PARTITION_S = 56;
 
-  private final SimulatedCluster world = new SimulatedCluster(3, 4);
-  private final Settings settings = world.nodes.get(0).settings;
+  private final SimulatedCluster cluster = new SimulatedCluster(3, 4);
+  private final Settings settings = cluster.nodes.get(0).settings;
 
   /** A leader outside of z2, and a service with replicas in both zones. */
   private Map<String, FakeWorker> spreadService(String ref) {
-    world.pass(2);
-    if (world.leader() == world.nodes.get(2)) {
-      world.nodes.get(2).kill();
-      world.pass(6);
-      world.nodes.get(2).start();
+    cluster.pass(2);
+    if (cluster.leader() == cluster.nodes.get(2)) {
+      cluster.nodes.get(2).kill();
+      cluster.pass(6);
+      cluster.nodes.get(2).start();
     }
     assertThat(
-            world
+            cluster
                 .submit(0, job(ref, "standing", 6).replace("\"scatter\":false", "\"scatter\":true"))
                 .status())
         .isEqualTo(201);
-    world.pass(15);
-    Map<String, FakeWorker> on = world.running(ref);
-    assertThat(on).hasSize(6);
-    assertThat(on.values().stream().filter(w -> w.zone.equals("z2"))).hasSize(3);
-    return on;
+    cluster.pass(15);
+    Map<String, FakeWorker> running = cluster.running(ref);
+    assertThat(running).hasSize(6);
+    assertThat(running.values().stream().filter(worker -> worker.zone.equals("z2"))).hasSize(3);
+    return running;
   }
 
   private boolean anyInZ2(String ref) {
-    return world.running(ref).values().stream().anyMatch(w -> w.zone.equals("z2"));
+    return cluster.running(ref).values().stream().anyMatch(worker -> worker.zone.equals("z2"));
   }
 
   @AfterEach
-  void nothingEverRanTwice() {
-    assertThat(world.broken()).isEmpty();
+  void noTaskEverRanTwice() {
+    assertThat(cluster.broken()).isEmpty();
   }
 
   @Test
-  void replicasBehindACutRunOnUntilItIsOver() {
+  void replicasBehindAPartitionKeepRunningUntilItHeals() {
     Map<String, FakeWorker> before = spreadService("j-1");
-    world.cutZone = "z2";
-    for (int i = 0; i < CUT_S; i++) {
-      world.pass(1);
-      assertThat(world.running("j-1")).isEqualTo(before);
+    cluster.cutZone = "z2";
+    for (int i = 0; i < PARTITION_S; i++) {
+      cluster.pass(1);
+      assertThat(cluster.running("j-1")).isEqualTo(before);
     }
-    world.cutZone = null;
-    world.pass(20);
-    assertThat(world.running("j-1")).isEqualTo(before);
+    cluster.cutZone = null;
+    cluster.pass(20);
+    assertThat(cluster.running("j-1")).isEqualTo(before);
   }
 
   /**
-   * What an earlier cut left behind had a worker sent away at the next one before it was renewed
-   * once.
+   * What is remembered of an earlier partition must not have an agent sent away in the next one
+   * before its lease has been renewed once.
    */
   @Test
-  void eachCutRenewsWorkersBeforeItSendsThemAway() {
+  void eachPartitionRenewsLeasesBeforeAgentsAreSentAway() {
     FakeTime time = new FakeTime();
-    Settings far = world.nodes.get(2).settings;
-    DelegatedRenewal delegatedRenewal =
-        new DelegatedRenewal(
-            new ControllerContext(
-                far,
-                OperatorSettings.DEFAULTS,
-                time,
-                time,
-                time,
-                EventLoopProfile.NONE,
-                null,
-                null,
-                null,
-                () -> "x",
-                null));
+    Settings far = cluster.nodes.get(2).settings;
+    DelegatedRenewal delegatedRenewal = new DelegatedRenewal(context(far, time, "x"));
     Heartbeat heartbeat =
         new Heartbeat("n-1", "10.0.0.9:9", "g8", "z2", false, 1, 1, 5, null, List.of());
-    for (int cut = 0; cut < 2; cut++) {
+    for (int partition = 0; partition < 2; partition++) {
       delegatedRenewal.acknowledged(
           new Frame.DelegateHeartbeatAck(1, delegatedRenewal.nextHeartbeat().seq(), true));
       time.pass(far.contactTimeoutS() * 1.1);
@@ -110,104 +96,91 @@
   }
 
   @Test
-  void theyRunOnThoughTheLeaderEndsDuringTheCut() {
+  void replicasKeepRunningThoughTheLeaderFailsDuringThePartition() {
     Map<String, FakeWorker> before = spreadService("j-1");
-    world.cutZone = "z2";
-    world.pass(10);
-    world.leader().kill();
-    world.pass(CUT_S - 10);
-    world.cutZone = null;
-    world.pass(20);
-    assertThat(world.running("j-1")).isEqualTo(before);
+    cluster.cutZone = "z2";
+    cluster.pass(10);
+    cluster.leader().kill();
+    cluster.pass(PARTITION_S - 10);
+    cluster.cutZone = null;
+    cluster.pass(20);
+    assertThat(cluster.running("j-1")).isEqualTo(before);
   }
 
   @Test
-  void aLongerCutEndsThemAndOnlyThenTheyStartElsewhere() {
+  void longerPartitionEndsReplicasAndOnlyThenTheyStartElsewhere() {
     spreadService("j-1");
-    world.submit(0, job("j-2", "standing", 4).replace("\"room\":null", "\"room\":\"z2\""));
-    world.pass(15);
-    assertThat(world.running("j-2")).hasSize(4);
-    world.cutZone = "z2";
-    world.cloud.down = true;
-    // The renewals end, and then the leases; the checker sees to it that nothing starts before.
-    world.pass(settings.gracePeriodS() + settings.workers().leaseS() + 5);
+    cluster.submit(0, job("j-2", "standing", 4).replace("\"room\":null", "\"room\":\"z2\""));
+    cluster.pass(15);
+    assertThat(cluster.running("j-2")).hasSize(4);
+    cluster.cutZone = "z2";
+    cluster.cloud.down = true;
+    // The renewals end, and then the leases; the invariant checker fails if anything starts before.
+    cluster.pass(settings.gracePeriodS() + settings.workers().leaseS() + 5);
     assertThat(anyInZ2("j-1")).isFalse();
-    world.cutZone = null;
-    world.cloud.down = false;
-    world.pass(25);
-    assertThat(world.running("j-1")).hasSize(6);
-    assertThat(world.running("j-2")).hasSize(4);
+    cluster.cutZone = null;
+    cluster.cloud.down = false;
+    cluster.pass(25);
+    assertThat(cluster.running("j-1")).hasSize(6);
+    assertThat(cluster.running("j-2")).hasSize(4);
   }
 
   @Test
-  void aCancellationIsToldOnlyOnceWhatIsBehindTheCutMustEndInTime() {
+  void cancellationIsConfirmedOnlyOnceTasksBehindThePartitionMustEndInTime() {
     spreadService("j-1");
-    world.cutZone = "z2";
-    world.cloud.down = true;
-    world.pass(12);
-    assertThat(world.abort(0, "j-1").status()).isEqualTo(503);
-    assertThat(world.phase(0, "j-1")).isNotEqualTo("cancelled");
-    // What can be reached ends at once, and nothing starts again.
-    assertThat(world.running("j-1").values()).allMatch(w -> w.zone.equals("z2"));
-    double waited = 12;
-    while (world.abort(1, "j-1").status() != 200) {
-      world.pass(1);
-      waited += 1;
-      assertThat(waited).isLessThan(settings.gracePeriodS());
+    cluster.cutZone = "z2";
+    cluster.cloud.down = true;
+    cluster.pass(12);
+    assertThat(cluster.abort(0, "j-1").status()).isEqualTo(503);
+    assertThat(cluster.phase(0, "j-1")).isNotEqualTo("cancelled");
+    // Tasks that can be reached end at once, and nothing starts again.
+    assertThat(cluster.running("j-1").values()).allMatch(worker -> worker.zone.equals("z2"));
+    double waitedS = 12;
+    while (cluster.abort(1, "j-1").status() != 200) {
+      cluster.pass(1);
+      waitedS += 1;
+      assertThat(waitedS).isLessThan(settings.gracePeriodS());
     }
     assertThat(anyInZ2("j-1")).isTrue();
-    world.pass(settings.workers().cancelS() - 1);
-    assertThat(world.running("j-1")).isEmpty();
+    cluster.pass(settings.workers().cancelS() - 1);
+    assertThat(cluster.running("j-1")).isEmpty();
   }
 
   @Test
-  void aCancellationToldBeforeACutLeavesNothingBehindIt() {
+  void cancellationConfirmedBeforeAPartitionLeavesNothingBehindIt() {
     spreadService("j-1");
-    assertThat(world.abort(0, "j-1").status()).isEqualTo(200);
-    world.cutZone = "z2";
-    assertThat(world.running("j-1")).isEmpty();
+    assertThat(cluster.abort(0, "j-1").status()).isEqualTo(200);
+    cluster.cutZone = "z2";
+    assertThat(cluster.running("j-1")).isEmpty();
   }
 
   @Test
-  void noRightIsGivenWhileAControllerMayBeOfTheFormerVersion() {
+  void nothingIsDelegatedWhileAControllerMayBeOfTheFormerVersion() {
     spreadService("j-1");
-    // It never wrote to this leader, as a former version would not.
-    Node silent = world.leader() == world.nodes.get(0) ? world.nodes.get(1) : world.nodes.get(0);
-    silent.noPeers = true;
-    world.leader().kill();
-    world.pass(10);
-    world.nodes.stream().filter(n -> n.down).forEach(Node::start);
-    world.pass(settings.gracePeriodS() + 10);
-    world.cutZone = "z2";
-    world.pass(settings.workers().leaseS() + 4);
+    // It sends nothing to the leader that follows, as the former version would not.
+    Node muted =
+        cluster.leader() == cluster.nodes.get(0) ? cluster.nodes.get(1) : cluster.nodes.get(0);
+    muted.noPeers = true;
+    cluster.leader().kill();
+    cluster.pass(10);
+    cluster.nodes.stream().filter(node -> node.down).forEach(Node::start);
+    cluster.pass(settings.gracePeriodS() + 10);
+    cluster.cutZone = "z2";
+    cluster.pass(settings.workers().leaseS() + 4);
     assertThat(anyInZ2("j-1")).isFalse();
   }
 
   /**
-   * They began at the time of day, which goes back, so a former incarnation's acknowledgments
-   * counted for the next.
+   * Numbers that began at the time of day, which may be set back, would have a former incarnation's
+   * acknowledgements count for the next.
    */
   @Test
-  void noTwoLivesGiveTheSameNumbers() {
+  void noTwoIncarnationsUseTheSameNumbers() {
     FakeTime time = new FakeTime();
-    Settings far = world.nodes.get(2).settings;
+    Settings far = cluster.nodes.get(2).settings;
     List<Frame.DelegateHeartbeat> first =
         Stream.of("one", "two")
-            .map(
-                name ->
-                    new DelegatedRenewal(
-                        new ControllerContext(
-                            far,
-                            OperatorSettings.DEFAULTS,
-                            time,
-                            time,
-                            time,
-                            EventLoopProfile.NONE,
-                            null,
-                            null,
-                            null,
-                            () -> name,
-                            null)))
+            .map(name -> new DelegatedRenewal(context(far, time, name)))
             .map(DelegatedRenewal::nextHeartbeat)
             .toList();
     assertThat(first.get(0).seq()).isNotEqualTo(first.get(1).seq());
@@ -217,44 +190,18 @@
     assertThat(delegations.isNewProcess(first.get(1))).isTrue();
   }
 
-  @Test
-  void theLeaderKnowsUntilWhenAControllerMayHaveRenewed() {
-    Settings s = SettingsReader.parse(SimulatedCluster.toml(0));
-    RenewalDelegations delegations = new RenewalDelegations(s, 100, new HashSet<>());
-    double hold = s.gracePeriodS() * (1 + Settings.DRIFT);
-    // Nothing heard: it may hold a right of an earlier leader.
-    assertThat(delegations.renewedUntil("z2", 110)).isEqualTo(110);
-    assertThat(delegations.renewedUntil("z2", 500)).isEqualTo(100 + hold);
-    assertThat(
-            delegations
-                .heartbeatReceived(new Frame.DelegateHeartbeat("c2", 1, 0, -1), 7, true, 200)
-                .granted())
-        .isFalse();
-    assertThat(
-            delegations
-                .heartbeatReceived(new Frame.DelegateHeartbeat("c1", 1, 0, -1), 7, true, 200)
-                .granted())
-        .isTrue();
-    assertThat(
-            delegations
-                .heartbeatReceived(new Frame.DelegateHeartbeat("c2", 2, 1, -1), 7, true, 202)
-                .granted())
-        .isTrue();
-    delegations.heartbeatReceived(new Frame.DelegateHeartbeat("c2", 3, 2, -1), 7, true, 204);
-    // 3 acknowledges 2, which acknowledged 1, answered at 200: until contactS after that it renewed
-    // nothing.
-    assertThat(delegations.renewedUntil("z2", 200 + s.contactTimeoutS())).isEqualTo(100 + hold);
-    // From then on it may have, until the right that it was given at 204 ends.
-    assertThat(delegations.renewedUntil("z2", 220)).isEqualTo(220);
-    assertThat(delegations.renewedUntil("z2", 900)).isEqualTo(204 + hold);
-    // It owns up to a renewal, and is in contact again.
-    for (int i = 4; i < 8; i++) {
-      delegations.heartbeatReceived(
-          new Frame.DelegateHeartbeat("c2", i, i - 1, 10 + 2 * i), 7, true, 230 + 2 * i);
-    }
-    assertThat(delegations.renewedUntil("z2", 245)).isEqualTo(220);
-    // A new process knows nothing of what the one before it did.
-    delegations.heartbeatReceived(new Frame.DelegateHeartbeat("c2", 50, 0, -1), 7, true, 260);
-    assertThat(delegations.renewedUntil("z2", 300)).isGreaterThanOrEqualTo(260);
+  private static ControllerContext context(Settings settings, FakeTime time, String name) {
+    return new ControllerContext(
+        settings,
+        OperatorSettings.DEFAULTS,
+        time,
+        time,
+        time,
+        EventLoopProfile.NONE,
+        null,
+        null,
+        null,
+        () -> name,
+        null);
   }
 }
--- a/src/test/java/io/embernotch/forwarding/IsolatedControllerTest.java
+++ b/src/test/java/io/embernotch/forwarding/IsolatedControllerTest.java
@@ -13,127 +13,130 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A controller that loses the store and the other controllers, but not its workers. */
+/**
+ * A controller that is partitioned from the store and the other controllers, not from its agents.
+ */
 class IsolatedControllerTest {
-  private final SimulatedCluster world = new SimulatedCluster(3, 100);
+  private final SimulatedCluster cluster = new SimulatedCluster(3, 100);
 
   private Map<String, FakeWorker> service() {
-    world.settle(3);
+    cluster.settle(3);
     for (int i = 0; i < 30; i++) {
-      world.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
+      cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
-    world.pass(8);
-    // Workers are spread over the controllers.
+    cluster.pass(8);
+    // Agents are spread over the controllers.
     int next = 0;
-    for (FakeWorker w : world.workers.values()) {
-      w.node = next++ % 3;
+    for (FakeWorker worker : cluster.workers.values()) {
+      worker.node = next++ % 3;
     }
-    assertThat(world.submit(0, job("j-1", "standing", 90)).status()).isEqualTo(201);
-    world.pass(15);
-    assertThat(world.running("j-1")).hasSize(90);
-    world.leastLeft = 1;
-    return world.running("j-1");
+    assertThat(cluster.submit(0, job("j-1", "standing", 90)).status()).isEqualTo(201);
+    cluster.pass(15);
+    assertThat(cluster.running("j-1")).hasSize(90);
+    cluster.leastLeft = 1;
+    return cluster.running("j-1");
   }
 
-  private void alone(Node n, boolean is) {
-    n.noState = is;
-    n.noPeers = is;
+  private void isolate(Node node, boolean isolated) {
+    node.noState = isolated;
+    node.noPeers = isolated;
   }
 
   @AfterEach
-  void nothingEverRanTwice() {
-    assertThat(world.broken()).isEmpty();
+  void noTaskEverRanTwice() {
+    assertThat(cluster.broken()).isEmpty();
   }
 
   @ParameterizedTest
   @CsvSource({"true,30", "true,60", "true,150", "false,30", "false,60", "false,150"})
-  void keepsNoWorkerToItsDeath(boolean leader, int seconds) {
+  void keepsNoAgentUntilItsLeaseExpires(boolean leader, int seconds) {
     Map<String, FakeWorker> before = service();
-    Node n = leader ? world.leader() : world.other(world.leader());
-    alone(n, true);
-    double told = 0;
+    Node node = leader ? cluster.leader() : cluster.other(cluster.leader());
+    isolate(node, true);
+    double longestPollS = 0;
     for (int s = 0; s < seconds; s += 5) {
-      world.pass(5);
-      assertThat(world.running("j-1")).isEqualTo(before);
+      cluster.pass(5);
+      assertThat(cluster.running("j-1")).isEqualTo(before);
       if (s >= 5) {
-        // Who asks here is told at once to ask elsewhere, and the balancer to send nobody.
-        double at = world.time.now();
-        int status = world.poll(n.index, "j-1").status();
-        told = Math.max(told, world.time.now() - at);
+        // A poll is refused at once, and the load balancer is told to send nobody.
+        double askedAt = cluster.time.now();
+        int status = cluster.poll(node.index, "j-1").status();
+        longestPollS = Math.max(longestPollS, cluster.time.now() - askedAt);
         assertThat(status).isEqualTo(503);
-        assertThat(n.controller.ready().status()).isEqualTo(503);
+        assertThat(node.controller.ready().status()).isEqualTo(503);
       }
     }
-    assertThat(told).isLessThan(1);
-    assertThat(world.leader()).isNotNull().isNotEqualTo(n);
-    alone(n, false);
-    world.pass(40);
-    assertThat(world.running("j-1")).isEqualTo(before);
-    // Of a lease that was last renewed there, this was left when another controller renewed it.
-    assertThat(world.leastLeft).isGreaterThan(0.4);
+    assertThat(longestPollS).isLessThan(1);
+    assertThat(cluster.leader()).isNotNull().isNotEqualTo(node);
+    isolate(node, false);
+    cluster.pass(40);
+    assertThat(cluster.running("j-1")).isEqualTo(before);
+    // The least share of a lease, last renewed here, that was left when another controller renewed
+    // it.
+    assertThat(cluster.leastLeft).isGreaterThan(0.4);
   }
 
   /**
-   * The next leader held workers for as long as the former version counts on, since the one
-   * partitioned had not written to it.
+   * The next leader must not renew leases only for as long as the former version assumes because
+   * the partitioned one has sent nothing to it.
    */
   @ParameterizedTest
   @CsvSource({"true", "false"})
-  void anOutageAfterALeaderWasCutOffEndsNothing(boolean ends) {
+  void storeOutageAfterALeaderWasPartitionedEndsNothing(boolean leaderFails) {
     Map<String, FakeWorker> before = service();
-    Node n = world.leader();
-    if (ends) {
-      n.kill();
+    Node node = cluster.leader();
+    if (leaderFails) {
+      node.kill();
     }
-    alone(n, true);
-    world.pass(8);
-    assertThat(world.leader()).isNotNull().isNotEqualTo(n);
-    world.state.outage = true;
-    world.pass(n.settings.gracePeriodS() + 0.6 * n.settings.workers().leaseS());
-    assertThat(world.running("j-1")).isEqualTo(before);
-    world.state.recover();
-    alone(n, false);
-    if (ends) {
-      n.start();
+    isolate(node, true);
+    cluster.pass(8);
+    assertThat(cluster.leader()).isNotNull().isNotEqualTo(node);
+    cluster.state.outage = true;
+    cluster.pass(node.settings.gracePeriodS() + 0.6 * node.settings.workers().leaseS());
+    assertThat(cluster.running("j-1")).isEqualTo(before);
+    cluster.state.recover();
+    isolate(node, false);
+    if (leaderFails) {
+      node.start();
     }
-    world.pass(40);
-    assertThat(world.running("j-1")).isEqualTo(before);
+    cluster.pass(40);
+    assertThat(cluster.running("j-1")).isEqualTo(before);
   }
 
   /**
-   * Where the next leader has reached a worker it serves it too: one that shows its token is sent
-   * away at once.
+   * Where the next leader has reached an agent it serves it too: an agent that reports its fencing
+   * token is sent away at once.
    */
   @ParameterizedTest
   @CsvSource({"true", "false"})
-  void sendsAwayWhoHasSeenALaterLeader(boolean leader) {
+  void sendsAwayAgentsThatHaveSeenALaterLeader(boolean leader) {
     Map<String, FakeWorker> before = service();
-    Node n = leader ? world.leader() : world.other(world.leader());
-    alone(n, true);
-    world.pass(10);
+    Node node = leader ? cluster.leader() : cluster.other(cluster.leader());
+    isolate(node, true);
+    cluster.pass(10);
     if (!leader) {
-      Node other = world.leader();
+      Node other = cluster.leader();
       other.kill();
-      world.pass(8);
+      cluster.pass(8);
       other.start();
     }
-    world.settle(4);
+    cluster.settle(4);
     // The new leader reaches all machines directly.
-    assertThat(world.submit(world.leader().index, job("j-2", "array", 150)).status())
+    assertThat(cluster.submit(cluster.leader().index, job("j-2", "array", 150)).status())
         .isEqualTo(201);
-    world.pass(6);
+    cluster.pass(6);
     List<FakeWorker> reached =
-        world.workers.values().stream()
+        cluster.workers.values().stream()
             .filter(
-                w ->
-                    w.node == n.index
-                        && w.token >= FencingTokens.base(world.state.modRevision("steward")))
+                worker ->
+                    worker.node == node.index
+                        && worker.token >= FencingTokens.base(cluster.state.modRevision("steward")))
             .toList();
-    world.pass(1.5);
-    assertThat(reached).noneMatch(w -> w.node == n.index);
-    world.pass(10);
-    assertThat(world.running("j-2")).hasSize(150);
-    world.pass(50);
-    assertThat(world.running("j-1")).isEqualTo(before);
+    cluster.pass(1.5);
+    assertThat(reached).noneMatch(worker -> worker.node == node.index);
+    cluster.pass(10);
+    assertThat(cluster.running("j-2")).hasSize(150);
+    cluster.pass(50);
+    assertThat(cluster.running("j-1")).isEqualTo(before);
   }
 }
--- a/src/test/java/io/embernotch/forwarding/PendingRequestsTest.java
+++ b/src/test/java/io/embernotch/forwarding/PendingRequestsTest.java
@@ -11,32 +11,33 @@
 import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
 
+/** Answers are matched to requests across incarnations of a process. */
 class PendingRequestsTest implements PeerLink {
   private final FakeTime time = new FakeTime();
   private long lastId;
 
-  private PendingRequests life(String name) {
+  private PendingRequests incarnation(String name) {
     Supplier<String> names = () -> name;
     return new PendingRequests(time, this, names);
   }
 
   /**
-   * Numbers that began at 1 in each life had the answer to one user's poll taken for that to
-   * another's.
+   * If numbers began at 1 in each incarnation, the answer to one user's poll would be taken for
+   * that to another's.
    */
   @Test
-  void anAnswerToAFormerLifeAnswersNothingOfThisOne() {
-    life("one")
+  void answerToAFormerIncarnationCompletesNothingOfThisOne() {
+    incarnation("one")
         .send(
             "c1", id -> new Frame.ForwardedRequest(id, Frame.ForwardedRequest.Kind.POLL, "j-1"), 2);
     long former = lastId;
-    PendingRequests now = life("two");
+    PendingRequests requests = incarnation("two");
     Future<HttpResponse> reply =
-        now.send(
+        requests.send(
             "c1", id -> new Frame.ForwardedRequest(id, Frame.ForwardedRequest.Kind.POLL, "j-2"), 2);
-    now.complete(new Frame.Response(former, 200, 0, new byte[0]));
+    requests.complete(new Frame.Response(former, 200, 0, new byte[0]));
     assertThat(reply.isComplete()).isFalse();
-    now.complete(new Frame.Response(lastId, 404, 0, new byte[0]));
+    requests.complete(new Frame.Response(lastId, 404, 0, new byte[0]));
     assertThat(reply.result().status()).isEqualTo(404);
   }
 
