--- a/src/main/java/io/embernotch/agents/AgentReconciler.java
+++ b/src/main/java/io/embernotch/agents/AgentReconciler.java
@@ -70,6 +70,7 @@
       Listener listener) {
     this.tokenBase = FencingTokens.base(epoch);
     double heartbeatIntervalS = context.settings().workers().heartbeatIntervalS();
+    // A call ends before the next heartbeat is due.
     double callTimeoutS = heartbeatIntervalS * 2 / 3;
     this.workerLeases =
         new WorkerLeases(context.settings(), context.clock(), delegations, tokenBase);
@@ -149,22 +150,25 @@
     commands.sendDue(machine);
   }
 
-  /** See {@link WorkerLeases#expired}. */
+  /** True once the lease of the machine's agent has expired, whoever renewed it last. */
   public boolean leaseExpired(Machine machine) {
     return workerLeases.expired(machine);
   }
 
-  /** See {@link WorkerLeases#leaseExpiresBy}. */
+  /**
+   * The instant, in steady seconds, by which all tasks have ended on a machine that is never
+   * reached again, whoever else renews its lease; {@link Double#MAX_VALUE} if that is not known.
+   */
   public double leaseExpiresBy(Machine machine) {
     return workerLeases.leaseExpiresBy(machine);
   }
 
-  /** See {@link StatusProber#probe}. */
+  /** Requests the status of an unresponsive machine, unless such a request is in flight. */
   public void probe(Machine machine) {
     prober.probe(machine);
   }
 
-  /** See {@link StatusProber#find}. */
+  /** Requests the status of a machine that has sent no heartbeat yet; otherwise does nothing. */
   public void find(Machine machine) {
     prober.find(machine);
   }
--- a/src/main/java/io/embernotch/agents/CommandSender.java
+++ b/src/main/java/io/embernotch/agents/CommandSender.java
@@ -14,6 +14,7 @@
 import io.embernotch.model.Priority;
 import io.embernotch.settings.HostPort;
 import io.embernotch.state.ClusterState;
+import io.vertx.core.AsyncResult;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BiPredicate;
@@ -29,6 +30,12 @@
 
   private static final int HTTP_OK = 200;
 
+  /** A machine that has sent no heartbeat for so many intervals is unresponsive. */
+  private static final int UNRESPONSIVE_INTERVALS = 2;
+
+  /** The agent's path for direct commands. */
+  private static final String COMMAND_PATH = "/do";
+
   /** The commands of one call, and the attempts that they start and stop. */
   private static final class Batch {
     final List<AgentCommand> commands = new ArrayList<>();
@@ -117,7 +124,7 @@
   }
 
   private CallClass callClass(Machine machine, List<Attempt> starting, double now) {
-    if (now - machine.lastHeartbeatAt > 2 * heartbeatIntervalS) {
+    if (now - machine.lastHeartbeatAt > UNRESPONSIVE_INTERVALS * heartbeatIntervalS) {
       return CallClass.UNRESPONSIVE;
     }
     boolean production =
@@ -141,21 +148,22 @@
     byte[] body = WorkerCodec.direct(token, machine.agentEpoch, batch.commands);
     context
         .workers()
-        .call("POST", address, "/do", body, callTimeoutS)
+        .call("POST", address, COMMAND_PATH, body, callTimeoutS)
         .onComplete(
             result ->
                 context
                     .profile()
-                    .run(
-                        "command",
-                        () -> {
-                          if (result.succeeded()) {
-                            commandAnswered(machine, token, batch.starting, result.result());
-                          } else {
-                            commandFailed(machine, token, batch.starting, result.cause());
-                          }
-                          callLimiter.release();
-                        }));
+                    .run("command", () -> commandEnded(machine, token, batch.starting, result)));
+  }
+
+  private void commandEnded(
+      Machine machine, long token, List<Attempt> starting, AsyncResult<HttpReply> result) {
+    if (result.succeeded()) {
+      commandAnswered(machine, token, starting, result.result());
+    } else {
+      commandFailed(machine, token, starting, result.cause());
+    }
+    callLimiter.release();
   }
 
   private void commandAnswered(
--- a/src/main/java/io/embernotch/agents/HeartbeatResponder.java
+++ b/src/main/java/io/embernotch/agents/HeartbeatResponder.java
@@ -17,6 +17,9 @@
 final class HeartbeatResponder {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatResponder.class);
 
+  /** For so many heartbeat intervals after a direct call failed, starts take the other way. */
+  private static final int RECENT_FAILURE_INTERVALS = 2;
+
   private final ControllerContext context;
   private final CallConcurrencyLimiter callLimiter;
   private final long tokenBase;
@@ -67,7 +70,7 @@
   private void addStarts(Machine machine, List<AgentCommand> commands) {
     boolean commandFailed =
         context.clock().now() - machine.commandFailedAt
-            <= 2 * context.settings().workers().heartbeatIntervalS();
+            <= RECENT_FAILURE_INTERVALS * context.settings().workers().heartbeatIntervalS();
     if (machine.commandInFlight || !(commandFailed || callLimiter.isCommandQueued(machine))) {
       return;
     }
--- a/src/main/java/io/embernotch/agents/StatusProber.java
+++ b/src/main/java/io/embernotch/agents/StatusProber.java
@@ -20,6 +20,9 @@
 final class StatusProber {
   private static final Logger LOG = LoggerFactory.getLogger(StatusProber.class);
 
+  /** The agent's path for its status, which reads like a heartbeat. */
+  private static final String STATUS_PATH = "/status";
+
   private final ControllerContext context;
   private final CallConcurrencyLimiter callLimiter;
   private final ReachabilityTracker reachability;
@@ -101,7 +104,7 @@
     KnownStatus known = KnownStatus.of(machine);
     context
         .workers()
-        .call("GET", HostPort.parse(machine.address), "/status", null, callTimeoutS)
+        .call("GET", HostPort.parse(machine.address), STATUS_PATH, null, callTimeoutS)
         .onSuccess(reply -> statusReceived(machine, known, reply))
         .onFailure(cause -> requestFailed(machine, requestedAt, cause));
   }
--- a/src/main/java/io/embernotch/agents/package-info.java
+++ b/src/main/java/io/embernotch/agents/package-info.java
@@ -6,8 +6,9 @@
  * probes, the commands that are in flight, and the bound after which nothing on a machine can be
  * running any more. All of it is confined to the leader's event loop and lives for one term.
  *
- * <p>It must not decide what runs where, change a job, or rent and delete machines: completions and
- * failures are passed to {@link io.embernotch.agents.AgentReconciler.Listener}. No start may be
- * sent before its attempt is committed or while the leader's lease is not proven.
+ * <p>It must not decide what runs where, nor scale out or in, nor draw conclusions for jobs: that
+ * an attempt runs, has exited or is gone is passed to {@link
+ * io.embernotch.agents.AgentReconciler.Listener}. No start may be sent before its attempt is
+ * committed, or while the leader's lease is not proven.
  */
 package io.embernotch.agents;
