--- a/src/main/java/io/embernotch/jobs/AttemptOutcomes.java
+++ b/src/main/java/io/embernotch/jobs/AttemptOutcomes.java
@@ -16,66 +16,92 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What the end of an attempt means for its job: done marks, ends, gangs to break, blame. */
+/**
+ * What the end of an attempt means for its job: done marks, completion, restart of a gang, failure
+ * attribution and backoff. Owned by the leader's event loop.
+ */
 public final class AttemptOutcomes {
   private static final Logger LOG = LoggerFactory.getLogger(AttemptOutcomes.class);
 
+  /** The shortest run time in seconds that a machine's performance is computed from. */
+  private static final double MIN_RUN_S = 0.1;
+
   private final ControllerContext context;
   private final ClusterState state;
   private final StateWriter stateWriter;
   private final JobCompletions completions;
   private final FailureAttribution failureAttribution;
-  private final int remembered;
-  private final Consumer<Job> closed;
-  private final Runnable changed;
+  private final int performanceSamples;
+  private final Consumer<Job> attemptClosed;
+  private final Runnable clusterChanged;
   private TaskStopper stopper;
 
   /**
-   * @param remembered finished tasks that a machine's performance is counted from
-   * @param closed is told of each job that has one attempt less open; {@code changed} asks for a
-   *     plan
+   * To be completed by {@link #setStopper}.
+   *
+   * @param performanceSamples how many finished tasks a machine's performance is averaged over
+   * @param attemptClosed called with each job that has one attempt less open
+   * @param clusterChanged called when a scheduling round may find something to do
    */
   public AttemptOutcomes(
       ControllerContext context,
       ClusterState state,
       StateWriter stateWriter,
       JobCompletions completions,
-      int remembered,
-      Consumer<Job> closed,
-      Runnable changed) {
+      int performanceSamples,
+      Consumer<Job> attemptClosed,
+      Runnable clusterChanged) {
     this.context = context;
     this.state = state;
     this.stateWriter = stateWriter;
     this.completions = completions;
     this.failureAttribution = new FailureAttribution(context, state);
-    this.remembered = remembered;
-    this.closed = closed;
-    this.changed = changed;
+    this.performanceSamples = performanceSamples;
+    this.attemptClosed = attemptClosed;
+    this.clusterChanged = clusterChanged;
   }
 
-  /** Stopping an attempt may end it, and an end may stop others, so each has to know the other. */
+  /** Stopping an attempt may end it, and an end may stop others, so each refers to the other. */
   public void setStopper(TaskStopper stopper) {
     this.stopper = stopper;
   }
 
-  /** What an earlier leader has decided goes on, and what it has not finished is finished. */
+  /** Carries on with completions, cancellations and gang restarts that an earlier leader began. */
   public void resume() {
     completions.resume();
     for (Job job : state.jobs.values()) {
       if (job.finalPhase == JobPhase.CANCELLED) {
         List.copyOf(job.openAttempts.values()).forEach(attempt -> stopper.requestStop(attempt, 0));
-      } else if (job.spec.shape() == JobShape.GANG
-          && job.openAttempts.size() < job.spec.tasks()
-          && !job.openAttempts.isEmpty()) {
+      } else if (isIncompleteGang(job)) {
         stopper.stopGang(job, 0);
       }
     }
   }
 
-  /** An attempt has exited on its machine. */
+  /** Whether some, but not all, tasks of a gang have an open attempt. */
+  private static boolean isIncompleteGang(Job job) {
+    return job.spec.shape() == JobShape.GANG
+        && job.openAttempts.size() < job.spec.tasks()
+        && !job.openAttempts.isEmpty();
+  }
+
+  /**
+   * An attempt has exited on its machine.
+   *
+   * @param saved whether the task has saved its state before
+   */
   public void exited(Attempt attempt, Machine machine, ExitCause cause, boolean saved) {
-    Job job = attempt.job;
     double now = context.clock().now();
+    logExit(attempt, cause, saved, now);
+    if (cause == ExitCause.DONE && attempt.job.spec.shape() != JobShape.SERVICE) {
+      finished(attempt, machine, now);
+    } else {
+      failed(attempt, machine, cause, now);
+    }
+    close(attempt);
+  }
+
+  private static void logExit(Attempt attempt, ExitCause cause, boolean saved, double now) {
     if (LOG.isDebugEnabled()) {
       LOG.debug(
           "{} exited: {}{}; {} s after its start, {} s of them running, {} s expected",
@@ -84,77 +110,82 @@
           saved ? ", saved" : "",
           Math.round(now - attempt.createdAt),
           attempt.runningAt < 0 ? 0 : Math.round(now - attempt.runningAt),
-          Math.round(job.spec.expectS()));
-    }
-    if (cause == ExitCause.DONE && job.spec.shape() != JobShape.SERVICE) {
-      finished(attempt, machine, now);
-    } else {
-      failed(attempt, machine, cause, now);
+          Math.round(attempt.job.spec.expectS()));
     }
-    close(attempt);
   }
 
   private void finished(Attempt attempt, Machine machine, double now) {
+    Job job = attempt.job;
+    recordRunTime(attempt, machine, now);
+    boolean ended = job.finalPhase != null;
+    if (!ended) {
+      markDone(attempt);
+    }
+    failureAttribution.succeeded(job, machine);
+    if (!ended && job.remaining() == 0) {
+      completions.decide(job, JobPhase.DONE);
+      job.openAttempts.values().forEach(this::withdrawStop);
+    }
+  }
+
+  /** Counts the run for the means of job and machine, if it was a whole one. */
+  private void recordRunTime(Attempt attempt, Machine machine, double now) {
     Job job = attempt.job;
     if (attempt.runningAt >= 0
         && !job.restartedTasks.get(attempt.task)
         && !job.done.get(attempt.task)) {
-      double ran = Math.max(0.1, now - attempt.runningAt);
-      job.finishedSumS += ran;
+      double ranS = Math.max(MIN_RUN_S, now - attempt.runningAt);
+      job.finishedSumS += ranS;
       job.finishedCount++;
-      machine.recordFinished(job.meanS() / ran, remembered);
+      machine.recordFinished(job.meanS() / ranS, performanceSamples);
     }
-    boolean ended = job.finalPhase != null;
-    if (!ended && job.spec.shape() == JobShape.GANG) {
+  }
+
+  private static void markDone(Attempt attempt) {
+    Job job = attempt.job;
+    if (job.spec.shape() == JobShape.GANG) {
       // A gang completes together: when one task is done, every task is.
       job.done.set(0, job.spec.tasks());
-    } else if (!ended) {
+    } else {
       job.done.set(attempt.task);
     }
-    failureAttribution.cleared(job, machine);
-    if (ended) {
-      return;
-    }
-    if (job.remaining() == 0) {
-      completions.decide(job, JobPhase.DONE);
-      for (Attempt other : job.openAttempts.values()) {
-        other.stopping = false;
-        touched(other);
-      }
+  }
+
+  /** The job is done, so what is left of it ends by itself. */
+  private void withdrawStop(Attempt attempt) {
+    attempt.stopping = false;
+    Machine machine = state.machines.get(attempt.machine);
+    if (machine != null) {
+      machine.attemptsChanged();
     }
   }
 
   private void failed(Attempt attempt, Machine machine, ExitCause cause, double now) {
-    Job job = attempt.job;
-    double heartbeat = context.settings().workers().heartbeatIntervalS();
+    double heartbeatS = context.settings().workers().heartbeatIntervalS();
     switch (cause) {
       case ERROR -> failureAttribution.failed(attempt, machine, now);
-      case NO_ROOM, BUSY -> machine.avoidUntil = now + heartbeat;
-      case UNKNOWN -> job.backoffUntil = now + heartbeat / 3;
+      case NO_ROOM, BUSY -> machine.avoidUntil = now + heartbeatS;
+      case UNKNOWN -> attempt.job.backoffUntil = now + heartbeatS / 3;
       default -> {}
     }
-    if (job.spec.shape() == JobShape.GANG && job.finalPhase == null) {
-      stopper.stopGang(job, attempt.stopping ? attempt.stopGraceS : 0);
-    }
+    stopRestOfGang(attempt, attempt.stopping ? attempt.stopGraceS : 0);
   }
 
-  /** An attempt is proven gone without an exit. */
+  /** An attempt is proven gone without an exit having been reported. */
   public void gone(Attempt attempt, Machine machine, String why) {
     LOG.info("{} is gone: {}", attempt, why);
-    if (attempt.job.spec.shape() == JobShape.GANG && attempt.job.finalPhase == null) {
-      stopper.stopGang(attempt.job, 0);
-    }
+    stopRestOfGang(attempt, 0);
     close(attempt);
   }
 
-  private void touched(Attempt attempt) {
-    Machine machine = state.machines.get(attempt.machine);
-    if (machine != null) {
-      machine.attemptsChanged();
+  private void stopRestOfGang(Attempt attempt, double graceS) {
+    Job job = attempt.job;
+    if (job.spec.shape() == JobShape.GANG && job.finalPhase == null) {
+      stopper.stopGang(job, graceS);
     }
   }
 
-  /** An attempt is over: its place is free, and what the store is to hold has changed. */
+  /** Closes an attempt: its capacity is free, and its shard has to be written. */
   public void close(Attempt attempt) {
     state.closeAttempt(attempt, context.clock().now());
     if (attempt.launchState != Attempt.LaunchState.UNCOMMITTED
@@ -162,7 +193,7 @@
       attempt.job.restartedTasks.set(attempt.task);
     }
     stateWriter.writeLater(attempt.job, attempt.task);
-    closed.accept(attempt.job);
-    changed.run();
+    attemptClosed.accept(attempt.job);
+    clusterChanged.run();
   }
 }
--- a/src/main/java/io/embernotch/jobs/Cancellations.java
+++ b/src/main/java/io/embernotch/jobs/Cancellations.java
@@ -19,22 +19,35 @@
 import java.util.Map;
 
 /**
- * Cancellations on their way. From the moment one is asked for, nothing of the job starts and all
- * that runs is stopped; it is decided, and so told to anybody, only once no task of it can outlive
- * {@code cancel_s} from then on: each is proven gone, or its machine's worker must kill it in time
- * whoever renews the worker's lease. Behind a cut, that takes until the renewals there end.
+ * Cancellations that users have requested and that are not decided yet. From the request on,
+ * nothing of the job starts and all that runs is stopped. It is decided, and so made known to
+ * anybody, only once no task of the job can outlive {@code cancel_s} from then on: each is proven
+ * gone, or its machine's worker must kill it in time, whoever renews the worker's lease. With a
+ * network partition, that takes until the renewals on the other side of it end.
  *
- * <p>Nor is it decided while a start of ours may yet be carried out, or a task waits for its image:
- * a cancelled job once started on a machine that had hung, seconds after its user had been told.
+ * <p>Nor is it decided while a start command of this leader may yet be carried out, or a task waits
+ * for its image: a machine that hangs may carry out such a start seconds later, after the user was
+ * told that the job is cancelled.
+ *
+ * <p>Owned by the leader's event loop.
  */
 public final class Cancellations {
+  /**
+   * Within this share of {@code cancel_s} all tasks must be gone. The commit and its answer count
+   * as well, and take far less than the rest.
+   */
+  private static final double SHARE_FOR_TASKS = 0.9;
+
   private final ControllerContext context;
   private final ClusterState state;
   private final StateWriter stateWriter;
   private final JobCompletions completions;
   private final AgentReconciler agents;
-  private final Map<Job, List<Promise<HttpResponse>>> requested = new LinkedHashMap<>();
 
+  /** The replies that wait for each job's cancellation. */
+  private final Map<Job, List<Promise<HttpResponse>>> pendingReplies = new LinkedHashMap<>();
+
+  /** No cancellation is pending at first; {@code agents} tells how long worker leases last. */
   public Cancellations(
       ControllerContext context,
       ClusterState state,
@@ -48,9 +61,12 @@
     this.agents = agents;
   }
 
-  /** A user wants the job cancelled; its tasks have been told to stop. */
+  /**
+   * A user wants the job cancelled; stop commands for its tasks have been issued. {@code reply} is
+   * completed with the job's final phase, or with 503 if that takes too long.
+   */
   public void request(Job job, Promise<HttpResponse> reply) {
-    requested.computeIfAbsent(job, key -> new ArrayList<>()).add(reply);
+    pendingReplies.computeIfAbsent(job, key -> new ArrayList<>()).add(reply);
     context
         .timers()
         .after(
@@ -59,44 +75,48 @@
     check(job);
   }
 
+  /** Decides every requested cancellation that may be decided by now. */
   public void checkAll() {
-    List.copyOf(requested.keySet()).forEach(this::check);
+    List.copyOf(pendingReplies.keySet()).forEach(this::check);
   }
 
-  /** Something of the job may have ended. */
+  /** An attempt of the job may have ended: decides its cancellation if one is due. */
   public void check(Job job) {
-    List<Promise<HttpResponse>> replies = requested.get(job);
+    List<Promise<HttpResponse>> replies = pendingReplies.get(job);
     if (replies == null) {
       return;
     }
     if (job.finalPhase == null) {
-      if (!allGoneInTime(job)) {
+      if (!allTasksEndInTime(job)) {
         return;
       }
       completions.decide(job, JobPhase.CANCELLED);
     }
-    requested.remove(job);
-    HttpResponse answer = HttpResponse.of(200, JobCodec.brief(job.spec.ref(), job.finalPhase));
+    pendingReplies.remove(job);
+    replyOnceEndPersisted(job, replies);
+  }
+
+  private void replyOnceEndPersisted(Job job, List<Promise<HttpResponse>> replies) {
+    HttpResponse response = HttpResponse.of(200, JobCodec.brief(job.spec.ref(), job.finalPhase));
+    Runnable completeAll = () -> replies.forEach(reply -> reply.tryComplete(response));
     if (job.endPersisted) {
-      replies.forEach(r -> r.tryComplete(answer));
+      completeAll.run();
     } else {
-      stateWriter.writeNow(
-          job, 0, RequestPriority.HIGH, () -> replies.forEach(r -> r.tryComplete(answer)));
+      stateWriter.writeNow(job, JobCompletions.FIRST_TASK, RequestPriority.HIGH, completeAll);
     }
   }
 
-  private boolean allGoneInTime(Job job) {
-    // What the commit and its answer may take counts as well: a tenth is far more than they do.
-    double by =
-        context.clock().now() + context.settings().workers().cancelS() * (0.9 - Settings.DRIFT);
-    for (Attempt attempt : job.openAttempts.values()) {
-      Machine machine = state.machines.get(attempt.machine);
-      if (machine == null
-          || agents.leaseExpiresBy(machine) > by
-          || attempt.mayYetStart(agents.tokenBase())) {
-        return false;
-      }
-    }
-    return true;
+  private boolean allTasksEndInTime(Job job) {
+    double deadline =
+        context.clock().now()
+            + context.settings().workers().cancelS() * (SHARE_FOR_TASKS - Settings.DRIFT);
+    return job.openAttempts.values().stream().allMatch(attempt -> endsBy(attempt, deadline));
+  }
+
+  private boolean endsBy(Attempt attempt, double deadline) {
+    Machine machine = state.machines.get(attempt.machine);
+    return machine != null
+        && agents.leaseExpiresBy(machine) <= deadline
+        && !attempt.mayYetStart(agents.tokenBase());
   }
 }
--- a/src/main/java/io/embernotch/jobs/JobCompletions.java
+++ b/src/main/java/io/embernotch/jobs/JobCompletions.java
@@ -9,51 +9,61 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import java.util.function.BiConsumer;
 
 /**
- * How jobs end: decided once, told once the store holds it, and let go when nothing of them is
- * left.
+ * The completion of jobs: decided once, made known once the store holds it, followed by the job's
+ * eviction from memory when nothing of it is open or unwritten. Owned by the leader's event loop.
  */
 public final class JobCompletions {
+  /** The task whose shard holds the end of its job. */
+  static final int FIRST_TASK = 0;
+
+  /** Learns which jobs have left the cluster state. */
+  public interface EvictionListener {
+    /** The job has ended, with no attempt open and nothing unwritten. */
+    void evicted(String ref, ClusterState.EndedJob end);
+  }
+
   private final ControllerContext context;
   private final ClusterState state;
   private final StateWriter stateWriter;
   private final DependencyGraph dependencyGraph;
-
-  /** Is told of ends with nothing open or unwritten behind them. */
-  private final BiConsumer<String, ClusterState.EndedJob> evicted;
+  private final EvictionListener listener;
 
   /** Jobs whose end is decided, until nothing of them is open or unwritten. */
   private final Set<Job> completing = new LinkedHashSet<>();
 
+  /** Completions of the jobs in {@code state}; nothing is completing before {@link #resume}. */
   public JobCompletions(
       ControllerContext context,
       ClusterState state,
       StateWriter stateWriter,
       DependencyGraph dependencyGraph,
-      BiConsumer<String, ClusterState.EndedJob> letGo) {
+      EvictionListener listener) {
     this.context = context;
     this.state = state;
     this.stateWriter = stateWriter;
     this.dependencyGraph = dependencyGraph;
-    this.evicted = letGo;
+    this.listener = listener;
   }
 
-  /** Ends that an earlier leader has decided. */
+  /** Takes over the completions that an earlier leader has decided. */
   public void resume() {
     completing.clear();
     state.jobs.values().stream().filter(job -> job.finalPhase != null).forEach(completing::add);
   }
 
-  /** Decides an end. Jobs that need this one learn of it when it is committed, not before. */
+  /**
+   * Decides how a job ends. Jobs that depend on it are released or cancelled when that is
+   * committed, not before.
+   */
   public void decide(Job job, JobPhase end) {
     job.finalPhase = end;
     job.endedMs = context.clock().wallMs();
     completing.add(job);
     stateWriter.writeNow(
         job,
-        0,
+        FIRST_TASK,
         RequestPriority.HIGH,
         () -> {
           job.endPersisted = true;
@@ -61,22 +71,24 @@
         });
   }
 
-  /** The end of a job follows from one that is kept; it is written for those who read the store. */
+  /**
+   * The end of a job follows from a persisted one of a dependency. It is written all the same, for
+   * those who read the store.
+   */
   public void completedByDependency(Job job) {
     completing.add(job);
-    stateWriter.writeSoon(job, 0);
+    stateWriter.writeSoon(job, FIRST_TASK);
   }
 
-  /** Nothing of a job that is told to be cancelled is left in a zone. */
+  /** Whether no attempt of a job whose cancellation is decided is open in a zone. */
   public boolean zoneHasNoCancelledTasks(String zone) {
     return completing.stream()
         .filter(job -> job.finalPhase == JobPhase.CANCELLED)
-        .allMatch(
-            job ->
-                job.openAttempts.values().stream().noneMatch(attempt -> attempt.zone.equals(zone)));
+        .flatMap(job -> job.openAttempts.values().stream())
+        .noneMatch(attempt -> attempt.zone.equals(zone));
   }
 
-  /** Lets go of jobs that have ended, once nothing of them is open or unwritten. */
+  /** Evicts jobs that have ended from memory, once nothing of them is open or unwritten. */
   public void evict() {
     for (Job job : List.copyOf(completing)) {
       if (job.openAttempts.isEmpty() && !stateWriter.isDirty(job)) {
@@ -85,7 +97,7 @@
         completing.remove(job);
         state.jobs.remove(ref);
         state.endedJobs.put(ref, end);
-        evicted.accept(ref, end);
+        listener.evicted(ref, end);
       }
     }
   }
--- a/src/main/java/io/embernotch/jobs/JobRequestHandler.java
+++ b/src/main/java/io/embernotch/jobs/JobRequestHandler.java
@@ -14,107 +14,127 @@
 import io.vertx.core.Promise;
 import java.util.function.BooleanSupplier;
 
-/** Answers what users ask the leader about their jobs. */
+/**
+ * Answers the leader's users about their jobs. Nothing is answered that the store does not hold, so
+ * that no later answer, by whichever controller, contradicts an earlier one. Owned by the leader's
+ * event loop.
+ */
 public final class JobRequestHandler {
-  /** What the answers need of the leader. */
+  /** A poll waits for a write for a heartbeat interval divided by this, at most. */
+  private static final int POLL_WAITS_PER_HEARTBEAT = 6;
+
+  /** What the handler needs of its leader. */
   public interface Host {
-    /** A job that the store holds and nobody has told the leader of. */
+    /** The store holds a job that the leader has not been notified of. */
     void jobFound(VersionedEntry job);
 
-    /** Has a job's tasks stopped, and answers once it is cancelled or done, or cannot be yet. */
+    /** Stops a job's tasks, and replies once it is cancelled or done, or cannot be yet. */
     void cancel(Job job, Promise<HttpResponse> reply);
 
+    /** Whether the leader has stopped, so that it must not take over jobs any more. */
     boolean isStopped();
 
-    /** Adds what else is to be told of a job that has not ended. */
+    /** Adds further fields to the status of a job that has not ended. */
     void describe(Job job, ObjectNode into);
   }
 
   private final ControllerContext context;
   private final ClusterState state;
   private final StateWriter stateWriter;
-  private final BooleanSupplier live;
+  private final BooleanSupplier leaseValid;
   private final Host host;
 
+  /** {@code leaseValid}: whether leadership is proven at this moment. */
   public JobRequestHandler(
       ControllerContext context,
       ClusterState state,
       StateWriter stateWriter,
-      BooleanSupplier live,
+      BooleanSupplier leaseValid,
       Host host) {
     this.context = context;
     this.state = state;
     this.stateWriter = stateWriter;
-    this.live = live;
+    this.leaseValid = leaseValid;
     this.host = host;
   }
 
+  /** Completes {@code reply} with the state of a job: 200, 404 if never accepted, or 503. */
   public void poll(String ref, Promise<HttpResponse> reply) {
     ClusterState.EndedJob ended = state.endedJobs.get(ref);
     if (ended != null) {
       reply.complete(HttpResponse.of(200, JobCodec.status(ref, ended.phase(), ended.done(), 0)));
       return;
     }
-    if (!live.getAsBoolean()) {
+    if (!leaseValid.getAsBoolean()) {
       reply.complete(HttpResponse.later("leadership is not proven"));
       return;
     }
     Job job = state.jobs.get(ref);
-    if (job == null && state.unreadable.contains(ref)) {
+    if (job != null) {
+      poll(job, reply);
+    } else if (state.unreadable.contains(ref)) {
       reply.complete(HttpResponse.of(200, JobCodec.status(ref, JobPhase.QUEUED, 0, 0)));
-    } else if (job == null) {
+    } else {
       lookUp(ref, reply, () -> poll(ref, reply));
-    } else if (job.finalPhase == null && job.blocked()) {
+    }
+  }
+
+  private void poll(Job job, Promise<HttpResponse> reply) {
+    String ref = job.spec.ref();
+    Runnable pollAgain = () -> pollUnlessAnswered(ref, reply);
+    if (job.finalPhase == null && job.blocked()) {
       reply.complete(HttpResponse.of(200, JobCodec.waiting(ref, job.unmetDependencies.size())));
     } else if (job.finalPhase != null && !job.endPersisted) {
-      // Its end may be in the store before we have the answer, and be told from there by another
-      // controller
-      // that we did not answer in time. So nothing older is told any more: a drawn run of losses
-      // once had
-      // a job done, then running, then done.
-      HttpResponse later = HttpResponse.later("its end is being written");
-      boolean waits = stateWriter.whenWritten(job, 0, () -> again(ref, reply));
-      context
-          .timers()
-          .after(
-              waits ? context.settings().workers().heartbeatIntervalS() / 6 : 0,
-              () -> reply.tryComplete(later));
-    } else if (job.finalPhase == null
-        && stateWriter.whenDoneMarksSettled(job, () -> again(ref, reply))) {
+      // Its end may be in the store before the commit is answered, and another controller that got
+      // no answer from here may report it from there. So no older state may be reported any more:
+      // a user would see the job done, then running, then done.
+      boolean waits = stateWriter.whenWritten(job, JobCompletions.FIRST_TASK, pollAgain);
+      replyLater(reply, waits ? pollPatienceS() : 0, "its end is being written");
+    } else if (job.finalPhase == null && stateWriter.whenDoneMarksSettled(job, pollAgain)) {
       // The same holds for the count of done tasks.
-      HttpResponse later = HttpResponse.later("what is done of it is being written");
-      context
-          .timers()
-          .after(
-              context.settings().workers().heartbeatIntervalS() / 6,
-              () -> reply.tryComplete(later));
+      replyLater(reply, pollPatienceS(), "what is done of it is being written");
     } else {
-      double answered =
-          context.clock().now() - context.settings().workers().heartbeatIntervalS() / 6;
-      JobPhase phase =
-          job.endPersisted
-              ? job.finalPhase
-              : job.mayRun(answered) ? JobPhase.RUNNING : JobPhase.QUEUED;
-      int done = (job.endPersisted ? job.done : job.persistedDone).cardinality();
-      reply.complete(
-          HttpResponse.of(
-              200,
-              job.failsEverywhere() && !job.endPersisted
-                  ? JobCodec.failing(ref, phase, done, job.runningCount(), job.errorMachines)
-                  : job.release != null && !job.endPersisted
-                      ? JobCodec.status(
-                          ref, phase, done, job.runningCount(), o -> host.describe(job, o))
-                      : JobCodec.status(ref, phase, done, job.runningCount())));
+      reply.complete(HttpResponse.of(200, status(job)));
     }
   }
 
-  private void again(String ref, Promise<HttpResponse> reply) {
+  private void pollUnlessAnswered(String ref, Promise<HttpResponse> reply) {
     if (!reply.future().isComplete()) {
       poll(ref, reply);
     }
   }
 
-  /** Only the store can tell that a job was never accepted. */
+  /** Tells the user to come back, unless the reply is completed within {@code delayS} seconds. */
+  private void replyLater(Promise<HttpResponse> reply, double delayS, String why) {
+    context.timers().after(delayS, () -> reply.tryComplete(HttpResponse.later(why)));
+  }
+
+  private double pollPatienceS() {
+    return context.settings().workers().heartbeatIntervalS() / POLL_WAITS_PER_HEARTBEAT;
+  }
+
+  /** The body of a status response; nothing of the job's end or done marks is being written. */
+  private byte[] status(Job job) {
+    String ref = job.spec.ref();
+    int running = job.runningCount();
+    if (job.endPersisted) {
+      return JobCodec.status(ref, job.finalPhase, job.done.cardinality(), running);
+    }
+    // A start command that has gone unanswered for as long as a poll may take may have arrived.
+    double sentBefore = context.clock().now() - pollPatienceS();
+    JobPhase phase =
+        running > 0 || job.startMayHaveArrived(sentBefore) ? JobPhase.RUNNING : JobPhase.QUEUED;
+    int done = job.persistedDone.cardinality();
+    if (job.failsEverywhere()) {
+      return JobCodec.failing(ref, phase, done, running, job.errorMachines);
+    }
+    if (job.release != null) {
+      return JobCodec.status(ref, phase, done, running, body -> host.describe(job, body));
+    }
+    return JobCodec.status(ref, phase, done, running);
+  }
+
+  /** Only the store can prove that a job was never accepted. */
   private void lookUp(String ref, Promise<HttpResponse> reply, Runnable found) {
     context
         .store()
@@ -133,6 +153,7 @@
         .onFailure(e -> reply.complete(HttpResponse.later("the state service does not answer")));
   }
 
+  /** Cancels a job; completes {@code reply} with its final phase, 404 or 503. */
   public void abort(String ref, Promise<HttpResponse> reply) {
     ClusterState.EndedJob ended = state.endedJobs.get(ref);
     if (ended != null) {
@@ -142,22 +163,21 @@
     Job job = state.jobs.get(ref);
     if (job == null) {
       lookUp(ref, reply, () -> abort(ref, reply));
-      return;
-    }
-    if (job.finalPhase == null) {
+    } else if (job.finalPhase == null) {
       host.cancel(job, reply);
-      return;
+    } else {
+      replyOnceEndPersisted(job, reply);
     }
-    HttpResponse answer = HttpResponse.of(200, JobCodec.brief(ref, job.finalPhase));
+  }
+
+  private void replyOnceEndPersisted(Job job, Promise<HttpResponse> reply) {
+    HttpResponse response = HttpResponse.of(200, JobCodec.brief(job.spec.ref(), job.finalPhase));
     if (job.endPersisted) {
-      reply.complete(answer);
-    } else {
-      stateWriter.writeNow(job, 0, RequestPriority.HIGH, () -> reply.tryComplete(answer));
-      context
-          .timers()
-          .after(
-              context.settings().workers().heartbeatIntervalS(),
-              () -> reply.tryComplete(HttpResponse.later("not in the store yet")));
+      reply.complete(response);
+      return;
     }
+    stateWriter.writeNow(
+        job, JobCompletions.FIRST_TASK, RequestPriority.HIGH, () -> reply.tryComplete(response));
+    replyLater(reply, context.settings().workers().heartbeatIntervalS(), "not in the store yet");
   }
 }
--- a/src/main/java/io/embernotch/model/Job.java
+++ b/src/main/java/io/embernotch/model/Job.java
@@ -176,15 +176,14 @@
   }
 
   /**
-   * Something of it runs or may run; a start that has been on its way since before {@code
-   * sentBefore} may have arrived.
+   * Whether a start command that was sent before {@code sentBefore}, in seconds of the steady
+   * clock, is still unanswered: it may have been carried out.
    */
-  public boolean mayRun(double sentBefore) {
+  public boolean startMayHaveArrived(double sentBefore) {
     return openAttempts.values().stream()
         .anyMatch(
             attempt ->
-                attempt.mayRun()
-                    || (attempt.launchState == Attempt.LaunchState.SENDING
-                        && attempt.createdAt < sentBefore));
+                attempt.launchState == Attempt.LaunchState.SENDING
+                    && attempt.createdAt < sentBefore);
   }
 }
--- a/src/main/java/io/embernotch/state/FailureAttribution.java
+++ b/src/main/java/io/embernotch/state/FailureAttribution.java
@@ -47,7 +47,7 @@
     Job job = attempt.job;
     double heartbeat = context.settings().workers().heartbeatIntervalS();
     machine.failures.merge(job.spec.ref(), 1, Integer::sum);
-    if (!succeeds(job)) {
+    if (!hasSucceeded(job)) {
       job.errorMachines.add(machine.name);
     }
     if (job.failsEverywhere()) {
@@ -69,7 +69,7 @@
   /**
    * A task was done: neither its machine nor its job is at fault. What failed the job elsewhere is.
    */
-  public void cleared(Job job, Machine machine) {
+  public void succeeded(Job job, Machine machine) {
     machine.errorStreak = 0;
     machine.failures.clear();
     if (job.errorMachines.isEmpty()) {
@@ -85,7 +85,7 @@
     return job.errorMachines.stream().map(state.machines::get).filter(Objects::nonNull).toList();
   }
 
-  private static boolean succeeds(Job job) {
+  private static boolean hasSucceeded(Job job) {
     return !job.done.isEmpty();
   }
 
@@ -95,7 +95,7 @@
     for (Map.Entry<String, Integer> e : machine.failures.entrySet()) {
       Job job = state.jobs.get(e.getKey());
       if (job != null && !job.failsEverywhere()) {
-        sum += !succeeds(job) ? UNKNOWN : e.getValue() >= OFTEN ? 1 : SOUND;
+        sum += !hasSucceeded(job) ? UNKNOWN : e.getValue() >= OFTEN ? 1 : SOUND;
       }
     }
     return sum;
--- a/src/test/java/io/embernotch/state/FailureAttributionTest.java
+++ b/src/test/java/io/embernotch/state/FailureAttributionTest.java
@@ -59,7 +59,7 @@
 
   private void succeed(int job, int machine) {
     job(job).done.set(39);
-    failureAttribution.cleared(job(job), machine(machine));
+    failureAttribution.succeeded(job(job), machine(machine));
   }
 
   /** A gang with a mistake had each machine returned on which its tasks failed three times. */
