--- a/src/main/java/io/embernotch/jobs/AttemptOutcomes.java
+++ b/src/main/java/io/embernotch/jobs/AttemptOutcomes.java
@@ -55,7 +55,7 @@
     this.state = state;
     this.stateWriter = stateWriter;
     this.completions = completions;
-    this.failureAttribution = new FailureAttribution(context, state);
+    this.failureAttribution = new FailureAttribution(context.settings(), state);
     this.performanceSamples = performanceSamples;
     this.attemptClosed = attemptClosed;
     this.clusterChanged = clusterChanged;
--- a/src/main/java/io/embernotch/state/ClusterOverview.java
+++ b/src/main/java/io/embernotch/state/ClusterOverview.java
@@ -7,46 +7,72 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Fleet and queue for operators. */
+/** The queue and the machines as a JSON document for operators. */
 public final class ClusterOverview {
+  /** What the queue holds of one job class. */
+  private static final class JobClassCounts {
+    int jobs;
+    int pendingTasks;
+    int runningTasks;
+    int openAttempts;
+
+    void add(Job job) {
+      jobs++;
+      pendingTasks += job.pendingCount();
+      runningTasks += job.runningCount();
+      openAttempts += job.openAttempts.size();
+    }
+
+    void writeTo(ObjectNode node) {
+      node.put("jobs", jobs)
+          .put("pending", pendingTasks)
+          .put("running", runningTasks)
+          .put("placed", openAttempts);
+    }
+  }
+
   private ClusterOverview() {}
 
-  public static ObjectNode of(ClusterState state, int waiting) {
-    ObjectNode o = Json.object();
-    Map<String, int[]> classes = new TreeMap<>();
+  /** The present overview; {@code blockedJobs} is how many jobs wait for their dependencies. */
+  public static ObjectNode of(ClusterState state, int blockedJobs) {
+    ObjectNode overview = Json.object();
+    writeQueue(state, overview.putObject("queue"));
+    writeMachines(state, overview.putObject("machines"));
+    overview.put("waiting_for_others", blockedJobs);
+    overview.put("ended", state.endedJobs.size());
+    return overview;
+  }
+
+  private static void writeQueue(ClusterState state, ObjectNode queue) {
+    Map<String, JobClassCounts> countsByClass = new TreeMap<>();
     for (Job job : state.jobs.values()) {
-      int[] c = classes.computeIfAbsent(job.spec.jobClass(), k -> new int[4]);
-      c[0]++;
-      c[1] += job.pendingCount();
-      c[2] += job.runningCount();
-      c[3] += job.openAttempts.size();
+      countsByClass.computeIfAbsent(job.spec.jobClass(), name -> new JobClassCounts()).add(job);
     }
-    ObjectNode queue = o.putObject("queue");
-    classes.forEach(
-        (name, c) ->
-            queue
-                .putObject(name)
-                .put("jobs", c[0])
-                .put("pending", c[1])
-                .put("running", c[2])
-                .put("placed", c[3]));
-    ObjectNode machines = o.putObject("machines");
+    countsByClass.forEach((name, counts) -> counts.writeTo(queue.putObject(name)));
+  }
+
+  private static void writeMachines(ClusterState state, ObjectNode machines) {
     for (Machine machine : state.machines.values()) {
-      ObjectNode n = machines.putObject(machine.name);
-      n.put("type", machine.type == null ? null : machine.type.name())
+      machines
+          .putObject(machine.name)
+          .put("type", machine.type == null ? null : machine.type.name())
           .put("zone", machine.zone)
-          .put("spot", machine.spot);
-      n.put(
-          "state",
-          machine.deleting
-              ? "returning"
-              : machine.failed
-                  ? "failed"
-                  : !machine.up() ? "booting" : machine.cordoned ? "cordoned" : "up");
-      n.put("tasks", machine.openAttempts.size());
+          .put("spot", machine.spot)
+          .put("state", stateOf(machine))
+          .put("tasks", machine.openAttempts.size());
+    }
+  }
+
+  private static String stateOf(Machine machine) {
+    if (machine.deleting) {
+      return "returning";
+    }
+    if (machine.failed) {
+      return "failed";
+    }
+    if (!machine.up()) {
+      return "booting";
     }
-    o.put("waiting_for_others", waiting);
-    o.put("ended", state.endedJobs.size());
-    return o;
+    return machine.cordoned ? "cordoned" : "up";
   }
 }
--- a/src/main/java/io/embernotch/state/ClusterState.java
+++ b/src/main/java/io/embernotch/state/ClusterState.java
@@ -14,52 +14,72 @@
 import java.util.TreeMap;
 import java.util.function.Function;
 
-/** Everything the leader knows: jobs, machines and the open attempts that tie them. */
+/**
+ * Everything a leader knows of the cluster: jobs, machines and the open attempts that connect them.
+ * Owned by the leader's event loop; not safe for use by other threads.
+ */
 public final class ClusterState {
-  /** A job that has ended, and whose every attempt is proven gone. */
+  /**
+   * A job that has ended, and whose every attempt is proven gone.
+   *
+   * @param phase DONE or CANCELLED
+   * @param tasks how many tasks the job has
+   * @param done how many of them were done
+   * @param atMs when the end was decided, in milliseconds of wall-clock time
+   */
   public record EndedJob(JobPhase phase, int tasks, int done, long atMs) {
+    /** The end of a job whose final phase is decided. */
     public static EndedJob of(Job job) {
       return new EndedJob(job.finalPhase, job.spec.tasks(), job.done.cardinality(), job.endedMs);
     }
   }
 
-  /** Jobs that have not ended, or still have open attempts. */
+  /** By id, in the order in which they became known: jobs with anything open or unwritten. */
   public final Map<String, Job> jobs = new LinkedHashMap<>();
 
+  /** By id: jobs that have ended and left {@link #jobs}. */
   public final Map<String, EndedJob> endedJobs = new HashMap<>();
 
-  /**
-   * Jobs that were accepted and whose description can't be read: they stay known, and can't run.
-   */
+  /** Ids of accepted jobs whose submission can't be read: they remain queued, and can't run. */
   public final Set<String> unreadable = new HashSet<>();
 
+  /** Machines by name. */
   public final Map<String, Machine> machines = new TreeMap<>();
+
+  /** Machine types by name, in the order of the configuration. */
   public final Map<String, MachineType> types = new LinkedHashMap<>();
 
+  /** How long the largest jobs wait under this leader. */
   public final LargestJobWaitTimes largestJobWaits = new LargestJobWaitTimes();
 
-  /** Sizes of images in GB, as far as jobs that need them have been seen to run. */
+  /** Sizes of images in GB, of those images whose jobs have been seen to run. */
   public final Map<String, Double> imageGb = new HashMap<>();
 
-  private Function<String, List<String>> images = n -> List.of();
+  private Function<String, List<String>> imageLookup = name -> List.of();
 
-  /** Where to learn which images a machine has that was rented before. */
-  public void setImageLookup(Function<String, List<String>> known) {
-    images = known;
+  /** Sets the source of the images that a machine, given by name, is known to have already. */
+  public void setImageLookup(Function<String, List<String>> imageLookup) {
+    this.imageLookup = imageLookup;
   }
 
+  /** The machine of this name; one not known yet is added with the given fencing token. */
   public Machine machine(String name, long token) {
     return machines.computeIfAbsent(
         name,
-        n -> {
-          Machine machine = new Machine(n);
+        key -> {
+          Machine machine = new Machine(key);
           machine.token = token;
-          machine.images.addAll(images.apply(n));
+          machine.images.addAll(imageLookup.apply(key));
           return machine;
         });
   }
 
-  /** Opens an attempt; the job's shards must then be committed before its start may be sent. */
+  /**
+   * Opens an attempt; the job's shard must be committed before its start command may be sent.
+   *
+   * @param number the attempt's number, never used before for this job
+   * @param now seconds of the steady clock
+   */
   public Attempt openAttempt(Job job, int task, long number, Machine machine, double now) {
     Attempt attempt = new Attempt(job, task, number, machine.name, machine.zone, machine.token);
     attempt.createdAt = now;
@@ -69,8 +89,13 @@
     return attempt;
   }
 
+  /**
+   * Removes an attempt from its job and its machine; does nothing to a later attempt of its task.
+   *
+   * @param now seconds of the steady clock
+   */
   public void closeAttempt(Attempt attempt, double now) {
-    if (attempt.job.openAttempts.get(attempt.task) == attempt) {
+    if (isOpen(attempt)) {
       attempt.job.openAttempts.remove(attempt.task);
     }
     Machine machine = machines.get(attempt.machine);
@@ -84,6 +109,7 @@
     }
   }
 
+  /** Whether the attempt has not been closed. */
   public static boolean isOpen(Attempt attempt) {
     return attempt.job.openAttempts.get(attempt.task) == attempt;
   }
--- a/src/main/java/io/embernotch/state/ClusterSummary.java
+++ b/src/main/java/io/embernotch/state/ClusterSummary.java
@@ -1,30 +1,57 @@
 package io.embernotch.state;
 
-import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
 import io.embernotch.model.JobShape;
 import io.embernotch.model.Machine;
 
-/** One line on fleet and queue for the log. */
+/** The machines and the queue in one line for the log. */
 public final class ClusterSummary {
-  private ClusterSummary() {}
+  /** Machines by what they do; each counts once. */
+  private static final class MachineCounts {
+    int booting;
+    int idle;
+    int withServices;
+    int withGangs;
+    int withArrays;
 
-  public static String of(ClusterState state) {
-    int[][] kinds = new int[2][5];
-    for (Machine machine : state.machines.values()) {
-      int[] k = kinds[machine.spot ? 1 : 0];
+    void add(Machine machine) {
       if (!machine.up()) {
-        k[0]++;
+        booting++;
       } else if (machine.openAttempts.isEmpty()) {
-        k[1]++;
+        idle++;
       } else if (has(machine, JobShape.SERVICE)) {
-        k[2]++;
+        withServices++;
       } else if (has(machine, JobShape.GANG)) {
-        k[3]++;
+        withGangs++;
       } else {
-        k[4]++;
+        withArrays++;
       }
     }
+
+    @Override
+    public String toString() {
+      return booting
+          + " booting, "
+          + idle
+          + " idle, "
+          + withServices
+          + " with services, "
+          + withGangs
+          + " with gangs, "
+          + withArrays
+          + " with arrays";
+    }
+  }
+
+  private ClusterSummary() {}
+
+  /** The present summary. */
+  public static String of(ClusterState state) {
+    MachineCounts ordinary = new MachineCounts();
+    MachineCounts spot = new MachineCounts();
+    for (Machine machine : state.machines.values()) {
+      (machine.spot ? spot : ordinary).add(machine);
+    }
     int pending = 0;
     int open = 0;
     for (Job job : state.jobs.values()) {
@@ -32,9 +59,9 @@
       open += job.openAttempts.size();
     }
     return "machines: ordinary "
-        + line(kinds[0])
+        + ordinary
         + "; spot "
-        + line(kinds[1])
+        + spot
         + "; tasks: "
         + open
         + " placed, "
@@ -42,25 +69,8 @@
         + " waiting";
   }
 
-  private static String line(int[] k) {
-    return k[0]
-        + " booting, "
-        + k[1]
-        + " idle, "
-        + k[2]
-        + " with services, "
-        + k[3]
-        + " with gangs, "
-        + k[4]
-        + " with arrays";
-  }
-
   private static boolean has(Machine machine, JobShape shape) {
-    for (Attempt attempt : machine.openAttempts.values()) {
-      if (attempt.job.spec.shape() == shape) {
-        return true;
-      }
-    }
-    return false;
+    return machine.openAttempts.values().stream()
+        .anyMatch(attempt -> attempt.job.spec.shape() == shape);
   }
 }
--- a/src/main/java/io/embernotch/state/DemandForecast.java
+++ b/src/main/java/io/embernotch/state/DemandForecast.java
@@ -17,72 +17,95 @@
 import java.util.function.Predicate;
 
 /**
- * What has been asked for lately, from which the room to keep free follows. While a machine boots,
- * jobs of a class come at its usual rate and as many end; what deviates from that must find room at
- * once. Jobs come independently and are of uneven size, so the variance of the tasks that come is
- * the sum of the squares of the jobs' sizes; the room kept is so many deviations.
+ * Recent demand by job class, and the headroom that follows from it. While a machine boots, jobs of
+ * a class arrive at its usual rate and as many end; what deviates from that must find free capacity
+ * at once. Jobs arrive independently and are of uneven size, so the variance of the tasks that
+ * arrive is the sum of the squares of the jobs' sizes; the headroom is a number of standard
+ * deviations.
  *
- * <p>How many follows from what they cost: the smaller a deviation is against all that runs, the
- * cheaper is another one, while a task that finds no room waits for a boot at any size. For a
- * normal deviation the best number grows with the root of the logarithm of that ratio.
+ * <p>That number follows from the costs: the smaller a deviation is compared with all that runs,
+ * the cheaper is one more of it, while a task that finds no free capacity waits for a boot at any
+ * size. For a normal distribution the best number grows with the root of the logarithm of that
+ * ratio.
  */
 public final class DemandForecast {
   /** Boot times over which the rate of a class is measured. */
   private static final double WINDOW_BOOTS = 4;
 
+  /** A job that became eligible at {@code at}, in seconds of the steady clock. */
   private record Arrival(double at, int tasks) {}
 
-  private static final class Kind {
+  /** The recent arrivals of a job class, oldest first. */
+  private static final class JobClassDemand {
     JobSpec latest;
     final Deque<Arrival> arrivals = new ArrayDeque<>();
+
+    void dropOlderThan(double ageS, double now) {
+      while (!arrivals.isEmpty() && now - arrivals.peekFirst().at > ageS) {
+        arrivals.removeFirst();
+      }
+    }
+
+    /** Standard deviation of the tasks that arrive in one boot time. */
+    double deviation() {
+      double squares =
+          arrivals.stream().mapToDouble(arrival -> (double) arrival.tasks * arrival.tasks).sum();
+      return Math.sqrt(squares / WINDOW_BOOTS);
+    }
   }
 
-  private final Predicate<JobSpec> patient;
-  private final Map<String, Kind> kinds = new LinkedHashMap<>();
+  private final Predicate<JobSpec> mayWaitForCapacity;
+  private final Map<String, JobClassDemand> demandByClass = new LinkedHashMap<>();
 
   /**
-   * @param patient no room is kept for such jobs: one of a guest's arrays had machines rented for
-   *     the next one like it
+   * @param mayWaitForCapacity for such jobs there is no headroom: otherwise a job that may itself
+   *     wait would have machines scaled out for the next one like it
    */
-  public DemandForecast(Predicate<JobSpec> patient) {
-    this.patient = patient;
+  public DemandForecast(Predicate<JobSpec> mayWaitForCapacity) {
+    this.mayWaitForCapacity = mayWaitForCapacity;
   }
 
-  /** A job came at {@code at}, by the steady clock; older ones first. */
+  /** A job became eligible at {@code at}, in seconds of the steady clock; to be called in order. */
   public void seen(JobSpec spec, double at) {
-    Kind k = kinds.computeIfAbsent(spec.jobClass(), c -> new Kind());
-    k.latest = spec;
-    k.arrivals.addLast(new Arrival(at, spec.tasks()));
+    JobClassDemand demand =
+        demandByClass.computeIfAbsent(spec.jobClass(), name -> new JobClassDemand());
+    demand.latest = spec;
+    demand.arrivals.addLast(new Arrival(at, spec.tasks()));
   }
 
+  /**
+   * The free capacity to keep for each class with recent arrivals.
+   *
+   * @param types all machine types, for the time that a boot takes
+   * @param jobs all jobs, for what is placed of each class
+   * @param now seconds of the steady clock
+   */
   public List<Headroom> headroom(
       OperatorSettings operator, Collection<MachineType> types, Collection<Job> jobs, double now) {
     Map<String, Integer> placed = new HashMap<>();
     jobs.forEach(job -> placed.merge(job.spec.jobClass(), job.openAttempts.size(), Integer::sum));
-    List<Headroom> out = new ArrayList<>();
-    for (Kind k : kinds.values()) {
-      double boot = bootS(k.latest, types);
-      double window = WINDOW_BOOTS * boot;
-      while (!k.arrivals.isEmpty() && now - k.arrivals.peekFirst().at > window) {
-        k.arrivals.removeFirst();
-      }
-      if (k.arrivals.isEmpty() || boot <= 0 || patient.test(k.latest)) {
+    List<Headroom> headroom = new ArrayList<>();
+    for (JobClassDemand demand : demandByClass.values()) {
+      JobSpec latest = demand.latest;
+      double bootS = bootS(latest, types);
+      demand.dropOlderThan(WINDOW_BOOTS * bootS, now);
+      if (demand.arrivals.isEmpty() || bootS <= 0 || mayWaitForCapacity.test(latest)) {
         continue;
       }
-      double squares = k.arrivals.stream().mapToDouble(a -> (double) a.tasks * a.tasks).sum();
-      double deviation = Math.sqrt(squares / WINDOW_BOOTS);
-      double ratio = placed.getOrDefault(k.latest.jobClass(), 0) / Math.max(1, deviation);
-      double spare = deviation * spares(operator, k.latest.shape()) * worth(ratio);
-      out.add(new Headroom(k.latest.withTasks(1), (int) Math.round(spare)));
+      double deviation = demand.deviation();
+      double ratio = placed.getOrDefault(latest.jobClass(), 0) / Math.max(1, deviation);
+      double tasks = deviation * configuredFactor(operator, latest.shape()) * costFactor(ratio);
+      headroom.add(new Headroom(latest.withTasks(1), (int) Math.round(tasks)));
     }
-    return out;
+    return headroom;
   }
 
-  private static double worth(double ratio) {
+  /** How many deviations pay off when {@code ratio} deviations are placed already; 1 at least. */
+  private static double costFactor(double ratio) {
     return ratio <= 1 ? 1 : Math.max(1, Math.sqrt(2 * Math.log(ratio)));
   }
 
-  private static double spares(OperatorSettings operator, JobShape shape) {
+  private static double configuredFactor(OperatorSettings operator, JobShape shape) {
     return switch (shape) {
       case ARRAY -> operator.arraySpare();
       case GANG -> operator.gangSpare();
@@ -90,6 +113,7 @@
     };
   }
 
+  /** The shortest boot of a type that fits, in seconds; 0 if none does. */
   private static double bootS(JobSpec spec, Collection<MachineType> types) {
     return types.stream()
         .filter(type -> type.fits(spec))
--- a/src/main/java/io/embernotch/state/FailureAttribution.java
+++ b/src/main/java/io/embernotch/state/FailureAttribution.java
@@ -1,9 +1,9 @@
 package io.embernotch.state;
 
-import io.embernotch.context.ControllerContext;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
 import io.embernotch.model.Machine;
+import io.embernotch.settings.Settings;
 import java.util.List;
 import java.util.Map;
 import java.util.Objects;
@@ -11,63 +11,90 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Who is at fault when tasks fail: a machine that fails whatever it starts, or a job that was
- * submitted with a mistake and fails wherever it goes. A job that failed on several machines and
- * nowhere succeeded is at fault, and its failures speak against no machine. A machine is at fault
- * once several jobs speak against it, those that succeed elsewhere more than those of which nothing
+ * Attributes task failures to machines or to jobs: a machine may fail whatever it starts, and a job
+ * that was submitted with a mistake fails on whatever machine it starts. A job that failed on
+ * several machines and succeeded on none is at fault, and its failures do not count against any
+ * machine. A machine is at fault, and is quarantined, once the failures of several jobs count
+ * against it; those of jobs that succeed elsewhere count more than those of jobs of which nothing
  * is known yet.
  *
- * <p>A single job once was enough to have a machine returned that it had failed on three times, so
- * a gang with a mistake cost a machine and a boot with each of its first tries.
+ * <p>One job alone must not be enough to have a machine replaced: a gang with a mistake would cost
+ * a machine and a boot with each of its first attempts.
+ *
+ * <p>Owned by the leader's event loop.
  */
 public final class FailureAttribution {
   private static final Logger LOG = LoggerFactory.getLogger(FailureAttribution.class);
-  private static final double EPS = 1e-6;
 
-  /**
-   * What a job's failures count that succeeds elsewhere, and one's of which that is not known; 1 is
-   * enough.
-   */
-  private static final double SOUND = 0.5;
+  /** From this weight on, the failures on a machine show that it is at fault. */
+  private static final double AT_FAULT = 1;
+
+  /** Weight of a job's failures on a machine if it succeeds elsewhere. */
+  private static final double SUCCEEDS_ELSEWHERE = 0.5;
+
+  /** Weight of a job's failures on a machine if it has not succeeded anywhere yet. */
+  private static final double NO_SUCCESS_YET = 1.0 / 3;
 
-  private static final double UNKNOWN = 1.0 / 3;
+  /** Makes up for rounding where weights that add up to {@link #AT_FAULT} are summed. */
+  private static final double ROUNDING = 1e-6;
 
-  /** As often must a job that succeeds elsewhere fail on a machine to be enough by itself. */
-  private static final int OFTEN = 3;
+  /** So many failures on a machine of one job that succeeds elsewhere are enough by themselves. */
+  private static final int REPEATED_FAILURES = 3;
 
-  private final ControllerContext context;
+  /** The backoff of a job doubles with each further machine it fails on, up to this often. */
+  private static final int MAX_JOB_DOUBLINGS = 5;
+
+  /** The backoff of a machine doubles with each failure in a row, up to this often. */
+  private static final int MAX_MACHINE_DOUBLINGS = 4;
+
+  private final Settings settings;
   private final ClusterState state;
 
-  public FailureAttribution(ControllerContext context, ClusterState state) {
-    this.context = context;
+  /** Attributes failures to the jobs and machines of {@code state}. */
+  public FailureAttribution(Settings settings, ClusterState state) {
+    this.settings = settings;
     this.state = state;
   }
 
+  /** A task has exited with an error at {@code now}, in seconds of the steady clock. */
   public void failed(Attempt attempt, Machine machine, double now) {
     Job job = attempt.job;
-    double heartbeat = context.settings().workers().heartbeatIntervalS();
     machine.failures.merge(job.spec.ref(), 1, Integer::sum);
     if (!hasSucceeded(job)) {
       job.errorMachines.add(machine.name);
     }
     if (job.failsEverywhere()) {
-      // Tried again with one task at a time, so what that costs is bounded however large the job
-      // is.
-      int again = job.errorMachines.size() - Job.MANY_MACHINES;
-      job.backoffUntil =
-          now
-              + Math.min(
-                  context.settings().workers().leaseS(), heartbeat * (1 << Math.min(5, again)));
-      excuse(job);
-      return;
+      job.backoffUntil = now + jobBackoffS(job);
+      clearMachinesOf(job);
+    } else {
+      machine.errorStreak++;
+      machine.avoidUntil = now + machineBackoffS(machine);
+      quarantineIfAtFault(machine);
     }
-    machine.errorStreak++;
-    machine.avoidUntil = now + heartbeat * (1 << Math.min(4, machine.errorStreak));
-    judge(machine);
   }
 
   /**
-   * A task was done: neither its machine nor its job is at fault. What failed the job elsewhere is.
+   * A job at fault is retried with one task at a time, so what its retries cost is bounded however
+   * large the job is.
+   */
+  private double jobBackoffS(Job job) {
+    int doublings = job.errorMachines.size() - Job.MANY_MACHINES;
+    return Math.min(
+        settings.workers().leaseS(),
+        heartbeatIntervalS() * (1 << Math.min(MAX_JOB_DOUBLINGS, doublings)));
+  }
+
+  private double machineBackoffS(Machine machine) {
+    return heartbeatIntervalS() * (1 << Math.min(MAX_MACHINE_DOUBLINGS, machine.errorStreak));
+  }
+
+  private double heartbeatIntervalS() {
+    return settings.workers().heartbeatIntervalS();
+  }
+
+  /**
+   * A task of the job was done on the machine, so neither is at fault. The machines that failed the
+   * job elsewhere are.
    */
   public void succeeded(Job job, Machine machine) {
     machine.errorStreak = 0;
@@ -75,13 +102,13 @@
     if (job.errorMachines.isEmpty()) {
       return;
     }
-    List<Machine> failedOn = machines(job);
+    List<Machine> failedOn = errorMachines(job);
     job.errorMachines.clear();
     job.backoffUntil = 0;
-    failedOn.forEach(this::judge);
+    failedOn.forEach(this::quarantineIfAtFault);
   }
 
-  private List<Machine> machines(Job job) {
+  private List<Machine> errorMachines(Job job) {
     return job.errorMachines.stream().map(state.machines::get).filter(Objects::nonNull).toList();
   }
 
@@ -89,20 +116,27 @@
     return !job.done.isEmpty();
   }
 
-  /** How much speaks against a machine; from 1 on it is enough. */
-  private double against(Machine machine) {
-    double sum = EPS;
-    for (Map.Entry<String, Integer> e : machine.failures.entrySet()) {
-      Job job = state.jobs.get(e.getKey());
+  /** The weight of all failures that count against a machine. */
+  private double failureWeight(Machine machine) {
+    double sum = ROUNDING;
+    for (Map.Entry<String, Integer> failures : machine.failures.entrySet()) {
+      Job job = state.jobs.get(failures.getKey());
       if (job != null && !job.failsEverywhere()) {
-        sum += !hasSucceeded(job) ? UNKNOWN : e.getValue() >= OFTEN ? 1 : SOUND;
+        sum += failureWeight(job, failures.getValue());
       }
     }
     return sum;
   }
 
-  private void judge(Machine machine) {
-    if (machine.cordoned || against(machine) < 1) {
+  private static double failureWeight(Job job, int failures) {
+    if (!hasSucceeded(job)) {
+      return NO_SUCCESS_YET;
+    }
+    return failures >= REPEATED_FAILURES ? AT_FAULT : SUCCEEDS_ELSEWHERE;
+  }
+
+  private void quarantineIfAtFault(Machine machine) {
+    if (machine.cordoned || failureWeight(machine) < AT_FAULT) {
       return;
     }
     LOG.info(
@@ -112,23 +146,23 @@
     machine.cordoned = true;
     for (String ref : machine.failures.keySet()) {
       Job job = state.jobs.get(ref);
-      // That it failed here is not its fault.
+      // That the job failed here no longer counts against it.
       if (job != null && job.errorMachines.remove(machine.name) && !job.failsEverywhere()) {
         job.backoffUntil = 0;
       }
     }
   }
 
-  /** The machines that this job failed on are as good as without it. */
-  private void excuse(Job job) {
+  /** The job is at fault: its failures no longer count against the machines it failed on. */
+  private void clearMachinesOf(Job job) {
     if (!job.failureLogged) {
       job.failureLogged = true;
       LOG.info("job {} fails wherever it goes: {}", job.spec.ref(), job.errorMachines);
     }
-    for (Machine machine : machines(job)) {
-      double left = against(machine);
-      machine.cordoned &= left >= 1;
-      if (left <= EPS) {
+    for (Machine machine : errorMachines(job)) {
+      double remaining = failureWeight(machine);
+      machine.cordoned &= remaining >= AT_FAULT;
+      if (remaining <= ROUNDING) {
         machine.errorStreak = 0;
         machine.avoidUntil = 0;
       }
--- a/src/main/java/io/embernotch/state/LargestJobWaitTimes.java
+++ b/src/main/java/io/embernotch/state/LargestJobWaitTimes.java
@@ -7,65 +7,84 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How long the largest jobs of each class, a tenth of them by tasks, wait until they begin, under
- * this leader.
+ * How long the largest jobs of each class, a tenth of them by number of tasks, wait until their
+ * first tasks start, under this leader.
  */
 public final class LargestJobWaitTimes {
-  private static final double PERCENTILE = 90;
-  private static final long MOST_TASKS = 100_000;
-  private static final long MOST_MS = 24 * 3600 * 1000L;
+  /** A job is large if its class has this percentage of smaller ones. */
+  private static final double LARGE_PERCENTILE = 90;
 
-  private static final class Kind {
-    final Histogram sizes = new Histogram(MOST_TASKS, 2);
-    final Histogram waits = new Histogram(MOST_MS, 2);
+  private static final long MAX_TASKS = 100_000;
+  private static final long MAX_WAIT_MS = 24 * 3600 * 1000L;
+  private static final int SIGNIFICANT_DIGITS = 2;
 
-    boolean large(Job job) {
+  /** Sizes of all jobs of a class that have started, and waits of the large ones. */
+  private static final class JobClassWaits {
+    final Histogram sizes = new Histogram(MAX_TASKS, SIGNIFICANT_DIGITS);
+    final Histogram waitsMs = new Histogram(MAX_WAIT_MS, SIGNIFICANT_DIGITS);
+
+    boolean isLarge(Job job) {
       return sizes.getTotalCount() == 0
-          || job.spec.tasks() >= sizes.getValueAtPercentile(PERCENTILE);
+          || job.spec.tasks() >= sizes.getValueAtPercentile(LARGE_PERCENTILE);
+    }
+
+    void appendTo(StringBuilder line) {
+      line.append(waitsMs.getTotalCount())
+          .append(": p50 ")
+          .append(waitsMs.getValueAtPercentile(50))
+          .append(", p99 ")
+          .append(waitsMs.getValueAtPercentile(99))
+          .append(", max ")
+          .append(waitsMs.getMaxValue())
+          .append(" ms");
     }
   }
 
-  private final Map<String, Kind> kinds = new TreeMap<>();
+  private final Map<String, JobClassWaits> waitsByClass = new TreeMap<>();
 
-  /** The first tasks of a job are being started. */
+  /** The first tasks of a job are being started, at {@code wallMs} of wall-clock time. */
   public void begins(Job job, long wallMs) {
-    Kind k = kinds.computeIfAbsent(job.spec.jobClass(), c -> new Kind());
-    k.sizes.recordValue(Math.min(MOST_TASKS, Math.max(1, job.spec.tasks())));
-    if (k.large(job)) {
-      k.waits.recordValue(Math.min(MOST_MS, Math.max(0, wallMs - job.eligibleSinceMs)));
+    JobClassWaits waits =
+        waitsByClass.computeIfAbsent(job.spec.jobClass(), name -> new JobClassWaits());
+    waits.sizes.recordValue(Math.min(MAX_TASKS, Math.max(1, job.spec.tasks())));
+    if (waits.isLarge(job)) {
+      waits.waitsMs.recordValue(Math.min(MAX_WAIT_MS, Math.max(0, wallMs - job.eligibleSinceMs)));
     }
   }
 
-  /** One line on all classes, those that still wait included; null if none has begun. */
+  /**
+   * One line on all classes, with the longest wait among large {@code jobs} that still wait at
+   * {@code wallMs}; null if no job has started.
+   */
   public String line(Collection<Job> jobs, long wallMs) {
-    Map<String, Long> waiting = new TreeMap<>();
+    Map<String, Long> longestWaitMs = longestPresentWaitsMs(jobs, wallMs);
+    StringBuilder line = new StringBuilder();
+    waitsByClass.forEach(
+        (name, waits) -> {
+          line.append(line.isEmpty() ? "" : "; ").append(name).append(' ');
+          waits.appendTo(line);
+          if (longestWaitMs.containsKey(name)) {
+            line.append(", one waits since ").append(longestWaitMs.get(name)).append(" ms");
+          }
+        });
+    return line.isEmpty() ? null : line.toString();
+  }
+
+  private Map<String, Long> longestPresentWaitsMs(Collection<Job> jobs, long wallMs) {
+    Map<String, Long> longest = new TreeMap<>();
     for (Job job : jobs) {
-      Kind k = kinds.get(job.spec.jobClass());
-      boolean waits =
-          job.pendingCount() > 0
-              && job.openAttempts.isEmpty()
-              && job.done.isEmpty()
-              && job.restartedTasks.isEmpty();
-      if (k != null && waits && k.large(job)) {
-        waiting.merge(job.spec.jobClass(), wallMs - job.eligibleSinceMs, Math::max);
+      JobClassWaits waits = waitsByClass.get(job.spec.jobClass());
+      if (waits != null && isWaitingToStart(job) && waits.isLarge(job)) {
+        longest.merge(job.spec.jobClass(), wallMs - job.eligibleSinceMs, Math::max);
       }
     }
-    StringBuilder s = new StringBuilder();
-    kinds.forEach(
-        (name, k) -> {
-          s.append(s.isEmpty() ? "" : "; ")
-              .append(name)
-              .append(' ')
-              .append(k.waits.getTotalCount());
-          s.append(": p50 ")
-              .append(k.waits.getValueAtPercentile(50))
-              .append(", p99 ")
-              .append(k.waits.getValueAtPercentile(99));
-          s.append(", max ").append(k.waits.getMaxValue()).append(" ms");
-          if (waiting.containsKey(name)) {
-            s.append(", one waits since ").append(waiting.get(name)).append(" ms");
-          }
-        });
-    return s.isEmpty() ? null : s.toString();
+    return longest;
+  }
+
+  private static boolean isWaitingToStart(Job job) {
+    return job.pendingCount() > 0
+        && job.openAttempts.isEmpty()
+        && job.done.isEmpty()
+        && job.restartedTasks.isEmpty();
   }
 }
--- a/src/test/java/io/embernotch/state/FailureAttributionTest.java
+++ b/src/test/java/io/embernotch/state/FailureAttributionTest.java
@@ -2,69 +2,56 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import io.embernotch.actor.EventLoopProfile;
 import io.embernotch.codec.JobCodec;
 import io.embernotch.codec.Json;
-import io.embernotch.context.ControllerContext;
 import io.embernotch.model.Job;
 import io.embernotch.model.Machine;
-import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.SettingsReader;
 import io.embernotch.testkit.FakeTime;
 import io.embernotch.testkit.SimulatedCluster;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Jobs with a mistake, sick machines, and both at once. */
+/** Which of jobs and machines is found at fault when jobs have mistakes, machines fail, or both. */
 class FailureAttributionTest {
   private final FakeTime time = new FakeTime();
   private final ClusterState state = new ClusterState();
   private final FailureAttribution failureAttribution =
-      new FailureAttribution(
-          new ControllerContext(
-              SettingsReader.parse(SimulatedCluster.toml(0)),
-              OperatorSettings.DEFAULTS,
-              time,
-              time,
-              time,
-              EventLoopProfile.NONE,
-              null,
-              null,
-              null,
-              null,
-              null),
-          state);
+      new FailureAttribution(SettingsReader.parse(SimulatedCluster.toml(0)), state);
 
-  private Job job(int i) {
+  private Job job(int number) {
     return state.jobs.computeIfAbsent(
-        "j-" + i,
+        "j-" + number,
         ref ->
             new Job(
                 JobCodec.read(Json.parseObject(SimulatedCluster.job(ref, "array", 40).getBytes())),
                 0));
   }
 
-  private Machine machine(int i) {
-    return state.machine("n-" + i, 0);
+  private Machine machine(int number) {
+    return state.machine("n-" + number, 0);
   }
 
-  private void fail(int job, int machineNumber) {
+  private void fail(int jobNumber, int machineNumber) {
+    Job job = job(jobNumber);
     Machine machine = machine(machineNumber);
     machine.zone = "z1";
     failureAttribution.failed(
-        state.openAttempt(job(job), job(job).openAttempts.size(), 1, machine, time.now()),
+        state.openAttempt(job, job.openAttempts.size(), 1, machine, time.now()),
         machine,
         time.now());
   }
 
-  private void succeed(int job, int machine) {
-    job(job).done.set(39);
-    failureAttribution.succeeded(job(job), machine(machine));
+  private void succeed(int jobNumber, int machineNumber) {
+    job(jobNumber).done.set(39);
+    failureAttribution.succeeded(job(jobNumber), machine(machineNumber));
   }
 
-  /** A gang with a mistake had each machine returned on which its tasks failed three times. */
+  /**
+   * Otherwise a gang with a mistake has each machine replaced on which its tasks fail repeatedly.
+   */
   @Test
-  void jobsWithAMistakeHaveNoMachineReturnedHoweverOftenTheyFail() {
+  void jobsWithAMistakeQuarantineNoMachineHoweverOftenTheyFail() {
     for (int job = 1; job <= 12; job++) {
       for (int task = 0; task < 12; task++) {
         fail(job, task / 3 + job);
@@ -76,8 +63,8 @@
   }
 
   @Test
-  void aSickMachineIsFoundAmongJobsWithAMistake() {
-    IntStream.range(1, 4).forEach(m -> fail(1, m));
+  void aFailingMachineIsFoundAmongJobsWithAMistake() {
+    IntStream.range(1, 4).forEach(machine -> fail(1, machine));
     fail(2, 1);
     fail(3, 1);
     assertThat(machine(1).cordoned).isFalse();
@@ -87,15 +74,12 @@
     assertThat(job(4).errorMachines).isEmpty();
   }
 
-  /**
-   * Among many sick machines a sound job fails on several as well; once it succeeds, they are
-   * known.
-   */
+  /** Among many failing machines a correct job fails on several, until it succeeds on another. */
   @Test
-  void aSoundJobThatFailedOnManySickMachinesSpeaksAgainstThemOnceItSucceeds() {
-    for (int m = 1; m <= 5; m++) {
+  void machinesThatFailedACorrectJobAreQuarantinedOnceItSucceeds() {
+    for (int machine = 1; machine <= 5; machine++) {
       for (int task = 0; task < 3; task++) {
-        fail(1, m);
+        fail(1, machine);
       }
     }
     assertThat(job(1).failsEverywhere()).isTrue();
@@ -103,12 +87,12 @@
     succeed(1, 9);
     assertThat(job(1).failsEverywhere()).isFalse();
     assertThat(job(1).backoffUntil).isZero();
-    assertThat(IntStream.range(1, 6)).allMatch(m -> machine(m).cordoned);
+    assertThat(IntStream.range(1, 6)).allMatch(machine -> machine(machine).cordoned);
     assertThat(machine(9).cordoned).isFalse();
   }
 
   @Test
-  void aMachineThatSucceedsIsClearedOfAll() {
+  void aMachineThatSucceedsIsClearedOfAllFailures() {
     fail(1, 1);
     fail(2, 1);
     succeed(3, 1);
--- a/src/test/java/io/embernotch/state/LargestJobWaitTimesTest.java
+++ b/src/test/java/io/embernotch/state/LargestJobWaitTimesTest.java
@@ -9,15 +9,17 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Which waits of jobs the status line of {@link LargestJobWaitTimes} contains. */
 class LargestJobWaitTimesTest {
-  private static Job job(int n, int tasks) {
+  private static Job job(int number, int tasks) {
     return new Job(
-        JobCodec.read(Json.parseObject(SimulatedCluster.job("j-" + n, "array", tasks).getBytes())),
+        JobCodec.read(
+            Json.parseObject(SimulatedCluster.job("j-" + number, "array", tasks).getBytes())),
         1000);
   }
 
   @Test
-  void onlyTheLargestTenthOfAClassCountsAndWhatStillWaitsIsTold() {
+  void onlyTheLargestTenthOfAClassCountsAndPresentWaitsAreIncluded() {
     LargestJobWaitTimes largestJobWaits = new LargestJobWaitTimes();
     assertThat(largestJobWaits.line(List.of(), 0)).isNull();
     for (int i = 0; i < 100; i++) {
