--- a/src/main/java/io/embernotch/api/CompletedJobCache.java
+++ b/src/main/java/io/embernotch/api/CompletedJobCache.java
@@ -6,31 +6,37 @@
 import io.embernotch.model.JobPhase;
 import java.util.Map;
 
-/** Ends that are known to be in the store; they never change, so any node may repeat them. */
+/**
+ * Ends of jobs that are known to be in the store. They never change, so any controller may repeat
+ * them. Owned by the controller's event loop.
+ */
 public final class CompletedJobCache {
-  private static final int MOST = 10_000;
+  private static final int MAX_JOBS = 10_000;
 
-  private record End(JobPhase phase, int done) {}
+  private record CompletedJob(JobPhase phase, int done) {}
 
-  private final Map<String, End> ends = new LeastRecentlyUsed<>(MOST);
+  private final Map<String, CompletedJob> completed = new LeastRecentlyUsed<>(MAX_JOBS);
 
+  /** Adds a job that has ended, with the number of its tasks that are done. */
   public void put(String ref, JobPhase phase, int done) {
-    ends.put(ref, new End(phase, done));
+    completed.put(ref, new CompletedJob(phase, done));
   }
 
-  /** The end of a job; null if none is known. */
-  public JobPhase phase(String ref) {
-    End e = ends.get(ref);
-    return e == null ? null : e.phase;
+  /** Whether the job is known to be done. */
+  boolean isDone(String ref) {
+    CompletedJob job = completed.get(ref);
+    return job != null && job.phase == JobPhase.DONE;
   }
 
+  /** The response to a poll; null if no end of the job is known. */
   public HttpResponse status(String ref) {
-    End e = ends.get(ref);
-    return e == null ? null : HttpResponse.of(200, JobCodec.status(ref, e.phase, e.done, 0));
+    CompletedJob job = completed.get(ref);
+    return job == null ? null : HttpResponse.of(200, JobCodec.status(ref, job.phase, job.done, 0));
   }
 
+  /** The response to a submission or a cancellation; null if no end of the job is known. */
   public HttpResponse brief(String ref) {
-    End e = ends.get(ref);
-    return e == null ? null : HttpResponse.of(200, JobCodec.brief(ref, e.phase));
+    CompletedJob job = completed.get(ref);
+    return job == null ? null : HttpResponse.of(200, JobCodec.brief(ref, job.phase));
   }
 }
--- a/src/main/java/io/embernotch/api/DependencyValidator.java
+++ b/src/main/java/io/embernotch/api/DependencyValidator.java
@@ -11,71 +11,80 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.Objects;
+import java.util.Optional;
 import java.util.function.Supplier;
 
 /**
- * Checks the jobs that a submission names. That one was never accepted only the store can tell;
- * that it was, and whether it is a service, never changes, so it is read once.
+ * Checks the dependencies that a submission names. Only the store can prove that one was never
+ * accepted; that it was, and whether it is a service, never changes, so that is read once. Owned by
+ * the controller's event loop.
  */
-public final class DependencyValidator {
-  private static final int MOST = 20_000;
+final class DependencyValidator {
+  private static final int MAX_CACHED_JOBS = 20_000;
 
   private final ControllerContext context;
-  private final Supplier<BaseSnapshot> base;
+  private final Supplier<BaseSnapshot> baseSnapshot;
 
-  /** Accepted jobs, and whether they are services. */
-  private final Map<String, Boolean> accepted = new LeastRecentlyUsed<>(MOST);
+  /** By id: accepted jobs, and whether they are services. */
+  private final Map<String, Boolean> services = new LeastRecentlyUsed<>(MAX_CACHED_JOBS);
 
-  /** {@code base}: what the present incarnation began with. */
-  public DependencyValidator(ControllerContext context, Supplier<BaseSnapshot> base) {
+  /** {@code baseSnapshot}: what the present store incarnation began with. */
+  DependencyValidator(ControllerContext context, Supplier<BaseSnapshot> baseSnapshot) {
     this.context = context;
-    this.base = base;
+    this.baseSnapshot = baseSnapshot;
   }
 
-  /** A job is in the store. */
-  public void accepted(JobSpec spec) {
-    accepted.put(spec.ref(), spec.shape() == JobShape.SERVICE);
+  /** The job is in the store. */
+  void accepted(JobSpec spec) {
+    services.put(spec.ref(), spec.shape() == JobShape.SERVICE);
   }
 
-  /** The job was seen in the store. */
-  public boolean knows(String ref) {
-    return accepted.containsKey(ref);
+  /** Whether the job was seen in the store. */
+  boolean knows(String ref) {
+    return services.containsKey(ref);
   }
 
-  /** Why the job can never run, or null; fails if the store does not tell. */
-  public Future<String> neverRuns(JobSpec job) {
-    List<Future<String>> all = new ArrayList<>();
+  /**
+   * Why the job can never run, in words for its user; empty if it can. Fails if the store does not
+   * answer.
+   */
+  Future<Optional<String>> rejectionReason(JobSpec job) {
+    List<Future<Optional<String>>> checks = new ArrayList<>();
     for (String ref : job.dependencies()) {
       if (ref.equals(job.ref())) {
-        return Future.succeededFuture("awaits itself, " + ref);
+        return Future.succeededFuture(Optional.of("awaits itself, " + ref));
       }
-      Boolean known = accepted.get(ref);
-      all.add(known != null ? Future.succeededFuture(complaint(ref, known)) : read(ref));
+      checks.add(check(ref));
     }
-    return Future.all(all)
-        .map(
-            f ->
-                all.stream().map(Future::result).filter(Objects::nonNull).findFirst().orElse(null));
+    return Future.all(checks)
+        .map(all -> checks.stream().map(Future::result).flatMap(Optional::stream).findFirst());
+  }
+
+  private Future<Optional<String>> check(String ref) {
+    Boolean service = services.get(ref);
+    return service != null
+        ? Future.succeededFuture(rejectionReason(ref, service))
+        : readAndCheck(ref);
   }
 
-  private Future<String> read(String ref) {
-    if (base.get().ended(ref) != null) {
-      // Only its end is left; a service that has ended was cancelled, and so is what awaits it.
-      return Future.succeededFuture(null);
+  private Future<Optional<String>> readAndCheck(String ref) {
+    if (baseSnapshot.get().ended(ref) != null) {
+      // Only its end is left. A service that has ended was cancelled, and so is what depends on it.
+      return Future.succeededFuture(Optional.empty());
     }
-    return PersistedJob.submission(context.store(), base.get(), ref)
+    return PersistedJob.submission(context.store(), baseSnapshot.get(), ref)
         .map(
             entry -> {
               if (!entry.present()) {
-                return "awaits " + ref + ", which was never accepted";
+                return Optional.of("awaits " + ref + ", which was never accepted");
               }
-              accepted(JobProgressCodec.readJob(entry.value()).spec);
-              return complaint(ref, accepted.get(ref));
+              JobSpec spec = JobProgressCodec.readJob(entry.value()).spec;
+              accepted(spec);
+              return rejectionReason(ref, spec.shape() == JobShape.SERVICE);
             });
   }
 
-  private static String complaint(String ref, boolean service) {
-    return service ? "awaits " + ref + ", which is a service" : null;
+  private static Optional<String> rejectionReason(String ref, boolean service) {
+    return service ? Optional.of("awaits " + ref + ", which is a service") : Optional.empty();
   }
 }
--- a/src/main/java/io/embernotch/api/PersistedStatus.java
+++ b/src/main/java/io/embernotch/api/PersistedStatus.java
@@ -12,103 +12,118 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashSet;
-import java.util.List;
 import java.util.Set;
 import java.util.function.Supplier;
 
 /**
- * The state of a job as the store alone tells it, while no leader answers. The store answers with
- * the newest it was told, so any node may pass that on: no older answer than one already given can
- * come of it.
+ * The status of a job as the store alone proves it, while no leader answers. Reads of the store are
+ * linearizable, so any controller may pass the result on: it cannot be older than a status that was
+ * given before.
  *
- * <p>A job is cancelled as soon as one before it is, though its own end may not be written yet. So
- * what it awaits is read too, up to a number of jobs; beyond that the user is told to come back.
+ * <p>A job is cancelled as soon as one of its dependencies is, though its own end may not be
+ * written yet. So the dependencies are read too, up to a number of jobs; beyond that the user is
+ * told to come back. Owned by the controller's event loop.
  */
 public final class PersistedStatus {
-  /** So many jobs before one are read for one answer. */
-  private static final int MOST_BEFORE = 8;
+  /** So many direct and indirect dependencies are read for one response. */
+  private static final int MAX_DEPENDENCY_READS = 8;
 
   private final ControllerContext context;
-  private final CompletedJobCache ended;
-  private final Supplier<BaseSnapshot> base;
+  private final CompletedJobCache completedJobs;
+  private final Supplier<BaseSnapshot> baseSnapshot;
 
+  /**
+   * @param completedJobs receives the ends of jobs that are read
+   * @param baseSnapshot what the present store incarnation began with
+   */
   public PersistedStatus(
-      ControllerContext context, CompletedJobCache ended, Supplier<BaseSnapshot> base) {
-    this.base = base;
+      ControllerContext context,
+      CompletedJobCache completedJobs,
+      Supplier<BaseSnapshot> baseSnapshot) {
     this.context = context;
-    this.ended = ended;
+    this.completedJobs = completedJobs;
+    this.baseSnapshot = baseSnapshot;
   }
 
-  /** The answer to a poll: 200, 404 or 503. */
+  /** The response to a poll: 200, 404 or 503. */
   public Future<HttpResponse> of(String ref) {
-    ClusterState.EndedJob left = base.get().ended(ref);
-    if (left != null) {
-      ended.put(ref, left.phase(), left.done());
-      return answer(ended.status(ref));
+    ClusterState.EndedJob ended = baseSnapshot.get().ended(ref);
+    if (ended != null) {
+      completedJobs.put(ref, ended.phase(), ended.done());
+      return Future.succeededFuture(completedJobs.status(ref));
     }
-    return PersistedJob.read(context.store(), base.get(), ref)
-        .compose(
-            job -> {
-              if (job == null) {
-                return answer(HttpResponse.error(404, "no such job"));
-              }
-              if (job.finalPhase != null) {
-                return answer(told(job, job.finalPhase));
-              }
-              return before(
-                  job,
-                  new ArrayDeque<>(job.spec.dependencies()),
-                  new HashSet<>(job.spec.dependencies()),
-                  0);
-            })
+    return PersistedJob.read(context.store(), baseSnapshot.get(), ref)
+        .compose(this::statusOf)
         .otherwise(e -> HttpResponse.later("the state service does not answer"));
   }
 
-  /** Reads what is before a job, the nearest first. */
-  private Future<HttpResponse> before(Job job, Deque<String> left, Set<String> seen, int read) {
-    if (left.isEmpty()) {
-      return answer(told(job, job.openAttempts.isEmpty() ? JobPhase.QUEUED : JobPhase.RUNNING));
+  /** {@code job} is null if it was never accepted. */
+  private Future<HttpResponse> statusOf(Job job) {
+    if (job == null) {
+      return Future.succeededFuture(HttpResponse.error(404, "no such job"));
     }
-    if (read == MOST_BEFORE) {
-      return answer(HttpResponse.later("too many jobs before this one, and no steward"));
+    if (job.finalPhase != null) {
+      return status(job, job.finalPhase);
     }
-    String next = left.poll();
-    ClusterState.EndedJob ofBase = base.get().ended(next);
-    if (ofBase != null && ofBase.phase() == JobPhase.CANCELLED) {
-      return answer(told(job, JobPhase.CANCELLED));
-    }
-    if (ofBase != null || ended.phase(next) == JobPhase.DONE) {
-      return before(job, left, seen, read);
-    }
-    return PersistedJob.read(context.store(), base.get(), next)
-        .compose(
-            other -> {
-              if (other != null && other.finalPhase == JobPhase.CANCELLED) {
-                return answer(told(job, JobPhase.CANCELLED));
-              }
-              if (other != null && other.finalPhase == JobPhase.DONE) {
-                ended.put(next, JobPhase.DONE, other.done.cardinality());
-              }
-              // All that was before a job that is done is done too.
-              List<String> more =
-                  other == null || other.finalPhase == JobPhase.DONE
-                      ? List.of()
-                      : other.spec.dependencies();
-              more.stream().filter(seen::add).forEach(left::add);
-              return before(job, left, seen, read + 1);
-            });
+    return new DependencySearch(job).run();
   }
 
-  private HttpResponse told(Job job, JobPhase phase) {
+  private Future<HttpResponse> status(Job job, JobPhase phase) {
+    int done = job.done.cardinality();
     if (phase.isFinal()) {
-      ended.put(job.spec.ref(), phase, job.done.cardinality());
+      completedJobs.put(job.spec.ref(), phase, done);
     }
     int running = phase == JobPhase.RUNNING ? job.openAttempts.size() : 0;
-    return HttpResponse.of(
-        200, JobCodec.status(job.spec.ref(), phase, job.done.cardinality(), running));
+    return Future.succeededFuture(
+        HttpResponse.of(200, JobCodec.status(job.spec.ref(), phase, done, running)));
   }
 
-  private static Future<HttpResponse> answer(HttpResponse a) {
-    return Future.succeededFuture(a);
+  /** A breadth-first search for a cancelled dependency of a job that has no end of its own. */
+  private final class DependencySearch {
+    private final Job job;
+    private final Deque<String> queue;
+    private final Set<String> seen;
+    private int reads;
+
+    DependencySearch(Job job) {
+      this.job = job;
+      this.queue = new ArrayDeque<>(job.spec.dependencies());
+      this.seen = new HashSet<>(job.spec.dependencies());
+    }
+
+    Future<HttpResponse> run() {
+      if (queue.isEmpty()) {
+        return status(job, job.openAttempts.isEmpty() ? JobPhase.QUEUED : JobPhase.RUNNING);
+      }
+      if (reads == MAX_DEPENDENCY_READS) {
+        return Future.succeededFuture(
+            HttpResponse.later("too many jobs before this one, and no steward"));
+      }
+      String ref = queue.poll();
+      ClusterState.EndedJob ended = baseSnapshot.get().ended(ref);
+      if (ended != null && ended.phase() == JobPhase.CANCELLED) {
+        return status(job, JobPhase.CANCELLED);
+      }
+      if (ended != null || completedJobs.isDone(ref)) {
+        return run();
+      }
+      return PersistedJob.read(context.store(), baseSnapshot.get(), ref)
+          .compose(dependency -> visit(ref, dependency));
+    }
+
+    /** {@code dependency} is null if the store does not hold it. */
+    private Future<HttpResponse> visit(String ref, Job dependency) {
+      reads++;
+      if (dependency != null && dependency.finalPhase == JobPhase.CANCELLED) {
+        return status(job, JobPhase.CANCELLED);
+      }
+      if (dependency != null && dependency.finalPhase == JobPhase.DONE) {
+        // All dependencies of a job that is done are done too, so they need not be read.
+        completedJobs.put(ref, JobPhase.DONE, dependency.done.cardinality());
+      } else if (dependency != null) {
+        dependency.spec.dependencies().stream().filter(seen::add).forEach(queue::add);
+      }
+      return run();
+    }
   }
 }
--- a/src/main/java/io/embernotch/api/PollRateLimiter.java
+++ b/src/main/java/io/embernotch/api/PollRateLimiter.java
@@ -9,62 +9,75 @@
 import java.util.Map;
 
 /**
- * Which polls are answered where more come than a node can ask the leader about. A job whose every
- * question is refused for {@link #FORGOTTEN_S} is as good as forgotten, so who is refused must not
- * be left to chance: the fewer polls can still be answered, the longer a job must have gone without
- * an answer here to get one. With {@code n} jobs polled at a node that can answer {@code c} polls a
- * second that is n/c seconds at most, and a poll's interval on top.
+ * Selects the polls to answer where more arrive than a controller can ask the leader about. A job
+ * whose every poll is refused for {@link #FORGOTTEN_S} counts as forgotten, so which polls are
+ * refused must not be left to chance: the fewer polls can still be answered, the longer a job must
+ * have gone without an answer here to get one. With {@code n} jobs polled at a controller that can
+ * answer {@code c} polls a second, that is n/c seconds at most, plus one interval of the job's
+ * polls. Owned by the controller's event loop.
  */
 public final class PollRateLimiter {
   /** Seconds without an answer after which the operators count a job as forgotten. */
   public static final double FORGOTTEN_S = 75;
 
-  /** So much of it a job may have to wait where nearly nothing can be answered any more. */
-  private static final double MOST_SHARE = 0.9;
+  /** The longest that a job may have to wait, where nearly nothing can be answered any more. */
+  private static final double MAX_WAIT_S = 0.9 * FORGOTTEN_S;
 
-  /** While so much of the burst is left, nobody is refused. */
-  private static final double EASY_SHARE = 0.5;
+  /** While this share of the burst is left, no poll is refused. */
+  private static final double UNLIMITED_SHARE = 0.5;
 
-  /** Odd, so that names that differ little are far apart. */
-  private static final int SPREAD = 0x9E3779B1;
+  /** Seconds for which unused capacity adds up to a burst. */
+  private static final double BURST_S = 1;
+
+  /** Multiplies hash codes: odd, so that the codes of similar ids become far apart. */
+  private static final int HASH_MULTIPLIER = 0x9E3779B1;
+
+  /** The upper bits of a hash code that are used, and how many values they have. */
+  private static final int HASH_SHIFT = 16;
+
+  private static final double HASH_VALUES = 65536.0;
 
   private final Clock clock;
-  private final double perS;
+  private final double answersPerS;
   private final double startedAt;
-  private final RateLimiter pacer;
+  private final RateLimiter limiter;
 
-  /** When each job was last told of here. */
-  private final Map<String, Double> toldAt;
+  /** By job: when its status was last given here, in seconds of the steady clock. */
+  private final Map<String, Double> answeredAt;
 
+  /** A limiter that starts with a full burst. */
   public PollRateLimiter(Clock clock, Timers timers, Settings settings) {
     this.clock = clock;
     this.startedAt = clock.now();
-    this.perS =
+    this.answersPerS =
         Math.max(1, settings.quota().maxConnections() / settings.workers().heartbeatIntervalS());
-    this.pacer = new RateLimiter(clock, timers, perS, 1);
-    this.toldAt = new LeastRecentlyUsed<>(settings.quota().rememberedJobs());
+    this.limiter = new RateLimiter(clock, timers, answersPerS, BURST_S);
+    this.answeredAt = new LeastRecentlyUsed<>(settings.quota().rememberedJobs());
   }
 
-  /** True if the poll may be answered; then {@link #told} is to follow if it was. */
+  /** Whether the poll may be answered; if it then was, {@link #told} is to be called. */
   public boolean admit(String ref) {
-    double credit = pacer.available();
-    double now = clock.now();
-    double most = MOST_SHARE * FORGOTTEN_S;
-    double pressed = Math.max(0, 1 - credit / (EASY_SHARE * perS));
-    // Jobs that this incarnation of the node has told nothing of are spread, or their turns would
-    // all come
-    // at the same time.
-    double told =
-        toldAt.getOrDefault(ref, startedAt - most * ((ref.hashCode() * SPREAD) >>> 16) / 65536.0);
-    if (credit < 1 || now - told < pressed * most) {
+    double available = limiter.available();
+    double load = Math.max(0, 1 - available / (UNLIMITED_SHARE * answersPerS));
+    double waitedS = clock.now() - lastAnsweredAt(ref);
+    if (available < 1 || waitedS < load * MAX_WAIT_S) {
       return false;
     }
-    pacer.acquire(1, RequestPriority.URGENT, () -> {});
+    limiter.acquire(1, RequestPriority.URGENT, () -> {});
     return true;
   }
 
-  /** The poll was answered with what is known of the job. */
+  /**
+   * Jobs of which this process has not answered a poll yet are spread over the time before its
+   * start; otherwise they would all become due at the same time.
+   */
+  private double lastAnsweredAt(String ref) {
+    int hash = (ref.hashCode() * HASH_MULTIPLIER) >>> HASH_SHIFT;
+    return answeredAt.getOrDefault(ref, startedAt - MAX_WAIT_S * hash / HASH_VALUES);
+  }
+
+  /** The poll was answered with the job's status. */
   public void told(String ref) {
-    toldAt.put(ref, clock.now());
+    answeredAt.put(ref, clock.now());
   }
 }
