--- a/src/main/java/io/embernotch/api/SubmissionHandler.java
+++ b/src/main/java/io/embernotch/api/SubmissionHandler.java
@@ -30,6 +30,18 @@
 public final class SubmissionHandler {
   private static final int BYTES_PER_KIB = 1024;
 
+  /** The hedge delay is a heartbeat interval divided by this. */
+  private static final int HEDGE_DELAYS_PER_HEARTBEAT = 20;
+
+  /** The patience with the store is a heartbeat interval divided by this. */
+  private static final int PATIENCES_PER_HEARTBEAT = 3;
+
+  /** A submission whose write would wait for more than this share of the patience is refused. */
+  private static final double MAX_WAIT_SHARE = 0.5;
+
+  /** One refused submission may be forwarded for so many writes per second of the store. */
+  private static final int WRITE_RATE_PER_FORWARD = 4;
+
   /** What a submission needs of its controller. */
   public interface Host {
     /** The job is in the store, written by this controller at the given revision. */
@@ -76,8 +88,8 @@
     this.types = types;
     this.shardSize = shardSize;
     this.host = host;
-    double hedgeS = context.settings().workers().heartbeatIntervalS() / 20;
-    double patienceS = context.settings().workers().heartbeatIntervalS() / 3;
+    double hedgeS = context.settings().workers().heartbeatIntervalS() / HEDGE_DELAYS_PER_HEARTBEAT;
+    double patienceS = context.settings().workers().heartbeatIntervalS() / PATIENCES_PER_HEARTBEAT;
     SubmissionWriter writer = new SubmissionWriter(context.store());
     this.services =
         new SubmissionServices(
@@ -146,7 +158,7 @@
       return host.poll(spec.ref());
     }
     double waitS = context.store().writeWaitS();
-    if (waitS > services.patienceS() / 2) {
+    if (waitS > services.patienceS() * MAX_WAIT_SHARE) {
       return refuse(
           body,
           mayForward,
@@ -190,7 +202,9 @@
    */
   private Future<HttpResponse> refuse(byte[] body, boolean mayForward, HttpResponse refusal) {
     boolean forward =
-        mayForward && forwardedForCapacity < context.settings().minStoreLimits().writeRps() / 4;
+        mayForward
+            && forwardedForCapacity
+                < context.settings().minStoreLimits().writeRps() / WRITE_RATE_PER_FORWARD;
     Future<HttpResponse> other = forward ? host.submitElsewhere(body, services.patienceS()) : null;
     if (other == null) {
       return Future.succeededFuture(refusal);
--- a/src/main/java/io/embernotch/jobs/AttemptOutcomes.java
+++ b/src/main/java/io/embernotch/jobs/AttemptOutcomes.java
@@ -26,6 +26,9 @@
   /** The shortest run time in seconds that a machine's performance is computed from. */
   private static final double MIN_RUN_S = 0.1;
 
+  /** After an exit of unknown cause, a job backs off for a heartbeat interval divided by this. */
+  private static final int BACKOFFS_PER_HEARTBEAT = 3;
+
   private final ControllerContext context;
   private final ClusterState state;
   private final StateWriter stateWriter;
@@ -165,7 +168,7 @@
     switch (cause) {
       case ERROR -> failureAttribution.failed(attempt, machine, now);
       case NO_ROOM, BUSY -> machine.avoidUntil = now + heartbeatS;
-      case UNKNOWN -> attempt.job.backoffUntil = now + heartbeatS / 3;
+      case UNKNOWN -> attempt.job.backoffUntil = now + heartbeatS / BACKOFFS_PER_HEARTBEAT;
       default -> {}
     }
     stopRestOfGang(attempt, attempt.stopping ? attempt.stopGraceS : 0);
--- a/src/main/java/io/embernotch/jobs/Cancellations.java
+++ b/src/main/java/io/embernotch/jobs/Cancellations.java
@@ -38,6 +38,9 @@
    */
   private static final double SHARE_FOR_TASKS = 0.9;
 
+  /** A request waits for its decision for a heartbeat interval divided by this, at most. */
+  private static final int REQUEST_WAITS_PER_HEARTBEAT = 2;
+
   private final ControllerContext context;
   private final ClusterState state;
   private final StateWriter stateWriter;
@@ -70,7 +73,7 @@
     context
         .timers()
         .after(
-            context.settings().workers().heartbeatIntervalS() / 2,
+            context.settings().workers().heartbeatIntervalS() / REQUEST_WAITS_PER_HEARTBEAT,
             () -> reply.tryComplete(HttpResponse.later("tasks of it cannot be reached yet")));
     check(job);
   }
--- a/src/main/java/io/embernotch/jobs/JobRequestHandler.java
+++ b/src/main/java/io/embernotch/jobs/JobRequestHandler.java
@@ -15,9 +15,9 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Answers the leader's users about their jobs. Nothing is answered that the store does not hold, so
- * that no later answer, by whichever controller, contradicts an earlier one. Owned by the leader's
- * event loop.
+ * Answers polls and cancellations at the leader. No end of a job and no done task is reported
+ * before the store is known to hold it, so that no later answer, by whichever controller,
+ * contradicts an earlier one. Owned by the leader's event loop.
  */
 public final class JobRequestHandler {
   /** A poll waits for a write for a heartbeat interval divided by this, at most. */
--- a/src/main/java/io/embernotch/jobs/StoreLoader.java
+++ b/src/main/java/io/embernotch/jobs/StoreLoader.java
@@ -55,7 +55,7 @@
     this.cancelled = cancelled;
   }
 
-  /** Gives the store's contents to {@code sink} once; never if cancelled before. */
+  /** Gives the contents to {@code sink}, again if it throws; stops once cancelled. */
   public void read(Sink sink) {
     if (cancelled.getAsBoolean()) {
       return;
