--- a/src/main/java/io/embernotch/store/IncarnationGuard.java
+++ b/src/main/java/io/embernotch/store/IncarnationGuard.java
@@ -8,47 +8,62 @@
  *
  * <p>The revision of its contents never falls. So an answer to a request that was sent after some
  * answer had shown revision E shows E at least, in whatever order answers arrive: what shows less
- * comes from contents that were put back or begun anew. Answers to requests from before a loss was
- * noticed say nothing of what there is now, and are nobody's any more.
+ * comes from contents that were restored from an earlier moment or begun anew. Answers to requests
+ * from before a loss was noticed say nothing of the present contents, and are dropped.
  *
  * <p>The fence is a key of the present incarnation that every transaction conditions on: revisions
- * may be overtaken, stamps repeat after a loss, the fence does not.
+ * may be overtaken, modification revisions repeat after a loss, the fence does not.
  */
 final class IncarnationGuard {
-  /** What a request may assume, fixed as it is sent. */
-  record Mark(int generation, long least) {}
+  /**
+   * What a request may assume, fixed as it is sent.
+   *
+   * @param generation number of losses noticed before
+   * @param minRevision the answer shows at least this revision, unless data is lost
+   */
+  record Baseline(int generation, long minRevision) {
+    /** Assumes nothing: no revision proves a loss. */
+    static final Baseline NONE = new Baseline(0, 0);
+  }
 
-  /** So many keys are looked for in contents that may have been put back. */
-  private static final int WITNESSES = 8;
+  /** So many of the keys written last are remembered, to be looked for after a suspected loss. */
+  private static final int REMEMBERED_WRITES = 8;
 
   private int generation;
   private long highestRevision;
+
+  /** The keys written last, with lower bounds of their modification revisions. */
   private final Map<String, Long> written =
       new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-          return size() > WITNESSES;
+          return size() > REMEMBERED_WRITES;
         }
       };
+
+  /** Null until it is set. */
   private String fence;
+
   private long fenceModRevision;
 
-  Mark mark() {
-    return new Mark(generation, highestRevision);
+  /** What a request that is sent now may assume. */
+  Baseline baseline() {
+    return new Baseline(generation, highestRevision);
   }
 
   /**
-   * False if the contents that the request meant are no more; {@code epoch} is then meaningless.
+   * False if the contents that the request was meant for are gone; the revision of its answer is
+   * then meaningless.
    */
-  boolean isOf(Mark m) {
-    return m.generation == generation;
+  boolean isOf(Baseline baseline) {
+    return baseline.generation == generation;
   }
 
   /** Takes note of a revision that an answer shows; false if that proves a loss. */
-  boolean observe(Mark m, long revision) {
-    if (revision < m.least) {
+  boolean observe(Baseline baseline, long revision) {
+    if (revision < baseline.minRevision) {
       return false;
     }
     highestRevision = Math.max(highestRevision, revision);
@@ -59,18 +74,18 @@
    * A transaction that wrote {@code key} was answered: a change raises the revision. False if that
    * proves a loss.
    */
-  boolean recordWrite(Mark m, String key, long revision) {
-    if (revision <= m.least) {
+  boolean recordWrite(Baseline baseline, String key, long revision) {
+    if (revision <= baseline.minRevision) {
       return false;
     }
     Long before = written.get(key);
     if (before == null || before < revision) {
       written.put(key, revision);
     }
-    return observe(m, revision);
+    return observe(baseline, revision);
   }
 
-  /** Keys that were written lately, and the stamps that they have at least. */
+  /** Keys that were written lately, with lower bounds of their modification revisions. */
   Map<String, Long> written() {
     return Map.copyOf(written);
   }
@@ -80,14 +95,15 @@
     return highestRevision;
   }
 
-  /** All that was known of revisions holds no longer. */
+  /** Forgets all revisions; the fence stays until the next one is set. */
   void discard() {
     generation++;
     highestRevision = 0;
     written.clear();
   }
 
-  void fence(String key, long modRevision) {
+  /** Sets the key that transactions condition on. */
+  void setFence(String key, long modRevision) {
     fence = key;
     fenceModRevision = modRevision;
   }
@@ -96,11 +112,15 @@
     return key.equals(fence);
   }
 
+  /** Whether a fence has been set. */
   boolean fenced() {
     return fence != null;
   }
 
-  Transaction guard(Transaction txn) {
-    return fence != null && txn.fenced() ? txn.when(fence, fenceModRevision) : txn;
+  /** Adds the fence to the conditions of a transaction, unless there is none or it is unfenced. */
+  void addFence(Transaction transaction) {
+    if (fence != null && transaction.fenced()) {
+      transaction.when(fence, fenceModRevision);
+    }
   }
 }
--- a/src/main/java/io/embernotch/store/StoreException.java
+++ b/src/main/java/io/embernotch/store/StoreException.java
@@ -1,6 +1,6 @@
 package io.embernotch.store;
 
-/** The store did not do what it was asked, or did not say. */
+/** The store did not do what it was asked, or did not say whether it did. */
 public final class StoreException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
@@ -10,27 +10,34 @@
     REFUSED,
     /** It may have been executed, or may yet be. */
     UNKNOWN,
-    /** It was not executed, and the same request never will be: too large, say. */
+    /** It was not executed, and the same request never will be: it is too large, for example. */
     MALFORMED,
     /** The lease that the write names has ended. */
     NO_LEASE,
     /** The watch asks for changes that are no longer kept. */
     TOO_OLD,
     /**
-     * What was asked was asked of contents that are no more: the service has lost data, or another
-     * incarnation began.
+     * It was meant for contents that are gone: the service has lost data, or another incarnation
+     * began.
      */
     LOST
   }
 
-  public final Kind kind;
+  private final Kind kind;
 
+  /** A failure without stack trace, since it is an ordinary answer. */
   public StoreException(Kind kind, String message) {
     super(message, null, false, false);
     this.kind = kind;
   }
 
-  public static Kind kindOf(Throwable t) {
-    return t instanceof StoreException f ? f.kind : Kind.UNKNOWN;
+  /** What is known of the request that failed. */
+  public Kind kind() {
+    return kind;
+  }
+
+  /** The kind of a failure; {@code UNKNOWN} if it is not a {@link StoreException}. */
+  public static Kind kindOf(Throwable failure) {
+    return failure instanceof StoreException store ? store.kind : Kind.UNKNOWN;
   }
 }
--- /dev/null
+++ b/src/main/java/io/embernotch/store/StoreRequest.java
@@ -0,0 +1,30 @@
+package io.embernotch.store;
+
+import io.embernotch.store.RateLimiter.RequestPriority;
+
+/**
+ * A request to the store.
+ *
+ * @param body null if it has none
+ * @param changes number of changes that it counts as under the store's limit of writes
+ */
+record StoreRequest(
+    String method, String path, byte[] body, int changes, RequestPriority priority) {
+
+  static StoreRequest get(String path, RequestPriority priority) {
+    return new StoreRequest("GET", path, null, 0, priority);
+  }
+
+  static StoreRequest post(String path, byte[] body, RequestPriority priority) {
+    return new StoreRequest("POST", path, body, 0, priority);
+  }
+
+  static StoreRequest delete(String path, RequestPriority priority) {
+    return new StoreRequest("DELETE", path, null, 0, priority);
+  }
+
+  static StoreRequest commit(Transaction transaction, RequestPriority priority) {
+    return new StoreRequest(
+        "POST", StoreProtocol.COMMIT_PATH, transaction.bytes(), transaction.changes(), priority);
+  }
+}
--- a/src/main/java/io/embernotch/store/TransactionResult.java
+++ b/src/main/java/io/embernotch/store/TransactionResult.java
@@ -2,5 +2,11 @@
 
 import java.util.Set;
 
-/** An answered transaction: applied at {@code epoch}, or not because of the {@code failed} keys. */
+/**
+ * The result of an answered transaction.
+ *
+ * @param applied whether it was applied
+ * @param revision the revision that it was applied at, or that its conditions were compared at
+ * @param conflicts keys whose conditions did not hold; empty if it was applied
+ */
 public record TransactionResult(boolean applied, long revision, Set<String> conflicts) {}
