--- /dev/null
+++ b/src/main/java/io/embernotch/persistence/BatchBuilder.java
@@ -0,0 +1,93 @@
+package io.embernotch.persistence;
+
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import io.embernotch.codec.JobProgressCodec;
+import io.embernotch.codec.Json;
+import io.embernotch.model.Job;
+import io.embernotch.store.RateLimiter.RequestPriority;
+import io.embernotch.store.Transaction;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Puts dirty shards into one transaction, most urgent first, as many as fit. The transaction
+ * conditions on the leader's key and on the modification revision of each shard. For one batch.
+ */
+final class BatchBuilder {
+  /** A write takes so many bytes besides its value and the key, which stands in it twice. */
+  private static final int BYTES_PER_WRITE = 100;
+
+  private final Transaction transaction;
+  private final ModRevisions modRevisions;
+  private final ShardRefiner refiner;
+  private final int maxChanges;
+  private final Map<String, DirtyShard> batch = new LinkedHashMap<>();
+  private final List<Job> oversized = new ArrayList<>();
+  private int bytes;
+
+  /**
+   * @param leaderModRevision modification revision of the leader's key
+   * @param maxChanges so many shards are written at most
+   */
+  BatchBuilder(
+      long leaderModRevision, ModRevisions modRevisions, ShardRefiner refiner, int maxChanges) {
+    this.transaction = new Transaction().when(JobProgressCodec.LEADER, leaderModRevision);
+    this.modRevisions = modRevisions;
+    this.refiner = refiner;
+    this.maxChanges = maxChanges;
+  }
+
+  /**
+   * Builds a batch of what is due.
+   *
+   * @param withBackground whether shards of background priority may be written
+   */
+  Batch build(Iterable<DirtyShard> pending, double now, boolean withBackground) {
+    for (DirtyShard dirtyShard : inOrder(pending, now, withBackground)) {
+      if (isFull()) {
+        break;
+      }
+      if (dirtyShard.isSuspect() && !batch.isEmpty()) {
+        continue;
+      }
+      ShardLayout.Shard shard = dirtyShard.shard();
+      ObjectNode value = shard.value();
+      int valueBytes = Json.bytes(value).length;
+      if (refiner.isOversized(shard.job(), valueBytes)) {
+        oversized.add(shard.job());
+        continue;
+      }
+      String key = shard.key();
+      bytes += valueBytes + 2 * key.length() + BYTES_PER_WRITE;
+      if (bytes > Transaction.MAX_BYTES && !batch.isEmpty()) {
+        break;
+      }
+      transaction.when(key, modRevisions.get(key)).write(key, value);
+      batch.put(key, dirtyShard);
+      if (dirtyShard.isSuspect()) {
+        break;
+      }
+    }
+    return new Batch(transaction, batch, oversized);
+  }
+
+  private static List<DirtyShard> inOrder(
+      Iterable<DirtyShard> pending, double now, boolean withBackground) {
+    List<DirtyShard> order = new ArrayList<>();
+    for (DirtyShard dirtyShard : pending) {
+      if (dirtyShard.isDue(now)
+          && (withBackground || dirtyShard.priority() != RequestPriority.BACKGROUND)) {
+        order.add(dirtyShard);
+      }
+    }
+    order.sort(Comparator.comparing(DirtyShard::priority).thenComparingDouble(DirtyShard::due));
+    return order;
+  }
+
+  private boolean isFull() {
+    return batch.size() >= maxChanges;
+  }
+}
--- a/src/main/java/io/embernotch/persistence/PersistedJob.java
+++ b/src/main/java/io/embernotch/persistence/PersistedJob.java
@@ -9,13 +9,13 @@
 import io.vertx.core.Future;
 import java.util.List;
 
-/** A job put together from its entries in the store, whatever shards and parts it is kept in. */
+/** Reads a single job back from the store, whatever shards its progress is kept in. */
 public final class PersistedJob {
   private PersistedJob() {}
 
   /**
-   * What the store and the base of its incarnation hold of a job's submission; an absent entry if
-   * it was never accepted.
+   * What the store and the base snapshot of its incarnation hold of a job's submission; an entry
+   * without a value if it was never accepted.
    */
   public static Future<VersionedEntry> submission(
       StoreClient store, BaseSnapshot baseSnapshot, String ref) {
@@ -29,27 +29,27 @@
   }
 
   /**
-   * Reads a job, its first shard and its parts; null if it was never accepted. Three reads at most.
-   * Not for one of which the base knows only the end.
+   * Reads a job, its first shard and its refined shards; null if it was never accepted. Three reads
+   * at most. Not for one of which the base snapshot knows only how it ended.
    */
   public static Future<Job> read(StoreClient store, BaseSnapshot baseSnapshot, String ref) {
     return submission(store, baseSnapshot, ref)
         .compose(
-            entry -> {
-              if (!entry.present()) {
-                return Future.succeededFuture(null);
-              }
-              Job job = JobProgressCodec.readJob(entry.value());
-              return store
-                  .get(JobProgressCodec.RUN + ref)
-                  .compose(
-                      run ->
-                          progress(
-                              store,
-                              baseSnapshot,
-                              job,
-                              run,
-                              JobProgressCodec.readShardSize(entry.value())));
+            entry ->
+                entry.present()
+                    ? readProgress(store, baseSnapshot, entry)
+                    : Future.succeededFuture(null));
+  }
+
+  private static Future<Job> readProgress(
+      StoreClient store, BaseSnapshot baseSnapshot, VersionedEntry submission) {
+    Job job = JobProgressCodec.readJob(submission.value());
+    return store
+        .get(JobProgressCodec.RUN + job.spec.ref())
+        .compose(
+            firstShard -> {
+              int shardSize = JobProgressCodec.readShardSize(submission.value());
+              return addProgress(store, baseSnapshot, job, firstShard, shardSize);
             });
   }
 
@@ -57,25 +57,32 @@
     return entry.present() ? List.of(entry) : List.of();
   }
 
-  private static Future<Job> progress(
-      StoreClient store, BaseSnapshot baseSnapshot, Job job, VersionedEntry stored, int shardSize) {
-    for (VersionedEntry run :
-        baseSnapshot.beneath(job.spec.ref(), JobProgressCodec.RUN, present(stored))) {
-      JobProgressCodec.readRun(run.value(), job, shardSize, JobProgressCodec.shardOf(run.key()));
+  private static Future<Job> addProgress(
+      StoreClient store,
+      BaseSnapshot baseSnapshot,
+      Job job,
+      VersionedEntry firstShard,
+      int shardSize) {
+    String ref = job.spec.ref();
+    for (VersionedEntry shard :
+        baseSnapshot.beneath(ref, JobProgressCodec.RUN, present(firstShard))) {
+      JobProgressCodec.readRun(
+          shard.value(), job, shardSize, JobProgressCodec.shardOf(shard.key()));
     }
     if (job.finalPhase != null) {
       return Future.succeededFuture(job);
     }
-    // Parts are only made of shards that were there, or of a job's very first write.
+    // Refined shards are only made of shards that were there, or of a job's very first write.
     return store
-        .list(JobProgressCodec.REFINED_SHARD + job.spec.ref() + "/")
-        .map(
-            found -> {
-              List<VersionedEntry> parts =
-                  baseSnapshot.beneath(
-                      job.spec.ref(), JobProgressCodec.REFINED_SHARD, found.events());
-              ProgressShard.add(job, parts.stream().map(ProgressShard::of).toList());
-              return job;
-            });
+        .list(JobProgressCodec.REFINED_SHARD + ref + "/")
+        .map(found -> addRefinedShards(baseSnapshot, job, found.events()));
+  }
+
+  private static Job addRefinedShards(
+      BaseSnapshot baseSnapshot, Job job, List<VersionedEntry> stored) {
+    List<VersionedEntry> refined =
+        baseSnapshot.beneath(job.spec.ref(), JobProgressCodec.REFINED_SHARD, stored);
+    ProgressShard.add(job, refined.stream().map(ProgressShard::of).toList());
+    return job;
   }
 }
--- a/src/main/java/io/embernotch/persistence/ShardLayout.java
+++ b/src/main/java/io/embernotch/persistence/ShardLayout.java
@@ -8,63 +8,79 @@
 
 /**
  * In which shards the progress of each job is kept. A job starts with the size of shards that was
- * fixed when it was accepted. It goes over to smaller parts, for good, once a shard does not fit
- * the store any more; what the larger shards say of other tasks stays valid.
+ * fixed when it was accepted. It goes over to smaller, refined shards, for good, once a shard does
+ * not fit the store any more; what the larger shards say of other tasks stays valid.
  */
 public final class ShardLayout {
-  /** So many tasks of a job, kept under one key. */
-  public record Shard(Job job, int size, int index, boolean part) {
+  /**
+   * Tasks of a job whose progress is kept under one key.
+   *
+   * @param size number of tasks in a shard; the job's last one may have fewer
+   * @param index number of the shard in the job, from 0
+   * @param refined whether the job has gone over to smaller shards
+   */
+  record Shard(Job job, int size, int index, boolean refined) {
     String key() {
       String ref = job.spec.ref();
-      return part ? JobProgressCodec.partKey(ref, size, index) : JobProgressCodec.key(ref, index);
+      return refined
+          ? JobProgressCodec.partKey(ref, size, index)
+          : JobProgressCodec.key(ref, index);
     }
 
     /** Number of its first task. */
-    int from() {
+    int firstTask() {
       return index * size;
     }
 
+    /** The value to store, of the job as it is now. */
     ObjectNode value() {
       return JobProgressCodec.writeRun(job, size, index);
     }
   }
 
-  private final int usualSize;
+  private final int defaultSize;
   private final Map<String, Integer> sizes = new HashMap<>();
-  private final Map<String, Integer> parts = new HashMap<>();
+  private final Map<String, Integer> refinedSizes = new HashMap<>();
 
-  /** {@code usualSize}: tasks in a shard that fits the store under its lowest limits. */
-  public ShardLayout(int usualSize) {
-    this.usualSize = usualSize;
+  /**
+   * A layout that knows of no job yet.
+   *
+   * @param defaultSize tasks in a shard that fits the store under its lowest limits
+   */
+  public ShardLayout(int defaultSize) {
+    this.defaultSize = defaultSize;
   }
 
+  /** The size of shards that was fixed when the job was accepted. */
   public void recordShardSize(String ref, int size) {
     sizes.put(ref, size);
   }
 
-  /** The store holds parts of this size; the smallest ones count. */
+  /** The store holds refined shards of this size; the smallest ones count. */
   public void recordRefinedSize(String ref, int size) {
-    parts.merge(ref, size, Math::min);
+    refinedSizes.merge(ref, size, Math::min);
   }
 
+  /** Number of tasks in a shard of the job, as it is written now. */
   public int shardSize(String ref) {
-    Integer part = parts.get(ref);
-    return part != null ? part : sizes.getOrDefault(ref, usualSize);
+    Integer refined = refinedSizes.get(ref);
+    return refined != null ? refined : sizes.getOrDefault(ref, defaultSize);
   }
 
-  public Shard shardOf(Job job, int task) {
+  /** The shard that the task is written in now. */
+  Shard shardOf(Job job, int task) {
     String ref = job.spec.ref();
     int size = shardSize(ref);
-    return new Shard(job, size, task / size, parts.containsKey(ref));
+    return new Shard(job, size, task / size, refinedSizes.containsKey(ref));
   }
 
-  /** Has the job go over to smaller parts; false if there are none smaller. */
-  public boolean refine(String ref) {
-    int now = shardSize(ref);
-    if (now <= 1) {
+  /** Has the job go over to smaller shards; false if there are none smaller. */
+  boolean refine(String ref) {
+    int size = shardSize(ref);
+    if (size <= 1) {
       return false;
     }
-    parts.put(ref, now > usualSize ? usualSize : Math.max(1, now / 2));
+    refinedSizes.put(ref, size > defaultSize ? defaultSize : Math.max(1, size / 2));
     return true;
   }
 }
--- a/src/main/java/io/embernotch/persistence/StateWriter.java
+++ b/src/main/java/io/embernotch/persistence/StateWriter.java
@@ -1,448 +1,260 @@
 package io.embernotch.persistence;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.actor.Clock;
-import io.embernotch.actor.LatencyRecorder;
-import io.embernotch.actor.Timers;
 import io.embernotch.actor.EventLoopProfile;
-import io.embernotch.codec.Json;
+import io.embernotch.actor.Timers;
 import io.embernotch.codec.JobProgressCodec;
 import io.embernotch.model.Job;
-import io.embernotch.persistence.DirtyShard.Waiter;
 import io.embernotch.settings.Settings;
-import io.embernotch.store.TransactionResult;
-import io.embernotch.store.VersionedEntry;
 import io.embernotch.store.RateLimiter.RequestPriority;
 import io.embernotch.store.StoreClient;
 import io.embernotch.store.StoreException;
-import io.embernotch.store.Transaction;
-import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.Comparator;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
-import java.util.List;
+import io.embernotch.store.TransactionResult;
 import java.util.Map;
-import java.util.Set;
-import java.util.stream.IntStream;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes the progress of jobs, one transaction at a time. Each write conditions on the leader's
- * key and on the shard's own modification revision, so that neither a deposed leader's transaction nor a late one
- * of ours can be applied over a newer one. A transaction without an answer is unknown: its shards
- * are read again before anything is written over them, and nobody is told of their success.
+ * Writes the progress of jobs, one transaction at a time. Each write conditions on the leader's key
+ * and on the shard's own modification revision, so that neither a deposed leader's transaction nor
+ * a late one of ours can be applied over a newer one. The outcome of a transaction without an
+ * answer is unknown: its shards are read again before anything is written over them, and nobody
+ * learns of their success.
  */
 public final class StateWriter {
   private static final Logger LOG = LoggerFactory.getLogger(StateWriter.class);
 
+  /** A transaction that was refused is tried again after a heartbeat interval divided by this. */
+  private static final double RETRIES_PER_HEARTBEAT = 15;
+
+  private static final int BYTES_PER_KB = 1024;
+
   private final StoreClient store;
   private final Clock clock;
   private final Timers timers;
-  private final long modRevision;
+  private final EventLoopProfile profile;
+
+  /** Modification revision of the leader's key, on which every transaction conditions. */
+  private final long leaderModRevision;
+
+  private final Runnable deposed;
   private final int maxChanges;
-  private final double lazyS;
+
+  /** Seconds that a change waits for others to be written with it. */
+  private final double backgroundDelayS;
+
+  /** Seconds after which a change that waits for spare capacity waits no longer. */
   private final double overdueS;
+
   private final double retryS;
-  /** A value of so many bytes fits the store even once its limits are lowered. */
-  private final int safeBytes;
-  /** The store has refused what would have fitted its former limits. */
-  private boolean lowered;
-  private boolean saidSo;
-  private final ShardLayout shardLayout;
-  private final Runnable deposed;
-  private final EventLoopProfile profile;
-  private final Map<String, Long> modRevisions = new HashMap<>();
-  private final Map<String, DirtyShard> dirty = new LinkedHashMap<>();
-  private Map<String, DirtyShard> inFlight = Map.of();
-  private boolean busy;
-  private boolean closed;
-  private double armedFor = Double.MAX_VALUE;
-  /** The most urgent rank for which a turn has been asked, or null. */
-  private RequestPriority asked;
-  private long turns;
-  private final LatencyRecorder latencies = new LatencyRecorder();
-  private long transactions;
-  private long changes;
+  private final DirtyShards dirtyShards;
+  private final ShardRefiner refiner;
+  private final ModRevisions modRevisions;
+  private final WriteScheduler scheduler;
+  private final WriteStatistics statistics = new WriteStatistics();
 
+  /**
+   * A writer for one term of leadership.
+   *
+   * @param leaderModRevision modification revision of the leader's key in this term
+   * @param deposed runs if a transaction fails since that key has changed; nothing is written after
+   */
   public StateWriter(
-      Settings settings, ShardLayout shardLayout, StoreClient store, Clock clock, Timers timers, EventLoopProfile profile, long modRevision,
+      Settings settings,
+      ShardLayout shardLayout,
+      StoreClient store,
+      Clock clock,
+      Timers timers,
+      EventLoopProfile profile,
+      long leaderModRevision,
       Runnable deposed) {
-    this.shardLayout = shardLayout;
     this.store = store;
     this.clock = clock;
     this.timers = timers;
     this.profile = profile;
-    this.modRevision = modRevision;
+    this.leaderModRevision = leaderModRevision;
+    this.deposed = deposed;
     this.maxChanges = settings.minStoreLimits().txnOps();
-    this.lazyS = settings.workers().heartbeatIntervalS();
+    this.backgroundDelayS = settings.workers().heartbeatIntervalS();
     this.overdueS = settings.workers().leaseS() / 2;
-    this.retryS = settings.workers().heartbeatIntervalS() / 15;
-    this.safeBytes = (int) (settings.minStoreLimits().valueKb() * 1024);
-    this.deposed = deposed;
+    this.retryS = settings.workers().heartbeatIntervalS() / RETRIES_PER_HEARTBEAT;
+    this.dirtyShards = new DirtyShards(shardLayout);
+    this.scheduler =
+        new WriteScheduler(
+            store, clock, timers, profile, dirtyShards, maxChanges, overdueS, this::write);
+    this.modRevisions = new ModRevisions(store, timers, retryS, scheduler::isClosed);
+    int safeBytes = (int) (settings.minStoreLimits().valueKb() * BYTES_PER_KB);
+    this.refiner = new ShardRefiner(shardLayout, dirtyShards, clock, safeBytes, backgroundDelayS);
   }
 
+  /** Writes nothing any more; what is in flight goes unnoticed. */
   public void close() {
-    closed = true;
-    turns++;
+    scheduler.close();
   }
 
-  /** The store holds parts, which were only made since its limits are lowered. */
+  /** The store holds refined shards, which are only made once its limits are lowered. */
   public void limitsLowered() {
-    lowered = true;
+    refiner.limitsLowered();
   }
 
-  /** Takes over what the store holds of a job's shard. */
+  /** Takes over the modification revision that the store holds a job's shard at. */
   public void recordModRevision(String key, long modRevision) {
-    modRevisions.put(key, modRevision);
+    modRevisions.record(key, modRevision);
   }
 
+  /** Whether the store is not known to hold the shard with {@code task} as it is now. */
   public boolean isDirty(Job job, int task) {
-    String key = shardLayout.shardOf(job, task).key();
-    return dirty.containsKey(key) || inFlight.containsKey(key);
+    return dirtyShards.contains(job, task);
   }
 
+  /** Whether the store is not known to hold all shards of the job as they are now. */
   public boolean isDirty(Job job) {
-    int size = shardLayout.shardSize(job.spec.ref());
-    return IntStream.range(0, (job.spec.tasks() + size - 1) / size).anyMatch(k -> isDirty(job, k * size));
+    return dirtyShards.contains(job);
   }
 
-  /** The shard with {@code task} has changed; it waits for company and for a quiet moment. */
+  /** The shard with {@code task} has changed; it waits for others and for spare capacity. */
   public void writeLater(Job job, int task) {
-    mark(job, task, RequestPriority.BACKGROUND, clock.now() + lazyS, null);
-  }
-
-  /** The shard with {@code task} has changed; {@code durable} runs once that is committed. */
-  public void writeNow(Job job, int task, RequestPriority priority, Runnable durable) {
-    mark(job, task, priority, clock.now(), durable);
-  }
-
-  /** Runs {@code then} once the shard with {@code task}, as it is now, is in the store; false if it is. */
-  public boolean whenWritten(Job job, int task, Runnable then) {
-    String key = shardLayout.shardOf(job, task).key();
-    DirtyShard dirtyShard = dirty.getOrDefault(key, inFlight.get(key));
-    return dirtyShard != null && dirtyShard.waiters.add(new Waiter(task, then));
+    mark(job, task, RequestPriority.BACKGROUND, clock.now() + backgroundDelayS);
   }
 
-  /** Runs {@code then} once it is known whether the store, and so whoever reads it, has the done marks last sent; false if it is known. */
-  public boolean whenDoneMarksSettled(Job job, Runnable then) {
-    int size = shardLayout.shardSize(job.spec.ref());
-    for (int task = 0; task < job.spec.tasks(); task += size) {
-      String key = shardLayout.shardOf(job, task).key();
-      for (DirtyShard dirtyShard : Arrays.asList(inFlight.get(key), dirty.get(key))) {
-        if (dirtyShard != null && dirtyShard.mayBeStored()) {
-          dirtyShard.waiters.add(new Waiter(task, then));
-          return true;
-        }
-      }
-    }
-    return false;
-  }
-
-  /** Like {@link #now}, before everything else of usual rank. */
+  /** Like {@link #writeNow}, before everything else of normal priority; nobody waits for it. */
   public void writeSoon(Job job, int task) {
-    mark(job, task, RequestPriority.NORMAL, clock.now() - overdueS, null);
+    mark(job, task, RequestPriority.NORMAL, clock.now() - overdueS);
   }
 
-  /** From decision to commit, what was written since the last line, and what waits; null if nothing was. */
-  public String statusLine() {
-    String delays = latencies.line();
-    if (delays == null) {
-      return null;
+  /**
+   * The shard with {@code task} has changed.
+   *
+   * @param durable runs once that is committed; null if nobody waits for it
+   */
+  public void writeNow(Job job, int task, RequestPriority priority, Runnable durable) {
+    DirtyShard dirtyShard = dirtyShards.mark(job, task, priority, clock.now());
+    if (durable != null) {
+      dirtyShard.addWaiter(task, durable);
+      dirtyShard.startWaiting(clock.now());
     }
-    String out = delays + "; " + changes + " changes in " + transactions + " transactions, " + dirty.size() + " wait";
-    transactions = 0;
-    changes = 0;
-    return out;
+    scheduler.schedule(dirtyShard);
   }
 
-  private void mark(Job job, int task, RequestPriority priority, double due, Runnable durable) {
-    ShardLayout.Shard shard = shardLayout.shardOf(job, task);
-    DirtyShard dirtyShard = dirty.computeIfAbsent(shard.key(), k -> new DirtyShard(shard, priority, due));
-    dirtyShard.expedite(priority, due);
-    dirtyShard.tasks.set(task);
-    if (durable != null) {
-      dirtyShard.waiters.add(new Waiter(task, durable));
-      dirtyShard.waitingSince = dirtyShard.waitingSince < 0 ? clock.now() : dirtyShard.waitingSince;
-    }
-    arm(dirtyShard);
+  /**
+   * Runs {@code action} once the shard with {@code task}, as it is now, is in the store; false if
+   * it is already.
+   */
+  public boolean whenWritten(Job job, int task, Runnable action) {
+    return dirtyShards.addWaiter(job, task, action);
   }
 
-  private void arm(DirtyShard dirtyShard) {
-    if (busy || closed) {
-      return;
-    }
-    double now = clock.now();
-    if (dirtyShard.due <= now + 0.001) {
-      ask(dirtyShard.priority);
-    } else if (dirtyShard.due < armedFor) {
-      armedFor = dirtyShard.due;
-      timers.after(dirtyShard.due - now, () -> {
-        // Timers may fire a little early: what is due is looked at anew, and armed again if need be.
-        armedFor = Double.MAX_VALUE;
-        next();
-      });
-    }
+  /**
+   * Runs {@code action} once it is known whether the store, and so whoever reads it, has the done
+   * marks last sent; false if that is known already.
+   */
+  public boolean whenDoneMarksSettled(Job job, Runnable action) {
+    return dirtyShards.addDoneMarkWaiter(job, action);
   }
 
-  /** Asks for a turn to write, as urgent as the most urgent of what is due. */
-  private void next() {
-    if (busy || closed) {
-      return;
-    }
-    double now = clock.now();
-    DirtyShard first = null;
-    DirtyShard soonest = null;
-    for (DirtyShard dirtyShard : dirty.values()) {
-      if (dirtyShard.priority == RequestPriority.BACKGROUND && now - dirtyShard.due > overdueS) {
-        dirtyShard.priority = RequestPriority.NORMAL;
-      }
-      if (dirtyShard.due <= now + 0.001 && (first == null || dirtyShard.priority.compareTo(first.priority) < 0)) {
-        first = dirtyShard;
-      }
-      if (soonest == null || dirtyShard.due < soonest.due) {
-        soonest = dirtyShard;
-      }
-    }
-    if (first != null) {
-      ask(first.priority);
-    } else if (soonest != null) {
-      arm(soonest);
-    }
+  /**
+   * One line on the latencies from decision to commit, what was written since the last line, and
+   * what waits; null if nothing was written.
+   */
+  public String statusLine() {
+    return statistics.takeLine(dirtyShards.pendingCount()).orElse(null);
   }
 
-  private void ask(RequestPriority priority) {
-    if (asked != null && asked.compareTo(priority) <= 0) {
-      return;
-    }
-    asked = priority;
-    long turn = ++turns;
-    // Under pressure a transaction waits to be worth its request, unless a live service needs it.
-    int least = priority == RequestPriority.HIGH ? 1 : Math.max(1, Math.min(dirty.size(), maxChanges / 4));
-    store.requestWriteSlot(least, priority, () -> {
-      profile.run("write", () -> store.releaseWriteSlot(least, turn == turns && !busy && !closed ? write(least, priority) : 0));
-    });
+  private void mark(Job job, int task, RequestPriority priority, double due) {
+    scheduler.schedule(dirtyShards.mark(job, task, priority, due));
   }
 
-  /** Puts what is due into one transaction, most urgent first; tells how many changes it made. */
-  private int write(int least, RequestPriority priority) {
-    asked = null;
+  /** Writes what is due in one transaction; returns how many changes it makes. */
+  private int write(int minChanges, RequestPriority priority) {
     double now = clock.now();
-    int most = (int) Math.min(maxChanges, least + Math.max(0, Math.floor(store.writeCredit())));
-    boolean spare = priority == RequestPriority.BACKGROUND || store.hasSpareWrites();
-    List<Map.Entry<String, DirtyShard>> order = new ArrayList<>();
-    for (Map.Entry<String, DirtyShard> e : dirty.entrySet()) {
-      DirtyShard dirtyShard = e.getValue();
-      if (dirtyShard.due <= now + 0.001 && (spare || dirtyShard.priority != RequestPriority.BACKGROUND)) {
-        order.add(e);
-      }
-    }
-    order.sort(
-        Comparator.comparing((Map.Entry<String, DirtyShard> e) -> e.getValue().priority)
-            .thenComparingDouble(e -> e.getValue().due));
-    Transaction txn = new Transaction().when(JobProgressCodec.LEADER, modRevision);
-    Map<String, DirtyShard> batch = new LinkedHashMap<>();
-    List<Job> tooLarge = new ArrayList<>();
-    int bytes = 0;
-    for (Map.Entry<String, DirtyShard> e : order) {
-      if (batch.size() >= most) {
-        break;
-      }
-      DirtyShard dirtyShard = e.getValue();
-      if (dirtyShard.suspect && !batch.isEmpty()) {
-        continue;
-      }
-      ObjectNode value = dirtyShard.shard.value();
-      int size = Json.bytes(value).length;
-      if (lowered && size > safeBytes && shardLayout.shardOf(dirtyShard.shard.job(), 0).size() > 1) {
-        tooLarge.add(dirtyShard.shard.job());
-        continue;
-      }
-      bytes += size + 2 * e.getKey().length() + 100;
-      if (bytes > Transaction.MAX_BYTES && !batch.isEmpty()) {
-        break;
-      }
-      txn.when(e.getKey(), modRevisions.getOrDefault(e.getKey(), 0L)).write(e.getKey(), value);
-      batch.put(e.getKey(), dirtyShard);
-      if (dirtyShard.suspect) {
-        break;
-      }
-    }
-    tooLarge.forEach(this::refine);
+    int credit =
+        (int) Math.min(maxChanges, minChanges + Math.max(0, Math.floor(store.writeCredit())));
+    boolean withBackground = priority == RequestPriority.BACKGROUND || store.hasSpareWrites();
+    Batch batch =
+        new BatchBuilder(leaderModRevision, modRevisions, refiner, credit)
+            .build(dirtyShards.pending(), now, withBackground);
+    batch.oversized().forEach(refiner::refine);
     if (batch.isEmpty()) {
-      next();
+      scheduler.scheduleNext();
       return 0;
     }
-    batch.keySet().forEach(dirty::remove);
-    batch.values().forEach(DirtyShard::sent);
-    inFlight = batch;
-    busy = true;
-    transactions++;
-    changes += batch.size();
+    dirtyShards.sent(batch.shards());
+    scheduler.transactionStarted();
+    statistics.transactionSent(batch.size());
     store
-        .commitInWriteSlot(txn, priority)
-        .onSuccess(result -> profile.run("committed", () -> answered(result, batch)))
-        .onFailure(e -> unanswered(e, batch));
+        .commitInWriteSlot(batch.transaction(), priority)
+        .onSuccess(result -> profile.run("committed", () -> answered(result, batch.shards())))
+        .onFailure(failure -> failed(failure, batch.shards()));
     return batch.size();
   }
 
-  private void answered(TransactionResult commit, Map<String, DirtyShard> batch) {
-    if (closed) {
-      return;
-    }
-    if (commit.applied()) {
-      batch.keySet().forEach(key -> modRevisions.put(key, commit.revision()));
-      inFlight = Map.of();
-      busy = false;
-      batch.values().forEach(DirtyShard::stored);
-      for (DirtyShard dirtyShard : batch.values()) {
-        if (dirtyShard.waitingSince >= 0) {
-          latencies.record(dirtyShard.priority == RequestPriority.HIGH ? "urgent commit" : "commit", clock.now() - dirtyShard.waitingSince);
-        }
-        dirtyShard.waiters.forEach(w -> w.durable().run());
-      }
-      next();
+  private void answered(TransactionResult result, Map<String, DirtyShard> batch) {
+    if (scheduler.isClosed()) {
       return;
     }
-    if (commit.conflicts().contains(JobProgressCodec.LEADER)) {
-      closed = true;
+    if (result.applied()) {
+      applied(result.revision(), batch);
+    } else if (result.conflicts().contains(JobProgressCodec.LEADER)) {
+      scheduler.close();
       deposed.run();
-      return;
-    }
-    LOG.info("transaction failed on {}", commit.conflicts());
-    batch.values().forEach(DirtyShard::refused);
-    reread(batch);
-  }
-
-  private void unanswered(Throwable e, Map<String, DirtyShard> batch) {
-    if (closed) {
-      return;
-    }
-    LOG.debug("transaction of {} shards: {}", batch.size(), e.getMessage());
-    StoreException.Kind kind = StoreException.kindOf(e);
-    boolean refused = kind == StoreException.Kind.REFUSED || kind == StoreException.Kind.MALFORMED;
-    batch.values().forEach(refused ? DirtyShard::refused : DirtyShard::unanswered);
-    if (kind == StoreException.Kind.MALFORMED) {
-      putBack(batch);
-      explain(batch, e.getMessage());
-    }
-    if (refused) {
-      if (kind == StoreException.Kind.REFUSED) {
-        putBack(batch);
-      }
-      timers.after(retryS, () -> {
-        busy = false;
-        next();
-      });
     } else {
+      LOG.info("transaction failed on {}", result.conflicts());
+      batch.values().forEach(DirtyShard::refused);
       reread(batch);
     }
   }
 
-  /**
-   * The store takes the transaction for malformed, and has not executed it. Values that fitted its
-   * former limits are the likely cause: their jobs go over to smaller parts. Else what was refused
-   * together is tried one by one, and what is refused alone waits, so that it holds up nothing else.
-   */
-  private void explain(Map<String, DirtyShard> batch, String answer) {
-    Set<Job> large = new LinkedHashSet<>();
+  private void applied(long revision, Map<String, DirtyShard> batch) {
+    batch.keySet().forEach(key -> modRevisions.record(key, revision));
+    dirtyShards.stored();
+    scheduler.transactionEnded();
     for (DirtyShard dirtyShard : batch.values()) {
-      if (Json.bytes(dirtyShard.shard.value()).length > safeBytes) {
-        large.add(dirtyShard.shard.job());
-      }
-    }
-    if (!large.isEmpty() && !lowered) {
-      lowered = true;
-      LOG.info("the store has lowered its limits: values are limited to {} bytes", safeBytes);
-    }
-    boolean smaller = false;
-    for (Job job : large) {
-      smaller |= refine(job);
-    }
-    if (smaller) {
-      return;
-    }
-    for (Map.Entry<String, DirtyShard> e : batch.entrySet()) {
-      DirtyShard dirtyShard = dirty.get(e.getKey());
-      if (batch.size() > 1) {
-        dirtyShard.suspect = true;
-      } else if (!refine(dirtyShard.shard.job())) {
-        dirtyShard.due = clock.now() + lazyS;
-        if (!saidSo) {
-          saidSo = true;
-          LOG.error("the store rejects {}, retrying: {}", e.getKey(), answer);
-        }
-      }
+      statistics.stored(dirtyShard, clock.now());
+      dirtyShard.waiters().forEach(waiter -> waiter.action().run());
     }
+    scheduler.scheduleNext();
   }
 
-  /** Has a job go over to smaller parts, with all of it that is still to be written. */
-  private boolean refine(Job job) {
-    String ref = job.spec.ref();
-    List<DirtyShard> old = new ArrayList<>();
-    dirty.values().stream().filter(dirtyShard -> dirtyShard.shard.job() == job).forEach(old::add);
-    if (!shardLayout.refine(ref)) {
-      return false;
+  private void failed(Throwable failure, Map<String, DirtyShard> batch) {
+    if (scheduler.isClosed()) {
+      return;
     }
-    LOG.info("job {}: progress now kept in shards of {} tasks", ref, shardLayout.shardSize(ref));
-    for (DirtyShard dirtyShard : old) {
-      dirty.remove(dirtyShard.shard.key());
-      for (int task = dirtyShard.tasks.nextSetBit(0); task >= 0; task = dirtyShard.tasks.nextSetBit(task + 1)) {
-        ShardLayout.Shard shard = shardLayout.shardOf(job, task);
-        DirtyShard part = dirty.computeIfAbsent(shard.key(), k -> new DirtyShard(shard, dirtyShard.priority, dirtyShard.due));
-        part.expedite(dirtyShard.priority, dirtyShard.due);
-        part.tasks.set(task);
-        part.supersedes(dirtyShard);
-        part.waitingSince = dirtyShard.waitingSince;
+    LOG.debug("transaction of {} shards: {}", batch.size(), failure.getMessage());
+    switch (StoreException.kindOf(failure)) {
+      case REFUSED -> {
+        batch.values().forEach(DirtyShard::refused);
+        dirtyShards.putBack();
+        retryLater();
+      }
+      case MALFORMED -> {
+        batch.values().forEach(DirtyShard::refused);
+        dirtyShards.putBack();
+        refiner.handleRejection(batch, failure.getMessage());
+        retryLater();
+      }
+      default -> {
+        batch.values().forEach(DirtyShard::unanswered);
+        reread(batch);
       }
-      dirtyShard.waiters.forEach(w -> dirty.get(shardLayout.shardOf(job, w.task()).key()).waiters.add(w));
     }
-    return true;
   }
 
-  private void putBack(Map<String, DirtyShard> batch) {
-    inFlight = Map.of();
-    batch.forEach(
-        (key, dirtyShard) -> {
-          DirtyShard newer = dirty.get(key);
-          if (newer == null) {
-            dirty.put(key, dirtyShard);
-          } else {
-            newer.expedite(dirtyShard.priority, dirtyShard.due);
-            newer.waitingSince = dirtyShard.waitingSince >= 0 ? dirtyShard.waitingSince : newer.waitingSince;
-            newer.tasks.or(dirtyShard.tasks);
-            newer.supersedes(dirtyShard);
-            newer.suspect |= dirtyShard.suspect;
-            List<Waiter> all = new ArrayList<>(dirtyShard.waiters);
-            all.addAll(newer.waiters);
-            newer.waiters = all;
-          }
-        });
+  private void retryLater() {
+    timers.after(retryS, this::writeAgain);
   }
 
+  /** Reads the modification revisions of the shards before anything is written over them. */
   private void reread(Map<String, DirtyShard> batch) {
-    rereadNext(new ArrayList<>(batch.keySet()), 0, batch);
+    modRevisions.reread(
+        batch.keySet(),
+        () -> {
+          dirtyShards.putBack();
+          writeAgain();
+        });
   }
 
-  private void rereadNext(List<String> keys, int i, Map<String, DirtyShard> batch) {
-    if (closed) {
-      return;
-    }
-    if (i == keys.size()) {
-      putBack(batch);
-      busy = false;
-      next();
-      return;
-    }
-    store
-        .get(keys.get(i))
-        .onSuccess(
-            (VersionedEntry entry) -> {
-              modRevisions.put(keys.get(i), entry.modRevision());
-              rereadNext(keys, i + 1, batch);
-            })
-        .onFailure(e -> timers.after(retryS, () -> rereadNext(keys, i, batch)));
+  private void writeAgain() {
+    scheduler.transactionEnded();
+    scheduler.scheduleNext();
   }
 }
--- a/src/main/java/io/embernotch/persistence/SubmissionWatcher.java
+++ b/src/main/java/io/embernotch/persistence/SubmissionWatcher.java
@@ -9,54 +9,68 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Watches the store for new jobs: the backstop for messages about them that never came. */
+/**
+ * Watches the store for new jobs: the backstop for announcements of them that were lost on the way
+ * to the leader.
+ */
 public final class SubmissionWatcher {
   private static final Logger LOG = LoggerFactory.getLogger(SubmissionWatcher.class);
 
-  /** Is told of each job, known or not. */
+  /** A watch waits for so many heartbeat intervals at most before it is renewed. */
+  private static final double LONG_POLL_HEARTBEATS = 3;
+
+  /** A watch that failed is renewed after a heartbeat interval divided by this. */
+  private static final double RETRIES_PER_HEARTBEAT = 6;
+
+  /** Receives each job that is found, whether it is known already or not. */
   public interface Sink {
-    void seen(Job job, int shard);
+    /** A job is in the store, with so many tasks in each of its shards. */
+    void jobFound(Job job, int shardSize);
   }
 
   private final ControllerContext context;
   private final Sink sink;
-  private final BooleanSupplier over;
+  private final BooleanSupplier stopped;
+  private final double heartbeatIntervalS;
 
-  /** {@code over}: nobody needs it any more. */
-  public SubmissionWatcher(ControllerContext context, Sink sink, BooleanSupplier over) {
+  /**
+   * A watcher that does not watch yet.
+   *
+   * @param stopped whether the jobs are not needed any more; the watch ends then
+   */
+  public SubmissionWatcher(ControllerContext context, Sink sink, BooleanSupplier stopped) {
     this.context = context;
     this.sink = sink;
-    this.over = over;
+    this.stopped = stopped;
+    this.heartbeatIntervalS = context.settings().workers().heartbeatIntervalS();
   }
 
-  public void from(long epoch) {
-    if (over.getAsBoolean()) {
+  /** Watches for jobs that are written after this revision of the store. */
+  public void from(long revision) {
+    if (stopped.getAsBoolean()) {
       return;
     }
-    double hold = 3 * context.settings().workers().heartbeatIntervalS();
     context
         .store()
-        .watch(JobProgressCodec.JOB, epoch, hold)
+        .watch(JobProgressCodec.JOB, revision, LONG_POLL_HEARTBEATS * heartbeatIntervalS)
         .onSuccess(
             changes -> {
-              changes.events().forEach(this::tell);
-              from(Math.max(epoch, changes.revision()));
+              changes.events().forEach(this::deliver);
+              from(Math.max(revision, changes.revision()));
             })
-        .onFailure(
-            e -> {
-              if (StoreException.kindOf(e) == StoreException.Kind.TOO_OLD) {
-                readAll();
-              } else {
-                context
-                    .timers()
-                    .after(
-                        context.settings().workers().heartbeatIntervalS() / 6, () -> from(epoch));
-              }
-            });
+        .onFailure(failure -> watchFailed(revision, failure));
+  }
+
+  private void watchFailed(long revision, Throwable failure) {
+    if (StoreException.kindOf(failure) == StoreException.Kind.TOO_OLD) {
+      readAll();
+    } else {
+      context.timers().after(heartbeatIntervalS / RETRIES_PER_HEARTBEAT, () -> from(revision));
+    }
   }
 
   private void readAll() {
-    if (over.getAsBoolean()) {
+    if (stopped.getAsBoolean()) {
       return;
     }
     context
@@ -64,27 +78,24 @@
         .list(JobProgressCodec.JOB)
         .onSuccess(
             jobs -> {
-              jobs.events().forEach(this::tell);
+              jobs.events().forEach(this::deliver);
               from(jobs.revision());
             })
-        .onFailure(
-            e ->
-                context
-                    .timers()
-                    .after(context.settings().workers().heartbeatIntervalS(), this::readAll));
+        .onFailure(failure -> context.timers().after(heartbeatIntervalS, this::readAll));
   }
 
-  private void tell(VersionedEntry entry) {
-    if (entry.present()) {
-      Job job;
-      try {
-        job = JobProgressCodec.readJob(entry.value());
-      } catch (RuntimeException bad) {
-        // The next leader marks it; the watch goes on.
-        LOG.error("the value of {} can't be read: {}", entry.key(), bad.toString());
-        return;
-      }
-      sink.seen(job, JobProgressCodec.readShardSize(entry.value()));
+  private void deliver(VersionedEntry entry) {
+    if (!entry.present()) {
+      return;
+    }
+    Job job;
+    try {
+      job = JobProgressCodec.readJob(entry.value());
+    } catch (RuntimeException e) {
+      // Whatever is wrong with one value must not end the watch; the next leader marks the job.
+      LOG.error("the value of {} can't be read: {}", entry.key(), e.toString());
+      return;
     }
+    sink.jobFound(job, JobProgressCodec.readShardSize(entry.value()));
   }
 }
--- a/src/main/java/io/embernotch/store/RateLimiter.java
+++ b/src/main/java/io/embernotch/store/RateLimiter.java
@@ -6,36 +6,53 @@
 import java.util.PriorityQueue;
 
 /**
- * Lets work through at a given rate, with bursts of what collects in a given time at most. What
- * waits goes by rank, then in the order it came.
+ * A token bucket with priorities: grants tokens at a given rate, in bursts of at most what collects
+ * in a given time. Requests that wait are served by priority, then in the order they came.
+ *
+ * <p>Owned by the loop of its timers.
  */
 public final class RateLimiter {
-  /** How urgent something is. */
+  /** How urgent a request is, the most urgent first. */
   public enum RequestPriority {
-    /** Goes at once, and may overdraw: what keeps leadership and proofs alive. */
+    /** Goes at once, and may overdraw: what keeps leadership and leases alive. */
     URGENT,
     /** What a live service or a user who cancelled waits for. */
     HIGH,
+    /** Everything else that somebody waits for. */
     NORMAL,
-    /** Only once half of the burst is there, so that it never stands in the way of the rest. */
+    /** Only once half of the burst is there, so that it never delays the rest. */
     BACKGROUND
   }
 
-  private record Waiting(RequestPriority priority, long order, double cost, Runnable go) {}
+  /** The value of {@code armedFor} while no timer is armed. */
+  private static final double NOT_ARMED = Double.MAX_VALUE;
+
+  /** Timers are armed for so long at least. */
+  private static final double MIN_TIMER_S = 0.001;
+
+  private record WaitingRequest(
+      RequestPriority priority, long sequence, double cost, Runnable action) {}
 
   private final Clock clock;
   private final Timers timers;
   private final double burstS;
-  private double setRate;
+  private double rate;
   private double burst;
-  private final PriorityQueue<Waiting> queue =
+  private final PriorityQueue<WaitingRequest> queue =
       new PriorityQueue<>(
-          Comparator.comparing(Waiting::priority).thenComparingLong(Waiting::order));
+          Comparator.comparing(WaitingRequest::priority)
+              .thenComparingLong(WaitingRequest::sequence));
   private double tokens;
   private double filledAt;
-  private long order;
-  private double armedFor = Double.MAX_VALUE;
-
+  private long nextSequence;
+  private double armedFor = NOT_ARMED;
+
+  /**
+   * Starts with a full burst.
+   *
+   * @param rate tokens per second
+   * @param burstS seconds of which a burst holds the tokens; it is one token at least
+   */
   public RateLimiter(Clock clock, Timers timers, double rate, double burstS) {
     this.clock = clock;
     this.timers = timers;
@@ -45,91 +62,94 @@
     this.tokens = burst;
   }
 
-  /** Goes on at another rate. */
-  public final void setRate(double perS) {
-    fill();
-    setRate = perS;
-    burst = Math.max(1, setRate * burstS);
+  /** Goes on at another rate, in tokens per second. */
+  public final void setRate(double tokensPerS) {
+    refill();
+    rate = tokensPerS;
+    burst = Math.max(1, rate * burstS);
     tokens = Math.min(tokens, burst);
   }
 
-  /** Runs {@code go} as soon as {@code cost} may be spent, and spends it. */
-  public void acquire(double cost, RequestPriority priority, Runnable go) {
-    fill();
+  /** Runs {@code action} as soon as {@code cost} tokens may be spent, and spends them. */
+  public void acquire(double cost, RequestPriority priority, Runnable action) {
+    refill();
     if (cost <= 0
         || priority == RequestPriority.URGENT
-        || (mayGo(cost, priority) && nobodyBefore(priority))) {
+        || (isAffordable(cost, priority) && isNextInLine(priority))) {
       tokens -= Math.max(0, cost);
-      go.run();
+      action.run();
       return;
     }
-    queue.add(new Waiting(priority, order++, cost, go));
+    queue.add(new WaitingRequest(priority, nextSequence++, cost, action));
     arm();
   }
 
-  /** Seconds until something of usual rank that came now would pass. */
+  /** Returns tokens that were spent on something that was not done; below 0: spends more. */
+  public void refund(double cost) {
+    tokens += cost;
+  }
+
+  /** Seconds until a request of normal priority and cost 1 that came now would be granted. */
   public double waitS() {
-    fill();
-    double before = 1;
-    for (Waiting w : queue) {
-      before += w.priority == RequestPriority.BACKGROUND ? 0 : w.cost;
+    refill();
+    double needed = 1;
+    for (WaitingRequest waiting : queue) {
+      needed += waiting.priority == RequestPriority.BACKGROUND ? 0 : waiting.cost;
     }
-    return Math.max(0, (before - tokens) / setRate);
+    return Math.max(0, (needed - tokens) / rate);
   }
 
-  /** What could be spent now. */
+  /** Tokens that could be spent now; below 0 if urgent requests have overdrawn. */
   public double available() {
-    fill();
+    refill();
     return tokens;
   }
 
-  private boolean nobodyBefore(RequestPriority priority) {
+  private boolean isNextInLine(RequestPriority priority) {
     return queue.isEmpty() || queue.peek().priority.compareTo(priority) > 0;
   }
 
-  private double needed(double cost, RequestPriority priority) {
+  /** Tokens that must be there for a request to be granted. */
+  private double required(double cost, RequestPriority priority) {
     return Math.min(
         priority == RequestPriority.BACKGROUND ? Math.max(cost, burst / 2) : cost, burst);
   }
 
-  private boolean mayGo(double cost, RequestPriority priority) {
-    return tokens >= needed(cost, priority);
+  private boolean isAffordable(double cost, RequestPriority priority) {
+    return tokens >= required(cost, priority);
   }
 
-  private void fill() {
+  private void refill() {
     double now = clock.now();
-    tokens = Math.min(burst, tokens + (now - filledAt) * setRate);
+    tokens = Math.min(burst, tokens + (now - filledAt) * rate);
     filledAt = now;
   }
 
-  /** Takes back what was spent on a turn that is not used. */
-  public void refund(double cost) {
-    tokens += cost;
-  }
-
   private void arm() {
     if (queue.isEmpty()) {
       return;
     }
-    double missing = needed(queue.peek().cost, queue.peek().priority) - tokens;
-    double wait = Math.max(0.001, missing / setRate);
-    double at = clock.now() + wait;
-    if (at < armedFor) {
-      armedFor = at;
-      timers.after(wait, () -> release(at));
+    WaitingRequest first = queue.peek();
+    double missing = required(first.cost, first.priority) - tokens;
+    double waitS = Math.max(MIN_TIMER_S, missing / rate);
+    double fireAt = clock.now() + waitS;
+    if (fireAt < armedFor) {
+      armedFor = fireAt;
+      timers.after(waitS, () -> grantWaiting(fireAt));
     }
   }
 
-  private void release(double at) {
-    if (at != armedFor) {
+  private void grantWaiting(double fireAt) {
+    if (fireAt != armedFor) {
+      // A timer for an earlier time has been armed since.
       return;
     }
-    armedFor = Double.MAX_VALUE;
-    fill();
-    while (!queue.isEmpty() && mayGo(queue.peek().cost, queue.peek().priority)) {
-      Waiting w = queue.poll();
-      tokens -= w.cost;
-      w.go.run();
+    armedFor = NOT_ARMED;
+    refill();
+    while (!queue.isEmpty() && isAffordable(queue.peek().cost, queue.peek().priority)) {
+      WaitingRequest waiting = queue.poll();
+      tokens -= waiting.cost;
+      waiting.action.run();
     }
     arm();
   }
