--- /dev/null
+++ b/src/main/java/io/embernotch/incarnation/BaseSnapshotReader.java
@@ -0,0 +1,42 @@
+package io.embernotch.incarnation;
+
+import io.embernotch.codec.IncarnationCodec;
+import io.embernotch.codec.MalformedInputException;
+import io.embernotch.model.StoreIncarnation;
+import io.embernotch.snapshot.BaseSnapshot;
+import io.embernotch.snapshot.SnapshotBlocks;
+import io.embernotch.store.VersionedEntry;
+import java.util.ArrayList;
+import java.util.List;
+
+/** Puts the snapshot that an incarnation began with together from its blocks in the store. */
+final class BaseSnapshotReader {
+  private BaseSnapshotReader() {}
+
+  /**
+   * @param stored the entries under the prefix of the incarnation's blocks
+   * @throws MalformedInputException if a block is missing or damaged: a snapshot is never used in
+   *     part
+   */
+  static BaseSnapshot read(StoreIncarnation incarnation, List<VersionedEntry> stored) {
+    List<byte[]> blocks = new ArrayList<>();
+    for (VersionedEntry entry : stored) {
+      blocks.add(readBlock(incarnation, entry, blocks.size()));
+    }
+    if (blocks.size() != incarnation.blockCount()) {
+      throw new MalformedInputException(
+          "it has " + blocks.size() + " of " + incarnation.blockCount() + " blocks");
+    }
+    SnapshotBlocks packed = new SnapshotBlocks(blocks, incarnation.crc());
+    return new BaseSnapshot(packed.unpack(), incarnation.since());
+  }
+
+  private static byte[] readBlock(StoreIncarnation incarnation, VersionedEntry entry, int index) {
+    byte[] block = IncarnationCodec.readBlock(entry.value());
+    if (!entry.key().equals(IncarnationCodec.block(incarnation.snapshotName(), index))
+        || SnapshotBlocks.sum(block) != IncarnationCodec.readCrc(entry.value())) {
+      throw new MalformedInputException("block " + index + " is missing or damaged");
+    }
+    return block;
+  }
+}
--- /dev/null
+++ b/src/main/java/io/embernotch/incarnation/IncarnationAdopter.java
@@ -0,0 +1,90 @@
+package io.embernotch.incarnation;
+
+import io.embernotch.codec.IncarnationCodec;
+import io.embernotch.codec.MalformedInputException;
+import io.embernotch.model.StoreIncarnation;
+import io.embernotch.snapshot.BaseSnapshot;
+import io.embernotch.store.StoreClient;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/** Takes over the incarnation that the store holds, along with the snapshot that it began with. */
+final class IncarnationAdopter {
+  /** The messages are the tracker's, of which this is a part. */
+  private static final Logger LOG = LoggerFactory.getLogger(StoreIncarnationTracker.class);
+
+  private final StoreClient store;
+  private final StoreIncarnationTracker.Host host;
+  private final IncarnationKnowledge knowledge;
+  private final PointerReader pointer;
+  private final StoreRestorer restorer;
+
+  IncarnationAdopter(
+      StoreClient store,
+      StoreIncarnationTracker.Host host,
+      IncarnationKnowledge knowledge,
+      PointerReader pointer,
+      StoreRestorer restorer) {
+    this.store = store;
+    this.host = host;
+    this.knowledge = knowledge;
+    this.pointer = pointer;
+    this.restorer = restorer;
+  }
+
+  /**
+   * After a loss an incarnation that was begun since is taken over if it was made from ours, or if
+   * we know nothing that could be put in its place. The one that we knew, or one before it, is what
+   * was restored from an earlier moment.
+   */
+  boolean mayAdoptAfterLoss(StoreIncarnation stored) {
+    StoreIncarnation known = knowledge.incarnation();
+    if (known == null || stored.follows(known)) {
+      return true;
+    }
+    return !stored.name().equals(known.name()) && !known.follows(stored) && !restorer.wasLeader();
+  }
+
+  /**
+   * Takes over an incarnation, once its snapshot has been read.
+   *
+   * @param stored null if the store holds none
+   */
+  void adopt(StoreIncarnation stored) {
+    if (stored == null || knowledge.isSame(stored)) {
+      settle(stored, knowledge.baseSnapshot());
+      return;
+    }
+    if (stored.snapshotName() == null) {
+      settle(stored, BaseSnapshot.EMPTY);
+      return;
+    }
+    store
+        .list(IncarnationCodec.blocks(stored.snapshotName()))
+        .onSuccess(
+            found -> {
+              try {
+                settle(stored, BaseSnapshotReader.read(stored, found.events()));
+              } catch (MalformedInputException e) {
+                LOG.error("store incarnation {} cannot be used: {}", stored.name(), e.getMessage());
+                pointer.readLater();
+              }
+            })
+        .onFailure(failure -> pointer.readLater());
+  }
+
+  /**
+   * The store's contents are ours from now on, and every transaction conditions on the fence.
+   *
+   * @param incarnation null if the store holds none
+   */
+  void settle(StoreIncarnation incarnation, BaseSnapshot baseSnapshot) {
+    if (incarnation != null) {
+      store.setFence(IncarnationCodec.fence(incarnation), incarnation.modRevision());
+    }
+    if (knowledge.settle(incarnation, baseSnapshot)) {
+      LOG.info("store incarnation {}, epochs from {}", knowledge.name(), knowledge.epochFloor());
+      host.incarnationSettled(baseSnapshot);
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/io/embernotch/incarnation/IncarnationClaimer.java
@@ -0,0 +1,151 @@
+package io.embernotch.incarnation;
+
+import io.embernotch.codec.IncarnationCodec;
+import io.embernotch.election.Candidacy.Claim;
+import io.embernotch.model.StoreIncarnation;
+import io.embernotch.store.Transaction;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Supplier;
+
+/**
+ * Adds to a claim to leadership what begins an incarnation, where one is to begin with it: when
+ * there is none yet, after a loss of data, and when others have seen epochs that the present one
+ * has not reached.
+ */
+final class IncarnationClaimer {
+  /** Modification revision of an incarnation whose pointer is not written yet. */
+  private static final long UNWRITTEN = 0;
+
+  /** Value of {@code since} for a snapshot that is as old as the incarnation itself. */
+  private static final long SINCE_BEGIN = 0;
+
+  private final IncarnationKnowledge knowledge;
+  private final PointerReader pointer;
+  private final StoreRestorer restorer;
+  private final Supplier<String> names;
+
+  /** The incarnation that a claim under way begins; null if it goes on with the present one. */
+  private StoreIncarnation claimed;
+
+  /**
+   * @param names makes names that no other incarnation has
+   */
+  IncarnationClaimer(
+      IncarnationKnowledge knowledge,
+      PointerReader pointer,
+      StoreRestorer restorer,
+      Supplier<String> names) {
+    this.knowledge = knowledge;
+    this.pointer = pointer;
+    this.restorer = restorer;
+    this.names = names;
+  }
+
+  /** See {@link io.embernotch.election.Candidacy#claim}. */
+  Claim claim(Transaction transaction) {
+    claimed = nextIncarnation();
+    if (claimed == null) {
+      return new Claim(knowledge.name(), knowledge.epochFloor(), 0);
+    }
+    StoredPointer replaced = pointer.latest();
+    transaction.unfenced().when(IncarnationCodec.POINTER, replaced.modRevision());
+    if (knowledge.isLost()) {
+      // If data was lost again since they were written, the blocks are missing: contents that hold
+      // the last one hold all.
+      PreparedSnapshot prepared = restorer.prepared();
+      transaction.when(
+          IncarnationCodec.block(prepared.name(), prepared.blocks() - 1),
+          prepared.lastModRevision());
+    }
+    if (replaced.isPresent()) {
+      transaction.drop(IncarnationCodec.fence(replaced.incarnation()));
+    }
+    transaction
+        .write(IncarnationCodec.POINTER, IncarnationCodec.write(claimed))
+        .write(IncarnationCodec.fence(claimed), IncarnationCodec.write(claimed));
+    double graceS = knowledge.isLost() ? restorer.formerLeaderGraceS() : 0;
+    return new Claim(claimed.name(), claimed.epochFloor(), graceS);
+  }
+
+  /** The claim under way was made; the incarnation that it has begun, if it was to begin one. */
+  Optional<StoreIncarnation> succeeded(long modRevision) {
+    Optional<StoreIncarnation> begun =
+        Optional.ofNullable(claimed).map(incarnation -> incarnation.at(modRevision));
+    claimed = null;
+    return begun;
+  }
+
+  /** The claim under way is void; true if it was to begin an incarnation. */
+  boolean discard() {
+    boolean wasClaimed = claimed != null;
+    claimed = null;
+    return wasClaimed;
+  }
+
+  /** The incarnation that is to begin; null if the present one goes on. */
+  private StoreIncarnation nextIncarnation() {
+    if (knowledge.isLost()) {
+      return restoredIncarnation(restorer.prepared());
+    }
+    if (!knowledge.hasIncarnation()) {
+      return firstIncarnation();
+    }
+    return knowledge.isBehind() ? raisedIncarnation(knowledge.incarnation()) : null;
+  }
+
+  private StoreIncarnation restoredIncarnation(PreparedSnapshot prepared) {
+    knowledge.observeEpoch(prepared.snapshot().getEpoch());
+    return new StoreIncarnation(
+        prepared.name(),
+        UNWRITTEN,
+        knowledge.raisedEpochFloor(),
+        prepared.name(),
+        prepared.blocks(),
+        prepared.crc(),
+        SINCE_BEGIN,
+        predecessors());
+  }
+
+  private StoreIncarnation firstIncarnation() {
+    return new StoreIncarnation(
+        names.get(),
+        UNWRITTEN,
+        knowledge.isBehind() ? knowledge.raisedEpochFloor() : 0,
+        null,
+        0,
+        0,
+        SINCE_BEGIN,
+        List.of());
+  }
+
+  /** The same contents under another name, with epochs above all that anybody has seen. */
+  private StoreIncarnation raisedIncarnation(StoreIncarnation present) {
+    return new StoreIncarnation(
+        names.get(),
+        UNWRITTEN,
+        knowledge.raisedEpochFloor(),
+        present.snapshotName(),
+        present.blockCount(),
+        present.crc(),
+        present.since(),
+        present.lineage());
+  }
+
+  /**
+   * The names that come before an incarnation that is begun after a loss: those that we knew, and
+   * whatever the store names besides.
+   */
+  private List<String> predecessors() {
+    List<String> names =
+        new ArrayList<>(knowledge.hasIncarnation() ? knowledge.incarnation().lineage() : List.of());
+    StoredPointer replaced = pointer.latest();
+    if (replaced.isPresent()) {
+      replaced.incarnation().lineage().stream()
+          .filter(name -> !names.contains(name))
+          .forEach(names::add);
+    }
+    return names;
+  }
+}
--- /dev/null
+++ b/src/main/java/io/embernotch/incarnation/IncarnationKnowledge.java
@@ -0,0 +1,156 @@
+package io.embernotch.incarnation;
+
+import io.embernotch.model.StoreIncarnation;
+import io.embernotch.snapshot.BaseSnapshot;
+import io.embernotch.store.StoreClient;
+
+/** What this controller knows of the store's incarnation, of its epochs and of losses of data. */
+final class IncarnationKnowledge {
+  /**
+   * Epochs are raised by so much over the highest that we know: others may have seen higher ones
+   * than we.
+   */
+  private static final long EPOCH_LEAP = 1L << 24;
+
+  private enum State {
+    /** The pointer has not been read yet. */
+    UNREAD,
+    /** The store's contents are the ones that we know. */
+    INTACT,
+    /** Data is lost, and no incarnation has begun since. */
+    LOST
+  }
+
+  private final StoreClient store;
+  private State state = State.UNREAD;
+
+  /** The incarnation that we know; null if there was none yet. */
+  private StoreIncarnation incarnation;
+
+  private BaseSnapshot baseSnapshot = BaseSnapshot.EMPTY;
+
+  /** The highest epoch that anybody here has seen. */
+  private long highestEpoch;
+
+  private long lossEpoch;
+  private int losses;
+
+  IncarnationKnowledge(StoreClient store) {
+    this.store = store;
+  }
+
+  boolean isUnread() {
+    return state == State.UNREAD;
+  }
+
+  boolean isIntact() {
+    return state == State.INTACT;
+  }
+
+  boolean isLost() {
+    return state == State.LOST;
+  }
+
+  /** The incarnation that we know; null if there was none yet. */
+  StoreIncarnation incarnation() {
+    return incarnation;
+  }
+
+  boolean hasIncarnation() {
+    return incarnation != null;
+  }
+
+  /** The name of the incarnation that we know; "" if there was none yet. */
+  String name() {
+    return incarnation == null ? "" : incarnation.name();
+  }
+
+  /** What the incarnation began with. */
+  BaseSnapshot baseSnapshot() {
+    return baseSnapshot;
+  }
+
+  /** Added to a modification revision of the leader's key to get an epoch. */
+  long epochFloor() {
+    return incarnation == null ? 0 : incarnation.epochFloor();
+  }
+
+  /** The highest epoch that these contents have reached, as far as we have seen them. */
+  private long reachedEpoch() {
+    return epochFloor() + store.highestRevisionSeen();
+  }
+
+  /** Whether somebody has seen an epoch that these contents have not reached. */
+  boolean isBehind() {
+    return highestEpoch > reachedEpoch();
+  }
+
+  /** Whether an epoch is so high that only a controller that found data lost can name it. */
+  boolean isLossEpoch(long epoch) {
+    return epoch > reachedEpoch() + EPOCH_LEAP / 2;
+  }
+
+  void observeEpoch(long epoch) {
+    highestEpoch = Math.max(highestEpoch, epoch);
+  }
+
+  /** An epoch floor above all epochs that anybody may have seen. */
+  long raisedEpochFloor() {
+    return highestEpoch + EPOCH_LEAP;
+  }
+
+  /** The epoch that tells others of the last loss. */
+  long lossEpoch() {
+    return lossEpoch;
+  }
+
+  /** How often data was seen to be lost. */
+  int losses() {
+    return losses;
+  }
+
+  /** Data is lost. Returns false if it was lost already, and no incarnation has begun since. */
+  boolean recordLoss() {
+    observeEpoch(reachedEpoch());
+    store.discardIncarnation();
+    losses++;
+    if (state == State.LOST) {
+      return false;
+    }
+    state = State.LOST;
+    lossEpoch = raisedEpochFloor();
+    return true;
+  }
+
+  /**
+   * The store's contents are known to be ours, of this incarnation.
+   *
+   * @param settled null if there is none yet
+   * @return whether that was not known before
+   */
+  boolean settle(StoreIncarnation settled, BaseSnapshot itsBaseSnapshot) {
+    boolean wasIntact = isIntact();
+    boolean changed = settled != null && (incarnation == null || !isNamed(settled.name()));
+    incarnation = settled;
+    baseSnapshot = itsBaseSnapshot;
+    state = State.INTACT;
+    return !wasIntact || changed;
+  }
+
+  /** Whether this is the very incarnation that we know, at the same modification revision. */
+  boolean isSame(StoreIncarnation other) {
+    return incarnation != null
+        && other != null
+        && isNamed(other.name())
+        && other.modRevision() == incarnation.modRevision();
+  }
+
+  /** Whether the store with this incarnation, or null, is one that we know, or one made of it. */
+  boolean isOurs(StoreIncarnation other) {
+    return incarnation == null || isSame(other) || (other != null && other.follows(incarnation));
+  }
+
+  private boolean isNamed(String name) {
+    return incarnation.name().equals(name);
+  }
+}
