--- a/src/main/java/io/embernotch/incarnation/IncarnationAdopter.java
+++ b/src/main/java/io/embernotch/incarnation/IncarnationAdopter.java
@@ -10,7 +10,7 @@
 
 /** Takes over the incarnation that the store holds, along with the snapshot that it began with. */
 final class IncarnationAdopter {
-  /** The messages are the tracker's, of which this is a part. */
+  /** Logs under the name of the tracker, of which this class is a part. */
   private static final Logger LOG = LoggerFactory.getLogger(StoreIncarnationTracker.class);
 
   private final StoreClient store;
--- a/src/main/java/io/embernotch/incarnation/PointerReader.java
+++ b/src/main/java/io/embernotch/incarnation/PointerReader.java
@@ -14,7 +14,7 @@
 
 /** Reads the pointer to the present incarnation, one read at a time, and again if that fails. */
 final class PointerReader {
-  /** The messages are the tracker's, of which this is a part. */
+  /** Logs under the name of the tracker, of which this class is a part. */
   private static final Logger LOG = LoggerFactory.getLogger(StoreIncarnationTracker.class);
 
   private final StoreClient store;
--- a/src/main/java/io/embernotch/persistence/ShardRefiner.java
+++ b/src/main/java/io/embernotch/persistence/ShardRefiner.java
@@ -14,7 +14,7 @@
  * longer fit.
  */
 final class ShardRefiner {
-  /** The messages are the writer's, of which this is a part. */
+  /** Logs under the name of the writer, of which this class is a part. */
   private static final Logger LOG = LoggerFactory.getLogger(StateWriter.class);
 
   private final ShardLayout layout;
--- a/src/main/java/io/embernotch/persistence/WriteScheduler.java
+++ b/src/main/java/io/embernotch/persistence/WriteScheduler.java
@@ -23,7 +23,7 @@
   /** The value of {@code armedFor} while no timer is armed. */
   private static final double NOT_ARMED = Double.MAX_VALUE;
 
-  /** A transaction waits until it has this part of the largest number of changes, if it can. */
+  /** A transaction waits for the largest number of changes divided by this, if so many wait. */
   private static final int MIN_BATCH_DIVISOR = 4;
 
   private final StoreClient store;
--- a/src/main/java/io/embernotch/store/LeaseRenewer.java
+++ b/src/main/java/io/embernotch/store/LeaseRenewer.java
@@ -17,7 +17,7 @@
  * allowed to expire.
  */
 public final class LeaseRenewer {
-  /** A lease is renewed after this part of its time to live, and a renewal may take as long. */
+  /** A lease is renewed after its time to live divided by this; a renewal may take as long. */
   private static final double RENEWALS_PER_TTL = 3;
 
   /** A renewal that failed is tried again after the time to live divided by this. */
@@ -39,7 +39,7 @@
   private final double safeTtlS;
   private final double stuckS;
 
-  /** Holds null while no lease is kept. */
+  /** Its value is null while no lease is kept. */
   private final AtomicReference<ExpiryBound> expiryBound = new AtomicReference<>();
 
   private volatile double coreAliveAt;
