--- a/src/main/java/io/embernotch/leader/SchedulingLoop.java
+++ b/src/main/java/io/embernotch/leader/SchedulingLoop.java
@@ -176,7 +176,7 @@
             held,
             fleetManager.risk());
     SchedulingPlan plan = liveFirst ? planner.liveOnly(at) : planner.plan(at);
-    sharedState.holds().planned(plan.held);
+    sharedState.holds().planned(plan.reserved);
     tookS = context.clock().now() - now;
     plans.record(liveFirst ? "live plan" : "plan", tookS);
     for (SchedulingPlan.Stop s : plan.stops) {
--- a/src/main/java/io/embernotch/reservation/ReservationHeadroom.java
+++ b/src/main/java/io/embernotch/reservation/ReservationHeadroom.java
@@ -85,7 +85,7 @@
       }
       return;
     }
-    Resources left = new Resources(r.cpus(), r.gpus(), r.memGb()).less(used);
+    Resources left = new Resources(r.cpus(), r.gpus(), r.memGb()).minus(used);
     if (left.isZero()) {
       return;
     }
--- a/src/main/java/io/embernotch/reservation/ReservationManager.java
+++ b/src/main/java/io/embernotch/reservation/ReservationManager.java
@@ -68,7 +68,7 @@
   private Map<String, Resources[]> perhaps = Map.of();
   private long perhapsOf = -1;
   private long perhapsIn = -1;
-  private List<ReservationView.Term> lastTerms = List.of();
+  private List<ReservationView.ReservationDemand> lastTerms = List.of();
   private double loadedAt;
   private double writtenAt;
   private double changedAt;
@@ -190,7 +190,7 @@
         terms.stream()
             .map(
                 r ->
-                    new ReservationView.Term(
+                    new ReservationView.ReservationDemand(
                         r, ReservationHeadroom.of(r, headroom, state, context.operator())))
             .toList();
     return new ReservationView(lastTerms, held, this::used);
@@ -207,7 +207,7 @@
             Resources[] u = used(machine);
             Resources free = Resources.ZERO;
             for (int i = 0; i < amounts.length; i++) {
-              free = free.plus(u == null ? amounts[i] : amounts[i].less(u[i]), 1);
+              free = free.plus(u == null ? amounts[i] : amounts[i].minus(u[i]), 1);
             }
             keep(machine, free);
             marked.add(machine);
@@ -393,7 +393,7 @@
       held = held.plus(e.getValue()[term], 1);
       filled = filled.plus(used, 1);
       machines++;
-      Resources free = e.getValue()[term].less(used);
+      Resources free = e.getValue()[term].minus(used);
       double share =
           Math.max(
               free.cpus() / Math.max(1, machine.type.cpus()),
@@ -415,7 +415,7 @@
       amount(o.putObject("filled"), s.filled);
       Resources free = Resources.ZERO;
       if (i < lastTerms.size()) {
-        for (FleetView.Headroom h : lastTerms.get(i).spare()) {
+        for (FleetView.Headroom h : lastTerms.get(i).headroom()) {
           free = free.plus(Resources.of(h.like()), h.count());
         }
       }
--- a/src/main/java/io/embernotch/scheduling/BootQueueing.java
+++ b/src/main/java/io/embernotch/scheduling/BootQueueing.java
@@ -16,10 +16,10 @@
  */
 final class BootQueueing {
   /** Owners' estimates are often wrong by half, so the mean of a class counts, and with care. */
-  private static final int MOST = 3;
+  private static final int MAX_QUEUE_DEPTH = 3;
 
   /** Sums over the jobs of a class. */
-  private static final class Kind {
+  private static final class ClassTotals {
     double expectS;
     int jobs;
     int placed;
@@ -30,7 +30,7 @@
     }
   }
 
-  private final Map<String, Kind> kinds = new HashMap<>();
+  private final Map<String, ClassTotals> totalsByClass = new HashMap<>();
   private final Map<String, MachineType> types;
 
   BootQueueing(Collection<Job> jobs, Map<String, MachineType> types) {
@@ -39,7 +39,7 @@
       if (job.blocked()) {
         continue;
       }
-      Kind k = kinds.computeIfAbsent(job.spec.jobClass(), c -> new Kind());
+      ClassTotals k = totalsByClass.computeIfAbsent(job.spec.jobClass(), c -> new ClassTotals());
       k.expectS += job.spec.expectS();
       k.jobs++;
       k.placed += job.openAttempts.size();
@@ -48,8 +48,8 @@
   }
 
   /** A task of the job as it counts where it waits for a machine that is not up. */
-  JobSpec waiting(JobSpec spec) {
-    int depth = depth(spec);
+  JobSpec queuedSpec(JobSpec spec) {
+    int depth = queueDepth(spec);
     return depth > 1 ? spec.withShare(1.0 / depth) : spec;
   }
 
@@ -58,23 +58,23 @@
    * many of its class as wait will have ended before that machine is up: it costs several times as
    * much, and would find nothing left to do.
    */
-  boolean worthOrdinary(JobSpec spec) {
-    Kind k = kinds.get(spec.jobClass());
+  boolean worthOrdinaryMachine(JobSpec spec) {
+    ClassTotals k = totalsByClass.get(spec.jobClass());
     if (!spec.spot() || spec.shape() != JobShape.ARRAY || k == null || k.expectS <= 0) {
       return true;
     }
-    return k.pending > k.placed * Math.min(1, bootS(spec) / k.meanS());
+    return k.pending > k.placed * Math.min(1, shortestBootS(spec) / k.meanS());
   }
 
-  private int depth(JobSpec spec) {
-    Kind k = kinds.get(spec.jobClass());
+  private int queueDepth(JobSpec spec) {
+    ClassTotals k = totalsByClass.get(spec.jobClass());
     if (spec.shape() != JobShape.ARRAY || k == null || k.expectS <= 0) {
       return 1;
     }
-    return (int) Math.max(1, Math.min(MOST, 1 + bootS(spec) / k.meanS()));
+    return (int) Math.max(1, Math.min(MAX_QUEUE_DEPTH, 1 + shortestBootS(spec) / k.meanS()));
   }
 
-  private double bootS(JobSpec spec) {
+  private double shortestBootS(JobSpec spec) {
     return types.values().stream()
         .filter(type -> type.fits(spec))
         .mapToDouble(MachineType::bootS)
--- a/src/main/java/io/embernotch/scheduling/CandidateMachines.java
+++ b/src/main/java/io/embernotch/scheduling/CandidateMachines.java
@@ -19,27 +19,27 @@
  */
 final class CandidateMachines {
   /** Room that a task can be given. */
-  enum Room {
+  enum Capacity {
     /** On a machine that is up. */
-    NOW,
+    FREE,
     /** On a machine that is up, once what is being stopped there has ended. */
     FREEING,
     /** On a machine that is booting or asked for. */
-    COMING,
+    BOOTING,
     /** On a machine that this plan rents. */
-    NEW
+    SCALE_OUT
   }
 
   private final List<CandidateMachine> all = new ArrayList<>();
-  private final List<CandidateMachine> ready = new ArrayList<>();
+  private final List<CandidateMachine> upWithCapacity = new ArrayList<>();
 
   /** Machines that are up and have room, but no GPU. */
-  private final List<CandidateMachine> bare = new ArrayList<>();
+  private final List<CandidateMachine> withoutGpus = new ArrayList<>();
 
-  private final List<CandidateMachine> coming = new ArrayList<>();
-  private final List<CandidateMachine> fresh = new ArrayList<>();
+  private final List<CandidateMachine> booting = new ArrayList<>();
+  private final List<CandidateMachine> scaledOut = new ArrayList<>();
   private boolean anySpot;
-  private final Map<String, Integer> inZone = new HashMap<>();
+  private final Map<String, Integer> countByZone = new HashMap<>();
 
   /** There is a machine at the cheap price, up or coming. */
   boolean anySpot() {
@@ -48,36 +48,36 @@
 
   void add(CandidateMachine candidate) {
     all.add(candidate);
-    inZone.merge(candidate.zone, 1, Integer::sum);
+    countByZone.merge(candidate.zone, 1, Integer::sum);
     anySpot |= candidate.spot;
     if (!candidate.full()) {
       if (!candidate.gpusTaken()) {
         open(candidate).add(candidate);
-      } else if (candidate.kind == CandidateMachine.Kind.READY) {
-        bare.add(candidate);
+      } else if (candidate.state == CandidateMachine.State.UP) {
+        withoutGpus.add(candidate);
       }
     }
   }
 
   void add(FleetView.Expected e, MachineType type) {
     for (int i = 0; type != null && i < e.number(); i++) {
-      add(new CandidateMachine(CandidateMachine.Kind.COMING, null, type, e.zone(), e.spot()));
+      add(new CandidateMachine(CandidateMachine.State.BOOTING, null, type, e.zone(), e.spot()));
     }
   }
 
   private List<CandidateMachine> open(CandidateMachine candidate) {
-    return switch (candidate.kind) {
-      case READY -> ready;
-      case COMING -> coming;
-      case NEW -> fresh;
+    return switch (candidate.state) {
+      case UP -> upWithCapacity;
+      case BOOTING -> booting;
+      case SCALE_OUT -> scaledOut;
     };
   }
 
-  private List<CandidateMachine> open(Room room) {
+  private List<CandidateMachine> open(Capacity room) {
     return switch (room) {
-      case NOW, FREEING -> ready;
-      case COMING -> coming;
-      case NEW -> fresh;
+      case FREE, FREEING -> upWithCapacity;
+      case BOOTING -> booting;
+      case SCALE_OUT -> scaledOut;
     };
   }
 
@@ -86,7 +86,7 @@
   }
 
   /** What all machines have together. */
-  Resources together() {
+  Resources totalCapacity() {
     Resources sum = Resources.ZERO;
     for (CandidateMachine candidate : all) {
       sum =
@@ -98,46 +98,46 @@
   }
 
   /** Machines that are up and have room now or will have. */
-  List<CandidateMachine> ready() {
-    return ready;
+  List<CandidateMachine> upWithCapacity() {
+    return upWithCapacity;
   }
 
   /** A slot may have room again, since something there is to be stopped. */
   void reopen(CandidateMachine candidate) {
-    if (!ready.contains(candidate)) {
-      bare.remove(candidate);
-      ready.add(candidate);
+    if (!upWithCapacity.contains(candidate)) {
+      withoutGpus.remove(candidate);
+      upWithCapacity.add(candidate);
     }
   }
 
-  int inZone(String zone) {
-    return inZone.getOrDefault(zone, 0);
+  int countByZone(String zone) {
+    return countByZone.getOrDefault(zone, 0);
   }
 
   /** Slots with such room for this job, best first. */
   List<CandidateMachine> candidates(
-      Room room,
+      Capacity room,
       JobSpec spec,
       Predicate<CandidateMachine> allowed,
       ToDoubleFunction<CandidateMachine> score) {
     List<CandidateMachine> from = open(room);
-    from.removeIf(this::filledUp);
+    from.removeIf(this::noLongerOffered);
     List<CandidateMachine> out = new ArrayList<>();
-    if (spec.gpus() <= 0 && from == ready) {
-      bare.removeIf(CandidateMachine::full);
-      add(bare, out, room, spec, allowed, score);
+    if (spec.gpus() <= 0 && from == upWithCapacity) {
+      withoutGpus.removeIf(CandidateMachine::full);
+      add(withoutGpus, out, room, spec, allowed, score);
     }
     add(from, out, room, spec, allowed, score);
     out.sort(Comparator.comparingDouble(candidate -> candidate.score));
     return out;
   }
 
-  private boolean filledUp(CandidateMachine candidate) {
+  private boolean noLongerOffered(CandidateMachine candidate) {
     if (candidate.full()) {
       return true;
     }
-    if (candidate.gpusTaken() && candidate.kind == CandidateMachine.Kind.READY) {
-      bare.add(candidate);
+    if (candidate.gpusTaken() && candidate.state == CandidateMachine.State.UP) {
+      withoutGpus.add(candidate);
       return true;
     }
     return candidate.gpusTaken();
@@ -146,14 +146,14 @@
   private static void add(
       List<CandidateMachine> from,
       List<CandidateMachine> out,
-      Room room,
+      Capacity room,
       JobSpec spec,
       Predicate<CandidateMachine> allowed,
       ToDoubleFunction<CandidateMachine> score) {
     for (CandidateMachine candidate : from) {
-      if (candidate.count(spec, room == Room.FREEING) > 0
+      if (candidate.taskCapacity(spec, room == Capacity.FREEING) > 0
           && candidate.allows(spec)
-          && GangAccumulation.lets(candidate, spec)
+          && GangAccumulation.admits(candidate, spec)
           && allowed.test(candidate)) {
         candidate.score = score.applyAsDouble(candidate);
         out.add(candidate);
@@ -162,10 +162,11 @@
   }
 
   /** What is held on each machine now. */
-  Map<String, Resources[]> held() {
+  Map<String, Resources[]> reserved() {
     Map<String, Resources[]> out = new HashMap<>();
     for (CandidateMachine candidate : all) {
-      Resources[] total = candidate.hold == null ? null : candidate.hold.total();
+      Resources[] total =
+          candidate.reservation == null ? null : candidate.reservation.totalReserved();
       if (total != null) {
         out.put(candidate.machine.name, total);
       }
@@ -173,7 +174,7 @@
     return out;
   }
 
-  static CandidateMachine slot(Machine machine, double now) {
+  static CandidateMachine candidate(Machine machine, double now) {
     if (machine.type == null
         || machine.zone == null
         || machine.deleting
@@ -184,21 +185,21 @@
     }
     if (!machine.up()) {
       return now < machine.expectedUntil
-          ? CandidateMachine.of(CandidateMachine.Kind.COMING, machine)
+          ? CandidateMachine.of(CandidateMachine.State.BOOTING, machine)
           : null;
     }
-    return CandidateMachine.of(CandidateMachine.Kind.READY, machine);
+    return CandidateMachine.of(CandidateMachine.State.UP, machine);
   }
 
   static CandidateMachines of(
       Collection<Machine> machines, Predicate<Machine> usable, double now, ReservationView holds) {
     CandidateMachines out = new CandidateMachines();
     for (Machine machine : machines) {
-      CandidateMachine candidate = slot(machine, now);
+      CandidateMachine candidate = candidate(machine, now);
       if (candidate != null
-          && (candidate.kind != CandidateMachine.Kind.READY || usable.test(machine))) {
-        candidate.hold =
-            candidate.kind == CandidateMachine.Kind.READY
+          && (candidate.state != CandidateMachine.State.UP || usable.test(machine))) {
+        candidate.reservation =
+            candidate.state == CandidateMachine.State.UP
                     && !candidate.spot
                     && holds.concerns(machine)
                 ? holds.on(machine)
--- a/src/main/java/io/embernotch/scheduling/Deadlines.java
+++ b/src/main/java/io/embernotch/scheduling/Deadlines.java
@@ -20,24 +20,24 @@
    * One job: what it takes of all machines together, in seconds, and by when it must be done, in
    * seconds from now.
    */
-  public record Item(String ref, double takesS, double dueS) {}
+  public record Task(String ref, double takesS, double dueS) {}
 
   private Deadlines() {}
 
   /** The jobs that are left to be late. */
-  public static Set<String> late(List<Item> items) {
-    List<Item> order = new ArrayList<>(items);
-    order.sort(Comparator.comparingDouble(Item::dueS).thenComparing(Item::ref));
-    PriorityQueue<Item> taken =
+  public static Set<String> missed(List<Task> items) {
+    List<Task> order = new ArrayList<>(items);
+    order.sort(Comparator.comparingDouble(Task::dueS).thenComparing(Task::ref));
+    PriorityQueue<Task> taken =
         new PriorityQueue<>(
-            Comparator.comparingDouble(Item::takesS).reversed().thenComparing(Item::ref));
+            Comparator.comparingDouble(Task::takesS).reversed().thenComparing(Task::ref));
     Set<String> late = new HashSet<>();
     double at = 0;
-    for (Item i : order) {
+    for (Task i : order) {
       taken.add(i);
       at += i.takesS;
       if (at > i.dueS) {
-        Item longest = taken.poll();
+        Task longest = taken.poll();
         at -= longest.takesS;
         late.add(longest.ref);
       }
@@ -50,7 +50,7 @@
    * Job#missesDeadline}.
    */
   static void mark(List<Job> jobs, Resources room, long wallMs) {
-    List<Item> items = new ArrayList<>();
+    List<Task> items = new ArrayList<>();
     for (Job job : jobs) {
       job.missesDeadline = false;
       if (job.releaseDeadlineMs != Long.MAX_VALUE && job.finalPhase == null) {
@@ -60,14 +60,14 @@
         double runS = job.remainingRunMs / 1000.0;
         // Nothing is done before one of its tasks has run, however many machines there are.
         items.add(
-            new Item(
+            new Task(
                 job.spec.ref(),
                 share * left * runS,
                 (job.releaseDeadlineMs - wallMs) / 1000.0
                     - runS * (1 - Math.min(1, share * left))));
       }
     }
-    Set<String> late = late(items);
+    Set<String> late = missed(items);
     for (Job job : jobs) {
       job.missesDeadline = late.contains(job.spec.ref());
     }
--- a/src/main/java/io/embernotch/scheduling/GangAccumulation.java
+++ b/src/main/java/io/embernotch/scheduling/GangAccumulation.java
@@ -24,41 +24,41 @@
    * Workers' leases that a gang waits before room is gathered for it, and until it is for all of
    * its tasks.
    */
-  private static final double FIRST_LEASES = 1;
+  private static final double MIN_WAIT_LEASES = 1;
 
-  private static final double WHOLE_LEASES = 2;
+  private static final double FULL_WAIT_LEASES = 2;
 
   /** Largest share of the machines that are up that is held so. */
-  private static final double MOST_SHARE = 0.25;
+  private static final double MAX_MACHINE_SHARE = 0.25;
 
   /** Owners' estimates are often wrong by half. */
-  private static final double DOUBT = 1.5;
+  private static final double ESTIMATE_MARGIN = 1.5;
 
   /** What a task takes; machines are looked through once for each. */
   private record Size(double cpus, double gpus, double memGb) {}
 
-  private record Host(CandidateMachine slot, double emptyInS) {}
+  private record Host(CandidateMachine candidate, double availableInS) {}
 
-  private final CandidateMachines slots;
+  private final CandidateMachines candidates;
   private final Settings settings;
-  private final ScaleOutPlanner market;
+  private final ScaleOutPlanner scaleOutPlanner;
   private final double now;
   private final long wallMs;
   private final Map<Size, List<Host>> hosts = new HashMap<>();
-  private int left;
+  private int machineBudget;
 
   GangAccumulation(
       CandidateMachines slots, Settings settings, ScaleOutPlanner market, double now, long wallMs) {
-    this.slots = slots;
+    this.candidates = slots;
     this.settings = settings;
-    this.market = market;
+    this.scaleOutPlanner = market;
     this.now = now;
     this.wallMs = wallMs;
   }
 
   /** Whether a job has waited for so long that room, and its team's quota, are held for it. */
   boolean aged(Job job) {
-    return waitedLeases(job) > FIRST_LEASES;
+    return waitedLeases(job) > MIN_WAIT_LEASES;
   }
 
   private double waitedLeases(Job job) {
@@ -66,12 +66,12 @@
   }
 
   /** Holds machines for the gangs among these jobs that need it, in this order. */
-  void hold(List<Job> order) {
-    left =
+  void reserveMachines(List<Job> order) {
+    machineBudget =
         (int)
-            (MOST_SHARE
-                * slots.all().stream()
-                    .filter(candidate -> candidate.kind == CandidateMachine.Kind.READY)
+            (MAX_MACHINE_SHARE
+                * candidates.all().stream()
+                    .filter(candidate -> candidate.state == CandidateMachine.State.UP)
                     .count());
     boolean first = true;
     for (Job job : order) {
@@ -81,87 +81,88 @@
               && !job.failsEverywhere()
               && aged(job);
       if (waits
-          && (left > 0 || first)
-          && settings.zones().stream().noneMatch(z -> market.canBuy(job.spec, z))) {
-        left = first ? Math.max(left, job.spec.tasks()) : left;
+          && (machineBudget > 0 || first)
+          && settings.zones().stream().noneMatch(z -> scaleOutPlanner.available(job.spec, z))) {
+        machineBudget = first ? Math.max(machineBudget, job.spec.tasks()) : machineBudget;
         first = false;
-        gather(job);
+        accumulate(job);
       }
     }
   }
 
-  private void gather(Job job) {
+  private void accumulate(Job job) {
     JobSpec spec = job.spec;
-    double grown = Math.min(1, (waitedLeases(job) - FIRST_LEASES) / (WHOLE_LEASES - FIRST_LEASES));
-    int wanted = Math.min(left, (int) Math.ceil(grown * spec.tasks()));
+    double grown =
+        Math.min(1, (waitedLeases(job) - MIN_WAIT_LEASES) / (FULL_WAIT_LEASES - MIN_WAIT_LEASES));
+    int wanted = Math.min(machineBudget, (int) Math.ceil(grown * spec.tasks()));
     List<Host> best = List.of();
     if (spec.oneZone()) {
       for (String zone : settings.zones()) {
-        List<Host> there = soonest(spec, wanted, new ZoneConstraints(spec, zone));
+        List<Host> there = firstAvailable(spec, wanted, new ZoneConstraints(spec, zone));
         if (there.size() > best.size()
-            || (there.size() == best.size() && lastS(there) < lastS(best))) {
+            || (there.size() == best.size() && lastAvailableInS(there) < lastAvailableInS(best))) {
           best = there;
         }
       }
     } else {
-      best = soonest(spec, wanted, new ZoneConstraints(spec, null));
+      best = firstAvailable(spec, wanted, new ZoneConstraints(spec, null));
     }
     for (Host h : best) {
-      h.slot.heldFor = spec.ref();
-      h.slot.heldS = h.emptyInS;
-      left--;
+      h.candidate.accumulatingFor = spec.ref();
+      h.candidate.accumulatedInS = h.availableInS;
+      machineBudget--;
     }
   }
 
-  private static double lastS(List<Host> hosts) {
-    return hosts.isEmpty() ? 0 : hosts.get(hosts.size() - 1).emptyInS;
+  private static double lastAvailableInS(List<Host> hosts) {
+    return hosts.isEmpty() ? 0 : hosts.get(hosts.size() - 1).availableInS;
   }
 
   /** The machines that will have room for one such task first. */
-  private List<Host> soonest(JobSpec spec, int wanted, ZoneConstraints zones) {
+  private List<Host> firstAvailable(JobSpec spec, int wanted, ZoneConstraints zones) {
     List<Host> out = new ArrayList<>();
     for (Host h :
         hosts.computeIfAbsent(
-            new Size(spec.cpus(), spec.gpus(), spec.memGb()), z -> inOrder(spec))) {
+            new Size(spec.cpus(), spec.gpus(), spec.memGb()), z -> byAvailability(spec))) {
       if (out.size() < wanted
-          && h.slot.heldFor == null
-          && h.slot.allows(spec)
-          && zones.room(h.slot.zone) > 0) {
-        zones.put(h.slot.zone, 1);
+          && h.candidate.accumulatingFor == null
+          && h.candidate.allows(spec)
+          && zones.remaining(h.candidate.zone) > 0) {
+        zones.add(h.candidate.zone, 1);
         out.add(h);
       }
     }
     return out;
   }
 
-  private List<Host> inOrder(JobSpec spec) {
+  private List<Host> byAvailability(JobSpec spec) {
     List<Host> out = new ArrayList<>();
-    for (CandidateMachine candidate : slots.all()) {
-      if (candidate.kind == CandidateMachine.Kind.READY && candidate.type.fits(spec)) {
-        double emptyInS = emptyInS(candidate, spec);
+    for (CandidateMachine candidate : candidates.all()) {
+      if (candidate.state == CandidateMachine.State.UP && candidate.type.fits(spec)) {
+        double emptyInS = availableInS(candidate, spec);
         if (emptyInS < Double.MAX_VALUE) {
           out.add(new Host(candidate, emptyInS));
         }
       }
     }
-    out.sort(Comparator.comparingDouble(Host::emptyInS));
+    out.sort(Comparator.comparingDouble(Host::availableInS));
     return out;
   }
 
   /** Seconds until there is room for one such task. */
-  private double emptyInS(CandidateMachine candidate, JobSpec spec) {
+  private double availableInS(CandidateMachine candidate, JobSpec spec) {
     List<Attempt> there = new ArrayList<>(candidate.machine.openAttempts.values());
-    there.sort(Comparator.comparingDouble(this::leftS));
-    Resources kept = candidate.keptFrom(spec);
+    there.sort(Comparator.comparingDouble(this::remainingS));
+    Resources kept = candidate.reservedAgainst(spec);
     double cpus = candidate.cpus - spec.cpus() - kept.cpus();
     double gpus = candidate.gpus - spec.gpus() - kept.gpus();
-    double mem = candidate.mem - spec.memGb() - kept.memGb();
+    double mem = candidate.memGb - spec.memGb() - kept.memGb();
     double at = 0;
     for (Attempt attempt : there) {
       if (!Preemption.lacks(cpus, gpus, mem)) {
         break;
       }
-      at = leftS(attempt);
+      at = remainingS(attempt);
       cpus += attempt.job.spec.cpus();
       gpus += attempt.job.spec.gpus();
       mem += attempt.job.spec.memGb();
@@ -170,7 +171,7 @@
   }
 
   /** Seconds that a task still has to run; a service has no end. */
-  private double leftS(Attempt attempt) {
+  private double remainingS(Attempt attempt) {
     if (attempt.stopping) {
       return attempt.job.spec.saveS();
     }
@@ -179,7 +180,7 @@
     }
     return Math.max(
         1,
-        DOUBT * Math.max(attempt.job.spec.expectS(), attempt.job.meanS())
+        ESTIMATE_MARGIN * Math.max(attempt.job.spec.expectS(), attempt.job.meanS())
             - (now - attempt.createdAt));
   }
 
@@ -187,11 +188,11 @@
    * Whether a task of this job may go to a machine that is held for another: it will have ended
    * before it is empty.
    */
-  static boolean lets(CandidateMachine candidate, JobSpec spec) {
-    return candidate.heldFor == null
-        || candidate.heldFor.equals(spec.ref())
+  static boolean admits(CandidateMachine candidate, JobSpec spec) {
+    return candidate.accumulatingFor == null
+        || candidate.accumulatingFor.equals(spec.ref())
         || (spec.shape() == JobShape.ARRAY
             && spec.expectS() > 0
-            && DOUBT * spec.expectS() <= candidate.heldS);
+            && ESTIMATE_MARGIN * spec.expectS() <= candidate.accumulatedInS);
   }
 }
--- a/src/main/java/io/embernotch/scheduling/JobOrdering.java
+++ b/src/main/java/io/embernotch/scheduling/JobOrdering.java
@@ -20,10 +20,10 @@
    * Leases before its last moment to start from which on work for a release goes before what is for
    * none.
    */
-  private static final int NEAR_LEASES = 4;
+  private static final int NEAR_START_LEASES = 4;
 
   /** More than any two moments are apart. */
-  private static final long FIRST = 1L << 50;
+  private static final long FIRST_OFFSET_MS = 1L << 50;
 
   /**
    * Live services first, then what is guaranteed, then by priority, then by the time at which it is
@@ -50,10 +50,10 @@
       }
     }
     if (order.stream().anyMatch(job -> job.releaseDeadlineMs != Long.MAX_VALUE)) {
-      Deadlines.mark(order, slots.together(), wallMs);
+      Deadlines.mark(order, slots.totalCapacity(), wallMs);
     }
     for (Job job : order) {
-      job.urgencyMs = urgentMs(job, leaseMs, wallMs);
+      job.urgencyMs = urgencyMs(job, leaseMs, wallMs);
     }
     order.sort(ORDER);
     return order;
@@ -64,10 +64,10 @@
    * did. One that is for a release goes before those once its last moment to start is near, if it
    * can be in time together with others; and whatever has waited for too long goes before all.
    */
-  private static long urgentMs(Job job, long leaseMs, long wallMs) {
+  private static long urgencyMs(Job job, long leaseMs, long wallMs) {
     long byAge = job.eligibleSinceMs + leaseMs;
     if (wallMs - job.eligibleSinceMs > STARVED_LEASES * leaseMs) {
-      return job.eligibleSinceMs - FIRST;
+      return job.eligibleSinceMs - FIRST_OFFSET_MS;
     }
     if (job.releaseDeadlineMs == Long.MAX_VALUE) {
       return Math.min(job.latestStartMs, byAge);
@@ -76,6 +76,8 @@
     if (job.missesDeadline) {
       return job.eligibleSinceMs + STARVED_LEASES * leaseMs;
     }
-    return lastStart - wallMs < NEAR_LEASES * leaseMs ? lastStart - FIRST : lastStart;
+    return lastStart - wallMs < NEAR_START_LEASES * leaseMs
+        ? lastStart - FIRST_OFFSET_MS
+        : lastStart;
   }
 }
--- a/src/main/java/io/embernotch/scheduling/MachineReservation.java
+++ b/src/main/java/io/embernotch/scheduling/MachineReservation.java
@@ -6,37 +6,38 @@
 
 /** What is held on one machine while a plan is made, for each reservation. */
 final class MachineReservation {
-  private final List<ReservationView.Term> terms;
+  private final List<ReservationView.ReservationDemand> demands;
 
   /** What their work takes there. */
   private final Resources[] used;
 
   /** What is held, used and not. */
-  private final Resources[] held;
+  private final Resources[] reserved;
 
   /** What of it is free for them, or is to be once others have ended. */
   private final Resources[] free;
 
   /** Is to be given up: until the store says so it is still kept from others. */
-  private final boolean[] given;
+  private final boolean[] released;
 
-  MachineReservation(List<ReservationView.Term> terms, Resources[] used, Resources[] before) {
-    this.terms = terms;
+  MachineReservation(
+      List<ReservationView.ReservationDemand> terms, Resources[] used, Resources[] before) {
+    this.demands = terms;
     this.used = used;
-    this.held = new Resources[terms.size()];
+    this.reserved = new Resources[terms.size()];
     this.free = new Resources[terms.size()];
-    this.given = new boolean[terms.size()];
+    this.released = new boolean[terms.size()];
     for (int i = 0; i < free.length; i++) {
-      held[i] = before == null ? used[i] : before[i].max(used[i]);
-      free[i] = held[i].less(used[i]);
+      reserved[i] = before == null ? used[i] : before[i].max(used[i]);
+      free[i] = reserved[i].minus(used[i]);
     }
   }
 
   /** What such a job may not have of the machine, free as it may be. */
-  Resources keptFrom(JobSpec job) {
+  Resources reservedAgainst(JobSpec job) {
     Resources kept = Resources.ZERO;
     for (int i = 0; i < free.length; i++) {
-      if (!free[i].isZero() && !terms.get(i).terms().serves(job)) {
+      if (!free[i].isZero() && !demands.get(i).reservation().serves(job)) {
         kept = kept.plus(free[i], 1);
       }
     }
@@ -44,10 +45,10 @@
   }
 
   /** Room for such tasks is claimed. */
-  void take(JobSpec job, int tasks) {
+  void allocate(JobSpec job, int tasks) {
     for (int i = 0; i < free.length; i++) {
-      if (terms.get(i).terms().serves(job)) {
-        free[i] = free[i].less(Resources.ZERO.plus(Resources.of(job), tasks));
+      if (demands.get(i).reservation().serves(job)) {
+        free[i] = free[i].minus(Resources.ZERO.plus(Resources.of(job), tasks));
       }
     }
   }
@@ -56,32 +57,32 @@
     return free[term];
   }
 
-  boolean filled(int term) {
+  boolean inUse(int term) {
     return !used[term].isZero();
   }
 
   /** Holds room for so many more tasks. */
   void extend(int term, Resources unit, int by) {
     free[term] = free[term].plus(unit, by);
-    held[term] = held[term].plus(unit, by);
+    reserved[term] = reserved[term].plus(unit, by);
   }
 
-  void giveUp(int term) {
-    given[term] = true;
+  void release(int term) {
+    released[term] = true;
   }
 
   /** All that is to be held, or null if that is nothing. */
-  Resources[] total() {
+  Resources[] totalReserved() {
     Resources[] out = new Resources[free.length];
     boolean any = false;
     for (int i = 0; i < out.length; i++) {
-      out[i] = given[i] ? held[i].less(free[i]) : held[i];
+      out[i] = released[i] ? reserved[i].minus(free[i]) : reserved[i];
       any |= !out[i].isZero();
     }
     return any ? out : null;
   }
 
-  static Resources[] nothing(int terms) {
+  static Resources[] none(int terms) {
     Resources[] out = new Resources[terms];
     Arrays.fill(out, Resources.ZERO);
     return out;
--- a/src/main/java/io/embernotch/scheduling/Preemption.java
+++ b/src/main/java/io/embernotch/scheduling/Preemption.java
@@ -34,40 +34,40 @@
    * Looking through all machines costs time, so a few jobs a plan may; there are several plans a
    * second.
    */
-  private static final int MOST_LOOKS = 8;
+  private static final int MAX_SEARCHES = 8;
 
   /** The best of so many times the machines that are needed will do. */
-  private static final int ENOUGH = 2;
+  private static final int SUFFICIENT_FACTOR = 2;
 
   private final Settings settings;
-  private final CandidateMachines slots;
+  private final CandidateMachines candidates;
   private final SchedulingPlan plan;
   private final double now;
-  private final Set<Attempt> stopped = Collections.newSetFromMap(new IdentityHashMap<>());
-  private int looks;
+  private final Set<Attempt> preempted = Collections.newSetFromMap(new IdentityHashMap<>());
+  private int searches;
 
   /** Machines that run what is beyond a guarantee; null until somebody asks. */
-  private List<CandidateMachine> lenders;
+  private List<CandidateMachine> machinesBeyondGuarantee;
 
   Preemption(Settings settings, CandidateMachines slots, SchedulingPlan plan, double now) {
     this.settings = settings;
-    this.slots = slots;
+    this.candidates = slots;
     this.plan = plan;
     this.now = now;
   }
 
   /** Stops work of lower priority where that destroys least, for up to {@code wanted} tasks. */
-  int makeRoom(
+  int preempt(
       JobSpec spec, int wanted, ZoneConstraints zones, Predicate<CandidateMachine> allowed) {
     // A live service does not wait for others to save; they fall back to their last checkpoint.
-    return makeRoom(
+    return preempt(
         spec,
         wanted,
         zones,
-        slots.all(),
+        candidates.all(),
         candidate ->
-            candidate.least != null
-                && candidate.least.compareTo(spec.priority()) < 0
+            candidate.lowestPriority != null
+                && candidate.lowestPriority.compareTo(spec.priority()) < 0
                 && allowed.test(candidate),
         attempt -> attempt.job.spec.priority().compareTo(spec.priority()) < 0,
         attempt -> 0);
@@ -77,29 +77,30 @@
    * Stops what others run beyond their guarantees, for up to {@code wanted} tasks of a job within
    * its team's.
    */
-  int giveGuarantee(Job job, int wanted, ZoneConstraints zones) {
-    if (!job.withinGuarantee || ++looks > MOST_LOOKS) {
+  int preemptBeyondGuarantee(Job job, int wanted, ZoneConstraints zones) {
+    if (!job.withinGuarantee || ++searches > MAX_SEARCHES) {
       return 0;
     }
-    if (lenders == null) {
-      lenders =
-          slots.all().stream()
+    if (machinesBeyondGuarantee == null) {
+      machinesBeyondGuarantee =
+          candidates.all().stream()
               .filter(
                   candidate ->
-                      candidate.kind == CandidateMachine.Kind.READY && runsBeyond(candidate))
+                      candidate.state == CandidateMachine.State.UP
+                          && runsBeyondGuarantee(candidate))
               .toList();
     }
-    return makeRoom(
+    return preempt(
         job.spec,
         wanted,
         zones,
-        lenders,
+        machinesBeyondGuarantee,
         candidate -> true,
-        attempt -> beyond(attempt.job, job),
+        attempt -> preemptibleFor(attempt.job, job),
         attempt -> attempt.job.spec.checkpointS() > 0 ? attempt.job.spec.saveS() : 0);
   }
 
-  private static boolean runsBeyond(CandidateMachine candidate) {
+  private static boolean runsBeyondGuarantee(CandidateMachine candidate) {
     for (Attempt attempt : candidate.machine.openAttempts.values()) {
       if (!attempt.job.withinGuarantee && attempt.job.spec.priority() != Priority.PRODUCTION) {
         return true;
@@ -108,7 +109,7 @@
     return false;
   }
 
-  private boolean beyond(Job other, Job job) {
+  private boolean preemptibleFor(Job other, Job job) {
     if (other.withinGuarantee
         || other.spec.priority() == Priority.PRODUCTION
         || other.spec.team().equals(job.spec.team())) {
@@ -118,7 +119,7 @@
         || other.spec.priority().compareTo(job.spec.priority()) < 0;
   }
 
-  private int makeRoom(
+  private int preempt(
       JobSpec spec,
       int wanted,
       ZoneConstraints zones,
@@ -131,47 +132,48 @@
     }
     List<CandidateMachine> hosts = new ArrayList<>();
     for (CandidateMachine candidate : from) {
-      if (candidate.kind != CandidateMachine.Kind.READY
+      if (candidate.state != CandidateMachine.State.UP
           || !allowed.test(candidate)
           || !candidate.allows(spec)
-          || zones.room(candidate.zone) == 0) {
+          || zones.remaining(candidate.zone) == 0) {
         continue;
       }
       List<Attempt> victims = victims(spec, candidate, may);
       if (victims != null) {
-        if (from == lenders && hosts.size() > ENOUGH * wanted) {
+        if (from == machinesBeyondGuarantee && hosts.size() > SUFFICIENT_FACTOR * wanted) {
           break;
         }
         candidate.score =
             candidate.fetchS(spec)
-                + victims.stream().mapToDouble(this::lost).sum() / victims.size();
+                + victims.stream().mapToDouble(this::lostS).sum() / victims.size();
         hosts.add(candidate);
       }
     }
     if (spec.shape() == JobShape.GANG
-        && hosts.stream().mapToInt(candidate -> most(spec, candidate, may)).sum() < wanted) {
+        && hosts.stream().mapToInt(candidate -> tasksAfterPreemption(spec, candidate, may)).sum()
+            < wanted) {
       // All of it starts or none does: half of its room would be stopped for nothing.
       return 0;
     }
     hosts.sort(Comparator.comparingDouble(candidate -> candidate.score));
     int made = 0;
     for (CandidateMachine candidate : hosts) {
-      while (made < wanted && zones.room(candidate.zone) > 0) {
+      while (made < wanted && zones.remaining(candidate.zone) > 0) {
         List<Attempt> victims = victims(spec, candidate, may);
         if (victims == null) {
           break;
         }
         for (Attempt attempt : victims) {
-          stopped.add(attempt);
-          candidate.willFree(attempt.job.spec);
+          preempted.add(attempt);
+          candidate.addFreeing(attempt.job.spec);
           plan.stops.add(
               new SchedulingPlan.Stop(
                   attempt, graceS.applyAsDouble(attempt), "room for " + spec.ref()));
         }
-        candidate.take(spec, 1);
+        candidate.allocate(spec, 1);
         candidate.claimed = true;
-        slots.reopen(candidate);
-        zones.put(candidate.zone, 1);
+        candidates.reopen(candidate);
+        zones.add(candidate.zone, 1);
         made++;
       }
     }
@@ -179,7 +181,7 @@
   }
 
   /** Seconds of progress that stopping this attempt loses or delays. */
-  private double lost(Attempt attempt) {
+  private double lostS(Attempt attempt) {
     double ran = attempt.runningAt < 0 ? 0 : now - attempt.runningAt;
     return attempt.job.spec.checkpointS() > 0
         ? Math.min(ran, attempt.job.spec.checkpointS() / 2)
@@ -189,12 +191,12 @@
   /** What must go for one such task, and nothing besides; null if what may go is not enough. */
   private List<Attempt> victims(JobSpec spec, CandidateMachine candidate, Predicate<Attempt> may) {
     List<Attempt> out = new ArrayList<>();
-    Resources kept = candidate.keptFrom(spec);
+    Resources kept = candidate.reservedAgainst(spec);
     double cpus = candidate.cpus + candidate.freeingCpus - spec.cpus() - kept.cpus();
     double gpus = candidate.gpus + candidate.freeingGpus - spec.gpus() - kept.gpus();
-    double mem = candidate.mem + candidate.freeingMem - spec.memGb() - kept.memGb();
+    double mem = candidate.memGb + candidate.freeingMemGb - spec.memGb() - kept.memGb();
     for (Attempt attempt : candidate.machine.openAttempts.values()) {
-      if (!attempt.stopping && !stopped.contains(attempt) && may.test(attempt)) {
+      if (!attempt.stopping && !preempted.contains(attempt) && may.test(attempt)) {
         out.add(attempt);
         cpus += attempt.job.spec.cpus();
         gpus += attempt.job.spec.gpus();
@@ -208,7 +210,7 @@
     out.sort(
         Comparator.comparing((Attempt attempt) -> attempt.job.spec.priority())
             .thenComparing(attempt -> attempt.job.spec.shape() == JobShape.GANG)
-            .thenComparingDouble(this::lost));
+            .thenComparingDouble(this::lostS));
     for (int i = out.size() - 1; i >= 0; i--) {
       JobSpec victim = out.get(i).job.spec;
       if (!lacks(cpus - victim.cpus(), gpus - victim.gpus(), mem - victim.memGb())) {
@@ -222,15 +224,17 @@
   }
 
   /** How many such tasks there is room for once all that may go is gone. */
-  private int most(JobSpec spec, CandidateMachine candidate, Predicate<Attempt> may) {
+  private int tasksAfterPreemption(
+      JobSpec spec, CandidateMachine candidate, Predicate<Attempt> may) {
     double share = Double.MAX_VALUE;
     MachineLoad there =
         new MachineLoad(
             candidate.machine.openAttempts.values().stream()
                 .filter(
-                    attempt -> !attempt.stopping && !stopped.contains(attempt) && may.test(attempt))
+                    attempt ->
+                        !attempt.stopping && !preempted.contains(attempt) && may.test(attempt))
                 .toList());
-    Resources kept = candidate.keptFrom(spec);
+    Resources kept = candidate.reservedAgainst(spec);
     share =
         Math.min(
             share,
@@ -250,7 +254,7 @@
             share,
             spec.memGb() <= 0
                 ? share
-                : (candidate.mem + candidate.freeingMem + there.memGb - kept.memGb())
+                : (candidate.memGb + candidate.freeingMemGb + there.memGb - kept.memGb())
                     / spec.memGb());
     return (int) Math.floor(Math.max(0, share) + EPS);
   }
--- a/src/main/java/io/embernotch/scheduling/QuotaUsage.java
+++ b/src/main/java/io/embernotch/scheduling/QuotaUsage.java
@@ -20,28 +20,30 @@
   QuotaUsage(Map<String, Settings.Team> teams, Collection<Job> jobs) {
     this.teams = teams;
     for (Job job : jobs) {
-      take(job.spec, job.openAttempts.size());
+      add(job.spec, job.openAttempts.size());
     }
   }
 
-  void take(JobSpec spec, int tasks) {
+  void add(JobSpec spec, int tasks) {
     double[] u = used.computeIfAbsent(spec.team(), t -> new double[2]);
     u[0] += spec.cpus() * tasks;
     u[1] += spec.gpus() * tasks;
   }
 
   /** How many more tasks of this job its team may run. */
-  int room(JobSpec spec) {
+  int remainingTasks(JobSpec spec) {
     Settings.Team team = teams.get(spec.team());
     if (team == null) {
       return 0;
     }
     double[] u = used.getOrDefault(spec.team(), new double[2]);
     return (int)
-        Math.min(left(team.cpusMax(), u[0], spec.cpus()), left(team.gpusMax(), u[1], spec.gpus()));
+        Math.min(
+            tasksWithinLimit(team.cpusMax(), u[0], spec.cpus()),
+            tasksWithinLimit(team.gpusMax(), u[1], spec.gpus()));
   }
 
-  private static double left(double max, double used, double each) {
+  private static double tasksWithinLimit(double max, double used, double each) {
     if (max <= 0 || each <= 0) {
       return Integer.MAX_VALUE;
     }
--- a/src/main/java/io/embernotch/scheduling/ReservationPlanner.java
+++ b/src/main/java/io/embernotch/scheduling/ReservationPlanner.java
@@ -1,7 +1,7 @@
 package io.embernotch.scheduling;
 
 import io.embernotch.model.JobSpec;
-import io.embernotch.scheduling.CandidateMachines.Room;
+import io.embernotch.scheduling.CandidateMachines.Capacity;
 import io.embernotch.settings.Reservation;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -16,7 +16,7 @@
  */
 final class ReservationPlanner {
   /** So much more than is wanted may stay held, and a task's room. */
-  private static final double SLACK = 0.1;
+  private static final double RELEASE_MARGIN = 0.1;
 
   /** What is needed of the planner. */
   interface Host {
@@ -24,36 +24,37 @@
     int claimLater(JobSpec like, int n);
 
     /** Has lesser work stopped for {@code n} such tasks where no machine is to be had. */
-    void restore(JobSpec like, int n, Reservation terms);
+    void preemptFor(JobSpec like, int n, Reservation terms);
   }
 
-  private final ReservationView holds;
-  private final CandidateMachines slots;
+  private final ReservationView reservations;
+  private final CandidateMachines candidates;
   private final Host host;
 
   ReservationPlanner(ReservationView holds, CandidateMachines slots, Host host) {
-    this.holds = holds;
-    this.slots = slots;
+    this.reservations = holds;
+    this.candidates = slots;
     this.host = host;
   }
 
-  void keep() {
-    for (int i = 0; i < holds.terms().size(); i++) {
-      ReservationView.Term t = holds.terms().get(i);
+  void reserve() {
+    for (int i = 0; i < reservations.demands().size(); i++) {
+      ReservationView.ReservationDemand t = reservations.demands().get(i);
       Resources wanted = Resources.ZERO;
-      for (FleetView.Headroom h : t.spare()) {
-        keep(i, t.terms(), h);
-        wanted = wanted.plus(Resources.of(h.like()), Math.ceil(h.count() * (1 + SLACK)) + 1);
+      for (FleetView.Headroom h : t.headroom()) {
+        reserve(i, t.reservation(), h);
+        wanted =
+            wanted.plus(Resources.of(h.like()), Math.ceil(h.count() * (1 + RELEASE_MARGIN)) + 1);
       }
-      giveUp(i, wanted);
+      releaseExcess(i, wanted);
     }
   }
 
-  private void keep(int term, Reservation r, FleetView.Headroom h) {
+  private void reserve(int term, Reservation r, FleetView.Headroom h) {
     Resources unit = Resources.of(h.like());
     // What is held on a machine that is empty but for that keeps it from whole-machine work: it
     // moves where others are.
-    int lacking = h.count() - heldFor(term, unit, h.count(), false);
+    int lacking = h.count() - reservedTasks(term, unit, h.count(), false);
     for (String zone : r.zones().keySet()) {
       int least = (int) Math.ceil(r.zones().get(zone) * h.count());
       lacking -=
@@ -62,40 +63,43 @@
               r,
               h.like(),
               unit,
-              Math.min(lacking, least - heldIn(term, unit, zone)),
+              Math.min(lacking, least - reservedTasksInZone(term, unit, zone)),
               zone,
               true);
     }
     lacking -= extend(term, r, h.like(), unit, lacking, null, false);
-    lacking -= heldFor(term, unit, lacking, true);
+    lacking -= reservedTasks(term, unit, lacking, true);
     lacking -= extend(term, r, h.like(), unit, lacking, null, true);
     if (lacking > 0) {
       lacking -= host.claimLater(h.like(), lacking);
     }
     if (lacking > 0 && r.fixed()) {
-      host.restore(h.like(), lacking, r);
+      host.preemptFor(h.like(), lacking, r);
     }
   }
 
   /** How many such tasks what is held has room for now; the machines are claimed for that. */
-  private int heldFor(int term, Resources unit, int most, boolean onEmpty) {
+  private int reservedTasks(int term, Resources unit, int most, boolean onEmpty) {
     int n = 0;
-    for (CandidateMachine candidate : slots.all()) {
-      if (candidate.hold != null
+    for (CandidateMachine candidate : candidates.all()) {
+      if (candidate.reservation != null
           && n < most
           && candidate.machine.openAttempts.isEmpty() == onEmpty
-          && candidate.hold.free(term).holds(unit) > 0) {
-        n += Math.min(candidate.hold.free(term).holds(unit), candidate.freeLater().holds(unit));
+          && candidate.reservation.free(term).count(unit) > 0) {
+        n +=
+            Math.min(
+                candidate.reservation.free(term).count(unit),
+                candidate.unusedCapacity().count(unit));
         candidate.claimed = true;
       }
     }
     return Math.max(0, Math.min(n, most));
   }
 
-  private int heldIn(int term, Resources unit, String zone) {
-    return slots.all().stream()
-        .filter(candidate -> candidate.hold != null && candidate.zone.equals(zone))
-        .mapToInt(candidate -> candidate.hold.free(term).holds(unit))
+  private int reservedTasksInZone(int term, Resources unit, String zone) {
+    return candidates.all().stream()
+        .filter(candidate -> candidate.reservation != null && candidate.zone.equals(zone))
+        .mapToInt(candidate -> candidate.reservation.free(term).count(unit))
         .sum();
   }
 
@@ -113,8 +117,8 @@
       return 0;
     }
     for (CandidateMachine candidate :
-        slots.candidates(
-            Room.NOW,
+        candidates.candidates(
+            Capacity.FREE,
             like,
             candidate ->
                 !candidate.spot
@@ -122,13 +126,14 @@
                     && r.allowsType(candidate.type.name())
                     && (zone == null || zone.equals(candidate.zone)),
             candidate ->
-                -PlacementScore.PACK_S * candidate.used()
+                -PlacementScore.PACKING_WEIGHT_S * candidate.utilization()
                     - (candidate.machine == null ? 0 : candidate.machine.images.size()))) {
-      int there = candidate.hold == null ? 0 : candidate.hold.free(term).holds(unit);
-      int n = Math.min(candidate.count(like, false) - there, wanted - done);
+      int there = candidate.reservation == null ? 0 : candidate.reservation.free(term).count(unit);
+      int n = Math.min(candidate.taskCapacity(like, false) - there, wanted - done);
       if (n > 0) {
-        candidate.hold = candidate.hold == null ? holds.on(null) : candidate.hold;
-        candidate.hold.extend(term, unit, n);
+        candidate.reservation =
+            candidate.reservation == null ? reservations.on(null) : candidate.reservation;
+        candidate.reservation.extend(term, unit, n);
         candidate.claimed = true;
         done += n;
       }
@@ -139,27 +144,27 @@
     return done;
   }
 
-  private void giveUp(int term, Resources wanted) {
+  private void releaseExcess(int term, Resources wanted) {
     List<CandidateMachine> held = new ArrayList<>();
     Resources all = Resources.ZERO;
-    for (CandidateMachine candidate : slots.all()) {
-      if (candidate.hold != null && !candidate.hold.free(term).isZero()) {
+    for (CandidateMachine candidate : candidates.all()) {
+      if (candidate.reservation != null && !candidate.reservation.free(term).isZero()) {
         held.add(candidate);
-        all = all.plus(candidate.hold.free(term), 1);
+        all = all.plus(candidate.reservation.free(term), 1);
       }
     }
     // What no task can use by itself is of no use to them either.
     held.sort(
-        Comparator.comparing((CandidateMachine candidate) -> candidate.hold.filled(term))
-            .thenComparingDouble(candidate -> candidate.used()));
+        Comparator.comparing((CandidateMachine candidate) -> candidate.reservation.inUse(term))
+            .thenComparingDouble(candidate -> candidate.utilization()));
     for (CandidateMachine candidate : held) {
-      Resources left = all.less(candidate.hold.free(term));
+      Resources left = all.minus(candidate.reservation.free(term));
       if (left.cpus() < wanted.cpus()
           || left.gpus() < wanted.gpus()
           || left.memGb() < wanted.memGb()) {
         continue;
       }
-      candidate.hold.giveUp(term);
+      candidate.reservation.release(term);
       all = left;
     }
   }
--- a/src/main/java/io/embernotch/scheduling/ReservationView.java
+++ b/src/main/java/io/embernotch/scheduling/ReservationView.java
@@ -16,30 +16,32 @@
  * @param used what the work of each of the terms takes of a machine; null if nothing
  */
 public record ReservationView(
-    List<Term> terms, Map<String, Resources[]> held, Function<Machine, Resources[]> used) {
+    List<ReservationDemand> demands,
+    Map<String, Resources[]> reserved,
+    Function<Machine, Resources[]> used) {
   public static final ReservationView NONE =
       new ReservationView(List.of(), Map.of(), machine -> null);
 
   /** One reservation, and how much is to be free for it. */
-  public record Term(Reservation terms, List<FleetView.Headroom> spare) {}
+  public record ReservationDemand(Reservation reservation, List<FleetView.Headroom> headroom) {}
 
   /** What is held on a machine; null: on one of which nothing is known yet. */
   MachineReservation on(Machine machine) {
     Resources[] there = machine == null ? null : used.apply(machine);
-    Resources[] kept = machine == null ? null : held.get(machine.name);
+    Resources[] kept = machine == null ? null : reserved.get(machine.name);
     return new MachineReservation(
-        terms, there == null ? MachineReservation.nothing(terms.size()) : there, kept);
+        demands, there == null ? MachineReservation.none(demands.size()) : there, kept);
   }
 
   /** Something is held on the machine, or used by those who may hold it. */
   boolean concerns(Machine machine) {
-    return held.containsKey(machine.name) || used.apply(machine) != null;
+    return reserved.containsKey(machine.name) || used.apply(machine) != null;
   }
 
   /** One of the terms serves the job, so that room for it is kept by them. */
   public boolean serves(JobSpec job) {
-    for (Term t : terms) {
-      if (t.terms.serves(job)) {
+    for (ReservationDemand t : demands) {
+      if (t.reservation.serves(job)) {
         return true;
       }
     }
--- a/src/main/java/io/embernotch/scheduling/Resources.java
+++ b/src/main/java/io/embernotch/scheduling/Resources.java
@@ -16,7 +16,7 @@
   }
 
   /** What is left of it, at least nothing, without {@code o}. */
-  public Resources less(Resources o) {
+  public Resources minus(Resources o) {
     return new Resources(
         Math.max(0, cpus - o.cpus), Math.max(0, gpus - o.gpus), Math.max(0, memGb - o.memGb));
   }
@@ -31,7 +31,7 @@
   }
 
   /** How many of {@code unit} it holds. */
-  public int holds(Resources unit) {
+  public int count(Resources unit) {
     double n = Double.MAX_VALUE;
     n = unit.cpus > 0 ? Math.min(n, (cpus + EPS) / unit.cpus) : n;
     n = unit.gpus > 0 ? Math.min(n, (gpus + EPS) / unit.gpus) : n;
--- a/src/main/java/io/embernotch/scheduling/ScaleOutPlanner.java
+++ b/src/main/java/io/embernotch/scheduling/ScaleOutPlanner.java
@@ -8,25 +8,25 @@
 
 /** Which machines a plan rents. */
 final class ScaleOutPlanner {
-  private static final boolean[] KINDS = {true, false};
+  private static final boolean[] SPOT_THEN_ORDINARY = {true, false};
 
   private final Map<String, MachineType> types;
   private final FleetView.Pools pools;
-  private final CandidateMachines slots;
-  private final Map<SchedulingPlan.ScaleOutRequest, Integer> bought = new LinkedHashMap<>();
-  private int left;
+  private final CandidateMachines candidates;
+  private final Map<SchedulingPlan.ScaleOutRequest, Integer> requested = new LinkedHashMap<>();
+  private int remaining;
 
   ScaleOutPlanner(
       Map<String, MachineType> types, FleetView.Pools pools, CandidateMachines slots, int most) {
     this.types = types;
     this.pools = pools;
-    this.slots = slots;
-    this.left = most;
+    this.candidates = slots;
+    this.remaining = most;
   }
 
   /** Rents the machine with the lowest price for a task of this size; zones are filled evenly. */
-  CandidateMachine buy(JobSpec spec, ZoneConstraints zones, boolean ordinaryToo) {
-    if (left <= 0) {
+  CandidateMachine request(JobSpec spec, ZoneConstraints zones, boolean ordinaryToo) {
+    if (remaining <= 0) {
       return null;
     }
     CandidateMachine best = null;
@@ -35,19 +35,20 @@
         continue;
       }
       for (String zone : type.zones()) {
-        for (boolean spot : KINDS) {
+        for (boolean spot : SPOT_THEN_ORDINARY) {
           if (!spec.allows(type.name(), zone, spot)
               || spot && spec.shape() != JobShape.ARRAY
               || !spot && !ordinaryToo
-              || zones.room(zone) == 0
+              || zones.remaining(zone) == 0
               || pools.exhausted(type.name(), zone, spot)) {
             continue;
           }
           CandidateMachine candidate =
-              new CandidateMachine(CandidateMachine.Kind.NEW, null, type, zone, spot);
+              new CandidateMachine(CandidateMachine.State.SCALE_OUT, null, type, zone, spot);
           double price =
-              (spot ? type.spotPrice() : type.price()) / Math.max(1, candidate.count(spec, false));
-          candidate.score = price * (1 + 0.001 * slots.inZone(zone));
+              (spot ? type.spotPrice() : type.price())
+                  / Math.max(1, candidate.taskCapacity(spec, false));
+          candidate.score = price * (1 + 0.001 * candidates.countByZone(zone));
           if (best == null || candidate.score < best.score) {
             best = candidate;
           }
@@ -55,17 +56,17 @@
       }
     }
     if (best != null) {
-      left--;
-      bought.merge(
+      remaining--;
+      requested.merge(
           new SchedulingPlan.ScaleOutRequest(best.type.name(), best.zone, best.spot, 0),
           1,
           Integer::sum);
-      slots.add(best);
+      candidates.add(best);
     }
     return best;
   }
 
-  boolean spotToBeHad(JobSpec spec) {
+  boolean spotAvailable(JobSpec spec) {
     for (MachineType type : types.values()) {
       if (type.fits(spec) && type.spotPrice() < type.price()) {
         for (String zone : type.zones()) {
@@ -78,10 +79,10 @@
     return false;
   }
 
-  boolean canBuy(JobSpec spec, String zone) {
+  boolean available(JobSpec spec, String zone) {
     for (MachineType type : types.values()) {
       if (type.fits(spec) && type.zones().contains(zone)) {
-        for (boolean spot : KINDS) {
+        for (boolean spot : SPOT_THEN_ORDINARY) {
           if (spec.allows(type.name(), zone, spot)
               && !(spot && spec.shape() != JobShape.ARRAY)
               && !pools.exhausted(type.name(), zone, spot)) {
@@ -93,8 +94,8 @@
     return false;
   }
 
-  void collect(SchedulingPlan plan) {
-    bought.forEach(
+  void addTo(SchedulingPlan plan) {
+    requested.forEach(
         (b, n) ->
             plan.scaleOuts.add(
                 new SchedulingPlan.ScaleOutRequest(b.type(), b.zone(), b.spot(), n)));
--- a/src/main/java/io/embernotch/scheduling/Scheduler.java
+++ b/src/main/java/io/embernotch/scheduling/Scheduler.java
@@ -5,7 +5,7 @@
 import io.embernotch.model.Machine;
 import io.embernotch.model.Priority;
 import io.embernotch.model.JobShape;
-import io.embernotch.scheduling.CandidateMachines.Room;
+import io.embernotch.scheduling.CandidateMachines.Capacity;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.Reservation;
 import io.embernotch.settings.Settings;
@@ -31,12 +31,12 @@
 
   private double now;
   private QuotaUsage usage;
-  private CandidateMachines slots;
-  private ScaleOutPlanner market;
+  private CandidateMachines candidates;
+  private ScaleOutPlanner scaleOutPlanner;
   private Preemption preemption;
   private BootQueueing queueing;
   private TopologySpread spread;
-  private GangAccumulation gathering;
+  private GangAccumulation gangAccumulation;
   private SchedulingPlan plan;
   /** Slots that may be filled at present. */
   private Predicate<CandidateMachine> only = candidate -> true;
@@ -51,23 +51,23 @@
   public SchedulingPlan plan(SchedulingInput at) {
     List<Job> order = placeLive(at);
     // Room for the next live service goes before all other work, or that would fill it.
-    new ReservationPlanner(at.holds(), slots, this).keep();
-    List<FleetView.Headroom> free = at.headroom().stream().filter(h -> !at.holds().serves(h.like())).toList();
+    new ReservationPlanner(at.reservations(), candidates, this).reserve();
+    List<FleetView.Headroom> free = at.headroom().stream().filter(h -> !at.reservations().serves(h.like())).toList();
     free.stream().filter(h -> h.like().priority() == Priority.PRODUCTION).forEach(this::keepFree);
-    gathering = new GangAccumulation(slots, settings, market, now, at.wallMs());
-    gathering.hold(order);
+    gangAccumulation = new GangAccumulation(candidates, settings, scaleOutPlanner, now, at.wallMs());
+    gangAccumulation.reserveMachines(order);
     order.forEach(this::place);
     free.stream().filter(h -> h.like().priority() != Priority.PRODUCTION).forEach(this::keepFree);
-    market.collect(plan);
+    scaleOutPlanner.addTo(plan);
     collectReturns();
-    plan.held = slots.held();
+    plan.reserved = candidates.reserved();
     return plan;
   }
 
   /** The same for live services alone: a fraction of the time, where a whole plan would keep them waiting. */
   public SchedulingPlan liveOnly(SchedulingInput at) {
     placeLive(at);
-    market.collect(plan);
+    scaleOutPlanner.addTo(plan);
     return plan;
   }
 
@@ -77,13 +77,13 @@
     plan = new SchedulingPlan();
     usage = new QuotaUsage(settings.teams(), at.jobs());
     usage.markGuaranteed(at.jobs());
-    slots = CandidateMachines.of(at.machines(), this::usable, now, at.holds());
-    at.expected().forEach(e -> slots.add(e, at.types().get(e.type())));
-    market = new ScaleOutPlanner(at.types(), at.pools(), slots, mostNew);
-    preemption = new Preemption(settings, slots, plan, now);
+    candidates = CandidateMachines.of(at.machines(), this::usable, now, at.reservations());
+    at.expected().forEach(e -> candidates.add(e, at.types().get(e.type())));
+    scaleOutPlanner = new ScaleOutPlanner(at.types(), at.pools(), candidates, mostNew);
+    preemption = new Preemption(settings, candidates, plan, now);
     queueing = new BootQueueing(at.jobs(), at.types());
-    spread = new TopologySpread(slots, at.risk());
-    List<Job> order = JobOrdering.of(at.jobs(), settings, slots, at.wallMs());
+    spread = new TopologySpread(candidates, at.risk());
+    List<Job> order = JobOrdering.of(at.jobs(), settings, candidates, at.wallMs());
     int live = 0;
     while (live < order.size() && order.get(live).spec.priority() == Priority.PRODUCTION) {
       place(order.get(live++));
@@ -115,15 +115,15 @@
     JobSpec spec = job.spec;
     // One task is enough to see whether a job that fails everywhere still does.
     int most = job.failsEverywhere() ? Math.min(1, job.pendingCount()) : job.pendingCount();
-    int wanted = Math.min(most, usage.room(spec));
+    int wanted = Math.min(most, usage.remainingTasks(spec));
     if (wanted <= 0) {
       return;
     }
     // Not all of a hundred thousand tasks are looked at when there is room for a few.
     PrimitiveIterator.OfInt tasks = job.pending();
     ZoneConstraints zones = ZoneConstraints.of(job);
-    if (spec.oneZone() && zones.only == null) {
-      zones.only = bestZone(spec, wanted);
+    if (spec.oneZone() && zones.requiredZone == null) {
+      zones.requiredZone = bestZone(spec, wanted);
     }
     List<SchedulingPlan.Placement> placements = new ArrayList<>();
     BitSet granted = grantWishes(job, wanted, zones, placements);
@@ -131,7 +131,7 @@
     int[] placed = new int[1];
     Taken start =
         (slot, n) -> {
-          slot.fetches(spec.image());
+          slot.addFetchingImage(spec.image());
           for (int i = 0; i < n; placed[0]++, i++) {
             int task = tasks.nextInt();
             while (granted.get(task)) {
@@ -144,9 +144,9 @@
     if (spec.priority() == Priority.PRODUCTION && spec.shape() == JobShape.SERVICE && job.restartedTasks.get(job.firstPending())) {
       claimed = bringBack(spec, wanted, zones, start);
     }
-    fill(spec, Room.NOW, wanted - placed[0] - claimed, zones, start);
+    fill(spec, Capacity.FREE, wanted - placed[0] - claimed, zones, start);
     claimed += claimLater(job, wanted - placed[0] - claimed, zones);
-    usage.take(spec, placed[0] + claimed);
+    usage.add(spec, placed[0] + claimed);
     if (!placements.isEmpty()) {
       plan.starts.add(new SchedulingPlan.Start(job, placements));
     }
@@ -158,9 +158,9 @@
    */
   private int bringBack(JobSpec spec, int wanted, ZoneConstraints zones, Taken start) {
     only = candidate -> candidate.fetchS(spec) == 0;
-    int placed = fill(spec, Room.NOW, wanted, zones, start);
-    int claimed = fill(spec, Room.FREEING, wanted - placed, zones, (candidate, n) -> {});
-    claimed += preemption.makeRoom(spec, wanted - placed - claimed, zones, only);
+    int placed = fill(spec, Capacity.FREE, wanted, zones, start);
+    int claimed = fill(spec, Capacity.FREEING, wanted - placed, zones, (candidate, n) -> {});
+    claimed += preemption.preempt(spec, wanted - placed - claimed, zones, only);
     only = candidate -> true;
     return claimed;
   }
@@ -177,10 +177,10 @@
       if (wish == null) {
         continue;
       }
-      for (CandidateMachine candidate : slots.candidates(Room.NOW, job.spec, candidate -> zones.room(candidate.zone) > 0, candidate -> 0)) {
+      for (CandidateMachine candidate : candidates.candidates(Capacity.FREE, job.spec, candidate -> zones.remaining(candidate.zone) > 0, candidate -> 0)) {
         if (candidate.machine.name.equals(wish)) {
           take(candidate, job.spec, 1, zones);
-          usage.take(job.spec, 1);
+          usage.add(job.spec, 1);
           granted.set(task);
           placements.add(new SchedulingPlan.Placement(task, candidate.machine));
           break;
@@ -203,26 +203,26 @@
   }
 
   /** Gives up to {@code wanted} tasks such room, best slots first; tells how many got it. */
-  private int fill(JobSpec spec, Room room, int wanted, ZoneConstraints zones, Taken taken) {
+  private int fill(JobSpec spec, Capacity room, int wanted, ZoneConstraints zones, Taken taken) {
     return fill(spec, room, wanted, zones, candidate -> PlacementScore.of(spec, candidate, zones), taken);
   }
 
   private int fill(
-      JobSpec spec, Room room, int wanted, ZoneConstraints zones, ToDoubleFunction<CandidateMachine> score, Taken taken) {
+      JobSpec spec, Capacity room, int wanted, ZoneConstraints zones, ToDoubleFunction<CandidateMachine> score, Taken taken) {
     if (wanted <= 0) {
       return 0;
     }
     boolean keepOff = keepsOffOrdinary(spec);
     int done = 0;
-    List<CandidateMachine> found = slots.candidates(room, spec, candidate -> only.test(candidate) && zones.room(candidate.zone) > 0 && !(keepOff && dear(spec, candidate)), score);
-    if (spec.shape() == JobShape.SERVICE && spec.tasks() > 1 && room == Room.NOW) {
+    List<CandidateMachine> found = candidates.candidates(room, spec, candidate -> only.test(candidate) && zones.remaining(candidate.zone) > 0 && !(keepOff && dear(spec, candidate)), score);
+    if (spec.shape() == JobShape.SERVICE && spec.tasks() > 1 && room == Capacity.FREE) {
       return spread.place(found, spec, wanted, zones, score, candidate -> {
         take(candidate, spec, 1, zones);
         taken.by(candidate, 1);
       });
     }
     for (CandidateMachine candidate : found) {
-      int n = Math.min(Math.min(candidate.count(spec, room == Room.FREEING), wanted - done), zones.room(candidate.zone));
+      int n = Math.min(Math.min(candidate.taskCapacity(spec, room == Capacity.FREEING), wanted - done), zones.remaining(candidate.zone));
       if (n > 0) {
         take(candidate, spec, n, zones);
         taken.by(candidate, n);
@@ -236,38 +236,38 @@
   }
 
   private static void take(CandidateMachine candidate, JobSpec spec, int tasks, ZoneConstraints zones) {
-    candidate.take(spec, tasks);
+    candidate.allocate(spec, tasks);
     candidate.claimed = true;
-    zones.put(candidate.zone, tasks);
+    zones.add(candidate.zone, tasks);
   }
 
   /** Claims room that will be there: freed, made by stopping others, booting, or rented. */
   private int claimLater(Job job, int wanted, ZoneConstraints zones) {
     JobSpec spec = job.spec;
     Taken nothing = (candidate, n) -> {};
-    int done = fill(spec, Room.FREEING, wanted, zones, nothing);
+    int done = fill(spec, Capacity.FREEING, wanted, zones, nothing);
     if (done < wanted && spec.priority() == Priority.PRODUCTION) {
-      done += preemption.makeRoom(spec, wanted - done, zones, candidate -> true);
+      done += preemption.preempt(spec, wanted - done, zones, candidate -> true);
     }
-    done += claimNew(queueing.waiting(spec), wanted - done, zones);
-    if (done < wanted && settings.zones().stream().noneMatch(z -> zones.room(z) > 0 && market.canBuy(spec, z))) {
-      done += preemption.giveGuarantee(job, wanted - done, zones);
+    done += claimNew(queueing.queuedSpec(spec), wanted - done, zones);
+    if (done < wanted && settings.zones().stream().noneMatch(z -> zones.remaining(z) > 0 && scaleOutPlanner.available(spec, z))) {
+      done += preemption.preemptBeyondGuarantee(job, wanted - done, zones);
     }
     return done;
   }
 
   private int claimNew(JobSpec spec, int wanted, ZoneConstraints zones) {
     Taken nothing = (candidate, n) -> {};
-    int done = fill(spec, Room.COMING, wanted, zones, nothing);
-    done += fill(spec, Room.NEW, wanted - done, zones, nothing);
-    boolean cheapOnly = mayWaitForCapacity(settings, spec) && spec.spot() && (slots.anySpot() || market.spotToBeHad(spec));
-    boolean ordinaryToo = !cheapOnly && queueing.worthOrdinary(spec);
+    int done = fill(spec, Capacity.BOOTING, wanted, zones, nothing);
+    done += fill(spec, Capacity.SCALE_OUT, wanted - done, zones, nothing);
+    boolean cheapOnly = mayWaitForCapacity(settings, spec) && spec.spot() && (candidates.anySpot() || scaleOutPlanner.spotAvailable(spec));
+    boolean ordinaryToo = !cheapOnly && queueing.worthOrdinaryMachine(spec);
     while (done < wanted) {
-      CandidateMachine candidate = market.buy(spec, zones, ordinaryToo);
+      CandidateMachine candidate = scaleOutPlanner.request(spec, zones, ordinaryToo);
       if (candidate == null) {
         break;
       }
-      int n = Math.min(Math.min(candidate.count(spec, false), wanted - done), zones.room(candidate.zone));
+      int n = Math.min(Math.min(candidate.taskCapacity(spec, false), wanted - done), zones.remaining(candidate.zone));
       take(candidate, spec, n, zones);
       done += n;
     }
@@ -279,7 +279,7 @@
    * unless a service holds the machine anyway: it would only keep it from being returned.
    */
   private boolean keepsOffOrdinary(JobSpec spec) {
-    return spec.spot() && spec.shape() == JobShape.ARRAY && market.spotToBeHad(spec);
+    return spec.spot() && spec.shape() == JobShape.ARRAY && scaleOutPlanner.spotAvailable(spec);
   }
 
   private static boolean dear(JobSpec spec, CandidateMachine candidate) {
@@ -297,15 +297,15 @@
       double ready = 0;
       double coming = 0;
       ZoneConstraints here = new ZoneConstraints(spec, zone);
-      for (CandidateMachine candidate : slots.candidates(Room.FREEING, spec, candidate -> here.room(candidate.zone) > 0, candidate -> 0)) {
-        int n = candidate.count(spec, false);
+      for (CandidateMachine candidate : candidates.candidates(Capacity.FREEING, spec, candidate -> here.remaining(candidate.zone) > 0, candidate -> 0)) {
+        int n = candidate.taskCapacity(spec, false);
         // Room that is being made must decide the zone, or the next plan makes room in another.
         ready += n > 0 ? n : 0.9;
       }
-      for (CandidateMachine candidate : slots.candidates(Room.COMING, spec, candidate -> here.room(candidate.zone) > 0, candidate -> 0)) {
-        coming += candidate.count(spec, false);
+      for (CandidateMachine candidate : candidates.candidates(Capacity.BOOTING, spec, candidate -> here.remaining(candidate.zone) > 0, candidate -> 0)) {
+        coming += candidate.taskCapacity(spec, false);
       }
-      double score = Math.min(ready, wanted) + Math.min(0.5, coming / 4) + (market.canBuy(spec, zone) ? 0.1 : 0);
+      double score = Math.min(ready, wanted) + Math.min(0.5, coming / 4) + (scaleOutPlanner.available(spec, zone) ? 0.1 : 0);
       if (score > bestScore) {
         bestScore = score;
         best = zone;
@@ -320,14 +320,14 @@
     if (!job.openAttempts.isEmpty()) {
       return;
     }
-    if (usage.room(spec) < spec.tasks()) {
-      if (gathering.aged(job)) {
+    if (usage.remainingTasks(spec) < spec.tasks()) {
+      if (gangAccumulation.aged(job)) {
         // Else its team's smaller jobs would use up the limit for as long as they come.
-        usage.take(spec, spec.tasks());
+        usage.add(spec, spec.tasks());
       }
       return;
     }
-    usage.take(spec, spec.tasks());
+    usage.add(spec, spec.tasks());
     String first = spec.oneZone() ? bestZone(spec, spec.tasks()) : null;
     if (startGang(job, first)) {
       return;
@@ -343,19 +343,19 @@
       }
     }
     ZoneConstraints zones = new ZoneConstraints(spec, first);
-    int now = fill(spec, Room.NOW, spec.tasks(), zones, (candidate, n) -> {});
+    int now = fill(spec, Capacity.FREE, spec.tasks(), zones, (candidate, n) -> {});
     claimLater(job, spec.tasks() - now, zones);
   }
 
   private boolean startGang(Job job, String zone) {
     JobSpec spec = job.spec;
     ZoneConstraints zones = new ZoneConstraints(spec, zone);
-    List<CandidateMachine> hosts = slots.candidates(Room.NOW, spec, candidate -> zones.room(candidate.zone) > 0, candidate -> PlacementScore.of(spec, candidate, zones));
+    List<CandidateMachine> hosts = candidates.candidates(Capacity.FREE, spec, candidate -> zones.remaining(candidate.zone) > 0, candidate -> PlacementScore.of(spec, candidate, zones));
     ZoneConstraints probe = new ZoneConstraints(spec, zone);
     int there = 0;
     for (CandidateMachine candidate : hosts) {
-      int n = Math.min(Math.min(candidate.count(spec, false), spec.tasks() - there), probe.room(candidate.zone));
-      probe.put(candidate.zone, n);
+      int n = Math.min(Math.min(candidate.taskCapacity(spec, false), spec.tasks() - there), probe.remaining(candidate.zone));
+      probe.add(candidate.zone, n);
       there += n;
     }
     if (there < spec.tasks()) {
@@ -363,7 +363,7 @@
     }
     List<SchedulingPlan.Placement> placements = new ArrayList<>();
     for (CandidateMachine candidate : hosts) {
-      int n = Math.min(Math.min(candidate.count(spec, false), spec.tasks() - placements.size()), zones.room(candidate.zone));
+      int n = Math.min(Math.min(candidate.taskCapacity(spec, false), spec.tasks() - placements.size()), zones.remaining(candidate.zone));
       if (n > 0) {
         take(candidate, spec, n, zones);
         for (int i = 0; i < n; i++) {
@@ -379,30 +379,30 @@
   private void keepFree(FleetView.Headroom h) {
     ZoneConstraints anywhere = ZoneConstraints.anywhere();
     // Nobody knows the next job's image, so machines that have many are kept, and young ones returned.
-    ToDoubleFunction<CandidateMachine> score = candidate -> -PlacementScore.PACK_S * candidate.used() - (candidate.machine == null ? 0 : candidate.machine.images.size());
-    int now = fill(h.like(), Room.NOW, h.count(), anywhere, score, (candidate, n) -> {});
+    ToDoubleFunction<CandidateMachine> score = candidate -> -PlacementScore.PACKING_WEIGHT_S * candidate.utilization() - (candidate.machine == null ? 0 : candidate.machine.images.size());
+    int now = fill(h.like(), Capacity.FREE, h.count(), anywhere, score, (candidate, n) -> {});
     if (h.like().shape() == JobShape.GANG) {
-      now += fill(h.like(), Room.FREEING, h.count() - now, anywhere, score, (candidate, n) -> {});
+      now += fill(h.like(), Capacity.FREEING, h.count() - now, anywhere, score, (candidate, n) -> {});
     }
     claimNew(h.like(), h.count() - now, anywhere);
   }
 
   @Override
   public int claimLater(JobSpec like, int n) {
-    int done = fill(like, Room.FREEING, n, ZoneConstraints.anywhere(), (candidate, k) -> {});
+    int done = fill(like, Capacity.FREEING, n, ZoneConstraints.anywhere(), (candidate, k) -> {});
     return done + claimNew(like, n - done, ZoneConstraints.anywhere());
   }
 
   @Override
-  public void restore(JobSpec like, int n, Reservation r) {
-    if (settings.zones().stream().noneMatch(z -> market.canBuy(like, z))) {
-      preemption.makeRoom(like, n, ZoneConstraints.anywhere(), candidate -> !candidate.spot && r.allowsType(candidate.type.name()));
+  public void preemptFor(JobSpec like, int n, Reservation r) {
+    if (settings.zones().stream().noneMatch(z -> scaleOutPlanner.available(like, z))) {
+      preemption.preempt(like, n, ZoneConstraints.anywhere(), candidate -> !candidate.spot && r.allowsType(candidate.type.name()));
     }
   }
 
   private void collectReturns() {
-    for (CandidateMachine candidate : slots.all()) {
-      if (candidate.kind == CandidateMachine.Kind.READY
+    for (CandidateMachine candidate : candidates.all()) {
+      if (candidate.state == CandidateMachine.State.UP
           && !candidate.claimed
           && candidate.machine.openAttempts.isEmpty()
           && now - candidate.machine.idleSince > operator.keepIdleBoots() * candidate.type.bootS()) {
--- a/src/main/java/io/embernotch/scheduling/SchedulingInput.java
+++ b/src/main/java/io/embernotch/scheduling/SchedulingInput.java
@@ -27,5 +27,5 @@
     FleetView.Pools pools,
     List<FleetView.Expected> expected,
     List<FleetView.Headroom> headroom,
-    ReservationView holds,
+    ReservationView reservations,
     FailureRisk risk) {}
--- a/src/main/java/io/embernotch/scheduling/SchedulingPlan.java
+++ b/src/main/java/io/embernotch/scheduling/SchedulingPlan.java
@@ -26,7 +26,7 @@
   public final List<ScaleOutRequest> scaleOuts = new ArrayList<>();
 
   /** What is to be held on machines for each reservation, by name; null: as before. */
-  public Map<String, Resources[]> held;
+  public Map<String, Resources[]> reserved;
 
   /** Idle machines that nothing waits for. */
   public final List<Machine> scaleIns = new ArrayList<>();
--- a/src/main/java/io/embernotch/scheduling/TopologySpread.java
+++ b/src/main/java/io/embernotch/scheduling/TopologySpread.java
@@ -25,30 +25,30 @@
    * So many of the best machines are weighed for each replica: what speaks for spreading is small
    * beside a fetch.
    */
-  private static final int WEIGHED = 4;
+  private static final int WEIGHED_PER_REPLICA = 4;
 
-  private final CandidateMachines slots;
+  private final CandidateMachines candidates;
   private final FailureRisk risk;
 
   /** Machines that have an image. */
-  private Map<String, List<CandidateMachine>> holders;
+  private Map<String, List<CandidateMachine>> machinesByImage;
 
   TopologySpread(CandidateMachines slots, FailureRisk risk) {
-    this.slots = slots;
+    this.candidates = slots;
     this.risk = risk;
   }
 
-  private List<CandidateMachine> holders(String image) {
-    if (holders == null) {
-      holders = new HashMap<>();
-      for (CandidateMachine candidate : slots.all()) {
-        if (candidate.kind == CandidateMachine.Kind.READY) {
+  private List<CandidateMachine> machinesByImage(String image) {
+    if (machinesByImage == null) {
+      machinesByImage = new HashMap<>();
+      for (CandidateMachine candidate : candidates.all()) {
+        if (candidate.state == CandidateMachine.State.UP) {
           candidate.machine.images.forEach(
-              i -> holders.computeIfAbsent(i, x -> new ArrayList<>()).add(candidate));
+              i -> machinesByImage.computeIfAbsent(i, x -> new ArrayList<>()).add(candidate));
         }
       }
     }
-    return holders.getOrDefault(image, List.of());
+    return machinesByImage.getOrDefault(image, List.of());
   }
 
   /** Seconds of replica time that one more replica is expected to lose by failures there. */
@@ -67,7 +67,7 @@
   }
 
   /** Replicas of the service on a machine. */
-  static int on(CandidateMachine candidate, JobSpec spec) {
+  static int replicasOn(CandidateMachine candidate, JobSpec spec) {
     int n = 0;
     for (Attempt attempt : candidate.machine.openAttempts.values()) {
       n += attempt.job.spec.ref().equals(spec.ref()) ? 1 : 0;
@@ -76,7 +76,7 @@
   }
 
   /** What a placement does to a slot. */
-  interface Placed {
+  interface PlacementListener {
     void on(CandidateMachine slot);
   }
 
@@ -92,14 +92,15 @@
       int wanted,
       ZoneConstraints zones,
       ToDoubleFunction<CandidateMachine> score,
-      Placed placed) {
-    List<CandidateMachine> weighed = best.subList(0, Math.min(best.size(), WEIGHED * (wanted + 1)));
+      PlacementListener placed) {
+    List<CandidateMachine> weighed =
+        best.subList(0, Math.min(best.size(), WEIGHED_PER_REPLICA * (wanted + 1)));
     Map<CandidateMachine, Integer> there = new HashMap<>();
-    weighed.forEach(candidate -> there.put(candidate, on(candidate, spec)));
+    weighed.forEach(candidate -> there.put(candidate, replicasOn(candidate, spec)));
     Set<String> zonesWith = new TreeSet<>();
     int holding = 0;
-    for (CandidateMachine candidate : holders(spec.image())) {
-      if (candidate.count(spec, false) > 0) {
+    for (CandidateMachine candidate : machinesByImage(spec.image())) {
+      if (candidate.taskCapacity(spec, false) > 0) {
         holding++;
         zonesWith.add(candidate.zone);
       }
@@ -109,7 +110,7 @@
       CandidateMachine to = null;
       double least = 0;
       for (CandidateMachine candidate : weighed) {
-        if (zones.room(candidate.zone) > 0 && candidate.count(spec, false) > 0) {
+        if (zones.remaining(candidate.zone) > 0 && candidate.taskCapacity(spec, false) > 0) {
           boolean has = candidate.machine.images.contains(spec.image());
           double fetchS = candidate.type.fetchS(spec);
           double lost =
@@ -119,7 +120,7 @@
                       spec.tasks(),
                       fetchS,
                       there.get(candidate),
-                      zones.in(candidate.zone),
+                      zones.count(candidate.zone),
                       holding > (has ? 1 : 0),
                       zonesWith.size() > (zonesWith.contains(candidate.zone) ? 1 : 0));
           if (to == null || lost < least) {
--- a/src/main/java/io/embernotch/scheduling/ZoneConstraints.java
+++ b/src/main/java/io/embernotch/scheduling/ZoneConstraints.java
@@ -12,11 +12,11 @@
   private final Map<String, Integer> tasks = new HashMap<>();
 
   /** The zone that all must be in, or null. */
-  String only;
+  String requiredZone;
 
   ZoneConstraints(JobSpec spec, String only) {
     this.spec = spec;
-    this.only = only;
+    this.requiredZone = only;
   }
 
   /** For room that no job's rules bind yet. */
@@ -27,32 +27,32 @@
   static ZoneConstraints of(Job job) {
     ZoneConstraints z = new ZoneConstraints(job.spec, null);
     for (Attempt attempt : job.openAttempts.values()) {
-      z.put(attempt.zone, 1);
+      z.add(attempt.zone, 1);
     }
     return z;
   }
 
-  void put(String zone, int n) {
+  void add(String zone, int n) {
     if (n <= 0) {
       return;
     }
     tasks.merge(zone, n, Integer::sum);
-    if (spec != null && spec.oneZone() && only == null) {
-      only = zone;
+    if (spec != null && spec.oneZone() && requiredZone == null) {
+      requiredZone = zone;
     }
   }
 
-  int in(String zone) {
+  int count(String zone) {
     return tasks.getOrDefault(zone, 0);
   }
 
   /** How many more may go there. */
-  int room(String zone) {
-    if (only != null && !only.equals(zone)) {
+  int remaining(String zone) {
+    if (requiredZone != null && !requiredZone.equals(zone)) {
       return 0;
     }
     return spec != null && spec.spread()
-        ? Math.max(0, spec.zoneCap() - in(zone))
+        ? Math.max(0, spec.zoneCap() - count(zone))
         : Integer.MAX_VALUE;
   }
 }
