--- a/src/main/java/io/embernotch/scheduling/BootQueueing.java
+++ b/src/main/java/io/embernotch/scheduling/BootQueueing.java
@@ -9,24 +9,26 @@
 import java.util.Map;
 
 /**
- * How many short tasks may wait for one place on a machine that is booting. Where a place runs a
- * task in less time than another machine takes to boot, the next task waits for the same place
- * about as long as for a machine of its own; renting one for each used to triple the fleet while
- * the first machines booted, and to return most of it right after.
+ * How many short tasks may queue for the same capacity of a machine that is booting. Where a task
+ * runs for less time than another machine takes to boot, the next task waits for the same capacity
+ * about as long as for a machine of its own. A machine rented for each of them would triple the
+ * fleet while the first machines boot, and be returned right after.
  */
 final class BootQueueing {
-  /** Owners' estimates are often wrong by half, so the mean of a class counts, and with care. */
+  /**
+   * Owners' estimates are often wrong by half, so the mean of a job class counts, and up to this.
+   */
   private static final int MAX_QUEUE_DEPTH = 3;
 
   /** Sums over the jobs of a class. */
   private static final class ClassTotals {
-    double expectS;
+    double expectedS;
     int jobs;
-    int placed;
-    int pending;
+    int openAttempts;
+    int pendingTasks;
 
-    double meanS() {
-      return expectS / jobs;
+    double meanExpectedS() {
+      return expectedS / jobs;
     }
   }
 
@@ -39,39 +41,46 @@
       if (job.blocked()) {
         continue;
       }
-      ClassTotals k = totalsByClass.computeIfAbsent(job.spec.jobClass(), c -> new ClassTotals());
-      k.expectS += job.spec.expectS();
-      k.jobs++;
-      k.placed += job.openAttempts.size();
-      k.pending += job.pendingCount();
+      ClassTotals totals =
+          totalsByClass.computeIfAbsent(job.spec.jobClass(), jobClass -> new ClassTotals());
+      totals.expectedS += job.spec.expectS();
+      totals.jobs++;
+      totals.openAttempts += job.openAttempts.size();
+      totals.pendingTasks += job.pendingCount();
     }
   }
 
-  /** A task of the job as it counts where it waits for a machine that is not up. */
+  /** The job with the share of a machine that one of its tasks counts for while it is booting. */
   JobSpec queuedSpec(JobSpec spec) {
     int depth = queueDepth(spec);
     return depth > 1 ? spec.withShare(1.0 / depth) : spec;
   }
 
   /**
-   * Whether spot work that finds no spot machine is to have an ordinary one rented. Not while as
-   * many of its class as wait will have ended before that machine is up: it costs several times as
-   * much, and would find nothing left to do.
+   * Whether an ordinary machine is to be rented for spot work that finds no spot machine. Not while
+   * as many tasks of its class as are pending will have ended before that machine is up: it costs
+   * several times as much, and would find nothing left to do.
    */
   boolean worthOrdinaryMachine(JobSpec spec) {
-    ClassTotals k = totalsByClass.get(spec.jobClass());
-    if (!spec.spot() || spec.shape() != JobShape.ARRAY || k == null || k.expectS <= 0) {
+    ClassTotals totals = totalsByClass.get(spec.jobClass());
+    if (!spec.spot() || !mayQueue(spec, totals)) {
       return true;
     }
-    return k.pending > k.placed * Math.min(1, shortestBootS(spec) / k.meanS());
+    return totals.pendingTasks
+        > totals.openAttempts * Math.min(1, shortestBootS(spec) / totals.meanExpectedS());
   }
 
   private int queueDepth(JobSpec spec) {
-    ClassTotals k = totalsByClass.get(spec.jobClass());
-    if (spec.shape() != JobShape.ARRAY || k == null || k.expectS <= 0) {
+    ClassTotals totals = totalsByClass.get(spec.jobClass());
+    if (!mayQueue(spec, totals)) {
       return 1;
     }
-    return (int) Math.max(1, Math.min(MAX_QUEUE_DEPTH, 1 + shortestBootS(spec) / k.meanS()));
+    return (int)
+        Math.max(1, Math.min(MAX_QUEUE_DEPTH, 1 + shortestBootS(spec) / totals.meanExpectedS()));
+  }
+
+  private static boolean mayQueue(JobSpec spec, ClassTotals totals) {
+    return spec.shape() == JobShape.ARRAY && totals != null && totals.expectedS > 0;
   }
 
   private double shortestBootS(JobSpec spec) {
--- a/src/main/java/io/embernotch/scheduling/CandidateMachine.java
+++ b/src/main/java/io/embernotch/scheduling/CandidateMachine.java
@@ -8,57 +8,70 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** A machine while a plan is being made: one that is up, one that is coming, or one to buy. */
+/** A machine while a plan is made: one that is up, one that is booting, or one to be rented. */
 final class CandidateMachine {
+  /** How far a machine is from running tasks. */
   enum State {
+    /** Up: tasks can start. */
     UP,
+    /** Booting, or requested from the cloud. */
     BOOTING,
+    /** To be rented by this plan. */
     SCALE_OUT
   }
 
-  private static final double EPS = 1e-6;
+  /** Most tasks that a machine is ever taken to have capacity for. */
+  private static final double MAX_TASKS = 10_000;
 
   final State state;
+
+  /** Null unless the cloud has listed the machine. */
   final Machine machine;
+
   final MachineType type;
   final String zone;
   final boolean spot;
+
+  /** Free capacity. */
   double cpus;
+
   double gpus;
   double memGb;
 
-  /** What comes free once the attempts that are being stopped have ended. */
+  /** Capacity that is freed once the attempts that are being stopped have ended. */
   double freeingCpus;
 
   double freeingGpus;
   double freeingMemGb;
+
+  /** Needed by this plan, and so not returned. */
   boolean claimed;
 
-  /** Holds work that may not run on spot machines, so it is paid for whatever else it does. */
+  /** Runs work that may not run on spot machines, so it is paid for whatever else it does. */
   boolean pinned;
 
-  /** Least priority of what runs there and is not being stopped; null if nothing is. */
+  /** Lowest priority of the attempts that are not being stopped; null if there are none. */
   Priority lowestPriority;
 
-  /**
-   * The gang that this machine is held for until it has room for one of its tasks, and in how many
-   * seconds; or null.
-   */
+  /** The gang for which this machine accumulates capacity for one task; null if none. */
   String accumulatingFor;
 
+  /** Seconds until it has accumulated that capacity. */
   double accumulatedInS;
 
   /** How well it suits the job that is being placed: less is better. */
   double score;
 
-  /** What is held here for reservations; null if nothing is. */
+  /** What is reserved here; null if nothing. */
   MachineReservation reservation;
 
+  /** Images that are being fetched; shared with the machine's load until this plan adds to it. */
   private Set<String> fetchingImages = Set.of();
+
   private boolean ownsFetchingImages;
 
-  CandidateMachine(State kind, Machine machine, MachineType type, String zone, boolean spot) {
-    this.state = kind;
+  CandidateMachine(State state, Machine machine, MachineType type, String zone, boolean spot) {
+    this.state = state;
     this.machine = machine;
     this.type = type;
     this.zone = zone;
@@ -68,60 +81,78 @@
     this.memGb = type.memGb();
   }
 
-  static CandidateMachine of(State kind, Machine machine) {
+  /** A machine of the fleet with its present load. */
+  static CandidateMachine of(State state, Machine machine) {
     CandidateMachine candidate =
-        new CandidateMachine(kind, machine, machine.type, machine.zone, machine.spot);
-    MachineLoad l = machine.load();
-    candidate.cpus -= l.cpus;
-    candidate.gpus -= l.gpus;
-    candidate.memGb -= l.memGb;
-    candidate.freeingCpus = l.freeingCpus;
-    candidate.freeingGpus = l.freeingGpus;
-    candidate.freeingMemGb = l.freeingMemGb;
-    candidate.pinned = l.pinned;
-    candidate.lowestPriority = l.lowestPriority;
-    candidate.fetchingImages = l.fetching;
+        new CandidateMachine(state, machine, machine.type, machine.zone, machine.spot);
+    MachineLoad load = machine.load();
+    candidate.cpus -= load.cpus;
+    candidate.gpus -= load.gpus;
+    candidate.memGb -= load.memGb;
+    candidate.freeingCpus = load.freeingCpus;
+    candidate.freeingGpus = load.freeingGpus;
+    candidate.freeingMemGb = load.freeingMemGb;
+    candidate.pinned = load.pinned;
+    candidate.lowestPriority = load.lowestPriority;
+    candidate.fetchingImages = load.fetching;
     return candidate;
   }
 
+  /** Whether the job's own constraints allow the machine. */
   boolean allows(JobSpec spec) {
     return spec.allows(type.name(), zone, spot);
   }
 
-  /** Nothing more can go there whatever it is. */
+  /** Whether no task of any kind has capacity here. */
   boolean full() {
-    return cpus + freeingCpus <= EPS || memGb + freeingMemGb <= EPS;
+    return cpus + freeingCpus <= Resources.TOLERANCE || memGb + freeingMemGb <= Resources.TOLERANCE;
   }
 
-  /** Only what needs no GPU can go there. */
+  /** Whether only tasks without GPUs have capacity here. */
   boolean gpusTaken() {
-    return type.gpus() > 0 && gpus + freeingGpus <= EPS;
+    return type.gpus() > 0 && gpus + freeingGpus <= Resources.TOLERANCE;
   }
 
   /**
-   * What this job would use there is paid for already: beside work that may not run on spot
-   * machines, or beside work that has taken all GPUs.
+   * Whether the capacity that this job would use here is paid for already: beside work that may not
+   * run on spot machines, or beside work that has taken all GPUs.
    */
   boolean paidFor(JobSpec spec) {
     return pinned || (spec.gpus() <= 0 && gpusTaken());
   }
 
-  /** How many such tasks have room now, or once what is being stopped has ended. */
-  int taskCapacity(JobSpec spec, boolean later) {
-    double n = 10_000;
-    Resources kept = reservedAgainst(spec);
-    n = tasksThatFit(n, (later ? cpus + freeingCpus : cpus) - kept.cpus(), spec.cpus());
-    n = tasksThatFit(n, (later ? gpus + freeingGpus : gpus) - kept.gpus(), spec.gpus());
-    n = tasksThatFit(n, (later ? memGb + freeingMemGb : memGb) - kept.memGb(), spec.memGb());
-    return (int) Math.max(0, n);
+  /**
+   * How many such tasks have capacity here.
+   *
+   * @param includeFreeing whether capacity counts that is still being freed
+   */
+  int taskCapacity(JobSpec spec, boolean includeFreeing) {
+    Resources reserved = reservedAgainst(spec);
+    double tasks = MAX_TASKS;
+    tasks =
+        tasksThatFit(
+            tasks, (includeFreeing ? cpus + freeingCpus : cpus) - reserved.cpus(), spec.cpus());
+    tasks =
+        tasksThatFit(
+            tasks, (includeFreeing ? gpus + freeingGpus : gpus) - reserved.gpus(), spec.gpus());
+    tasks =
+        tasksThatFit(
+            tasks,
+            (includeFreeing ? memGb + freeingMemGb : memGb) - reserved.memGb(),
+            spec.memGb());
+    return (int) Math.max(0, tasks);
+  }
+
+  private static double tasksThatFit(double most, double free, double each) {
+    return each <= 0 ? most : Math.min(most, Math.floor((free + Resources.TOLERANCE) / each));
   }
 
-  /** What is held here that such a job may not have. */
+  /** What is reserved here for other work than this job. */
   Resources reservedAgainst(JobSpec spec) {
     return reservation == null ? Resources.ZERO : reservation.reservedAgainst(spec);
   }
 
-  /** What nobody uses, or will not once what is being stopped has ended. */
+  /** What is not in use, or will not be once the attempts that are being stopped have ended. */
   Resources unusedCapacity() {
     return new Resources(
         Math.max(0, cpus + freeingCpus),
@@ -129,10 +160,25 @@
         Math.max(0, memGb + freeingMemGb));
   }
 
-  private static double tasksThatFit(double most, double free, double each) {
-    return each <= 0 ? most : Math.min(most, Math.floor((free + EPS) / each));
+  /** What is free once the attempts that are being stopped have ended, less one such task. */
+  CapacityBalance balanceAfterFreeing(JobSpec spec) {
+    return balance(cpus + freeingCpus, gpus + freeingGpus, memGb + freeingMemGb, spec);
+  }
+
+  /** What is free now, less one such task. */
+  CapacityBalance balanceNow(JobSpec spec) {
+    return balance(cpus, gpus, memGb, spec);
+  }
+
+  private CapacityBalance balance(
+      double freeCpus, double freeGpus, double freeMemGb, JobSpec spec) {
+    CapacityBalance balance = new CapacityBalance(freeCpus, freeGpus, freeMemGb);
+    balance.subtract(spec);
+    balance.subtract(reservedAgainst(spec));
+    return balance;
   }
 
+  /** Takes the capacity for tasks of a job. */
   void allocate(JobSpec spec, int tasks) {
     cpus -= spec.cpus() * tasks;
     gpus -= spec.gpus() * tasks;
@@ -142,12 +188,14 @@
     }
   }
 
+  /** Counts the capacity of a task that this plan stops. */
   void addFreeing(JobSpec spec) {
     freeingCpus += spec.cpus();
     freeingGpus += spec.gpus();
     freeingMemGb += spec.memGb();
   }
 
+  /** Counts an image that this plan has fetched here. */
   void addFetchingImage(String image) {
     if (!ownsFetchingImages) {
       fetchingImages = new HashSet<>(fetchingImages);
@@ -156,13 +204,13 @@
     fetchingImages.add(image);
   }
 
-  /** Share of the machine that is taken, by its scarcest amount. */
+  /** Share of the machine that is taken, by its scarcest resource. */
   double utilization() {
-    double u = type.cpus() > 0 ? 1 - cpus / type.cpus() : 0;
+    double utilization = type.cpus() > 0 ? 1 - cpus / type.cpus() : 0;
     if (type.gpus() > 0) {
-      u = Math.max(u, 1 - gpus / type.gpus());
+      utilization = Math.max(utilization, 1 - gpus / type.gpus());
     }
-    return type.memGb() > 0 ? Math.max(u, 1 - memGb / type.memGb()) : u;
+    return type.memGb() > 0 ? Math.max(utilization, 1 - memGb / type.memGb()) : utilization;
   }
 
   /** Seconds until the job's image is here. */
@@ -170,7 +218,7 @@
     if (machine != null && machine.images.contains(spec.image())) {
       return 0;
     }
-    double s = type.fetchS(spec);
-    return fetchingImages.contains(spec.image()) ? s / 2 : s * (1 + fetchingImages.size());
+    double alone = type.fetchS(spec);
+    return fetchingImages.contains(spec.image()) ? alone / 2 : alone * (1 + fetchingImages.size());
   }
 }
--- a/src/main/java/io/embernotch/scheduling/CandidateMachines.java
+++ b/src/main/java/io/embernotch/scheduling/CandidateMachines.java
@@ -13,18 +13,18 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * All machines of a plan. Those without any room are kept out of the way: on a busy fleet they are
- * nearly all, and looking at them again for each job made a plan cost machines times tasks. For the
- * same reason machines whose GPUs are all taken are shown only to jobs that need none.
+ * All machines of a plan. Machines without free capacity are kept apart: on a busy fleet they are
+ * nearly all, and looking at them for each job would cost machines times tasks. For the same reason
+ * machines whose GPUs are all taken are offered only to jobs that need none.
  */
 final class CandidateMachines {
-  /** Room that a task can be given. */
+  /** The kinds of capacity that a task can be given. */
   enum Capacity {
-    /** On a machine that is up. */
+    /** Free on a machine that is up. */
     FREE,
-    /** On a machine that is up, once what is being stopped there has ended. */
+    /** On a machine that is up, including what is being freed there. */
     FREEING,
-    /** On a machine that is booting or asked for. */
+    /** On a machine that is booting or requested. */
     BOOTING,
     /** On a machine that this plan rents. */
     SCALE_OUT
@@ -33,48 +33,94 @@
   private final List<CandidateMachine> all = new ArrayList<>();
   private final List<CandidateMachine> upWithCapacity = new ArrayList<>();
 
-  /** Machines that are up and have room, but no GPU. */
+  /** Machines that are up and have capacity, but no GPU. */
   private final List<CandidateMachine> withoutGpus = new ArrayList<>();
 
   private final List<CandidateMachine> booting = new ArrayList<>();
   private final List<CandidateMachine> scaledOut = new ArrayList<>();
-  private boolean anySpot;
   private final Map<String, Integer> countByZone = new HashMap<>();
+  private boolean anySpot;
+
+  /** The usable machines of the fleet, with what is reserved on them. */
+  static CandidateMachines of(
+      Collection<Machine> machines,
+      Predicate<Machine> usable,
+      double now,
+      ReservationView reservations) {
+    CandidateMachines candidates = new CandidateMachines();
+    for (Machine machine : machines) {
+      CandidateMachine candidate = candidate(machine, now);
+      if (candidate == null) {
+        continue;
+      }
+      boolean up = candidate.state == CandidateMachine.State.UP;
+      if (!up || usable.test(machine)) {
+        candidate.reservation =
+            up && !candidate.spot && reservations.concerns(machine)
+                ? reservations.on(machine)
+                : null;
+        candidates.add(candidate);
+      }
+    }
+    return candidates;
+  }
+
+  /** A machine as a candidate; null if it may take no new work. */
+  static CandidateMachine candidate(Machine machine, double now) {
+    if (machine.type == null
+        || machine.zone == null
+        || machine.deleting
+        || machine.failed
+        || machine.cordoned
+        || machine.reclaimAt >= 0) {
+      return null;
+    }
+    if (!machine.up()) {
+      return now < machine.expectedUntil
+          ? CandidateMachine.of(CandidateMachine.State.BOOTING, machine)
+          : null;
+    }
+    return CandidateMachine.of(CandidateMachine.State.UP, machine);
+  }
 
-  /** There is a machine at the cheap price, up or coming. */
+  /** Whether there is a spot machine, up or booting. */
   boolean anySpot() {
     return anySpot;
   }
 
+  /** Adds a machine of the fleet, or one that this plan rents. */
   void add(CandidateMachine candidate) {
     all.add(candidate);
     countByZone.merge(candidate.zone, 1, Integer::sum);
     anySpot |= candidate.spot;
     if (!candidate.full()) {
       if (!candidate.gpusTaken()) {
-        open(candidate).add(candidate);
+        offered(candidate.state).add(candidate);
       } else if (candidate.state == CandidateMachine.State.UP) {
         withoutGpus.add(candidate);
       }
     }
   }
 
-  void add(FleetView.Expected e, MachineType type) {
-    for (int i = 0; type != null && i < e.number(); i++) {
-      add(new CandidateMachine(CandidateMachine.State.BOOTING, null, type, e.zone(), e.spot()));
+  /** Adds machines that a request in flight may bring; none if the type is unknown (null). */
+  void add(FleetView.Expected expected, MachineType type) {
+    for (int i = 0; type != null && i < expected.number(); i++) {
+      add(
+          new CandidateMachine(
+              CandidateMachine.State.BOOTING, null, type, expected.zone(), expected.spot()));
     }
   }
 
-  private List<CandidateMachine> open(CandidateMachine candidate) {
-    return switch (candidate.state) {
+  private List<CandidateMachine> offered(CandidateMachine.State state) {
+    return switch (state) {
       case UP -> upWithCapacity;
       case BOOTING -> booting;
       case SCALE_OUT -> scaledOut;
     };
   }
 
-  private List<CandidateMachine> open(Capacity room) {
-    return switch (room) {
+  private List<CandidateMachine> offered(Capacity capacity) {
+    return switch (capacity) {
       case FREE, FREEING -> upWithCapacity;
       case BOOTING -> booting;
       case SCALE_OUT -> scaledOut;
@@ -85,24 +131,17 @@
     return all;
   }
 
-  /** What all machines have together. */
+  /** What all machines have together, in use or not. */
   Resources totalCapacity() {
-    Resources sum = Resources.ZERO;
+    Resources total = Resources.ZERO;
     for (CandidateMachine candidate : all) {
-      sum =
-          sum.plus(
-              new Resources(candidate.type.cpus(), candidate.type.gpus(), candidate.type.memGb()),
-              1);
+      MachineType type = candidate.type;
+      total = total.plus(new Resources(type.cpus(), type.gpus(), type.memGb()), 1);
     }
-    return sum;
+    return total;
   }
 
-  /** Machines that are up and have room now or will have. */
-  List<CandidateMachine> upWithCapacity() {
-    return upWithCapacity;
-  }
-
-  /** A slot may have room again, since something there is to be stopped. */
+  /** Offers a machine again that may have capacity, since attempts there are to be stopped. */
   void reopen(CandidateMachine candidate) {
     if (!upWithCapacity.contains(candidate)) {
       withoutGpus.remove(candidate);
@@ -110,26 +149,27 @@
     }
   }
 
-  int countByZone(String zone) {
+  /** How many machines are in the zone. */
+  int inZone(String zone) {
     return countByZone.getOrDefault(zone, 0);
   }
 
-  /** Slots with such room for this job, best first. */
-  List<CandidateMachine> candidates(
-      Capacity room,
+  /** Machines with such capacity for this job, best first; equally good ones keep their order. */
+  List<CandidateMachine> ranked(
+      Capacity capacity,
       JobSpec spec,
       Predicate<CandidateMachine> allowed,
       ToDoubleFunction<CandidateMachine> score) {
-    List<CandidateMachine> from = open(room);
-    from.removeIf(this::noLongerOffered);
-    List<CandidateMachine> out = new ArrayList<>();
-    if (spec.gpus() <= 0 && from == upWithCapacity) {
+    List<CandidateMachine> offered = offered(capacity);
+    offered.removeIf(this::noLongerOffered);
+    List<CandidateMachine> ranked = new ArrayList<>();
+    if (spec.gpus() <= 0 && offered == upWithCapacity) {
       withoutGpus.removeIf(CandidateMachine::full);
-      add(withoutGpus, out, room, spec, allowed, score);
+      addMatching(withoutGpus, ranked, capacity, spec, allowed, score);
     }
-    add(from, out, room, spec, allowed, score);
-    out.sort(Comparator.comparingDouble(candidate -> candidate.score));
-    return out;
+    addMatching(offered, ranked, capacity, spec, allowed, score);
+    ranked.sort(Comparator.comparingDouble(candidate -> candidate.score));
+    return ranked;
   }
 
   private boolean noLongerOffered(CandidateMachine candidate) {
@@ -143,70 +183,34 @@
     return candidate.gpusTaken();
   }
 
-  private static void add(
+  private static void addMatching(
       List<CandidateMachine> from,
-      List<CandidateMachine> out,
-      Capacity room,
+      List<CandidateMachine> matching,
+      Capacity capacity,
       JobSpec spec,
       Predicate<CandidateMachine> allowed,
       ToDoubleFunction<CandidateMachine> score) {
     for (CandidateMachine candidate : from) {
-      if (candidate.taskCapacity(spec, room == Capacity.FREEING) > 0
+      if (candidate.taskCapacity(spec, capacity == Capacity.FREEING) > 0
           && candidate.allows(spec)
           && GangAccumulation.admits(candidate, spec)
           && allowed.test(candidate)) {
         candidate.score = score.applyAsDouble(candidate);
-        out.add(candidate);
+        matching.add(candidate);
       }
     }
   }
 
-  /** What is held on each machine now. */
+  /** What is reserved after this plan, by machine name and index of the reservation. */
   Map<String, Resources[]> reserved() {
-    Map<String, Resources[]> out = new HashMap<>();
+    Map<String, Resources[]> reserved = new HashMap<>();
     for (CandidateMachine candidate : all) {
       Resources[] total =
           candidate.reservation == null ? null : candidate.reservation.totalReserved();
       if (total != null) {
-        out.put(candidate.machine.name, total);
-      }
-    }
-    return out;
-  }
-
-  static CandidateMachine candidate(Machine machine, double now) {
-    if (machine.type == null
-        || machine.zone == null
-        || machine.deleting
-        || machine.failed
-        || machine.cordoned
-        || machine.reclaimAt >= 0) {
-      return null;
-    }
-    if (!machine.up()) {
-      return now < machine.expectedUntil
-          ? CandidateMachine.of(CandidateMachine.State.BOOTING, machine)
-          : null;
-    }
-    return CandidateMachine.of(CandidateMachine.State.UP, machine);
-  }
-
-  static CandidateMachines of(
-      Collection<Machine> machines, Predicate<Machine> usable, double now, ReservationView holds) {
-    CandidateMachines out = new CandidateMachines();
-    for (Machine machine : machines) {
-      CandidateMachine candidate = candidate(machine, now);
-      if (candidate != null
-          && (candidate.state != CandidateMachine.State.UP || usable.test(machine))) {
-        candidate.reservation =
-            candidate.state == CandidateMachine.State.UP
-                    && !candidate.spot
-                    && holds.concerns(machine)
-                ? holds.on(machine)
-                : null;
-        out.add(candidate);
+        reserved.put(candidate.machine.name, total);
       }
     }
-    return out;
+    return reserved;
   }
 }
--- a/src/main/java/io/embernotch/scheduling/Deadlines.java
+++ b/src/main/java/io/embernotch/scheduling/Deadlines.java
@@ -10,70 +10,75 @@
 import java.util.Set;
 
 /**
- * Which of the jobs that are for a release are left to be late where not all can be in time: as
- * many as possible are served by their deadline (Moore and Hodgson: in the order of deadlines, and
- * whenever one would be late, the one that takes most of the machines is left out). What is left
- * out goes on behind, and is not starved: see {@code Scheduler}.
+ * Chooses which of the jobs that are for a release miss their deadline where not all can meet it.
+ * As many as possible meet theirs (Moore and Hodgson: jobs are added in the order of their due
+ * times, and whenever one would be late, the one with the longest processing time is left out).
+ * Jobs that are left out are placed behind the others, and do not starve: see {@link JobOrdering}.
  */
 public final class Deadlines {
+  private static final double MS_PER_S = 1000.0;
+
   /**
-   * One job: what it takes of all machines together, in seconds, and by when it must be done, in
-   * seconds from now.
+   * One job with a deadline.
+   *
+   * @param ref the job's name
+   * @param processingS seconds that it takes of all machines together
+   * @param dueS seconds from now until it must be done
    */
-  public record Task(String ref, double takesS, double dueS) {}
+  public record Entry(String ref, double processingS, double dueS) {}
 
   private Deadlines() {}
 
-  /** The jobs that are left to be late. */
-  public static Set<String> missed(List<Task> items) {
-    List<Task> order = new ArrayList<>(items);
-    order.sort(Comparator.comparingDouble(Task::dueS).thenComparing(Task::ref));
-    PriorityQueue<Task> taken =
+  /** The names of the jobs that miss their deadlines. */
+  public static Set<String> missed(List<Entry> entries) {
+    List<Entry> byDueTime = new ArrayList<>(entries);
+    byDueTime.sort(Comparator.comparingDouble(Entry::dueS).thenComparing(Entry::ref));
+    PriorityQueue<Entry> longestFirst =
         new PriorityQueue<>(
-            Comparator.comparingDouble(Task::takesS).reversed().thenComparing(Task::ref));
-    Set<String> late = new HashSet<>();
-    double at = 0;
-    for (Task i : order) {
-      taken.add(i);
-      at += i.takesS;
-      if (at > i.dueS) {
-        Task longest = taken.poll();
-        at -= longest.takesS;
-        late.add(longest.ref);
+            Comparator.comparingDouble(Entry::processingS).reversed().thenComparing(Entry::ref));
+    Set<String> missed = new HashSet<>();
+    double totalS = 0;
+    for (Entry entry : byDueTime) {
+      longestFirst.add(entry);
+      totalS += entry.processingS;
+      if (totalS > entry.dueS) {
+        Entry longest = longestFirst.poll();
+        totalS -= longest.processingS;
+        missed.add(longest.ref);
       }
     }
-    return late;
+    return missed;
   }
 
-  /**
-   * The same of jobs, on machines with so many GPUs and CPUs for them; sets {@link
-   * Job#missesDeadline}.
-   */
-  static void mark(List<Job> jobs, Resources room, long wallMs) {
-    List<Task> items = new ArrayList<>();
+  /** Sets {@link Job#missesDeadline} of each job, given the capacity of all machines together. */
+  static void mark(List<Job> jobs, Resources totalCapacity, long wallMs) {
+    List<Entry> entries = new ArrayList<>();
     for (Job job : jobs) {
       job.missesDeadline = false;
       if (job.releaseDeadlineMs != Long.MAX_VALUE && job.finalPhase == null) {
-        double share =
-            Math.max(ratio(job.spec.gpus(), room.gpus()), ratio(job.spec.cpus(), room.cpus()));
-        int left = job.spec.shape() == JobShape.GANG ? job.spec.tasks() : job.remaining();
-        double runS = job.remainingRunMs / 1000.0;
-        // Nothing is done before one of its tasks has run, however many machines there are.
-        items.add(
-            new Task(
-                job.spec.ref(),
-                share * left * runS,
-                (job.releaseDeadlineMs - wallMs) / 1000.0
-                    - runS * (1 - Math.min(1, share * left))));
+        entries.add(entry(job, totalCapacity, wallMs));
       }
     }
-    Set<String> late = missed(items);
+    Set<String> missed = missed(entries);
     for (Job job : jobs) {
-      job.missesDeadline = late.contains(job.spec.ref());
+      job.missesDeadline = missed.contains(job.spec.ref());
     }
   }
 
-  private static double ratio(double want, double all) {
-    return want <= 0 || all <= 0 ? 0 : want / all;
+  private static Entry entry(Job job, Resources totalCapacity, long wallMs) {
+    double share =
+        Math.max(
+            ratio(job.spec.gpus(), totalCapacity.gpus()),
+            ratio(job.spec.cpus(), totalCapacity.cpus()));
+    int tasks = job.spec.shape() == JobShape.GANG ? job.spec.tasks() : job.remaining();
+    double runS = job.remainingRunMs / MS_PER_S;
+    // A job is not done before one of its tasks has run, however many machines there are.
+    double dueS =
+        (job.releaseDeadlineMs - wallMs) / MS_PER_S - runS * (1 - Math.min(1, share * tasks));
+    return new Entry(job.spec.ref(), share * tasks * runS, dueS);
+  }
+
+  private static double ratio(double wanted, double total) {
+    return wanted <= 0 || total <= 0 ? 0 : wanted / total;
   }
 }
--- a/src/main/java/io/embernotch/scheduling/FailureRisk.java
+++ b/src/main/java/io/embernotch/scheduling/FailureRisk.java
@@ -1,11 +1,11 @@
 package io.embernotch.scheduling;
 
 /**
- * How often machines and zones fail, as the leader has seen it.
+ * How often machines and zones fail, as the leader has observed it.
  *
- * @param machinePerS failures of one machine in a second
- * @param zonePerS the same of a zone
- * @param horizonS seconds for which a replica that is placed now is counted on
+ * @param machinePerS failures of one machine per second
+ * @param zonePerS failures of one zone per second
+ * @param horizonS seconds for which a replica that is placed now is expected to stay
  * @param noticedS seconds from a failure until what ran there may start elsewhere
  */
 public record FailureRisk(double machinePerS, double zonePerS, double horizonS, double noticedS) {
--- a/src/main/java/io/embernotch/scheduling/FleetView.java
+++ b/src/main/java/io/embernotch/scheduling/FleetView.java
@@ -2,18 +2,31 @@
 
 import io.embernotch.model.JobSpec;
 
-/** What the planner has to know of the fleet beyond the machines themselves. */
+/** What the scheduler has to know of the fleet beyond the machines themselves. */
 public final class FleetView {
   private FleetView() {}
 
-  /** Machines that a rental request under way may yet bring. */
+  /**
+   * Machines that a rental request in flight may yet bring.
+   *
+   * @param type name of the machine type
+   * @param zone their zone
+   * @param spot whether they are spot machines
+   * @param number how many
+   */
   public record Expected(String type, String zone, boolean spot, int number) {}
 
-  /** Room to be kept free: {@code count} tasks, or gangs, like {@code like}. */
+  /**
+   * Capacity to be kept free.
+   *
+   * @param like a sample of the tasks, or of the gangs, that it is for
+   * @param count for how many of them
+   */
   public record Headroom(JobSpec like, int count) {}
 
-  /** Whether the cloud has lately said that it has none of these. */
+  /** What the cloud can be expected to have. */
   public interface Pools {
+    /** Whether the cloud has lately reported that it has no such machines. */
     boolean exhausted(String type, String zone, boolean spot);
   }
 }
--- a/src/main/java/io/embernotch/scheduling/GangAccumulation.java
+++ b/src/main/java/io/embernotch/scheduling/GangAccumulation.java
@@ -12,31 +12,33 @@
 import java.util.Map;
 
 /**
- * Room for gangs that wait and find neither enough free machines nor any to be had. Places that
- * come free one by one are followed at once by what is smaller, so without this a gang of whole
- * machines may wait for as long as small tasks do not run out. Some machines therefore take nothing
- * new but what will have ended before they are empty. How many grows with what the gang has waited.
- * The first that waits may hold all that it needs, the others only within a share of the machines,
- * so that the house is not emptied for them.
+ * Accumulates capacity for gangs that wait and find neither enough free machines nor any to rent.
+ * Capacity that is freed bit by bit is taken at once by smaller tasks, so without this a gang of
+ * whole machines may wait for as long as there are small tasks. Some machines therefore accept
+ * nothing new but tasks that will have ended before the machine has capacity for a task of the
+ * gang. Their number grows with the time that the gang has waited. The first gang that waits may
+ * have as many as it needs, the others only within a share of the machines, so that the fleet is
+ * not emptied for them.
  */
 final class GangAccumulation {
-  /**
-   * Workers' leases that a gang waits before room is gathered for it, and until it is for all of
-   * its tasks.
-   */
+  /** Worker leases that a gang waits before capacity is accumulated for it. */
   private static final double MIN_WAIT_LEASES = 1;
 
+  /** Worker leases after which capacity is accumulated for all of its tasks. */
   private static final double FULL_WAIT_LEASES = 2;
 
-  /** Largest share of the machines that are up that is held so. */
+  /** Largest share of the machines that are up that accumulate capacity. */
   private static final double MAX_MACHINE_SHARE = 0.25;
 
-  /** Owners' estimates are often wrong by half. */
+  /** Owners' estimates of run times are often wrong by half. */
   private static final double ESTIMATE_MARGIN = 1.5;
 
-  /** What a task takes; machines are looked through once for each. */
-  private record Size(double cpus, double gpus, double memGb) {}
+  private static final double MS_PER_S = 1000.0;
 
+  /** What a task takes; hosts are searched for once for each size. */
+  private record TaskSize(double cpus, double gpus, double memGb) {}
+
+  /** A machine, and in how many seconds it has capacity for a task. */
   private record Host(CandidateMachine candidate, double availableInS) {}
 
   private final CandidateMachines candidates;
@@ -44,28 +46,34 @@
   private final ScaleOutPlanner scaleOutPlanner;
   private final double now;
   private final long wallMs;
-  private final Map<Size, List<Host>> hosts = new HashMap<>();
+  private final Map<TaskSize, List<Host>> hostsBySize = new HashMap<>();
+
+  /** How many more machines may accumulate capacity. */
   private int machineBudget;
 
   GangAccumulation(
-      CandidateMachines slots, Settings settings, ScaleOutPlanner market, double now, long wallMs) {
-    this.candidates = slots;
+      CandidateMachines candidates,
+      Settings settings,
+      ScaleOutPlanner scaleOutPlanner,
+      double now,
+      long wallMs) {
+    this.candidates = candidates;
     this.settings = settings;
-    this.scaleOutPlanner = market;
+    this.scaleOutPlanner = scaleOutPlanner;
     this.now = now;
     this.wallMs = wallMs;
   }
 
-  /** Whether a job has waited for so long that room, and its team's quota, are held for it. */
+  /** Whether a job has waited so long that capacity, and its team's quota, are kept for it. */
   boolean aged(Job job) {
     return waitedLeases(job) > MIN_WAIT_LEASES;
   }
 
   private double waitedLeases(Job job) {
-    return (wallMs - job.eligibleSinceMs) / 1000.0 / settings.workers().leaseS();
+    return (wallMs - job.eligibleSinceMs) / MS_PER_S / settings.workers().leaseS();
   }
 
-  /** Holds machines for the gangs among these jobs that need it, in this order. */
+  /** Has machines accumulate capacity for the gangs among these jobs that need it, in order. */
   void reserveMachines(List<Job> order) {
     machineBudget =
         (int)
@@ -75,14 +83,7 @@
                     .count());
     boolean first = true;
     for (Job job : order) {
-      boolean waits =
-          job.spec.shape() == JobShape.GANG
-              && job.openAttempts.isEmpty()
-              && !job.failsEverywhere()
-              && aged(job);
-      if (waits
-          && (machineBudget > 0 || first)
-          && settings.zones().stream().noneMatch(z -> scaleOutPlanner.available(job.spec, z))) {
+      if (isWaitingGang(job) && (machineBudget > 0 || first) && !mayScaleOutFor(job)) {
         machineBudget = first ? Math.max(machineBudget, job.spec.tasks()) : machineBudget;
         first = false;
         accumulate(job);
@@ -90,87 +91,98 @@
     }
   }
 
+  private boolean isWaitingGang(Job job) {
+    return job.spec.shape() == JobShape.GANG
+        && job.openAttempts.isEmpty()
+        && !job.failsEverywhere()
+        && aged(job);
+  }
+
+  private boolean mayScaleOutFor(Job job) {
+    return settings.zones().stream().anyMatch(zone -> scaleOutPlanner.available(job.spec, zone));
+  }
+
   private void accumulate(Job job) {
     JobSpec spec = job.spec;
-    double grown =
+    double share =
         Math.min(1, (waitedLeases(job) - MIN_WAIT_LEASES) / (FULL_WAIT_LEASES - MIN_WAIT_LEASES));
-    int wanted = Math.min(machineBudget, (int) Math.ceil(grown * spec.tasks()));
+    int wanted = Math.min(machineBudget, (int) Math.ceil(share * spec.tasks()));
+    List<Host> hosts =
+        spec.oneZone()
+            ? bestZoneHosts(spec, wanted)
+            : firstAvailable(spec, wanted, new ZoneConstraints(spec, null));
+    for (Host host : hosts) {
+      host.candidate.accumulatingFor = spec.ref();
+      host.candidate.accumulatedInS = host.availableInS;
+      machineBudget--;
+    }
+  }
+
+  /** The hosts of the zone that has most, or among equals those that are available first. */
+  private List<Host> bestZoneHosts(JobSpec spec, int wanted) {
     List<Host> best = List.of();
-    if (spec.oneZone()) {
-      for (String zone : settings.zones()) {
-        List<Host> there = firstAvailable(spec, wanted, new ZoneConstraints(spec, zone));
-        if (there.size() > best.size()
-            || (there.size() == best.size() && lastAvailableInS(there) < lastAvailableInS(best))) {
-          best = there;
-        }
+    for (String zone : settings.zones()) {
+      List<Host> hosts = firstAvailable(spec, wanted, new ZoneConstraints(spec, zone));
+      if (hosts.size() > best.size()
+          || (hosts.size() == best.size() && lastAvailableInS(hosts) < lastAvailableInS(best))) {
+        best = hosts;
       }
-    } else {
-      best = firstAvailable(spec, wanted, new ZoneConstraints(spec, null));
-    }
-    for (Host h : best) {
-      h.candidate.accumulatingFor = spec.ref();
-      h.candidate.accumulatedInS = h.availableInS;
-      machineBudget--;
     }
+    return best;
   }
 
   private static double lastAvailableInS(List<Host> hosts) {
     return hosts.isEmpty() ? 0 : hosts.get(hosts.size() - 1).availableInS;
   }
 
-  /** The machines that will have room for one such task first. */
+  /** The machines that will have capacity for one such task first. */
   private List<Host> firstAvailable(JobSpec spec, int wanted, ZoneConstraints zones) {
-    List<Host> out = new ArrayList<>();
-    for (Host h :
-        hosts.computeIfAbsent(
-            new Size(spec.cpus(), spec.gpus(), spec.memGb()), z -> byAvailability(spec))) {
-      if (out.size() < wanted
-          && h.candidate.accumulatingFor == null
-          && h.candidate.allows(spec)
-          && zones.remaining(h.candidate.zone) > 0) {
-        zones.add(h.candidate.zone, 1);
-        out.add(h);
+    List<Host> hosts = new ArrayList<>();
+    TaskSize size = new TaskSize(spec.cpus(), spec.gpus(), spec.memGb());
+    for (Host host : hostsBySize.computeIfAbsent(size, key -> byAvailability(spec))) {
+      CandidateMachine candidate = host.candidate;
+      if (hosts.size() < wanted
+          && candidate.accumulatingFor == null
+          && candidate.allows(spec)
+          && zones.remaining(candidate.zone) > 0) {
+        zones.add(candidate.zone, 1);
+        hosts.add(host);
       }
     }
-    return out;
+    return hosts;
   }
 
   private List<Host> byAvailability(JobSpec spec) {
-    List<Host> out = new ArrayList<>();
+    List<Host> hosts = new ArrayList<>();
     for (CandidateMachine candidate : candidates.all()) {
       if (candidate.state == CandidateMachine.State.UP && candidate.type.fits(spec)) {
-        double emptyInS = availableInS(candidate, spec);
-        if (emptyInS < Double.MAX_VALUE) {
-          out.add(new Host(candidate, emptyInS));
+        double availableInS = availableInS(candidate, spec);
+        if (availableInS < Double.MAX_VALUE) {
+          hosts.add(new Host(candidate, availableInS));
         }
       }
     }
-    out.sort(Comparator.comparingDouble(Host::availableInS));
-    return out;
+    hosts.sort(Comparator.comparingDouble(Host::availableInS));
+    return hosts;
   }
 
-  /** Seconds until there is room for one such task. */
+  /** Seconds until there is capacity for one such task; {@link Double#MAX_VALUE}: never. */
   private double availableInS(CandidateMachine candidate, JobSpec spec) {
-    List<Attempt> there = new ArrayList<>(candidate.machine.openAttempts.values());
-    there.sort(Comparator.comparingDouble(this::remainingS));
-    Resources kept = candidate.reservedAgainst(spec);
-    double cpus = candidate.cpus - spec.cpus() - kept.cpus();
-    double gpus = candidate.gpus - spec.gpus() - kept.gpus();
-    double mem = candidate.memGb - spec.memGb() - kept.memGb();
-    double at = 0;
-    for (Attempt attempt : there) {
-      if (!Preemption.lacks(cpus, gpus, mem)) {
+    List<Attempt> attempts = new ArrayList<>(candidate.machine.openAttempts.values());
+    attempts.sort(Comparator.comparingDouble(this::remainingS));
+    CapacityBalance balance = candidate.balanceNow(spec);
+    double availableInS = 0;
+    for (Attempt attempt : attempts) {
+      if (!balance.insufficient()) {
         break;
       }
-      at = remainingS(attempt);
-      cpus += attempt.job.spec.cpus();
-      gpus += attempt.job.spec.gpus();
-      mem += attempt.job.spec.memGb();
+      availableInS = remainingS(attempt);
+      balance.add(attempt.job.spec);
     }
-    return Preemption.lacks(cpus, gpus, mem) ? Double.MAX_VALUE : at;
+    return balance.insufficient() ? Double.MAX_VALUE : availableInS;
   }
 
-  /** Seconds that a task still has to run; a service has no end. */
+  /** Seconds that a task still has to run; {@link Double#MAX_VALUE} for a service. */
   private double remainingS(Attempt attempt) {
     if (attempt.stopping) {
       return attempt.job.spec.saveS();
@@ -178,15 +190,13 @@
     if (attempt.job.spec.shape() == JobShape.SERVICE) {
       return Double.MAX_VALUE;
     }
-    return Math.max(
-        1,
-        ESTIMATE_MARGIN * Math.max(attempt.job.spec.expectS(), attempt.job.meanS())
-            - (now - attempt.createdAt));
+    double expectedS = ESTIMATE_MARGIN * Math.max(attempt.job.spec.expectS(), attempt.job.meanS());
+    return Math.max(1, expectedS - (now - attempt.createdAt));
   }
 
   /**
-   * Whether a task of this job may go to a machine that is held for another: it will have ended
-   * before it is empty.
+   * Whether a task of this job may go to a machine that accumulates capacity for another: if it
+   * will have ended before the machine has that capacity.
    */
   static boolean admits(CandidateMachine candidate, JobSpec spec) {
     return candidate.accumulatingFor == null
--- /dev/null
+++ b/src/main/java/io/embernotch/scheduling/HeadroomPlanner.java
@@ -0,0 +1,53 @@
+package io.embernotch.scheduling;
+
+import io.embernotch.model.JobShape;
+import io.embernotch.model.Priority;
+import io.embernotch.scheduling.CandidateMachines.Capacity;
+import java.util.List;
+
+/**
+ * Keeps capacity free for jobs that may come, renting machines if there is too little. Work that a
+ * reservation serves is left to {@link ReservationPlanner}.
+ */
+final class HeadroomPlanner {
+  private final CapacityAllocator allocator;
+  private final List<FleetView.Headroom> headroom;
+
+  HeadroomPlanner(CapacityAllocator allocator, SchedulingInput input) {
+    this.allocator = allocator;
+    this.headroom =
+        input.headroom().stream()
+            .filter(entry -> !input.reservations().serves(entry.like()))
+            .toList();
+  }
+
+  /** Keeps headroom for production jobs. */
+  void keepForProduction() {
+    headroom.stream()
+        .filter(entry -> entry.like().priority() == Priority.PRODUCTION)
+        .forEach(this::keep);
+  }
+
+  /** Keeps headroom for all other jobs. */
+  void keepForOthers() {
+    headroom.stream()
+        .filter(entry -> entry.like().priority() != Priority.PRODUCTION)
+        .forEach(this::keep);
+  }
+
+  private void keep(FleetView.Headroom entry) {
+    ZoneConstraints anywhere = ZoneConstraints.anywhere();
+    AllocationRequest request =
+        AllocationRequest.of(entry.like(), entry.count(), anywhere)
+            .scoredBy(PlacementScore::ofHeadroom);
+    int kept = allocator.allocate(Capacity.FREE, request, AllocationListener.CLAIM_ONLY);
+    if (entry.like().shape() == JobShape.GANG) {
+      kept +=
+          allocator.allocate(
+              Capacity.FREEING,
+              request.withWanted(entry.count() - kept),
+              AllocationListener.CLAIM_ONLY);
+    }
+    allocator.claimNew(entry.like(), entry.count() - kept, anywhere);
+  }
+}
--- a/src/main/java/io/embernotch/scheduling/JobOrdering.java
+++ b/src/main/java/io/embernotch/scheduling/JobOrdering.java
@@ -8,27 +8,27 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Whose turn it is: the order in which jobs are placed. */
+/** The order in which jobs are placed. */
 final class JobOrdering {
   /**
-   * Workers' leases of waiting after which a job goes before all of its rank, for a release or not:
-   * under four minutes.
+   * Worker leases of waiting after which a job goes before all others of its priority, whether they
+   * are for a release or not: under four minutes.
    */
   private static final int STARVED_LEASES = 7;
 
   /**
-   * Leases before its last moment to start from which on work for a release goes before what is for
-   * none.
+   * Worker leases before its latest start from which on work for a release goes before work that is
+   * for none.
    */
   private static final int NEAR_START_LEASES = 4;
 
-  /** More than any two moments are apart. */
+  /** Further apart than any two times that occur. */
   private static final long FIRST_OFFSET_MS = 1L << 50;
 
   /**
-   * Live services first, then what is guaranteed, then by priority, then by the time at which it is
-   * to start: that which its deadline leaves, or, without one, a worker's lease after it could
-   * start.
+   * Production jobs first, then jobs within their guarantee, then by priority, then by urgency: the
+   * latest start that the deadline leaves, or, without one, a worker lease after the job could have
+   * started.
    */
   private static final Comparator<Job> ORDER =
       Comparator.comparing((Job job) -> job.spec.priority() != Priority.PRODUCTION)
@@ -39,9 +39,9 @@
 
   private JobOrdering() {}
 
-  /** The jobs with tasks to be placed, in their order. */
+  /** The jobs with pending tasks, in their order. */
   static List<Job> of(
-      Collection<Job> jobs, Settings settings, CandidateMachines slots, long wallMs) {
+      Collection<Job> jobs, Settings settings, CandidateMachines candidates, long wallMs) {
     long leaseMs = Math.round(settings.workers().leaseS() * 1000);
     List<Job> order = new ArrayList<>();
     for (Job job : jobs) {
@@ -50,7 +50,7 @@
       }
     }
     if (order.stream().anyMatch(job -> job.releaseDeadlineMs != Long.MAX_VALUE)) {
-      Deadlines.mark(order, slots.totalCapacity(), wallMs);
+      Deadlines.mark(order, candidates.totalCapacity(), wallMs);
     }
     for (Job job : order) {
       job.urgencyMs = urgencyMs(job, leaseMs, wallMs);
@@ -60,9 +60,9 @@
   }
 
   /**
-   * When a job is to have its turn: by its own deadline, or as one that came a while later than it
-   * did. One that is for a release goes before those once its last moment to start is near, if it
-   * can be in time together with others; and whatever has waited for too long goes before all.
+   * The time by which a job counts among its equals: its own deadline, or that of a job that came a
+   * lease later. A job for a release goes before all others once its latest start is near, if it
+   * can meet its deadline together with others. A job that has waited for too long goes before all.
    */
   private static long urgencyMs(Job job, long leaseMs, long wallMs) {
     long byAge = job.eligibleSinceMs + leaseMs;
@@ -72,12 +72,12 @@
     if (job.releaseDeadlineMs == Long.MAX_VALUE) {
       return Math.min(job.latestStartMs, byAge);
     }
-    long lastStart = Math.min(job.latestStartMs, job.releaseDeadlineMs - job.remainingRunMs);
     if (job.missesDeadline) {
       return job.eligibleSinceMs + STARVED_LEASES * leaseMs;
     }
-    return lastStart - wallMs < NEAR_START_LEASES * leaseMs
-        ? lastStart - FIRST_OFFSET_MS
-        : lastStart;
+    long latestStart = Math.min(job.latestStartMs, job.releaseDeadlineMs - job.remainingRunMs);
+    return latestStart - wallMs < NEAR_START_LEASES * leaseMs
+        ? latestStart - FIRST_OFFSET_MS
+        : latestStart;
   }
 }
--- /dev/null
+++ b/src/main/java/io/embernotch/scheduling/JobPlacement.java
@@ -0,0 +1,30 @@
+package io.embernotch.scheduling;
+
+import io.embernotch.model.Job;
+import io.embernotch.model.JobShape;
+
+/** Places one job after another, by its shape. */
+final class JobPlacement {
+  private final SchedulingCycle cycle;
+  private final TaskPlacement tasks;
+  private final GangPlacement gangs;
+
+  JobPlacement(SchedulingCycle cycle, CapacityAllocator allocator) {
+    this.cycle = cycle;
+    ZoneSelector zoneSelector = new ZoneSelector(cycle);
+    this.tasks = new TaskPlacement(cycle, allocator, zoneSelector);
+    this.gangs = new GangPlacement(cycle, allocator, zoneSelector);
+  }
+
+  /** Places the pending tasks of a job, unless nothing of it may start yet. */
+  void place(Job job, GangAccumulation gangAccumulation) {
+    if (Math.max(job.backoffUntil, job.notBefore) > cycle.now()) {
+      return;
+    }
+    if (job.spec.shape() == JobShape.GANG) {
+      gangs.place(job, gangAccumulation);
+    } else {
+      tasks.place(job);
+    }
+  }
+}
--- a/src/main/java/io/embernotch/scheduling/MachineReservation.java
+++ b/src/main/java/io/embernotch/scheduling/MachineReservation.java
@@ -4,47 +4,55 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** What is held on one machine while a plan is made, for each reservation. */
+/**
+ * What is reserved on one machine while a plan is made. Reservations are known by their index in
+ * the list of {@link ReservationView#demands}.
+ */
 final class MachineReservation {
   private final List<ReservationView.ReservationDemand> demands;
 
-  /** What their work takes there. */
+  /** What the work of each reservation takes of the machine. */
   private final Resources[] used;
 
-  /** What is held, used and not. */
+  /** What is reserved, used and not. */
   private final Resources[] reserved;
 
-  /** What of it is free for them, or is to be once others have ended. */
+  /** What of it is free for that work, or will be once other attempts have ended. */
   private final Resources[] free;
 
-  /** Is to be given up: until the store says so it is still kept from others. */
+  /** Is to be released: it stays reserved until the store holds the release. */
   private final boolean[] released;
 
+  /**
+   * Takes over what is reserved at present.
+   *
+   * @param before what is reserved; null if nothing is
+   */
   MachineReservation(
-      List<ReservationView.ReservationDemand> terms, Resources[] used, Resources[] before) {
-    this.demands = terms;
+      List<ReservationView.ReservationDemand> demands, Resources[] used, Resources[] before) {
+    this.demands = demands;
     this.used = used;
-    this.reserved = new Resources[terms.size()];
-    this.free = new Resources[terms.size()];
-    this.released = new boolean[terms.size()];
+    this.reserved = new Resources[demands.size()];
+    this.free = new Resources[demands.size()];
+    this.released = new boolean[demands.size()];
     for (int i = 0; i < free.length; i++) {
       reserved[i] = before == null ? used[i] : before[i].max(used[i]);
       free[i] = reserved[i].minus(used[i]);
     }
   }
 
-  /** What such a job may not have of the machine, free as it may be. */
+  /** What is reserved and free on the machine, but not for this job. */
   Resources reservedAgainst(JobSpec job) {
-    Resources kept = Resources.ZERO;
+    Resources against = Resources.ZERO;
     for (int i = 0; i < free.length; i++) {
       if (!free[i].isZero() && !demands.get(i).reservation().serves(job)) {
-        kept = kept.plus(free[i], 1);
+        against = against.plus(free[i], 1);
       }
     }
-    return kept;
+    return against;
   }
 
-  /** Room for such tasks is claimed. */
+  /** Takes capacity for tasks of a job, reserved capacity if some is for it. */
   void allocate(JobSpec job, int tasks) {
     for (int i = 0; i < free.length; i++) {
       if (demands.get(i).reservation().serves(job)) {
@@ -53,38 +61,42 @@
     }
   }
 
-  Resources free(int term) {
-    return free[term];
+  /** What is reserved and free. */
+  Resources free(int index) {
+    return free[index];
   }
 
-  boolean inUse(int term) {
-    return !used[term].isZero();
+  /** Whether work of the reservation runs on the machine. */
+  boolean inUse(int index) {
+    return !used[index].isZero();
   }
 
-  /** Holds room for so many more tasks. */
-  void extend(int term, Resources unit, int by) {
-    free[term] = free[term].plus(unit, by);
-    reserved[term] = reserved[term].plus(unit, by);
+  /** Reserves capacity for so many more tasks of this size. */
+  void extend(int index, Resources unit, int tasks) {
+    free[index] = free[index].plus(unit, tasks);
+    reserved[index] = reserved[index].plus(unit, tasks);
   }
 
-  void release(int term) {
-    released[term] = true;
+  /** Has what is free released after this plan. */
+  void release(int index) {
+    released[index] = true;
   }
 
-  /** All that is to be held, or null if that is nothing. */
+  /** All that is to be reserved after this plan; null if that is nothing. */
   Resources[] totalReserved() {
-    Resources[] out = new Resources[free.length];
+    Resources[] total = new Resources[free.length];
     boolean any = false;
-    for (int i = 0; i < out.length; i++) {
-      out[i] = released[i] ? reserved[i].minus(free[i]) : reserved[i];
-      any |= !out[i].isZero();
+    for (int i = 0; i < total.length; i++) {
+      total[i] = released[i] ? reserved[i].minus(free[i]) : reserved[i];
+      any |= !total[i].isZero();
     }
-    return any ? out : null;
+    return any ? total : null;
   }
 
-  static Resources[] none(int terms) {
-    Resources[] out = new Resources[terms];
-    Arrays.fill(out, Resources.ZERO);
-    return out;
+  /** Nothing for each of so many reservations. */
+  static Resources[] none(int reservations) {
+    Resources[] none = new Resources[reservations];
+    Arrays.fill(none, Resources.ZERO);
+    return none;
   }
 }
--- a/src/main/java/io/embernotch/scheduling/Preemption.java
+++ b/src/main/java/io/embernotch/scheduling/Preemption.java
@@ -17,28 +17,45 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Who is stopped for whom. Live services have any work of lower priority stopped. What is within
- * its team's guarantee and finds no machine to be had has work stopped that others run beyond
- * theirs: all of teams without any guarantee, else what is of lower priority. A guest's array that
- * had filled every machine once kept guaranteed gangs waiting for minutes, since single places came
- * free and whole machines never did.
+ * Chooses the attempts that are stopped for other jobs. Production jobs preempt any work of lower
+ * priority. A job that is within its team's guarantee and for which no machine can be rented
+ * preempts what others run beyond theirs: all work of teams without any guarantee, else work of
+ * lower priority. Without that, an array of such a team that fills every machine keeps guaranteed
+ * gangs waiting: capacity is freed bit by bit, and whole machines never are.
  *
- * <p>Gangs of high priority once had any arrays stopped as well, but guaranteed arrays come before
- * them in the order and took the room back, twenty times a second. What is guaranteed is never
- * stopped for them now, and what is not comes behind them.
+ * <p>Work within a guarantee is never preempted for gangs of high priority: it comes before them in
+ * the order and would take the capacity back in the next plan, without end. Work beyond a guarantee
+ * comes behind them.
  */
 final class Preemption {
-  private static final double EPS = 1e-6;
-
   /**
-   * Looking through all machines costs time, so a few jobs a plan may; there are several plans a
+   * How many jobs of a plan may search all machines, which takes time; there are several plans a
    * second.
    */
   private static final int MAX_SEARCHES = 8;
 
-  /** The best of so many times the machines that are needed will do. */
+  /** A search may end once it has found so many times the machines that are needed. */
   private static final int SUFFICIENT_FACTOR = 2;
 
+  /**
+   * What is searched for: capacity for {@code wanted} tasks.
+   *
+   * @param machines the machines to look at
+   * @param allowed which of them may be used
+   * @param preemptible which attempts may be stopped
+   * @param graceS seconds that an attempt gets to save its progress
+   * @param endsWhenSufficient whether the search may end before all machines are looked at
+   */
+  private record Search(
+      JobSpec spec,
+      int wanted,
+      ZoneConstraints zones,
+      List<CandidateMachine> machines,
+      Predicate<CandidateMachine> allowed,
+      Predicate<Attempt> preemptible,
+      ToDoubleFunction<Attempt> graceS,
+      boolean endsWhenSufficient) {}
+
   private final Settings settings;
   private final CandidateMachines candidates;
   private final SchedulingPlan plan;
@@ -46,36 +63,43 @@
   private final Set<Attempt> preempted = Collections.newSetFromMap(new IdentityHashMap<>());
   private int searches;
 
-  /** Machines that run what is beyond a guarantee; null until somebody asks. */
+  /** Machines that run work beyond a guarantee; null until first needed. */
   private List<CandidateMachine> machinesBeyondGuarantee;
 
-  Preemption(Settings settings, CandidateMachines slots, SchedulingPlan plan, double now) {
+  Preemption(Settings settings, CandidateMachines candidates, SchedulingPlan plan, double now) {
     this.settings = settings;
-    this.candidates = slots;
+    this.candidates = candidates;
     this.plan = plan;
     this.now = now;
   }
 
-  /** Stops work of lower priority where that destroys least, for up to {@code wanted} tasks. */
+  /**
+   * Preempts work of lower priority, where that loses least.
+   *
+   * @return for how many tasks capacity has been claimed, at most {@code wanted}
+   */
   int preempt(
       JobSpec spec, int wanted, ZoneConstraints zones, Predicate<CandidateMachine> allowed) {
-    // A live service does not wait for others to save; they fall back to their last checkpoint.
+    // Production jobs do not wait for others to save; these fall back to their last checkpoint.
     return preempt(
-        spec,
-        wanted,
-        zones,
-        candidates.all(),
-        candidate ->
-            candidate.lowestPriority != null
-                && candidate.lowestPriority.compareTo(spec.priority()) < 0
-                && allowed.test(candidate),
-        attempt -> attempt.job.spec.priority().compareTo(spec.priority()) < 0,
-        attempt -> 0);
+        new Search(
+            spec,
+            wanted,
+            zones,
+            candidates.all(),
+            candidate ->
+                candidate.lowestPriority != null
+                    && candidate.lowestPriority.compareTo(spec.priority()) < 0
+                    && allowed.test(candidate),
+            attempt -> attempt.job.spec.priority().compareTo(spec.priority()) < 0,
+            attempt -> 0,
+            false));
   }
 
   /**
-   * Stops what others run beyond their guarantees, for up to {@code wanted} tasks of a job within
-   * its team's.
+   * Preempts what others run beyond their guarantees, for a job that is within its team's.
+   *
+   * @return for how many tasks capacity has been claimed, at most {@code wanted}
    */
   int preemptBeyondGuarantee(Job job, int wanted, ZoneConstraints zones) {
     if (!job.withinGuarantee || ++searches > MAX_SEARCHES) {
@@ -91,13 +115,15 @@
               .toList();
     }
     return preempt(
-        job.spec,
-        wanted,
-        zones,
-        machinesBeyondGuarantee,
-        candidate -> true,
-        attempt -> preemptibleFor(attempt.job, job),
-        attempt -> attempt.job.spec.checkpointS() > 0 ? attempt.job.spec.saveS() : 0);
+        new Search(
+            job.spec,
+            wanted,
+            zones,
+            machinesBeyondGuarantee,
+            candidate -> true,
+            attempt -> preemptibleFor(attempt.job, job),
+            attempt -> attempt.job.spec.checkpointS() > 0 ? attempt.job.spec.saveS() : 0,
+            true));
   }
 
   private static boolean runsBeyondGuarantee(CandidateMachine candidate) {
@@ -119,147 +145,137 @@
         || other.spec.priority().compareTo(job.spec.priority()) < 0;
   }
 
-  private int preempt(
-      JobSpec spec,
-      int wanted,
-      ZoneConstraints zones,
-      List<CandidateMachine> from,
-      Predicate<CandidateMachine> allowed,
-      Predicate<Attempt> may,
-      ToDoubleFunction<Attempt> graceS) {
-    if (wanted <= 0) {
+  private int preempt(Search search) {
+    if (search.wanted <= 0) {
+      return 0;
+    }
+    List<CandidateMachine> hosts = findHosts(search);
+    if (search.spec.shape() == JobShape.GANG
+        && hosts.stream().mapToInt(host -> tasksAfterPreemption(search, host)).sum()
+            < search.wanted) {
+      // All tasks of a gang start or none does: to preempt for a part of it is of no use.
       return 0;
     }
+    hosts.sort(Comparator.comparingDouble(candidate -> candidate.score));
+    int claimed = 0;
+    for (CandidateMachine host : hosts) {
+      claimed += preemptOn(host, search, search.wanted - claimed);
+    }
+    return claimed;
+  }
+
+  /** The machines where preemption frees capacity for a task, scored by what it loses. */
+  private List<CandidateMachine> findHosts(Search search) {
     List<CandidateMachine> hosts = new ArrayList<>();
-    for (CandidateMachine candidate : from) {
+    for (CandidateMachine candidate : search.machines) {
       if (candidate.state != CandidateMachine.State.UP
-          || !allowed.test(candidate)
-          || !candidate.allows(spec)
-          || zones.remaining(candidate.zone) == 0) {
+          || !search.allowed.test(candidate)
+          || !candidate.allows(search.spec)
+          || search.zones.remaining(candidate.zone) == 0) {
         continue;
       }
-      List<Attempt> victims = victims(spec, candidate, may);
-      if (victims != null) {
-        if (from == machinesBeyondGuarantee && hosts.size() > SUFFICIENT_FACTOR * wanted) {
-          break;
-        }
-        candidate.score =
-            candidate.fetchS(spec)
-                + victims.stream().mapToDouble(this::lostS).sum() / victims.size();
-        hosts.add(candidate);
+      List<Attempt> victims = victims(search, candidate);
+      if (victims.isEmpty()) {
+        continue;
       }
+      if (search.endsWhenSufficient && hosts.size() > SUFFICIENT_FACTOR * search.wanted) {
+        break;
+      }
+      candidate.score =
+          candidate.fetchS(search.spec)
+              + victims.stream().mapToDouble(this::lostS).sum() / victims.size();
+      hosts.add(candidate);
     }
-    if (spec.shape() == JobShape.GANG
-        && hosts.stream().mapToInt(candidate -> tasksAfterPreemption(spec, candidate, may)).sum()
-            < wanted) {
-      // All of it starts or none does: half of its room would be stopped for nothing.
-      return 0;
-    }
-    hosts.sort(Comparator.comparingDouble(candidate -> candidate.score));
-    int made = 0;
-    for (CandidateMachine candidate : hosts) {
-      while (made < wanted && zones.remaining(candidate.zone) > 0) {
-        List<Attempt> victims = victims(spec, candidate, may);
-        if (victims == null) {
-          break;
-        }
-        for (Attempt attempt : victims) {
-          preempted.add(attempt);
-          candidate.addFreeing(attempt.job.spec);
-          plan.stops.add(
-              new SchedulingPlan.Stop(
-                  attempt, graceS.applyAsDouble(attempt), "room for " + spec.ref()));
-        }
-        candidate.allocate(spec, 1);
-        candidate.claimed = true;
-        candidates.reopen(candidate);
-        zones.add(candidate.zone, 1);
-        made++;
+    return hosts;
+  }
+
+  /** Preempts attempts on one machine for up to {@code wanted} tasks; returns for how many. */
+  private int preemptOn(CandidateMachine host, Search search, int wanted) {
+    JobSpec spec = search.spec;
+    int claimed = 0;
+    while (claimed < wanted && search.zones.remaining(host.zone) > 0) {
+      List<Attempt> victims = victims(search, host);
+      if (victims.isEmpty()) {
+        break;
+      }
+      for (Attempt attempt : victims) {
+        preempted.add(attempt);
+        host.addFreeing(attempt.job.spec);
+        plan.stops.add(
+            new SchedulingPlan.Stop(
+                attempt, search.graceS.applyAsDouble(attempt), "room for " + spec.ref()));
       }
+      host.allocate(spec, 1);
+      host.claimed = true;
+      candidates.reopen(host);
+      search.zones.add(host.zone, 1);
+      claimed++;
     }
-    return made;
+    return claimed;
   }
 
   /** Seconds of progress that stopping this attempt loses or delays. */
   private double lostS(Attempt attempt) {
-    double ran = attempt.runningAt < 0 ? 0 : now - attempt.runningAt;
-    return attempt.job.spec.checkpointS() > 0
-        ? Math.min(ran, attempt.job.spec.checkpointS() / 2)
-        : ran;
+    double ranS = attempt.runningAt < 0 ? 0 : now - attempt.runningAt;
+    double checkpointS = attempt.job.spec.checkpointS();
+    return checkpointS > 0 ? Math.min(ranS, checkpointS / 2) : ranS;
+  }
+
+  private boolean mayPreempt(Search search, Attempt attempt) {
+    return !attempt.stopping && !preempted.contains(attempt) && search.preemptible.test(attempt);
   }
 
-  /** What must go for one such task, and nothing besides; null if what may go is not enough. */
-  private List<Attempt> victims(JobSpec spec, CandidateMachine candidate, Predicate<Attempt> may) {
-    List<Attempt> out = new ArrayList<>();
-    Resources kept = candidate.reservedAgainst(spec);
-    double cpus = candidate.cpus + candidate.freeingCpus - spec.cpus() - kept.cpus();
-    double gpus = candidate.gpus + candidate.freeingGpus - spec.gpus() - kept.gpus();
-    double mem = candidate.memGb + candidate.freeingMemGb - spec.memGb() - kept.memGb();
+  /**
+   * The attempts to stop on a machine for one task, and none besides. Empty if the attempts that
+   * may be stopped are not enough, or none has to be.
+   */
+  private List<Attempt> victims(Search search, CandidateMachine candidate) {
+    List<Attempt> victims = new ArrayList<>();
+    CapacityBalance balance = candidate.balanceAfterFreeing(search.spec);
     for (Attempt attempt : candidate.machine.openAttempts.values()) {
-      if (!attempt.stopping && !preempted.contains(attempt) && may.test(attempt)) {
-        out.add(attempt);
-        cpus += attempt.job.spec.cpus();
-        gpus += attempt.job.spec.gpus();
-        mem += attempt.job.spec.memGb();
+      if (mayPreempt(search, attempt)) {
+        victims.add(attempt);
+        balance.add(attempt.job.spec);
       }
     }
-    if (out.isEmpty() || lacks(cpus, gpus, mem)) {
-      return null;
+    if (victims.isEmpty() || balance.insufficient()) {
+      return List.of();
     }
-    // What is worth most is spared first; tiny tasks beside large ones mostly need not go.
-    out.sort(
+    // The most valuable are spared first; small tasks beside large ones mostly need not stop.
+    victims.sort(
         Comparator.comparing((Attempt attempt) -> attempt.job.spec.priority())
             .thenComparing(attempt -> attempt.job.spec.shape() == JobShape.GANG)
             .thenComparingDouble(this::lostS));
-    for (int i = out.size() - 1; i >= 0; i--) {
-      JobSpec victim = out.get(i).job.spec;
-      if (!lacks(cpus - victim.cpus(), gpus - victim.gpus(), mem - victim.memGb())) {
-        cpus -= victim.cpus();
-        gpus -= victim.gpus();
-        mem -= victim.memGb();
-        out.remove(i);
+    for (int i = victims.size() - 1; i >= 0; i--) {
+      JobSpec victim = victims.get(i).job.spec;
+      if (balance.canSpare(victim)) {
+        balance.subtract(victim);
+        victims.remove(i);
       }
     }
-    return out.isEmpty() ? null : out;
+    return victims;
   }
 
-  /** How many such tasks there is room for once all that may go is gone. */
-  private int tasksAfterPreemption(
-      JobSpec spec, CandidateMachine candidate, Predicate<Attempt> may) {
-    double share = Double.MAX_VALUE;
-    MachineLoad there =
+  /** For how many tasks there is capacity once all attempts that may be preempted have ended. */
+  private int tasksAfterPreemption(Search search, CandidateMachine candidate) {
+    JobSpec spec = search.spec;
+    MachineLoad load =
         new MachineLoad(
             candidate.machine.openAttempts.values().stream()
-                .filter(
-                    attempt ->
-                        !attempt.stopping && !preempted.contains(attempt) && may.test(attempt))
+                .filter(attempt -> mayPreempt(search, attempt))
                 .toList());
-    Resources kept = candidate.reservedAgainst(spec);
-    share =
-        Math.min(
-            share,
-            spec.cpus() <= 0
-                ? share
-                : (candidate.cpus + candidate.freeingCpus + there.cpus - kept.cpus())
-                    / spec.cpus());
-    share =
-        Math.min(
-            share,
-            spec.gpus() <= 0
-                ? share
-                : (candidate.gpus + candidate.freeingGpus + there.gpus - kept.gpus())
-                    / spec.gpus());
-    share =
+    Resources reserved = candidate.reservedAgainst(spec);
+    double cpus = candidate.cpus + candidate.freeingCpus + load.cpus - reserved.cpus();
+    double gpus = candidate.gpus + candidate.freeingGpus + load.gpus - reserved.gpus();
+    double memGb = candidate.memGb + candidate.freeingMemGb + load.memGb - reserved.memGb();
+    double tasks =
         Math.min(
-            share,
-            spec.memGb() <= 0
-                ? share
-                : (candidate.memGb + candidate.freeingMemGb + there.memGb - kept.memGb())
-                    / spec.memGb());
-    return (int) Math.floor(Math.max(0, share) + EPS);
+            ratio(cpus, spec.cpus()),
+            Math.min(ratio(gpus, spec.gpus()), ratio(memGb, spec.memGb())));
+    return (int) Math.floor(Math.max(0, tasks) + Resources.TOLERANCE);
   }
 
-  static boolean lacks(double cpus, double gpus, double mem) {
-    return cpus < -EPS || gpus < -EPS || mem < -EPS;
+  private static double ratio(double available, double each) {
+    return each <= 0 ? Double.MAX_VALUE : available / each;
   }
 }
--- a/src/main/java/io/embernotch/scheduling/QuotaUsage.java
+++ b/src/main/java/io/embernotch/scheduling/QuotaUsage.java
@@ -10,11 +10,16 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** What the teams use, may use, and are guaranteed. */
+/** What the teams use, what they may use, and what they are guaranteed. */
 final class QuotaUsage {
-  private static final double EPS = 1e-6;
+  /** What one team uses. */
+  private static final class TeamUsage {
+    double cpus;
+    double gpus;
+  }
+
   private final Map<String, Settings.Team> teams;
-  private final Map<String, double[]> used = new HashMap<>();
+  private final Map<String, TeamUsage> usageByTeam = new HashMap<>();
 
   /** Open attempts count until their end is proven, whatever has become of their job. */
   QuotaUsage(Map<String, Settings.Team> teams, Collection<Job> jobs) {
@@ -24,10 +29,11 @@
     }
   }
 
+  /** Counts tasks of a job as running. */
   void add(JobSpec spec, int tasks) {
-    double[] u = used.computeIfAbsent(spec.team(), t -> new double[2]);
-    u[0] += spec.cpus() * tasks;
-    u[1] += spec.gpus() * tasks;
+    TeamUsage usage = usageByTeam.computeIfAbsent(spec.team(), team -> new TeamUsage());
+    usage.cpus += spec.cpus() * tasks;
+    usage.gpus += spec.gpus() * tasks;
   }
 
   /** How many more tasks of this job its team may run. */
@@ -36,49 +42,47 @@
     if (team == null) {
       return 0;
     }
-    double[] u = used.getOrDefault(spec.team(), new double[2]);
+    TeamUsage usage = usageByTeam.getOrDefault(spec.team(), new TeamUsage());
     return (int)
         Math.min(
-            tasksWithinLimit(team.cpusMax(), u[0], spec.cpus()),
-            tasksWithinLimit(team.gpusMax(), u[1], spec.gpus()));
+            tasksWithinLimit(team.cpusMax(), usage.cpus, spec.cpus()),
+            tasksWithinLimit(team.gpusMax(), usage.gpus, spec.gpus()));
   }
 
-  private static double tasksWithinLimit(double max, double used, double each) {
-    if (max <= 0 || each <= 0) {
+  /** A limit of zero or less is none. */
+  private static double tasksWithinLimit(double limit, double used, double each) {
+    if (limit <= 0 || each <= 0) {
       return Integer.MAX_VALUE;
     }
-    return Math.max(0, Math.floor((max - used) / each + EPS));
+    return Math.max(0, Math.floor((limit - used) / each + Resources.TOLERANCE));
   }
 
-  /**
-   * Marks the jobs that may run and fit their team's guarantee together with the team's earlier
-   * ones.
-   */
+  /** Sets {@link Job#withinGuarantee} of the jobs that have not ended and are not blocked. */
   void markGuaranteed(Collection<Job> jobs) {
     Map<String, List<Job>> byTeam =
         jobs.stream()
             .filter(job -> job.finalPhase == null && !job.blocked())
             .collect(Collectors.groupingBy(job -> job.spec.team()));
-    byTeam.forEach(
-        (name, list) -> {
-          Settings.Team team = teams.get(name);
-          list.sort(
-              Comparator.comparingLong((Job job) -> job.eligibleSinceMs)
-                  .thenComparing(job -> job.spec.ref()));
-          double cpus = 0;
-          double gpus = 0;
-          for (Job job : list) {
-            cpus += job.spec.cpus() * job.remaining();
-            gpus += job.spec.gpus() * job.remaining();
-            job.withinGuarantee = team != null && within(team.cpus(), cpus, team.gpus(), gpus);
-          }
-        });
+    byTeam.forEach((name, teamJobs) -> markGuaranteed(teams.get(name), teamJobs));
   }
 
-  private static boolean within(double cpus, double wantCpus, double gpus, double wantGpus) {
-    if (cpus <= 0 && gpus <= 0) {
-      return false;
+  /** Marks those that fit the guarantee together with the team's earlier jobs. */
+  private static void markGuaranteed(Settings.Team team, List<Job> jobs) {
+    jobs.sort(
+        Comparator.comparingLong((Job job) -> job.eligibleSinceMs)
+            .thenComparing(job -> job.spec.ref()));
+    double cpus = 0;
+    double gpus = 0;
+    for (Job job : jobs) {
+      cpus += job.spec.cpus() * job.remaining();
+      gpus += job.spec.gpus() * job.remaining();
+      job.withinGuarantee = team != null && !team.guest() && withinGuarantee(team, cpus, gpus);
     }
-    return (cpus <= 0 || wantCpus <= cpus + EPS) && (gpus <= 0 || wantGpus <= gpus + EPS);
+  }
+
+  /** An amount of zero or less is not part of the guarantee. */
+  private static boolean withinGuarantee(Settings.Team team, double cpus, double gpus) {
+    return (team.cpus() <= 0 || cpus <= team.cpus() + Resources.TOLERANCE)
+        && (team.gpus() <= 0 || gpus <= team.gpus() + Resources.TOLERANCE);
   }
 }
--- a/src/main/java/io/embernotch/scheduling/ReservationPlanner.java
+++ b/src/main/java/io/embernotch/scheduling/ReservationPlanner.java
@@ -6,166 +6,169 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import java.util.Map;
+import java.util.function.Predicate;
 
 /**
- * Keeps as much free for each reservation as it is to have. What is held already comes first, so
- * that it stays where it is; then room that nobody uses; then what is coming free, booting, or
- * rented; last, for one that is given as an amount and where no machine is to be had, what lesser
- * work has to leave. Too much is given up only from a margin on, and first where nothing of the
- * reservation's work runs, so that machines come free.
+ * Keeps as much capacity free for each reservation as it wants. What is reserved already comes
+ * first, so that it stays where it is; then capacity that nobody uses; then what is being freed,
+ * booting, or rented; last, for a reservation of a fixed amount where no machine can be rented,
+ * what is preempted. Too much is released only from a margin on, and first where no work of the
+ * reservation runs, so that machines become empty.
  */
 final class ReservationPlanner {
-  /** So much more than is wanted may stay held, and a task's room. */
+  /**
+   * Share of the wanted capacity by which more may stay reserved, beside the capacity for one task.
+   */
   private static final double RELEASE_MARGIN = 0.1;
 
-  /** What is needed of the planner. */
-  interface Host {
-    /** Claims for {@code n} such tasks room that will be there; tells for how many. */
-    int claimLater(JobSpec like, int n);
+  /** Provides capacity that is not free yet. */
+  interface CapacityProvider {
+    /**
+     * Claims capacity that will be available later.
+     *
+     * @return for how many tasks like {@code sample}, at most {@code wanted}
+     */
+    int claimLater(JobSpec sample, int wanted);
 
-    /** Has lesser work stopped for {@code n} such tasks where no machine is to be had. */
-    void preemptFor(JobSpec like, int n, Reservation terms);
+    /** Preempts work of lower priority for so many tasks, where no machine can be rented. */
+    void preemptFor(JobSpec sample, int wanted, Reservation reservation);
   }
 
+  /** Tasks that a reservation wants capacity for: its index, and what one of them is and takes. */
+  private record Need(int index, Reservation reservation, JobSpec sample, Resources unit) {}
+
   private final ReservationView reservations;
   private final CandidateMachines candidates;
-  private final Host host;
+  private final CapacityProvider provider;
 
-  ReservationPlanner(ReservationView holds, CandidateMachines slots, Host host) {
-    this.reservations = holds;
-    this.candidates = slots;
-    this.host = host;
+  ReservationPlanner(
+      ReservationView reservations, CandidateMachines candidates, CapacityProvider provider) {
+    this.reservations = reservations;
+    this.candidates = candidates;
+    this.provider = provider;
   }
 
+  /** Reserves what is lacking for each reservation, and releases what is too much. */
   void reserve() {
     for (int i = 0; i < reservations.demands().size(); i++) {
-      ReservationView.ReservationDemand t = reservations.demands().get(i);
+      ReservationView.ReservationDemand demand = reservations.demands().get(i);
       Resources wanted = Resources.ZERO;
-      for (FleetView.Headroom h : t.headroom()) {
-        reserve(i, t.reservation(), h);
-        wanted =
-            wanted.plus(Resources.of(h.like()), Math.ceil(h.count() * (1 + RELEASE_MARGIN)) + 1);
+      for (FleetView.Headroom headroom : demand.headroom()) {
+        JobSpec sample = headroom.like();
+        Resources unit = Resources.of(sample);
+        reserve(new Need(i, demand.reservation(), sample, unit), headroom.count());
+        wanted = wanted.plus(unit, Math.ceil(headroom.count() * (1 + RELEASE_MARGIN)) + 1);
       }
       releaseExcess(i, wanted);
     }
   }
 
-  private void reserve(int term, Reservation r, FleetView.Headroom h) {
-    Resources unit = Resources.of(h.like());
-    // What is held on a machine that is empty but for that keeps it from whole-machine work: it
-    // moves where others are.
-    int lacking = h.count() - reservedTasks(term, unit, h.count(), false);
-    for (String zone : r.zones().keySet()) {
-      int least = (int) Math.ceil(r.zones().get(zone) * h.count());
-      lacking -=
-          extend(
-              term,
-              r,
-              h.like(),
-              unit,
-              Math.min(lacking, least - reservedTasksInZone(term, unit, zone)),
-              zone,
-              true);
+  private void reserve(Need need, int wanted) {
+    Predicate<CandidateMachine> inUse = candidate -> !candidate.machine.openAttempts.isEmpty();
+    // A reservation on a machine that is empty otherwise keeps work of whole machines away from it:
+    // it moves to machines that are in use.
+    int lacking = wanted - reservedTasks(need, wanted, false);
+    for (Map.Entry<String, Double> zoneShare : need.reservation.zones().entrySet()) {
+      String zone = zoneShare.getKey();
+      int least = (int) Math.ceil(zoneShare.getValue() * wanted);
+      int lackingInZone = Math.min(lacking, least - reservedTasksInZone(need, zone));
+      lacking -= extend(need, lackingInZone, candidate -> zone.equals(candidate.zone));
     }
-    lacking -= extend(term, r, h.like(), unit, lacking, null, false);
-    lacking -= reservedTasks(term, unit, lacking, true);
-    lacking -= extend(term, r, h.like(), unit, lacking, null, true);
+    lacking -= extend(need, lacking, inUse);
+    lacking -= reservedTasks(need, lacking, true);
+    lacking -= extend(need, lacking, candidate -> true);
     if (lacking > 0) {
-      lacking -= host.claimLater(h.like(), lacking);
+      lacking -= provider.claimLater(need.sample, lacking);
     }
-    if (lacking > 0 && r.fixed()) {
-      host.preemptFor(h.like(), lacking, r);
+    if (lacking > 0 && need.reservation.fixed()) {
+      provider.preemptFor(need.sample, lacking, need.reservation);
     }
   }
 
-  /** How many such tasks what is held has room for now; the machines are claimed for that. */
-  private int reservedTasks(int term, Resources unit, int most, boolean onEmpty) {
-    int n = 0;
+  /** For how many tasks capacity is reserved already; claims the machines where it is. */
+  private int reservedTasks(Need need, int most, boolean onEmptyMachines) {
+    int tasks = 0;
     for (CandidateMachine candidate : candidates.all()) {
       if (candidate.reservation != null
-          && n < most
-          && candidate.machine.openAttempts.isEmpty() == onEmpty
-          && candidate.reservation.free(term).count(unit) > 0) {
-        n +=
-            Math.min(
-                candidate.reservation.free(term).count(unit),
-                candidate.unusedCapacity().count(unit));
+          && tasks < most
+          && candidate.machine.openAttempts.isEmpty() == onEmptyMachines
+          && freeTasks(need, candidate) > 0) {
+        tasks += Math.min(freeTasks(need, candidate), candidate.unusedCapacity().count(need.unit));
         candidate.claimed = true;
       }
     }
-    return Math.max(0, Math.min(n, most));
+    return Math.max(0, Math.min(tasks, most));
   }
 
-  private int reservedTasksInZone(int term, Resources unit, String zone) {
+  private int reservedTasksInZone(Need need, String zone) {
     return candidates.all().stream()
         .filter(candidate -> candidate.reservation != null && candidate.zone.equals(zone))
-        .mapToInt(candidate -> candidate.reservation.free(term).count(unit))
+        .mapToInt(candidate -> freeTasks(need, candidate))
         .sum();
   }
 
-  /** Holds room that is free, where most is in use already; tells for how many tasks. */
-  private int extend(
-      int term,
-      Reservation r,
-      JobSpec like,
-      Resources unit,
-      int wanted,
-      String zone,
-      boolean emptyToo) {
-    int done = 0;
+  private static int freeTasks(Need need, CandidateMachine candidate) {
+    return candidate.reservation.free(need.index).count(need.unit);
+  }
+
+  /**
+   * Reserves free capacity of ordinary machines, first of those that are used most.
+   *
+   * @return for how many tasks
+   */
+  private int extend(Need need, int wanted, Predicate<CandidateMachine> allowed) {
     if (wanted <= 0) {
       return 0;
     }
+    int extended = 0;
     for (CandidateMachine candidate :
-        candidates.candidates(
+        candidates.ranked(
             Capacity.FREE,
-            like,
+            need.sample,
             candidate ->
                 !candidate.spot
-                    && (emptyToo || !candidate.machine.openAttempts.isEmpty())
-                    && r.allowsType(candidate.type.name())
-                    && (zone == null || zone.equals(candidate.zone)),
-            candidate ->
-                -PlacementScore.PACKING_WEIGHT_S * candidate.utilization()
-                    - (candidate.machine == null ? 0 : candidate.machine.images.size()))) {
-      int there = candidate.reservation == null ? 0 : candidate.reservation.free(term).count(unit);
-      int n = Math.min(candidate.taskCapacity(like, false) - there, wanted - done);
-      if (n > 0) {
+                    && need.reservation.allowsType(candidate.type.name())
+                    && allowed.test(candidate),
+            PlacementScore::ofHeadroom)) {
+      int reserved = candidate.reservation == null ? 0 : freeTasks(need, candidate);
+      int tasks =
+          Math.min(candidate.taskCapacity(need.sample, false) - reserved, wanted - extended);
+      if (tasks > 0) {
         candidate.reservation =
             candidate.reservation == null ? reservations.on(null) : candidate.reservation;
-        candidate.reservation.extend(term, unit, n);
+        candidate.reservation.extend(need.index, need.unit, tasks);
         candidate.claimed = true;
-        done += n;
+        extended += tasks;
       }
-      if (done == wanted) {
+      if (extended == wanted) {
         break;
       }
     }
-    return done;
+    return extended;
   }
 
-  private void releaseExcess(int term, Resources wanted) {
-    List<CandidateMachine> held = new ArrayList<>();
-    Resources all = Resources.ZERO;
+  private void releaseExcess(int index, Resources wanted) {
+    List<CandidateMachine> reserved = new ArrayList<>();
+    Resources total = Resources.ZERO;
     for (CandidateMachine candidate : candidates.all()) {
-      if (candidate.reservation != null && !candidate.reservation.free(term).isZero()) {
-        held.add(candidate);
-        all = all.plus(candidate.reservation.free(term), 1);
+      if (candidate.reservation != null && !candidate.reservation.free(index).isZero()) {
+        reserved.add(candidate);
+        total = total.plus(candidate.reservation.free(index), 1);
       }
     }
-    // What no task can use by itself is of no use to them either.
-    held.sort(
-        Comparator.comparing((CandidateMachine candidate) -> candidate.reservation.inUse(term))
-            .thenComparingDouble(candidate -> candidate.utilization()));
-    for (CandidateMachine candidate : held) {
-      Resources left = all.minus(candidate.reservation.free(term));
+    reserved.sort(
+        Comparator.comparing((CandidateMachine candidate) -> candidate.reservation.inUse(index))
+            .thenComparingDouble(CandidateMachine::utilization));
+    for (CandidateMachine candidate : reserved) {
+      Resources left = total.minus(candidate.reservation.free(index));
       if (left.cpus() < wanted.cpus()
           || left.gpus() < wanted.gpus()
           || left.memGb() < wanted.memGb()) {
         continue;
       }
-      candidate.reservation.release(term);
-      all = left;
+      candidate.reservation.release(index);
+      total = left;
     }
   }
 }
--- a/src/main/java/io/embernotch/scheduling/ReservationView.java
+++ b/src/main/java/io/embernotch/scheduling/ReservationView.java
@@ -8,40 +8,50 @@
 import java.util.function.Function;
 
 /**
- * Reservations as a plan sees them.
+ * Reservations as a plan sees them. Arrays have one entry for each of {@code demands}, at its
+ * index.
  *
- * @param terms each with the tasks like which room is to be kept free beside what its work holds
- * @param held what is held on machines, by name, for each of the terms: what its work takes there,
- *     and what is free for it
- * @param used what the work of each of the terms takes of a machine; null if nothing
+ * @param demands the reservations, each with the headroom that it wants
+ * @param reserved what is reserved on machines, by machine name: what the reservation's work takes
+ *     there, and what is free for it
+ * @param used what the work of each reservation takes of a machine; the function returns null if
+ *     that is nothing
  */
 public record ReservationView(
     List<ReservationDemand> demands,
     Map<String, Resources[]> reserved,
     Function<Machine, Resources[]> used) {
+  /** There are no reservations. */
   public static final ReservationView NONE =
       new ReservationView(List.of(), Map.of(), machine -> null);
 
-  /** One reservation, and how much is to be free for it. */
+  /**
+   * One reservation, and how much is to be free for it.
+   *
+   * @param reservation its terms
+   * @param headroom what is to be free beside what its work takes
+   */
   public record ReservationDemand(Reservation reservation, List<FleetView.Headroom> headroom) {}
 
-  /** What is held on a machine; null: on one of which nothing is known yet. */
+  /** What is reserved on a machine; with null, on a machine of which nothing is known yet. */
   MachineReservation on(Machine machine) {
-    Resources[] there = machine == null ? null : used.apply(machine);
-    Resources[] kept = machine == null ? null : reserved.get(machine.name);
+    Resources[] usedThere = machine == null ? null : used.apply(machine);
+    Resources[] reservedThere = machine == null ? null : reserved.get(machine.name);
     return new MachineReservation(
-        demands, there == null ? MachineReservation.none(demands.size()) : there, kept);
+        demands,
+        usedThere == null ? MachineReservation.none(demands.size()) : usedThere,
+        reservedThere);
   }
 
-  /** Something is held on the machine, or used by those who may hold it. */
+  /** Whether something is reserved on the machine, or used by work of a reservation. */
   boolean concerns(Machine machine) {
     return reserved.containsKey(machine.name) || used.apply(machine) != null;
   }
 
-  /** One of the terms serves the job, so that room for it is kept by them. */
+  /** Whether a reservation serves the job, and so keeps capacity free for it. */
   public boolean serves(JobSpec job) {
-    for (ReservationDemand t : demands) {
-      if (t.reservation.serves(job)) {
+    for (ReservationDemand demand : demands) {
+      if (demand.reservation.serves(job)) {
         return true;
       }
     }
--- /dev/null
+++ b/src/main/java/io/embernotch/scheduling/ScaleInPlanner.java
@@ -0,0 +1,22 @@
+package io.embernotch.scheduling;
+
+/** Chooses the machines that are returned to the cloud. */
+final class ScaleInPlanner {
+  private ScaleInPlanner() {}
+
+  /**
+   * Adds the machines to the plan that are empty, that nothing has claimed, and that have been idle
+   * for longer than {@code keepIdleBoots} times their boot time.
+   */
+  static void addTo(
+      SchedulingPlan plan, CandidateMachines candidates, double now, double keepIdleBoots) {
+    for (CandidateMachine candidate : candidates.all()) {
+      if (candidate.state == CandidateMachine.State.UP
+          && !candidate.claimed
+          && candidate.machine.openAttempts.isEmpty()
+          && now - candidate.machine.idleSince > keepIdleBoots * candidate.type.bootS()) {
+        plan.scaleIns.add(candidate.machine);
+      }
+    }
+  }
+}
--- a/src/main/java/io/embernotch/scheduling/ScaleOutPlanner.java
+++ b/src/main/java/io/embernotch/scheduling/ScaleOutPlanner.java
@@ -6,29 +6,58 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Which machines a plan rents. */
+/** Chooses the machines that a plan rents. */
 final class ScaleOutPlanner {
+  /** Whether spot machines are meant, in the order in which offers are compared. */
   private static final boolean[] SPOT_THEN_ORDINARY = {true, false};
 
+  /** Share by which each machine in a zone makes it seem dearer, so that zones fill evenly. */
+  private static final double ZONE_BALANCE_WEIGHT = 0.001;
+
   private final Map<String, MachineType> types;
   private final FleetView.Pools pools;
   private final CandidateMachines candidates;
+
+  /** How many machines are requested, by a request whose number is 0. */
   private final Map<SchedulingPlan.ScaleOutRequest, Integer> requested = new LinkedHashMap<>();
+
+  /** How many more machines this plan may rent. */
   private int remaining;
 
   ScaleOutPlanner(
-      Map<String, MachineType> types, FleetView.Pools pools, CandidateMachines slots, int most) {
+      Map<String, MachineType> types,
+      FleetView.Pools pools,
+      CandidateMachines candidates,
+      int maxMachines) {
     this.types = types;
     this.pools = pools;
-    this.candidates = slots;
-    this.remaining = most;
+    this.candidates = candidates;
+    this.remaining = maxMachines;
   }
 
-  /** Rents the machine with the lowest price for a task of this size; zones are filled evenly. */
+  /**
+   * Rents the machine with the lowest price for a task of this size.
+   *
+   * @param ordinaryToo whether it may be an ordinary machine
+   * @return the machine, which is among the candidates now; null if none can be rented
+   */
   CandidateMachine request(JobSpec spec, ZoneConstraints zones, boolean ordinaryToo) {
     if (remaining <= 0) {
       return null;
     }
+    CandidateMachine cheapest = cheapest(spec, zones, ordinaryToo);
+    if (cheapest != null) {
+      remaining--;
+      requested.merge(
+          new SchedulingPlan.ScaleOutRequest(cheapest.type.name(), cheapest.zone, cheapest.spot, 0),
+          1,
+          Integer::sum);
+      candidates.add(cheapest);
+    }
+    return cheapest;
+  }
+
+  private CandidateMachine cheapest(JobSpec spec, ZoneConstraints zones, boolean ordinaryToo) {
     CandidateMachine best = null;
     for (MachineType type : types.values()) {
       if (!type.fits(spec)) {
@@ -36,36 +65,39 @@
       }
       for (String zone : type.zones()) {
         for (boolean spot : SPOT_THEN_ORDINARY) {
-          if (!spec.allows(type.name(), zone, spot)
-              || spot && spec.shape() != JobShape.ARRAY
-              || !spot && !ordinaryToo
+          if ((!spot && !ordinaryToo)
               || zones.remaining(zone) == 0
-              || pools.exhausted(type.name(), zone, spot)) {
+              || !rentable(spec, type, zone, spot)) {
             continue;
           }
-          CandidateMachine candidate =
-              new CandidateMachine(CandidateMachine.State.SCALE_OUT, null, type, zone, spot);
-          double price =
-              (spot ? type.spotPrice() : type.price())
-                  / Math.max(1, candidate.taskCapacity(spec, false));
-          candidate.score = price * (1 + 0.001 * candidates.countByZone(zone));
+          CandidateMachine candidate = offer(spec, type, zone, spot);
           if (best == null || candidate.score < best.score) {
             best = candidate;
           }
         }
       }
     }
-    if (best != null) {
-      remaining--;
-      requested.merge(
-          new SchedulingPlan.ScaleOutRequest(best.type.name(), best.zone, best.spot, 0),
-          1,
-          Integer::sum);
-      candidates.add(best);
-    }
     return best;
   }
 
+  /** A machine that could be rented, scored by its price for one task. */
+  private CandidateMachine offer(JobSpec spec, MachineType type, String zone, boolean spot) {
+    CandidateMachine candidate =
+        new CandidateMachine(CandidateMachine.State.SCALE_OUT, null, type, zone, spot);
+    double price =
+        (spot ? type.spotPrice() : type.price()) / Math.max(1, candidate.taskCapacity(spec, false));
+    candidate.score = price * (1 + ZONE_BALANCE_WEIGHT * candidates.inZone(zone));
+    return candidate;
+  }
+
+  /** Only arrays have spot machines rented for them. */
+  private boolean rentable(JobSpec spec, MachineType type, String zone, boolean spot) {
+    return spec.allows(type.name(), zone, spot)
+        && (!spot || spec.shape() == JobShape.ARRAY)
+        && !pools.exhausted(type.name(), zone, spot);
+  }
+
+  /** Whether the cloud can be expected to have a spot machine for the job, and cheaper. */
   boolean spotAvailable(JobSpec spec) {
     for (MachineType type : types.values()) {
       if (type.fits(spec) && type.spotPrice() < type.price()) {
@@ -79,13 +111,12 @@
     return false;
   }
 
+  /** Whether a machine for the job could be rented in the zone. */
   boolean available(JobSpec spec, String zone) {
     for (MachineType type : types.values()) {
       if (type.fits(spec) && type.zones().contains(zone)) {
         for (boolean spot : SPOT_THEN_ORDINARY) {
-          if (spec.allows(type.name(), zone, spot)
-              && !(spot && spec.shape() != JobShape.ARRAY)
-              && !pools.exhausted(type.name(), zone, spot)) {
+          if (rentable(spec, type, zone, spot)) {
             return true;
           }
         }
@@ -94,10 +125,12 @@
     return false;
   }
 
+  /** Adds the requests to the plan. */
   void addTo(SchedulingPlan plan) {
     requested.forEach(
-        (b, n) ->
+        (request, number) ->
             plan.scaleOuts.add(
-                new SchedulingPlan.ScaleOutRequest(b.type(), b.zone(), b.spot(), n)));
+                new SchedulingPlan.ScaleOutRequest(
+                    request.type(), request.zone(), request.spot(), number)));
   }
 }
--- a/src/main/java/io/embernotch/scheduling/SchedulingInput.java
+++ b/src/main/java/io/embernotch/scheduling/SchedulingInput.java
@@ -10,13 +10,16 @@
 /**
  * All that a plan is made of.
  *
- * @param now seconds of the steady clock
- * @param wallMs the time of day
+ * @param now seconds of the monotonic clock
+ * @param wallMs the time of day in milliseconds
+ * @param jobs all jobs of the cluster
+ * @param machines all machines of the fleet
  * @param types machine types by name
- * @param expected machines that requests under way may bring
- * @param headroom room to be kept free
- * @param holds reservations
- * @param risk how often machines fail
+ * @param pools what the cloud can be expected to have
+ * @param expected machines that requests in flight may bring
+ * @param headroom capacity to be kept free
+ * @param reservations what is reserved, and for what
+ * @param risk how often machines and zones fail
  */
 public record SchedulingInput(
     double now,
--- /dev/null
+++ b/src/main/java/io/embernotch/scheduling/TaskPlacement.java
@@ -0,0 +1,107 @@
+package io.embernotch.scheduling;
+
+import io.embernotch.model.Job;
+import io.embernotch.model.JobShape;
+import io.embernotch.model.JobSpec;
+import io.embernotch.model.Priority;
+import io.embernotch.scheduling.CandidateMachines.Capacity;
+import java.util.PrimitiveIterator;
+import java.util.function.Predicate;
+
+/** Places the tasks of arrays and services, each of which may start without the others. */
+final class TaskPlacement {
+  private final SchedulingCycle cycle;
+  private final CapacityAllocator allocator;
+  private final ZoneSelector zoneSelector;
+
+  TaskPlacement(SchedulingCycle cycle, CapacityAllocator allocator, ZoneSelector zoneSelector) {
+    this.cycle = cycle;
+    this.allocator = allocator;
+    this.zoneSelector = zoneSelector;
+  }
+
+  /** Starts as many pending tasks as find free capacity, and claims capacity for the others. */
+  void place(Job job) {
+    JobSpec spec = job.spec;
+    // One task is enough to see whether a job that fails everywhere still does.
+    int startable = job.failsEverywhere() ? Math.min(1, job.pendingCount()) : job.pendingCount();
+    int wanted = Math.min(startable, cycle.usage().remainingTasks(spec));
+    if (wanted <= 0) {
+      return;
+    }
+    ZoneConstraints zones = ZoneConstraints.of(job);
+    if (spec.oneZone() && zones.requiredZone == null) {
+      zones.requiredZone = zoneSelector.bestZone(spec, wanted);
+    }
+    TaskStarts starts = new TaskStarts(job);
+    startOnPreferredMachines(job, wanted, zones, starts);
+    int onPreferred = starts.count();
+    int claimed = 0;
+    if (isLostReplica(job)) {
+      claimed = claimWhereImageIs(spec, wanted - onPreferred, zones, starts);
+    }
+    allocator.allocate(
+        Capacity.FREE,
+        AllocationRequest.of(spec, wanted - starts.count() - claimed, zones),
+        starts);
+    claimed += allocator.claimLater(job, wanted - starts.count() - claimed, zones);
+    cycle.usage().add(spec, starts.count() - onPreferred + claimed);
+    if (starts.count() > 0) {
+      cycle.plan().starts.add(new SchedulingPlan.Start(job, starts.placements()));
+    }
+  }
+
+  private static boolean isLostReplica(Job job) {
+    return job.spec.priority() == Priority.PRODUCTION
+        && job.spec.shape() == JobShape.SERVICE
+        && job.restartedTasks.get(job.firstPending());
+  }
+
+  /**
+   * Puts lost replicas where their image is, preempting other work if needed: to fetch the image
+   * elsewhere would keep them down for longer than anything else does.
+   *
+   * @return how many claim capacity without starting yet
+   */
+  private int claimWhereImageIs(
+      JobSpec spec, int wanted, ZoneConstraints zones, TaskStarts starts) {
+    Predicate<CandidateMachine> hasImage = candidate -> candidate.fetchS(spec) == 0;
+    AllocationRequest request = AllocationRequest.of(spec, wanted, zones).onlyOn(hasImage);
+    int started = allocator.allocate(Capacity.FREE, request, starts);
+    int claimed =
+        allocator.allocate(
+            Capacity.FREEING, request.withWanted(wanted - started), AllocationListener.CLAIM_ONLY);
+    return claimed + cycle.preemption().preempt(spec, wanted - started - claimed, zones, hasImage);
+  }
+
+  /** Starts tasks on the machines that the straggler rounds chose for them, if they still fit. */
+  private void startOnPreferredMachines(
+      Job job, int wanted, ZoneConstraints zones, TaskStarts starts) {
+    if (job.preferredMachines.isEmpty()) {
+      return;
+    }
+    PrimitiveIterator.OfInt pending = job.pending();
+    while (pending.hasNext() && starts.count() < wanted) {
+      int task = pending.nextInt();
+      String preferred = job.preferredMachines.get(task);
+      if (preferred == null) {
+        continue;
+      }
+      for (CandidateMachine candidate :
+          cycle
+              .candidates()
+              .ranked(
+                  Capacity.FREE,
+                  job.spec,
+                  candidate -> zones.remaining(candidate.zone) > 0,
+                  candidate -> 0)) {
+        if (candidate.machine.name.equals(preferred)) {
+          CapacityAllocator.take(candidate, job.spec, 1, zones);
+          cycle.usage().add(job.spec, 1);
+          starts.startOnPreferred(task, candidate.machine);
+          break;
+        }
+      }
+    }
+  }
+}
--- a/src/main/java/io/embernotch/scheduling/TopologySpread.java
+++ b/src/main/java/io/embernotch/scheduling/TopologySpread.java
@@ -8,21 +8,20 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import java.util.function.ToDoubleFunction;
 
 /**
- * Where the replicas of one service go: where its weights lie, against the wish to spread. One
- * measure for both, seconds of replica time: a replica that must fetch is lost for as long as that
- * takes. Of failures it is expected that, within the horizon, a machine with k replicas of n fails
- * with its rate; they are down until that is noticed and, where the weights lie on no other
- * machine, for a fetch; and each second counts by the share of the service that is down at once, k
- * of n. Another replica on that machine adds (k+1)² - k² = 2k + 1 of n to that; the same of its
- * zone. That pays for no fetch where there is none to be saved later: weights on another machine
- * count only while that has room.
+ * Places the replicas of one service: near its weights, against the wish to spread them. Both are
+ * measured in seconds of replica time. A replica that must fetch its image is lost for as long as
+ * that takes. Of failures it is expected that, within the horizon, a machine with k replicas of n
+ * fails with its rate; they are down until that is noticed and, where no other machine has the
+ * weights, for a fetch; and each second counts by the share of the service that is down at once, k
+ * of n. Another replica on that machine adds (k+1)² - k² = 2k + 1 of n to that; the same holds for
+ * its zone. Fetches that a later failure would not save are not paid for: weights on another
+ * machine count only while that machine has free capacity.
  */
 final class TopologySpread {
   /**
-   * So many of the best machines are weighed for each replica: what speaks for spreading is small
+   * So many of the best machines are compared for each replica: what spreading gains is small
    * beside a fetch.
    */
   private static final int WEIGHED_PER_REPLICA = 4;
@@ -30,21 +29,22 @@
   private final CandidateMachines candidates;
   private final FailureRisk risk;
 
-  /** Machines that have an image. */
+  /** Machines that have an image, by image; null until first needed. */
   private Map<String, List<CandidateMachine>> machinesByImage;
 
-  TopologySpread(CandidateMachines slots, FailureRisk risk) {
-    this.candidates = slots;
+  TopologySpread(CandidateMachines candidates, FailureRisk risk) {
+    this.candidates = candidates;
     this.risk = risk;
   }
 
-  private List<CandidateMachine> machinesByImage(String image) {
+  private List<CandidateMachine> machinesWith(String image) {
     if (machinesByImage == null) {
       machinesByImage = new HashMap<>();
       for (CandidateMachine candidate : candidates.all()) {
         if (candidate.state == CandidateMachine.State.UP) {
           candidate.machine.images.forEach(
-              i -> machinesByImage.computeIfAbsent(i, x -> new ArrayList<>()).add(candidate));
+              cached ->
+                  machinesByImage.computeIfAbsent(cached, key -> new ArrayList<>()).add(candidate));
         }
       }
     }
@@ -53,7 +53,7 @@
 
   /** Seconds of replica time that one more replica is expected to lose by failures there. */
   static double lostS(
-      FailureRisk r,
+      FailureRisk risk,
       int replicas,
       double fetchS,
       int onMachine,
@@ -61,85 +61,103 @@
       boolean otherMachine,
       boolean otherZone) {
     double machine =
-        r.machinePerS() * (r.noticedS() + (otherMachine ? 0 : fetchS)) * (2 * onMachine + 1);
-    double zone = r.zonePerS() * (r.noticedS() + (otherZone ? 0 : fetchS)) * (2 * inZone + 1);
-    return r.horizonS() * (machine + zone) / Math.max(1, replicas);
+        risk.machinePerS() * (risk.noticedS() + (otherMachine ? 0 : fetchS)) * (2 * onMachine + 1);
+    double zone = risk.zonePerS() * (risk.noticedS() + (otherZone ? 0 : fetchS)) * (2 * inZone + 1);
+    return risk.horizonS() * (machine + zone) / Math.max(1, replicas);
   }
 
-  /** Replicas of the service on a machine. */
-  static int replicasOn(CandidateMachine candidate, JobSpec spec) {
-    int n = 0;
-    for (Attempt attempt : candidate.machine.openAttempts.values()) {
-      n += attempt.job.spec.ref().equals(spec.ref()) ? 1 : 0;
+  /**
+   * Places replicas one by one, each where it loses least.
+   *
+   * @param ranked machines with free capacity, best first
+   * @param listener allocates the capacity; called once for each replica
+   * @return how many replicas were placed
+   */
+  int place(List<CandidateMachine> ranked, AllocationRequest request, AllocationListener listener) {
+    int weighed = WEIGHED_PER_REPLICA * (request.wanted() + 1);
+    ReplicaDistribution distribution =
+        new ReplicaDistribution(ranked.subList(0, Math.min(ranked.size(), weighed)), request);
+    int placed = 0;
+    while (placed < request.wanted()) {
+      CandidateMachine best = distribution.leastLoss();
+      if (best == null) {
+        break;
+      }
+      listener.allocated(best, 1);
+      distribution.placedOn(best);
+      placed++;
     }
-    return n;
+    return placed;
   }
 
-  /** What a placement does to a slot. */
-  interface PlacementListener {
-    void on(CandidateMachine slot);
-  }
+  /** Where the replicas and the image of one service are while its replicas are placed. */
+  private final class ReplicaDistribution {
+    private final List<CandidateMachine> weighed;
+    private final AllocationRequest request;
+    private final JobSpec spec;
+    private final Map<CandidateMachine, Integer> replicas = new HashMap<>();
+    private final Set<String> zonesWithImage = new TreeSet<>();
+    private int machinesWithImage;
 
-  /**
-   * Places up to {@code wanted} replicas one by one, each where it loses least.
-   *
-   * @param best machines with room, best first
-   * @param score seconds of delay on a machine as it is then, failures aside
-   */
-  int place(
-      List<CandidateMachine> best,
-      JobSpec spec,
-      int wanted,
-      ZoneConstraints zones,
-      ToDoubleFunction<CandidateMachine> score,
-      PlacementListener placed) {
-    List<CandidateMachine> weighed =
-        best.subList(0, Math.min(best.size(), WEIGHED_PER_REPLICA * (wanted + 1)));
-    Map<CandidateMachine, Integer> there = new HashMap<>();
-    weighed.forEach(candidate -> there.put(candidate, replicasOn(candidate, spec)));
-    Set<String> zonesWith = new TreeSet<>();
-    int holding = 0;
-    for (CandidateMachine candidate : machinesByImage(spec.image())) {
-      if (candidate.taskCapacity(spec, false) > 0) {
-        holding++;
-        zonesWith.add(candidate.zone);
+    ReplicaDistribution(List<CandidateMachine> weighed, AllocationRequest request) {
+      this.weighed = weighed;
+      this.request = request;
+      this.spec = request.spec();
+      weighed.forEach(candidate -> replicas.put(candidate, openReplicas(candidate)));
+      for (CandidateMachine candidate : machinesWith(spec.image())) {
+        if (candidate.taskCapacity(spec, false) > 0) {
+          machinesWithImage++;
+          zonesWithImage.add(candidate.zone);
+        }
+      }
+    }
+
+    private int openReplicas(CandidateMachine candidate) {
+      int count = 0;
+      for (Attempt attempt : candidate.machine.openAttempts.values()) {
+        count += attempt.job.spec.ref().equals(spec.ref()) ? 1 : 0;
       }
+      return count;
+    }
+
+    private boolean hasImage(CandidateMachine candidate) {
+      return candidate.machine.images.contains(spec.image());
     }
-    int done = 0;
-    while (done < wanted) {
-      CandidateMachine to = null;
+
+    /** The machine on which one more replica loses least; null if none has capacity. */
+    CandidateMachine leastLoss() {
+      CandidateMachine best = null;
       double least = 0;
       for (CandidateMachine candidate : weighed) {
-        if (zones.remaining(candidate.zone) > 0 && candidate.taskCapacity(spec, false) > 0) {
-          boolean has = candidate.machine.images.contains(spec.image());
-          double fetchS = candidate.type.fetchS(spec);
-          double lost =
-              score.applyAsDouble(candidate)
-                  + lostS(
-                      risk,
-                      spec.tasks(),
-                      fetchS,
-                      there.get(candidate),
-                      zones.count(candidate.zone),
-                      holding > (has ? 1 : 0),
-                      zonesWith.size() > (zonesWith.contains(candidate.zone) ? 1 : 0));
-          if (to == null || lost < least) {
-            to = candidate;
-            least = lost;
+        if (request.zones().remaining(candidate.zone) > 0
+            && candidate.taskCapacity(spec, false) > 0) {
+          double loss = request.score().applyAsDouble(candidate) + lostByFailuresS(candidate);
+          if (best == null || loss < least) {
+            best = candidate;
+            least = loss;
           }
         }
       }
-      if (to == null) {
-        break;
-      }
-      placed.on(to);
-      there.merge(to, 1, Integer::sum);
-      if (!to.machine.images.contains(spec.image()) && there.get(to) == 1) {
-        holding++;
-        zonesWith.add(to.zone);
+      return best;
+    }
+
+    private double lostByFailuresS(CandidateMachine candidate) {
+      return lostS(
+          risk,
+          spec.tasks(),
+          candidate.type.fetchS(spec),
+          replicas.get(candidate),
+          request.zones().count(candidate.zone),
+          machinesWithImage > (hasImage(candidate) ? 1 : 0),
+          zonesWithImage.size() > (zonesWithImage.contains(candidate.zone) ? 1 : 0));
+    }
+
+    void placedOn(CandidateMachine candidate) {
+      replicas.merge(candidate, 1, Integer::sum);
+      if (!hasImage(candidate) && replicas.get(candidate) == 1) {
+        machinesWithImage++;
+        zonesWithImage.add(candidate.zone);
       }
-      done++;
     }
-    return done;
   }
 }
--- a/src/main/java/io/embernotch/scheduling/ZoneConstraints.java
+++ b/src/main/java/io/embernotch/scheduling/ZoneConstraints.java
@@ -6,47 +6,52 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Where a job's tasks are, and so where its next ones may go. */
+/** In which zones a job has tasks, and so where its next ones may go. */
 final class ZoneConstraints {
+  /** The job whose rules apply; null if none do. */
   private final JobSpec spec;
-  private final Map<String, Integer> tasks = new HashMap<>();
 
-  /** The zone that all must be in, or null. */
+  private final Map<String, Integer> tasksByZone = new HashMap<>();
+
+  /** The zone that all tasks must be in; null while any will do. */
   String requiredZone;
 
-  ZoneConstraints(JobSpec spec, String only) {
+  ZoneConstraints(JobSpec spec, String requiredZone) {
     this.spec = spec;
-    this.requiredZone = only;
+    this.requiredZone = requiredZone;
   }
 
-  /** For room that no job's rules bind yet. */
+  /** For capacity that is not yet bound to the rules of a job. */
   static ZoneConstraints anywhere() {
     return new ZoneConstraints(null, null);
   }
 
+  /** Those of a job with its open attempts. */
   static ZoneConstraints of(Job job) {
-    ZoneConstraints z = new ZoneConstraints(job.spec, null);
+    ZoneConstraints zones = new ZoneConstraints(job.spec, null);
     for (Attempt attempt : job.openAttempts.values()) {
-      z.add(attempt.zone, 1);
+      zones.add(attempt.zone, 1);
     }
-    return z;
+    return zones;
   }
 
-  void add(String zone, int n) {
-    if (n <= 0) {
+  /** Counts so many tasks in a zone; nothing if that is zero or negative. */
+  void add(String zone, int tasks) {
+    if (tasks <= 0) {
       return;
     }
-    tasks.merge(zone, n, Integer::sum);
+    tasksByZone.merge(zone, tasks, Integer::sum);
     if (spec != null && spec.oneZone() && requiredZone == null) {
       requiredZone = zone;
     }
   }
 
+  /** How many tasks are in the zone. */
   int count(String zone) {
-    return tasks.getOrDefault(zone, 0);
+    return tasksByZone.getOrDefault(zone, 0);
   }
 
-  /** How many more may go there. */
+  /** How many more tasks may go to the zone. */
   int remaining(String zone) {
     if (requiredZone != null && !requiredZone.equals(zone)) {
       return 0;
@@ -55,4 +60,9 @@
         ? Math.max(0, spec.zoneCap() - count(zone))
         : Integer.MAX_VALUE;
   }
+
+  /** The least of what a machine in the zone has capacity for, what is wanted, and what may go. */
+  int limit(String zone, int available, int wanted) {
+    return Math.min(Math.min(available, wanted), remaining(zone));
+  }
 }
--- a/src/test/java/io/embernotch/scheduling/DeadlinesTest.java
+++ b/src/test/java/io/embernotch/scheduling/DeadlinesTest.java
@@ -8,7 +8,7 @@
 import io.embernotch.model.Job;
 import io.embernotch.model.Machine;
 import io.embernotch.model.MachineType;
-import io.embernotch.scheduling.Deadlines.Task;
+import io.embernotch.scheduling.Deadlines.Entry;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.SettingsReader;
 import io.embernotch.testkit.SimulatedCluster;
@@ -33,22 +33,22 @@
   @Property(tries = 300)
   void noOtherChoiceServesMore(
       @ForAll @Size(max = 9) List<@IntRange(min = 1, max = 400) Integer> numbers) {
-    List<Task> items = new ArrayList<>();
+    List<Entry> items = new ArrayList<>();
     for (int i = 0; i < numbers.size(); i++) {
-      items.add(new Task("j-" + i, 1 + numbers.get(i) % 20, numbers.get(i) / 6.0));
+      items.add(new Entry("j-" + i, 1 + numbers.get(i) % 20, numbers.get(i) / 6.0));
     }
     int most = 0;
     for (int set = 0; set < 1 << items.size(); set++) {
       int chosen = set;
-      List<Task> in =
+      List<Entry> in =
           items.stream()
               .filter(x -> (chosen >> items.indexOf(x) & 1) == 1)
               .sorted((a, b) -> Double.compare(a.dueS(), b.dueS()))
               .toList();
       double at = 0;
       boolean fits = true;
-      for (Task x : in) {
-        at += x.takesS();
+      for (Entry x : in) {
+        at += x.processingS();
         fits &= at <= x.dueS();
       }
       most = Math.max(most, fits ? in.size() : 0);
