--- a/src/main/java/io/embernotch/calendar/Occurrences.java
+++ b/src/main/java/io/embernotch/calendar/Occurrences.java
@@ -10,60 +10,76 @@
 import java.util.List;
 
 /**
- * When releases come out; pure. A time that a change of the clocks skips is taken as much later as
- * they skip, one that they repeat for the first of the two, as {@link ZonedDateTime} has it.
+ * Computes when releases come out; pure. A time that a change of the clocks skips is taken as much
+ * later as they skip, and of a time that they repeat the first counts, as {@link ZonedDateTime} has
+ * it.
  */
 public final class Occurrences {
   /**
-   * One coming out.
+   * A release on one date.
    *
-   * @param date in the release's zone
+   * @param release the release's id
+   * @param date the date in the release's zone
    * @param at its deadline
    * @param lifted the embargo is lifted: nothing is due
-   * @param note what is odd about its time, or null
+   * @param note what is unusual about its time; null if nothing is
    */
   public record Occurrence(
       String release, LocalDate date, Instant at, boolean lifted, String note) {
+    /** Between the release's id and the date in a name. */
+    static final String SEPARATOR = "/";
+
+    /** The name by which it is stored and reported: RELEASE/DATE. */
     public String name() {
-      return release + "/" + date;
+      return release + SEPARATOR + date;
+    }
+
+    /** Whether a name is that of an occurrence of the release. */
+    static boolean isOf(String name, Release release) {
+      return name.startsWith(release.id() + SEPARATOR);
     }
   }
 
   private Occurrences() {}
 
   /** Those whose deadline is not before {@code from} and before {@code to}, in their order. */
-  public static List<Occurrence> between(Release r, Instant from, Instant to) {
-    List<Occurrence> out = new ArrayList<>();
+  public static List<Occurrence> between(Release release, Instant from, Instant to) {
+    List<Occurrence> occurrences = new ArrayList<>();
     // A date's deadline is at most a day from it, whatever the zone's clocks do.
-    LocalDate last = to.atZone(r.zone()).toLocalDate().plusDays(1);
-    for (LocalDate d = from.atZone(r.zone()).toLocalDate().minusDays(1);
-        !d.isAfter(last);
-        d = d.plusDays(1)) {
-      Occurrence o = on(r, d);
-      if (o != null && !o.at.isBefore(from) && o.at.isBefore(to)) {
-        out.add(o);
+    LocalDate last = to.atZone(release.zone()).toLocalDate().plusDays(1);
+    for (LocalDate date = from.atZone(release.zone()).toLocalDate().minusDays(1);
+        !date.isAfter(last);
+        date = date.plusDays(1)) {
+      Occurrence occurrence = on(release, date);
+      if (occurrence != null && !occurrence.at.isBefore(from) && occurrence.at.isBefore(to)) {
+        occurrences.add(occurrence);
       }
     }
-    return out;
+    return occurrences;
   }
 
-  /** That of a date; null if it does not come out on it. */
-  public static Occurrence on(Release r, LocalDate date) {
-    boolean comes =
-        r.also().containsKey(date)
-            || (r.days().contains(date.getDayOfWeek()) && !r.except().contains(date));
-    if (!comes) {
+  /** The occurrence on a date; null if the release does not come out on it. */
+  public static Occurrence on(Release release, LocalDate date) {
+    boolean comesOut =
+        release.also().containsKey(date)
+            || (release.days().contains(date.getDayOfWeek()) && !release.except().contains(date));
+    if (!comesOut) {
       return null;
     }
-    LocalTime time = r.also().getOrDefault(date, r.time());
-    boolean lifted = r.moved().containsKey(date) && r.moved().get(date) == null;
-    time = r.moved().containsKey(date) && !lifted ? r.moved().get(date) : time;
-    ZonedDateTime at = ZonedDateTime.of(date, time, r.zone());
-    return new Occurrence(r.id(), date, at.toInstant(), lifted, odd(r, date, time, at));
+    boolean moved = release.moved().containsKey(date);
+    boolean lifted = moved && release.moved().get(date) == null;
+    LocalTime time =
+        moved && !lifted
+            ? release.moved().get(date)
+            : release.also().getOrDefault(date, release.time());
+    ZonedDateTime at = ZonedDateTime.of(date, time, release.zone());
+    String note = clockChangeNote(release, date, time, at);
+    return new Occurrence(release.id(), date, at.toInstant(), lifted, note);
   }
 
-  private static String odd(Release r, LocalDate date, LocalTime time, ZonedDateTime at) {
-    ZoneOffsetTransition change = r.zone().getRules().getTransition(date.atTime(time));
+  private static String clockChangeNote(
+      Release release, LocalDate date, LocalTime time, ZonedDateTime at) {
+    ZoneOffsetTransition change = release.zone().getRules().getTransition(date.atTime(time));
     if (change == null) {
       return null;
     }
--- a/src/main/java/io/embernotch/calendar/ReleaseCalendar.java
+++ b/src/main/java/io/embernotch/calendar/ReleaseCalendar.java
@@ -5,13 +5,12 @@
 import io.embernotch.calendar.Occurrences.Occurrence;
 import io.embernotch.codec.CalendarCodec;
 import io.embernotch.codec.CalendarCodec.Kept;
-import io.embernotch.codec.MalformedInputException;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.model.Job;
 import io.embernotch.model.JobPhase;
 import io.embernotch.model.JobSpec;
-import io.embernotch.model.MachineType;
 import io.embernotch.model.Priority;
+import io.embernotch.scheduling.MachineTypes;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.Release;
 import io.embernotch.shared.EffectiveConfiguration;
@@ -19,313 +18,324 @@
 import io.embernotch.state.ClusterState;
 import java.time.Instant;
 import java.time.LocalDate;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
-import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The embargo calendar: which releases come out when, as the store is known to hold it, and which
- * of them each job is for. A coming out orders nothing before it is in the store. A job is for the
- * first one after its submission, by the deadline that was written first, so moving it changes no
- * job's release; once that is settled it is kept with the job. The time of day decides nothing here
- * but which days ahead are written, so controllers' clocks may differ.
+ * The embargo calendar: when releases come out, as the store is known to hold it, and which of
+ * these occurrences each job is for. An occurrence orders nothing before it is in the store. A job
+ * is for the first occurrence after its submission, by the deadline that was written first, so
+ * moving an occurrence changes no job's release; once that is settled it is stored with the job.
+ * The time of day decides nothing here but which days ahead are written, so controllers' clocks may
+ * differ.
+ *
+ * <p>Not thread-safe: it belongs to the event loop of one leader.
  */
 public final class ReleaseCalendar {
   private static final Logger LOG = LoggerFactory.getLogger(ReleaseCalendar.class);
 
-  private static final String CALENDAR = "calendar";
-  private static final String PREFIX = "release/";
+  /** Name of the shared state entry with the releases that are in force. */
+  private static final String RELEASES = "calendar";
 
-  /** Days ahead, and back, that are written. */
+  /** Days ahead of today whose occurrences are written. */
   private static final int DAYS_AHEAD = 2;
 
+  /** Days before today whose occurrences are written. */
   private static final int DAYS_BACK = 1;
 
-  /** Owners' estimates are often wrong by half. */
-  private static final double DOUBT = 1.5;
+  /** Owners' estimates of run times are often wrong by half. */
+  private static final double ESTIMATE_MARGIN = 1.5;
 
-  /** Live services of a release that is nearer than so many boot times need more room. */
-  private static final double NEAR_BOOTS = 3;
+  /** Live services need more headroom within so many boot times before their release. */
+  private static final double NEAR_BOOT_TIMES = 3;
+
+  private static final double MS_PER_S = 1000.0;
 
-  private final ControllerContext context;
   private final ClusterState state;
-  private final SharedState shared;
-  private final Consumer<Job> settled;
-  private final EffectiveConfiguration<List<Release>> inForce;
-  private final Map<String, Kept> kept = new TreeMap<>();
-  private final Map<String, Set<String>> served = new HashMap<>();
-  private final Map<String, Set<String>> atRisk = new HashMap<>();
-  private long keptOf = -1;
+  private final Consumer<Job> onSettled;
+  private final EffectiveConfiguration<List<Release>> releases;
+  private final OccurrenceStore occurrences;
+  private final ReleaseProgress progress;
 
   /**
-   * {@code settled} is told of each job whose release has been settled: it is to be written with
-   * the job.
+   * Creates the calendar of one leader; {@link #load} comes before any other call.
+   *
+   * @param context the operators' settings
+   * @param state the cluster, whose jobs' releases and deadlines are set
+   * @param shared where the calendar is stored
+   * @param onSettled called with each job whose release has been settled: it is to be written with
+   *     the job
    */
   public ReleaseCalendar(
-      ControllerContext context, ClusterState state, SharedState shared, Consumer<Job> settled) {
-    this.context = context;
+      ControllerContext context, ClusterState state, SharedState shared, Consumer<Job> onSettled) {
     this.state = state;
-    this.shared = shared;
-    this.settled = settled;
+    this.onSettled = onSettled;
+    this.occurrences = new OccurrenceStore(shared);
+    this.progress = new ReleaseProgress(state);
     OperatorSettings.Calendar own = context.operator().calendar();
-    this.inForce =
+    this.releases =
         new EffectiveConfiguration<>(
             shared,
-            CALENDAR,
+            RELEASES,
             own.releases(),
             own.generation(),
             CalendarCodec.writeReleases(own.generation(), own.releases()),
             CalendarCodec::readReleases,
-            r -> {});
+            changed -> {});
   }
 
-  /** The shared facts have been read. */
+  /** Takes over the calendar, once the shared state has been read. */
   public void load() {
-    inForce.load();
-    refresh();
+    releases.load();
+    occurrences.refresh();
   }
 
-  private void refresh() {
-    if (keptOf == shared.edition()) {
-      return;
-    }
-    keptOf = shared.edition();
-    kept.clear();
-    shared
-        .all(PREFIX)
-        .forEach(
-            (name, value) -> {
-              try {
-                kept.put(name.substring(PREFIX.length()), CalendarCodec.read(value));
-              } catch (MalformedInputException e) {
-                LOG.error("{} can't be read: {}", name, e.getMessage());
-              }
-            });
+  private boolean isEmpty() {
+    return releases.value().isEmpty() && occurrences.isEmpty();
   }
 
-  /** Time goes by: days that come into sight are written, and what came of those that are over. */
+  /**
+   * Has the occurrences of the days around today written, and the results of those that are over.
+   * Called regularly.
+   *
+   * @param wallMs the time of day
+   */
   public void tick(long wallMs) {
-    if (inForce.value().isEmpty() && kept.isEmpty()) {
+    if (isEmpty()) {
       return;
     }
-    refresh();
+    occurrences.refresh();
     Instant now = Instant.ofEpochMilli(wallMs);
-    for (Release r : inForce.value()) {
-      LocalDate today = now.atZone(r.zone()).toLocalDate();
-      for (LocalDate d = today.minusDays(DAYS_BACK);
-          !d.isAfter(today.plusDays(DAYS_AHEAD));
-          d = d.plusDays(1)) {
-        Occurrence o = Occurrences.on(r, d);
-        if (o != null) {
-          write(o);
+    for (Release release : releases.value()) {
+      LocalDate today = now.atZone(release.zone()).toLocalDate();
+      LocalDate last = today.plusDays(DAYS_AHEAD);
+      for (LocalDate date = today.minusDays(DAYS_BACK);
+          !date.isAfter(last);
+          date = date.plusDays(1)) {
+        Occurrence occurrence = Occurrences.on(release, date);
+        if (occurrence != null) {
+          write(occurrence);
         }
       }
     }
-    for (Map.Entry<String, Kept> e : Map.copyOf(kept).entrySet()) {
-      if (!e.getValue().over() && wallMs > e.getValue().atMs()) {
-        close(e.getKey(), e.getValue());
+    for (Map.Entry<String, Kept> entry : Map.copyOf(occurrences.all()).entrySet()) {
+      if (!entry.getValue().over() && wallMs > entry.getValue().atMs()) {
+        writeResult(entry.getKey(), entry.getValue());
       }
     }
   }
 
-  private void write(Occurrence o) {
-    String name = PREFIX + o.name();
-    Kept there = kept.get(o.name());
-    long at = o.at().toEpochMilli();
-    boolean same =
-        there != null
-            && (there.generation() >= inForce.generation()
-                || (there.atMs() == at && there.lifted() == o.lifted()));
-    if (same || shared.pending(name) || (there != null && there.over())) {
+  private void write(Occurrence occurrence) {
+    String name = occurrence.name();
+    Kept stored = occurrences.get(name);
+    long atMs = occurrence.at().toEpochMilli();
+    boolean upToDate =
+        stored != null
+            && (stored.generation() >= releases.generation()
+                || (stored.atMs() == atMs && stored.lifted() == occurrence.lifted()));
+    if (upToDate || occurrences.pending(name) || (stored != null && stored.over())) {
       return;
     }
-    long first = there == null ? at : there.firstMs();
-    shared.put(
+    long firstMs = stored == null ? atMs : stored.firstMs();
+    occurrences.put(
         name,
-        CalendarCodec.write(new Kept(inForce.generation(), at, first, o.lifted(), 0, 0, false)),
-        () -> LOG.info("release {}: {}", o.name(), o.lifted() ? "lifted" : "due at " + o.at()));
+        new Kept(releases.generation(), atMs, firstMs, occurrence.lifted(), 0, 0, false),
+        () ->
+            LOG.info(
+                "release {}: {}",
+                name,
+                occurrence.lifted() ? "lifted" : "due at " + occurrence.at()));
   }
 
-  private void close(String occurrence, Kept k) {
-    if (shared.pending(PREFIX + occurrence)) {
+  private void writeResult(String name, Kept stored) {
+    if (occurrences.pending(name)) {
       return;
     }
-    int inTime = served.getOrDefault(occurrence, Set.of()).size();
-    int all = inTime;
-    for (Job job : state.jobs.values()) {
-      all += occurrence.equals(job.release) && job.finalPhase == null ? 1 : 0;
-    }
-    Kept over = new Kept(k.generation(), k.atMs(), k.firstMs(), k.lifted(), all, inTime, true);
-    int of = all;
-    shared.put(
-        PREFIX + occurrence,
-        CalendarCodec.write(over),
-        () ->
-            LOG.info("release {} is out: {} of {} jobs were done in time", occurrence, inTime, of));
+    int inTime = progress.doneInTime(name);
+    int jobs = inTime + progress.openJobs(name);
+    occurrences.put(
+        name,
+        new Kept(
+            stored.generation(),
+            stored.atMs(),
+            stored.firstMs(),
+            stored.lifted(),
+            jobs,
+            inTime,
+            true),
+        () -> LOG.info("release {} is out: {} of {} jobs were done in time", name, inTime, jobs));
   }
 
-  /** Settles what new jobs are for, and by when each is to start; before each plan. */
+  /**
+   * Settles the release of new jobs, and sets the deadline and the remaining run time of all.
+   * Called before each plan.
+   *
+   * @param wallMs the time of day
+   */
   public void apply(long wallMs) {
-    if (inForce.value().isEmpty() && kept.isEmpty()) {
+    if (isEmpty()) {
       return;
     }
-    refresh();
+    occurrences.refresh();
     for (Job job : state.jobs.values()) {
       if (job.release == null
           && job.finalPhase == null
           && job.spec.priority() != Priority.PRODUCTION) {
         settle(job);
       }
-      Kept k = job.release == null ? null : kept.get(job.release);
-      job.releaseDeadlineMs = k == null || k.lifted() ? Long.MAX_VALUE : k.atMs() - leadMs(job);
-      job.remainingRunMs = Math.round(restS(job) * 1000);
-      if (k != null && job.finalPhase == JobPhase.DONE && job.endedMs <= k.atMs()) {
-        served.computeIfAbsent(job.release, x -> new HashSet<>()).add(job.spec.ref());
-      }
-      if (k != null
-          && job.finalPhase == null
-          && !k.lifted()
-          && !k.over()
-          && wallMs + job.remainingRunMs > job.releaseDeadlineMs
-          && atRisk.computeIfAbsent(job.release, x -> new HashSet<>()).add(job.spec.ref())) {
-        LOG.info(
-            "release {} is at risk: {} needs {} s more, {} s are left",
-            job.release,
-            job.spec.ref(),
-            job.remainingRunMs / 1000,
-            (job.releaseDeadlineMs - wallMs) / 1000);
+      Kept occurrence = occurrences.get(job.release);
+      job.releaseDeadlineMs =
+          occurrence == null || occurrence.lifted()
+              ? Long.MAX_VALUE
+              : occurrence.atMs() - leadMs(job);
+      job.remainingRunMs = Math.round(remainingS(job) * MS_PER_S);
+      if (occurrence != null) {
+        recordProgress(job, occurrence, wallMs);
       }
     }
   }
 
+  private void recordProgress(Job job, Kept occurrence, long wallMs) {
+    if (job.finalPhase == JobPhase.DONE && job.endedMs <= occurrence.atMs()) {
+      progress.recordDoneInTime(job);
+    }
+    if (job.finalPhase == null
+        && !occurrence.lifted()
+        && !occurrence.over()
+        && ReleaseProgress.isLate(job, wallMs)
+        && progress.recordAtRisk(job)) {
+      LOG.info(
+          "release {} is at risk: {} needs {} s more, {} s are left",
+          job.release,
+          job.spec.ref(),
+          job.remainingRunMs / 1000,
+          (job.releaseDeadlineMs - wallMs) / 1000);
+    }
+  }
+
   private long leadMs(Job job) {
-    String id = job.release.substring(0, job.release.indexOf('/'));
+    String id = job.release.substring(0, job.release.indexOf(Occurrence.SEPARATOR));
     return Math.round(
-        1000
-            * inForce.value().stream()
-                .filter(r -> r.id().equals(id))
+        MS_PER_S
+            * releases.value().stream()
+                .filter(release -> release.id().equals(id))
                 .mapToDouble(Release::leadS)
                 .findFirst()
                 .orElse(0));
   }
 
+  /**
+   * Chooses the first occurrence after the job's submission, of the first release that orders it.
+   */
   private void settle(Job job) {
-    for (Release r : inForce.value()) {
-      if (!r.orders(job.spec)) {
-        continue;
-      }
-      String best = null;
-      long bestMs = Long.MAX_VALUE;
-      for (Map.Entry<String, Kept> e : kept.entrySet()) {
-        Kept k = e.getValue();
-        if (e.getKey().startsWith(r.id() + "/")
-            && k.firstMs() > job.submittedMs
-            && k.firstMs() < bestMs
-            && !k.lifted()) {
-          best = e.getKey();
-          bestMs = k.firstMs();
+    for (Release release : releases.value()) {
+      if (release.orders(job.spec)) {
+        String first = firstOccurrence(release, job.submittedMs);
+        if (first != null) {
+          job.release = first;
+          onSettled.accept(job);
         }
+        return;
       }
-      if (best != null) {
-        job.release = best;
-        settled.accept(job);
+    }
+  }
+
+  private String firstOccurrence(Release release, long afterMs) {
+    String first = null;
+    long firstMs = Long.MAX_VALUE;
+    for (Map.Entry<String, Kept> entry : occurrences.all().entrySet()) {
+      Kept occurrence = entry.getValue();
+      if (Occurrence.isOf(entry.getKey(), release)
+          && occurrence.firstMs() > afterMs
+          && occurrence.firstMs() < firstMs
+          && !occurrence.lifted()) {
+        first = entry.getKey();
+        firstMs = occurrence.firstMs();
       }
-      return;
     }
+    return first;
   }
 
-  /**
-   * Seconds that the job still needs once it starts: its run, estimates being what they are, and
-   * its image's fetch.
-   */
-  private double restS(Job job) {
-    double run = DOUBT * Math.max(job.spec.expectS(), 0);
-    run = job.meanS() > 0 ? Math.max(job.meanS(), run / DOUBT) : run;
-    double fetch =
-        state.types.values().stream()
-            .filter(type -> type.fits(job.spec))
-            .mapToDouble(type -> type.fetchS(job.spec))
-            .min()
-            .orElse(0);
-    return run + (job.openAttempts.isEmpty() ? fetch : 0);
+  /** Seconds that the job still needs once it starts: to run, and to fetch its image. */
+  private double remainingS(Job job) {
+    double estimateS = ESTIMATE_MARGIN * Math.max(job.spec.expectS(), 0);
+    double runS = job.meanS() > 0 ? Math.max(job.meanS(), estimateS / ESTIMATE_MARGIN) : estimateS;
+    double fetchS = MachineTypes.shortestFetchS(state.types.values(), job.spec);
+    return runS + (job.openAttempts.isEmpty() ? fetchS : 0);
   }
 
   /**
-   * Whether room for such live services is needed earlier than usual: one of their releases is
+   * Whether headroom for a live service is needed earlier than usual, since a release of its is
    * near.
+   *
+   * @param like a sample of the service
+   * @param wallMs the time of day
    */
   public boolean near(JobSpec like, long wallMs) {
     if (like.priority() != Priority.PRODUCTION) {
       return false;
     }
-    double boot =
-        state.types.values().stream()
-            .filter(type -> type.fits(like))
-            .mapToDouble(MachineType::bootS)
-            .min()
-            .orElse(0);
-    for (Release r : inForce.value()) {
-      for (Map.Entry<String, Kept> e :
-          r.orders(like) ? kept.entrySet() : Set.<Map.Entry<String, Kept>>of()) {
-        double left = (e.getValue().atMs() - wallMs) / 1000.0 - r.leadS();
-        if (e.getKey().startsWith(r.id() + "/")
-            && !e.getValue().lifted()
-            && left > 0
-            && left < NEAR_BOOTS * boot) {
-          return true;
-        }
+    double bootS = MachineTypes.shortestBootS(state.types.values(), like);
+    for (Release release : releases.value()) {
+      if (release.orders(like) && isDueWithin(NEAR_BOOT_TIMES * bootS, release, wallMs)) {
+        return true;
       }
     }
     return false;
   }
 
-  /** What a poll tells of the job's release. */
+  private boolean isDueWithin(double seconds, Release release, long wallMs) {
+    for (Map.Entry<String, Kept> entry : occurrences.all().entrySet()) {
+      Kept occurrence = entry.getValue();
+      double leftS = (occurrence.atMs() - wallMs) / MS_PER_S - release.leadS();
+      if (Occurrence.isOf(entry.getKey(), release)
+          && !occurrence.lifted()
+          && leftS > 0
+          && leftS < seconds) {
+        return true;
+      }
+    }
+    return false;
+  }
+
+  /** Adds what a poll reports of the job's release; nothing if it is for none. */
   public void status(Job job, ObjectNode into, long wallMs) {
-    Kept k = job.release == null ? null : kept.get(job.release);
-    if (k == null) {
+    Kept occurrence = occurrences.get(job.release);
+    if (occurrence == null) {
       return;
     }
     into.put("release", job.release);
-    if (k.lifted()) {
+    if (occurrence.lifted()) {
       into.put("lifted", true);
       return;
     }
-    long slack = job.releaseDeadlineMs - wallMs - job.remainingRunMs;
-    into.put("deadline", Instant.ofEpochMilli(k.atMs()).toString())
-        .put("slack_s", Math.floorDiv(slack, 1000))
-        .put("in_time", slack >= 0);
+    long slackMs = job.releaseDeadlineMs - wallMs - job.remainingRunMs;
+    into.put("deadline", Instant.ofEpochMilli(occurrence.atMs()).toString())
+        .put("slack_s", Math.floorDiv(slackMs, 1000))
+        .put("in_time", slackMs >= 0);
   }
 
-  /** For operators: what is coming out, and what came of what is out. */
+  /** Adds what is coming out, and the results of what is out, for operators. */
   public void overview(ObjectNode into, long wallMs) {
-    into.put("generation", inForce.generation());
+    into.put("generation", releases.generation());
     ArrayNode list = into.putArray("releases");
-    kept.forEach(
-        (name, k) -> {
-          ObjectNode o =
-              list.addObject()
-                  .put("release", name)
-                  .put("deadline", Instant.ofEpochMilli(k.atMs()).toString())
-                  .put("lifted", k.lifted());
-          if (k.over()) {
-            o.put("jobs", k.jobs()).put("in_time", k.inTime());
-            return;
-          }
-          int jobs = 0;
-          int late = 0;
-          for (Job job : state.jobs.values()) {
-            if (name.equals(job.release) && job.finalPhase == null) {
-              jobs++;
-              late += wallMs + job.remainingRunMs > job.releaseDeadlineMs ? 1 : 0;
-            }
-          }
-          o.put("jobs", jobs + served.getOrDefault(name, Set.of()).size()).put("at_risk", late);
-        });
+    occurrences
+        .all()
+        .forEach((name, occurrence) -> addOverview(list.addObject(), name, occurrence, wallMs));
+  }
+
+  private void addOverview(ObjectNode into, String name, Kept occurrence, long wallMs) {
+    into.put("release", name)
+        .put("deadline", Instant.ofEpochMilli(occurrence.atMs()).toString())
+        .put("lifted", occurrence.lifted());
+    if (occurrence.over()) {
+      into.put("jobs", occurrence.jobs()).put("in_time", occurrence.inTime());
+      return;
+    }
+    into.put("jobs", progress.openJobs(name) + progress.doneInTime(name))
+        .put("at_risk", progress.lateJobs(name, wallMs));
   }
 }
--- a/src/main/java/io/embernotch/leader/SchedulingLoop.java
+++ b/src/main/java/io/embernotch/leader/SchedulingLoop.java
@@ -162,7 +162,7 @@
                         ? new FleetView.Headroom(h.like(), (int) Math.ceil(NEAR * h.count()))
                         : h)
             .toList();
-    ReservationView held = sharedState.holds().holds(room);
+    ReservationView held = sharedState.holds().view(room);
     SchedulingInput at =
         new SchedulingInput(
             now,
--- a/src/main/java/io/embernotch/reservation/ReservationHeadroom.java
+++ b/src/main/java/io/embernotch/reservation/ReservationHeadroom.java
@@ -13,122 +13,160 @@
 import io.embernotch.state.ClusterState;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 
-/** How much is to be free for a reservation, as tasks like those that it is for. */
+/** Computes how much is to be free for a reservation, as tasks like those that it serves. */
 final class ReservationHeadroom {
-  private ReservationHeadroom() {}
+  private final Reservation reservation;
+  private final ClusterState state;
+  private final List<Headroom> result = new ArrayList<>();
 
+  /** What the open attempts of the reservation's work take, and how many there are. */
+  private Resources used = Resources.ZERO;
+
+  private int openAttempts;
+
+  /** A job that the reservation serves; null while none is known. */
+  private JobSpec sample;
+
+  /** How many tasks the result has room for. */
+  private double tasks;
+
+  private ReservationHeadroom(Reservation reservation, ClusterState state) {
+    this.reservation = reservation;
+    this.state = state;
+  }
+
+  /**
+   * What is to be free for a reservation beside what its work takes.
+   *
+   * @param headroom what each job class needs free
+   */
   static List<Headroom> of(
-      Reservation r, List<Headroom> headroom, ClusterState state, OperatorSettings operator) {
-    Resources used = Resources.ZERO;
-    int tasks = 0;
-    JobSpec like = null;
+      Reservation reservation,
+      List<Headroom> headroom,
+      ClusterState state,
+      OperatorSettings operator) {
+    ReservationHeadroom computation = new ReservationHeadroom(reservation, state);
+    computation.addUsage();
+    computation.addDeviations(headroom, operator);
+    computation.addShare();
+    if (reservation.fixed()) {
+      computation.addMissing();
+    }
+    return computation.result;
+  }
+
+  private void addUsage() {
     for (Job job : state.jobs.values()) {
-      if (job.finalPhase == null && r.serves(job.spec)) {
+      if (job.finalPhase == null && reservation.serves(job.spec)) {
         used = used.plus(Resources.of(job.spec), job.openAttempts.size());
-        tasks += job.openAttempts.size();
-        like = job.spec;
+        openAttempts += job.openAttempts.size();
+        sample = job.spec;
       }
     }
-    List<Headroom> out = new ArrayList<>();
-    double served = 0;
-    for (Headroom h : headroom) {
-      if (r.serves(h.like())) {
-        like = h.like();
-        double each =
-            operator.serviceSpare() > 0 && h.like().shape() == JobShape.SERVICE
-                ? r.deviations() / operator.serviceSpare()
-                : r.deviations();
-        int n = (int) Math.round(h.count() * each);
-        served += n;
-        if (n > 0) {
-          out.add(new Headroom(h.like(), n));
+  }
+
+  /** So many deviations of what comes of each job class in a boot time. */
+  private void addDeviations(List<Headroom> headroom, OperatorSettings operator) {
+    for (Headroom entry : headroom) {
+      if (reservation.serves(entry.like())) {
+        sample = entry.like();
+        double factor =
+            operator.serviceSpare() > 0 && entry.like().shape() == JobShape.SERVICE
+                ? reservation.deviations() / operator.serviceSpare()
+                : reservation.deviations();
+        int count = (int) Math.round(entry.count() * factor);
+        tasks += count;
+        if (count > 0) {
+          result.add(new Headroom(entry.like(), count));
         }
       }
     }
-    int share = (int) Math.ceil(r.share() * tasks - served);
-    if (share > 0 && like != null) {
-      out.add(new Headroom(like.withTasks(1), share));
-      served += share;
+  }
+
+  /** What is missing to a share of the open attempts. */
+  private void addShare() {
+    int missing = (int) Math.ceil(reservation.share() * openAttempts - tasks);
+    if (missing > 0 && sample != null) {
+      result.add(new Headroom(sample.withTasks(1), missing));
+      tasks += missing;
     }
-    if (r.fixed()) {
-      missing(r, used, like, served, state, out);
+  }
+
+  /** What is missing to a fixed amount beyond what is to be free anyway. */
+  private void addMissing() {
+    if (reservation.machines() > 0) {
+      addMissingMachines();
+    } else {
+      addMissingAmount();
     }
-    return out;
   }
 
-  /** What is missing to a fixed amount beyond what is free anyway. */
-  private static void missing(
-      Reservation r,
-      Resources used,
-      JobSpec like,
-      double served,
-      ClusterState state,
-      List<Headroom> out) {
-    if (r.machines() > 0) {
-      MachineType type =
-          state.types.values().stream()
-              .filter(candidate -> r.allowsType(candidate.name()))
-              .findFirst()
-              .orElse(null);
-      if (type != null) {
-        Resources whole = new Resources(type.cpus(), type.gpus(), type.memGb());
-        int filled =
-            (int)
-                Math.ceil(
-                    Math.max(
-                        used.cpus() / Math.max(1, whole.cpus()),
-                        type.gpus() > 0 ? used.gpus() / type.gpus() : 0));
-        if (r.machines() > filled) {
-          out.add(new Headroom(task(r, whole), r.machines() - filled));
-        }
-      }
+  private void addMissingMachines() {
+    Optional<MachineType> allowed =
+        state.types.values().stream()
+            .filter(candidate -> reservation.allowsType(candidate.name()))
+            .findFirst();
+    if (allowed.isEmpty()) {
       return;
     }
-    Resources left = new Resources(r.cpus(), r.gpus(), r.memGb()).minus(used);
-    if (left.isZero()) {
+    MachineType type = allowed.get();
+    double usedMachines =
+        Math.max(
+            used.cpus() / Math.max(1, type.cpus()),
+            type.gpus() > 0 ? used.gpus() / type.gpus() : 0);
+    int filled = (int) Math.ceil(usedMachines);
+    if (reservation.machines() > filled) {
+      Resources whole = new Resources(type.cpus(), type.gpus(), type.memGb());
+      result.add(new Headroom(exampleTask(whole), reservation.machines() - filled));
+    }
+  }
+
+  private void addMissingAmount() {
+    Resources missing =
+        new Resources(reservation.cpus(), reservation.gpus(), reservation.memGb()).minus(used);
+    if (missing.isZero()) {
       return;
     }
-    Resources unit = like != null ? Resources.of(like) : unit(r);
-    int n =
-        (int)
-            Math.ceil(
-                Math.max(
-                        ratio(left.cpus(), unit.cpus()),
-                        Math.max(
-                            ratio(left.gpus(), unit.gpus()), ratio(left.memGb(), unit.memGb())))
-                    - served);
-    if (n > 0) {
-      out.add(new Headroom(like != null ? like.withTasks(1) : task(r, unit), n));
+    Resources unit = sample != null ? Resources.of(sample) : exampleUnit();
+    double missingTasks =
+        Math.max(
+            ratio(missing.cpus(), unit.cpus()),
+            Math.max(ratio(missing.gpus(), unit.gpus()), ratio(missing.memGb(), unit.memGb())));
+    int count = (int) Math.ceil(missingTasks - tasks);
+    if (count > 0) {
+      result.add(new Headroom(sample != null ? sample.withTasks(1) : exampleTask(unit), count));
     }
   }
 
-  private static double ratio(double want, double each) {
-    return want <= 0 || each <= 0 ? 0 : want / each;
+  private static double ratio(double amount, double each) {
+    return amount <= 0 || each <= 0 ? 0 : amount / each;
   }
 
-  /** Nothing of its work has been seen: one GPU, or one CPU, and what goes with it. */
-  private static Resources unit(Reservation r) {
-    double n = r.gpus() > 0 ? r.gpus() : Math.max(1, r.cpus());
-    return new Resources(r.cpus() / n, r.gpus() / n, r.memGb() / n);
+  /** One GPU, or one CPU, and its share of the rest: while no work of the reservation is known. */
+  private Resources exampleUnit() {
+    double units = reservation.gpus() > 0 ? reservation.gpus() : Math.max(1, reservation.cpus());
+    return new Resources(
+        reservation.cpus() / units, reservation.gpus() / units, reservation.memGb() / units);
   }
 
-  private static JobSpec task(Reservation r, Resources a) {
-    Selector s = r.serves().get(0);
-    Priority priority = s.priority() == null ? Priority.PRODUCTION : s.priority();
+  /** A task that the reservation would serve. */
+  private JobSpec exampleTask(Resources amounts) {
+    Selector selector = reservation.serves().get(0);
     return new JobSpec(
         "",
-        s.jobClass() == null ? r.name() : s.jobClass(),
-        s.team() == null ? "" : s.team(),
-        s.shape() == null ? JobShape.SERVICE : s.shape(),
-        priority,
+        selector.jobClass() == null ? reservation.name() : selector.jobClass(),
+        selector.team() == null ? "" : selector.team(),
+        selector.shape() == null ? JobShape.SERVICE : selector.shape(),
+        selector.priority() == null ? Priority.PRODUCTION : selector.priority(),
         1,
-        a.cpus(),
-        a.gpus(),
-        a.memGb(),
+        amounts.cpus(),
+        amounts.gpus(),
+        amounts.memGb(),
         "",
         0,
-        r.types().isEmpty() ? null : r.types(),
+        reservation.types().isEmpty() ? null : reservation.types(),
         null,
         false,
         false,
--- a/src/main/java/io/embernotch/reservation/ReservationManager.java
+++ b/src/main/java/io/embernotch/reservation/ReservationManager.java
@@ -4,7 +4,6 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.ReservationCodec;
 import io.embernotch.context.ControllerContext;
-import io.embernotch.model.Attempt;
 import io.embernotch.model.Machine;
 import io.embernotch.scheduling.FleetView;
 import io.embernotch.scheduling.ReservationView;
@@ -16,7 +15,6 @@
 import io.embernotch.shared.SharedState;
 import io.embernotch.state.ClusterState;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -25,64 +23,76 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What is held for reservations, by this leader and for the next one. Nothing that the store says
- * is held is given to others before the store says that it no longer is: what is more in the store
- * than a plan wants counts as held until the commit that gives it up is answered. What a plan wants
- * more counts at once.
+ * Keeps capacity reserved, for this leader and for the next one. Capacity that the store holds as
+ * reserved is given to others only once the store is known to hold its release: what is stored
+ * beyond what a plan wants stays reserved until the commit that releases it is answered. What a
+ * plan wants beyond what is stored is reserved at once.
+ *
+ * <p>Not thread-safe: it belongs to the event loop of one leader.
  */
 public final class ReservationManager {
   private static final Logger LOG = LoggerFactory.getLogger(ReservationManager.class);
 
-  /**
-   * Facts that what is held for one reservation is spread over, so that a change rewrites a part of
-   * it.
-   */
-  private static final int SHARDS = 4;
+  /** Name of the shared state entry with the reservations that are in force. */
+  private static final String RESERVATIONS = "reserve";
 
   /**
-   * So much less or more than the store says is written at once, as a share of it; the rest by and
-   * by.
+   * Share by which what is wanted differs from what is stored, from which on it is written within a
+   * heartbeat interval.
    */
-  private static final double NOTABLE = 0.05;
-
-  /** Report periods after which any difference is written. */
-  private static final double PERIODS = 4;
-
-  private static final String TERMS = "reserve";
-  private static final String HELD = "held/";
+  private static final double SIGNIFICANT_CHANGE = 0.05;
 
-  private record Used(int version, int terms, Resources[] amounts) {}
+  /** Heartbeat intervals after which any difference is written. */
+  private static final double MAX_WRITE_DELAY_INTERVALS = 4;
 
   private final ControllerContext context;
   private final ClusterState state;
   private final SharedState shared;
-  private final Map<Machine, Used> usage = new HashMap<>();
-  private final List<Machine> marked = new ArrayList<>();
-  private List<Reservation> terms = List.of();
-  private final EffectiveConfiguration<List<Reservation>> inForce;
+  private final EffectiveConfiguration<List<Reservation>> configuration;
+  private final ReservationShards shards;
+  private final ReservationUsage usage;
 
-  /** As the store is known to hold it, and as the last plan wants it. */
-  private Map<String, Resources[]> kept = Map.of();
+  /** Machines whose reserved amounts are set. */
+  private final List<Machine> markedMachines = new ArrayList<>();
 
+  private List<Reservation> reservations = List.of();
+
+  /** What is reserved as the store is known to hold it, by machine name. */
+  private Map<String, Resources[]> stored = Map.of();
+
+  /** What is to be reserved by the last plan, by machine name. */
   private Map<String, Resources[]> wanted = Map.of();
-  private Map<String, Resources[]> perhaps = Map.of();
-  private long perhapsOf = -1;
-  private long perhapsIn = -1;
-  private List<ReservationView.ReservationDemand> lastTerms = List.of();
+
+  /** The demands of the last plan. */
+  private List<ReservationView.ReservationDemand> demands = List.of();
+
+  /** Seconds of the monotonic clock. */
   private double loadedAt;
+
   private double writtenAt;
   private double changedAt;
-  private long told = -1;
 
+  /** What was last logged of a single reservation, as one number; below 0: nothing. */
+  private long lastLogged = -1;
+
+  /**
+   * Creates the manager of one leader; {@link #load} comes before any other call.
+   *
+   * @param context clock, settings and the operators' settings
+   * @param state the cluster, whose machines' reserved amounts are set
+   * @param shared where reservations are stored
+   */
   public ReservationManager(ControllerContext context, ClusterState state, SharedState shared) {
     this.context = context;
     this.state = state;
     this.shared = shared;
+    this.shards = new ReservationShards(shared);
+    this.usage = new ReservationUsage(state);
     OperatorSettings.Reserve own = context.operator().reserve();
-    this.inForce =
+    this.configuration =
         new EffectiveConfiguration<>(
             shared,
-            TERMS,
+            RESERVATIONS,
             own.terms(),
             own.generation(),
             ReservationCodec.writeTerms(own.generation(), own.terms()),
@@ -90,196 +100,127 @@
             this::use);
   }
 
-  /** The shared facts have been read. */
+  /** Takes over what is reserved, once the shared state has been read. */
   public void load() {
-    inForce.load();
-    use(inForce.value());
-    wanted = kept;
+    configuration.load();
+    use(configuration.value());
+    wanted = stored;
     loadedAt = context.clock().now();
     changedAt = loadedAt;
-    // What of it is not seen yet is not to be given up before it had time to report.
+    // Reservations on machines that have not reported yet are not released before they had time to.
     writtenAt = loadedAt;
-    if (!kept.isEmpty()) {
+    if (!stored.isEmpty()) {
       LOG.info(
           "reservations of generation {}: capacity reserved on {} machines",
-          inForce.generation(),
-          kept.size());
+          configuration.generation(),
+          stored.size());
     }
   }
 
-  private void use(List<Reservation> now) {
-    terms =
-        now.isEmpty() && context.operator().reserve().live()
+  private void use(List<Reservation> configured) {
+    reservations =
+        configured.isEmpty() && context.operator().reserve().live()
             ? List.of(context.operator().reserve().byDefault())
-            : now;
-    usage.clear();
+            : configured;
+    usage.use(reservations);
     wanted = Map.of();
-    kept = stored();
-    for (Map.Entry<String, ObjectNode> e : shared.all(HELD).entrySet()) {
-      boolean inForce = terms.stream().anyMatch(r -> e.getKey().startsWith(HELD + r.name() + "/"));
-      if (!inForce && !e.getValue().path("on").isEmpty()) {
-        // Of a reservation that is no more.
-        shared.put(e.getKey(), ReservationCodec.writeHeld(Map.of()), () -> {});
-      }
-    }
-  }
-
-  private Map<String, Resources[]> stored() {
-    Map<String, Resources[]> out = new TreeMap<>();
-    for (int i = 0; i < terms.size(); i++) {
-      for (int k = 0; k < SHARDS; k++) {
-        add(shared.get(shard(terms.get(i), k)), i, out);
-      }
-    }
-    return out;
-  }
-
-  private void add(ObjectNode shard, int term, Map<String, Resources[]> to) {
-    if (shard != null) {
-      ReservationCodec.readHeld(shard)
-          .forEach(
-              (machine, a) -> {
-                Resources[] there = to.computeIfAbsent(machine, x -> nothing());
-                there[term] = there[term].max(new Resources(a[0], a[1], a[2]));
-              });
-    }
-  }
-
-  /** What the store holds or may hold: a commit whose answer is out may have been made. */
-  private Map<String, Resources[]> perhapsStored() {
-    if (perhapsOf == shared.edition() && perhapsIn == inForce.generation()) {
-      return perhaps;
-    }
-    Map<String, Resources[]> out = stored();
-    for (int i = 0; i < terms.size(); i++) {
-      for (int k = 0; k < SHARDS; k++) {
-        add(shared.underWay(shard(terms.get(i), k)), i, out);
-      }
-    }
-    perhaps = out;
-    perhapsOf = shared.edition();
-    perhapsIn = inForce.generation();
-    return out;
-  }
-
-  private Resources[] nothing() {
-    Resources[] out = new Resources[terms.size()];
-    Arrays.fill(out, Resources.ZERO);
-    return out;
+    stored = shards.stored(reservations);
+    shards.clearOthers(reservations);
   }
 
-  private static String shard(Reservation r, int k) {
-    return HELD + r.name() + "/" + k;
-  }
-
-  /** For the next plan; {@code headroom} is what each class needs free. */
-  public ReservationView holds(List<FleetView.Headroom> headroom) {
-    if (terms.isEmpty()) {
+  /**
+   * The reservations for the next plan; sets what is reserved and free on each machine.
+   *
+   * @param headroom what each job class needs free
+   * @return what is reserved, counting what the store may hold, and what each reservation wants
+   */
+  public ReservationView view(List<FleetView.Headroom> headroom) {
+    if (reservations.isEmpty()) {
       return ReservationView.NONE;
     }
-    Map<String, Resources[]> held = new HashMap<>(wanted);
-    perhapsStored()
+    Map<String, Resources[]> reserved = new HashMap<>(wanted);
+    shards
+        .possiblyStored(reservations, configuration.generation())
         .forEach(
-            (machine, there) -> {
-              Resources[] w = wanted.get(machine);
-              held.put(machine, w == null ? there : max(there, w));
+            (machine, amounts) -> {
+              Resources[] wantedThere = wanted.get(machine);
+              reserved.put(machine, wantedThere == null ? amounts : max(amounts, wantedThere));
             });
-    usage.keySet().removeIf(machine -> state.machines.get(machine.name) != machine);
-    mark(held);
-    lastTerms =
-        terms.stream()
+    usage.dropRemovedMachines();
+    markMachines(reserved);
+    demands =
+        reservations.stream()
             .map(
-                r ->
+                reservation ->
                     new ReservationView.ReservationDemand(
-                        r, ReservationHeadroom.of(r, headroom, state, context.operator())))
+                        reservation,
+                        ReservationHeadroom.of(reservation, headroom, state, context.operator())))
             .toList();
-    return new ReservationView(lastTerms, held, this::used);
+    return new ReservationView(demands, reserved, usage::of);
   }
 
-  /** Restarts keep off what is held free. */
-  private void mark(Map<String, Resources[]> held) {
-    marked.forEach(machine -> keep(machine, Resources.ZERO));
-    marked.clear();
-    held.forEach(
+  private static Resources[] max(Resources[] one, Resources[] other) {
+    Resources[] max = new Resources[one.length];
+    for (int i = 0; i < max.length; i++) {
+      max[i] = one[i].max(other[i]);
+    }
+    return max;
+  }
+
+  /** Sets what is reserved and free on machines, so that restarts keep off it. */
+  private void markMachines(Map<String, Resources[]> reserved) {
+    markedMachines.forEach(machine -> setReserved(machine, Resources.ZERO));
+    markedMachines.clear();
+    reserved.forEach(
         (name, amounts) -> {
           Machine machine = state.machines.get(name);
           if (machine != null) {
-            Resources[] u = used(machine);
+            Resources[] used = usage.of(machine);
             Resources free = Resources.ZERO;
             for (int i = 0; i < amounts.length; i++) {
-              free = free.plus(u == null ? amounts[i] : amounts[i].minus(u[i]), 1);
+              free = free.plus(used == null ? amounts[i] : amounts[i].minus(used[i]), 1);
             }
-            keep(machine, free);
-            marked.add(machine);
+            setReserved(machine, free);
+            markedMachines.add(machine);
           }
         });
   }
 
-  private static void keep(Machine machine, Resources free) {
+  private static void setReserved(Machine machine, Resources free) {
     machine.reservedCpus = free.cpus();
     machine.reservedGpus = free.gpus();
     machine.reservedMemGb = free.memGb();
   }
 
-  private static Resources[] max(Resources[] a, Resources[] b) {
-    Resources[] out = new Resources[a.length];
-    for (int i = 0; i < out.length; i++) {
-      out[i] = a[i].max(b[i]);
-    }
-    return out;
-  }
-
   /**
-   * What the work of each reservation takes of a machine; null if nothing. Summed up anew only when
-   * that has changed.
+   * Takes over the result of a plan that was made with {@link #view}, and has it written.
+   *
+   * @param reserved what is to be reserved after the plan, by machine name; null: unchanged
    */
-  private Resources[] used(Machine machine) {
-    Used u = usage.get(machine);
-    if (u == null || u.version != machine.version || u.terms != terms.size()) {
-      u = new Used(machine.version, terms.size(), sum(machine));
-      usage.put(machine, u);
-    }
-    return u.amounts;
-  }
-
-  private Resources[] sum(Machine machine) {
-    Resources[] out = null;
-    for (Attempt attempt : machine.openAttempts.values()) {
-      for (int i = 0; i < terms.size(); i++) {
-        if (terms.get(i).serves(attempt.job.spec)) {
-          out = out == null ? nothing() : out;
-          out[i] = out[i].plus(Resources.of(attempt.job.spec), 1);
-        }
-      }
-    }
-    return out;
-  }
-
-  /** A plan has been made with {@link #holds}; {@code held} is what is to be held after it. */
-  public void planned(Map<String, Resources[]> held) {
-    if (terms.isEmpty() || held == null) {
+  public void planned(Map<String, Resources[]> reserved) {
+    if (reservations.isEmpty() || reserved == null) {
       return;
     }
     double now = context.clock().now();
-    Map<String, Resources[]> next = new TreeMap<>(held);
+    Map<String, Resources[]> next = new TreeMap<>(reserved);
     wanted.forEach(
-        (name, a) -> {
+        (name, amounts) -> {
           if (!next.containsKey(name)
-              && a.length == terms.size()
-              && mayComeBack(state.machines.get(name), now)) {
-            next.put(name, a);
+              && amounts.length == reservations.size()
+              && mayReturn(state.machines.get(name), now)) {
+            next.put(name, amounts);
           }
         });
     wanted = next;
-    write(now);
+    writeIfDue(now);
   }
 
   /**
-   * Nothing is known against the machine, it just can't be planned with; or, right after a
-   * takeover, it has not been heard yet. What is held on such machines was once given up by each
-   * new leader, and lent when they reported.
+   * Whether a machine that was not part of the plan may take tasks again: nothing is known against
+   * it, or, right after a failover, it has not reported yet. Otherwise each new leader would
+   * release what is reserved on such machines, and others would get it once they report.
    */
-  private boolean mayComeBack(Machine machine, double now) {
+  private boolean mayReturn(Machine machine, double now) {
     if (machine == null) {
       return now - loadedAt < context.settings().workers().leaseS();
     }
@@ -290,142 +231,85 @@
         && !Scheduler.usable(machine, now, context.settings());
   }
 
-  private void write(double now) {
-    double heartbeat = context.settings().workers().heartbeatIntervalS();
-    double difference = 0;
-    double size = 0;
-    for (Map.Entry<String, Resources[]> e : wanted.entrySet()) {
-      Resources[] there = kept.get(e.getKey());
-      for (int i = 0; i < terms.size(); i++) {
-        size += weight(e.getValue()[i]);
-        difference += Math.abs(weight(e.getValue()[i]) - (there == null ? 0 : weight(there[i])));
-      }
-    }
-    for (Map.Entry<String, Resources[]> e : kept.entrySet()) {
-      if (!wanted.containsKey(e.getKey())) {
-        difference += Arrays.stream(e.getValue()).mapToDouble(ReservationManager::weight).sum();
-      }
-    }
-    boolean due =
-        difference > NOTABLE * size
-            ? now - writtenAt > heartbeat
-            : now - writtenAt > PERIODS * heartbeat;
-    if (difference <= 0 || !due) {
+  private void writeIfDue(double now) {
+    double intervalS = context.settings().workers().heartbeatIntervalS();
+    ReservationDifference difference =
+        ReservationDifference.between(stored, wanted, reservations.size());
+    double delayS =
+        difference.exceeds(SIGNIFICANT_CHANGE) ? intervalS : MAX_WRITE_DELAY_INTERVALS * intervalS;
+    if (difference.isNone() || now - writtenAt <= delayS) {
       return;
     }
     writtenAt = now;
-    for (int i = 0; i < terms.size(); i++) {
-      for (int k = 0; k < SHARDS; k++) {
-        writePiece(i, k);
-      }
+    double valueKb = context.settings().minStoreLimits().valueKb();
+    long generation = configuration.generation();
+    for (int i = 0; i < reservations.size(); i++) {
+      shards.write(reservations.get(i), i, wanted, valueKb, () -> written(generation));
     }
   }
 
-  private static double weight(Resources a) {
-    return a.cpus() + a.gpus() + a.memGb();
-  }
-
-  private void writePiece(int term, int k) {
-    Map<String, double[]> held = new TreeMap<>();
-    int most = (int) (context.settings().minStoreLimits().valueKb() * 1024 / BYTES_PER_MACHINE);
-    wanted.forEach(
-        (name, a) -> {
-          if (Math.floorMod(name.hashCode(), SHARDS) == k
-              && !a[term].isZero()
-              && held.size() < most) {
-            held.put(name, new double[] {a[term].cpus(), a[term].gpus(), a[term].memGb()});
-          }
-        });
-    String name = shard(terms.get(term), k);
-    ObjectNode value = ReservationCodec.writeHeld(held);
-    ObjectNode there = shared.get(name);
-    boolean same = there == null ? held.isEmpty() : there.path("on").equals(value.path("on"));
-    if (!same && !shared.pending(name)) {
-      long of = inForce.generation();
-      shared.put(
-          name,
-          value,
-          () -> {
-            if (of == inForce.generation()) {
-              kept = stored();
-              changedAt = context.clock().now();
-              say();
-            }
-          });
+  /** The store holds another entry, which was written for these reservations. */
+  private void written(long generation) {
+    if (generation == configuration.generation()) {
+      stored = shards.stored(reservations);
+      changedAt = context.clock().now();
+      logStored();
     }
   }
 
-  /** A name, three amounts in thousandths, and quotes. */
-  private static final int BYTES_PER_MACHINE = 56;
-
-  private void say() {
-    for (int i = 0; i < terms.size(); i++) {
-      Seen s = seen(i);
-      long now = Math.round(s.held.gpus() * 1000 + s.held.cpus());
-      if (terms.size() > 1 || now != told) {
-        told = now;
+  private void logStored() {
+    for (int i = 0; i < reservations.size(); i++) {
+      ReservationStatus status = status(i);
+      long current = Math.round(status.reserved().gpus() * 1000 + status.reserved().cpus());
+      if (reservations.size() > 1 || current != lastLogged) {
+        lastLogged = current;
         LOG.info(
             "reservation {}: {} GPUs and {} CPUs reserved on {} machines, {} and {} of it in use",
-            terms.get(i).name(),
-            s.held.gpus(),
-            s.held.cpus(),
-            s.machines,
-            s.filled.gpus(),
-            s.filled.cpus());
+            reservations.get(i).name(),
+            status.reserved().gpus(),
+            status.reserved().cpus(),
+            status.machines(),
+            status.used().gpus(),
+            status.used().cpus());
       }
     }
   }
 
-  private record Seen(Resources held, Resources filled, int machines, double idlePerHour) {}
-
-  private Seen seen(int term) {
-    Resources held = Resources.ZERO;
-    Resources filled = Resources.ZERO;
-    int machines = 0;
-    double idle = 0;
-    for (Map.Entry<String, Resources[]> e : kept.entrySet()) {
-      Machine machine = state.machines.get(e.getKey());
-      if (machine == null || machine.type == null || e.getValue()[term].isZero()) {
-        continue;
-      }
-      Resources[] u = used(machine);
-      Resources used = u == null ? Resources.ZERO : u[term];
-      held = held.plus(e.getValue()[term], 1);
-      filled = filled.plus(used, 1);
-      machines++;
-      Resources free = e.getValue()[term].minus(used);
-      double share =
-          Math.max(
-              free.cpus() / Math.max(1, machine.type.cpus()),
-              machine.type.gpus() > 0 ? free.gpus() / machine.type.gpus() : 0);
-      idle += machine.type.price() * Math.min(1, share);
-    }
-    return new Seen(held, filled, machines, idle);
+  private ReservationStatus status(int index) {
+    return ReservationStatus.of(index, stored, state, usage);
   }
 
-  /** For operators: what each reservation holds, wants and costs. */
+  /** Adds what each reservation has, wants and costs, for operators. */
   public void overview(ObjectNode into) {
-    into.put("generation", inForce.generation()).put("changes", shared.changes());
+    into.put("generation", configuration.generation()).put("changes", shared.changes());
     ArrayNode list = into.putArray("reservations");
     double now = context.clock().now();
-    for (int i = 0; i < terms.size(); i++) {
-      Seen s = seen(i);
-      ObjectNode o = list.addObject().put("name", terms.get(i).name()).put("machines", s.machines);
-      amount(o.putObject("held"), s.held);
-      amount(o.putObject("filled"), s.filled);
-      Resources free = Resources.ZERO;
-      if (i < lastTerms.size()) {
-        for (FleetView.Headroom h : lastTerms.get(i).headroom()) {
-          free = free.plus(Resources.of(h.like()), h.count());
-        }
+    for (int i = 0; i < reservations.size(); i++) {
+      ReservationStatus status = status(i);
+      ObjectNode entry =
+          list.addObject()
+              .put("name", reservations.get(i).name())
+              .put("machines", status.machines());
+      putAmounts(entry.putObject("held"), status.reserved());
+      putAmounts(entry.putObject("filled"), status.used());
+      putAmounts(entry.putObject("wanted"), status.used().plus(wantedFree(i), 1));
+      entry
+          .put("since_s", Math.round(now - changedAt))
+          .put("idle_cost_per_hour", Math.round(status.idleCostPerHour() * 100) / 100.0);
+    }
+  }
+
+  private Resources wantedFree(int index) {
+    Resources free = Resources.ZERO;
+    if (index < demands.size()) {
+      for (FleetView.Headroom headroom : demands.get(index).headroom()) {
+        free = free.plus(Resources.of(headroom.like()), headroom.count());
       }
-      amount(o.putObject("wanted"), s.filled.plus(free, 1));
-      o.put("since_s", Math.round(now - changedAt))
-          .put("idle_cost_per_hour", Math.round(s.idlePerHour * 100) / 100.0);
     }
+    return free;
   }
 
-  private static void amount(ObjectNode o, Resources a) {
-    o.put("cpus", a.cpus()).put("gpus", a.gpus()).put("mem_gb", a.memGb());
+  private static void putAmounts(ObjectNode into, Resources amounts) {
+    into.put("cpus", amounts.cpus()).put("gpus", amounts.gpus()).put("mem_gb", amounts.memGb());
   }
 }
--- a/src/main/java/io/embernotch/scheduling/BootQueueing.java
+++ b/src/main/java/io/embernotch/scheduling/BootQueueing.java
@@ -84,10 +84,6 @@
   }
 
   private double shortestBootS(JobSpec spec) {
-    return types.values().stream()
-        .filter(type -> type.fits(spec))
-        .mapToDouble(MachineType::bootS)
-        .min()
-        .orElse(0);
+    return MachineTypes.shortestBootS(types.values(), spec);
   }
 }
--- a/src/main/java/io/embernotch/scheduling/MachineReservation.java
+++ b/src/main/java/io/embernotch/scheduling/MachineReservation.java
@@ -1,7 +1,6 @@
 package io.embernotch.scheduling;
 
 import io.embernotch.model.JobSpec;
-import java.util.Arrays;
 import java.util.List;
 
 /**
@@ -92,11 +91,4 @@
     }
     return any ? total : null;
   }
-
-  /** Nothing for each of so many reservations. */
-  static Resources[] none(int reservations) {
-    Resources[] none = new Resources[reservations];
-    Arrays.fill(none, Resources.ZERO);
-    return none;
-  }
 }
--- a/src/main/java/io/embernotch/scheduling/ReservationView.java
+++ b/src/main/java/io/embernotch/scheduling/ReservationView.java
@@ -38,9 +38,7 @@
     Resources[] usedThere = machine == null ? null : used.apply(machine);
     Resources[] reservedThere = machine == null ? null : reserved.get(machine.name);
     return new MachineReservation(
-        demands,
-        usedThere == null ? MachineReservation.none(demands.size()) : usedThere,
-        reservedThere);
+        demands, usedThere == null ? Resources.zeros(demands.size()) : usedThere, reservedThere);
   }
 
   /** Whether something is reserved on the machine, or used by work of a reservation. */
--- a/src/main/java/io/embernotch/shared/SharedState.java
+++ b/src/main/java/io/embernotch/shared/SharedState.java
@@ -19,235 +19,274 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Facts that a term hands to the next one: under {@code shared/} in the store, read before anything
- * is planned, written by the leader alone with its key and each fact's own modification revision as
- * conditions. What is told of a fact is only what the store is known to hold: a change counts once
- * its commit is answered. A commit without an answer is unknown, and the keys are read again before
- * anything else is written.
+ * Entries that a term hands to the next one: under {@code shared/} in the store, read before
+ * anything is planned, and written by the leader alone with its key and each entry's own
+ * modification revision as conditions. What is reported of an entry is only what the store is known
+ * to hold: a change counts once its commit is answered. The outcome of a commit without an answer
+ * is unknown, and the keys are read again before anything else is written.
  *
- * <p>Each value carries a version {@code n}, higher than all before it; where two copies of the
- * state differ, the higher one counts ({@link Versions}). All writing together is bounded to a
- * share of the store's changes.
+ * <p>Each value carries a version, higher than all before it; where two copies of the state differ,
+ * the higher one counts ({@link Versions}). All writing together is bounded to a share of the
+ * changes that the store takes.
+ *
+ * <p>Not thread-safe: it belongs to the event loop of one leader.
  */
 public final class SharedState {
   private static final Logger LOG = LoggerFactory.getLogger(SharedState.class);
 
-  /** Share of the changes that the store takes that facts may use. */
-  static final double SHARE = 0.05;
+  /** Share of the changes that the store takes which shared state entries may use. */
+  static final double MAX_WRITE_SHARE = 0.05;
+
+  /** Share of the store's operations in a transaction that one commit uses, as a divisor. */
+  private static final int TXN_OPS_DIVISOR = 2;
+
+  /** Bytes that an entry takes in a transaction beside its value and its keys. */
+  private static final int BYTES_PER_ENTRY = 100;
 
-  private record Fact(ObjectNode value, long modRevision) {}
+  /** Shortest delay of a timer in seconds: changes of one event-loop iteration go together. */
+  private static final double MIN_DELAY_S = 0.001;
 
-  private record Change(ObjectNode value, List<Runnable> durable) {}
+  /** Failed requests are retried after a heartbeat interval divided by this. */
+  private static final double RETRIES_PER_HEARTBEAT = 6;
+
+  /** What the store holds; a modification revision of 0: only the incarnation's base holds it. */
+  private record StoredEntry(ObjectNode value, long modRevision) {}
+
+  /** A value to be written, and what is to run once the store holds it or a later one. */
+  private record PendingChange(ObjectNode value, List<Runnable> durable) {}
 
   private final ControllerContext context;
-  private final long modRevision;
-  private final long firstVersion;
-  private final int mostChanges;
-  private final Runnable deposed;
-  private final Map<String, Fact> facts = new TreeMap<>();
-  private final Map<String, Change> wanted = new LinkedHashMap<>();
+  private final long leaderModRevision;
+  private final int maxChanges;
+  private final Runnable onDeposed;
+  private final Map<String, StoredEntry> stored = new TreeMap<>();
+
+  /** Changes that the store is not known to hold, the oldest first. */
+  private final Map<String, PendingChange> pending = new LinkedHashMap<>();
+
+  /** The highest version that any entry has. */
   private long version;
-  private boolean busy;
+
+  private boolean commitInFlight;
   private boolean closed;
-  private double nextAt;
-  private boolean armed;
+
+  /** When the next commit may be sent, in seconds of the monotonic clock. */
+  private double nextCommitAt;
+
+  private boolean timerArmed;
   private long changes;
-  private long edition;
+  private long localVersion;
 
   /**
-   * @param modRevision of the leader's key
-   * @param firstVersion of what this term writes: above those of all before it
-   * @param deposed told when a commit fails on the leader's key
+   * Creates the shared state of one term; {@link #load} comes before any other call.
+   *
+   * @param context clock, timers, store and settings
+   * @param modRevision modification revision of the leader's key
+   * @param firstVersion the version after which this term's begin: above all of former terms
+   * @param onDeposed called when a commit fails on the leader's key
    */
   public SharedState(
-      ControllerContext context, long modRevision, long firstVersion, Runnable deposed) {
+      ControllerContext context, long modRevision, long firstVersion, Runnable onDeposed) {
     this.context = context;
-    this.modRevision = modRevision;
-    this.firstVersion = firstVersion;
+    this.leaderModRevision = modRevision;
     this.version = firstVersion;
-    this.mostChanges = Math.max(1, context.settings().minStoreLimits().txnOps() / 2);
-    this.deposed = deposed;
+    this.maxChanges = Math.max(1, context.settings().minStoreLimits().txnOps() / TXN_OPS_DIVISOR);
+    this.onDeposed = onDeposed;
   }
 
-  /** Takes what the store holds, the base of its incarnation beneath it. */
+  /** Takes over what the store holds, with the base of its incarnation beneath it. */
   public void load(List<VersionedEntry> entries) {
-    edition++;
-    facts.clear();
+    localVersion++;
+    stored.clear();
     for (VersionedEntry entry : entries) {
       if (entry.present()) {
-        facts.put(
+        stored.put(
             entry.key().substring(JobProgressCodec.SHARED.length()),
-            new Fact(entry.value(), entry.modRevision()));
+            new StoredEntry(entry.value(), entry.modRevision()));
         version = Math.max(version, Versions.of(entry.value()));
       }
     }
   }
 
+  /** Ends all writing; answers that come later are ignored. */
   public void close() {
     closed = true;
   }
 
-  /** What the store is known to hold of a fact; null if nothing. */
+  /** What the store is known to hold of an entry; null if nothing. */
   public ObjectNode get(String name) {
-    Fact f = facts.get(name);
-    return f == null ? null : f.value;
+    StoredEntry entry = stored.get(name);
+    return entry == null ? null : entry.value;
   }
 
-  /** What is on its way to the store of a fact; null if nothing is. It may be there already. */
-  public ObjectNode underWay(String name) {
-    Change c = wanted.get(name);
-    return c == null ? null : c.value;
+  /** A change that the store is not known to hold, though it may; null if there is none. */
+  public ObjectNode inFlight(String name) {
+    PendingChange change = pending.get(name);
+    return change == null ? null : change.value;
   }
 
-  /** The facts whose names begin so, as the store is known to hold them. */
+  /** The entries whose names begin with the prefix, as the store is known to hold them. */
   public Map<String, ObjectNode> all(String prefix) {
-    Map<String, ObjectNode> out = new TreeMap<>();
-    facts.forEach(
-        (name, f) -> {
+    Map<String, ObjectNode> matching = new TreeMap<>();
+    stored.forEach(
+        (name, entry) -> {
           if (name.startsWith(prefix)) {
-            out.put(name, f.value);
+            matching.put(name, entry.value);
           }
         });
-    return out;
+    return matching;
   }
 
-  /** Facts as they are to be: what is on its way to the store counts. For copies. */
+  /** All entries as they are to be, with the changes that are not stored yet; for snapshots. */
   public Map<String, ObjectNode> copy() {
-    Map<String, ObjectNode> out = all("");
-    wanted.forEach((name, c) -> out.put(name, c.value));
-    return out;
+    Map<String, ObjectNode> copy = all("");
+    pending.forEach((name, change) -> copy.put(name, change.value));
+    return copy;
   }
 
-  /** Changes whenever what the store holds, or may hold, is known to be another. */
-  public long edition() {
-    return edition;
+  /** Increases whenever what the store holds, or may hold, is known to have changed. */
+  public long localVersion() {
+    return localVersion;
   }
 
-  /** How many changes were made. */
+  /** How many changes this term has made. */
   public long changes() {
     return changes;
   }
 
-  /** True while a change of the fact is not known to be in the store. */
+  /** Whether there is a change of the entry that the store is not known to hold. */
   public boolean pending(String name) {
-    return wanted.containsKey(name);
+    return pending.containsKey(name);
   }
 
   /**
-   * Has a fact written, in place of what was wanted of it before; {@code durable} runs once the
-   * store holds this value or a later one. A value that is no longer wanted is written as an empty
-   * object: its version must outlive it.
+   * Has an entry written, in place of any earlier change that is still pending. A value that is no
+   * longer wanted is written as an empty object: its version must outlive it.
+   *
+   * @param value the new value, which is copied
+   * @param durable runs once the store is known to hold this value or a later one
    */
   public void put(String name, ObjectNode value, Runnable durable) {
     ObjectNode versioned = value.deepCopy();
     versioned.put(Versions.FIELD, ++version);
-    Change before = wanted.remove(name);
+    PendingChange before = pending.remove(name);
     List<Runnable> all = before == null ? new ArrayList<>() : before.durable;
     all.add(durable);
-    edition++;
-    wanted.put(name, new Change(versioned, all));
-    arm();
+    localVersion++;
+    pending.put(name, new PendingChange(versioned, all));
+    armTimer();
   }
 
-  private void arm() {
-    if (armed || busy || closed || wanted.isEmpty()) {
+  private void armTimer() {
+    if (timerArmed || commitInFlight || closed || pending.isEmpty()) {
       return;
     }
-    armed = true;
+    timerArmed = true;
     context
         .timers()
         .after(
-            Math.max(0.001, nextAt - context.clock().now()),
+            Math.max(MIN_DELAY_S, nextCommitAt - context.clock().now()),
             () -> {
-              armed = false;
-              write();
+              timerArmed = false;
+              commit();
             });
   }
 
-  private void write() {
-    if (busy || closed || wanted.isEmpty()) {
+  private void commit() {
+    if (commitInFlight || closed || pending.isEmpty()) {
       return;
     }
-    Transaction txn = new Transaction().when(JobProgressCodec.LEADER, modRevision);
-    Map<String, Change> batch = new LinkedHashMap<>();
+    Map<String, PendingChange> batch = nextBatch();
+    Transaction transaction = new Transaction().when(JobProgressCodec.LEADER, leaderModRevision);
+    batch.forEach(
+        (name, change) -> {
+          StoredEntry entry = stored.get(name);
+          String key = JobProgressCodec.SHARED + name;
+          transaction.when(key, entry == null ? 0 : entry.modRevision).write(key, change.value);
+        });
+    commitInFlight = true;
+    context
+        .store()
+        .commit(transaction, RequestPriority.NORMAL)
+        .onSuccess(result -> committed(result, batch))
+        .onFailure(failure -> commitFailed(failure, batch));
+  }
+
+  /** The oldest changes, as many as fit one transaction. */
+  private Map<String, PendingChange> nextBatch() {
+    Map<String, PendingChange> batch = new LinkedHashMap<>();
     int bytes = 0;
-    for (Map.Entry<String, Change> e : wanted.entrySet()) {
-      bytes += Json.bytes(e.getValue().value).length + 2 * e.getKey().length() + 100;
-      if (batch.size() >= mostChanges || (bytes > Transaction.MAX_BYTES && !batch.isEmpty())) {
+    for (Map.Entry<String, PendingChange> entry : pending.entrySet()) {
+      bytes +=
+          Json.bytes(entry.getValue().value).length + 2 * entry.getKey().length() + BYTES_PER_ENTRY;
+      if (batch.size() >= maxChanges || (bytes > Transaction.MAX_BYTES && !batch.isEmpty())) {
         break;
       }
-      Fact f = facts.get(e.getKey());
-      String key = JobProgressCodec.SHARED + e.getKey();
-      txn.when(key, f == null ? 0 : f.modRevision).write(key, e.getValue().value);
-      batch.put(e.getKey(), e.getValue());
+      batch.put(entry.getKey(), entry.getValue());
     }
-    busy = true;
-    context
-        .store()
-        .commit(txn, RequestPriority.NORMAL)
-        .onSuccess(result -> answered(result, batch))
-        .onFailure(e -> unanswered(e, batch));
+    return batch;
   }
 
-  private void answered(TransactionResult commit, Map<String, Change> batch) {
+  private void committed(TransactionResult result, Map<String, PendingChange> batch) {
     if (closed) {
       return;
     }
-    if (!commit.applied()) {
-      if (commit.conflicts().contains(JobProgressCodec.LEADER)) {
+    if (!result.applied()) {
+      if (result.conflicts().contains(JobProgressCodec.LEADER)) {
         closed = true;
-        deposed.run();
+        onDeposed.run();
         return;
       }
       reread();
       return;
     }
     changes += batch.size();
-    double perS = SHARE * context.settings().minStoreLimits().writeRps();
-    nextAt = context.clock().now() + batch.size() / perS;
-    batch.forEach((name, c) -> facts.put(name, new Fact(c.value, commit.revision())));
-    busy = false;
-    settle();
-    arm();
+    double changesPerS = MAX_WRITE_SHARE * context.settings().minStoreLimits().writeRps();
+    nextCommitAt = context.clock().now() + batch.size() / changesPerS;
+    batch.forEach(
+        (name, change) -> stored.put(name, new StoredEntry(change.value, result.revision())));
+    commitInFlight = false;
+    settlePending();
+    armTimer();
   }
 
-  private void unanswered(Throwable e, Map<String, Change> batch) {
+  private void commitFailed(Throwable failure, Map<String, PendingChange> batch) {
     if (closed) {
       return;
     }
-    LOG.info("shared state entries {} were not written: {}", batch.keySet(), e.getMessage());
-    if (StoreException.kindOf(e) == StoreException.Kind.MALFORMED) {
-      // One that the store does not take must hold up no other; what the store holds of it stays
-      // true.
+    LOG.info("shared state entries {} were not written: {}", batch.keySet(), failure.getMessage());
+    if (StoreException.kindOf(failure) == StoreException.Kind.MALFORMED) {
+      // An entry that the store rejects must not block the others; what the store holds of it
+      // stays true.
       LOG.error("the store rejects the shared state entries {}", batch.keySet());
-      batch.forEach(wanted::remove);
+      batch.forEach(pending::remove);
     }
-    if (StoreException.kindOf(e) == StoreException.Kind.UNKNOWN) {
+    if (StoreException.kindOf(failure) == StoreException.Kind.UNKNOWN) {
       reread();
     } else {
-      later(
+      retryLater(
           () -> {
-            busy = false;
-            arm();
+            commitInFlight = false;
+            armTimer();
           });
     }
   }
 
-  private void later(Runnable what) {
+  private void retryLater(Runnable action) {
     context
         .timers()
         .after(
-            context.settings().workers().heartbeatIntervalS() / 6,
+            context.settings().workers().heartbeatIntervalS() / RETRIES_PER_HEARTBEAT,
             () -> {
               if (!closed) {
-                what.run();
+                action.run();
               }
             });
   }
 
   /**
-   * The last commit may have been applied, or be applied yet: stamps that are read now make it fail
-   * from then on.
+   * Reads all entries again. The last commit may have been applied, or be applied yet: with the
+   * modification revisions that are read now as conditions, it fails from then on.
    */
   private void reread() {
     context
@@ -255,43 +294,48 @@
         .list(JobProgressCodec.SHARED)
         .onSuccess(
             read -> {
-              if (closed) {
-                return;
+              if (!closed) {
+                loadAgain(read.events());
               }
-              Map<String, Fact> base = new TreeMap<>(facts);
-              load(read.events());
-              // What stands beneath the store's keys in this incarnation is in none of them.
-              base.forEach(
-                  (name, f) -> {
-                    if (f.modRevision == 0) {
-                      facts.putIfAbsent(name, f);
-                    }
-                  });
-              settle();
-              busy = false;
-              arm();
             })
-        .onFailure(e -> later(this::reread));
+        .onFailure(failure -> retryLater(this::reread));
   }
 
-  /** Tells those whose value, or a later one, is in the store. */
-  private void settle() {
-    edition++;
+  private void loadAgain(List<VersionedEntry> entries) {
+    Map<String, StoredEntry> before = new TreeMap<>(stored);
+    load(entries);
+    // What only the incarnation's base holds is under none of the store's keys.
+    before.forEach(
+        (name, entry) -> {
+          if (entry.modRevision == 0) {
+            stored.putIfAbsent(name, entry);
+          }
+        });
+    settlePending();
+    commitInFlight = false;
+    armTimer();
+  }
+
+  /** Removes the changes that the store holds, or has a later version of, and reports them. */
+  private void settlePending() {
+    localVersion++;
     List<Runnable> durable = new ArrayList<>();
-    wanted
+    pending
         .entrySet()
         .removeIf(
-            e -> {
-              Fact f = facts.get(e.getKey());
-              boolean there =
-                  f != null
-                      && f.modRevision > 0
-                      && Versions.of(f.value) >= Versions.of(e.getValue().value);
-              if (there) {
-                durable.addAll(e.getValue().durable);
+            change -> {
+              boolean isStored = holds(stored.get(change.getKey()), change.getValue());
+              if (isStored) {
+                durable.addAll(change.getValue().durable);
               }
-              return there;
+              return isStored;
             });
     durable.forEach(Runnable::run);
   }
+
+  private static boolean holds(StoredEntry entry, PendingChange change) {
+    return entry != null
+        && entry.modRevision > 0
+        && Versions.of(entry.value) >= Versions.of(change.value);
+  }
 }
