--- a/src/main/java/io/embernotch/calendar/ReleaseCalendar.java
+++ b/src/main/java/io/embernotch/calendar/ReleaseCalendar.java
@@ -271,16 +271,16 @@
    * Whether headroom for a live service is needed earlier than usual, since a release of its is
    * near.
    *
-   * @param like a sample of the service
+   * @param sample a replica of the service
    * @param wallMs the time of day
    */
-  public boolean near(JobSpec like, long wallMs) {
-    if (like.priority() != Priority.PRODUCTION) {
+  public boolean near(JobSpec sample, long wallMs) {
+    if (sample.priority() != Priority.PRODUCTION) {
       return false;
     }
-    double bootS = MachineTypes.shortestBootS(state.types.values(), like);
+    double bootS = MachineTypes.shortestBootS(state.types.values(), sample);
     for (Release release : releases.value()) {
-      if (release.orders(like) && isDueWithin(NEAR_BOOT_TIMES * bootS, release, wallMs)) {
+      if (release.orders(sample) && isDueWithin(NEAR_BOOT_TIMES * bootS, release, wallMs)) {
         return true;
       }
     }
--- a/src/main/java/io/embernotch/leader/SchedulingLoop.java
+++ b/src/main/java/io/embernotch/leader/SchedulingLoop.java
@@ -158,8 +158,8 @@
             .stream()
             .map(
                 h ->
-                    sharedState.calendar().near(h.like(), wallMs)
-                        ? new FleetView.Headroom(h.like(), (int) Math.ceil(NEAR * h.count()))
+                    sharedState.calendar().near(h.sample(), wallMs)
+                        ? new FleetView.Headroom(h.sample(), (int) Math.ceil(NEAR * h.count()))
                         : h)
             .toList();
     ReservationView held = sharedState.holds().view(room);
@@ -176,21 +176,21 @@
             held,
             fleetManager.risk());
     SchedulingPlan plan = liveFirst ? planner.liveOnly(at) : planner.plan(at);
-    sharedState.holds().planned(plan.reserved);
+    sharedState.holds().planned(plan.reserved());
     tookS = context.clock().now() - now;
     plans.record(liveFirst ? "live plan" : "plan", tookS);
-    for (SchedulingPlan.Stop s : plan.stops) {
-      LOG.info("stopping {}: {}", s.attempt(), s.why());
+    for (SchedulingPlan.Stop s : plan.stops()) {
+      LOG.info("stopping {}: {}", s.attempt(), s.reason());
       stopper.stopWithGang(s.attempt(), s.graceS());
     }
-    for (SchedulingPlan.Start s : plan.starts) {
+    for (SchedulingPlan.Start s : plan.starts()) {
       launcher.launch(s, now);
     }
     if (fleetManager.listedOnce()) {
-      plan.scaleOuts.forEach(fleetManager::rent);
+      plan.scaleOuts().forEach(fleetManager::rent);
     }
     if (fleetManager.cloudAnswers()) {
-      for (Machine machine : plan.scaleIns) {
+      for (Machine machine : plan.scaleIns()) {
         LOG.debug("machine {} is idle", machine.name);
         fleetManager.scaleIn(machine);
       }
--- a/src/main/java/io/embernotch/reservation/ReservationHeadroom.java
+++ b/src/main/java/io/embernotch/reservation/ReservationHeadroom.java
@@ -70,16 +70,16 @@
   /** So many deviations of what comes of each job class in a boot time. */
   private void addDeviations(List<Headroom> headroom, OperatorSettings operator) {
     for (Headroom entry : headroom) {
-      if (reservation.serves(entry.like())) {
-        sample = entry.like();
+      if (reservation.serves(entry.sample())) {
+        sample = entry.sample();
         double factor =
-            operator.serviceSpare() > 0 && entry.like().shape() == JobShape.SERVICE
+            operator.serviceSpare() > 0 && entry.sample().shape() == JobShape.SERVICE
                 ? reservation.deviations() / operator.serviceSpare()
                 : reservation.deviations();
         int count = (int) Math.round(entry.count() * factor);
         tasks += count;
         if (count > 0) {
-          result.add(new Headroom(entry.like(), count));
+          result.add(new Headroom(entry.sample(), count));
         }
       }
     }
--- a/src/main/java/io/embernotch/reservation/ReservationManager.java
+++ b/src/main/java/io/embernotch/reservation/ReservationManager.java
@@ -303,7 +303,7 @@
     Resources free = Resources.ZERO;
     if (index < demands.size()) {
       for (FleetView.Headroom headroom : demands.get(index).headroom()) {
-        free = free.plus(Resources.of(headroom.like()), headroom.count());
+        free = free.plus(Resources.of(headroom.sample()), headroom.count());
       }
     }
     return free;
--- a/src/main/java/io/embernotch/scheduling/FleetView.java
+++ b/src/main/java/io/embernotch/scheduling/FleetView.java
@@ -22,7 +22,7 @@
    * @param like a sample of the tasks, or of the gangs, that it is for
    * @param count for how many of them
    */
-  public record Headroom(JobSpec like, int count) {}
+  public record Headroom(JobSpec sample, int count) {}
 
   /** What the cloud can be expected to have. */
   public interface Pools {
--- a/src/main/java/io/embernotch/scheduling/GangPlacement.java
+++ b/src/main/java/io/embernotch/scheduling/GangPlacement.java
@@ -91,7 +91,7 @@
         }
       }
     }
-    cycle.plan().starts.add(new SchedulingPlan.Start(job, placements));
+    cycle.plan().start(new SchedulingPlan.Start(job, placements));
     return true;
   }
 
--- a/src/main/java/io/embernotch/scheduling/HeadroomPlanner.java
+++ b/src/main/java/io/embernotch/scheduling/HeadroomPlanner.java
@@ -17,37 +17,37 @@
     this.allocator = allocator;
     this.headroom =
         input.headroom().stream()
-            .filter(entry -> !input.reservations().serves(entry.like()))
+            .filter(entry -> !input.reservations().serves(entry.sample()))
             .toList();
   }
 
   /** Keeps headroom for production jobs. */
   void keepForProduction() {
     headroom.stream()
-        .filter(entry -> entry.like().priority() == Priority.PRODUCTION)
+        .filter(entry -> entry.sample().priority() == Priority.PRODUCTION)
         .forEach(this::keep);
   }
 
   /** Keeps headroom for all other jobs. */
   void keepForOthers() {
     headroom.stream()
-        .filter(entry -> entry.like().priority() != Priority.PRODUCTION)
+        .filter(entry -> entry.sample().priority() != Priority.PRODUCTION)
         .forEach(this::keep);
   }
 
   private void keep(FleetView.Headroom entry) {
     ZoneConstraints anywhere = ZoneConstraints.anywhere();
     AllocationRequest request =
-        AllocationRequest.of(entry.like(), entry.count(), anywhere)
+        AllocationRequest.of(entry.sample(), entry.count(), anywhere)
             .scoredBy(PlacementScore::ofHeadroom);
     int kept = allocator.allocate(Capacity.FREE, request, AllocationListener.CLAIM_ONLY);
-    if (entry.like().shape() == JobShape.GANG) {
+    if (entry.sample().shape() == JobShape.GANG) {
       kept +=
           allocator.allocate(
               Capacity.FREEING,
               request.withWanted(entry.count() - kept),
               AllocationListener.CLAIM_ONLY);
     }
-    allocator.claimNew(entry.like(), entry.count() - kept, anywhere);
+    allocator.claimNew(entry.sample(), entry.count() - kept, anywhere);
   }
 }
--- a/src/main/java/io/embernotch/scheduling/Preemption.java
+++ b/src/main/java/io/embernotch/scheduling/Preemption.java
@@ -58,7 +58,7 @@
 
   private final Settings settings;
   private final CandidateMachines candidates;
-  private final SchedulingPlan plan;
+  private final SchedulingPlanBuilder plan;
   private final double now;
   private final Set<Attempt> preempted = Collections.newSetFromMap(new IdentityHashMap<>());
   private int searches;
@@ -66,7 +66,8 @@
   /** Machines that run work beyond a guarantee; null until first needed. */
   private List<CandidateMachine> machinesBeyondGuarantee;
 
-  Preemption(Settings settings, CandidateMachines candidates, SchedulingPlan plan, double now) {
+  Preemption(
+      Settings settings, CandidateMachines candidates, SchedulingPlanBuilder plan, double now) {
     this.settings = settings;
     this.candidates = candidates;
     this.plan = plan;
@@ -201,7 +202,7 @@
       for (Attempt attempt : victims) {
         preempted.add(attempt);
         host.addFreeing(attempt.job.spec);
-        plan.stops.add(
+        plan.stop(
             new SchedulingPlan.Stop(
                 attempt, search.graceS.applyAsDouble(attempt), "room for " + spec.ref()));
       }
--- a/src/main/java/io/embernotch/scheduling/ReservationPlanner.java
+++ b/src/main/java/io/embernotch/scheduling/ReservationPlanner.java
@@ -55,7 +55,7 @@
       ReservationView.ReservationDemand demand = reservations.demands().get(i);
       Resources wanted = Resources.ZERO;
       for (FleetView.Headroom headroom : demand.headroom()) {
-        JobSpec sample = headroom.like();
+        JobSpec sample = headroom.sample();
         Resources unit = Resources.of(sample);
         reserve(new Need(i, demand.reservation(), sample, unit), headroom.count());
         wanted = wanted.plus(unit, Math.ceil(headroom.count() * (1 + RELEASE_MARGIN)) + 1);
--- a/src/main/java/io/embernotch/scheduling/ScaleInPlanner.java
+++ b/src/main/java/io/embernotch/scheduling/ScaleInPlanner.java
@@ -9,13 +9,13 @@
    * for longer than {@code keepIdleBoots} times their boot time.
    */
   static void addTo(
-      SchedulingPlan plan, CandidateMachines candidates, double now, double keepIdleBoots) {
+      SchedulingPlanBuilder plan, CandidateMachines candidates, double now, double keepIdleBoots) {
     for (CandidateMachine candidate : candidates.all()) {
       if (candidate.state == CandidateMachine.State.UP
           && !candidate.claimed
           && candidate.machine.openAttempts.isEmpty()
           && now - candidate.machine.idleSince > keepIdleBoots * candidate.type.bootS()) {
-        plan.scaleIns.add(candidate.machine);
+        plan.scaleIn(candidate.machine);
       }
     }
   }
--- a/src/main/java/io/embernotch/scheduling/ScaleOutPlanner.java
+++ b/src/main/java/io/embernotch/scheduling/ScaleOutPlanner.java
@@ -126,10 +126,10 @@
   }
 
   /** Adds the requests to the plan. */
-  void addTo(SchedulingPlan plan) {
+  void addTo(SchedulingPlanBuilder plan) {
     requested.forEach(
         (request, number) ->
-            plan.scaleOuts.add(
+            plan.scaleOut(
                 new SchedulingPlan.ScaleOutRequest(
                     request.type(), request.zone(), request.spot(), number)));
   }
--- a/src/main/java/io/embernotch/scheduling/Scheduler.java
+++ b/src/main/java/io/embernotch/scheduling/Scheduler.java
@@ -71,11 +71,11 @@
     gangAccumulation.reserveMachines(others);
     others.forEach(job -> placement.place(job, gangAccumulation));
     headroom.keepForOthers();
-    SchedulingPlan plan = cycle.plan();
+    SchedulingPlanBuilder plan = cycle.plan();
     cycle.scaleOutPlanner().addTo(plan);
     ScaleInPlanner.addTo(plan, cycle.candidates(), cycle.now(), operator.keepIdleBoots());
-    plan.reserved = cycle.candidates().reserved();
-    return plan;
+    plan.reserve(cycle.candidates().reserved());
+    return plan.build();
   }
 
   /**
@@ -89,7 +89,7 @@
     SchedulingCycle cycle = SchedulingCycle.begin(settings, maxNewMachines, input);
     placeProduction(cycle, new JobPlacement(cycle, new CapacityAllocator(cycle)), input);
     cycle.scaleOutPlanner().addTo(cycle.plan());
-    return cycle.plan();
+    return cycle.plan().build();
   }
 
   /** Places the production jobs, and returns the other jobs in their order. */
--- a/src/main/java/io/embernotch/scheduling/SchedulingCycle.java
+++ b/src/main/java/io/embernotch/scheduling/SchedulingCycle.java
@@ -19,7 +19,7 @@
 record SchedulingCycle(
     Settings settings,
     double now,
-    SchedulingPlan plan,
+    SchedulingPlanBuilder plan,
     QuotaUsage usage,
     CandidateMachines candidates,
     ScaleOutPlanner scaleOutPlanner,
@@ -30,7 +30,7 @@
   /** Reads the input, and marks the jobs that are within their teams' guarantees. */
   static SchedulingCycle begin(Settings settings, int maxNewMachines, SchedulingInput input) {
     double now = input.now();
-    SchedulingPlan plan = new SchedulingPlan();
+    SchedulingPlanBuilder plan = new SchedulingPlanBuilder();
     QuotaUsage usage = new QuotaUsage(settings.teams(), input.jobs());
     usage.markGuaranteed(input.jobs());
     CandidateMachines candidates =
--- a/src/main/java/io/embernotch/scheduling/SchedulingPlan.java
+++ b/src/main/java/io/embernotch/scheduling/SchedulingPlan.java
@@ -3,12 +3,25 @@
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
 import io.embernotch.model.Machine;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 
-/** What the leader is to do now. The scheduler fills it; later it must not be changed. */
-public final class SchedulingPlan {
+/**
+ * What the leader is to do now.
+ *
+ * @param starts tasks to start, in the order of their jobs
+ * @param stops attempts to stop, in the order in which they were chosen
+ * @param scaleOuts machines to rent
+ * @param scaleIns idle machines to return
+ * @param reserved what is to be reserved, by machine name and index of the reservation; null:
+ *     unchanged, the plan was for production jobs alone
+ */
+public record SchedulingPlan(
+    List<Start> starts,
+    List<Stop> stops,
+    List<ScaleOutRequest> scaleOuts,
+    List<Machine> scaleIns,
+    Map<String, Resources[]> reserved) {
   /**
    * A task and the machine that it is to start on.
    *
@@ -30,9 +43,9 @@
    *
    * @param attempt the attempt
    * @param graceS seconds that it has to save its progress
-   * @param why the reason, for the log
+   * @param reason the reason, for the log
    */
-  public record Stop(Attempt attempt, double graceS, String why) {}
+  public record Stop(Attempt attempt, double graceS, String reason) {}
 
   /**
    * Machines to be rented.
@@ -43,22 +56,4 @@
    * @param number how many
    */
   public record ScaleOutRequest(String type, String zone, boolean spot, int number) {}
-
-  /** Tasks to start, in the order of their jobs. */
-  public final List<Start> starts = new ArrayList<>();
-
-  /** Attempts to stop, in the order in which they were chosen. */
-  public final List<Stop> stops = new ArrayList<>();
-
-  /** Machines to rent. */
-  public final List<ScaleOutRequest> scaleOuts = new ArrayList<>();
-
-  /** Idle machines to return. */
-  public final List<Machine> scaleIns = new ArrayList<>();
-
-  /**
-   * What is to be reserved, by machine name and index of the reservation; null: unchanged, the plan
-   * was for production jobs alone.
-   */
-  public Map<String, Resources[]> reserved;
 }
--- a/src/main/java/io/embernotch/scheduling/TaskPlacement.java
+++ b/src/main/java/io/embernotch/scheduling/TaskPlacement.java
@@ -47,7 +47,7 @@
     claimed += allocator.claimLater(job, wanted - starts.count() - claimed, zones);
     cycle.usage().add(spec, starts.count() - onPreferred + claimed);
     if (starts.count() > 0) {
-      cycle.plan().starts.add(new SchedulingPlan.Start(job, starts.placements()));
+      cycle.plan().start(new SchedulingPlan.Start(job, starts.placements()));
     }
   }
 
--- a/src/test/java/io/embernotch/scheduling/DeadlinesTest.java
+++ b/src/test/java/io/embernotch/scheduling/DeadlinesTest.java
@@ -145,7 +145,7 @@
                   List.of(),
                   ReservationView.NONE,
                   FailureRisk.NONE));
-      for (SchedulingPlan.Start s : plan.starts) {
+      for (SchedulingPlan.Start s : plan.starts()) {
         for (SchedulingPlan.Placement p : s.placements()) {
           Attempt attempt = new Attempt(s.job(), p.task(), 1, p.machine().name, "z1", 0);
           attempt.launchState = Attempt.LaunchState.CONFIRMED;
--- a/src/test/java/io/embernotch/scheduling/SchedulerTest.java
+++ b/src/test/java/io/embernotch/scheduling/SchedulerTest.java
@@ -108,7 +108,7 @@
           machine.attemptsChanged();
         }
       }
-      for (SchedulingPlan.Start start : plan().starts) {
+      for (SchedulingPlan.Start start : plan().starts()) {
         if (start.job() == gang) {
           return s;
         }
@@ -166,14 +166,14 @@
                 .replace("standard", "idle"));
     run(tiny, 0, machine);
     add(gang("j-3").replace("\"cores\":4.0", "\"cores\":8.0"));
-    assertThat(plan().stops).isEmpty();
+    assertThat(plan().stops()).isEmpty();
     full = true;
     SchedulingPlan plan = plan();
     // What need not go stays, and what can save may.
-    assertThat(plan.stops).hasSize(8).allMatch(s -> s.attempt().job == array && s.graceS() > 0);
+    assertThat(plan.stops()).hasSize(8).allMatch(s -> s.attempt().job == array && s.graceS() > 0);
     array.openAttempts.values().forEach(attempt -> attempt.stopping = true);
     machine.attemptsChanged();
-    assertThat(plan().stops).isEmpty();
+    assertThat(plan().stops()).isEmpty();
   }
 
   /**
@@ -187,15 +187,15 @@
         add(job("j-1", "array", 50_000).replace("\"owner\":\"red\"", "\"owner\":\"guests\""));
     machine("n-1", true);
     SchedulingPlan plan = plan();
-    assertThat(plan.starts.get(0).placements()).hasSize(8);
-    assertThat(plan.scaleOuts).isEmpty();
+    assertThat(plan.starts().get(0).placements()).hasSize(8);
+    assertThat(plan.scaleOuts()).isEmpty();
     machines.clear();
     // Where there are none at all, they would else wait for ever.
-    assertThat(plan().scaleOuts).isNotEmpty();
+    assertThat(plan().scaleOuts()).isNotEmpty();
     array.cancelRequested = true;
     add(job("j-2", "array", 50));
     machine("n-2", true);
-    assertThat(plan().scaleOuts).isNotEmpty();
+    assertThat(plan().scaleOuts()).isNotEmpty();
   }
 
   @Test
@@ -212,10 +212,10 @@
             gang("j-2")
                 .replace("\"shards\":1", "\"shards\":2")
                 .replace("\"cards\":8.0", "\"cards\":4.0"));
-    assertThat(plan().stops).isEmpty();
+    assertThat(plan().stops()).isEmpty();
     jobs.remove(two);
     add(gang("j-3").replace("\"owner\":\"blue\"", "\"owner\":\"guests\""));
-    assertThat(plan().stops).isEmpty();
+    assertThat(plan().stops()).isEmpty();
   }
 
   @Test
@@ -227,7 +227,7 @@
       run(array, i, machine);
     }
     add(gang("j-2"));
-    assertThat(plan().stops).isEmpty();
+    assertThat(plan().stops()).isEmpty();
   }
 
   /**
@@ -246,10 +246,10 @@
                 .replace("\"loaner\":true", "\"loaner\":false"));
     SchedulingPlan all = plan();
     SchedulingPlan first = planner.liveOnly(situation());
-    assertThat(all.starts).extracting(s -> s.job()).containsExactly(live, array);
-    assertThat(first.starts).containsExactly(all.starts.get(0));
-    assertThat(first.scaleIns).isEmpty();
-    assertThat(first.stops).isEmpty();
+    assertThat(all.starts()).extracting(s -> s.job()).containsExactly(live, array);
+    assertThat(first.starts()).containsExactly(all.starts().get(0));
+    assertThat(first.scaleIns()).isEmpty();
+    assertThat(first.stops()).isEmpty();
   }
 
   @Test
@@ -265,9 +265,9 @@
             .replace("standard", "production")
             .replace("\"loaner\":true", "\"loaner\":false"));
     SchedulingPlan p = plan();
-    assertThat(p.stops).hasSize(1);
-    assertThat(p.stops.get(0).graceS()).isZero();
-    assertThat(p.starts).isEmpty();
+    assertThat(p.stops()).hasSize(1);
+    assertThat(p.stops().get(0).graceS()).isZero();
+    assertThat(p.starts()).isEmpty();
   }
 
   @Test
@@ -279,7 +279,7 @@
       run(array, t, machine);
     }
     add(job("j-2", "standing", 1));
-    assertThat(plan().stops).isEmpty();
+    assertThat(plan().stops()).isEmpty();
   }
 
   @Test
@@ -297,7 +297,7 @@
     SchedulingPlan p = plan();
     assertThat(array.withinGuarantee).isTrue();
     assertThat(jobs.get(2).withinGuarantee).isFalse();
-    assertThat(p.stops).isEmpty();
+    assertThat(p.stops()).isEmpty();
   }
 
   @Test
@@ -307,11 +307,11 @@
     run(add(job("j-1", "standing", 1)), 0, pinned);
     add(job("j-2", "array", 9));
     SchedulingPlan p = plan();
-    assertThat(p.starts).hasSize(1);
-    assertThat(p.starts.get(0).placements()).hasSize(7).allMatch(x -> x.machine() == pinned);
-    assertThat(p.scaleOuts)
+    assertThat(p.starts()).hasSize(1);
+    assertThat(p.starts().get(0).placements()).hasSize(7).allMatch(x -> x.machine() == pinned);
+    assertThat(p.scaleOuts())
         .containsExactly(
-            new SchedulingPlan.ScaleOutRequest("g8", p.scaleOuts.get(0).zone(), true, 1));
+            new SchedulingPlan.ScaleOutRequest("g8", p.scaleOuts().get(0).zone(), true, 1));
     assertThat(idle.openAttempts).isEmpty();
   }
 
@@ -321,15 +321,15 @@
     Machine cached = machine("n-2", true);
     cached.images.add("img");
     add(job("j-1", "array", 1));
-    assertThat(plan().starts.get(0).placements().get(0).machine()).isSameAs(cached);
+    assertThat(plan().starts().get(0).placements().get(0).machine()).isSameAs(cached);
   }
 
   @Test
   void anIdleMachineIsReturnedAfterAWhile() {
     Machine machine = machine("n-1", true);
-    assertThat(plan().scaleIns).isEmpty();
+    assertThat(plan().scaleIns()).isEmpty();
     machine.idleSince = 900;
-    assertThat(plan().scaleIns).containsExactly(machine);
+    assertThat(plan().scaleIns()).containsExactly(machine);
   }
 
   @Test
@@ -340,10 +340,10 @@
             .replace("\"shards\":1", "\"shards\":3")
             .replace("\"one_zone\":false", "\"one_zone\":true"));
     SchedulingPlan p = plan();
-    assertThat(p.starts).isEmpty();
-    assertThat(p.scaleOuts).hasSize(1);
-    assertThat(p.scaleOuts.get(0).zone()).isEqualTo("z1");
-    assertThat(p.scaleOuts.get(0).number()).isEqualTo(2);
+    assertThat(p.starts()).isEmpty();
+    assertThat(p.scaleOuts()).hasSize(1);
+    assertThat(p.scaleOuts().get(0).zone()).isEqualTo("z1");
+    assertThat(p.scaleOuts().get(0).number()).isEqualTo(2);
   }
 
   @Test
@@ -361,17 +361,17 @@
                 .replace("standard", "production")
                 .replace("\"loaner\":true", "\"loaner\":false"));
     // A new service takes the empty machine; nobody is stopped for an image.
-    assertThat(plan().starts.get(0).placements().get(0).machine()).isSameAs(empty);
+    assertThat(plan().starts().get(0).placements().get(0).machine()).isSameAs(empty);
     service.restartedTasks.set(0);
     SchedulingPlan p = plan();
-    assertThat(p.starts).isEmpty();
-    assertThat(p.stops).hasSize(1);
-    p.stops.get(0).attempt().stopping = true;
+    assertThat(p.starts()).isEmpty();
+    assertThat(p.stops()).hasSize(1);
+    p.stops().get(0).attempt().stopping = true;
     cached.attemptsChanged();
     // Until the room is there the replica keeps its claim, and no second one is stopped.
     SchedulingPlan later = plan();
-    assertThat(later.starts).isEmpty();
-    assertThat(later.stops).isEmpty();
+    assertThat(later.starts()).isEmpty();
+    assertThat(later.stops()).isEmpty();
   }
 
   @Test
@@ -379,11 +379,11 @@
     // Machines boot in 60 s and the tasks run 30: two in a row wait no longer than for another
     // boot.
     add(job("j-1", "array", 24));
-    assertThat(plan().scaleOuts.stream().mapToInt(SchedulingPlan.ScaleOutRequest::number).sum())
+    assertThat(plan().scaleOuts().stream().mapToInt(SchedulingPlan.ScaleOutRequest::number).sum())
         .isEqualTo(1);
     jobs.clear();
     add(job("j-2", "array", 24).replace("\"expect_s\":30.0", "\"expect_s\":300.0"));
-    assertThat(plan().scaleOuts.stream().mapToInt(SchedulingPlan.ScaleOutRequest::number).sum())
+    assertThat(plan().scaleOuts().stream().mapToInt(SchedulingPlan.ScaleOutRequest::number).sum())
         .isEqualTo(3);
   }
 
@@ -396,10 +396,10 @@
       run(running, t, machine);
     }
     add(job("j-2", "array", 6));
-    assertThat(plan().scaleOuts).isEmpty();
+    assertThat(plan().scaleOuts()).isEmpty();
     // More than will have ended by then are worth one.
     add(job("j-3", "array", 6));
-    assertThat(plan().scaleOuts).hasSize(1);
+    assertThat(plan().scaleOuts()).hasSize(1);
   }
 
   private static String small(String ref, int tasks) {
@@ -418,15 +418,16 @@
     Machine spot = machine("n-2", true);
     add(small("j-2", 4));
     SchedulingPlan p = plan();
-    assertThat(p.starts).hasSize(1);
-    assertThat(p.starts.get(0).placements()).hasSize(4).allMatch(x -> x.machine() == taken);
-    assertThat(p.scaleOuts).isEmpty();
+    assertThat(p.starts()).hasSize(1);
+    assertThat(p.starts().get(0).placements()).hasSize(4).allMatch(x -> x.machine() == taken);
+    assertThat(p.scaleOuts()).isEmpty();
     // The gang takes 4 CPUs here, so 22 such tasks have room beside it.
     jobs.remove(1);
     add(small("j-3", 30));
     p = plan();
-    assertThat(p.starts.get(0).placements().stream().filter(x -> x.machine() == taken)).hasSize(22);
-    assertThat(p.starts.get(0).placements().stream().filter(x -> x.machine() == spot)).hasSize(8);
+    assertThat(p.starts().get(0).placements().stream().filter(x -> x.machine() == taken))
+        .hasSize(22);
+    assertThat(p.starts().get(0).placements().stream().filter(x -> x.machine() == spot)).hasSize(8);
   }
 
   @Test
@@ -446,13 +447,13 @@
     List<String> order = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       SchedulingPlan p = plan();
-      assertThat(p.starts).hasSize(1);
-      Job next = p.starts.get(0).job();
+      assertThat(p.starts()).hasSize(1);
+      Job next = p.starts().get(0).job();
       order.add(next.spec.ref());
       jobs.remove(next);
     }
     assertThat(order).containsExactly("j-3", "j-2", "j-1");
     assertThat(jobs).containsExactly(waiting);
-    assertThat(plan().starts).isEmpty();
+    assertThat(plan().starts()).isEmpty();
   }
 }
--- a/src/test/java/io/embernotch/scheduling/TopologySpreadTest.java
+++ b/src/test/java/io/embernotch/scheduling/TopologySpreadTest.java
@@ -78,7 +78,7 @@
   private Map<Machine, Integer> placed(FailureRisk risk) {
     Map<Machine, Integer> out = new HashMap<>();
     plan(risk)
-        .starts
+        .starts()
         .forEach(s -> s.placements().forEach(p -> out.merge(p.machine(), 1, Integer::sum)));
     return out;
   }
@@ -169,7 +169,7 @@
         t.machines.remove(machine);
         t.machine(machine.zone);
       }
-      for (SchedulingPlan.Start s : t.plan(risk).starts) {
+      for (SchedulingPlan.Start s : t.plan(risk).starts()) {
         for (SchedulingPlan.Placement p : s.placements()) {
           Attempt attempt =
               new Attempt(s.job(), p.task(), 1, p.machine().name, p.machine().zone, 0);
