--- a/src/main/java/io/embernotch/leader/SchedulingLoop.java
+++ b/src/main/java/io/embernotch/leader/SchedulingLoop.java
@@ -158,7 +158,7 @@
     boolean liveServicesOnly = liveServicesWait(now);
     SchedulingInput input = inputs.gather(now);
     SchedulingPlan plan = liveServicesOnly ? scheduler.liveOnly(input) : scheduler.plan(input);
-    sharedState.reservations().planned(plan.held);
+    sharedState.reservations().planned(plan.reserved());
     lastRunTookS = context.clock().now() - now;
     latencies.record(liveServicesOnly ? "live plan" : "plan", lastRunTookS);
     executor.execute(plan, now);
