--- a/src/test/java/io/embernotch/agents/LateHeartbeatCopiesTest.java
+++ b/src/test/java/io/embernotch/agents/LateHeartbeatCopiesTest.java
@@ -28,18 +28,21 @@
   }
 
   /**
-   * Seconds until all replicas are up again, while copies of what the dead machine had said come as
-   * long ago as it says.
+   * Seconds until all replicas are up again, while copies of the dead machine's heartbeats arrive
+   * that many seconds late; no copies arrive if it is 0.
    */
-  private double backAfter(double copiesLateS, ControllerNode to) {
-    List<byte[]> said = List.copyOf(cluster.heartbeatsOf(dead.name));
-    int next = Math.max(0, said.size() - (int) copiesLateS);
+  private double recoveryS(double copiesLateS, ControllerNode to) {
+    List<byte[]> heartbeats = List.copyOf(cluster.heartbeatsOf(dead.name));
+    int next = Math.max(0, heartbeats.size() - (int) copiesLateS);
     for (double t = 0; t < 90; t += 0.5) {
-      if (cluster.runningTasks("j-1").values().stream().filter(w -> !w.partitioned).count() == 16) {
+      if (cluster.runningTasks("j-1").values().stream()
+              .filter(worker -> !worker.partitioned)
+              .count()
+          == 16) {
         return t;
       }
-      if (copiesLateS > 0 && t == Math.floor(t) && next < said.size()) {
-        cluster.deliverHeartbeat(to.down ? cluster.otherNode(to) : to, said.get(next++));
+      if (copiesLateS > 0 && t == Math.floor(t) && next < heartbeats.size()) {
+        cluster.deliverHeartbeat(to.down ? cluster.otherNode(to) : to, heartbeats.get(next++));
       }
       cluster.advance(0.5);
     }
@@ -47,57 +50,57 @@
   }
 
   @AfterEach
-  void nothingEverRanTwice() {
+  void noTaskEverRanTwice() {
     assertThat(cluster.violations()).isEmpty();
   }
 
-  private double afterADeath(double copiesLateS) {
+  private double recoveryAfterMachineFailure(double copiesLateS) {
     service();
     dead.partitioned = true;
-    return backAfter(copiesLateS, cluster.otherNode(cluster.leader()));
+    return recoveryS(copiesLateS, cluster.otherNode(cluster.leader()));
   }
 
   /**
-   * Each renewed the lease that was assumed, and kept the services of a dead machine down for as
-   * long as copies came.
+   * Copies must not renew the lease that the leader assumes: services of a dead machine would stay
+   * down for as long as copies arrive.
    */
   @Test
-  void copiesOfWhatADeadMachineSaidHoldNothingUp() {
-    double without = afterADeath(0);
+  void copiesOfADeadMachinesHeartbeatsDelayNoRecovery() {
+    double without = recoveryAfterMachineFailure(0);
     LateHeartbeatCopiesTest other = new LateHeartbeatCopiesTest();
-    double with = other.afterADeath(40);
+    double with = other.recoveryAfterMachineFailure(40);
     assertThat(other.cluster.violations()).isEmpty();
     assertThat(with)
         .isLessThanOrEqualTo(
             without + other.cluster.nodes.get(0).settings.workers().heartbeatIntervalS());
   }
 
-  private double afterATakeover(double copiesLateS) {
+  private double recoveryAfterFailover(double copiesLateS) {
     service();
     cluster.advance(40);
     dead.partitioned = true;
     ControllerNode leader = cluster.leader();
     leader.kill();
-    return backAfter(copiesLateS, cluster.otherNode(leader));
+    return recoveryS(copiesLateS, cluster.otherNode(leader));
   }
 
-  /** A new leader first hears of a machine by a copy from 40 s ago, and by others after it. */
+  /** A new leader first learns of a machine by a copy from 40 s ago, and then by others. */
   @Test
-  void aNewLeaderTakesNoCopyForASignOfLife() {
-    double without = afterATakeover(0);
+  void newLeaderTakesNoCopyForASignOfLife() {
+    double without = recoveryAfterFailover(0);
     LateHeartbeatCopiesTest other = new LateHeartbeatCopiesTest();
-    double with = other.afterATakeover(40);
+    double with = other.recoveryAfterFailover(40);
     assertThat(other.cluster.violations()).isEmpty();
     assertThat(with)
         .isLessThanOrEqualTo(
             without + cluster.nodes.get(0).settings.workers().heartbeatIntervalS());
   }
 
-  /** A machine that the former leader returned is reported to the next one, by a copy. */
+  /** The next leader learns, by a copy, of a machine that the former one had scaled in. */
   @Test
-  void aCopyOfAReturnedMachineTakesNoWorkForLong() {
+  void copyOfAScaledInMachineGetsNoTasksForLong() {
     service();
-    List<byte[]> said = List.copyOf(cluster.heartbeatsOf(dead.name));
+    List<byte[]> heartbeats = List.copyOf(cluster.heartbeatsOf(dead.name));
     cluster.workers.remove(dead.name);
     cluster.cloud.deleted.add(dead.name);
     cluster.advance(60);
@@ -105,17 +108,19 @@
     leader.kill();
     cluster.awaitLeader(6);
     ControllerNode next = cluster.leader();
-    said.subList(0, 3).forEach(r -> cluster.deliverHeartbeat(next, r));
+    heartbeats.subList(0, 3).forEach(copy -> cluster.deliverHeartbeat(next, copy));
     cluster.submit(next.index, job("j-2", "array", 24));
     cluster.advance(15);
     assertThat(cluster.runningTasks("j-2")).hasSize(24);
   }
 
   /**
-   * One machine, and what its worker would have reported in a later session of the life that ends
-   * now.
+   * Begins another incarnation of the only machine.
+   *
+   * @param laterSeq how far the new incarnation counts on above the former one; 0 if it counts anew
+   * @return a heartbeat that the former incarnation would have sent in a later agent epoch
    */
-  private byte[] lifeThatEnds(int laterSeq) {
+  private byte[] replaceIncarnation(int laterSeq) {
     cluster.awaitLeader(3);
     String name = cluster.boot("g8", "z1", true);
     cluster.advance(12);
@@ -131,70 +136,70 @@
   }
 
   /**
-   * Carries out what was held, without an answer, has the copy arrive, and gives the task another
-   * place to go to.
+   * Has the delayed start executed, with its answer lost, then the copy arrive, and boots another
+   * machine where the task could start a second time.
    */
-  private void carriedOutThenCopied(byte[] former) {
+  private void executeStartThenDeliver(byte[] former) {
     for (int i = 0; i < 400 && cluster.delayedCount() == 0; i++) {
       cluster.time.advance(0.02);
     }
     cluster.deliverDelayed();
     assertThat(dead.runningTasks()).hasSize(1);
-    cluster.nodes.forEach(n -> cluster.deliverHeartbeat(n, former));
+    cluster.nodes.forEach(node -> cluster.deliverHeartbeat(node, former));
     cluster.faults.commandDelivery = Delivery.DELIVERED;
     cluster.cloud.bootDisabled = false;
     cluster.boot("g8", "z1", true);
     cluster.advance(20);
   }
 
-  /** The same before the present life has shown any token that only it can have seen. */
+  /** Before the present incarnation has reported any token that only it can have seen. */
   @Test
-  void norBeforeThePresentLifeHasShownAToken() {
-    byte[] former = lifeThatEnds(0);
+  void copyProvesNothingBeforeThePresentIncarnationHasReportedAToken() {
+    byte[] former = replaceIncarnation(0);
     cluster.submit(0, job("j-4", "array", 1));
-    carriedOutThenCopied(former);
+    executeStartThenDeliver(former);
   }
 
   /**
-   * The same where nobody has noticed that there was another incarnation, since this one counts on
-   * from above it.
+   * Where nobody has noticed that there is another incarnation, since it counts on from above the
+   * former one.
    */
   @Test
-  void norWhereTheOtherLifeWentUnnoticed() {
-    byte[] former = lifeThatEnds(40);
+  void copyProvesNothingWhereTheNewIncarnationWentUnnoticed() {
+    byte[] former = replaceIncarnation(40);
     cluster.advance(3);
     cluster.submit(0, job("j-5", "array", 1));
-    carriedOutThenCopied(former);
+    executeStartThenDeliver(former);
   }
 
   /**
-   * A copy of a machine's former incarnation, with a later session than it has now, proved gone
-   * what had just been sent to it and not been answered: it was started elsewhere, and then there
-   * too.
+   * A copy of a machine's former incarnation, with a later agent epoch than it has now, must not
+   * prove gone what has just been sent to it and not been answered: that would be started
+   * elsewhere, and then here too.
    */
   @Test
-  void aCopyOfAFormerLifeWithALaterSessionProvesNothing() {
+  void copyOfAFormerIncarnationWithALaterAgentEpochProvesNothing() {
     cluster.awaitLeader(3);
     String name = cluster.boot("g8", "z1", true);
     cluster.advance(7);
-    FakeWorker w = cluster.workers.get(name);
-    w.partitioned = true;
+    FakeWorker worker = cluster.workers.get(name);
+    worker.partitioned = true;
     cluster.advance(12);
-    w.partitioned = false;
-    w.epoch = 4;
+    worker.partitioned = false;
+    worker.epoch = 4;
     cluster.advance(4);
     byte[] former = cluster.heartbeatsOf(name).get(cluster.heartbeatsOf(name).size() - 1);
-    w.restart(true);
+    worker.restart(true);
     cluster.advance(8);
     cluster.faults.commandDelivery = Delivery.DELAYED;
     cluster.submit(0, job("j-3", "array", 4));
     cluster.advance(4);
     cluster.faults.commandDelivery = Delivery.DELIVERED;
-    // Carried out now; its answer goes nowhere.
+    // Executed now; its answer is lost.
     cluster.deliverDelayed();
-    cluster.nodes.forEach(n -> cluster.deliverHeartbeat(n, former));
+    cluster.nodes.forEach(node -> cluster.deliverHeartbeat(node, former));
     cluster.advance(0.3);
-    cluster.nodes.forEach(n -> cluster.deliverHeartbeat(n, former));
+    cluster.nodes.forEach(node -> cluster.deliverHeartbeat(node, former));
     cluster.advance(30);
     assertThat(cluster.runningTasks("j-3")).hasSize(4);
   }
--- a/src/test/java/io/embernotch/agents/ReachabilityTrackerTest.java
+++ b/src/test/java/io/embernotch/agents/ReachabilityTrackerTest.java
@@ -10,12 +10,15 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Machines whose heartbeats arrive while neither answers nor commands reach them. */
+/**
+ * One-way partitions: machines whose heartbeats arrive while neither responses nor commands reach
+ * them.
+ */
 class ReachabilityTrackerTest {
   private final SimulatedCluster cluster = new SimulatedCluster(3, 1000);
 
-  private List<FakeWorker> machines(int n) {
-    for (int i = 0; i < n; i++) {
+  private List<FakeWorker> machines(int count) {
+    for (int i = 0; i < count; i++) {
       cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
     cluster.advance(8);
@@ -29,20 +32,20 @@
     return cluster.runningTasks("j-1");
   }
 
-  private int upElsewhere(String ref) {
+  private int runningOnReachable(String ref) {
     return (int)
         cluster.runningTasks(ref).values().stream()
-            .filter(w -> !w.inboundPartitioned && !w.partitioned)
+            .filter(worker -> !worker.inboundPartitioned && !worker.partitioned)
             .count();
   }
 
   @AfterEach
-  void nothingEverRanTwice() {
+  void noTaskEverRanTwice() {
     assertThat(cluster.violations()).isEmpty();
   }
 
   @Test
-  void aGangWithATaskThereBeginsElsewhere() {
+  void gangWithATaskOnAnUnreachableMachineBeginsElsewhere() {
     cluster.awaitLeader(3);
     List<FakeWorker> all = machines(4);
     all.get(0).inboundPartitioned = true;
@@ -52,60 +55,63 @@
             .replace("\"cores\":4.0", "\"cores\":40.0");
     assertThat(cluster.submit(1, gang).status()).isEqualTo(201);
     cluster.advance(30);
-    assertThat(upElsewhere("j-2")).isEqualTo(4);
+    assertThat(runningOnReachable("j-2")).isEqualTo(4);
   }
 
   @Test
-  void servicesAreBackElsewhereOnceTheirOldReplicasAreProvenGone() {
+  void servicesFailOverOnceTheirOldReplicasAreProvenGone() {
     cluster.awaitLeader(3);
     machines(8);
     Map<String, FakeWorker> before = service(40);
-    FakeWorker deaf = before.get("j-1/0");
-    deaf.inboundPartitioned = true;
-    long there = before.values().stream().filter(w -> w == deaf).count();
+    FakeWorker unreachable = before.get("j-1/0");
+    unreachable.inboundPartitioned = true;
+    long replicas = before.values().stream().filter(worker -> worker == unreachable).count();
     cluster.advance(10);
-    // What runs there runs until its lease is over.
-    assertThat(cluster.runningTasks("j-1").values().stream().filter(w -> w == deaf).count())
-        .isEqualTo(there);
+    // Its tasks run until its lease has expired.
+    assertThat(
+            cluster.runningTasks("j-1").values().stream()
+                .filter(worker -> worker == unreachable)
+                .count())
+        .isEqualTo(replicas);
     cluster.advance(30);
-    assertThat(upElsewhere("j-1")).isEqualTo(40);
-    assertThat(deaf.lostStartCount).isZero();
+    assertThat(runningOnReachable("j-1")).isEqualTo(40);
+    assertThat(unreachable.lostStartCount).isZero();
   }
 
   @Test
-  void oneThatHearsAgainIsUsedAgainAndLosesNothing() {
+  void machineThatIsReachableAgainIsUsedAgainAndLosesNothing() {
     cluster.awaitLeader(3);
     machines(2);
     Map<String, FakeWorker> before = service(12);
-    FakeWorker deaf = before.get("j-1/0");
-    deaf.inboundPartitioned = true;
+    FakeWorker unreachable = before.get("j-1/0");
+    unreachable.inboundPartitioned = true;
     cluster.advance(18);
-    deaf.inboundPartitioned = false;
+    unreachable.inboundPartitioned = false;
     cluster.advance(6);
     assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
     cluster.submit(0, job("j-3", "array", 4));
     cluster.advance(5);
     assertThat(cluster.runningTasks("j-3")).hasSize(4);
-    assertThat(cluster.cloud.deleted).doesNotContain(deaf.name);
+    assertThat(cluster.cloud.deleted).doesNotContain(unreachable.name);
   }
 
   /**
-   * When all controllers move their workers about, as after crashes, nobody is taken for
-   * unreachable and returned.
+   * Where many agents change controllers at once, as after crashes, no machine is taken for
+   * unreachable and scaled in.
    */
   @Test
-  void manyAtOnceAreNotReturned() {
+  void manyUnreachableAtOnceAreNotScaledIn() {
     cluster.awaitLeader(3);
     List<FakeWorker> all = machines(30);
     Map<String, FakeWorker> before = service(240);
     cluster.cloud.outOfCapacity = true;
-    all.subList(0, 15).forEach(w -> w.inboundPartitioned = true);
+    all.subList(0, 15).forEach(worker -> worker.inboundPartitioned = true);
     cluster.advance(15);
-    all.forEach(w -> w.inboundPartitioned = false);
+    all.forEach(worker -> worker.inboundPartitioned = false);
     cluster.advance(15);
     assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
-    // Even when what ran there has ended with its leases, it may be our answers that are lost.
-    all.subList(0, 15).forEach(w -> w.inboundPartitioned = true);
+    // Even once their tasks have ended with their leases, it may be the leader that cannot send.
+    all.subList(0, 15).forEach(worker -> worker.inboundPartitioned = true);
     cluster.advance(50);
     assertThat(cluster.workers.values()).containsAll(all);
   }
--- a/src/test/java/io/embernotch/forwarding/IsolatedControllerTest.java
+++ b/src/test/java/io/embernotch/forwarding/IsolatedControllerTest.java
@@ -13,7 +13,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** A controller that loses the store and the other controllers, but not its workers. */
+/**
+ * A controller that is partitioned from the store and the other controllers, not from its agents.
+ */
 class IsolatedControllerTest {
   private final SimulatedCluster cluster = new SimulatedCluster(3, 100);
 
@@ -23,10 +25,10 @@
       cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
     cluster.advance(8);
-    // Workers are spread over the controllers.
+    // Agents are spread over the controllers.
     int next = 0;
-    for (FakeWorker w : cluster.workers.values()) {
-      w.controllerIndex = next++ % 3;
+    for (FakeWorker worker : cluster.workers.values()) {
+      worker.controllerIndex = next++ % 3;
     }
     assertThat(cluster.submit(0, job("j-1", "standing", 90)).status()).isEqualTo(201);
     cluster.advance(15);
@@ -35,81 +37,82 @@
     return cluster.runningTasks("j-1");
   }
 
-  private void alone(ControllerNode n, boolean is) {
-    n.storeUnavailable = is;
-    n.peersUnreachable = is;
+  private void isolate(ControllerNode node, boolean isolated) {
+    node.storeUnavailable = isolated;
+    node.peersUnreachable = isolated;
   }
 
   @AfterEach
-  void nothingEverRanTwice() {
+  void noTaskEverRanTwice() {
     assertThat(cluster.violations()).isEmpty();
   }
 
   @ParameterizedTest
   @CsvSource({"true,30", "true,60", "true,150", "false,30", "false,60", "false,150"})
-  void keepsNoWorkerToItsDeath(boolean leader, int seconds) {
+  void keepsNoAgentUntilItsLeaseExpires(boolean leader, int seconds) {
     Map<String, FakeWorker> before = service();
-    ControllerNode n = leader ? cluster.leader() : cluster.otherNode(cluster.leader());
-    alone(n, true);
-    double told = 0;
+    ControllerNode node = leader ? cluster.leader() : cluster.otherNode(cluster.leader());
+    isolate(node, true);
+    double longestPollS = 0;
     for (int s = 0; s < seconds; s += 5) {
       cluster.advance(5);
       assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
       if (s >= 5) {
-        // Who asks here is told at once to ask elsewhere, and the balancer to send nobody.
-        double at = cluster.time.now();
-        int status = cluster.poll(n.index, "j-1").status();
-        told = Math.max(told, cluster.time.now() - at);
+        // A poll is refused at once, and the load balancer is told to send nobody.
+        double askedAt = cluster.time.now();
+        int status = cluster.poll(node.index, "j-1").status();
+        longestPollS = Math.max(longestPollS, cluster.time.now() - askedAt);
         assertThat(status).isEqualTo(503);
-        assertThat(n.controller.ready().status()).isEqualTo(503);
+        assertThat(node.controller.ready().status()).isEqualTo(503);
       }
     }
-    assertThat(told).isLessThan(1);
-    assertThat(cluster.leader()).isNotNull().isNotEqualTo(n);
-    alone(n, false);
+    assertThat(longestPollS).isLessThan(1);
+    assertThat(cluster.leader()).isNotNull().isNotEqualTo(node);
+    isolate(node, false);
     cluster.advance(40);
     assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
-    // Of a lease that was last renewed there, this was left when another controller renewed it.
+    // The least share of a lease, last renewed here, that was left when another controller renewed
+    // it.
     assertThat(cluster.minRemainingLeaseShare()).isGreaterThan(0.4);
   }
 
   /**
-   * The next leader held workers for as long as the former version counts on, since the one
-   * partitioned had not written to it.
+   * The next leader must not renew leases only for as long as the former version assumes because
+   * the partitioned one has sent nothing to it.
    */
   @ParameterizedTest
   @CsvSource({"true", "false"})
-  void anOutageAfterALeaderWasCutOffEndsNothing(boolean ends) {
+  void storeOutageAfterALeaderWasPartitionedEndsNothing(boolean leaderFails) {
     Map<String, FakeWorker> before = service();
-    ControllerNode n = cluster.leader();
-    if (ends) {
-      n.kill();
+    ControllerNode node = cluster.leader();
+    if (leaderFails) {
+      node.kill();
     }
-    alone(n, true);
+    isolate(node, true);
     cluster.advance(8);
-    assertThat(cluster.leader()).isNotNull().isNotEqualTo(n);
+    assertThat(cluster.leader()).isNotNull().isNotEqualTo(node);
     cluster.store.outage = true;
-    cluster.advance(n.settings.gracePeriodS() + 0.6 * n.settings.workers().leaseS());
+    cluster.advance(node.settings.gracePeriodS() + 0.6 * node.settings.workers().leaseS());
     assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
     cluster.store.endOutage();
-    alone(n, false);
-    if (ends) {
-      n.start();
+    isolate(node, false);
+    if (leaderFails) {
+      node.start();
     }
     cluster.advance(40);
     assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
   }
 
   /**
-   * Where the next leader has reached a worker it serves it too: one that shows its token is sent
-   * away at once.
+   * Where the next leader has reached an agent it serves it too: an agent that reports its fencing
+   * token is sent away at once.
    */
   @ParameterizedTest
   @CsvSource({"true", "false"})
-  void sendsAwayWhoHasSeenALaterLeader(boolean leader) {
+  void sendsAwayAgentsThatHaveSeenALaterLeader(boolean leader) {
     Map<String, FakeWorker> before = service();
-    ControllerNode n = leader ? cluster.leader() : cluster.otherNode(cluster.leader());
-    alone(n, true);
+    ControllerNode node = leader ? cluster.leader() : cluster.otherNode(cluster.leader());
+    isolate(node, true);
     cluster.advance(10);
     if (!leader) {
       ControllerNode other = cluster.leader();
@@ -125,13 +128,13 @@
     List<FakeWorker> reached =
         cluster.workers.values().stream()
             .filter(
-                w ->
-                    w.controllerIndex == n.index
-                        && w.fencingToken
+                worker ->
+                    worker.controllerIndex == node.index
+                        && worker.fencingToken
                             >= FencingTokens.base(cluster.store.modRevision("steward")))
             .toList();
     cluster.advance(1.5);
-    assertThat(reached).noneMatch(w -> w.controllerIndex == n.index);
+    assertThat(reached).noneMatch(worker -> worker.controllerIndex == node.index);
     cluster.advance(10);
     assertThat(cluster.runningTasks("j-2")).hasSize(150);
     cluster.advance(50);
--- a/src/test/java/io/embernotch/testkit/FakeStore.java
+++ b/src/test/java/io/embernotch/testkit/FakeStore.java
@@ -123,6 +123,14 @@
     limits.set(valueBytes, operations, changesPerS);
   }
 
+  public int maxTransactionOperations() {
+    return limits.maxOperations();
+  }
+
+  public void setMaxTransactionOperations(int operations) {
+    limits.setMaxOperations(operations);
+  }
+
   public void setMaxChangesPerS(double changesPerS) {
     limits.setMaxChangesPerS(changesPerS);
   }
--- a/src/test/java/io/embernotch/testkit/StoreLimits.java
+++ b/src/test/java/io/embernotch/testkit/StoreLimits.java
@@ -26,6 +26,14 @@
     maxChangesPerS = changesPerS;
   }
 
+  int maxOperations() {
+    return maxOperations;
+  }
+
+  void setMaxOperations(int operations) {
+    maxOperations = operations;
+  }
+
   void setMaxChangesPerS(double changesPerS) {
     maxChangesPerS = changesPerS;
   }
