--- a/src/main/java/io/embernotch/controller/Controller.java
+++ b/src/main/java/io/embernotch/controller/Controller.java
@@ -33,6 +33,8 @@
   /** Straggler rounds after which a machine view that was not renewed is dropped. */
   private static final int MACHINE_VIEW_ROUNDS = 6;
 
+  private static final int TICKS_PER_HEARTBEAT_INTERVAL = 3;
+
   private final ControllerContext context;
   private final PeerLink peers;
   private final LeaseRenewer leaseRenewer;
@@ -202,7 +204,8 @@
               snapshots.tick(incarnations.name(), leader::copy);
             });
     peerLiveness.takeNewlyUnresponsive().forEach(peers::renew);
-    context.timers().after(context.settings().workers().heartbeatIntervalS() / 3, this::tick);
+    double heartbeatIntervalS = context.settings().workers().heartbeatIntervalS();
+    context.timers().after(heartbeatIntervalS / TICKS_PER_HEARTBEAT_INTERVAL, this::tick);
   }
 
   private void machineTypesLearned() {
--- a/src/main/java/io/embernotch/controller/ControllerLeaderContext.java
+++ b/src/main/java/io/embernotch/controller/ControllerLeaderContext.java
@@ -75,7 +75,8 @@
   @Override
   public void resign(String why) {
     if (!peerLiveness.live().isEmpty()) {
-      election.resign(why, settings.workers().leaseS() / 2);
+      double avoidS = settings.workers().leaseS() / 2;
+      election.resign(why, avoidS);
     }
   }
 
--- a/src/main/java/io/embernotch/controller/JobQueries.java
+++ b/src/main/java/io/embernotch/controller/JobQueries.java
@@ -32,6 +32,15 @@
   private final LeaderRequests leader;
   private final double heartbeatIntervalS;
 
+  /** Seconds for which a poll waits for the leader. */
+  private final double pollTimeoutS;
+
+  /** Seconds of failing requests after which the store is not asked. */
+  private final double maxStoreFailureS;
+
+  /** Seconds of the wait for a read of the store from which on it is not asked. */
+  private final double maxReadWaitS;
+
   /** A flood of polls costs other nodes and the store nothing, and agents little. */
   private final PollRateLimiter rateLimiter;
 
@@ -51,6 +60,9 @@
     this.acceptedHere = acceptedHere;
     this.leader = leader;
     this.heartbeatIntervalS = context.settings().workers().heartbeatIntervalS();
+    this.pollTimeoutS = heartbeatIntervalS / 6;
+    this.maxStoreFailureS = heartbeatIntervalS / 6;
+    this.maxReadWaitS = heartbeatIntervalS / 12;
     this.rateLimiter = new PollRateLimiter(context.clock(), context.timers(), context.settings());
   }
 
@@ -77,7 +89,7 @@
 
   private Future<HttpResponse> status(String ref) {
     return leader
-        .request(Frame.ForwardedRequest.Kind.POLL, ref, heartbeatIntervalS / 6)
+        .request(Frame.ForwardedRequest.Kind.POLL, ref, pollTimeoutS)
         .compose(
             response -> response.status() == UNAVAILABLE ? statusFromStore(ref) : answer(response));
   }
@@ -87,10 +99,10 @@
     if (!incarnations.mayAnswerFromStore()) {
       return answer(contentsUnknown());
     }
-    if (context.store().failingForS() > heartbeatIntervalS / 6) {
+    if (context.store().failingForS() > maxStoreFailureS) {
       return answer(HttpResponse.later("the state service does not answer"));
     }
-    if (context.store().readWaitS() > heartbeatIntervalS / 12) {
+    if (context.store().readWaitS() > maxReadWaitS) {
       // A read that is queued for so long is answered after its user has gone, as are the next.
       return answer(HttpResponse.later("more is asked than the state service takes"));
     }
--- a/src/main/java/io/embernotch/controller/NodeStatus.java
+++ b/src/main/java/io/embernotch/controller/NodeStatus.java
@@ -49,10 +49,10 @@
       return HttpResponse.later("machine types are not known yet");
     }
     double storeFailingForS = context.store().failingForS();
+    double toleratedFailureS = context.settings().workers().heartbeatIntervalS() / 2;
     // In an outage all nodes are alike, and leaving the balancer would only delay the return.
     boolean onlyThisNodeFails =
-        storeFailingForS > context.settings().workers().heartbeatIntervalS() / 2
-            && peerLiveness.anyReachesStore();
+        storeFailingForS > toleratedFailureS && peerLiveness.anyReachesStore();
     boolean isolated =
         !context.settings().members().isEmpty()
             && peerLiveness.live().isEmpty()
--- a/src/main/java/io/embernotch/controller/RoleTransitions.java
+++ b/src/main/java/io/embernotch/controller/RoleTransitions.java
@@ -74,8 +74,7 @@
   public void leadershipLost(String why) {
     context.store().setLeading(false);
     localLeader.end();
-    leaderObserver.update(null, 0);
-    heartbeatForwarder.leaderChanged(null, 0, false);
+    leaderAbsent();
   }
 
   @Override
@@ -85,6 +84,12 @@
     heartbeatForwarder.leaderChanged(node, epoch, acceptsForwarded);
   }
 
+  @Override
+  public void leaderAbsent() {
+    leaderObserver.update(null, 0);
+    heartbeatForwarder.leaderChanged(null, 0, false);
+  }
+
   @Override
   public boolean shouldYield() {
     return machineTypes.types().isEmpty()
--- a/src/main/java/io/embernotch/election/Candidacy.java
+++ b/src/main/java/io/embernotch/election/Candidacy.java
@@ -20,9 +20,6 @@
   /** True if data is lost: whoever the key names does not lead, and a claim takes its place. */
   boolean startsNewIncarnation();
 
-  /** Added to a leader's modification revision in the present incarnation to get its epoch. */
-  long epochFloor();
-
   /** Adds to a claim what begins an incarnation, if one is to begin with it. */
   Claim claim(Transaction txn);
 
--- a/src/main/java/io/embernotch/election/LeaderElection.java
+++ b/src/main/java/io/embernotch/election/LeaderElection.java
@@ -50,14 +50,17 @@
     void leadershipLost(String why);
 
     /**
-     * The leader key was read, or is this node's own now.
+     * The leader key names a leader, this node or another.
      *
-     * @param node the leader, null if there is none
-     * @param epoch the leader's epoch, 0 if there is none
+     * @param node the leader
+     * @param epoch the leader's epoch
      * @param acceptsForwarded whether the leader accepts heartbeats that others forward
      */
     void leaderChanged(String node, long epoch, boolean acceptsForwarded);
 
+    /** The leader key was read: there is no leader. */
+    void leaderAbsent();
+
     /** True if another controller is better placed to lead, so that this one contends later. */
     boolean shouldYield();
   }
@@ -200,7 +203,7 @@
     Optional<LeaderKey> key = LeaderKey.read(entry);
     candidacy.incarnationNamed(key.map(LeaderKey::incarnation).orElse(null));
     if ((startsNewIncarnation || key.isEmpty()) && !candidacy.mayClaim()) {
-      listener.leaderChanged(null, 0, false);
+      listener.leaderAbsent();
       readKeyAfter(retryS);
     } else if (startsNewIncarnation) {
       contend(entry);
@@ -215,7 +218,7 @@
 
   /** Nobody holds the key. */
   private void contendWhenDue(VersionedEntry absent) {
-    listener.leaderChanged(null, 0, false);
+    listener.leaderAbsent();
     double pauseS = Math.max(avoidUntil - clock.now(), listener.shouldYield() ? yieldS : 0);
     if (pauseS > 0) {
       // After the pause somebody else may have it, so look again rather than contend blindly.
--- a/src/main/java/io/embernotch/incarnation/StoreIncarnationTracker.java
+++ b/src/main/java/io/embernotch/incarnation/StoreIncarnationTracker.java
@@ -267,11 +267,6 @@
 
   // ---- the terms of a claim to leadership
 
-  @Override
-  public long epochFloor() {
-    return knowledge.epochFloor();
-  }
-
   @Override
   public boolean mayClaim() {
     if (knowledge.isIntact()) {
--- a/src/main/java/io/embernotch/leader/HeartbeatQueue.java
+++ b/src/main/java/io/embernotch/leader/HeartbeatQueue.java
@@ -23,9 +23,6 @@
   /** Heartbeats handled in one iteration of the loop. */
   private static final int MAX_PER_ITERATION = 8;
 
-  /** Seconds of the shortest pause: the next iteration of the loop. */
-  private static final double NEXT_ITERATION_S = 0.001;
-
   /** Seconds that an agent waits for an answer ("Workers"). */
   private static final double AGENT_PATIENCE_S = 4;
 
@@ -94,7 +91,7 @@
   private void scheduleIteration() {
     if (!iterationScheduled) {
       iterationScheduled = true;
-      timers.after(NEXT_ITERATION_S, this::runIteration);
+      timers.after(Timing.NEXT_ITERATION_S, this::runIteration);
     }
   }
 
--- a/src/main/java/io/embernotch/leader/ImageInventoryPublisher.java
+++ b/src/main/java/io/embernotch/leader/ImageInventoryPublisher.java
@@ -10,14 +10,11 @@
 
 /** Publishes to the other controllers which images machines have, once a round at most. */
 final class ImageInventoryPublisher {
-  /** In place of a time of the steady clock: before any. */
-  private static final double NEVER = -1e9;
-
   /** Hash of the images that were published last, by machine. */
   private final Map<String, Integer> published = new HashMap<>();
 
   private final double roundS;
-  private double lastRoundAt = NEVER;
+  private double lastRoundAt = Timing.NEVER;
 
   /**
    * @param roundS seconds between two rounds
--- a/src/main/java/io/embernotch/leader/Leader.java
+++ b/src/main/java/io/embernotch/leader/Leader.java
@@ -25,6 +25,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
 
   private static final double MILLIS_PER_S = 1000;
+  private static final int TICKS_PER_HEARTBEAT_INTERVAL = 8;
 
   private final ControllerContext context;
   private final LeaderTerm term;
@@ -115,7 +116,7 @@
     context
         .timers()
         .after(
-            context.settings().workers().heartbeatIntervalS() / 8,
+            context.settings().workers().heartbeatIntervalS() / TICKS_PER_HEARTBEAT_INTERVAL,
             () -> {
               if (!lifecycle.isStopped()) {
                 tell(new LeaderMessage.Tick());
--- a/src/main/java/io/embernotch/leader/SchedulingLoop.java
+++ b/src/main/java/io/embernotch/leader/SchedulingLoop.java
@@ -13,11 +13,10 @@
 
 /** Decides when the scheduler runs, and runs it. */
 final class SchedulingLoop {
-  /** In place of a time of the steady clock: before any. */
-  private static final double NEVER = -1e9;
+  /** Runs in a heartbeat interval, at most and, while nothing is known to change, at least. */
+  private static final int MAX_RUNS_PER_HEARTBEAT_INTERVAL = 60;
 
-  /** Seconds of the shortest pause: the next iteration of the loop. */
-  private static final double IMMEDIATELY_S = 0.001;
+  private static final int MIN_RUNS_PER_HEARTBEAT_INTERVAL = 3;
 
   /** The pause after a run, as a multiple of the run's duration. */
   private static final double PAUSE_FACTOR = 4;
@@ -49,7 +48,7 @@
   /** A run is requested for this iteration of the loop, since a job was released. */
   private boolean scheduledNow;
 
-  private double lastRunAt = NEVER;
+  private double lastRunAt = Timing.NEVER;
   private double lastRunTookS;
   private long runCount;
 
@@ -110,7 +109,7 @@
 
   /** Time has passed: a run is due now and then even if nothing is known to have changed. */
   void tick(double now) {
-    if (now - lastRunAt > heartbeatIntervalS / 3) {
+    if (now - lastRunAt > heartbeatIntervalS / MIN_RUNS_PER_HEARTBEAT_INTERVAL) {
       scheduleSoon();
     }
   }
@@ -127,8 +126,9 @@
   void scheduleSoon() {
     if (!scheduledSoon && loaded && !closed) {
       scheduledSoon = true;
-      double spacingS = Math.max(heartbeatIntervalS / 60, pauseS());
-      double waitS = Math.max(IMMEDIATELY_S, lastRunAt + spacingS - context.clock().now());
+      double spacingS = Math.max(heartbeatIntervalS / MAX_RUNS_PER_HEARTBEAT_INTERVAL, pauseS());
+      double waitS =
+          Math.max(Timing.NEXT_ITERATION_S, lastRunAt + spacingS - context.clock().now());
       context.timers().after(waitS, requestRun);
     }
   }
--- a/src/main/java/io/embernotch/leader/StatusLogger.java
+++ b/src/main/java/io/embernotch/leader/StatusLogger.java
@@ -11,14 +11,11 @@
 final class StatusLogger {
   private static final Logger LOG = LoggerFactory.getLogger(StatusLogger.class);
 
-  /** In place of a time of the steady clock: before any. */
-  private static final double NEVER = -1e9;
-
   private final ControllerContext context;
   private final ClusterState state;
   private final SchedulingLoop schedulingLoop;
   private final StateWriter stateWriter;
-  private double loggedAt = NEVER;
+  private double loggedAt = Timing.NEVER;
 
   StatusLogger(
       ControllerContext context,
@@ -33,7 +30,8 @@
 
   /** Logs if it is due. */
   void tick(double now) {
-    if (now - loggedAt <= context.settings().workers().leaseS() / 2) {
+    double intervalS = context.settings().workers().leaseS() / 2;
+    if (now - loggedAt <= intervalS) {
       return;
     }
     loggedAt = now;
