--- a/src/main/java/io/embernotch/controller/Controller.java
+++ b/src/main/java/io/embernotch/controller/Controller.java
@@ -49,6 +49,11 @@
   private final LocalLeader localLeader = new LocalLeader();
   private final LocalPartition localPartition;
   private final LeaderClient leaderClient;
+
+  /** Number of tasks of a job that are kept in one shard. */
+  private final int shardSize;
+
+  private final JobAnnouncements jobAnnouncements;
   private final SubmissionHandler submissions;
   private final CompletedJobCache completedJobs = new CompletedJobCache();
   private final JobQueries jobQueries;
@@ -77,6 +82,8 @@
     localPartition =
         new LocalPartition(context.clock(), MACHINE_VIEW_ROUNDS * context.operator().roundS());
     leaderClient = createLeaderClient();
+    shardSize = JobProgressCodec.shard(settings.minStoreLimits().valueKb(), settings.zones());
+    jobAnnouncements = createJobAnnouncements();
     submissions = createSubmissionHandler();
     jobQueries =
         new JobQueries(
@@ -107,12 +114,15 @@
         localLeader);
   }
 
+  private JobAnnouncements createJobAnnouncements() {
+    return new JobAnnouncements(
+        context.store(), peers, incarnations, leaderObserver, localLeader, shardSize);
+  }
+
   private SubmissionHandler createSubmissionHandler() {
-    Settings settings = context.settings();
-    int shardSize = JobProgressCodec.shard(settings.minStoreLimits().valueKb(), settings.zones());
     SubmissionContext submissionContext =
         new SubmissionContext(
-            incarnations, peerLiveness, pendingRequests, leaderClient, shardSize, this::poll);
+            incarnations, peerLiveness, pendingRequests, jobAnnouncements, this::poll);
     return new SubmissionHandler(context, machineTypes.types(), shardSize, submissionContext);
   }
 
@@ -142,14 +152,13 @@
 
   private PeerFrameDispatcher createFrameDispatcher() {
     return new PeerFrameDispatcher(
-        context.store(),
-        incarnations,
         peerHeartbeats,
         heartbeatForwarder,
         pendingRequests,
         submissions,
         localPartition,
         imageInventory,
+        jobAnnouncements,
         leaderClient,
         localLeader);
   }
--- a/src/main/java/io/embernotch/controller/JobAnnouncements.java
+++ b/src/main/java/io/embernotch/controller/JobAnnouncements.java
@@ -5,48 +5,76 @@
 import io.embernotch.codec.JobProgressCodec;
 import io.embernotch.codec.Json;
 import io.embernotch.codec.MalformedInputException;
+import io.embernotch.election.LeaderObserver;
+import io.embernotch.incarnation.StoreIncarnationTracker;
 import io.embernotch.leader.LeaderMessage;
+import io.embernotch.model.Job;
 import io.embernotch.peer.Frame;
+import io.embernotch.peer.PeerLink;
 import io.embernotch.store.StoreClient;
-import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Announcements to the leader of jobs that another controller has written to the store. */
+/** Announcements to the leader of jobs that a controller has accepted and written to the store. */
 final class JobAnnouncements {
   private static final Logger LOG = LoggerFactory.getLogger(JobAnnouncements.class);
 
-  private JobAnnouncements() {}
+  private final StoreClient store;
+  private final PeerLink peers;
+  private final StoreIncarnationTracker incarnations;
+  private final LeaderObserver leaderObserver;
+  private final LocalLeader localLeader;
+  private final int shardSize;
 
   /**
-   * The announcement of a job.
-   *
-   * @param value what was written to the job's key
-   * @param incarnation name of the store incarnation that it was written to
-   * @param revision store revision of the write
+   * @param shardSize number of tasks of a job that this node keeps in one shard
    */
-  static Frame of(ObjectNode value, String incarnation, long revision) {
-    return new Frame.JobAccepted(Json.bytes(IncarnationCodec.told(value, incarnation, revision)));
+  JobAnnouncements(
+      StoreClient store,
+      PeerLink peers,
+      StoreIncarnationTracker incarnations,
+      LeaderObserver leaderObserver,
+      LocalLeader localLeader,
+      int shardSize) {
+    this.store = store;
+    this.peers = peers;
+    this.incarnations = incarnations;
+    this.leaderObserver = leaderObserver;
+    this.localLeader = localLeader;
+    this.shardSize = shardSize;
   }
 
   /**
-   * Reads an announcement and passes the job on; one that is malformed is logged and dropped.
+   * Announces a job that this controller has accepted, if a leader is known.
    *
-   * @param incarnation name of the store incarnation that the leader knows, "" if there is none
+   * @param value what was written to the job's key
+   * @param revision store revision of the write
    */
-  static void received(
-      byte[] announcement, String incarnation, StoreClient store, Consumer<LeaderMessage> leader) {
+  void announce(Job job, ObjectNode value, long revision) {
+    boolean leaderIsHere = localLeader.tell(new LeaderMessage.JobAccepted(job, shardSize));
+    if (!leaderIsHere && leaderObserver.node() != null) {
+      ObjectNode announcement = IncarnationCodec.told(value, incarnations.name(), revision);
+      peers.send(leaderObserver.node(), new Frame.JobAccepted(Json.bytes(announcement)));
+    }
+  }
+
+  /** Passes another controller's announcement to the leader, if that is here. */
+  void received(Frame.JobAccepted frame) {
+    if (!localLeader.isPresent()) {
+      return;
+    }
     try {
-      ObjectNode value = Json.parseObject(announcement);
+      ObjectNode value = Json.parseObject(frame.value());
       LeaderMessage.JobAccepted accepted =
           new LeaderMessage.JobAccepted(
               JobProgressCodec.readJob(value), JobProgressCodec.readShardSize(value));
+      String incarnation = incarnations.name();
       if (!incarnation.isEmpty() && incarnation.equals(IncarnationCodec.toldIncarnation(value))) {
         // Without it, contents restored to a state just before the write would pass for current.
         store.noteRevision(
             JobProgressCodec.JOB + accepted.job().spec.ref(), IncarnationCodec.toldEpoch(value));
       }
-      leader.accept(accepted);
+      localLeader.tell(accepted);
     } catch (MalformedInputException e) {
       LOG.info("malformed job from a controller: {}", e.getMessage());
     }
--- a/src/main/java/io/embernotch/controller/LeaderClient.java
+++ b/src/main/java/io/embernotch/controller/LeaderClient.java
@@ -1,6 +1,5 @@
 package io.embernotch.controller;
 
-import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.election.LeaderElection;
 import io.embernotch.election.LeaderObserver;
 import io.embernotch.election.PeerLiveness;
@@ -10,7 +9,6 @@
 import io.embernotch.leader.Leader;
 import io.embernotch.leader.LeaderMessage;
 import io.embernotch.model.Heartbeat;
-import io.embernotch.model.Job;
 import io.embernotch.peer.Frame;
 import io.embernotch.peer.PeerLink;
 import io.embernotch.straggler.Restart;
@@ -18,7 +16,7 @@
 import io.vertx.core.Promise;
 import java.util.List;
 
-/** Sends requests and announcements to the leader, in this process or on another node. */
+/** Sends requests and proposals to the leader, in this process or on another node. */
 final class LeaderClient {
   /** In place of a process incarnation: an agent sent its heartbeat to this controller itself. */
   static final long RECEIVED_DIRECTLY = 0;
@@ -88,21 +86,6 @@
                 body == null ? HeartbeatForwarder.misdirected(null) : HttpResponse.of(200, body));
   }
 
-  /**
-   * Announces to the leader a job that this controller has written to the store.
-   *
-   * @param shardSize tasks of the job in one shard
-   * @param value what was written
-   * @param incarnation name of the store incarnation that it was written to
-   * @param revision store revision of the write
-   */
-  void announceJob(Job job, int shardSize, ObjectNode value, String incarnation, long revision) {
-    if (!localLeader.tell(new LeaderMessage.JobAccepted(job, shardSize))
-        && leaderObserver.node() != null) {
-      peers.send(leaderObserver.node(), JobAnnouncements.of(value, incarnation, revision));
-    }
-  }
-
   /** Proposes restarts from machine views of the given epoch to the leader of that epoch. */
   void proposeRestarts(long epoch, List<Restart> restarts) {
     Leader leader = localLeader.current().orElse(null);
--- a/src/main/java/io/embernotch/controller/PeerFrameDispatcher.java
+++ b/src/main/java/io/embernotch/controller/PeerFrameDispatcher.java
@@ -5,47 +5,42 @@
 import io.embernotch.forwarding.HeartbeatForwarder;
 import io.embernotch.forwarding.PendingRequests;
 import io.embernotch.http.HttpResponse;
-import io.embernotch.incarnation.StoreIncarnationTracker;
 import io.embernotch.leader.ImageInventory;
 import io.embernotch.leader.LeaderMessage;
 import io.embernotch.peer.Frame;
 import io.embernotch.peer.PeerLink;
-import io.embernotch.store.StoreClient;
 import io.embernotch.straggler.LocalPartition;
 import io.vertx.core.Promise;
 
 /** Passes each frame that another controller sends to whoever handles frames of its type. */
 final class PeerFrameDispatcher {
-  private final StoreClient store;
-  private final StoreIncarnationTracker incarnations;
   private final PeerHeartbeats peerHeartbeats;
   private final HeartbeatForwarder heartbeatForwarder;
   private final PendingRequests pendingRequests;
   private final SubmissionHandler submissions;
   private final LocalPartition localPartition;
   private final ImageInventory imageInventory;
+  private final JobAnnouncements jobAnnouncements;
   private final LeaderClient leaderClient;
   private final LocalLeader localLeader;
 
   PeerFrameDispatcher(
-      StoreClient store,
-      StoreIncarnationTracker incarnations,
       PeerHeartbeats peerHeartbeats,
       HeartbeatForwarder heartbeatForwarder,
       PendingRequests pendingRequests,
       SubmissionHandler submissions,
       LocalPartition localPartition,
       ImageInventory imageInventory,
+      JobAnnouncements jobAnnouncements,
       LeaderClient leaderClient,
       LocalLeader localLeader) {
-    this.store = store;
-    this.incarnations = incarnations;
     this.peerHeartbeats = peerHeartbeats;
     this.heartbeatForwarder = heartbeatForwarder;
     this.pendingRequests = pendingRequests;
     this.submissions = submissions;
     this.localPartition = localPartition;
     this.imageInventory = imageInventory;
+    this.jobAnnouncements = jobAnnouncements;
     this.leaderClient = leaderClient;
     this.localLeader = localLeader;
   }
@@ -55,7 +50,7 @@
     if (frame instanceof Frame.PeerHeartbeat heartbeat) {
       peerHeartbeats.received(heartbeat);
     } else if (frame instanceof Frame.JobAccepted accepted) {
-      jobAccepted(accepted);
+      jobAnnouncements.received(accepted);
     } else if (frame instanceof Frame.ForwardedRequest request) {
       forwardedRequest(request, replies);
     } else if (frame instanceof Frame.ForwardedHeartbeat heartbeat) {
@@ -79,15 +74,6 @@
     }
   }
 
-  private void jobAccepted(Frame.JobAccepted accepted) {
-    localLeader
-        .current()
-        .ifPresent(
-            leader ->
-                JobAnnouncements.received(
-                    accepted.value(), incarnations.name(), store, leader::tell));
-  }
-
   private void forwardedRequest(Frame.ForwardedRequest request, PeerLink.ReplyChannel replies) {
     Promise<HttpResponse> reply = Promise.promise();
     reply.future().onSuccess(response -> replies.send(frameOf(request.id(), response)));
--- a/src/main/java/io/embernotch/controller/SubmissionContext.java
+++ b/src/main/java/io/embernotch/controller/SubmissionContext.java
@@ -17,32 +17,28 @@
   private final StoreIncarnationTracker incarnations;
   private final PeerLiveness peerLiveness;
   private final PendingRequests pendingRequests;
-  private final LeaderClient leaderClient;
-  private final int shardSize;
+  private final JobAnnouncements jobAnnouncements;
   private final Function<String, Future<HttpResponse>> poll;
 
   /**
-   * @param shardSize tasks of a job in one shard
    * @param poll answers a poll for the job with the given reference
    */
   SubmissionContext(
       StoreIncarnationTracker incarnations,
       PeerLiveness peerLiveness,
       PendingRequests pendingRequests,
-      LeaderClient leaderClient,
-      int shardSize,
+      JobAnnouncements jobAnnouncements,
       Function<String, Future<HttpResponse>> poll) {
     this.incarnations = incarnations;
     this.peerLiveness = peerLiveness;
     this.pendingRequests = pendingRequests;
-    this.leaderClient = leaderClient;
-    this.shardSize = shardSize;
+    this.jobAnnouncements = jobAnnouncements;
     this.poll = poll;
   }
 
   @Override
   public void submissionAccepted(Job job, ObjectNode value, long epoch) {
-    leaderClient.announceJob(job, shardSize, value, incarnations.name(), epoch);
+    jobAnnouncements.announce(job, value, epoch);
   }
 
   @Override
