--- a/src/main/java/io/embernotch/controller/Controller.java
+++ b/src/main/java/io/embernotch/controller/Controller.java
@@ -210,7 +210,7 @@
         .ifPresent(
             leader -> {
               incarnations.probe(leader.modRevision());
-              snapshots.tick(incarnations.name(), leader::copy);
+              snapshots.tick(incarnations.name(), leader::snapshot);
             });
     peerLiveness.takeNewlyUnresponsive().forEach(peers::renew);
     double heartbeatIntervalS = context.settings().workers().heartbeatIntervalS();
--- a/src/main/java/io/embernotch/controller/LocalLeader.java
+++ b/src/main/java/io/embernotch/controller/LocalLeader.java
@@ -56,6 +56,6 @@
 
   /** What the last leader of this process knew; null if there is none, or another has led since. */
   ClusterSnapshot lastSnapshot() {
-    return former == null ? null : former.copy();
+    return former == null ? null : former.snapshot();
   }
 }
--- a/src/main/java/io/embernotch/controller/PeerFrameDispatcher.java
+++ b/src/main/java/io/embernotch/controller/PeerFrameDispatcher.java
@@ -14,6 +14,9 @@
 
 /** Passes each frame that another controller sends to whoever handles frames of its type. */
 final class PeerFrameDispatcher {
+  /** In place of a request id: the sender waits for no response. */
+  private static final long NO_RESPONSE = 0;
+
   private final PeerHeartbeats peerHeartbeats;
   private final HeartbeatForwarder heartbeatForwarder;
   private final PendingRequests pendingRequests;
@@ -84,7 +87,7 @@
 
   private void forwardedHeartbeat(
       Frame.ForwardedHeartbeat forwarded, PeerLink.ReplyChannel replies) {
-    if (forwarded.id() == 0) {
+    if (forwarded.id() == NO_RESPONSE) {
       localLeader.tell(new LeaderMessage.HeartbeatHandedOver(forwarded.heartbeat()));
       return;
     }
--- a/src/main/java/io/embernotch/controller/SubmissionContext.java
+++ b/src/main/java/io/embernotch/controller/SubmissionContext.java
@@ -63,9 +63,11 @@
 
   @Override
   public Future<HttpResponse> submitElsewhere(byte[] body, double withinS) {
-    String node = peerLiveness.nextWithStore();
-    return node == null
-        ? null
-        : pendingRequests.send(node, id -> new Frame.ForwardedSubmission(id, body), withinS);
+    return peerLiveness
+        .nextWithStore()
+        .map(
+            node ->
+                pendingRequests.send(node, id -> new Frame.ForwardedSubmission(id, body), withinS))
+        .orElse(null);
   }
 }
--- a/src/main/java/io/embernotch/election/PeerLiveness.java
+++ b/src/main/java/io/embernotch/election/PeerLiveness.java
@@ -6,6 +6,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
 
@@ -74,10 +75,12 @@
     return !liveWithStore().isEmpty();
   }
 
-  /** A live controller that the store answers, another one each time; null if there is none. */
-  public String nextWithStore() {
+  /** A live controller that the store answers, another one each time; empty if there is none. */
+  public Optional<String> nextWithStore() {
     List<String> candidates = liveWithStore();
-    return candidates.isEmpty() ? null : candidates.get(nextIndex++ % candidates.size());
+    return candidates.isEmpty()
+        ? Optional.empty()
+        : Optional.of(candidates.get(nextIndex++ % candidates.size()));
   }
 
   private List<String> liveWithStore() {
--- a/src/main/java/io/embernotch/leader/Leader.java
+++ b/src/main/java/io/embernotch/leader/Leader.java
@@ -159,12 +159,12 @@
    * A snapshot of all that is known here of jobs, whether or not the store has it yet; null before
    * that is known. Also after the leader was stopped.
    */
-  public ClusterSnapshot copy() {
+  public ClusterSnapshot snapshot() {
     return lifecycle.isLoaded()
         ? StateSnapshot.of(
             components.state,
             components.shardLayout::shardSize,
-            components.sharedState.copy(),
+            components.sharedState.entries(),
             term.epoch(),
             context.clock().wallMs())
         : initialSnapshot;
--- a/src/main/java/io/embernotch/leader/SharedStateServices.java
+++ b/src/main/java/io/embernotch/leader/SharedStateServices.java
@@ -83,7 +83,7 @@
   }
 
   /** The entries of the shared state by name, for snapshots. */
-  Map<String, ObjectNode> copy() {
+  Map<String, ObjectNode> entries() {
     return sharedState.copy();
   }
 
