--- a/src/main/java/io/embernotch/leader/Leader.java
+++ b/src/main/java/io/embernotch/leader/Leader.java
@@ -25,6 +25,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
 
   private static final double MILLIS_PER_S = 1000;
+  private static final int TICKS_PER_HEARTBEAT_INTERVAL = 8;
 
   private final ControllerContext context;
   private final LeaderTerm term;
@@ -115,7 +116,7 @@
     context
         .timers()
         .after(
-            context.settings().workers().heartbeatIntervalS() / 8,
+            context.settings().workers().heartbeatIntervalS() / TICKS_PER_HEARTBEAT_INTERVAL,
             () -> {
               if (!lifecycle.isStopped()) {
                 tell(new LeaderMessage.Tick());
@@ -158,12 +159,12 @@
    * A snapshot of all that is known here of jobs, whether or not the store has it yet; null before
    * that is known. Also after the leader was stopped.
    */
-  public ClusterSnapshot copy() {
+  public ClusterSnapshot snapshot() {
     return lifecycle.isLoaded()
         ? StateSnapshot.of(
             components.state,
             components.shardLayout::shardSize,
-            components.sharedState.copy(),
+            components.sharedState.entries(),
             term.epoch(),
             context.clock().wallMs())
         : initialSnapshot;
