--- a/src/main/java/io/embernotch/jobs/StoreLoader.java
+++ b/src/main/java/io/embernotch/jobs/StoreLoader.java
@@ -2,11 +2,10 @@
 
 import io.embernotch.codec.JobProgressCodec;
 import io.embernotch.context.ControllerContext;
+import io.embernotch.persistence.PersistedState;
 import io.embernotch.snapshot.BaseSnapshot;
-import io.embernotch.store.StoreClient;
 import io.embernotch.store.VersionedEntry;
 import io.embernotch.store.WatchEvents;
-import io.vertx.core.Future;
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import org.slf4j.Logger;
@@ -31,14 +30,6 @@
     void read(WatchEvents jobs, WatchEvents runs, WatchEvents parts, List<VersionedEntry> shared);
   }
 
-  /** The prefixes that have been read so far. */
-  private static final class StoreContents {
-    WatchEvents jobs;
-    WatchEvents runs;
-    WatchEvents parts;
-    WatchEvents shared;
-  }
-
   private final ControllerContext context;
   private final BaseSnapshot baseSnapshot;
   private final BooleanSupplier cancelled;
@@ -60,11 +51,11 @@
     if (cancelled.getAsBoolean()) {
       return;
     }
-    listAll()
+    PersistedState.read(context.store())
         .map(
-            contents -> {
+            stored -> {
               // Within map, so that a failure of the sink is retried like one of the store.
-              deliver(contents, sink);
+              deliver(stored, sink);
               return null;
             })
         .onFailure(
@@ -74,43 +65,15 @@
             });
   }
 
-  /** Lists the prefixes one after the other, submissions first. */
-  private Future<StoreContents> listAll() {
-    StoreClient store = context.store();
-    StoreContents contents = new StoreContents();
-    return store
-        .list(JobProgressCodec.JOB)
-        .compose(
-            jobs -> {
-              contents.jobs = jobs;
-              return store.list(JobProgressCodec.RUN);
-            })
-        .compose(
-            runs -> {
-              contents.runs = runs;
-              return store.list(JobProgressCodec.REFINED_SHARD);
-            })
-        .compose(
-            parts -> {
-              contents.parts = parts;
-              return store.list(JobProgressCodec.SHARED);
-            })
-        .map(
-            shared -> {
-              contents.shared = shared;
-              return contents;
-            });
-  }
-
-  private void deliver(StoreContents contents, Sink sink) {
+  private void deliver(PersistedState stored, Sink sink) {
     if (cancelled.getAsBoolean()) {
       return;
     }
     sink.read(
-        baseSnapshot.beneath(JobProgressCodec.JOB, contents.jobs),
-        baseSnapshot.beneath(JobProgressCodec.RUN, contents.runs),
-        baseSnapshot.beneath(JobProgressCodec.REFINED_SHARD, contents.parts),
-        baseSnapshot.beneathShared(contents.shared));
+        baseSnapshot.beneath(JobProgressCodec.JOB, stored.jobs()),
+        baseSnapshot.beneath(JobProgressCodec.RUN, stored.shards()),
+        baseSnapshot.beneath(JobProgressCodec.REFINED_SHARD, stored.refinedShards()),
+        baseSnapshot.beneathShared(stored.shared()));
   }
 
   private double retryDelayS() {
