--- a/src/main/java/io/embernotch/persistence/PersistedJob.java
+++ b/src/main/java/io/embernotch/persistence/PersistedJob.java
@@ -25,7 +25,7 @@
             entry ->
                 baseSnapshot.beneath(ref, JobProgressCodec.JOB, present(entry)).stream()
                     .findFirst()
-                    .orElse(new VersionedEntry(entry.key(), null, 0)));
+                    .orElse(VersionedEntry.absent(entry.key())));
   }
 
   /**
--- a/src/main/java/io/embernotch/store/VersionedEntry.java
+++ b/src/main/java/io/embernotch/store/VersionedEntry.java
@@ -10,7 +10,7 @@
  */
 public record VersionedEntry(String key, ObjectNode value, long modRevision) {
   /** The entry of a key that is not there. */
-  static VersionedEntry absent(String key) {
+  public static VersionedEntry absent(String key) {
     return new VersionedEntry(key, null, 0);
   }
 
