--- a/src/main/java/io/embernotch/leader/PlanExecutor.java
+++ b/src/main/java/io/embernotch/leader/PlanExecutor.java
@@ -29,18 +29,18 @@
    * @param now when the plan was begun, in seconds of the steady clock
    */
   void execute(SchedulingPlan plan, double now) {
-    for (SchedulingPlan.Stop stop : plan.stops) {
-      LOG.info("stopping {}: {}", stop.attempt(), stop.why());
+    for (SchedulingPlan.Stop stop : plan.stops()) {
+      LOG.info("stopping {}: {}", stop.attempt(), stop.reason());
       stopper.stopWithGang(stop.attempt(), stop.graceS());
     }
-    for (SchedulingPlan.Start start : plan.starts) {
+    for (SchedulingPlan.Start start : plan.starts()) {
       launcher.launch(start, now);
     }
     if (fleetManager.listedOnce()) {
-      plan.scaleOuts.forEach(fleetManager::rent);
+      plan.scaleOuts().forEach(fleetManager::rent);
     }
     if (fleetManager.cloudAnswers()) {
-      for (Machine machine : plan.scaleIns) {
+      for (Machine machine : plan.scaleIns()) {
         LOG.debug("machine {} is idle", machine.name);
         fleetManager.scaleIn(machine);
       }
--- a/src/main/java/io/embernotch/leader/SchedulingInputs.java
+++ b/src/main/java/io/embernotch/leader/SchedulingInputs.java
@@ -50,7 +50,7 @@
         fleetManager::exhausted,
         fleetManager.expected(),
         headroom,
-        sharedState.reservations().holds(headroom),
+        sharedState.reservations().view(headroom),
         fleetManager.risk());
   }
 
@@ -63,9 +63,9 @@
   }
 
   private FleetView.Headroom raisedIfReleaseNear(FleetView.Headroom headroom, long wallMs) {
-    return sharedState.calendar().near(headroom.like(), wallMs)
+    return sharedState.calendar().near(headroom.sample(), wallMs)
         ? new FleetView.Headroom(
-            headroom.like(), (int) Math.ceil(NEAR_RELEASE_FACTOR * headroom.count()))
+            headroom.sample(), (int) Math.ceil(NEAR_RELEASE_FACTOR * headroom.count()))
         : headroom;
   }
 }
