--- a/src/main/java/io/embernotch/model/Job.java
+++ b/src/main/java/io/embernotch/model/Job.java
@@ -210,17 +210,14 @@
   }
 
   /**
-   * Whether something of it runs or may run.
-   *
-   * @param sentBefore a direct start command sent before this time (steady seconds) may have
-   *     arrived
+   * Whether a start command that was sent before {@code sentBefore}, in seconds of the steady
+   * clock, is still unanswered: it may have been carried out.
    */
-  public boolean mayRun(double sentBefore) {
+  public boolean startMayHaveArrived(double sentBefore) {
     return openAttempts.values().stream()
         .anyMatch(
             attempt ->
-                attempt.mayRun()
-                    || (attempt.launchState == Attempt.LaunchState.SENDING
-                        && attempt.createdAt < sentBefore));
+                attempt.launchState == Attempt.LaunchState.SENDING
+                    && attempt.createdAt < sentBefore);
   }
 }
--- a/src/test/java/io/embernotch/faultcombinations/LostResponseTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/LostResponseTest.java
@@ -1,11 +1,12 @@
 package io.embernotch.faultcombinations;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
+import static io.embernotch.testkit.TestJobs.withPriority;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.embernotch.testkit.ControllerNode;
+import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Fate;
-import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -13,16 +14,19 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A transaction is carried out at once and only its answer is lost, while other nodes read what it
- * wrote.
+ * A transaction is carried out at once and only its response is lost, while other nodes read what
+ * it wrote.
  */
 class LostResponseTest {
+  private static final String INCARNATION_KEY = "era";
+  private static final String LEADER_KEY = "steward";
+
   private final FaultScenario scenario = FaultScenario.large();
-  private final SimulatedCluster world = scenario.world;
+  private final SimulatedCluster cluster = scenario.cluster;
 
   /**
-   * Every transaction of one kind, with the answers to the reads that follow lost as well or not,
-   * and the leader ending or not.
+   * Every transaction on one kind of keys, with the responses to the reads that follow lost as well
+   * or not, and the leader ending or not.
    */
   @ParameterizedTest
   @CsvSource({
@@ -38,44 +42,32 @@
     "shared/,0.5,true",
     "era,0.5,true"
   })
-  void onlyTheAnswerIsLost(String kind, double readsLost, boolean leaderEnds) {
-    if (kind.equals("era")) {
+  void responsesToTransactionsAreLost(String keys, double lostReadShare, boolean leaderEnds) {
+    if (keys.equals(INCARNATION_KEY)) {
       // The first claim begins the incarnation.
-      world.commitsWith = kind;
-      world.commitFate = Fate.ANSWER_LOST;
-      world.pass(4);
-      world.commitFate = Fate.ARRIVES;
-    }
-    Node leader = world.settle(12);
-    scenario.told.submit(0, "j-1", "array", 3);
-    scenario.told.submit(1, "j-2", "standing", 3);
-    scenario.told.submit(2, "j-3", "group", 3);
-    world.pass(12);
-    world.commitsWith = kind;
-    world.commitFate = Fate.ANSWER_LOST;
-    world.lostReads = readsLost;
-    world.askSubmit(0, job("j-4", "array", 3));
-    world.askSubmit(1, job("j-4", "array", 3));
-    world.askSubmit(
-        2, job("j-5", "standing", 3).replace("\"rank\":\"standard\"", "\"rank\":\"production\""));
-    scenario.cancelUntilTold("j-2", 1, 6);
-    world.time.after(0.5, () -> world.finish("j-1"));
-    for (String ref : List.of("j-1", "j-2", "j-3", "j-4", "j-5")) {
-      scenario.lookAround(ref, 7, 0.05);
+      loseResponses(keys, 0);
+      cluster.advance(4);
+      deliverResponses();
     }
+    ControllerNode leader = cluster.awaitLeader(12);
+    scenario.answers.submit(0, "j-1", "array", 3);
+    scenario.answers.submit(1, "j-2", "standing", 3);
+    scenario.answers.submit(2, "j-3", "group", 3);
+    cluster.advance(12);
+    loseResponses(keys, lostReadShare);
+    submitCancelCompleteAndPoll();
     if (leaderEnds) {
-      world.time.after(2, leader::kill);
-      world.time.after(4, leader::start);
+      cluster.time.after(2, leader::kill);
+      cluster.time.after(4, leader::start);
     }
-    world.pass(8);
-    world.commitFate = Fate.ARRIVES;
-    world.lostReads = 0;
-    world.pass(8);
-    scenario.told.submit(0, "j-4", "array", 3);
-    scenario.told.submit(1, "j-5", "standing", 3);
-    scenario.cancelUntilTold("j-2", 0, 3);
-    world.pass(20);
-    Map<String, String> ends =
+    cluster.advance(8);
+    deliverResponses();
+    cluster.advance(8);
+    scenario.answers.submit(0, "j-4", "array", 3);
+    scenario.answers.submit(1, "j-5", "standing", 3);
+    scenario.cancelUntilConfirmed("j-2", 0, 3);
+    cluster.advance(20);
+    Map<String, String> phases =
         Map.of(
             "j-1",
             "done",
@@ -87,53 +79,71 @@
             "running",
             "j-5",
             "running");
-    ends.forEach(
-        (ref, end) -> assertThat(world.phase(ref.charAt(2) % 3, ref)).as(ref).isEqualTo(end));
-    scenario.allIsWell();
+    phases.forEach(
+        (ref, phase) -> assertThat(cluster.phase(ref.charAt(2) % 3, ref)).as(ref).isEqualTo(phase));
+    scenario.verifyRecovery();
+  }
+
+  private void loseResponses(String keys, double lostReadShare) {
+    cluster.faults.commitDeliveryFilter = keys;
+    cluster.faults.commitDelivery = Delivery.RESPONSE_LOST;
+    cluster.faults.lostReadShare = lostReadShare;
+  }
+
+  private void deliverResponses() {
+    cluster.faults.commitDelivery = Delivery.DELIVERED;
+    cluster.faults.lostReadShare = 0;
+  }
+
+  private void submitCancelCompleteAndPoll() {
+    cluster.submitAsync(0, job("j-4", "array", 3));
+    cluster.submitAsync(1, job("j-4", "array", 3));
+    cluster.submitAsync(2, withPriority(job("j-5", "standing", 3), "production"));
+    scenario.cancelUntilConfirmed("j-2", 1, 6);
+    cluster.time.after(0.5, () -> cluster.completeTasks("j-1"));
+    for (String ref : List.of("j-1", "j-2", "j-3", "j-4", "j-5")) {
+      scenario.pollAllNodes(ref, 7, 0.05);
+    }
   }
 
   /** The leader does not know that its start is in the store; whoever follows it does. */
   @Test
-  void aStartWhoseCommitIsNotKnownLeavesNoController() {
-    Node leader = world.settle(3);
-    world.boot("g8", "z1", true);
-    world.pass(10);
-    world.commitFate = Fate.ANSWER_LOST;
-    world.lostReads = 1;
-    scenario.told.submit(leader.index, "j-1", "array", 4);
-    world.pass(2);
-    assertThat(world.state.value("run/j-1")).isNotNull();
-    assertThat(world.running("j-1")).isEmpty();
+  void startWithUnknownCommitIsNotSent() {
+    ControllerNode leader = cluster.awaitLeader(3);
+    cluster.boot("g8", "z1", true);
+    cluster.advance(10);
+    cluster.faults.commitDelivery = Delivery.RESPONSE_LOST;
+    cluster.faults.lostReadShare = 1;
+    scenario.answers.submit(leader.index, "j-1", "array", 4);
+    cluster.advance(2);
+    assertThat(cluster.store.value("run/j-1")).isNotNull();
+    assertThat(cluster.runningTasks("j-1")).isEmpty();
     leader.kill();
-    world.commitFate = Fate.ARRIVES;
-    world.lostReads = 0;
-    world.pass(15);
-    assertThat(world.running("j-1")).hasSize(4);
+    deliverResponses();
+    cluster.advance(15);
+    assertThat(cluster.runningTasks("j-1")).hasSize(4);
     leader.start();
-    scenario.allIsWell();
+    scenario.verifyRecovery();
   }
 
   /**
-   * Its claim is in the store, and neither that nor the key can be read back: it must not act, nor
-   * block the others.
+   * A candidate's claim is in the store, and neither that nor the key can be read back: it must not
+   * act, nor block the others.
    */
   @ParameterizedTest
   @CsvSource({"1", "4"})
-  void aClaimThatIsNotKnownToBeMade(int forS) {
-    Node leader = world.settle(3);
-    scenario.told.submit(0, "j-1", "standing", 6);
-    world.pass(12);
-    Map<String, ?> before = world.running("j-1");
-    world.commitsWith = "steward";
-    world.commitFate = Fate.ANSWER_LOST;
-    world.lostReads = 1;
+  void claimOfLeadershipWithUnknownOutcome(int durationS) {
+    ControllerNode leader = cluster.awaitLeader(3);
+    scenario.answers.submit(0, "j-1", "standing", 6);
+    cluster.advance(12);
+    Map<String, ?> before = cluster.runningTasks("j-1");
+    loseResponses(LEADER_KEY, 1);
     leader.kill();
-    world.pass(3 + forS);
-    world.commitFate = Fate.ARRIVES;
-    world.lostReads = 0;
-    world.settle(12);
+    cluster.advance(3 + durationS);
+    deliverResponses();
+    cluster.awaitLeader(12);
     leader.start();
-    scenario.allIsWell();
-    assertThat(world.running("j-1")).isEqualTo(before);
+    scenario.verifyRecovery();
+    assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
   }
 }
--- a/src/test/java/io/embernotch/scheduling/TopologySpreadTest.java
+++ b/src/test/java/io/embernotch/scheduling/TopologySpreadTest.java
@@ -11,6 +11,7 @@
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.SettingsReader;
 import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.TestJobs;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -29,7 +30,7 @@
   private final Scheduler planner =
       new Scheduler(
           SettingsReader.parse(
-              SimulatedCluster.toml(0).replace("gpus_max = 64.0", "gpus_max = 4000.0")),
+              SimulatedCluster.settingsToml(0).replace("gpus_max = 64.0", "gpus_max = 4000.0")),
           OperatorSettings.DEFAULTS);
   private final List<Job> jobs = new ArrayList<>();
   private final List<Machine> machines = new ArrayList<>();
@@ -49,7 +50,7 @@
 
   private Job service(String ref, int replicas, double gb) {
     String json =
-        SimulatedCluster.job(ref, "standing", replicas)
+        TestJobs.job(ref, "standing", replicas)
             .replace("standard", "production")
             .replace("\"owner\":\"red\"", "\"owner\":\"blue\"")
             .replace("\"loaner\":true", "\"loaner\":false")
@@ -78,7 +79,7 @@
   private Map<Machine, Integer> placed(FailureRisk risk) {
     Map<Machine, Integer> out = new HashMap<>();
     plan(risk)
-        .starts
+        .starts()
         .forEach(s -> s.placements().forEach(p -> out.merge(p.machine(), 1, Integer::sum)));
     return out;
   }
@@ -169,7 +170,7 @@
         t.machines.remove(machine);
         t.machine(machine.zone);
       }
-      for (SchedulingPlan.Start s : t.plan(risk).starts) {
+      for (SchedulingPlan.Start s : t.plan(risk).starts()) {
         for (SchedulingPlan.Placement p : s.placements()) {
           Attempt attempt =
               new Attempt(s.job(), p.task(), 1, p.machine().name, p.machine().zone, 0);
