--- a/src/main/java/io/embernotch/fleet/FleetManager.java
+++ b/src/main/java/io/embernotch/fleet/FleetManager.java
@@ -109,7 +109,9 @@
     return rates.risk();
   }
 
-  /** Whether nothing can be rented in a pool at present: it is exhausted, or its zone cut. */
+  /**
+   * Whether nothing can be rented in a pool at present: it is exhausted, or its zone partitioned.
+   */
   public boolean exhausted(String type, String zone, boolean spot) {
     return failureDetector.isPartitioned(zone) || scaleOut.exhausted(type, zone, spot);
   }
--- a/src/main/java/io/embernotch/leader/LeaderComponents.java
+++ b/src/main/java/io/embernotch/leader/LeaderComponents.java
@@ -154,7 +154,7 @@
         state,
         stateWriter,
         completions,
-        MachineViewPublisher.LATELY,
+        MachineViewPublisher.RECENT_RUNS,
         cancellations::check,
         this::scheduleSoon);
   }
--- a/src/main/java/io/embernotch/rounds/MachineViewPublisher.java
+++ b/src/main/java/io/embernotch/rounds/MachineViewPublisher.java
@@ -24,7 +24,7 @@
  */
 public final class MachineViewPublisher {
   /** Finished runs that make up a machine's recent performance. */
-  public static final int LATELY = 16;
+  public static final int RECENT_RUNS = 16;
 
   /** A view that has not changed is sent again after this many rounds, in case it was lost. */
   private static final int REPEAT_ROUNDS = 4;
--- a/src/test/java/io/embernotch/actor/EventLoopProfileTest.java
+++ b/src/test/java/io/embernotch/actor/EventLoopProfileTest.java
@@ -5,6 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Times by cause. */
 class EventLoopProfileTest {
   private long nanos;
   private final EventLoopProfile profile = new EventLoopProfile(() -> nanos);
@@ -14,7 +15,7 @@
   }
 
   @Test
-  void eachCauseHasWhatItTookWithoutWhatItRanForOthers() {
+  void nestedRunsCountForTheirOwnCauseAlone() {
     profile.run(
         "report",
         () -> {
@@ -29,7 +30,7 @@
   }
 
   @Test
-  void whatFailsIsCountedAndFailsAllTheSame() {
+  void aFailingTaskIsCountedAndItsFailurePropagates() {
     assertThatThrownBy(
             () ->
                 profile.run(
--- a/src/test/java/io/embernotch/codec/CodecTest.java
+++ b/src/test/java/io/embernotch/codec/CodecTest.java
@@ -17,17 +17,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** JSON formats: what is written is read back, and malformed fields are named. */
 class CodecTest {
-  private static byte[] utf(String s) {
-    return s.getBytes(StandardCharsets.UTF_8);
+  private static byte[] utf8(String text) {
+    return text.getBytes(StandardCharsets.UTF_8);
   }
 
   private static JobSpec read(String json) {
-    return JobCodec.read(Json.parseObject(utf(json)));
+    return JobCodec.read(Json.parseObject(utf8(json)));
   }
 
   @Test
-  void aJobSurvivesTheStore() {
+  void aSubmissionSurvivesTheStore() {
     JobSpec spec = read(job("j-1", "group", 4).replace("\"flavors\":null", "\"flavors\":[\"g8\"]"));
     assertThat(JobCodec.read(JobCodec.write(spec))).isEqualTo(spec);
   }
@@ -51,7 +52,7 @@
         "\"ref\":\"j-1\" | \"ref\":\"x/../y\" | ref",
         "\"due_s\":null | \"due_s\":true | due_s"
       })
-  void badFieldsAreNamed(String good, String bad, String field) {
+  void malformedFieldsAreNamed(String good, String bad, String field) {
     String json = job("j-1", "array", 2);
     assertThat(json).contains(good);
     assertThatThrownBy(() -> read(json.replace(good, bad)))
@@ -61,9 +62,9 @@
 
   @Test
   void whatIsNotAnObjectIsRefused() {
-    for (String s : new String[] {"", "[]", "3", "{", "{}x", "null"}) {
-      assertThatThrownBy(() -> Json.parseObject(utf(s)))
-          .as(s)
+    for (String text : new String[] {"", "[]", "3", "{", "{}x", "null"}) {
+      assertThatThrownBy(() -> Json.parseObject(utf8(text)))
+          .as(text)
           .isInstanceOf(MalformedInputException.class);
     }
   }
@@ -72,7 +73,7 @@
   void readsAHeartbeat() {
     Heartbeat heartbeat =
         WorkerCodec.read(
-            utf(
+            utf8(
                 "{\"hearth\":\"n-1\",\"address\":\"10.1.0.2:9000\",\"flavor\":\"g8\",\"room\":\"a\",\"loaner\":true,"
                     + "\"tenure\":2,\"tick\":88,\"baton\":41,\"new_field\":1,\"shards\":["
                     + "{\"shard\":\"j-4/3\",\"try\":2,\"phase\":\"running\"},"
@@ -87,14 +88,14 @@
   }
 
   @Test
-  void progressOfTheLargestJobFitsInPieces() {
+  void progressOfTheLargestJobFitsIntoShards() {
     JobSpec spec = read(job("j-1", "array", 100_000));
     Job job = new Job(spec, 1);
     int size = JobProgressCodec.shardSize(8, java.util.List.of("a-rather-long-zone"));
     job.done.set(0, 100_000);
-    for (int t = 0; t < 2 * size; t++) {
-      Attempt attempt = new Attempt(job, t, 1L << 50, "n-000123456", "a-rather-long-zone", 0);
-      job.openAttempts.put(t, attempt);
+    for (int task = 0; task < 2 * size; task++) {
+      Attempt attempt = new Attempt(job, task, 1L << 50, "n-000123456", "a-rather-long-zone", 0);
+      job.openAttempts.put(task, attempt);
     }
     assertThat(Json.bytes(JobProgressCodec.writeShard(job, size, 1)).length)
         .isLessThanOrEqualTo(8 * 1024);
@@ -122,14 +123,14 @@
     assertThat(back.openAttempts.get(8).zone).isEqualTo("z2");
     assertThat(back.preferredMachines).containsEntry(3, "n-9");
     job.finalPhase = JobPhase.CANCELLED;
-    ObjectNode o = JobProgressCodec.writeShard(job, 4, 0);
-    assertThat(JobProgressCodec.readEnd(o)).isEqualTo(JobPhase.CANCELLED);
+    ObjectNode json = JobProgressCodec.writeShard(job, 4, 0);
+    assertThat(JobProgressCodec.readEnd(json)).isEqualTo(JobPhase.CANCELLED);
   }
 
   @Test
   void aHeartbeatThatLacksAFieldIsRefused() {
     for (String body : new String[] {"{\"hearth\":", "{\"hearth\":\"n-1\"}", "[]"}) {
-      assertThatThrownBy(() -> WorkerCodec.read(utf(body)))
+      assertThatThrownBy(() -> WorkerCodec.read(utf8(body)))
           .isInstanceOf(MalformedInputException.class);
     }
   }
--- a/src/test/java/io/embernotch/snapshot/file/SnapshotArchiveTest.java
+++ b/src/test/java/io/embernotch/snapshot/file/SnapshotArchiveTest.java
@@ -27,14 +27,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Snapshot files and blocks: damage is found, and a cluster is restored from them. */
 class SnapshotArchiveTest {
   @TempDir private Path dir;
 
-  private static ClusterSnapshot copy(int jobs, long epoch) {
-    ClusterSnapshot.Builder c =
+  private static ClusterSnapshot snapshotOf(int jobs, long epoch) {
+    ClusterSnapshot.Builder snapshot =
         ClusterSnapshot.newBuilder().setEpoch(epoch).setWallMs(1000 * epoch).setComplete(false);
     for (int i = 0; i < jobs; i++) {
-      c.addJob(
+      snapshot.addJob(
           JobSnapshot.newBuilder()
               .setRef("j-" + i)
               .setValue(ByteString.copyFromUtf8("{\"n\":" + i + "}"))
@@ -45,7 +46,7 @@
                       .setNumber(7)
                       .setMachine("n-" + i)
                       .setZone("z1")));
-      c.addEnded(
+      snapshot.addEnded(
           EndedJobSnapshot.newBuilder()
               .setRef("j-9" + i)
               .setEnd(End.DONE)
@@ -53,33 +54,36 @@
               .setDone(3)
               .setAtMs(i));
     }
-    return c.build();
+    return snapshot.build();
   }
 
-  private static byte[] bytes(ClusterSnapshot c) throws IOException {
+  private static byte[] bytes(ClusterSnapshot snapshot) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    SnapshotArchive.write(c, "an-era", out);
+    SnapshotArchive.write(snapshot, "an-era", out);
     return out.toByteArray();
   }
 
   @Test
-  void whateverByteIsDamagedNothingElseIsEverRead() throws IOException {
-    ClusterSnapshot c = copy(12, 5);
-    byte[] whole = bytes(c);
-    assertThat(SnapshotArchive.read(new ByteArrayInputStream(whole)).snapshot()).isEqualTo(c);
+  void aDamagedByteIsNeverReadAsOtherContents() throws IOException {
+    ClusterSnapshot snapshot = snapshotOf(12, 5);
+    byte[] whole = bytes(snapshot);
+    assertThat(SnapshotArchive.read(new ByteArrayInputStream(whole)).snapshot())
+        .isEqualTo(snapshot);
     int found = 0;
     for (int i = 0; i < whole.length; i++) {
       byte[] damaged = whole.clone();
       damaged[i] ^= 0x20;
       try {
-        // A byte that says nothing of the contents may differ; then they are the same.
-        assertThat(SnapshotArchive.read(new ByteArrayInputStream(damaged)).snapshot()).isEqualTo(c);
+        // A byte that does not belong to the contents may differ; then these are the same.
+        assertThat(SnapshotArchive.read(new ByteArrayInputStream(damaged)).snapshot())
+            .isEqualTo(snapshot);
       } catch (IOException | IllegalArgumentException e) {
         found++;
       }
       byte[] shorter = Arrays.copyOf(whole, i);
       try {
-        assertThat(SnapshotArchive.read(new ByteArrayInputStream(shorter)).snapshot()).isEqualTo(c);
+        assertThat(SnapshotArchive.read(new ByteArrayInputStream(shorter)).snapshot())
+            .isEqualTo(snapshot);
       } catch (IOException | IllegalArgumentException e) {
         found++;
       }
@@ -88,13 +92,13 @@
   }
 
   @Test
-  void blocksAreWholeOrRefused() {
-    ClusterSnapshot c = copy(300, 5);
-    SnapshotBlocks packed = SnapshotBlocks.pack(c, 1024);
+  void damagedBlocksAreRefused() {
+    ClusterSnapshot snapshot = snapshotOf(300, 5);
+    SnapshotBlocks packed = SnapshotBlocks.pack(snapshot, 1024);
     assertThat(packed.blocks())
         .hasSizeGreaterThan(2)
-        .allSatisfy(b -> assertThat(b.length * 4 / 3).isLessThan(1024));
-    assertThat(packed.unpack()).isEqualTo(c);
+        .allSatisfy(bytes -> assertThat(bytes.length * 4 / 3).isLessThan(1024));
+    assertThat(packed.unpack()).isEqualTo(snapshot);
     List<byte[]> swapped = new ArrayList<>(packed.blocks());
     swapped.add(swapped.remove(0));
     assertThatThrownBy(() -> new SnapshotBlocks(swapped, packed.crc()).unpack())
@@ -105,19 +109,19 @@
   }
 
   @Test
-  void theNewestWholeOneCountsAndOldOnesGo() throws IOException {
+  void theNewestWholeSnapshotIsReadAndOldOnesAreDeleted() throws IOException {
     SnapshotDirectory snapshots = new SnapshotDirectory(dir, 3);
     for (int i = 1; i <= 5; i++) {
-      snapshots.write(copy(i, i), "e");
+      snapshots.write(snapshotOf(i, i), "e");
     }
     assertThat(snapshots.list()).hasSize(3);
-    assertThat(snapshots.newest().snapshot()).isEqualTo(copy(5, 5));
+    assertThat(snapshots.newest().snapshot()).isEqualTo(snapshotOf(5, 5));
     Path newest = snapshots.list().get(0);
-    byte[] b = Files.readAllBytes(newest);
-    Files.write(newest, Arrays.copyOf(b, b.length / 2));
-    // One that a crash left unfinished is none.
-    Files.write(dir.resolve("0000000000000009-000000000000009.unfinished"), b);
-    assertThat(snapshots.newest().snapshot()).isEqualTo(copy(4, 4));
+    byte[] bytes = Files.readAllBytes(newest);
+    Files.write(newest, Arrays.copyOf(bytes, bytes.length / 2));
+    // A file that a crash left unfinished does not count.
+    Files.write(dir.resolve("0000000000000009-000000000000009.unfinished"), bytes);
+    assertThat(snapshots.newest().snapshot()).isEqualTo(snapshotOf(4, 4));
     assertThat(Main.run("snapshot", "list", dir.toString())).isEqualTo(1);
     assertThat(Main.run("snapshot", "verify", newest.toString())).isEqualTo(1);
     List<Path> files = snapshots.list();
@@ -129,11 +133,11 @@
                 "snapshot", "diff", files.get(1).toString(), files.get(2).toString(), "--json"))
         .isEqualTo(1);
     assertThat(Main.run("snapshot", "diff", files.get(1).toString())).isEqualTo(2);
-    assertThat(SnapshotDiff.of(copy(2, 1), copy(3, 1))).hasSize(2);
+    assertThat(SnapshotDiff.of(snapshotOf(2, 1), snapshotOf(3, 1))).hasSize(2);
   }
 
   @Test
-  void allControllersAndAllDataGoneAndASnapshotIsLeft() {
+  void allDataIsRestoredFromASnapshotAfterAllControllersAndTheStoreAreLost() {
     SimulatedCluster cluster =
         new SimulatedCluster(
             OperatorSettings.parse("snapshots { directory: '" + dir + "' every_s: 5 keep: 2 }"));
@@ -151,21 +155,22 @@
     cluster.nodes.forEach(ControllerNode::start);
     for (int i = 0; i < 40; i++) {
       cluster.advance(0.5);
-      for (int n = 0; n < 3; n++) {
-        assertThat(cluster.phase(n, "j-1")).isIn("done", "status 503");
-        assertThat(cluster.phase(n, "j-2")).isNotEqualTo("status 404");
+      for (int node = 0; node < 3; node++) {
+        assertThat(cluster.phase(node, "j-1")).isIn("done", "status 503");
+        assertThat(cluster.phase(node, "j-2")).isNotEqualTo("status 404");
       }
     }
     assertThat(cluster.leader()).isNotNull();
     cluster.advance(10);
-    for (int n = 0; n < 3; n++) {
-      assertThat(cluster.phase(n, "j-1")).isEqualTo("done");
-      assertThat(cluster.phase(n, "j-2")).isEqualTo("running");
-      assertThat(cluster.submit(n, job("j-1", "array", 2)).status()).isEqualTo(200);
+    for (int node = 0; node < 3; node++) {
+      assertThat(cluster.phase(node, "j-1")).isEqualTo("done");
+      assertThat(cluster.phase(node, "j-2")).isEqualTo("running");
+      assertThat(cluster.submit(node, job("j-1", "array", 2)).status()).isEqualTo(200);
     }
-    // It was running all the time: the snapshot knew of its attempts.
+    // It kept running: its attempts were in the snapshot.
     assertThat(cluster.runningTasks("j-2")).hasSize(3);
-    assertThat(cluster.workers.values()).allSatisfy(w -> assertThat(w.epoch).isEqualTo(1));
+    assertThat(cluster.workers.values())
+        .allSatisfy(worker -> assertThat(worker.epoch).isEqualTo(1));
     assertThat(cluster.violations()).isEmpty();
   }
 }
--- a/src/test/java/io/embernotch/straggler/StragglerRoundTest.java
+++ b/src/test/java/io/embernotch/straggler/StragglerRoundTest.java
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void flagsOnlyWhatRunsLongerThanTheRatioOfAKnownMean() {
+  void flagsTasksThatRunLongerThanTheRatioOfAKnownMean() {
     assertThat(round.flagged(task("a", 61, 40))).isTrue();
     assertThat(round.flagged(task("a", 60, 40))).isFalse();
     assertThat(round.flagged(task("a", 1000, 0))).isFalse();
@@ -32,23 +32,24 @@
   @Test
   void changeOfEnergyOnAWorkedExample() {
     // k: performance 0.25, 1 task on 4 cores. j: performance 1, 3 tasks. Static power 2 and 4.
-    MachineView k = machine("k", 2, 1, 0, List.of(0.25), task("a", 60, 40));
-    MachineView j = machine("j", 4, 3, 1, List.of(1.0));
+    MachineView host = machine("k", 2, 1, 0, List.of(0.25), task("a", 60, 40));
+    MachineView target = machine("j", 4, 3, 1, List.of(1.0));
     // Ts = 40/0.25 - 60 = 100; alpha = 1 for 4 tasks on 4 cores; Tc = 40; dT = 60.
     // Pk = 2 + 1*0.5 = 2.5; Pj = 4 + 3*1 = 7; P'j = 8. dE = 2.5*60 + 7*100 - 8*40 = 530.
-    assertThat(round.gain(k, k.tasks().get(0), j, 0.6)).isCloseTo(530, within(1e-9));
+    assertThat(round.gain(host, host.tasks().get(0), target, 0.6)).isCloseTo(530, within(1e-9));
     // One more task than cores: alpha = 5/4, Tc = 50, dT = 50, Pj = P'j = 8.
     MachineView full = machine("j", 4, 4, 1, List.of(1.0));
-    assertThat(round.gain(k, k.tasks().get(0), full, 0.6))
+    assertThat(round.gain(host, host.tasks().get(0), full, 0.6))
         .isCloseTo(2.5 * 50 + 8 * 100 - 8 * 50, within(1e-9));
   }
 
   @Test
-  void whatIsLeftToRunIsAtLeastOneRound() {
-    MachineView k = machine("k", 0, 1, 0, List.of(0.9), task("a", 400, 40));
-    MachineView j = machine("j", 0, 0, 1, List.of(1.0));
+  void remainingRunTimeIsAtLeastOneRound() {
+    MachineView host = machine("k", 0, 1, 0, List.of(0.9), task("a", 400, 40));
+    MachineView target = machine("j", 0, 0, 1, List.of(1.0));
     // Ts = 5, Tc = 40, a free machine counts one unit: dE = 1.25*(5-40) + 1*5 - 1.25*40.
-    assertThat(round.gain(k, k.tasks().get(0), j, 1)).isCloseTo(1.25 * -35 + 5 - 50, within(1e-9));
+    assertThat(round.gain(host, host.tasks().get(0), target, 1))
+        .isCloseTo(1.25 * -35 + 5 - 50, within(1e-9));
   }
 
   @Test
@@ -57,10 +58,10 @@
         machine("slow", 1, 2, 0, List.of(0.2), task("bad", 70, 40), task("worse", 100, 40));
     MachineView fine = machine("fine", 1, 1, 0, List.of(1.0), task("unlucky", 300, 40));
     MachineView free = machine("free", 1, 0, 1, List.of(1.1));
-    List<Restart> out = round.run(List.of(slow, fine, free));
+    List<Restart> restarts = round.run(List.of(slow, fine, free));
     // One place is free: the worst straggler gets it, and the one on the fine machine none.
-    assertThat(out).extracting(Restart::ref).containsExactly("worse");
-    assertThat(out.get(0).target()).isEqualTo("free");
+    assertThat(restarts).extracting(Restart::ref).containsExactly("worse");
+    assertThat(restarts.get(0).target()).isEqualTo("free");
   }
 
   @Test
@@ -90,11 +91,11 @@
   void partitionsAreBalancedAndOnlyALostControllersPartitionMoves() {
     int[] count = new int[3];
     for (int i = 0; i < 300; i++) {
-      String m = String.format("n-%06d", i);
-      String owner = MachinePartitions.owner(m, Set.of("c0", "c1", "c2"));
+      String machine = String.format("n-%06d", i);
+      String owner = MachinePartitions.owner(machine, Set.of("c0", "c1", "c2"));
       count[owner.charAt(1) - '0']++;
       if (!owner.equals("c2")) {
-        assertThat(MachinePartitions.owner(m, Set.of("c0", "c1"))).isEqualTo(owner);
+        assertThat(MachinePartitions.owner(machine, Set.of("c0", "c1"))).isEqualTo(owner);
       }
     }
     assertThat(java.util.Arrays.stream(count).min().getAsInt()).isGreaterThan(50);
