--- a/src/main/java/io/embernotch/codec/CloudCodec.java
+++ b/src/main/java/io/embernotch/codec/CloudCodec.java
@@ -40,6 +40,12 @@
   /** Number of machines to rent. */
   private static final String NUMBER = "number";
 
+  /** Phase of a machine that runs. */
+  private static final String RUNNING = "running";
+
+  /** Phase of a machine that has stopped on its own. */
+  private static final String FAILED = "failed";
+
   private CloudCodec() {}
 
   /**
@@ -50,7 +56,7 @@
    * @param type name of its machine type
    * @param zone zone it is in
    * @param spot whether the cloud may reclaim it
-   * @param phase the cloud's state of it, such as {@code running} or {@code failed}
+   * @param phase the cloud's name of its state; see {@link #running} and {@link #failed}
    * @param ageS seconds since it was rented
    */
   public record ListedMachine(
@@ -60,7 +66,17 @@
       String zone,
       boolean spot,
       String phase,
-      double ageS) {}
+      double ageS) {
+    /** Whether the cloud says that it runs. */
+    public boolean running() {
+      return phase.equals(RUNNING);
+    }
+
+    /** Whether the cloud says that it has failed. */
+    public boolean failed() {
+      return phase.equals(FAILED);
+    }
+  }
 
   /**
    * One page of the machine list.
--- a/src/main/java/io/embernotch/fleet/CloudInventory.java
+++ b/src/main/java/io/embernotch/fleet/CloudInventory.java
@@ -16,11 +16,6 @@
   /** Operators know these lines under the fleet manager's name. */
   private static final Logger LOG = LoggerFactory.getLogger(FleetManager.class);
 
-  /** The cloud's phases of a machine that matter here. */
-  private static final String RUNNING = "running";
-
-  private static final String FAILED = "failed";
-
   private final ControllerContext context;
   private final ClusterState state;
   private final AgentReconciler agents;
@@ -116,13 +111,13 @@
       if (!machine.up()) {
         describe(machine, listed, now);
       }
-      if (listed.phase().equals(RUNNING)) {
+      if (listed.running()) {
         machine.listedUpAt = machine.listedUpAt < 0 ? now : machine.listedUpAt;
         // A machine that ran under an earlier leader is asked at once: until its worker finds this
         // leader by itself, nothing could be started on it.
         agents.find(machine);
       }
-      if (listed.phase().equals(FAILED) && !machine.failed) {
+      if (listed.failed() && !machine.failed) {
         LOG.info("machine {} has failed", machine.name);
         machine.failed = true;
         rates.machineFailed();
@@ -145,7 +140,7 @@
         Math.min(machine.rentedAt == 0 ? now : machine.rentedAt, now - listed.ageS());
     // One that ran under an earlier leader is given time to find this one.
     double findsLeaderBy =
-        listed.phase().equals(RUNNING) ? startedAt + context.settings().workers().leaseS() / 2 : 0;
+        listed.running() ? startedAt + context.settings().workers().leaseS() / 2 : 0;
     double bootS = machine.type == null ? 0 : FleetManager.EXPECTED_BOOTS * machine.type.bootS();
     machine.expectedUntil =
         Math.max(machine.expectedUntil, Math.max(findsLeaderBy, machine.rentedAt + bootS));
--- a/src/main/java/io/embernotch/fleet/ScaleOut.java
+++ b/src/main/java/io/embernotch/fleet/ScaleOut.java
@@ -31,7 +31,15 @@
   private static final double NOT_EXHAUSTED = -1.0;
 
   /** A rental whose answer is not known yet; its name is an idempotency key. */
-  private record Booking(String name, String type, String zone, boolean spot, int number) {}
+  private record Booking(String name, Pool pool, int number) {}
+
+  /** Machines of one type in one zone, spot or not; the cloud runs out of each by itself. */
+  private record Pool(String type, String zone, boolean spot) {
+    /** How the log names the kind of machine. */
+    String spotSuffix() {
+      return spot ? " (spot)" : "";
+    }
+  }
 
   private final ControllerContext context;
   private final ClusterState state;
@@ -39,7 +47,7 @@
   private final Runnable changed;
   private final String bookingPrefix;
   private final Map<String, Booking> open = new LinkedHashMap<>();
-  private final Map<String, Double> exhaustedUntil = new HashMap<>();
+  private final Map<Pool, Double> exhaustedUntil = new HashMap<>();
   private int bookings;
 
   /**
@@ -64,20 +72,16 @@
   List<FleetView.Expected> expected() {
     List<FleetView.Expected> expected = new ArrayList<>();
     for (Booking booking : open.values()) {
-      expected.add(
-          new FleetView.Expected(booking.type, booking.zone, booking.spot, booking.number));
+      Pool pool = booking.pool;
+      expected.add(new FleetView.Expected(pool.type, pool.zone, pool.spot, booking.number));
     }
     return expected;
   }
 
   /** Whether the cloud has lately had too few machines in a pool. */
   boolean exhausted(String type, String zone, boolean spot) {
-    return exhaustedUntil.getOrDefault(pool(type, zone, spot), NOT_EXHAUSTED)
-        > context.clock().now();
-  }
-
-  private static String pool(String type, String zone, boolean spot) {
-    return type + "|" + zone + "|" + spot;
+    Pool pool = new Pool(type, zone, spot);
+    return exhaustedUntil.getOrDefault(pool, NOT_EXHAUSTED) > context.clock().now();
   }
 
   /**
@@ -86,38 +90,26 @@
    * cloud's rate limit.
    */
   void rent(SchedulingPlan.ScaleOutRequest request) {
+    Pool pool = new Pool(request.type(), request.zone(), request.spot());
     int remaining = request.number();
-    boolean underWay = open.values().stream().anyMatch(booking -> samePool(booking, request));
+    boolean underWay = open.values().stream().anyMatch(booking -> booking.pool.equals(pool));
     while (remaining > 0 && open.size() < context.settings().cloudLimits().rps()) {
       if (underWay && remaining < Settings.CloudLimits.MAX_RENT) {
         return;
       }
       int number = Math.min(remaining, Settings.CloudLimits.MAX_RENT);
-      Booking booking =
-          new Booking(
-              bookingPrefix + ++bookings, request.type(), request.zone(), request.spot(), number);
+      Booking booking = new Booking(bookingPrefix + ++bookings, pool, number);
       open.put(booking.name, booking);
-      LOG.info(
-          "scaling out: {} {} in {}{}",
-          number,
-          booking.type,
-          booking.zone,
-          booking.spot ? " (spot)" : "");
+      LOG.info("scaling out: {} {} in {}{}", number, pool.type, pool.zone, pool.spotSuffix());
       send(booking);
       remaining -= number;
     }
   }
 
-  private static boolean samePool(Booking booking, SchedulingPlan.ScaleOutRequest request) {
-    return booking.type.equals(request.type())
-        && booking.zone.equals(request.zone())
-        && booking.spot == request.spot();
-  }
-
   private void send(Booking booking) {
     context
         .cloud()
-        .rent(booking.name, booking.type, booking.zone, booking.spot, booking.number)
+        .rent(booking.name, booking.pool.type, booking.pool.zone, booking.pool.spot, booking.number)
         .onSuccess(rented -> complete(booking, rented))
         .onFailure(
             e -> {
@@ -134,13 +126,14 @@
   private void complete(Booking booking, Rented rented) {
     open.remove(booking.name);
     double now = context.clock().now();
-    MachineType type = state.types.get(booking.type);
+    Pool pool = booking.pool;
+    MachineType type = state.types.get(pool.type);
     for (String name : rented.machines()) {
       Machine machine = state.machine(name, agents.tokenBase());
       if (!machine.up()) {
         machine.type = type;
-        machine.zone = booking.zone;
-        machine.spot = booking.spot;
+        machine.zone = pool.zone;
+        machine.spot = pool.spot;
         machine.rentedAt = now;
         machine.expectedUntil = now + FleetManager.EXPECTED_BOOTS * type.bootS();
       }
@@ -148,14 +141,13 @@
     if (rented.refused() || rented.machines().size() < booking.number) {
       LOG.info(
           "pool exhausted: {} in {}{}, got {} of {}",
-          booking.type,
-          booking.zone,
-          booking.spot ? " (spot)" : "",
+          pool.type,
+          pool.zone,
+          pool.spotSuffix(),
           rented.machines().size(),
           booking.number);
       exhaustedUntil.put(
-          pool(booking.type, booking.zone, booking.spot),
-          now + EXHAUSTED_HEARTBEATS * context.settings().workers().heartbeatIntervalS());
+          pool, now + EXHAUSTED_HEARTBEATS * context.settings().workers().heartbeatIntervalS());
     }
     changed.run();
   }
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotDiff.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotDiff.java
@@ -16,29 +16,35 @@
 
 /** Describes jobs of a snapshot, and the differences of two snapshots, as JSON: a line a job. */
 public final class SnapshotDiff {
+  private static final String REF = "ref";
+  private static final String PHASE = "phase";
+  private static final String DONE_TASKS = "done";
+  private static final String OPEN_ATTEMPTS = "open";
+  private static final String NEXT_ATTEMPT = "next";
+
   private SnapshotDiff() {}
 
   /** The line of a job of which more than its end is left. */
   public static ObjectNode line(JobSnapshot job) {
     return Json.object()
-        .put("ref", job.getRef())
+        .put(REF, job.getRef())
         .put(
-            "phase",
+            PHASE,
             job.hasEnd()
                 ? job.getEnd().name().toLowerCase()
                 : job.getOpenCount() > 0 ? "running" : "queued")
-        .put("done", BitSet.valueOf(job.getDone().toByteArray()).cardinality())
-        .put("open", job.getOpenCount())
-        .put("next", job.getNextAttempt());
+        .put(DONE_TASKS, BitSet.valueOf(job.getDone().toByteArray()).cardinality())
+        .put(OPEN_ATTEMPTS, job.getOpenCount())
+        .put(NEXT_ATTEMPT, job.getNextAttempt());
   }
 
   /** The line of a job of which only the end is left. */
   public static ObjectNode line(EndedJobSnapshot endedJob) {
     return Json.object()
-        .put("ref", endedJob.getRef())
-        .put("phase", endedJob.getEnd().name().toLowerCase())
-        .put("done", endedJob.getDone())
-        .put("open", 0);
+        .put(REF, endedJob.getRef())
+        .put(PHASE, endedJob.getEnd().name().toLowerCase())
+        .put(DONE_TASKS, endedJob.getDone())
+        .put(OPEN_ATTEMPTS, 0);
   }
 
   /**
@@ -57,7 +63,7 @@
       if (!Objects.equals(jobBefore, jobAfter)) {
         lines.add(
             Json.object()
-                .put("ref", ref)
+                .put(REF, ref)
                 .put("before", describe(jobBefore))
                 .put("after", describe(jobAfter)));
       }
@@ -77,12 +83,12 @@
       return "absent";
     }
     ObjectNode line = job instanceof JobSnapshot open ? line(open) : line((EndedJobSnapshot) job);
-    return line.path("phase").asText()
+    return line.path(PHASE).asText()
         + ", "
-        + line.path("done").asText()
+        + line.path(DONE_TASKS).asText()
         + " done, "
-        + line.path("open").asText()
+        + line.path(OPEN_ATTEMPTS).asText()
         + " open, next "
-        + line.path("next").asText("-");
+        + line.path(NEXT_ATTEMPT).asText("-");
   }
 }
