--- a/src/main/java/io/embernotch/scheduling/FleetView.java
+++ b/src/main/java/io/embernotch/scheduling/FleetView.java
@@ -19,7 +19,7 @@
   /**
    * Capacity to be kept free.
    *
-   * @param like a sample of the tasks, or of the gangs, that it is for
+   * @param sample a sample of the tasks, or of the gangs, that it is for
    * @param count for how many of them
    */
   public record Headroom(JobSpec sample, int count) {}
--- /dev/null
+++ b/src/test/java/io/embernotch/scheduling/ServiceHour.java
@@ -0,0 +1,135 @@
+package io.embernotch.scheduling;
+
+import io.embernotch.model.Attempt;
+import io.embernotch.model.Job;
+import io.embernotch.model.Machine;
+import java.util.HashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
+
+/**
+ * An hour of forty services with weights of 20 to 120 GB on 64 machines; machines fail, and at half
+ * time a fifth of a zone.
+ */
+final class ServiceHour {
+  /**
+   * What an hour has cost.
+   *
+   * @param lostS replica seconds lost after the first starts
+   * @param weightedS the same, each second by the share of the service that is down
+   * @param fetchedGb what was fetched
+   */
+  record Result(double lostS, double weightedS, double fetchedGb) {
+    /** The sum of this and a share of the other. */
+    Result plus(Result other, double share) {
+      return new Result(
+          lostS + other.lostS * share,
+          weightedS + other.weightedS * share,
+          fetchedGb + other.fetchedGb * share);
+    }
+  }
+
+  private static final int SECONDS = 3600;
+
+  /** Until then services start for the first time: what is lost does not count. */
+  private static final int FIRST_STARTS_S = 200;
+
+  private final ServiceFleet fleet = new ServiceFleet();
+  private final SplittableRandom random;
+  private final FailureRisk risk;
+  private final Map<Attempt, Double> readyAt = new HashMap<>();
+  private double lostS;
+  private double weightedS;
+  private double fetchedGb;
+
+  private ServiceHour(long seed, FailureRisk risk) {
+    this.random = new SplittableRandom(seed);
+    this.risk = risk;
+    for (int i = 0; i < 64; i++) {
+      fleet.machine(i % 3 == 0 ? "z2" : "z1");
+    }
+    for (int i = 0; i < 40; i++) {
+      fleet.service("j-" + i, 2 + random.nextInt(7), 20 + random.nextInt(101));
+    }
+  }
+
+  /** Simulates an hour in which the scheduler reckons with this risk. */
+  static Result run(long seed, FailureRisk risk) {
+    ServiceHour hour = new ServiceHour(seed, risk);
+    for (int second = 0; second < SECONDS; second++, hour.fleet.now++) {
+      hour.failMachines(second);
+      hour.startReplicas();
+      if (second > FIRST_STARTS_S) {
+        hour.countLost();
+      }
+    }
+    return new Result(hour.lostS, hour.weightedS, hour.fetchedGb);
+  }
+
+  private void failMachines(int second) {
+    Set<Machine> failed = new LinkedHashSet<>();
+    for (Machine machine : fleet.machines) {
+      if (random.nextInt(SECONDS) < 2
+          || (second == SECONDS / 2 && machine.zone.equals("z1") && random.nextInt(5) == 0)) {
+        failed.add(machine);
+      }
+    }
+    for (Machine machine : failed) {
+      for (Attempt attempt : List.copyOf(machine.openAttempts.values())) {
+        attempt.job.openAttempts.remove(attempt.task);
+        attempt.job.restartedTasks.set(attempt.task);
+        readyAt.remove(attempt);
+      }
+      fleet.machines.remove(machine);
+      fleet.machine(machine.zone);
+    }
+  }
+
+  private void startReplicas() {
+    for (SchedulingPlan.Start start : fleet.plan(risk).starts()) {
+      for (SchedulingPlan.Placement placement : start.placements()) {
+        Attempt attempt = PlanExecution.start(start, placement);
+        readyAt.put(attempt, fleet.now + fetch(start.job(), placement.machine()));
+      }
+    }
+  }
+
+  /** Puts an image on a machine, and returns how many gigabytes, in a second each, that fetches. */
+  private double fetch(Job job, Machine machine) {
+    String image = job.spec.image();
+    boolean cached = machine.images.remove(image);
+    machine.images.add(image);
+    double fetched = cached ? 0 : job.spec.imageGb();
+    fetchedGb += fetched;
+    double cachedGb = machine.images.stream().mapToDouble(this::sizeGb).sum();
+    while (cachedGb > ServiceFleet.G8.cacheGb()) {
+      String oldest = machine.images.iterator().next();
+      machine.images.remove(oldest);
+      cachedGb -= sizeGb(oldest);
+    }
+    return fetched;
+  }
+
+  private double sizeGb(String image) {
+    return fleet.jobs.stream()
+        .filter(job -> job.spec.image().equals(image))
+        .mapToDouble(job -> job.spec.imageGb())
+        .findFirst()
+        .orElse(0);
+  }
+
+  private void countLost() {
+    for (Job job : fleet.jobs) {
+      int down = 0;
+      for (int task = 0; task < job.spec.tasks(); task++) {
+        Attempt attempt = job.openAttempts.get(task);
+        down += attempt == null || readyAt.getOrDefault(attempt, 0.0) > fleet.now ? 1 : 0;
+      }
+      lostS += down;
+      weightedS += down * (double) down / job.spec.tasks();
+    }
+  }
+}
