--- a/src/test/java/io/embernotch/calendar/ReleaseCalendarTest.java
+++ b/src/test/java/io/embernotch/calendar/ReleaseCalendarTest.java
@@ -21,7 +21,7 @@
 class ReleaseCalendarTest {
   private static final int SEEDS = Integer.getInteger("calendar.seeds", 40);
 
-  private SimulatedCluster world;
+  private SimulatedCluster cluster;
 
   private static String file(int generation, String more) {
     return "reserve_live: false generation: "
@@ -33,20 +33,20 @@
   }
 
   private void begin(String file) {
-    world = new SimulatedCluster(OperatorSettings.parse(file));
-    world.settle(4);
+    cluster = new SimulatedCluster(OperatorSettings.parse(file));
+    cluster.settle(4);
   }
 
-  private static String of(String jobClass, String ref, int tasks) {
+  private static String jobOfClass(String jobClass, String ref, int tasks) {
     return job(ref, "array", tasks)
         .replace("\"jobclass\":\"c\"", "\"jobclass\":\"" + jobClass + "\"")
         .replace("red", "blue");
   }
 
   private JsonNode poll(String ref) {
-    return world.nodes.stream()
-        .filter(n -> !n.down)
-        .map(n -> world.poll(n.index, ref))
+    return cluster.nodes.stream()
+        .filter(index -> !index.down)
+        .map(index -> cluster.poll(index.index, ref))
         .filter(a -> a.status() == 200)
         .findFirst()
         .map(a -> (JsonNode) Json.parseObject(a.body()))
@@ -54,52 +54,53 @@
   }
 
   /**
-   * One machine, taken, and more waits than any guarantee holds; three jobs wait that came in the
-   * order of their urgency turned round.
+   * One machine, taken, and more pending work than any guarantee covers: three jobs are pending
+   * that were submitted in the reverse order of their urgency.
    */
-  private void threeWait() {
-    world.boot("g8", "z1", false);
-    world.pass(7);
-    world.cloud.full = true;
-    world.submit(0, of("c", "j-1", 8));
-    world.pass(4);
-    assertThat(world.running("j-1")).hasSize(8);
-    world.submit(0, of("c", "j-2", 16));
-    world.pass(1);
-    world.submit(1, of("desk", "j-3", 16));
-    world.pass(1);
-    world.submit(2, of("wire", "j-4", 16));
-    world.pass(4);
+  private void submitThreePendingJobs() {
+    cluster.boot("g8", "z1", false);
+    cluster.pass(7);
+    cluster.cloud.full = true;
+    cluster.submit(0, jobOfClass("c", "j-1", 8));
+    cluster.pass(4);
+    assertThat(cluster.running("j-1")).hasSize(8);
+    cluster.submit(0, jobOfClass("c", "j-2", 16));
+    cluster.pass(1);
+    cluster.submit(1, jobOfClass("desk", "j-3", 16));
+    cluster.pass(1);
+    cluster.submit(2, jobOfClass("wire", "j-4", 16));
+    cluster.pass(4);
   }
 
   @Test
-  void whatWaitsGoesByWhenItsMembersMustPublish() {
+  void pendingJobsAreOrderedByTheirReleaseDeadlines() {
     begin(file(1, "").replace("00:24", "00:21"));
-    threeWait();
+    submitThreePendingJobs();
     assertThat(poll("j-4").get("release").asText()).isEqualTo("morning/1970-01-01");
     assertThat(poll("j-4").get("deadline").asText()).isEqualTo("1970-01-01T00:21:00Z");
     assertThat(poll("j-4").get("in_time").asBoolean()).isTrue();
     assertThat(poll("j-3").get("release").asText()).isEqualTo("late/1970-01-01");
-    // A while before it is due the morning's goes before what has waited longer; the rest by age.
-    world.pass(100);
-    world.finish("j-1");
-    world.pass(5);
-    assertThat(world.running("j-4")).hasSize(8);
-    world.finish("j-4");
-    world.pass(5);
-    world.finish("j-4");
-    world.pass(5);
-    assertThat(world.running("j-2")).hasSize(8);
+    // Shortly before its deadline the morning's job goes before jobs that have waited longer; the
+    // others by age.
+    cluster.pass(100);
+    cluster.finish("j-1");
+    cluster.pass(5);
+    assertThat(cluster.running("j-4")).hasSize(8);
+    cluster.finish("j-4");
+    cluster.pass(5);
+    cluster.finish("j-4");
+    cluster.pass(5);
+    assertThat(cluster.running("j-2")).hasSize(8);
   }
 
   /**
-   * Moved, advanced or lifted: a newer file, in force once it is in the store; the release of a job
-   * never changes.
+   * A newer file moves, advances or lifts an embargo, and is in force once the store holds it; the
+   * release of a job never changes.
    */
   @Test
-  void aMovedEmbargoReordersWhatWaitsAndNoOlderFileMovesItBack() {
+  void aMovedEmbargoReordersPendingJobsAndNoOlderFileMovesItBack() {
     begin(file(1, ""));
-    threeWait();
+    submitThreePendingJobs();
     restartWith(file(2, "moved { date: '1970-01-01' time: '00:50' }"));
     assertThat(poll("j-4").get("deadline").asText()).isEqualTo("1970-01-01T00:50:00Z");
     assertThat(poll("j-4").get("release").asText()).isEqualTo("morning/1970-01-01");
@@ -110,13 +111,13 @@
   }
 
   /**
-   * Not even where a newer file would have another release order the job, or has its embargo
-   * advanced before it came.
+   * Not even where a newer file has another release order the job, or has its embargo advanced to
+   * before the job's submission.
    */
   @Test
-  void whatIsSettledStaysAndMovesChangeNoJobsRelease() {
+  void aSettledReleaseStaysAndMovesChangeNoJobsRelease() {
     begin(file(1, ""));
-    threeWait();
+    submitThreePendingJobs();
     for (int i = 0; i < 2; i++) {
       restartWith(
           file(2, "moved { date: '1970-01-01' time: '00:17' }")
@@ -125,94 +126,102 @@
                   "calendar { release { id: 'early' zone: 'UTC' time: '00:30' day: THURSDAY orders { job_class: 'desk' } }"));
     }
     assertThat(poll("j-3").get("release").asText()).isEqualTo("late/1970-01-01");
-    world.submit(world.leader().index, of("wire", "j-5", 16));
-    world.pass(4);
+    cluster.submit(cluster.leader().index, jobOfClass("wire", "j-5", 16));
+    cluster.pass(4);
     assertThat(poll("j-5").get("release").asText()).isEqualTo("morning/1970-01-01");
   }
 
   private void restartWith(String file) {
-    world.operator(OperatorSettings.parse(file));
-    world.nodes.forEach(Node::kill);
-    world.pass(1);
-    world.nodes.forEach(Node::start);
-    world.settle(8);
-    world.pass(15);
+    cluster.operator(OperatorSettings.parse(file));
+    cluster.nodes.forEach(Node::kill);
+    cluster.pass(1);
+    cluster.nodes.forEach(Node::start);
+    cluster.settle(8);
+    cluster.pass(15);
   }
 
   @Test
-  void whatCameOfAReleaseIsKept() {
+  void theResultOfAReleaseIsStored() {
     begin(file(1, ""));
-    threeWait();
-    world.pass(200);
-    world.finish("j-1");
-    world.pass(5);
+    submitThreePendingJobs();
+    cluster.pass(200);
+    cluster.finish("j-1");
+    cluster.pass(5);
     for (int i = 0; i < 8; i++) {
-      world.pass(15);
-      world.finish("j-2");
-      world.finish("j-3");
-      world.finish("j-4");
+      cluster.pass(15);
+      cluster.finish("j-2");
+      cluster.finish("j-3");
+      cluster.finish("j-4");
     }
-    world.pass(250);
-    JsonNode over = world.state.value("shared/release/morning/1970-01-01");
+    cluster.pass(250);
+    JsonNode over = cluster.state.value("shared/release/morning/1970-01-01");
     assertThat(over.get("over").asBoolean()).isTrue();
     assertThat(over.get("jobs").asInt()).isEqualTo(1);
     assertThat(over.get("in_time").asInt()).isEqualTo(1);
   }
 
+  /** A commit is lost, held or late, some tasks end, or a controller restarts. */
+  private void injectFault(SplittableRandom random) {
+    switch (random.nextInt(6)) {
+      case 0 -> {
+        cluster.commitsWith = random.nextBoolean() ? "shared/" : "run/";
+        cluster.commitFate = Fate.values()[random.nextInt(3)];
+      }
+      case 1 -> cluster.releaseHeld();
+      case 2 -> cluster.finish("j-" + random.nextInt(12));
+      default -> {
+        Node node = cluster.nodes.get(random.nextInt(3));
+        node.kill();
+        cluster.pass(random.nextDouble(0.6));
+        node.start();
+      }
+    }
+  }
+
   /**
-   * Controllers end around every commit, facts' commits are lost or late, the store loses all: each
-   * job keeps its release.
+   * Controllers end around every commit, commits of the shared state are lost or late, the store
+   * loses all data: each job keeps its release.
    */
   @Test
   void aSettledReleaseIsNeverAnother() {
-    List<String> wrong = new ArrayList<>();
+    List<String> violations = new ArrayList<>();
     for (long seed = 1; seed <= SEEDS; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
       begin(file(1, ""));
-      String[] told = new String[12];
+      String[] reported = new String[12];
       for (int step = 0; step < 24; step++) {
-        int n = step / 2;
-        if (step % 2 == 0 && !world.nodes.get(n % 3).down) {
-          world.submit(n % 3, of(n % 4 == 0 ? "desk" : "wire", "j-" + n, 1 + random.nextInt(4)));
-        }
-        switch (random.nextInt(6)) {
-          case 0 -> {
-            world.commitsWith = random.nextBoolean() ? "shared/" : "run/";
-            world.commitFate = Fate.values()[random.nextInt(3)];
-          }
-          case 1 -> world.releaseHeld();
-          case 2 -> world.finish("j-" + random.nextInt(12));
-          default -> {
-            Node node = world.nodes.get(random.nextInt(3));
-            node.kill();
-            world.pass(random.nextDouble(0.6));
-            node.start();
-          }
+        int index = step / 2;
+        if (step % 2 == 0 && !cluster.nodes.get(index % 3).down) {
+          cluster.submit(
+              index % 3,
+              jobOfClass(index % 4 == 0 ? "desk" : "wire", "j-" + index, 1 + random.nextInt(4)));
         }
-        world.pass(random.nextDouble(20));
-        for (int j = 0; j <= n; j++) {
-          String now = poll("j-" + j).path("release").asText(null);
-          if (told[j] != null && now != null && !now.equals(told[j])) {
-            wrong.add(seed + ": j-" + j + " was for " + told[j] + " and is for " + now);
+        injectFault(random);
+        cluster.pass(random.nextDouble(20));
+        for (int j = 0; j <= index; j++) {
+          String release = poll("j-" + j).path("release").asText(null);
+          if (reported[j] != null && release != null && !release.equals(reported[j])) {
+            violations.add(
+                seed + ": j-" + j + " was for " + reported[j] + " and is for " + release);
           }
-          told[j] = told[j] == null ? now : told[j];
+          reported[j] = reported[j] == null ? release : reported[j];
         }
       }
-      wrong.addAll(world.broken());
+      violations.addAll(cluster.broken());
     }
-    assertThat(wrong).isEmpty();
+    assertThat(violations).isEmpty();
   }
 
   @Test
   void aLossOfTheStoreLosesNoRelease() {
     begin(file(2, "moved { date: '1970-01-01' time: '00:50' }"));
-    threeWait();
-    // Nobody's file says it any more.
+    submitThreePendingJobs();
+    // No controller's file says it any more.
     restartWith(file(1, ""));
     assertThat(poll("j-4").get("deadline").asText()).isEqualTo("1970-01-01T00:50:00Z");
-    world.state.loseAll();
-    world.pass(50);
-    world.settle(5);
+    cluster.state.loseAll();
+    cluster.pass(50);
+    cluster.settle(5);
     assertThat(poll("j-4").get("deadline").asText()).isEqualTo("1970-01-01T00:50:00Z");
   }
 }
--- a/src/test/java/io/embernotch/reservation/ReservationTest.java
+++ b/src/test/java/io/embernotch/reservation/ReservationTest.java
@@ -21,17 +21,17 @@
 /** Reserved capacity, with three controllers that fail. */
 class ReservationTest {
   private static final int SEEDS = Integer.getInteger("reserve.seeds", 60);
-  private static final int FROM = Integer.getInteger("reserve.from", 1);
-  private static final String TEN =
+  private static final int FIRST_SEED = Integer.getInteger("reserve.from", 1);
+  private static final String TEN_GPUS =
       "generation: 1 reserve { name: 'live' serves { priority: LIVE } gpus: 10 }";
 
-  private SimulatedCluster world;
-  private ReservedCapacity room;
+  private SimulatedCluster cluster;
+  private ReservedCapacity capacity;
 
   private void begin(String file) {
-    world = new SimulatedCluster(OperatorSettings.parse(file));
-    room = new ReservedCapacity(world);
-    world.settle(3);
+    cluster = new SimulatedCluster(OperatorSettings.parse(file));
+    capacity = new ReservedCapacity(cluster);
+    cluster.settle(3);
   }
 
   private static String live(String ref, int tasks) {
@@ -44,278 +44,282 @@
     return job(ref, "array", tasks).replace("\"loaner\":true", "\"loaner\":false");
   }
 
-  private JsonNode seen() {
-    JsonNode cluster =
-        Json.parseObject(world.await(world.leader().controller.overview()).body()).get("cluster");
-    return cluster.get("reserved").get("reservations").get(0);
+  private JsonNode reservationOverview() {
+    return Json.parseObject(cluster.await(cluster.leader().controller.overview()).body())
+        .get("cluster")
+        .get("reserved")
+        .get("reservations")
+        .get(0);
   }
 
   /**
-   * Room for ten is held, others fill the rest, and what the services that come use of it is theirs
-   * at once.
+   * Capacity for ten is reserved, others fill the rest, and services that come get what they use of
+   * it at once.
    */
   @Test
-  void aFixedAmountIsHeldAgainstABurstAndFilledByWhatItIsFor() {
-    begin(TEN);
-    room.pass(20);
-    assertThat(room.heldInAll()).isGreaterThanOrEqualTo(10);
-    world.cloud.noBoot = true;
-    world.submit(0, array("j-1", 100));
-    room.pass(20);
-    assertThat(seen().get("held").get("gpus").asDouble()).isGreaterThanOrEqualTo(10);
-    assertThat(seen().get("idle_cost_per_hour").asDouble()).isGreaterThan(0);
-    world.submit(1, live("j-2", 10));
-    room.pass(3);
-    assertThat(world.running("j-2")).hasSize(10);
-    assertThat(seen().get("filled").get("gpus").asDouble()).isEqualTo(10);
-    assertThat(room.wrong).isEmpty();
+  void aFixedAmountStaysReservedDuringABurstAndServesItsWork() {
+    begin(TEN_GPUS);
+    capacity.pass(20);
+    assertThat(capacity.totalReservedGpus()).isGreaterThanOrEqualTo(10);
+    cluster.cloud.noBoot = true;
+    cluster.submit(0, array("j-1", 100));
+    capacity.pass(20);
+    assertThat(reservationOverview().get("held").get("gpus").asDouble()).isGreaterThanOrEqualTo(10);
+    assertThat(reservationOverview().get("idle_cost_per_hour").asDouble()).isGreaterThan(0);
+    cluster.submit(1, live("j-2", 10));
+    capacity.pass(3);
+    assertThat(cluster.running("j-2")).hasSize(10);
+    assertThat(reservationOverview().get("filled").get("gpus").asDouble()).isEqualTo(10);
+    assertThat(capacity.violations).isEmpty();
   }
 
-  /**
-   * A restarted controller lends nothing: replicas that were lost while nobody led find their room.
-   */
+  /** Replicas that were lost while there was no leader find their capacity still reserved. */
   @Test
-  void allControllersEndWhileABurstWaitsAndNothingIsLent() {
+  void nothingReservedIsGivenAwayThoughAllControllersEndDuringABurst() {
     begin("");
-    world.submit(0, live("j-1", 14));
-    room.pass(15);
-    world.cloud.noBoot = true;
-    world.submit(1, array("j-2", 200));
-    room.pass(15);
-    double held = room.heldInAll();
-    assertThat(held).isGreaterThanOrEqualTo(14);
-    world.nodes.forEach(Node::kill);
-    room.pass(1);
-    int gone = 0;
-    for (FakeWorker w : world.running("j-1").values()) {
-      for (String t : List.copyOf(w.alive())) {
-        if (t.startsWith("j-1/") && gone < 6) {
-          w.exit(t, "error");
-          gone++;
+    cluster.submit(0, live("j-1", 14));
+    capacity.pass(15);
+    cluster.cloud.noBoot = true;
+    cluster.submit(1, array("j-2", 200));
+    capacity.pass(15);
+    double reserved = capacity.totalReservedGpus();
+    assertThat(reserved).isGreaterThanOrEqualTo(14);
+    cluster.nodes.forEach(Node::kill);
+    capacity.pass(1);
+    int ended = 0;
+    for (FakeWorker worker : cluster.running("j-1").values()) {
+      for (String test : List.copyOf(worker.alive())) {
+        if (test.startsWith("j-1/") && ended < 6) {
+          worker.exit(test, "error");
+          ended++;
         }
       }
     }
-    assertThat(world.running("j-1")).hasSize(8);
-    world.nodes.forEach(Node::start);
-    room.pass(25);
-    assertThat(world.running("j-1")).hasSize(14);
-    assertThat(room.wrong).isEmpty();
+    assertThat(cluster.running("j-1")).hasSize(8);
+    cluster.nodes.forEach(Node::start);
+    capacity.pass(25);
+    assertThat(cluster.running("j-1")).hasSize(14);
+    assertThat(capacity.violations).isEmpty();
   }
 
-  /** A commit that was made and whose answer is lost counts as made until it is known not to be. */
+  /** A commit whose answer is lost counts as applied until it is known not to be. */
   @Test
-  void whatMayBeWrittenIsKeptThoughItIsWantedNoMore() {
+  void whatMayBeStoredStaysReservedThoughItIsNoLongerWanted() {
     begin("");
-    world.boot("g8", "z1", false);
-    room.pass(7);
-    world.cloud.full = true;
-    world.commitsWith = "shared/";
-    world.commitFate = Fate.HELD;
-    world.submit(0, live("j-1", 8));
-    room.pass(9);
-    assertThat(world.running("j-1")).hasSize(8);
-    world.submit(1, array("j-2", 50));
-    for (int i = 0; i < 200 && room.heldInAll() < 8; i++) {
-      room.pass(0.05);
-      world.releaseHeld();
+    cluster.boot("g8", "z1", false);
+    capacity.pass(7);
+    cluster.cloud.full = true;
+    cluster.commitsWith = "shared/";
+    cluster.commitFate = Fate.HELD;
+    cluster.submit(0, live("j-1", 8));
+    capacity.pass(9);
+    assertThat(cluster.running("j-1")).hasSize(8);
+    cluster.submit(1, array("j-2", 50));
+    for (int i = 0; i < 200 && capacity.totalReservedGpus() < 8; i++) {
+      capacity.pass(0.05);
+      cluster.releaseHeld();
     }
-    assertThat(room.heldInAll()).isGreaterThanOrEqualTo(8);
-    world.abort(0, "j-1");
-    room.pass(1);
-    world.commitFate = Fate.ARRIVES;
-    room.pass(40);
-    assertThat(world.running("j-2")).isNotEmpty();
-    assertThat(room.wrong).isEmpty();
+    assertThat(capacity.totalReservedGpus()).isGreaterThanOrEqualTo(8);
+    cluster.abort(0, "j-1");
+    capacity.pass(1);
+    cluster.commitFate = Fate.ARRIVES;
+    capacity.pass(40);
+    assertThat(cluster.running("j-2")).isNotEmpty();
+    assertThat(capacity.violations).isEmpty();
   }
 
-  /** Held room on a machine that reports late to a new leader is not given up before. */
+  /** Capacity reserved on a machine that reports late to a new leader is not released before. */
   @Test
-  void aMachineThatIsNotHeardYetKeepsWhatIsHeldThere() {
-    begin(TEN);
-    room.pass(25);
-    world.cloud.noBoot = true;
-    world.nodes.forEach(Node::kill);
-    world.workers.values().forEach(w -> w.cut = true);
-    world.cloud.unlisted.addAll(world.workers.keySet());
-    room.pass(1);
-    world.submit(0, array("j-1", 1));
-    world.nodes.forEach(Node::start);
-    room.pass(9);
-    assertThat(room.heldInAll()).isGreaterThanOrEqualTo(10);
-    world.workers.values().forEach(w -> w.cut = false);
-    world.cloud.unlisted.clear();
-    world.submit(0, array("j-2", 60));
-    room.pass(12);
-    assertThat(room.heldInAll()).isGreaterThanOrEqualTo(10);
-    assertThat(world.running("j-2").size()).isLessThanOrEqualTo(world.workers.size() * 8 - 10);
+  void aMachineThatHasNotReportedYetKeepsItsReservation() {
+    begin(TEN_GPUS);
+    capacity.pass(25);
+    cluster.cloud.noBoot = true;
+    cluster.nodes.forEach(Node::kill);
+    cluster.workers.values().forEach(worker -> worker.cut = true);
+    cluster.cloud.unlisted.addAll(cluster.workers.keySet());
+    capacity.pass(1);
+    cluster.submit(0, array("j-1", 1));
+    cluster.nodes.forEach(Node::start);
+    capacity.pass(9);
+    assertThat(capacity.totalReservedGpus()).isGreaterThanOrEqualTo(10);
+    cluster.workers.values().forEach(worker -> worker.cut = false);
+    cluster.cloud.unlisted.clear();
+    cluster.submit(0, array("j-2", 60));
+    capacity.pass(12);
+    assertThat(capacity.totalReservedGpus()).isGreaterThanOrEqualTo(10);
+    assertThat(cluster.running("j-2").size()).isLessThanOrEqualTo(cluster.workers.size() * 8 - 10);
   }
 
   /**
-   * A value of the store's is given up by commit before it is used; one commit that is lost or late
+   * Reserved capacity is released by a commit before others use it; a commit that is lost or late
    * changes nothing.
    */
   @Test
-  void whatIsGivenUpIsLentOnlyOnceThatIsKnownToBeWritten() {
+  void releasedCapacityIsUsedOnlyOnceTheReleaseIsKnownToBeStored() {
     begin("");
-    world.submit(0, live("j-1", 16));
-    room.pass(15);
-    world.cloud.noBoot = true;
-    world.submit(1, array("j-2", 200));
-    room.pass(10);
-    world.commitsWith = "shared/";
-    world.commitFate = Fate.HELD;
-    world.abort(0, "j-1");
-    room.pass(8);
-    double still = room.heldInAll();
-    assertThat(still).isGreaterThanOrEqualTo(16);
-    world.commitFate = Fate.ARRIVES;
-    world.releaseHeld();
-    room.pass(60);
-    assertThat(room.heldInAll()).isLessThan(still / 2);
-    assertThat(world.running("j-2").size()).isGreaterThan(8);
-    assertThat(room.wrong).isEmpty();
+    cluster.submit(0, live("j-1", 16));
+    capacity.pass(15);
+    cluster.cloud.noBoot = true;
+    cluster.submit(1, array("j-2", 200));
+    capacity.pass(10);
+    cluster.commitsWith = "shared/";
+    cluster.commitFate = Fate.HELD;
+    cluster.abort(0, "j-1");
+    capacity.pass(8);
+    double stillReserved = capacity.totalReservedGpus();
+    assertThat(stillReserved).isGreaterThanOrEqualTo(16);
+    cluster.commitFate = Fate.ARRIVES;
+    cluster.releaseHeld();
+    capacity.pass(60);
+    assertThat(capacity.totalReservedGpus()).isLessThan(stillReserved / 2);
+    assertThat(cluster.running("j-2").size()).isGreaterThan(8);
+    assertThat(capacity.violations).isEmpty();
   }
 
   /**
-   * Where no machine is to be had the amount is restored by stopping lesser work, and by none of
-   * its equals.
+   * Where no machine can be rented the amount is restored by preempting work of lower priority, and
+   * none of equal priority.
    */
   @Test
-  void aFixedAmountIsRestoredByStoppingLesserWork() {
+  void aFixedAmountIsRestoredByPreemptingLowerPriority() {
     begin("reserve_live: false");
-    String name = world.boot("g8", "z1", false);
-    room.pass(8);
-    world.cloud.full = true;
-    world.submit(0, array("j-1", 8).replace("standard", "idle"));
-    room.pass(8);
-    assertThat(world.workers.get(name).alive()).hasSize(8);
+    String name = cluster.boot("g8", "z1", false);
+    capacity.pass(8);
+    cluster.cloud.full = true;
+    cluster.submit(0, array("j-1", 8).replace("standard", "idle"));
+    capacity.pass(8);
+    assertThat(cluster.workers.get(name).alive()).hasSize(8);
     restartWith("generation: 1 reserve { name: 'live' serves { priority: LIVE } gpus: 4 }");
-    room.pass(25);
-    assertThat(room.held(name)).isEqualTo(4);
-    assertThat(world.workers.get(name).alive()).hasSize(4);
-    world.submit(0, live("j-2", 4));
-    room.pass(3);
-    assertThat(world.running("j-2")).hasSize(4);
-    assertThat(room.wrong).isEmpty();
+    capacity.pass(25);
+    assertThat(capacity.reservedGpus(name)).isEqualTo(4);
+    assertThat(cluster.workers.get(name).alive()).hasSize(4);
+    cluster.submit(0, live("j-2", 4));
+    capacity.pass(3);
+    assertThat(cluster.running("j-2")).hasSize(4);
+    assertThat(capacity.violations).isEmpty();
   }
 
   private void restartWith(String file) {
-    world.operator(OperatorSettings.parse(file));
-    world.nodes.forEach(Node::kill);
-    world.pass(2);
-    world.nodes.forEach(Node::start);
-    world.settle(8);
+    cluster.operator(OperatorSettings.parse(file));
+    cluster.nodes.forEach(Node::kill);
+    cluster.pass(2);
+    cluster.nodes.forEach(Node::start);
+    cluster.settle(8);
   }
 
   /**
-   * A controller that is started with an older file goes by the newer one, and never writes its own
-   * over it.
+   * A controller that is started with an older file applies the newer one, and never overwrites it.
    */
   @Test
   void anOlderFileNeverUndoesANewerGeneration() {
     begin("generation: 3 reserve { name: 'new' serves { priority: LIVE } gpus: 12 }");
-    room.pass(20);
-    assertThat(room.heldInAll()).isGreaterThanOrEqualTo(12);
-    restartWith(TEN);
-    room.pass(20);
-    assertThat(seen().get("name").asText()).isEqualTo("new");
-    assertThat(world.state.value("shared/reserve").get("gen").asLong()).isEqualTo(3);
-    assertThat(room.heldInAll()).isGreaterThanOrEqualTo(12);
+    capacity.pass(20);
+    assertThat(capacity.totalReservedGpus()).isGreaterThanOrEqualTo(12);
+    restartWith(TEN_GPUS);
+    capacity.pass(20);
+    assertThat(reservationOverview().get("name").asText()).isEqualTo("new");
+    assertThat(cluster.state.value("shared/reserve").get("gen").asLong()).isEqualTo(3);
+    assertThat(capacity.totalReservedGpus()).isGreaterThanOrEqualTo(12);
   }
 
-  /** All data is lost: what was held is in the leader's copy, and is restored with the jobs. */
+  /**
+   * All data is lost: reservations are in the leader's snapshot, and are restored with the jobs.
+   */
   @Test
-  void aLossOfTheStoreLosesNoHold() {
-    begin(TEN);
-    world.submit(0, live("j-1", 6));
-    room.pass(25);
-    double held = room.heldInAll();
-    world.cloud.noBoot = true;
-    world.submit(1, array("j-2", 100));
-    room.pass(5);
-    world.state.loseAll();
-    room.pass(40);
-    world.settle(5);
-    assertThat(seen().get("held").get("gpus").asDouble())
-        .isGreaterThanOrEqualTo(Math.min(held, 10));
-    assertThat(world.running("j-1")).hasSize(6);
-    assertThat(room.wrong).isEmpty();
+  void aLossOfTheStoreLosesNoReservation() {
+    begin(TEN_GPUS);
+    cluster.submit(0, live("j-1", 6));
+    capacity.pass(25);
+    double reserved = capacity.totalReservedGpus();
+    cluster.cloud.noBoot = true;
+    cluster.submit(1, array("j-2", 100));
+    capacity.pass(5);
+    cluster.state.loseAll();
+    capacity.pass(40);
+    cluster.settle(5);
+    assertThat(reservationOverview().get("held").get("gpus").asDouble())
+        .isGreaterThanOrEqualTo(Math.min(reserved, 10));
+    assertThat(cluster.running("j-1")).hasSize(6);
+    assertThat(capacity.violations).isEmpty();
   }
 
   private static List<String> play(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    ReservationTest t = new ReservationTest();
-    t.begin(random.nextBoolean() ? "" : TEN);
-    SimulatedCluster world = t.world;
+    ReservationTest test = new ReservationTest();
+    test.begin(random.nextBoolean() ? "" : TEN_GPUS);
+    SimulatedCluster cluster = test.cluster;
     int next = 1;
     for (int step = 0; step < 25; step++) {
       int node = random.nextInt(3);
       switch (random.nextInt(9)) {
-        case 0, 1 -> submit(world, node, live("j-" + next++, 1 + random.nextInt(6)));
-        case 2 -> submit(world, node, array("j-" + next++, 1 + random.nextInt(40)));
-        case 3 -> world.finish("j-" + (1 + random.nextInt(next)));
+        case 0, 1 -> submit(cluster, node, live("j-" + next++, 1 + random.nextInt(6)));
+        case 2 -> submit(cluster, node, array("j-" + next++, 1 + random.nextInt(40)));
+        case 3 -> cluster.finish("j-" + (1 + random.nextInt(next)));
         case 4 -> {
-          if (!world.nodes.get(node).down) {
-            world.abort(node, "j-" + (1 + random.nextInt(next)));
+          if (!cluster.nodes.get(node).down) {
+            cluster.abort(node, "j-" + (1 + random.nextInt(next)));
           }
         }
         case 5 -> {
-          world.commitsWith = random.nextBoolean() ? "shared/" : "run/";
-          world.commitFate = Fate.values()[random.nextInt(3)];
+          cluster.commitsWith = random.nextBoolean() ? "shared/" : "run/";
+          cluster.commitFate = Fate.values()[random.nextInt(3)];
         }
-        case 6 -> world.releaseHeld();
-        case 7 -> world.cloud.noBoot = !world.cloud.noBoot;
+        case 6 -> cluster.releaseHeld();
+        case 7 -> cluster.cloud.noBoot = !cluster.cloud.noBoot;
         default -> {
-          List<Node> nodes = random.nextInt(3) == 0 ? world.nodes : List.of(world.nodes.get(node));
+          List<Node> nodes =
+              random.nextInt(3) == 0 ? cluster.nodes : List.of(cluster.nodes.get(node));
           nodes.forEach(Node::kill);
-          t.room.pass(random.nextDouble(1.0));
+          test.capacity.pass(random.nextDouble(1.0));
           nodes.forEach(Node::start);
         }
       }
-      t.room.pass(random.nextDouble(5));
+      test.capacity.pass(random.nextDouble(5));
     }
-    t.room.wrong.addAll(world.broken());
-    return t.room.wrong;
+    test.capacity.violations.addAll(cluster.broken());
+    return test.capacity.violations;
   }
 
-  private static void submit(SimulatedCluster world, int node, String json) {
-    if (!world.nodes.get(node).down) {
-      world.submit(node, json);
+  private static void submit(SimulatedCluster cluster, int node, String json) {
+    if (!cluster.nodes.get(node).down) {
+      cluster.submit(node, json);
     }
   }
 
   @Test
-  void nobodyEverBeginsOnWhatIsHeld() {
-    Map<Long, List<String>> wrong = new TreeMap<>();
-    for (long seed = FROM; seed < FROM + SEEDS; seed++) {
-      List<String> found = play(seed);
-      if (!found.isEmpty()) {
-        wrong.put(seed, found);
+  void noOtherWorkEverStartsOnReservedCapacity() {
+    Map<Long, List<String>> violations = new TreeMap<>();
+    for (long seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++) {
+      List<String> violationsOfSeed = play(seed);
+      if (!violationsOfSeed.isEmpty()) {
+        violations.put(seed, violationsOfSeed);
       }
     }
-    assertThat(wrong).isEmpty();
+    assertThat(violations).isEmpty();
   }
 
   @Test
-  void mistakesInTheFileAreToldWithTheirPlace() {
-    mistake("reserve { name: 'a' serves { priority: LIVE } gpus: 1 }", "reserve[0]: generation");
-    mistake("generation: 1 reserve { name: 'a' gpus: 1 }", "reserve[0].serves: missing");
-    mistake("generation: 1 reserve { name: 'a' serves { priority: LIVE } }", "reserves nothing");
-    mistake(
-        TEN + " reserve { name: 'b' serves { team: 'red' } gpus: 1 }",
+  void mistakesInTheFileAreReportedWithTheirPlace() {
+    assertMistake(
+        "reserve { name: 'a' serves { priority: LIVE } gpus: 1 }", "reserve[0]: generation");
+    assertMistake("generation: 1 reserve { name: 'a' gpus: 1 }", "reserve[0].serves: missing");
+    assertMistake(
+        "generation: 1 reserve { name: 'a' serves { priority: LIVE } }", "reserves nothing");
+    assertMistake(
+        TEN_GPUS + " reserve { name: 'b' serves { team: 'red' } gpus: 1 }",
         "reserve[1].serves: the same work may be served by live");
-    mistake(
+    assertMistake(
         "generation: 1 reserve { name: 'a' serves { shape: GANG } machines: 1 gpus: 2 }",
         "either whole machines or amounts");
-    mistake(
+    assertMistake(
         "generation: 1 reserve { name: 'a' serves { shape: GANG } gpus: 2 zone { name: 'x' least_share: 0.7 } zone { name: 'y' least_share: 0.6 } }",
         "reserve[0].zone: the shares add up to 1.29");
-    mistake("generation: 1 reserve { name: 'a' serves { shape: HEAP } gpus: 2 }", "line 1");
+    assertMistake("generation: 1 reserve { name: 'a' serves { shape: HEAP } gpus: 2 }", "line 1");
   }
 
-  private static void mistake(String file, String why) {
+  private static void assertMistake(String file, String message) {
     assertThatThrownBy(() -> OperatorSettings.parse(file))
         .isInstanceOf(SettingsException.class)
-        .hasMessageContaining(why);
+        .hasMessageContaining(message);
   }
 }
--- a/src/test/java/io/embernotch/reservation/ReservedCapacity.java
+++ b/src/test/java/io/embernotch/reservation/ReservedCapacity.java
@@ -12,65 +12,67 @@
 import java.util.TreeSet;
 
 /**
- * Checks that nobody else's task begins on what the store says is held; every task takes one GPU of
- * eight.
+ * Checks that no other task starts on capacity that the store says is reserved; every task takes
+ * one GPU of eight.
  */
 final class ReservedCapacity {
   private static final int GPUS = 8;
+  private static final double STEP_S = 0.05;
 
-  private final SimulatedCluster world;
-  private final Map<String, Set<String>> before = new HashMap<>();
-  final List<String> wrong = new ArrayList<>();
+  private final SimulatedCluster cluster;
+  private final Map<String, Set<String>> otherTasksBefore = new HashMap<>();
+  final List<String> violations = new ArrayList<>();
 
-  ReservedCapacity(SimulatedCluster world) {
-    this.world = world;
+  ReservedCapacity(SimulatedCluster cluster) {
+    this.cluster = cluster;
   }
 
-  /** GPUs that are held on a machine. */
-  double held(String machine) {
-    double out = 0;
-    for (String key : world.state.keys("shared/held/")) {
-      out += world.state.value(key).path("on").path(machine).path(1).asDouble() / 1000;
+  /** GPUs that are reserved on a machine. */
+  double reservedGpus(String machine) {
+    double gpus = 0;
+    for (String key : cluster.state.keys("shared/held/")) {
+      gpus += cluster.state.value(key).path("on").path(machine).path(1).asDouble() / 1000;
     }
-    return out;
+    return gpus;
   }
 
-  double heldInAll() {
-    return world.workers.keySet().stream().mapToDouble(this::held).sum();
+  double totalReservedGpus() {
+    return cluster.workers.keySet().stream().mapToDouble(this::reservedGpus).sum();
   }
 
-  private boolean live(String task) {
-    ObjectNode job = world.state.value("job/" + task.substring(0, task.indexOf('/')));
+  private boolean isLive(String task) {
+    ObjectNode job = cluster.state.value("job/" + task.substring(0, task.indexOf('/')));
     JsonNode rank = job == null ? null : job.path("job").path("rank");
     return rank != null && rank.asText().equals("production");
   }
 
-  /** Lets time pass, looking all the while. */
+  /** Lets time pass, and checks in every step. */
   void pass(double seconds) {
-    for (double t = 0; t < seconds; t += 0.05) {
-      Map<String, Double> heldBefore = new HashMap<>();
-      world.workers.keySet().forEach(n -> heldBefore.put(n, held(n)));
-      world.pass(0.05);
-      for (FakeWorker w : world.workers.values()) {
+    for (double passed = 0; passed < seconds; passed += STEP_S) {
+      Map<String, Double> reservedBefore = new HashMap<>();
+      cluster.workers.keySet().forEach(name -> reservedBefore.put(name, reservedGpus(name)));
+      cluster.pass(STEP_S);
+      for (FakeWorker worker : cluster.workers.values()) {
         Set<String> others = new TreeSet<>();
-        w.alive().stream().filter(x -> !live(x)).forEach(others::add);
-        Set<String> new_ = new TreeSet<>(others);
-        new_.removeAll(before.getOrDefault(w.name, Set.of()));
-        // What was committed just before a hold was written may begin just after it, so both must
-        // say so.
-        double held = Math.min(heldBefore.getOrDefault(w.name, 0.0), held(w.name));
-        if (!new_.isEmpty() && others.size() + held > GPUS + 1e-6) {
-          wrong.add(
-              new_
-                  + " began on "
-                  + w.name
+        worker.alive().stream().filter(task -> !isLive(task)).forEach(others::add);
+        Set<String> started = new TreeSet<>(others);
+        started.removeAll(otherTasksBefore.getOrDefault(worker.name, Set.of()));
+        // A start that was committed just before a reservation may take place just after it, so the
+        // capacity must have been reserved before and after.
+        double reserved =
+            Math.min(reservedBefore.getOrDefault(worker.name, 0.0), reservedGpus(worker.name));
+        if (!started.isEmpty() && others.size() + reserved > GPUS + 1e-6) {
+          violations.add(
+              started
+                  + " started on "
+                  + worker.name
                   + " where "
-                  + held
-                  + " GPUs are held beside "
+                  + reserved
+                  + " GPUs are reserved beside "
                   + others.size()
                   + " of others");
         }
-        before.put(w.name, others);
+        otherTasksBefore.put(worker.name, others);
       }
     }
   }
--- a/src/test/java/io/embernotch/weights/ImageLocalityTest.java
+++ b/src/test/java/io/embernotch/weights/ImageLocalityTest.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Which machines have a service's weights outlives all controllers. */
+/** The knowledge which machines have a service's weights survives a restart of all controllers. */
 class ImageLocalityTest {
-  private final SimulatedCluster world = new SimulatedCluster(3, 100);
+  private final SimulatedCluster cluster = new SimulatedCluster(3, 100);
 
-  private static String model(String ref, int replicas) {
+  private static String service(String ref, int replicas) {
     return job(ref, "standing", replicas)
         .replace("standard", "production")
         .replace("\"loaner\":true", "\"loaner\":false")
@@ -21,73 +21,73 @@
         .replace("\"size_gb\":1.0", "\"size_gb\":40.0");
   }
 
-  private FakeWorker holder() {
-    world.settle(3);
-    world.boot("g8", "z1", false);
-    world.pass(7);
-    world.submit(0, model("j-1", 2));
-    world.pass(8);
-    Map<String, FakeWorker> on = world.running("j-1");
+  private FakeWorker startServiceOnOneMachine() {
+    cluster.settle(3);
+    cluster.boot("g8", "z1", false);
+    cluster.pass(7);
+    cluster.submit(0, service("j-1", 2));
+    cluster.pass(8);
+    Map<String, FakeWorker> on = cluster.running("j-1");
     assertThat(on).hasSize(2);
     // A fuller machine, which would be taken but for the weights.
-    world.boot("g8", "z1", false);
-    world.pass(7);
-    world.submit(1, job("j-2", "array", 11).replace("\"loaner\":true", "\"loaner\":false"));
-    world.pass(40);
+    cluster.boot("g8", "z1", false);
+    cluster.pass(7);
+    cluster.submit(1, job("j-2", "array", 11).replace("\"loaner\":true", "\"loaner\":false"));
+    cluster.pass(40);
     return on.get("j-1/0");
   }
 
   @Test
-  void replicasComeBackWhereTheirWeightsLieThoughNoControllerIsLeftThatKnew() {
-    FakeWorker holder = holder();
+  void replicasReturnToTheirWeightsAfterAllControllersRestart() {
+    FakeWorker holder = startServiceOnOneMachine();
     assertThat(
-            world.state.keys("shared/weights/").stream()
-                .anyMatch(k -> world.state.value(k).path("on").has(holder.name)))
+            cluster.state.keys("shared/weights/").stream()
+                .anyMatch(k -> cluster.state.value(k).path("on").has(holder.name)))
         .isTrue();
-    world.nodes.forEach(Node::kill);
-    world.pass(1);
+    cluster.nodes.forEach(Node::kill);
+    cluster.pass(1);
     for (int task = 0; task < 2; task++) {
       if (holder.alive().contains("j-1/" + task)) {
         holder.exit("j-1/" + task, "halted");
       }
     }
-    world.nodes.forEach(Node::start);
-    world.settle(10);
-    world.pass(20);
-    assertThat(world.running("j-1").values()).containsOnly(holder);
-    assertThat(world.broken()).isEmpty();
+    cluster.nodes.forEach(Node::start);
+    cluster.settle(10);
+    cluster.pass(20);
+    assertThat(cluster.running("j-1").values()).containsOnly(holder);
+    assertThat(cluster.broken()).isEmpty();
   }
 
   /**
-   * What is stale costs a fetch, and never a rule; and it is no more than a few changes in a
-   * heartbeat interval.
+   * A stale entry costs a fetch and breaks no invariant, and there are no more than a few changes
+   * in a heartbeat interval.
    */
   @Test
-  void whatIsStaleIsForgottenAndChangesAreFew() {
-    FakeWorker holder = holder();
+  void staleEntriesAreDroppedAndChangesAreFew() {
+    FakeWorker holder = startServiceOnOneMachine();
     int before =
-        world.state.writes.entrySet().stream()
+        cluster.state.writes.entrySet().stream()
             .filter(e -> e.getKey().startsWith("shared/weights"))
             .mapToInt(Map.Entry::getValue)
             .sum();
-    world.pass(60);
+    cluster.pass(60);
     int after =
-        world.state.writes.entrySet().stream()
+        cluster.state.writes.entrySet().stream()
             .filter(e -> e.getKey().startsWith("shared/weights"))
             .mapToInt(Map.Entry::getValue)
             .sum();
     assertThat(after - before).isLessThanOrEqualTo(2);
-    world.workers.remove(holder.name);
-    world.cloud.deleted.add(holder.name);
-    world.nodes.forEach(Node::kill);
-    world.pass(1);
-    world.nodes.forEach(Node::start);
-    world.settle(10);
-    world.pass(60);
-    assertThat(world.running("j-1")).hasSize(2);
+    cluster.workers.remove(holder.name);
+    cluster.cloud.deleted.add(holder.name);
+    cluster.nodes.forEach(Node::kill);
+    cluster.pass(1);
+    cluster.nodes.forEach(Node::start);
+    cluster.settle(10);
+    cluster.pass(60);
+    assertThat(cluster.running("j-1")).hasSize(2);
     assertThat(
-            world.state.keys("shared/weights/").stream()
-                .noneMatch(k -> world.state.value(k).path("on").has(holder.name)))
+            cluster.state.keys("shared/weights/").stream()
+                .noneMatch(k -> cluster.state.value(k).path("on").has(holder.name)))
         .isTrue();
   }
 }
