--- a/src/main/java/io/embernotch/reservation/ReservationDifference.java
+++ b/src/main/java/io/embernotch/reservation/ReservationDifference.java
@@ -1,8 +1,9 @@
 package io.embernotch.reservation;
 
+import io.embernotch.scheduling.ReservationAmounts;
 import io.embernotch.scheduling.Resources;
-import java.util.Arrays;
 import java.util.Map;
+import java.util.stream.IntStream;
 
 /**
  * How far what is wanted differs from what is stored. CPUs, GPUs and gigabytes are added up as they
@@ -15,21 +16,25 @@
 
   /** The difference of two states, by machine name, with so many reservations each. */
   static ReservationDifference between(
-      Map<String, Resources[]> stored, Map<String, Resources[]> wanted, int reservations) {
+      Map<String, ReservationAmounts> stored,
+      Map<String, ReservationAmounts> wanted,
+      int reservations) {
     double difference = 0;
     double size = 0;
-    for (Map.Entry<String, Resources[]> entry : wanted.entrySet()) {
-      Resources[] storedThere = stored.get(entry.getKey());
+    for (Map.Entry<String, ReservationAmounts> entry : wanted.entrySet()) {
+      ReservationAmounts storedThere = stored.get(entry.getKey());
       for (int i = 0; i < reservations; i++) {
-        double weight = weight(entry.getValue()[i]);
+        double weight = weight(entry.getValue().get(i));
         size += weight;
-        difference += Math.abs(weight - (storedThere == null ? 0 : weight(storedThere[i])));
+        difference += Math.abs(weight - (storedThere == null ? 0 : weight(storedThere.get(i))));
       }
     }
-    for (Map.Entry<String, Resources[]> entry : stored.entrySet()) {
+    for (Map.Entry<String, ReservationAmounts> entry : stored.entrySet()) {
       if (!wanted.containsKey(entry.getKey())) {
         difference +=
-            Arrays.stream(entry.getValue()).mapToDouble(ReservationDifference::weight).sum();
+            IntStream.range(0, entry.getValue().size())
+                .mapToDouble(i -> weight(entry.getValue().get(i)))
+                .sum();
       }
     }
     return new ReservationDifference(difference, size);
--- a/src/main/java/io/embernotch/reservation/ReservationManager.java
+++ b/src/main/java/io/embernotch/reservation/ReservationManager.java
@@ -6,6 +6,7 @@
 import io.embernotch.context.ControllerContext;
 import io.embernotch.model.Machine;
 import io.embernotch.scheduling.FleetView;
+import io.embernotch.scheduling.ReservationAmounts;
 import io.embernotch.scheduling.ReservationView;
 import io.embernotch.scheduling.Resources;
 import io.embernotch.scheduling.Scheduler;
@@ -58,10 +59,10 @@
   private List<Reservation> reservations = List.of();
 
   /** What is reserved as the store is known to hold it, by machine name. */
-  private Map<String, Resources[]> stored = Map.of();
+  private Map<String, ReservationAmounts> stored = Map.of();
 
   /** What is to be reserved by the last plan, by machine name. */
-  private Map<String, Resources[]> wanted = Map.of();
+  private Map<String, ReservationAmounts> wanted = Map.of();
 
   /** The demands of the last plan. */
   private List<ReservationView.ReservationDemand> demands = List.of();
@@ -138,13 +139,13 @@
     if (reservations.isEmpty()) {
       return ReservationView.NONE;
     }
-    Map<String, Resources[]> reserved = new HashMap<>(wanted);
+    Map<String, ReservationAmounts> reserved = new HashMap<>(wanted);
     shards
         .possiblyStored(reservations, configuration.generation())
         .forEach(
             (machine, amounts) -> {
-              Resources[] wantedThere = wanted.get(machine);
-              reserved.put(machine, wantedThere == null ? amounts : max(amounts, wantedThere));
+              ReservationAmounts wantedThere = wanted.get(machine);
+              reserved.put(machine, wantedThere == null ? amounts : amounts.max(wantedThere));
             });
     usage.dropRemovedMachines();
     markMachines(reserved);
@@ -159,28 +160,15 @@
     return new ReservationView(demands, reserved, usage::of);
   }
 
-  private static Resources[] max(Resources[] one, Resources[] other) {
-    Resources[] max = new Resources[one.length];
-    for (int i = 0; i < max.length; i++) {
-      max[i] = one[i].max(other[i]);
-    }
-    return max;
-  }
-
   /** Sets what is reserved and free on machines, so that restarts keep off it. */
-  private void markMachines(Map<String, Resources[]> reserved) {
+  private void markMachines(Map<String, ReservationAmounts> reserved) {
     markedMachines.forEach(machine -> setReserved(machine, Resources.ZERO));
     markedMachines.clear();
     reserved.forEach(
         (name, amounts) -> {
           Machine machine = state.machines.get(name);
           if (machine != null) {
-            Resources[] used = usage.of(machine);
-            Resources free = Resources.ZERO;
-            for (int i = 0; i < amounts.length; i++) {
-              free = free.plus(used == null ? amounts[i] : amounts[i].minus(used[i]), 1);
-            }
-            setReserved(machine, free);
+            setReserved(machine, usage.of(machine).map(amounts::minus).orElse(amounts).total());
             markedMachines.add(machine);
           }
         });
@@ -197,16 +185,16 @@
    *
    * @param reserved what is to be reserved after the plan, by machine name; null: unchanged
    */
-  public void planned(Map<String, Resources[]> reserved) {
+  public void planned(Map<String, ReservationAmounts> reserved) {
     if (reservations.isEmpty() || reserved == null) {
       return;
     }
     double now = context.clock().now();
-    Map<String, Resources[]> next = new TreeMap<>(reserved);
+    Map<String, ReservationAmounts> next = new TreeMap<>(reserved);
     wanted.forEach(
         (name, amounts) -> {
           if (!next.containsKey(name)
-              && amounts.length == reservations.size()
+              && amounts.size() == reservations.size()
               && mayReturn(state.machines.get(name), now)) {
             next.put(name, amounts);
           }
--- a/src/main/java/io/embernotch/reservation/ReservationShards.java
+++ b/src/main/java/io/embernotch/reservation/ReservationShards.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.ReservationCodec;
+import io.embernotch.scheduling.ReservationAmounts;
 import io.embernotch.scheduling.Resources;
 import io.embernotch.settings.Reservation;
 import io.embernotch.shared.SharedState;
@@ -10,8 +11,7 @@
 import java.util.TreeMap;
 
 /**
- * The shared state entries that say what is reserved on which machines. Maps are by machine name;
- * their arrays have one entry for each reservation, in the order of the given list.
+ * The shared state entries that say what is reserved on which machines. Maps are by machine name.
  */
 final class ReservationShards {
   /** Prefix of the entries' names; the reservation's name and the shard's number follow. */
@@ -31,7 +31,7 @@
   private final SharedState shared;
 
   /** The last result of {@link #possiblyStored}, and what it was made of. */
-  private Map<String, Resources[]> possiblyStored = Map.of();
+  private Map<String, ReservationAmounts> possiblyStored = Map.of();
 
   private long possiblyStoredVersion = -1;
   private long possiblyStoredGeneration = -1;
@@ -41,8 +41,8 @@
   }
 
   /** What the store is known to hold. */
-  Map<String, Resources[]> stored(List<Reservation> reservations) {
-    Map<String, Resources[]> stored = new TreeMap<>();
+  Map<String, ReservationAmounts> stored(List<Reservation> reservations) {
+    Map<String, ReservationAmounts> stored = new TreeMap<>();
     for (int i = 0; i < reservations.size(); i++) {
       for (int shard = 0; shard < SHARDS; shard++) {
         addTo(stored, shared.get(name(reservations.get(i), shard)), i, reservations.size());
@@ -56,11 +56,11 @@
    *
    * @param generation of the reservations
    */
-  Map<String, Resources[]> possiblyStored(List<Reservation> reservations, long generation) {
+  Map<String, ReservationAmounts> possiblyStored(List<Reservation> reservations, long generation) {
     if (possiblyStoredVersion == shared.localVersion() && possiblyStoredGeneration == generation) {
       return possiblyStored;
     }
-    Map<String, Resources[]> result = stored(reservations);
+    Map<String, ReservationAmounts> result = stored(reservations);
     for (int i = 0; i < reservations.size(); i++) {
       for (int shard = 0; shard < SHARDS; shard++) {
         addTo(result, shared.inFlight(name(reservations.get(i), shard)), i, reservations.size());
@@ -73,14 +73,15 @@
   }
 
   private static void addTo(
-      Map<String, Resources[]> reserved, ObjectNode entry, int index, int reservations) {
+      Map<String, ReservationAmounts> reserved, ObjectNode entry, int index, int reservations) {
     if (entry != null) {
       ReservationCodec.readHeld(entry)
           .forEach(
               (machine, amounts) -> {
-                Resources[] there =
-                    reserved.computeIfAbsent(machine, name -> Resources.zeros(reservations));
-                there[index] = there[index].max(new Resources(amounts[0], amounts[1], amounts[2]));
+                ReservationAmounts there =
+                    reserved.getOrDefault(machine, ReservationAmounts.zeros(reservations));
+                Resources amount = new Resources(amounts[0], amounts[1], amounts[2]);
+                reserved.put(machine, there.with(index, there.get(index).max(amount)));
               });
     }
   }
@@ -112,7 +113,7 @@
   void write(
       Reservation reservation,
       int index,
-      Map<String, Resources[]> wanted,
+      Map<String, ReservationAmounts> wanted,
       double valueKb,
       Runnable durable) {
     int maxMachines = (int) (valueKb * BYTES_PER_KB / BYTES_PER_MACHINE);
@@ -130,11 +131,11 @@
   }
 
   private static Map<String, double[]> amounts(
-      int index, int shard, Map<String, Resources[]> wanted, int maxMachines) {
+      int index, int shard, Map<String, ReservationAmounts> wanted, int maxMachines) {
     Map<String, double[]> amounts = new TreeMap<>();
     wanted.forEach(
         (machine, reserved) -> {
-          Resources amount = reserved[index];
+          Resources amount = reserved.get(index);
           if (Math.floorMod(machine.hashCode(), SHARDS) == shard
               && !amount.isZero()
               && amounts.size() < maxMachines) {
--- a/src/main/java/io/embernotch/reservation/ReservationStatus.java
+++ b/src/main/java/io/embernotch/reservation/ReservationStatus.java
@@ -1,6 +1,7 @@
 package io.embernotch.reservation;
 
 import io.embernotch.model.Machine;
+import io.embernotch.scheduling.ReservationAmounts;
 import io.embernotch.scheduling.Resources;
 import io.embernotch.state.ClusterState;
 import java.util.Map;
@@ -17,19 +18,22 @@
 
   /** The status of the reservation at this index; machines that are not known do not count. */
   static ReservationStatus of(
-      int index, Map<String, Resources[]> stored, ClusterState state, ReservationUsage usage) {
+      int index,
+      Map<String, ReservationAmounts> stored,
+      ClusterState state,
+      ReservationUsage usage) {
     Resources reserved = Resources.ZERO;
     Resources used = Resources.ZERO;
     int machines = 0;
     double idleCost = 0;
-    for (Map.Entry<String, Resources[]> entry : stored.entrySet()) {
+    for (Map.Entry<String, ReservationAmounts> entry : stored.entrySet()) {
       Machine machine = state.machines.get(entry.getKey());
-      Resources reservedThere = entry.getValue()[index];
+      Resources reservedThere = entry.getValue().get(index);
       if (machine == null || machine.type == null || reservedThere.isZero()) {
         continue;
       }
-      Resources[] usageThere = usage.of(machine);
-      Resources usedThere = usageThere == null ? Resources.ZERO : usageThere[index];
+      Resources usedThere =
+          usage.of(machine).map(amounts -> amounts.get(index)).orElse(Resources.ZERO);
       reserved = reserved.plus(reservedThere, 1);
       used = used.plus(usedThere, 1);
       machines++;
--- a/src/main/java/io/embernotch/reservation/ReservationUsage.java
+++ b/src/main/java/io/embernotch/reservation/ReservationUsage.java
@@ -2,17 +2,20 @@
 
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Machine;
+import io.embernotch.scheduling.ReservationAmounts;
 import io.embernotch.scheduling.Resources;
 import io.embernotch.settings.Reservation;
 import io.embernotch.state.ClusterState;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 
 /** What the work of each reservation takes of each machine; summed up only after changes. */
 final class ReservationUsage {
-  /** Amounts of a machine as of one version of it; null if they are nothing. */
-  private record CachedUsage(int machineVersion, int reservations, Resources[] amounts) {}
+  /** Amounts of a machine as of one version of it; empty if no work of a reservation runs there. */
+  private record CachedUsage(
+      int machineVersion, int reservations, Optional<ReservationAmounts> amounts) {}
 
   private final ClusterState state;
   private final Map<Machine, CachedUsage> cache = new HashMap<>();
@@ -33,8 +36,8 @@
     cache.keySet().removeIf(machine -> state.machines.get(machine.name) != machine);
   }
 
-  /** What the work of each reservation takes of a machine; null if that is nothing. */
-  Resources[] of(Machine machine) {
+  /** What the work of each reservation takes of a machine; empty if no such work runs there. */
+  Optional<ReservationAmounts> of(Machine machine) {
     CachedUsage usage = cache.get(machine);
     if (usage == null
         || usage.machineVersion != machine.version
@@ -45,16 +48,16 @@
     return usage.amounts;
   }
 
-  private Resources[] sum(Machine machine) {
-    Resources[] sum = null;
+  private Optional<ReservationAmounts> sum(Machine machine) {
+    ReservationAmounts sum = null;
     for (Attempt attempt : machine.openAttempts.values()) {
       for (int i = 0; i < reservations.size(); i++) {
         if (reservations.get(i).serves(attempt.job.spec)) {
-          sum = sum == null ? Resources.zeros(reservations.size()) : sum;
-          sum[i] = sum[i].plus(Resources.of(attempt.job.spec), 1);
+          sum = sum == null ? ReservationAmounts.zeros(reservations.size()) : sum;
+          sum = sum.with(i, sum.get(i).plus(Resources.of(attempt.job.spec), 1));
         }
       }
     }
-    return sum;
+    return Optional.ofNullable(sum);
   }
 }
--- a/src/main/java/io/embernotch/scheduling/CandidateMachine.java
+++ b/src/main/java/io/embernotch/scheduling/CandidateMachine.java
@@ -1,5 +1,6 @@
 package io.embernotch.scheduling;
 
+import io.embernotch.model.JobShape;
 import io.embernotch.model.JobSpec;
 import io.embernotch.model.Machine;
 import io.embernotch.model.MachineLoad;
@@ -23,6 +24,9 @@
   /** Most tasks that a machine is ever taken to have capacity for. */
   private static final double MAX_TASKS = 10_000;
 
+  /** Owners' estimates of run times are often wrong by half. */
+  static final double ESTIMATE_MARGIN = 1.5;
+
   final State state;
 
   /** Null unless the cloud has listed the machine. */
@@ -33,31 +37,31 @@
   final boolean spot;
 
   /** Free capacity. */
-  double cpus;
+  private double cpus;
 
-  double gpus;
-  double memGb;
+  private double gpus;
+  private double memGb;
 
   /** Capacity that is freed once the attempts that are being stopped have ended. */
-  double freeingCpus;
+  private double freeingCpus;
 
-  double freeingGpus;
-  double freeingMemGb;
+  private double freeingGpus;
+  private double freeingMemGb;
 
   /** Needed by this plan, and so not returned. */
-  boolean claimed;
+  private boolean claimed;
 
   /** Runs work that may not run on spot machines, so it is paid for whatever else it does. */
-  boolean pinned;
+  private boolean pinned;
 
   /** Lowest priority of the attempts that are not being stopped; null if there are none. */
-  Priority lowestPriority;
+  private Priority lowestPriority;
 
   /** The gang for which this machine accumulates capacity for one task; null if none. */
-  String accumulatingFor;
+  private String accumulatingFor;
 
   /** Seconds until it has accumulated that capacity. */
-  double accumulatedInS;
+  private double accumulatedInS;
 
   /** How well it suits the job that is being placed: less is better. */
   double score;
@@ -143,6 +147,22 @@
     return (int) Math.max(0, tasks);
   }
 
+  /** How many such tasks have capacity here once this part of the load has ended. */
+  int taskCapacityWithout(MachineLoad load, JobSpec spec) {
+    Resources reserved = reservedAgainst(spec);
+    double tasks =
+        Math.min(
+            ratio(cpus + freeingCpus + load.cpus - reserved.cpus(), spec.cpus()),
+            Math.min(
+                ratio(gpus + freeingGpus + load.gpus - reserved.gpus(), spec.gpus()),
+                ratio(memGb + freeingMemGb + load.memGb - reserved.memGb(), spec.memGb())));
+    return (int) Math.floor(Math.max(0, tasks) + Resources.TOLERANCE);
+  }
+
+  private static double ratio(double available, double each) {
+    return each <= 0 ? Double.MAX_VALUE : available / each;
+  }
+
   private static double tasksThatFit(double most, double free, double each) {
     return each <= 0 ? most : Math.min(most, Math.floor((free + Resources.TOLERANCE) / each));
   }
@@ -178,8 +198,51 @@
     return balance;
   }
 
-  /** Takes the capacity for tasks of a job. */
+  /** Has the machine accumulate capacity for one task of a gang. */
+  void accumulateFor(String gang, double inS) {
+    accumulatingFor = gang;
+    accumulatedInS = inS;
+  }
+
+  /** Whether it accumulates capacity for a gang. */
+  boolean isAccumulating() {
+    return accumulatingFor != null;
+  }
+
+  /**
+   * Whether a task of this job may go here though the machine accumulates capacity for another: if
+   * it will have ended before the machine has that capacity.
+   */
+  boolean admits(JobSpec spec) {
+    return accumulatingFor == null
+        || accumulatingFor.equals(spec.ref())
+        || (spec.shape() == JobShape.ARRAY
+            && spec.expectS() > 0
+            && ESTIMATE_MARGIN * spec.expectS() <= accumulatedInS);
+  }
+
+  /** Whether an attempt of lower priority runs here and is not being stopped. */
+  boolean runsLowerPriorityThan(Priority priority) {
+    return lowestPriority != null && lowestPriority.compareTo(priority) < 0;
+  }
+
+  /** Keeps the machine from being returned by this plan. */
+  void claim() {
+    claimed = true;
+  }
+
+  boolean claimed() {
+    return claimed;
+  }
+
+  /** Share of its GPUs that is free. */
+  double freeGpuShare() {
+    return gpus / type.gpus();
+  }
+
+  /** Takes the capacity for tasks of a job, and claims the machine. */
   void allocate(JobSpec spec, int tasks) {
+    claimed = true;
     cpus -= spec.cpus() * tasks;
     gpus -= spec.gpus() * tasks;
     memGb -= spec.memGb() * tasks;
--- a/src/main/java/io/embernotch/scheduling/CandidateMachines.java
+++ b/src/main/java/io/embernotch/scheduling/CandidateMachines.java
@@ -193,7 +193,7 @@
     for (CandidateMachine candidate : from) {
       if (candidate.taskCapacity(spec, capacity == Capacity.FREEING) > 0
           && candidate.allows(spec)
-          && GangAccumulation.admits(candidate, spec)
+          && candidate.admits(spec)
           && allowed.test(candidate)) {
         candidate.score = score.applyAsDouble(candidate);
         matching.add(candidate);
@@ -201,14 +201,15 @@
     }
   }
 
-  /** What is reserved after this plan, by machine name and index of the reservation. */
-  Map<String, Resources[]> reserved() {
-    Map<String, Resources[]> reserved = new HashMap<>();
+  /** What is reserved after this plan, by machine name; only machines with something. */
+  Map<String, ReservationAmounts> reserved() {
+    Map<String, ReservationAmounts> reserved = new HashMap<>();
     for (CandidateMachine candidate : all) {
-      Resources[] total =
-          candidate.reservation == null ? null : candidate.reservation.totalReserved();
-      if (total != null) {
-        reserved.put(candidate.machine.name, total);
+      if (candidate.reservation != null) {
+        candidate
+            .reservation
+            .totalReserved()
+            .ifPresent(total -> reserved.put(candidate.machine.name, total));
       }
     }
     return reserved;
--- a/src/main/java/io/embernotch/scheduling/CapacityAllocator.java
+++ b/src/main/java/io/embernotch/scheduling/CapacityAllocator.java
@@ -78,7 +78,6 @@
   /** Allocates capacity for tasks on one machine. */
   static void take(CandidateMachine candidate, JobSpec spec, int tasks, ZoneConstraints zones) {
     candidate.allocate(spec, tasks);
-    candidate.claimed = true;
     zones.add(candidate.zone, tasks);
   }
 
--- a/src/main/java/io/embernotch/scheduling/GangAccumulation.java
+++ b/src/main/java/io/embernotch/scheduling/GangAccumulation.java
@@ -30,9 +30,6 @@
   /** Largest share of the machines that are up that accumulate capacity. */
   private static final double MAX_MACHINE_SHARE = 0.25;
 
-  /** Owners' estimates of run times are often wrong by half. */
-  private static final double ESTIMATE_MARGIN = 1.5;
-
   private static final double MS_PER_S = 1000.0;
 
   /** What a task takes; hosts are searched for once for each size. */
@@ -112,8 +109,7 @@
             ? bestZoneHosts(spec, wanted)
             : firstAvailable(spec, wanted, new ZoneConstraints(spec, null));
     for (Host host : hosts) {
-      host.candidate.accumulatingFor = spec.ref();
-      host.candidate.accumulatedInS = host.availableInS;
+      host.candidate.accumulateFor(spec.ref(), host.availableInS);
       machineBudget--;
     }
   }
@@ -142,7 +138,7 @@
     for (Host host : hostsBySize.computeIfAbsent(size, key -> byAvailability(spec))) {
       CandidateMachine candidate = host.candidate;
       if (hosts.size() < wanted
-          && candidate.accumulatingFor == null
+          && !candidate.isAccumulating()
           && candidate.allows(spec)
           && zones.remaining(candidate.zone) > 0) {
         zones.add(candidate.zone, 1);
@@ -190,19 +186,9 @@
     if (attempt.job.spec.shape() == JobShape.SERVICE) {
       return Double.MAX_VALUE;
     }
-    double expectedS = ESTIMATE_MARGIN * Math.max(attempt.job.spec.expectS(), attempt.job.meanS());
+    double expectedS =
+        CandidateMachine.ESTIMATE_MARGIN
+            * Math.max(attempt.job.spec.expectS(), attempt.job.meanS());
     return Math.max(1, expectedS - (now - attempt.createdAt));
   }
-
-  /**
-   * Whether a task of this job may go to a machine that accumulates capacity for another: if it
-   * will have ended before the machine has that capacity.
-   */
-  static boolean admits(CandidateMachine candidate, JobSpec spec) {
-    return candidate.accumulatingFor == null
-        || candidate.accumulatingFor.equals(spec.ref())
-        || (spec.shape() == JobShape.ARRAY
-            && spec.expectS() > 0
-            && ESTIMATE_MARGIN * spec.expectS() <= candidate.accumulatedInS);
-  }
 }
--- a/src/main/java/io/embernotch/scheduling/MachineReservation.java
+++ b/src/main/java/io/embernotch/scheduling/MachineReservation.java
@@ -2,6 +2,7 @@
 
 import io.embernotch.model.JobSpec;
 import java.util.List;
+import java.util.Optional;
 
 /**
  * What is reserved on one machine while a plan is made. Reservations are known by their index in
@@ -11,7 +12,7 @@
   private final List<ReservationView.ReservationDemand> demands;
 
   /** What the work of each reservation takes of the machine. */
-  private final Resources[] used;
+  private final ReservationAmounts used;
 
   /** What is reserved, used and not. */
   private final Resources[] reserved;
@@ -22,21 +23,19 @@
   /** Is to be released: it stays reserved until the store holds the release. */
   private final boolean[] released;
 
-  /**
-   * Takes over what is reserved at present.
-   *
-   * @param before what is reserved; null if nothing is
-   */
+  /** Takes over what is reserved at present; what is used is reserved in any case. */
   MachineReservation(
-      List<ReservationView.ReservationDemand> demands, Resources[] used, Resources[] before) {
+      List<ReservationView.ReservationDemand> demands,
+      ReservationAmounts used,
+      ReservationAmounts reservedBefore) {
     this.demands = demands;
     this.used = used;
     this.reserved = new Resources[demands.size()];
     this.free = new Resources[demands.size()];
     this.released = new boolean[demands.size()];
     for (int i = 0; i < free.length; i++) {
-      reserved[i] = before == null ? used[i] : before[i].max(used[i]);
-      free[i] = reserved[i].minus(used[i]);
+      reserved[i] = reservedBefore.get(i).max(used.get(i));
+      free[i] = reserved[i].minus(used.get(i));
     }
   }
 
@@ -67,7 +66,7 @@
 
   /** Whether work of the reservation runs on the machine. */
   boolean inUse(int index) {
-    return !used[index].isZero();
+    return !used.get(index).isZero();
   }
 
   /** Reserves capacity for so many more tasks of this size. */
@@ -81,14 +80,13 @@
     released[index] = true;
   }
 
-  /** All that is to be reserved after this plan; null if that is nothing. */
-  Resources[] totalReserved() {
-    Resources[] total = new Resources[free.length];
-    boolean any = false;
-    for (int i = 0; i < total.length; i++) {
-      total[i] = released[i] ? reserved[i].minus(free[i]) : reserved[i];
-      any |= !total[i].isZero();
+  /** All that is to be reserved after this plan; empty if that is nothing. */
+  Optional<ReservationAmounts> totalReserved() {
+    Resources[] amounts = new Resources[free.length];
+    for (int i = 0; i < amounts.length; i++) {
+      amounts[i] = released[i] ? reserved[i].minus(free[i]) : reserved[i];
     }
-    return any ? total : null;
+    ReservationAmounts total = ReservationAmounts.of(amounts);
+    return total.isZero() ? Optional.empty() : Optional.of(total);
   }
 }
--- a/src/main/java/io/embernotch/scheduling/PlacementScore.java
+++ b/src/main/java/io/embernotch/scheduling/PlacementScore.java
@@ -25,9 +25,7 @@
     }
     if (spec.gpus() <= 0 && candidate.type.gpus() > 0) {
       // Work without GPUs goes where GPUs are taken, and leaves the CPUs beside free GPUs alone.
-      score +=
-          PACKING_WEIGHT_S
-              * (candidate.gpus / candidate.type.gpus() - (candidate.gpusTaken() ? 1 : 0));
+      score += PACKING_WEIGHT_S * (candidate.freeGpuShare() - (candidate.gpusTaken() ? 1 : 0));
     }
     if (spec.spread()) {
       score += PACKING_WEIGHT_S * zones.count(candidate.zone) / Math.max(1, spec.tasks());
--- a/src/main/java/io/embernotch/scheduling/Preemption.java
+++ b/src/main/java/io/embernotch/scheduling/Preemption.java
@@ -89,9 +89,7 @@
             zones,
             candidates.all(),
             candidate ->
-                candidate.lowestPriority != null
-                    && candidate.lowestPriority.compareTo(spec.priority()) < 0
-                    && allowed.test(candidate),
+                candidate.runsLowerPriorityThan(spec.priority()) && allowed.test(candidate),
             attempt -> attempt.job.spec.priority().compareTo(spec.priority()) < 0,
             attempt -> 0,
             false));
@@ -206,10 +204,8 @@
             new SchedulingPlan.Stop(
                 attempt, search.graceS.applyAsDouble(attempt), "room for " + spec.ref()));
       }
-      host.allocate(spec, 1);
-      host.claimed = true;
+      CapacityAllocator.take(host, spec, 1, search.zones);
       candidates.reopen(host);
-      search.zones.add(host.zone, 1);
       claimed++;
     }
     return claimed;
@@ -265,18 +261,6 @@
             candidate.machine.openAttempts.values().stream()
                 .filter(attempt -> mayPreempt(search, attempt))
                 .toList());
-    Resources reserved = candidate.reservedAgainst(spec);
-    double cpus = candidate.cpus + candidate.freeingCpus + load.cpus - reserved.cpus();
-    double gpus = candidate.gpus + candidate.freeingGpus + load.gpus - reserved.gpus();
-    double memGb = candidate.memGb + candidate.freeingMemGb + load.memGb - reserved.memGb();
-    double tasks =
-        Math.min(
-            ratio(cpus, spec.cpus()),
-            Math.min(ratio(gpus, spec.gpus()), ratio(memGb, spec.memGb())));
-    return (int) Math.floor(Math.max(0, tasks) + Resources.TOLERANCE);
-  }
-
-  private static double ratio(double available, double each) {
-    return each <= 0 ? Double.MAX_VALUE : available / each;
+    return candidate.taskCapacityWithout(load, spec);
   }
 }
--- a/src/main/java/io/embernotch/scheduling/ReservationPlanner.java
+++ b/src/main/java/io/embernotch/scheduling/ReservationPlanner.java
@@ -95,7 +95,7 @@
           && candidate.machine.openAttempts.isEmpty() == onEmptyMachines
           && freeTasks(need, candidate) > 0) {
         tasks += Math.min(freeTasks(need, candidate), candidate.unusedCapacity().count(need.unit));
-        candidate.claimed = true;
+        candidate.claim();
       }
     }
     return Math.max(0, Math.min(tasks, most));
@@ -136,9 +136,9 @@
           Math.min(candidate.taskCapacity(need.sample, false) - reserved, wanted - extended);
       if (tasks > 0) {
         candidate.reservation =
-            candidate.reservation == null ? reservations.on(null) : candidate.reservation;
+            candidate.reservation == null ? reservations.nothing() : candidate.reservation;
         candidate.reservation.extend(need.index, need.unit, tasks);
-        candidate.claimed = true;
+        candidate.claim();
         extended += tasks;
       }
       if (extended == wanted) {
--- a/src/main/java/io/embernotch/scheduling/ReservationView.java
+++ b/src/main/java/io/embernotch/scheduling/ReservationView.java
@@ -5,25 +5,26 @@
 import io.embernotch.settings.Reservation;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Function;
 
 /**
- * Reservations as a plan sees them. Arrays have one entry for each of {@code demands}, at its
- * index.
+ * Reservations as a plan sees them.
  *
- * @param demands the reservations, each with the headroom that it wants
+ * @param demands the reservations, each with the headroom that it wants; the index in this list is
+ *     that of {@link ReservationAmounts}
  * @param reserved what is reserved on machines, by machine name: what the reservation's work takes
  *     there, and what is free for it
- * @param used what the work of each reservation takes of a machine; the function returns null if
- *     that is nothing
+ * @param used what the work of each reservation takes of a machine; empty if no such work runs
+ *     there
  */
 public record ReservationView(
     List<ReservationDemand> demands,
-    Map<String, Resources[]> reserved,
-    Function<Machine, Resources[]> used) {
+    Map<String, ReservationAmounts> reserved,
+    Function<Machine, Optional<ReservationAmounts>> used) {
   /** There are no reservations. */
   public static final ReservationView NONE =
-      new ReservationView(List.of(), Map.of(), machine -> null);
+      new ReservationView(List.of(), Map.of(), machine -> Optional.empty());
 
   /**
    * One reservation, and how much is to be free for it.
@@ -33,17 +34,23 @@
    */
   public record ReservationDemand(Reservation reservation, List<FleetView.Headroom> headroom) {}
 
-  /** What is reserved on a machine; with null, on a machine of which nothing is known yet. */
+  /** What is reserved on a machine. */
   MachineReservation on(Machine machine) {
-    Resources[] usedThere = machine == null ? null : used.apply(machine);
-    Resources[] reservedThere = machine == null ? null : reserved.get(machine.name);
+    ReservationAmounts usedThere =
+        used.apply(machine).orElseGet(() -> ReservationAmounts.zeros(demands.size()));
     return new MachineReservation(
-        demands, usedThere == null ? Resources.zeros(demands.size()) : usedThere, reservedThere);
+        demands, usedThere, reserved.getOrDefault(machine.name, usedThere));
+  }
+
+  /** Nothing is reserved, and no work of a reservation runs. */
+  MachineReservation nothing() {
+    ReservationAmounts zeros = ReservationAmounts.zeros(demands.size());
+    return new MachineReservation(demands, zeros, zeros);
   }
 
   /** Whether something is reserved on the machine, or used by work of a reservation. */
   boolean concerns(Machine machine) {
-    return reserved.containsKey(machine.name) || used.apply(machine) != null;
+    return reserved.containsKey(machine.name) || used.apply(machine).isPresent();
   }
 
   /** Whether a reservation serves the job, and so keeps capacity free for it. */
--- a/src/main/java/io/embernotch/scheduling/Resources.java
+++ b/src/main/java/io/embernotch/scheduling/Resources.java
@@ -1,7 +1,6 @@
 package io.embernotch.scheduling;
 
 import io.embernotch.model.JobSpec;
-import java.util.Arrays;
 
 /**
  * Amounts of a machine's resources.
@@ -17,13 +16,6 @@
   /** Amounts that differ by less are equal: sums of amounts are rounded. */
   static final double TOLERANCE = 1e-6;
 
-  /** So many times nothing, in an array of its own. */
-  public static Resources[] zeros(int length) {
-    Resources[] zeros = new Resources[length];
-    Arrays.fill(zeros, ZERO);
-    return zeros;
-  }
-
   /** What one task of the job takes. */
   public static Resources of(JobSpec spec) {
     return new Resources(spec.cpus(), spec.gpus(), spec.memGb());
--- a/src/main/java/io/embernotch/scheduling/ScaleInPlanner.java
+++ b/src/main/java/io/embernotch/scheduling/ScaleInPlanner.java
@@ -12,7 +12,7 @@
       SchedulingPlanBuilder plan, CandidateMachines candidates, double now, double keepIdleBoots) {
     for (CandidateMachine candidate : candidates.all()) {
       if (candidate.state == CandidateMachine.State.UP
-          && !candidate.claimed
+          && !candidate.claimed()
           && candidate.machine.openAttempts.isEmpty()
           && now - candidate.machine.idleSince > keepIdleBoots * candidate.type.bootS()) {
         plan.scaleIn(candidate.machine);
--- a/src/main/java/io/embernotch/scheduling/SchedulingPlan.java
+++ b/src/main/java/io/embernotch/scheduling/SchedulingPlan.java
@@ -13,15 +13,15 @@
  * @param stops attempts to stop, in the order in which they were chosen
  * @param scaleOuts machines to rent
  * @param scaleIns idle machines to return
- * @param reserved what is to be reserved, by machine name and index of the reservation; null:
- *     unchanged, the plan was for production jobs alone
+ * @param reserved what is to be reserved, by machine name; null: unchanged, the plan was for
+ *     production jobs alone
  */
 public record SchedulingPlan(
     List<Start> starts,
     List<Stop> stops,
     List<ScaleOutRequest> scaleOuts,
     List<Machine> scaleIns,
-    Map<String, Resources[]> reserved) {
+    Map<String, ReservationAmounts> reserved) {
   /**
    * A task and the machine that it is to start on.
    *
--- a/src/main/java/io/embernotch/scheduling/SchedulingPlanBuilder.java
+++ b/src/main/java/io/embernotch/scheduling/SchedulingPlanBuilder.java
@@ -12,7 +12,7 @@
   private final List<SchedulingPlan.Stop> stops = new ArrayList<>();
   private final List<SchedulingPlan.ScaleOutRequest> scaleOuts = new ArrayList<>();
   private final List<Machine> scaleIns = new ArrayList<>();
-  private Map<String, Resources[]> reserved;
+  private Map<String, ReservationAmounts> reserved;
 
   void start(SchedulingPlan.Start start) {
     starts.add(start);
@@ -31,7 +31,7 @@
   }
 
   /** Sets what is to be reserved; without this call it stays as it is. */
-  void reserve(Map<String, Resources[]> amounts) {
+  void reserve(Map<String, ReservationAmounts> amounts) {
     reserved = amounts;
   }
 
--- a/src/test/java/io/embernotch/scheduling/ReleaseMorning.java
+++ b/src/test/java/io/embernotch/scheduling/ReleaseMorning.java
@@ -138,16 +138,13 @@
   private void startTasks() {
     SchedulingPlan plan =
         scheduler.plan(
-            new SchedulingInput(
+            SchedulerFixture.input(
                 now,
                 Math.round(now * 1000),
                 jobs,
                 machines,
-                Map.of("g8", G8),
-                (type, zone, spot) -> true,
-                List.of(),
-                List.of(),
-                ReservationView.NONE,
+                G8,
+                SchedulerFixture::noneAvailable,
                 FailureRisk.NONE));
     for (SchedulingPlan.Start start : plan.starts()) {
       for (SchedulingPlan.Placement placement : start.placements()) {
--- a/src/test/java/io/embernotch/scheduling/SchedulerFixture.java
+++ b/src/test/java/io/embernotch/scheduling/SchedulerFixture.java
@@ -43,17 +43,41 @@
   }
 
   SchedulingInput input() {
-    return new SchedulingInput(
+    return input(
         NOW,
         wallMs,
         jobs,
         machines,
-        Map.of("g8", G8),
+        G8,
         (type, zone, spot) -> cloudFull || (spot && spotFull),
+        FailureRisk.NONE);
+  }
+
+  /** The input of a plan for machines of one type, without headroom and reservations. */
+  static SchedulingInput input(
+      double now,
+      long wallMs,
+      List<Job> jobs,
+      List<Machine> machines,
+      MachineType type,
+      FleetView.Pools pools,
+      FailureRisk risk) {
+    return new SchedulingInput(
+        now,
+        wallMs,
+        jobs,
+        machines,
+        Map.of(type.name(), type),
+        pools,
         List.of(),
         List.of(),
         ReservationView.NONE,
-        FailureRisk.NONE);
+        risk);
+  }
+
+  /** The cloud has no machines at all. */
+  static boolean noneAvailable(String type, String zone, boolean spot) {
+    return true;
   }
 
   Job add(String json) {
--- a/src/test/java/io/embernotch/scheduling/ServiceFleet.java
+++ b/src/test/java/io/embernotch/scheduling/ServiceFleet.java
@@ -10,7 +10,6 @@
 import io.embernotch.testkit.SimulatedCluster;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 
 /** Machines with large caches, and live services with weights of their own. */
 final class ServiceFleet {
@@ -51,16 +50,13 @@
 
   SchedulingPlan plan(FailureRisk risk) {
     return scheduler.plan(
-        new SchedulingInput(
+        SchedulerFixture.input(
             now,
             Math.round(now * 1000),
             jobs,
             machines,
-            Map.of("g8", G8),
-            (type, zone, spot) -> true,
-            List.of(),
-            List.of(),
-            ReservationView.NONE,
+            G8,
+            SchedulerFixture::noneAvailable,
             risk));
   }
 }
