--- a/src/main/java/io/embernotch/shared/SharedState.java
+++ b/src/main/java/io/embernotch/shared/SharedState.java
@@ -37,7 +37,7 @@
   /** Share of the changes that the store takes which shared state entries may use. */
   static final double MAX_WRITE_SHARE = 0.05;
 
-  /** Share of the store's operations in a transaction that one commit uses, as a divisor. */
+  /** A commit uses the operations that a transaction may have, divided by this. */
   private static final int TXN_OPS_DIVISOR = 2;
 
   /** Bytes that an entry takes in a transaction beside its value and its keys. */
@@ -82,7 +82,7 @@
    *
    * @param context clock, timers, store and settings
    * @param modRevision modification revision of the leader's key
-   * @param firstVersion the version after which this term's begin: above all of former terms
+   * @param firstVersion the version that is below all of this term and above all of former terms
    * @param onDeposed called when a commit fails on the leader's key
    */
   public SharedState(
