--- a/src/main/java/io/embernotch/controller/Controller.java
+++ b/src/main/java/io/embernotch/controller/Controller.java
@@ -33,6 +33,8 @@
   /** Straggler rounds after which a machine view that was not renewed is dropped. */
   private static final int MACHINE_VIEW_ROUNDS = 6;
 
+  private static final int TICKS_PER_HEARTBEAT_INTERVAL = 3;
+
   private final ControllerContext context;
   private final PeerLink peers;
   private final LeaseRenewer leaseRenewer;
@@ -47,6 +49,11 @@
   private final LocalLeader localLeader = new LocalLeader();
   private final LocalPartition localPartition;
   private final LeaderClient leaderClient;
+
+  /** Number of tasks of a job that are kept in one shard. */
+  private final int shardSize;
+
+  private final JobAnnouncements jobAnnouncements;
   private final SubmissionHandler submissions;
   private final CompletedJobCache completedJobs = new CompletedJobCache();
   private final JobQueries jobQueries;
@@ -75,6 +82,8 @@
     localPartition =
         new LocalPartition(context.clock(), MACHINE_VIEW_ROUNDS * context.operator().roundS());
     leaderClient = createLeaderClient();
+    shardSize = JobProgressCodec.shard(settings.minStoreLimits().valueKb(), settings.zones());
+    jobAnnouncements = createJobAnnouncements();
     submissions = createSubmissionHandler();
     jobQueries =
         new JobQueries(
@@ -105,12 +114,15 @@
         localLeader);
   }
 
+  private JobAnnouncements createJobAnnouncements() {
+    return new JobAnnouncements(
+        context.store(), peers, incarnations, leaderObserver, localLeader, shardSize);
+  }
+
   private SubmissionHandler createSubmissionHandler() {
-    Settings settings = context.settings();
-    int shardSize = JobProgressCodec.shard(settings.minStoreLimits().valueKb(), settings.zones());
     SubmissionContext submissionContext =
         new SubmissionContext(
-            incarnations, peerLiveness, pendingRequests, leaderClient, shardSize, this::poll);
+            incarnations, peerLiveness, pendingRequests, jobAnnouncements, this::poll);
     return new SubmissionHandler(context, machineTypes.types(), shardSize, submissionContext);
   }
 
@@ -140,14 +152,13 @@
 
   private PeerFrameDispatcher createFrameDispatcher() {
     return new PeerFrameDispatcher(
-        context.store(),
-        incarnations,
         peerHeartbeats,
         heartbeatForwarder,
         pendingRequests,
         submissions,
         localPartition,
         imageInventory,
+        jobAnnouncements,
         leaderClient,
         localLeader);
   }
@@ -199,10 +210,11 @@
         .ifPresent(
             leader -> {
               incarnations.probe(leader.modRevision());
-              snapshots.tick(incarnations.name(), leader::copy);
+              snapshots.tick(incarnations.name(), leader::snapshot);
             });
     peerLiveness.takeNewlyUnresponsive().forEach(peers::renew);
-    context.timers().after(context.settings().workers().heartbeatIntervalS() / 3, this::tick);
+    double heartbeatIntervalS = context.settings().workers().heartbeatIntervalS();
+    context.timers().after(heartbeatIntervalS / TICKS_PER_HEARTBEAT_INTERVAL, this::tick);
   }
 
   private void machineTypesLearned() {
--- a/src/test/java/io/embernotch/agents/AgentReconcilerTest.java
+++ b/src/test/java/io/embernotch/agents/AgentReconcilerTest.java
@@ -20,6 +20,7 @@
 import io.embernotch.state.ClusterState;
 import io.embernotch.testkit.FakeTime;
 import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.TestJobs;
 import io.vertx.core.Promise;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -33,7 +34,8 @@
   private final FakeTime time = new FakeTime();
   private final Settings settings =
       SettingsReader.parse(
-          SimulatedCluster.toml(0).replace("max_connections = 1000", "max_connections = 40"));
+          SimulatedCluster.settingsToml(0)
+              .replace("max_connections = 1000", "max_connections = 40"));
   private final List<String> called = new ArrayList<>();
   private final List<Promise<HttpReply>> replies = new ArrayList<>();
   private final HttpCaller caller =
@@ -63,8 +65,7 @@
           new RenewalDelegations(settings, time.now(), new HashSet<>()),
           this);
   private final Job job =
-      new Job(
-          JobCodec.read(Json.parseObject(SimulatedCluster.job("j-1", "array", 16).getBytes())), 0);
+      new Job(JobCodec.read(Json.parseObject(TestJobs.job("j-1", "array", 16).getBytes())), 0);
   private boolean leading = true;
   private final List<Attempt> gone = new ArrayList<>();
 
--- a/src/test/java/io/embernotch/agents/LateHeartbeatCopiesTest.java
+++ b/src/test/java/io/embernotch/agents/LateHeartbeatCopiesTest.java
@@ -1,12 +1,12 @@
 package io.embernotch.agents;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.embernotch.testkit.ControllerNode;
+import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Fate;
-import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.List;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -17,44 +17,47 @@
   private FakeWorker dead;
 
   private void service() {
-    cluster.settle(3);
+    cluster.awaitLeader(3);
     for (int i = 0; i < 4; i++) {
       cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
-    cluster.pass(8);
+    cluster.advance(8);
     assertThat(cluster.submit(0, job("j-1", "standing", 16)).status()).isEqualTo(201);
-    cluster.pass(12);
-    dead = cluster.running("j-1").get("j-1/0");
+    cluster.advance(12);
+    dead = cluster.runningTasks("j-1").get("j-1/0");
   }
 
   /**
    * Seconds until all replicas are up again, while copies of the dead machine's heartbeats arrive
    * that many seconds late; no copies arrive if it is 0.
    */
-  private double recoveryS(double copiesLateS, Node to) {
+  private double recoveryS(double copiesLateS, ControllerNode to) {
     List<byte[]> heartbeats = List.copyOf(cluster.heartbeatsOf(dead.name));
     int next = Math.max(0, heartbeats.size() - (int) copiesLateS);
     for (double t = 0; t < 90; t += 0.5) {
-      if (cluster.running("j-1").values().stream().filter(worker -> !worker.cut).count() == 16) {
+      if (cluster.runningTasks("j-1").values().stream()
+              .filter(worker -> !worker.partitioned)
+              .count()
+          == 16) {
         return t;
       }
       if (copiesLateS > 0 && t == Math.floor(t) && next < heartbeats.size()) {
-        cluster.late(to.down ? cluster.other(to) : to, heartbeats.get(next++));
+        cluster.deliverHeartbeat(to.down ? cluster.otherNode(to) : to, heartbeats.get(next++));
       }
-      cluster.pass(0.5);
+      cluster.advance(0.5);
     }
     return 90;
   }
 
   @AfterEach
   void noTaskEverRanTwice() {
-    assertThat(cluster.broken()).isEmpty();
+    assertThat(cluster.violations()).isEmpty();
   }
 
   private double recoveryAfterMachineFailure(double copiesLateS) {
     service();
-    dead.cut = true;
-    return recoveryS(copiesLateS, cluster.other(cluster.leader()));
+    dead.partitioned = true;
+    return recoveryS(copiesLateS, cluster.otherNode(cluster.leader()));
   }
 
   /**
@@ -66,7 +69,7 @@
     double without = recoveryAfterMachineFailure(0);
     LateHeartbeatCopiesTest other = new LateHeartbeatCopiesTest();
     double with = other.recoveryAfterMachineFailure(40);
-    assertThat(other.cluster.broken()).isEmpty();
+    assertThat(other.cluster.violations()).isEmpty();
     assertThat(with)
         .isLessThanOrEqualTo(
             without + other.cluster.nodes.get(0).settings.workers().heartbeatIntervalS());
@@ -74,11 +77,11 @@
 
   private double recoveryAfterFailover(double copiesLateS) {
     service();
-    cluster.pass(40);
-    dead.cut = true;
-    Node leader = cluster.leader();
+    cluster.advance(40);
+    dead.partitioned = true;
+    ControllerNode leader = cluster.leader();
     leader.kill();
-    return recoveryS(copiesLateS, cluster.other(leader));
+    return recoveryS(copiesLateS, cluster.otherNode(leader));
   }
 
   /** A new leader first learns of a machine by a copy from 40 s ago, and then by others. */
@@ -87,7 +90,7 @@
     double without = recoveryAfterFailover(0);
     LateHeartbeatCopiesTest other = new LateHeartbeatCopiesTest();
     double with = other.recoveryAfterFailover(40);
-    assertThat(other.cluster.broken()).isEmpty();
+    assertThat(other.cluster.violations()).isEmpty();
     assertThat(with)
         .isLessThanOrEqualTo(
             without + cluster.nodes.get(0).settings.workers().heartbeatIntervalS());
@@ -100,15 +103,15 @@
     List<byte[]> heartbeats = List.copyOf(cluster.heartbeatsOf(dead.name));
     cluster.workers.remove(dead.name);
     cluster.cloud.deleted.add(dead.name);
-    cluster.pass(60);
-    Node leader = cluster.leader();
+    cluster.advance(60);
+    ControllerNode leader = cluster.leader();
     leader.kill();
-    cluster.settle(6);
-    Node next = cluster.leader();
-    heartbeats.subList(0, 3).forEach(copy -> cluster.late(next, copy));
+    cluster.awaitLeader(6);
+    ControllerNode next = cluster.leader();
+    heartbeats.subList(0, 3).forEach(copy -> cluster.deliverHeartbeat(next, copy));
     cluster.submit(next.index, job("j-2", "array", 24));
-    cluster.pass(15);
-    assertThat(cluster.running("j-2")).hasSize(24);
+    cluster.advance(15);
+    assertThat(cluster.runningTasks("j-2")).hasSize(24);
   }
 
   /**
@@ -118,17 +121,17 @@
    * @return a heartbeat that the former incarnation would have sent in a later agent epoch
    */
   private byte[] replaceIncarnation(int laterSeq) {
-    cluster.settle(3);
+    cluster.awaitLeader(3);
     String name = cluster.boot("g8", "z1", true);
-    cluster.pass(12);
+    cluster.advance(12);
     dead = cluster.workers.get(name);
-    long seq = dead.seq;
-    dead.session = 2;
+    long seq = dead.sequence;
+    dead.epoch = 2;
     byte[] former = dead.heartbeat();
-    dead.back(true);
-    dead.seq = laterSeq == 0 ? 0 : seq + laterSeq;
-    cluster.directFate = Fate.HELD;
-    cluster.cloud.noBoot = true;
+    dead.restart(true);
+    dead.sequence = laterSeq == 0 ? 0 : seq + laterSeq;
+    cluster.faults.commandDelivery = Delivery.DELAYED;
+    cluster.cloud.bootDisabled = true;
     return former;
   }
 
@@ -137,16 +140,16 @@
    * machine where the task could start a second time.
    */
   private void executeStartThenDeliver(byte[] former) {
-    for (int i = 0; i < 400 && cluster.heldCount() == 0; i++) {
-      cluster.time.pass(0.02);
+    for (int i = 0; i < 400 && cluster.delayedCount() == 0; i++) {
+      cluster.time.advance(0.02);
     }
-    cluster.releaseHeld();
-    assertThat(dead.alive()).hasSize(1);
-    cluster.nodes.forEach(node -> cluster.late(node, former));
-    cluster.directFate = Fate.ARRIVES;
-    cluster.cloud.noBoot = false;
+    cluster.deliverDelayed();
+    assertThat(dead.runningTasks()).hasSize(1);
+    cluster.nodes.forEach(node -> cluster.deliverHeartbeat(node, former));
+    cluster.faults.commandDelivery = Delivery.DELIVERED;
+    cluster.cloud.bootDisabled = false;
     cluster.boot("g8", "z1", true);
-    cluster.pass(20);
+    cluster.advance(20);
   }
 
   /** Before the present incarnation has reported any token that only it can have seen. */
@@ -164,7 +167,7 @@
   @Test
   void copyProvesNothingWhereTheNewIncarnationWentUnnoticed() {
     byte[] former = replaceIncarnation(40);
-    cluster.pass(3);
+    cluster.advance(3);
     cluster.submit(0, job("j-5", "array", 1));
     executeStartThenDeliver(former);
   }
@@ -176,28 +179,28 @@
    */
   @Test
   void copyOfAFormerIncarnationWithALaterAgentEpochProvesNothing() {
-    cluster.settle(3);
+    cluster.awaitLeader(3);
     String name = cluster.boot("g8", "z1", true);
-    cluster.pass(7);
+    cluster.advance(7);
     FakeWorker worker = cluster.workers.get(name);
-    worker.cut = true;
-    cluster.pass(12);
-    worker.cut = false;
-    worker.session = 4;
-    cluster.pass(4);
+    worker.partitioned = true;
+    cluster.advance(12);
+    worker.partitioned = false;
+    worker.epoch = 4;
+    cluster.advance(4);
     byte[] former = cluster.heartbeatsOf(name).get(cluster.heartbeatsOf(name).size() - 1);
-    worker.back(true);
-    cluster.pass(8);
-    cluster.directFate = Fate.HELD;
+    worker.restart(true);
+    cluster.advance(8);
+    cluster.faults.commandDelivery = Delivery.DELAYED;
     cluster.submit(0, job("j-3", "array", 4));
-    cluster.pass(4);
-    cluster.directFate = Fate.ARRIVES;
+    cluster.advance(4);
+    cluster.faults.commandDelivery = Delivery.DELIVERED;
     // Executed now; its answer is lost.
-    cluster.releaseHeld();
-    cluster.nodes.forEach(node -> cluster.late(node, former));
-    cluster.pass(0.3);
-    cluster.nodes.forEach(node -> cluster.late(node, former));
-    cluster.pass(30);
-    assertThat(cluster.running("j-3")).hasSize(4);
+    cluster.deliverDelayed();
+    cluster.nodes.forEach(node -> cluster.deliverHeartbeat(node, former));
+    cluster.advance(0.3);
+    cluster.nodes.forEach(node -> cluster.deliverHeartbeat(node, former));
+    cluster.advance(30);
+    assertThat(cluster.runningTasks("j-3")).hasSize(4);
   }
 }
--- a/src/test/java/io/embernotch/agents/RenewalDelegationsTest.java
+++ b/src/test/java/io/embernotch/agents/RenewalDelegationsTest.java
@@ -13,7 +13,7 @@
 class RenewalDelegationsTest {
   @Test
   void leaderKnowsUntilWhenAControllerMayHaveRenewed() {
-    Settings settings = SettingsReader.parse(SimulatedCluster.toml(0));
+    Settings settings = SettingsReader.parse(SimulatedCluster.settingsToml(0));
     RenewalDelegations delegations = new RenewalDelegations(settings, 100, new HashSet<>());
     double gracePeriodS = settings.gracePeriodS() * (1 + Settings.DRIFT);
     // Nothing was received: it may have a delegation of a former leader.
--- a/src/test/java/io/embernotch/calendar/ReleaseCalendarTest.java
+++ b/src/test/java/io/embernotch/calendar/ReleaseCalendarTest.java
@@ -1,14 +1,14 @@
 package io.embernotch.calendar;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import io.embernotch.codec.Json;
 import io.embernotch.settings.OperatorSettings;
+import io.embernotch.testkit.ControllerNode;
+import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Fate;
-import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -34,7 +34,7 @@
 
   private void begin(String file) {
     cluster = new SimulatedCluster(OperatorSettings.parse(file));
-    cluster.settle(4);
+    cluster.awaitLeader(4);
   }
 
   private static String jobOfClass(String jobClass, String ref, int tasks) {
@@ -59,17 +59,17 @@
    */
   private void submitThreePendingJobs() {
     cluster.boot("g8", "z1", false);
-    cluster.pass(7);
-    cluster.cloud.full = true;
+    cluster.advance(7);
+    cluster.cloud.outOfCapacity = true;
     cluster.submit(0, jobOfClass("c", "j-1", 8));
-    cluster.pass(4);
-    assertThat(cluster.running("j-1")).hasSize(8);
+    cluster.advance(4);
+    assertThat(cluster.runningTasks("j-1")).hasSize(8);
     cluster.submit(0, jobOfClass("c", "j-2", 16));
-    cluster.pass(1);
+    cluster.advance(1);
     cluster.submit(1, jobOfClass("desk", "j-3", 16));
-    cluster.pass(1);
+    cluster.advance(1);
     cluster.submit(2, jobOfClass("wire", "j-4", 16));
-    cluster.pass(4);
+    cluster.advance(4);
   }
 
   @Test
@@ -82,15 +82,15 @@
     assertThat(poll("j-3").get("release").asText()).isEqualTo("late/1970-01-01");
     // Shortly before its deadline the morning's job goes before jobs that have waited longer; the
     // others by age.
-    cluster.pass(100);
-    cluster.finish("j-1");
-    cluster.pass(5);
-    assertThat(cluster.running("j-4")).hasSize(8);
-    cluster.finish("j-4");
-    cluster.pass(5);
-    cluster.finish("j-4");
-    cluster.pass(5);
-    assertThat(cluster.running("j-2")).hasSize(8);
+    cluster.advance(100);
+    cluster.completeTasks("j-1");
+    cluster.advance(5);
+    assertThat(cluster.runningTasks("j-4")).hasSize(8);
+    cluster.completeTasks("j-4");
+    cluster.advance(5);
+    cluster.completeTasks("j-4");
+    cluster.advance(5);
+    assertThat(cluster.runningTasks("j-2")).hasSize(8);
   }
 
   /**
@@ -127,34 +127,34 @@
     }
     assertThat(poll("j-3").get("release").asText()).isEqualTo("late/1970-01-01");
     cluster.submit(cluster.leader().index, jobOfClass("wire", "j-5", 16));
-    cluster.pass(4);
+    cluster.advance(4);
     assertThat(poll("j-5").get("release").asText()).isEqualTo("morning/1970-01-01");
   }
 
   private void restartWith(String file) {
-    cluster.operator(OperatorSettings.parse(file));
-    cluster.nodes.forEach(Node::kill);
-    cluster.pass(1);
-    cluster.nodes.forEach(Node::start);
-    cluster.settle(8);
-    cluster.pass(15);
+    cluster.setOperatorSettings(OperatorSettings.parse(file));
+    cluster.nodes.forEach(ControllerNode::kill);
+    cluster.advance(1);
+    cluster.nodes.forEach(ControllerNode::start);
+    cluster.awaitLeader(8);
+    cluster.advance(15);
   }
 
   @Test
   void theResultOfAReleaseIsStored() {
     begin(file(1, ""));
     submitThreePendingJobs();
-    cluster.pass(200);
-    cluster.finish("j-1");
-    cluster.pass(5);
+    cluster.advance(200);
+    cluster.completeTasks("j-1");
+    cluster.advance(5);
     for (int i = 0; i < 8; i++) {
-      cluster.pass(15);
-      cluster.finish("j-2");
-      cluster.finish("j-3");
-      cluster.finish("j-4");
+      cluster.advance(15);
+      cluster.completeTasks("j-2");
+      cluster.completeTasks("j-3");
+      cluster.completeTasks("j-4");
     }
-    cluster.pass(250);
-    JsonNode over = cluster.state.value("shared/release/morning/1970-01-01");
+    cluster.advance(250);
+    JsonNode over = cluster.store.value("shared/release/morning/1970-01-01");
     assertThat(over.get("over").asBoolean()).isTrue();
     assertThat(over.get("jobs").asInt()).isEqualTo(1);
     assertThat(over.get("in_time").asInt()).isEqualTo(1);
@@ -164,15 +164,15 @@
   private void injectFault(SplittableRandom random) {
     switch (random.nextInt(6)) {
       case 0 -> {
-        cluster.commitsWith = random.nextBoolean() ? "shared/" : "run/";
-        cluster.commitFate = Fate.values()[random.nextInt(3)];
+        cluster.faults.commitDeliveryFilter = random.nextBoolean() ? "shared/" : "run/";
+        cluster.faults.commitDelivery = Delivery.values()[random.nextInt(3)];
       }
-      case 1 -> cluster.releaseHeld();
-      case 2 -> cluster.finish("j-" + random.nextInt(12));
+      case 1 -> cluster.deliverDelayed();
+      case 2 -> cluster.completeTasks("j-" + random.nextInt(12));
       default -> {
-        Node node = cluster.nodes.get(random.nextInt(3));
+        ControllerNode node = cluster.nodes.get(random.nextInt(3));
         node.kill();
-        cluster.pass(random.nextDouble(0.6));
+        cluster.advance(random.nextDouble(0.6));
         node.start();
       }
     }
@@ -197,7 +197,7 @@
               jobOfClass(index % 4 == 0 ? "desk" : "wire", "j-" + index, 1 + random.nextInt(4)));
         }
         injectFault(random);
-        cluster.pass(random.nextDouble(20));
+        cluster.advance(random.nextDouble(20));
         for (int j = 0; j <= index; j++) {
           String release = poll("j-" + j).path("release").asText(null);
           if (reported[j] != null && release != null && !release.equals(reported[j])) {
@@ -207,7 +207,7 @@
           reported[j] = reported[j] == null ? release : reported[j];
         }
       }
-      violations.addAll(cluster.broken());
+      violations.addAll(cluster.violations());
     }
     assertThat(violations).isEmpty();
   }
@@ -219,9 +219,9 @@
     // No controller's file says it any more.
     restartWith(file(1, ""));
     assertThat(poll("j-4").get("deadline").asText()).isEqualTo("1970-01-01T00:50:00Z");
-    cluster.state.loseAll();
-    cluster.pass(50);
-    cluster.settle(5);
+    cluster.store.wipe();
+    cluster.advance(50);
+    cluster.awaitLeader(5);
     assertThat(poll("j-4").get("deadline").asText()).isEqualTo("1970-01-01T00:50:00Z");
   }
 }
--- a/src/test/java/io/embernotch/forwarding/DelegatedRenewalTest.java
+++ b/src/test/java/io/embernotch/forwarding/DelegatedRenewalTest.java
@@ -1,6 +1,6 @@
 package io.embernotch.forwarding;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.actor.EventLoopProfile;
@@ -10,10 +10,10 @@
 import io.embernotch.peer.Frame;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.Settings;
+import io.embernotch.testkit.ControllerNode;
 import io.embernotch.testkit.FakeTime;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
@@ -22,8 +22,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A partitioned zone: its tasks keep running, and all invariants hold. Node 2 is in zone z2, so
- * that it is partitioned together with the agents of that zone.
+ * A partitioned zone: its tasks keep running, and all invariants hold. ControllerNode 2 is in zone
+ * z2, so that it is partitioned together with the agents of that zone.
  */
 class DelegatedRenewalTest {
   private static final double PARTITION_S = 56;
@@ -33,10 +33,10 @@
 
   /** A leader outside of z2, and a service with replicas in both zones. */
   private Map<String, FakeWorker> spreadService(String ref) {
-    cluster.pass(2);
+    cluster.advance(2);
     if (cluster.leader() == cluster.nodes.get(2)) {
       cluster.nodes.get(2).kill();
-      cluster.pass(6);
+      cluster.advance(6);
       cluster.nodes.get(2).start();
     }
     assertThat(
@@ -44,33 +44,33 @@
                 .submit(0, job(ref, "standing", 6).replace("\"scatter\":false", "\"scatter\":true"))
                 .status())
         .isEqualTo(201);
-    cluster.pass(15);
-    Map<String, FakeWorker> running = cluster.running(ref);
+    cluster.advance(15);
+    Map<String, FakeWorker> running = cluster.runningTasks(ref);
     assertThat(running).hasSize(6);
     assertThat(running.values().stream().filter(worker -> worker.zone.equals("z2"))).hasSize(3);
     return running;
   }
 
   private boolean anyInZ2(String ref) {
-    return cluster.running(ref).values().stream().anyMatch(worker -> worker.zone.equals("z2"));
+    return cluster.runningTasks(ref).values().stream().anyMatch(worker -> worker.zone.equals("z2"));
   }
 
   @AfterEach
   void noTaskEverRanTwice() {
-    assertThat(cluster.broken()).isEmpty();
+    assertThat(cluster.violations()).isEmpty();
   }
 
   @Test
   void replicasBehindAPartitionKeepRunningUntilItHeals() {
     Map<String, FakeWorker> before = spreadService("j-1");
-    cluster.cutZone = "z2";
+    cluster.faults.partitionedZone = "z2";
     for (int i = 0; i < PARTITION_S; i++) {
-      cluster.pass(1);
-      assertThat(cluster.running("j-1")).isEqualTo(before);
+      cluster.advance(1);
+      assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
     }
-    cluster.cutZone = null;
-    cluster.pass(20);
-    assertThat(cluster.running("j-1")).isEqualTo(before);
+    cluster.faults.partitionedZone = null;
+    cluster.advance(20);
+    assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
   }
 
   /**
@@ -87,86 +87,86 @@
     for (int partition = 0; partition < 2; partition++) {
       delegatedRenewal.acknowledged(
           new Frame.DelegateHeartbeatAck(1, delegatedRenewal.nextHeartbeat().seq(), true));
-      time.pass(far.contactTimeoutS() * 1.1);
+      time.advance(far.contactTimeoutS() * 1.1);
       assertThat(delegatedRenewal.renew(heartbeat, "c0").orElseThrow().status()).isEqualTo(200);
-      time.pass(far.workers().leaseS() / 2);
+      time.advance(far.workers().leaseS() / 2);
       assertThat(delegatedRenewal.renew(heartbeat, "c0").orElseThrow().status()).isEqualTo(421);
-      time.pass(far.workers().leaseS() / 2);
+      time.advance(far.workers().leaseS() / 2);
     }
   }
 
   @Test
   void replicasKeepRunningThoughTheLeaderFailsDuringThePartition() {
     Map<String, FakeWorker> before = spreadService("j-1");
-    cluster.cutZone = "z2";
-    cluster.pass(10);
+    cluster.faults.partitionedZone = "z2";
+    cluster.advance(10);
     cluster.leader().kill();
-    cluster.pass(PARTITION_S - 10);
-    cluster.cutZone = null;
-    cluster.pass(20);
-    assertThat(cluster.running("j-1")).isEqualTo(before);
+    cluster.advance(PARTITION_S - 10);
+    cluster.faults.partitionedZone = null;
+    cluster.advance(20);
+    assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
   }
 
   @Test
   void longerPartitionEndsReplicasAndOnlyThenTheyStartElsewhere() {
     spreadService("j-1");
     cluster.submit(0, job("j-2", "standing", 4).replace("\"room\":null", "\"room\":\"z2\""));
-    cluster.pass(15);
-    assertThat(cluster.running("j-2")).hasSize(4);
-    cluster.cutZone = "z2";
+    cluster.advance(15);
+    assertThat(cluster.runningTasks("j-2")).hasSize(4);
+    cluster.faults.partitionedZone = "z2";
     cluster.cloud.down = true;
     // The renewals end, and then the leases; the invariant checker fails if anything starts before.
-    cluster.pass(settings.gracePeriodS() + settings.workers().leaseS() + 5);
+    cluster.advance(settings.gracePeriodS() + settings.workers().leaseS() + 5);
     assertThat(anyInZ2("j-1")).isFalse();
-    cluster.cutZone = null;
+    cluster.faults.partitionedZone = null;
     cluster.cloud.down = false;
-    cluster.pass(25);
-    assertThat(cluster.running("j-1")).hasSize(6);
-    assertThat(cluster.running("j-2")).hasSize(4);
+    cluster.advance(25);
+    assertThat(cluster.runningTasks("j-1")).hasSize(6);
+    assertThat(cluster.runningTasks("j-2")).hasSize(4);
   }
 
   @Test
   void cancellationIsConfirmedOnlyOnceTasksBehindThePartitionMustEndInTime() {
     spreadService("j-1");
-    cluster.cutZone = "z2";
+    cluster.faults.partitionedZone = "z2";
     cluster.cloud.down = true;
-    cluster.pass(12);
-    assertThat(cluster.abort(0, "j-1").status()).isEqualTo(503);
+    cluster.advance(12);
+    assertThat(cluster.cancel(0, "j-1").status()).isEqualTo(503);
     assertThat(cluster.phase(0, "j-1")).isNotEqualTo("cancelled");
     // Tasks that can be reached end at once, and nothing starts again.
-    assertThat(cluster.running("j-1").values()).allMatch(worker -> worker.zone.equals("z2"));
+    assertThat(cluster.runningTasks("j-1").values()).allMatch(worker -> worker.zone.equals("z2"));
     double waitedS = 12;
-    while (cluster.abort(1, "j-1").status() != 200) {
-      cluster.pass(1);
+    while (cluster.cancel(1, "j-1").status() != 200) {
+      cluster.advance(1);
       waitedS += 1;
       assertThat(waitedS).isLessThan(settings.gracePeriodS());
     }
     assertThat(anyInZ2("j-1")).isTrue();
-    cluster.pass(settings.workers().cancelS() - 1);
-    assertThat(cluster.running("j-1")).isEmpty();
+    cluster.advance(settings.workers().cancelS() - 1);
+    assertThat(cluster.runningTasks("j-1")).isEmpty();
   }
 
   @Test
   void cancellationConfirmedBeforeAPartitionLeavesNothingBehindIt() {
     spreadService("j-1");
-    assertThat(cluster.abort(0, "j-1").status()).isEqualTo(200);
-    cluster.cutZone = "z2";
-    assertThat(cluster.running("j-1")).isEmpty();
+    assertThat(cluster.cancel(0, "j-1").status()).isEqualTo(200);
+    cluster.faults.partitionedZone = "z2";
+    assertThat(cluster.runningTasks("j-1")).isEmpty();
   }
 
   @Test
   void nothingIsDelegatedWhileAControllerMayBeOfTheFormerVersion() {
     spreadService("j-1");
     // It sends nothing to the leader that follows, as the former version would not.
-    Node muted =
+    ControllerNode muted =
         cluster.leader() == cluster.nodes.get(0) ? cluster.nodes.get(1) : cluster.nodes.get(0);
-    muted.noPeers = true;
+    muted.peersUnreachable = true;
     cluster.leader().kill();
-    cluster.pass(10);
-    cluster.nodes.stream().filter(node -> node.down).forEach(Node::start);
-    cluster.pass(settings.gracePeriodS() + 10);
-    cluster.cutZone = "z2";
-    cluster.pass(settings.workers().leaseS() + 4);
+    cluster.advance(10);
+    cluster.nodes.stream().filter(node -> node.down).forEach(ControllerNode::start);
+    cluster.advance(settings.gracePeriodS() + 10);
+    cluster.faults.partitionedZone = "z2";
+    cluster.advance(settings.workers().leaseS() + 4);
     assertThat(anyInZ2("j-1")).isFalse();
   }
 
--- a/src/test/java/io/embernotch/forwarding/IsolatedControllerTest.java
+++ b/src/test/java/io/embernotch/forwarding/IsolatedControllerTest.java
@@ -1,12 +1,12 @@
 package io.embernotch.forwarding;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.agents.FencingTokens;
+import io.embernotch.testkit.ControllerNode;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.AfterEach;
@@ -20,43 +20,43 @@
   private final SimulatedCluster cluster = new SimulatedCluster(3, 100);
 
   private Map<String, FakeWorker> service() {
-    cluster.settle(3);
+    cluster.awaitLeader(3);
     for (int i = 0; i < 30; i++) {
       cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
-    cluster.pass(8);
+    cluster.advance(8);
     // Agents are spread over the controllers.
     int next = 0;
     for (FakeWorker worker : cluster.workers.values()) {
-      worker.node = next++ % 3;
+      worker.controllerIndex = next++ % 3;
     }
     assertThat(cluster.submit(0, job("j-1", "standing", 90)).status()).isEqualTo(201);
-    cluster.pass(15);
-    assertThat(cluster.running("j-1")).hasSize(90);
-    cluster.leastLeft = 1;
-    return cluster.running("j-1");
+    cluster.advance(15);
+    assertThat(cluster.runningTasks("j-1")).hasSize(90);
+    cluster.resetMinRemainingLeaseShare();
+    return cluster.runningTasks("j-1");
   }
 
-  private void isolate(Node node, boolean isolated) {
-    node.noState = isolated;
-    node.noPeers = isolated;
+  private void isolate(ControllerNode node, boolean isolated) {
+    node.storeUnavailable = isolated;
+    node.peersUnreachable = isolated;
   }
 
   @AfterEach
   void noTaskEverRanTwice() {
-    assertThat(cluster.broken()).isEmpty();
+    assertThat(cluster.violations()).isEmpty();
   }
 
   @ParameterizedTest
   @CsvSource({"true,30", "true,60", "true,150", "false,30", "false,60", "false,150"})
   void keepsNoAgentUntilItsLeaseExpires(boolean leader, int seconds) {
     Map<String, FakeWorker> before = service();
-    Node node = leader ? cluster.leader() : cluster.other(cluster.leader());
+    ControllerNode node = leader ? cluster.leader() : cluster.otherNode(cluster.leader());
     isolate(node, true);
     double longestPollS = 0;
     for (int s = 0; s < seconds; s += 5) {
-      cluster.pass(5);
-      assertThat(cluster.running("j-1")).isEqualTo(before);
+      cluster.advance(5);
+      assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
       if (s >= 5) {
         // A poll is refused at once, and the load balancer is told to send nobody.
         double askedAt = cluster.time.now();
@@ -69,11 +69,11 @@
     assertThat(longestPollS).isLessThan(1);
     assertThat(cluster.leader()).isNotNull().isNotEqualTo(node);
     isolate(node, false);
-    cluster.pass(40);
-    assertThat(cluster.running("j-1")).isEqualTo(before);
+    cluster.advance(40);
+    assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
     // The least share of a lease, last renewed here, that was left when another controller renewed
     // it.
-    assertThat(cluster.leastLeft).isGreaterThan(0.4);
+    assertThat(cluster.minRemainingLeaseShare()).isGreaterThan(0.4);
   }
 
   /**
@@ -84,23 +84,23 @@
   @CsvSource({"true", "false"})
   void storeOutageAfterALeaderWasPartitionedEndsNothing(boolean leaderFails) {
     Map<String, FakeWorker> before = service();
-    Node node = cluster.leader();
+    ControllerNode node = cluster.leader();
     if (leaderFails) {
       node.kill();
     }
     isolate(node, true);
-    cluster.pass(8);
+    cluster.advance(8);
     assertThat(cluster.leader()).isNotNull().isNotEqualTo(node);
-    cluster.state.outage = true;
-    cluster.pass(node.settings.gracePeriodS() + 0.6 * node.settings.workers().leaseS());
-    assertThat(cluster.running("j-1")).isEqualTo(before);
-    cluster.state.recover();
+    cluster.store.outage = true;
+    cluster.advance(node.settings.gracePeriodS() + 0.6 * node.settings.workers().leaseS());
+    assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
+    cluster.store.endOutage();
     isolate(node, false);
     if (leaderFails) {
       node.start();
     }
-    cluster.pass(40);
-    assertThat(cluster.running("j-1")).isEqualTo(before);
+    cluster.advance(40);
+    assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
   }
 
   /**
@@ -111,32 +111,33 @@
   @CsvSource({"true", "false"})
   void sendsAwayAgentsThatHaveSeenALaterLeader(boolean leader) {
     Map<String, FakeWorker> before = service();
-    Node node = leader ? cluster.leader() : cluster.other(cluster.leader());
+    ControllerNode node = leader ? cluster.leader() : cluster.otherNode(cluster.leader());
     isolate(node, true);
-    cluster.pass(10);
+    cluster.advance(10);
     if (!leader) {
-      Node other = cluster.leader();
+      ControllerNode other = cluster.leader();
       other.kill();
-      cluster.pass(8);
+      cluster.advance(8);
       other.start();
     }
-    cluster.settle(4);
+    cluster.awaitLeader(4);
     // The new leader reaches all machines directly.
     assertThat(cluster.submit(cluster.leader().index, job("j-2", "array", 150)).status())
         .isEqualTo(201);
-    cluster.pass(6);
+    cluster.advance(6);
     List<FakeWorker> reached =
         cluster.workers.values().stream()
             .filter(
                 worker ->
-                    worker.node == node.index
-                        && worker.token >= FencingTokens.base(cluster.state.modRevision("steward")))
+                    worker.controllerIndex == node.index
+                        && worker.fencingToken
+                            >= FencingTokens.base(cluster.store.modRevision("steward")))
             .toList();
-    cluster.pass(1.5);
-    assertThat(reached).noneMatch(worker -> worker.node == node.index);
-    cluster.pass(10);
-    assertThat(cluster.running("j-2")).hasSize(150);
-    cluster.pass(50);
-    assertThat(cluster.running("j-1")).isEqualTo(before);
+    cluster.advance(1.5);
+    assertThat(reached).noneMatch(worker -> worker.controllerIndex == node.index);
+    cluster.advance(10);
+    assertThat(cluster.runningTasks("j-2")).hasSize(150);
+    cluster.advance(50);
+    assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
   }
 }
--- a/src/test/java/io/embernotch/reservation/ReservationTest.java
+++ b/src/test/java/io/embernotch/reservation/ReservationTest.java
@@ -1,6 +1,6 @@
 package io.embernotch.reservation;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
@@ -8,10 +8,10 @@
 import io.embernotch.codec.Json;
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.SettingsException;
+import io.embernotch.testkit.ControllerNode;
+import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Fate;
-import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
@@ -31,7 +31,7 @@
   private void begin(String file) {
     cluster = new SimulatedCluster(OperatorSettings.parse(file));
     capacity = new ReservedCapacity(cluster);
-    cluster.settle(3);
+    cluster.awaitLeader(3);
   }
 
   private static String live(String ref, int tasks) {
@@ -59,16 +59,16 @@
   @Test
   void aFixedAmountStaysReservedDuringABurstAndServesItsWork() {
     begin(TEN_GPUS);
-    capacity.pass(20);
+    capacity.advance(20);
     assertThat(capacity.totalReservedGpus()).isGreaterThanOrEqualTo(10);
-    cluster.cloud.noBoot = true;
+    cluster.cloud.bootDisabled = true;
     cluster.submit(0, array("j-1", 100));
-    capacity.pass(20);
+    capacity.advance(20);
     assertThat(reservationOverview().get("held").get("gpus").asDouble()).isGreaterThanOrEqualTo(10);
     assertThat(reservationOverview().get("idle_cost_per_hour").asDouble()).isGreaterThan(0);
     cluster.submit(1, live("j-2", 10));
-    capacity.pass(3);
-    assertThat(cluster.running("j-2")).hasSize(10);
+    capacity.advance(3);
+    assertThat(cluster.runningTasks("j-2")).hasSize(10);
     assertThat(reservationOverview().get("filled").get("gpus").asDouble()).isEqualTo(10);
     assertThat(capacity.violations).isEmpty();
   }
@@ -78,27 +78,27 @@
   void nothingReservedIsGivenAwayThoughAllControllersEndDuringABurst() {
     begin("");
     cluster.submit(0, live("j-1", 14));
-    capacity.pass(15);
-    cluster.cloud.noBoot = true;
+    capacity.advance(15);
+    cluster.cloud.bootDisabled = true;
     cluster.submit(1, array("j-2", 200));
-    capacity.pass(15);
+    capacity.advance(15);
     double reserved = capacity.totalReservedGpus();
     assertThat(reserved).isGreaterThanOrEqualTo(14);
-    cluster.nodes.forEach(Node::kill);
-    capacity.pass(1);
+    cluster.nodes.forEach(ControllerNode::kill);
+    capacity.advance(1);
     int ended = 0;
-    for (FakeWorker worker : cluster.running("j-1").values()) {
-      for (String test : List.copyOf(worker.alive())) {
+    for (FakeWorker worker : cluster.runningTasks("j-1").values()) {
+      for (String test : List.copyOf(worker.runningTasks())) {
         if (test.startsWith("j-1/") && ended < 6) {
-          worker.exit(test, "error");
+          worker.exitTask(test, "error");
           ended++;
         }
       }
     }
-    assertThat(cluster.running("j-1")).hasSize(8);
-    cluster.nodes.forEach(Node::start);
-    capacity.pass(25);
-    assertThat(cluster.running("j-1")).hasSize(14);
+    assertThat(cluster.runningTasks("j-1")).hasSize(8);
+    cluster.nodes.forEach(ControllerNode::start);
+    capacity.advance(25);
+    assertThat(cluster.runningTasks("j-1")).hasSize(14);
     assertThat(capacity.violations).isEmpty();
   }
 
@@ -107,24 +107,24 @@
   void whatMayBeStoredStaysReservedThoughItIsNoLongerWanted() {
     begin("");
     cluster.boot("g8", "z1", false);
-    capacity.pass(7);
-    cluster.cloud.full = true;
-    cluster.commitsWith = "shared/";
-    cluster.commitFate = Fate.HELD;
+    capacity.advance(7);
+    cluster.cloud.outOfCapacity = true;
+    cluster.faults.commitDeliveryFilter = "shared/";
+    cluster.faults.commitDelivery = Delivery.DELAYED;
     cluster.submit(0, live("j-1", 8));
-    capacity.pass(9);
-    assertThat(cluster.running("j-1")).hasSize(8);
+    capacity.advance(9);
+    assertThat(cluster.runningTasks("j-1")).hasSize(8);
     cluster.submit(1, array("j-2", 50));
     for (int i = 0; i < 200 && capacity.totalReservedGpus() < 8; i++) {
-      capacity.pass(0.05);
-      cluster.releaseHeld();
+      capacity.advance(0.05);
+      cluster.deliverDelayed();
     }
     assertThat(capacity.totalReservedGpus()).isGreaterThanOrEqualTo(8);
-    cluster.abort(0, "j-1");
-    capacity.pass(1);
-    cluster.commitFate = Fate.ARRIVES;
-    capacity.pass(40);
-    assertThat(cluster.running("j-2")).isNotEmpty();
+    cluster.cancel(0, "j-1");
+    capacity.advance(1);
+    cluster.faults.commitDelivery = Delivery.DELIVERED;
+    capacity.advance(40);
+    assertThat(cluster.runningTasks("j-2")).isNotEmpty();
     assertThat(capacity.violations).isEmpty();
   }
 
@@ -132,22 +132,23 @@
   @Test
   void aMachineThatHasNotReportedYetKeepsItsReservation() {
     begin(TEN_GPUS);
-    capacity.pass(25);
-    cluster.cloud.noBoot = true;
-    cluster.nodes.forEach(Node::kill);
-    cluster.workers.values().forEach(worker -> worker.cut = true);
+    capacity.advance(25);
+    cluster.cloud.bootDisabled = true;
+    cluster.nodes.forEach(ControllerNode::kill);
+    cluster.workers.values().forEach(worker -> worker.partitioned = true);
     cluster.cloud.unlisted.addAll(cluster.workers.keySet());
-    capacity.pass(1);
+    capacity.advance(1);
     cluster.submit(0, array("j-1", 1));
-    cluster.nodes.forEach(Node::start);
-    capacity.pass(9);
+    cluster.nodes.forEach(ControllerNode::start);
+    capacity.advance(9);
     assertThat(capacity.totalReservedGpus()).isGreaterThanOrEqualTo(10);
-    cluster.workers.values().forEach(worker -> worker.cut = false);
+    cluster.workers.values().forEach(worker -> worker.partitioned = false);
     cluster.cloud.unlisted.clear();
     cluster.submit(0, array("j-2", 60));
-    capacity.pass(12);
+    capacity.advance(12);
     assertThat(capacity.totalReservedGpus()).isGreaterThanOrEqualTo(10);
-    assertThat(cluster.running("j-2").size()).isLessThanOrEqualTo(cluster.workers.size() * 8 - 10);
+    assertThat(cluster.runningTasks("j-2").size())
+        .isLessThanOrEqualTo(cluster.workers.size() * 8 - 10);
   }
 
   /**
@@ -158,21 +159,21 @@
   void releasedCapacityIsUsedOnlyOnceTheReleaseIsKnownToBeStored() {
     begin("");
     cluster.submit(0, live("j-1", 16));
-    capacity.pass(15);
-    cluster.cloud.noBoot = true;
+    capacity.advance(15);
+    cluster.cloud.bootDisabled = true;
     cluster.submit(1, array("j-2", 200));
-    capacity.pass(10);
-    cluster.commitsWith = "shared/";
-    cluster.commitFate = Fate.HELD;
-    cluster.abort(0, "j-1");
-    capacity.pass(8);
+    capacity.advance(10);
+    cluster.faults.commitDeliveryFilter = "shared/";
+    cluster.faults.commitDelivery = Delivery.DELAYED;
+    cluster.cancel(0, "j-1");
+    capacity.advance(8);
     double stillReserved = capacity.totalReservedGpus();
     assertThat(stillReserved).isGreaterThanOrEqualTo(16);
-    cluster.commitFate = Fate.ARRIVES;
-    cluster.releaseHeld();
-    capacity.pass(60);
+    cluster.faults.commitDelivery = Delivery.DELIVERED;
+    cluster.deliverDelayed();
+    capacity.advance(60);
     assertThat(capacity.totalReservedGpus()).isLessThan(stillReserved / 2);
-    assertThat(cluster.running("j-2").size()).isGreaterThan(8);
+    assertThat(cluster.runningTasks("j-2").size()).isGreaterThan(8);
     assertThat(capacity.violations).isEmpty();
   }
 
@@ -184,27 +185,27 @@
   void aFixedAmountIsRestoredByPreemptingLowerPriority() {
     begin("reserve_live: false");
     String name = cluster.boot("g8", "z1", false);
-    capacity.pass(8);
-    cluster.cloud.full = true;
+    capacity.advance(8);
+    cluster.cloud.outOfCapacity = true;
     cluster.submit(0, array("j-1", 8).replace("standard", "idle"));
-    capacity.pass(8);
-    assertThat(cluster.workers.get(name).alive()).hasSize(8);
+    capacity.advance(8);
+    assertThat(cluster.workers.get(name).runningTasks()).hasSize(8);
     restartWith("generation: 1 reserve { name: 'live' serves { priority: LIVE } gpus: 4 }");
-    capacity.pass(25);
+    capacity.advance(25);
     assertThat(capacity.reservedGpus(name)).isEqualTo(4);
-    assertThat(cluster.workers.get(name).alive()).hasSize(4);
+    assertThat(cluster.workers.get(name).runningTasks()).hasSize(4);
     cluster.submit(0, live("j-2", 4));
-    capacity.pass(3);
-    assertThat(cluster.running("j-2")).hasSize(4);
+    capacity.advance(3);
+    assertThat(cluster.runningTasks("j-2")).hasSize(4);
     assertThat(capacity.violations).isEmpty();
   }
 
   private void restartWith(String file) {
-    cluster.operator(OperatorSettings.parse(file));
-    cluster.nodes.forEach(Node::kill);
-    cluster.pass(2);
-    cluster.nodes.forEach(Node::start);
-    cluster.settle(8);
+    cluster.setOperatorSettings(OperatorSettings.parse(file));
+    cluster.nodes.forEach(ControllerNode::kill);
+    cluster.advance(2);
+    cluster.nodes.forEach(ControllerNode::start);
+    cluster.awaitLeader(8);
   }
 
   /**
@@ -213,12 +214,12 @@
   @Test
   void anOlderFileNeverUndoesANewerGeneration() {
     begin("generation: 3 reserve { name: 'new' serves { priority: LIVE } gpus: 12 }");
-    capacity.pass(20);
+    capacity.advance(20);
     assertThat(capacity.totalReservedGpus()).isGreaterThanOrEqualTo(12);
     restartWith(TEN_GPUS);
-    capacity.pass(20);
+    capacity.advance(20);
     assertThat(reservationOverview().get("name").asText()).isEqualTo("new");
-    assertThat(cluster.state.value("shared/reserve").get("gen").asLong()).isEqualTo(3);
+    assertThat(cluster.store.value("shared/reserve").get("gen").asLong()).isEqualTo(3);
     assertThat(capacity.totalReservedGpus()).isGreaterThanOrEqualTo(12);
   }
 
@@ -229,17 +230,17 @@
   void aLossOfTheStoreLosesNoReservation() {
     begin(TEN_GPUS);
     cluster.submit(0, live("j-1", 6));
-    capacity.pass(25);
+    capacity.advance(25);
     double reserved = capacity.totalReservedGpus();
-    cluster.cloud.noBoot = true;
+    cluster.cloud.bootDisabled = true;
     cluster.submit(1, array("j-2", 100));
-    capacity.pass(5);
-    cluster.state.loseAll();
-    capacity.pass(40);
-    cluster.settle(5);
+    capacity.advance(5);
+    cluster.store.wipe();
+    capacity.advance(40);
+    cluster.awaitLeader(5);
     assertThat(reservationOverview().get("held").get("gpus").asDouble())
         .isGreaterThanOrEqualTo(Math.min(reserved, 10));
-    assertThat(cluster.running("j-1")).hasSize(6);
+    assertThat(cluster.runningTasks("j-1")).hasSize(6);
     assertThat(capacity.violations).isEmpty();
   }
 
@@ -254,29 +255,29 @@
       switch (random.nextInt(9)) {
         case 0, 1 -> submit(cluster, node, live("j-" + next++, 1 + random.nextInt(6)));
         case 2 -> submit(cluster, node, array("j-" + next++, 1 + random.nextInt(40)));
-        case 3 -> cluster.finish("j-" + (1 + random.nextInt(next)));
+        case 3 -> cluster.completeTasks("j-" + (1 + random.nextInt(next)));
         case 4 -> {
           if (!cluster.nodes.get(node).down) {
-            cluster.abort(node, "j-" + (1 + random.nextInt(next)));
+            cluster.cancel(node, "j-" + (1 + random.nextInt(next)));
           }
         }
         case 5 -> {
-          cluster.commitsWith = random.nextBoolean() ? "shared/" : "run/";
-          cluster.commitFate = Fate.values()[random.nextInt(3)];
+          cluster.faults.commitDeliveryFilter = random.nextBoolean() ? "shared/" : "run/";
+          cluster.faults.commitDelivery = Delivery.values()[random.nextInt(3)];
         }
-        case 6 -> cluster.releaseHeld();
-        case 7 -> cluster.cloud.noBoot = !cluster.cloud.noBoot;
+        case 6 -> cluster.deliverDelayed();
+        case 7 -> cluster.cloud.bootDisabled = !cluster.cloud.bootDisabled;
         default -> {
-          List<Node> nodes =
+          List<ControllerNode> nodes =
               random.nextInt(3) == 0 ? cluster.nodes : List.of(cluster.nodes.get(node));
-          nodes.forEach(Node::kill);
-          test.capacity.pass(random.nextDouble(1.0));
-          nodes.forEach(Node::start);
+          nodes.forEach(ControllerNode::kill);
+          test.capacity.advance(random.nextDouble(1.0));
+          nodes.forEach(ControllerNode::start);
         }
       }
-      test.capacity.pass(random.nextDouble(5));
+      test.capacity.advance(random.nextDouble(5));
     }
-    test.capacity.violations.addAll(cluster.broken());
+    test.capacity.violations.addAll(cluster.violations());
     return test.capacity.violations;
   }
 
--- a/src/test/java/io/embernotch/reservation/ReservedCapacity.java
+++ b/src/test/java/io/embernotch/reservation/ReservedCapacity.java
@@ -30,8 +30,8 @@
   /** GPUs that are reserved on a machine. */
   double reservedGpus(String machine) {
     double gpus = 0;
-    for (String key : cluster.state.keys("shared/held/")) {
-      gpus += cluster.state.value(key).path("on").path(machine).path(1).asDouble() / 1000;
+    for (String key : cluster.store.keys("shared/held/")) {
+      gpus += cluster.store.value(key).path("on").path(machine).path(1).asDouble() / 1000;
     }
     return gpus;
   }
@@ -41,20 +41,20 @@
   }
 
   private boolean isLive(String task) {
-    ObjectNode job = cluster.state.value("job/" + task.substring(0, task.indexOf('/')));
+    ObjectNode job = cluster.store.value("job/" + task.substring(0, task.indexOf('/')));
     JsonNode rank = job == null ? null : job.path("job").path("rank");
     return rank != null && rank.asText().equals("production");
   }
 
   /** Lets time pass, and checks in every step. */
-  void pass(double seconds) {
+  void advance(double seconds) {
     for (double passed = 0; passed < seconds; passed += STEP_S) {
       Map<String, Double> reservedBefore = new HashMap<>();
       cluster.workers.keySet().forEach(name -> reservedBefore.put(name, reservedGpus(name)));
-      cluster.pass(STEP_S);
+      cluster.advance(STEP_S);
       for (FakeWorker worker : cluster.workers.values()) {
         Set<String> others = new TreeSet<>();
-        worker.alive().stream().filter(task -> !isLive(task)).forEach(others::add);
+        worker.runningTasks().stream().filter(task -> !isLive(task)).forEach(others::add);
         Set<String> started = new TreeSet<>(others);
         started.removeAll(otherTasksBefore.getOrDefault(worker.name, Set.of()));
         // A start that was committed just before a reservation may take place just after it, so the
--- a/src/test/java/io/embernotch/scheduling/GangPlacementTest.java
+++ b/src/test/java/io/embernotch/scheduling/GangPlacementTest.java
@@ -1,7 +1,7 @@
 package io.embernotch.scheduling;
 
 import static io.embernotch.scheduling.SchedulerFixture.gang;
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.model.Attempt;
--- a/src/test/java/io/embernotch/scheduling/ReleaseMorning.java
+++ b/src/test/java/io/embernotch/scheduling/ReleaseMorning.java
@@ -9,6 +9,7 @@
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.SettingsReader;
 import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.TestJobs;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -36,7 +37,7 @@
   private final Scheduler scheduler =
       new Scheduler(
           SettingsReader.parse(
-              SimulatedCluster.toml(0)
+              SimulatedCluster.settingsToml(0)
                   .replace("gpus_max = 64.0", "gpus_max = 0.0")
                   .replace("gpus = 8.0\ngpus_max = 0.0", "gpus = 0.0\ngpus_max = 0.0")),
           OperatorSettings.DEFAULTS);
@@ -117,7 +118,7 @@
     // Owners' estimates are wrong by up to half.
     double estimateS = runS * (0.5 + random.nextDouble());
     String json =
-        SimulatedCluster.job("j-" + nextJob++, "array", tasks)
+        TestJobs.job("j-" + nextJob++, "array", tasks)
             .replace("\"expect_s\":30.0", "\"expect_s\":" + estimateS)
             .replace("red", "blue")
             .replace(
--- a/src/test/java/io/embernotch/scheduling/SchedulerFixture.java
+++ b/src/test/java/io/embernotch/scheduling/SchedulerFixture.java
@@ -1,6 +1,6 @@
 package io.embernotch.scheduling;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 
 import io.embernotch.codec.JobCodec;
 import io.embernotch.codec.Json;
@@ -28,7 +28,8 @@
 
   final Scheduler scheduler =
       new Scheduler(
-          SettingsReader.parse(SimulatedCluster.toml(0) + GUESTS), OperatorSettings.DEFAULTS);
+          SettingsReader.parse(SimulatedCluster.settingsToml(0) + GUESTS),
+          OperatorSettings.DEFAULTS);
   final List<Job> jobs = new ArrayList<>();
   final List<Machine> machines = new ArrayList<>();
 
--- a/src/test/java/io/embernotch/scheduling/SchedulerTest.java
+++ b/src/test/java/io/embernotch/scheduling/SchedulerTest.java
@@ -2,7 +2,7 @@
 
 import static io.embernotch.scheduling.SchedulerFixture.gang;
 import static io.embernotch.scheduling.SchedulerFixture.liveService;
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import io.embernotch.model.Job;
--- a/src/test/java/io/embernotch/scheduling/ServiceFleet.java
+++ b/src/test/java/io/embernotch/scheduling/ServiceFleet.java
@@ -19,7 +19,7 @@
   private final Scheduler scheduler =
       new Scheduler(
           SettingsReader.parse(
-              SimulatedCluster.toml(0).replace("gpus_max = 64.0", "gpus_max = 4000.0")),
+              SimulatedCluster.settingsToml(0).replace("gpus_max = 64.0", "gpus_max = 4000.0")),
           OperatorSettings.DEFAULTS);
   final List<Job> jobs = new ArrayList<>();
   final List<Machine> machines = new ArrayList<>();
--- a/src/test/java/io/embernotch/state/FailureAttributionTest.java
+++ b/src/test/java/io/embernotch/state/FailureAttributionTest.java
@@ -9,6 +9,7 @@
 import io.embernotch.settings.SettingsReader;
 import io.embernotch.testkit.FakeTime;
 import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.TestJobs;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
@@ -17,15 +18,13 @@
   private final FakeTime time = new FakeTime();
   private final ClusterState state = new ClusterState();
   private final FailureAttribution failureAttribution =
-      new FailureAttribution(SettingsReader.parse(SimulatedCluster.toml(0)), state);
+      new FailureAttribution(SettingsReader.parse(SimulatedCluster.settingsToml(0)), state);
 
   private Job job(int number) {
     return state.jobs.computeIfAbsent(
         "j-" + number,
         ref ->
-            new Job(
-                JobCodec.read(Json.parseObject(SimulatedCluster.job(ref, "array", 40).getBytes())),
-                0));
+            new Job(JobCodec.read(Json.parseObject(TestJobs.job(ref, "array", 40).getBytes())), 0));
   }
 
   private Machine machine(int number) {
--- a/src/test/java/io/embernotch/state/LargestJobWaitTimesTest.java
+++ b/src/test/java/io/embernotch/state/LargestJobWaitTimesTest.java
@@ -5,7 +5,7 @@
 import io.embernotch.codec.JobCodec;
 import io.embernotch.codec.Json;
 import io.embernotch.model.Job;
-import io.embernotch.testkit.SimulatedCluster;
+import io.embernotch.testkit.TestJobs;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -13,8 +13,7 @@
 class LargestJobWaitTimesTest {
   private static Job job(int number, int tasks) {
     return new Job(
-        JobCodec.read(
-            Json.parseObject(SimulatedCluster.job("j-" + number, "array", tasks).getBytes())),
+        JobCodec.read(Json.parseObject(TestJobs.job("j-" + number, "array", tasks).getBytes())),
         1000);
   }
 
--- a/src/test/java/io/embernotch/weights/ImageLocalityTest.java
+++ b/src/test/java/io/embernotch/weights/ImageLocalityTest.java
@@ -1,11 +1,11 @@
 package io.embernotch.weights;
 
-import static io.embernotch.testkit.SimulatedCluster.job;
+import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.embernotch.testkit.ControllerNode;
 import io.embernotch.testkit.FakeWorker;
 import io.embernotch.testkit.SimulatedCluster;
-import io.embernotch.testkit.SimulatedCluster.Node;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
@@ -22,18 +22,18 @@
   }
 
   private FakeWorker startServiceOnOneMachine() {
-    cluster.settle(3);
+    cluster.awaitLeader(3);
     cluster.boot("g8", "z1", false);
-    cluster.pass(7);
+    cluster.advance(7);
     cluster.submit(0, service("j-1", 2));
-    cluster.pass(8);
-    Map<String, FakeWorker> on = cluster.running("j-1");
+    cluster.advance(8);
+    Map<String, FakeWorker> on = cluster.runningTasks("j-1");
     assertThat(on).hasSize(2);
     // A fuller machine, which would be taken but for the weights.
     cluster.boot("g8", "z1", false);
-    cluster.pass(7);
+    cluster.advance(7);
     cluster.submit(1, job("j-2", "array", 11).replace("\"loaner\":true", "\"loaner\":false"));
-    cluster.pass(40);
+    cluster.advance(40);
     return on.get("j-1/0");
   }
 
@@ -41,21 +41,21 @@
   void replicasReturnToTheirWeightsAfterAllControllersRestart() {
     FakeWorker holder = startServiceOnOneMachine();
     assertThat(
-            cluster.state.keys("shared/weights/").stream()
-                .anyMatch(k -> cluster.state.value(k).path("on").has(holder.name)))
+            cluster.store.keys("shared/weights/").stream()
+                .anyMatch(k -> cluster.store.value(k).path("on").has(holder.name)))
         .isTrue();
-    cluster.nodes.forEach(Node::kill);
-    cluster.pass(1);
+    cluster.nodes.forEach(ControllerNode::kill);
+    cluster.advance(1);
     for (int task = 0; task < 2; task++) {
-      if (holder.alive().contains("j-1/" + task)) {
-        holder.exit("j-1/" + task, "halted");
+      if (holder.runningTasks().contains("j-1/" + task)) {
+        holder.exitTask("j-1/" + task, "halted");
       }
     }
-    cluster.nodes.forEach(Node::start);
-    cluster.settle(10);
-    cluster.pass(20);
-    assertThat(cluster.running("j-1").values()).containsOnly(holder);
-    assertThat(cluster.broken()).isEmpty();
+    cluster.nodes.forEach(ControllerNode::start);
+    cluster.awaitLeader(10);
+    cluster.advance(20);
+    assertThat(cluster.runningTasks("j-1").values()).containsOnly(holder);
+    assertThat(cluster.violations()).isEmpty();
   }
 
   /**
@@ -66,28 +66,28 @@
   void staleEntriesAreDroppedAndChangesAreFew() {
     FakeWorker holder = startServiceOnOneMachine();
     int before =
-        cluster.state.writes.entrySet().stream()
+        cluster.store.writeCounts.entrySet().stream()
             .filter(e -> e.getKey().startsWith("shared/weights"))
             .mapToInt(Map.Entry::getValue)
             .sum();
-    cluster.pass(60);
+    cluster.advance(60);
     int after =
-        cluster.state.writes.entrySet().stream()
+        cluster.store.writeCounts.entrySet().stream()
             .filter(e -> e.getKey().startsWith("shared/weights"))
             .mapToInt(Map.Entry::getValue)
             .sum();
     assertThat(after - before).isLessThanOrEqualTo(2);
     cluster.workers.remove(holder.name);
     cluster.cloud.deleted.add(holder.name);
-    cluster.nodes.forEach(Node::kill);
-    cluster.pass(1);
-    cluster.nodes.forEach(Node::start);
-    cluster.settle(10);
-    cluster.pass(60);
-    assertThat(cluster.running("j-1")).hasSize(2);
+    cluster.nodes.forEach(ControllerNode::kill);
+    cluster.advance(1);
+    cluster.nodes.forEach(ControllerNode::start);
+    cluster.awaitLeader(10);
+    cluster.advance(60);
+    assertThat(cluster.runningTasks("j-1")).hasSize(2);
     assertThat(
-            cluster.state.keys("shared/weights/").stream()
-                .noneMatch(k -> cluster.state.value(k).path("on").has(holder.name)))
+            cluster.store.keys("shared/weights/").stream()
+                .noneMatch(k -> cluster.store.value(k).path("on").has(holder.name)))
         .isTrue();
   }
 }
