--- a/src/test/java/io/embernotch/calendar/ReleaseCalendarTest.java
+++ b/src/test/java/io/embernotch/calendar/ReleaseCalendarTest.java
@@ -37,7 +37,7 @@
     cluster.awaitLeader(4);
   }
 
-  private static String of(String jobClass, String ref, int tasks) {
+  private static String jobOfClass(String jobClass, String ref, int tasks) {
     return job(ref, "array", tasks)
         .replace("\"jobclass\":\"c\"", "\"jobclass\":\"" + jobClass + "\"")
         .replace("red", "blue");
@@ -45,8 +45,8 @@
 
   private JsonNode poll(String ref) {
     return cluster.nodes.stream()
-        .filter(n -> !n.down)
-        .map(n -> cluster.poll(n.index, ref))
+        .filter(index -> !index.down)
+        .map(index -> cluster.poll(index.index, ref))
         .filter(a -> a.status() == 200)
         .findFirst()
         .map(a -> (JsonNode) Json.parseObject(a.body()))
@@ -54,33 +54,34 @@
   }
 
   /**
-   * One machine, taken, and more waits than any guarantee holds; three jobs wait that came in the
-   * order of their urgency turned round.
+   * One machine, taken, and more pending work than any guarantee covers: three jobs are pending
+   * that were submitted in the reverse order of their urgency.
    */
-  private void threeWait() {
+  private void submitThreePendingJobs() {
     cluster.boot("g8", "z1", false);
     cluster.advance(7);
     cluster.cloud.outOfCapacity = true;
-    cluster.submit(0, of("c", "j-1", 8));
+    cluster.submit(0, jobOfClass("c", "j-1", 8));
     cluster.advance(4);
     assertThat(cluster.runningTasks("j-1")).hasSize(8);
-    cluster.submit(0, of("c", "j-2", 16));
+    cluster.submit(0, jobOfClass("c", "j-2", 16));
     cluster.advance(1);
-    cluster.submit(1, of("desk", "j-3", 16));
+    cluster.submit(1, jobOfClass("desk", "j-3", 16));
     cluster.advance(1);
-    cluster.submit(2, of("wire", "j-4", 16));
+    cluster.submit(2, jobOfClass("wire", "j-4", 16));
     cluster.advance(4);
   }
 
   @Test
-  void whatWaitsGoesByWhenItsMembersMustPublish() {
+  void pendingJobsAreOrderedByTheirReleaseDeadlines() {
     begin(file(1, "").replace("00:24", "00:21"));
-    threeWait();
+    submitThreePendingJobs();
     assertThat(poll("j-4").get("release").asText()).isEqualTo("morning/1970-01-01");
     assertThat(poll("j-4").get("deadline").asText()).isEqualTo("1970-01-01T00:21:00Z");
     assertThat(poll("j-4").get("in_time").asBoolean()).isTrue();
     assertThat(poll("j-3").get("release").asText()).isEqualTo("late/1970-01-01");
-    // A while before it is due the morning's goes before what has waited longer; the rest by age.
+    // Shortly before its deadline the morning's job goes before jobs that have waited longer; the
+    // others by age.
     cluster.advance(100);
     cluster.completeTasks("j-1");
     cluster.advance(5);
@@ -93,13 +94,13 @@
   }
 
   /**
-   * Moved, advanced or lifted: a newer file, in force once it is in the store; the release of a job
-   * never changes.
+   * A newer file moves, advances or lifts an embargo, and is in force once the store holds it; the
+   * release of a job never changes.
    */
   @Test
-  void aMovedEmbargoReordersWhatWaitsAndNoOlderFileMovesItBack() {
+  void aMovedEmbargoReordersPendingJobsAndNoOlderFileMovesItBack() {
     begin(file(1, ""));
-    threeWait();
+    submitThreePendingJobs();
     restartWith(file(2, "moved { date: '1970-01-01' time: '00:50' }"));
     assertThat(poll("j-4").get("deadline").asText()).isEqualTo("1970-01-01T00:50:00Z");
     assertThat(poll("j-4").get("release").asText()).isEqualTo("morning/1970-01-01");
@@ -110,13 +111,13 @@
   }
 
   /**
-   * Not even where a newer file would have another release order the job, or has its embargo
-   * advanced before it came.
+   * Not even where a newer file has another release order the job, or has its embargo advanced to
+   * before the job's submission.
    */
   @Test
-  void whatIsSettledStaysAndMovesChangeNoJobsRelease() {
+  void aSettledReleaseStaysAndMovesChangeNoJobsRelease() {
     begin(file(1, ""));
-    threeWait();
+    submitThreePendingJobs();
     for (int i = 0; i < 2; i++) {
       restartWith(
           file(2, "moved { date: '1970-01-01' time: '00:17' }")
@@ -125,7 +126,7 @@
                   "calendar { release { id: 'early' zone: 'UTC' time: '00:30' day: THURSDAY orders { job_class: 'desk' } }"));
     }
     assertThat(poll("j-3").get("release").asText()).isEqualTo("late/1970-01-01");
-    cluster.submit(cluster.leader().index, of("wire", "j-5", 16));
+    cluster.submit(cluster.leader().index, jobOfClass("wire", "j-5", 16));
     cluster.advance(4);
     assertThat(poll("j-5").get("release").asText()).isEqualTo("morning/1970-01-01");
   }
@@ -140,9 +141,9 @@
   }
 
   @Test
-  void whatCameOfAReleaseIsKept() {
+  void theResultOfAReleaseIsStored() {
     begin(file(1, ""));
-    threeWait();
+    submitThreePendingJobs();
     cluster.advance(200);
     cluster.completeTasks("j-1");
     cluster.advance(5);
@@ -159,55 +160,63 @@
     assertThat(over.get("in_time").asInt()).isEqualTo(1);
   }
 
+  /** A commit is lost, held or late, some tasks end, or a controller restarts. */
+  private void injectFault(SplittableRandom random) {
+    switch (random.nextInt(6)) {
+      case 0 -> {
+        cluster.faults.commitDeliveryFilter = random.nextBoolean() ? "shared/" : "run/";
+        cluster.faults.commitDelivery = Delivery.values()[random.nextInt(3)];
+      }
+      case 1 -> cluster.deliverDelayed();
+      case 2 -> cluster.completeTasks("j-" + random.nextInt(12));
+      default -> {
+        ControllerNode node = cluster.nodes.get(random.nextInt(3));
+        node.kill();
+        cluster.advance(random.nextDouble(0.6));
+        node.start();
+      }
+    }
+  }
+
   /**
-   * Controllers end around every commit, facts' commits are lost or late, the store loses all: each
-   * job keeps its release.
+   * Controllers end around every commit, commits of the shared state are lost or late, the store
+   * loses all data: each job keeps its release.
    */
   @Test
   void aSettledReleaseIsNeverAnother() {
-    List<String> wrong = new ArrayList<>();
+    List<String> violations = new ArrayList<>();
     for (long seed = 1; seed <= SEEDS; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
       begin(file(1, ""));
-      String[] told = new String[12];
+      String[] reported = new String[12];
       for (int step = 0; step < 24; step++) {
-        int n = step / 2;
-        if (step % 2 == 0 && !cluster.nodes.get(n % 3).down) {
-          cluster.submit(n % 3, of(n % 4 == 0 ? "desk" : "wire", "j-" + n, 1 + random.nextInt(4)));
-        }
-        switch (random.nextInt(6)) {
-          case 0 -> {
-            cluster.faults.commitDeliveryFilter = random.nextBoolean() ? "shared/" : "run/";
-            cluster.faults.commitDelivery = Delivery.values()[random.nextInt(3)];
-          }
-          case 1 -> cluster.deliverDelayed();
-          case 2 -> cluster.completeTasks("j-" + random.nextInt(12));
-          default -> {
-            ControllerNode node = cluster.nodes.get(random.nextInt(3));
-            node.kill();
-            cluster.advance(random.nextDouble(0.6));
-            node.start();
-          }
+        int index = step / 2;
+        if (step % 2 == 0 && !cluster.nodes.get(index % 3).down) {
+          cluster.submit(
+              index % 3,
+              jobOfClass(index % 4 == 0 ? "desk" : "wire", "j-" + index, 1 + random.nextInt(4)));
         }
+        injectFault(random);
         cluster.advance(random.nextDouble(20));
-        for (int j = 0; j <= n; j++) {
-          String now = poll("j-" + j).path("release").asText(null);
-          if (told[j] != null && now != null && !now.equals(told[j])) {
-            wrong.add(seed + ": j-" + j + " was for " + told[j] + " and is for " + now);
+        for (int j = 0; j <= index; j++) {
+          String release = poll("j-" + j).path("release").asText(null);
+          if (reported[j] != null && release != null && !release.equals(reported[j])) {
+            violations.add(
+                seed + ": j-" + j + " was for " + reported[j] + " and is for " + release);
           }
-          told[j] = told[j] == null ? now : told[j];
+          reported[j] = reported[j] == null ? release : reported[j];
         }
       }
-      wrong.addAll(cluster.violations());
+      violations.addAll(cluster.violations());
     }
-    assertThat(wrong).isEmpty();
+    assertThat(violations).isEmpty();
   }
 
   @Test
   void aLossOfTheStoreLosesNoRelease() {
     begin(file(2, "moved { date: '1970-01-01' time: '00:50' }"));
-    threeWait();
-    // Nobody's file says it any more.
+    submitThreePendingJobs();
+    // No controller's file says it any more.
     restartWith(file(1, ""));
     assertThat(poll("j-4").get("deadline").asText()).isEqualTo("1970-01-01T00:50:00Z");
     cluster.store.wipe();
--- a/src/test/java/io/embernotch/weights/ImageLocalityTest.java
+++ b/src/test/java/io/embernotch/weights/ImageLocalityTest.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Which machines have a service's weights outlives all controllers. */
+/** The knowledge which machines have a service's weights survives a restart of all controllers. */
 class ImageLocalityTest {
   private final SimulatedCluster cluster = new SimulatedCluster(3, 100);
 
-  private static String model(String ref, int replicas) {
+  private static String service(String ref, int replicas) {
     return job(ref, "standing", replicas)
         .replace("standard", "production")
         .replace("\"loaner\":true", "\"loaner\":false")
@@ -21,11 +21,11 @@
         .replace("\"size_gb\":1.0", "\"size_gb\":40.0");
   }
 
-  private FakeWorker holder() {
+  private FakeWorker startServiceOnOneMachine() {
     cluster.awaitLeader(3);
     cluster.boot("g8", "z1", false);
     cluster.advance(7);
-    cluster.submit(0, model("j-1", 2));
+    cluster.submit(0, service("j-1", 2));
     cluster.advance(8);
     Map<String, FakeWorker> on = cluster.runningTasks("j-1");
     assertThat(on).hasSize(2);
@@ -38,8 +38,8 @@
   }
 
   @Test
-  void replicasComeBackWhereTheirWeightsLieThoughNoControllerIsLeftThatKnew() {
-    FakeWorker holder = holder();
+  void replicasReturnToTheirWeightsAfterAllControllersRestart() {
+    FakeWorker holder = startServiceOnOneMachine();
     assertThat(
             cluster.store.keys("shared/weights/").stream()
                 .anyMatch(k -> cluster.store.value(k).path("on").has(holder.name)))
@@ -59,12 +59,12 @@
   }
 
   /**
-   * What is stale costs a fetch, and never a rule; and it is no more than a few changes in a
-   * heartbeat interval.
+   * A stale entry costs a fetch and breaks no invariant, and there are no more than a few changes
+   * in a heartbeat interval.
    */
   @Test
-  void whatIsStaleIsForgottenAndChangesAreFew() {
-    FakeWorker holder = holder();
+  void staleEntriesAreDroppedAndChangesAreFew() {
+    FakeWorker holder = startServiceOnOneMachine();
     int before =
         cluster.store.writeCounts.entrySet().stream()
             .filter(e -> e.getKey().startsWith("shared/weights"))
