--- a/src/test/java/io/embernotch/incarnation/DataLossAtScaleTest.java
+++ b/src/test/java/io/embernotch/incarnation/DataLossAtScaleTest.java
@@ -11,30 +11,31 @@
 /** Three controllers and 300 machines full of live services when the store loses its data. */
 class DataLossAtScaleTest {
   private static final int MACHINES = 300;
-  private static final int EACH = 8;
+  private static final int TASKS_PER_JOB = 8;
 
   private final SimulatedCluster cluster = new SimulatedCluster(3, 200);
 
   @BeforeEach
-  void full() {
+  void startServicesOnAllMachines() {
     cluster.awaitLeader(3);
     for (int i = 0; i < MACHINES; i++) {
       cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
     cluster.advance(cluster.cloud.bootS + 2);
-    int n = 0;
-    for (var w : cluster.workers.values()) {
-      w.controllerIndex = n++ % 3;
+    int index = 0;
+    for (var worker : cluster.workers.values()) {
+      worker.controllerIndex = index++ % 3;
     }
     for (int i = 0; i < MACHINES; i++) {
       cluster.submit(
-          i % 3, job("j-1" + i, "standing", EACH).replace("\"standard\"", "\"production\""));
+          i % 3,
+          job("j-1" + i, "standing", TASKS_PER_JOB).replace("\"standard\"", "\"production\""));
     }
     cluster.advance(15);
-    assertThat(tasks()).isEqualTo(MACHINES * EACH);
+    assertThat(runningTaskCount()).isEqualTo(MACHINES * TASKS_PER_JOB);
   }
 
-  private int tasks() {
+  private int runningTaskCount() {
     return cluster.workers.values().stream().mapToInt(w -> w.runningTasks().size()).sum();
   }
 
@@ -42,10 +43,10 @@
    * A live service that is submitted after the loss runs within seconds, and nothing else was
    * touched.
    */
-  private void liveAgain() {
+  private void verifyServiceResumes() {
     cluster.boot("g8", "z1", true);
     double lostAt = cluster.time.now();
-    // 200 if its first try went into contents that had been put back, and was not told.
+    // 200 if the first try was written to contents restored from an earlier moment, unanswered.
     while (cluster
                 .submit(1, job("j-20", "standing", 1).replace("\"standard\"", "\"production\""))
                 .status()
@@ -56,7 +57,7 @@
     }
     cluster.advance(cluster.cloud.bootS + 3);
     assertThat(cluster.runningTasks("j-20")).hasSize(1);
-    assertThat(tasks()).isEqualTo(MACHINES * EACH + 1);
+    assertThat(runningTaskCount()).isEqualTo(MACHINES * TASKS_PER_JOB + 1);
     assertThat(cluster.workers.values()).allSatisfy(w -> assertThat(w.epoch).isEqualTo(1));
     assertThat(cluster.violations()).isEmpty();
     // Packed, 300 jobs with their tasks take a few changes, where their keys would take 600.
@@ -64,25 +65,26 @@
   }
 
   @Test
-  void everythingGone() {
+  void allDataLost() {
     cluster.store.wipe();
-    liveAgain();
+    verifyServiceResumes();
   }
 
   @Test
-  void putBackToBeforeWorkThatEndedAndWorkThatStarted() {
-    Snapshot then = cluster.store.snapshot();
+  void restoredToBeforeJobsCompletedAndOthersStarted() {
+    Snapshot earlier = cluster.store.snapshot();
     for (int i = 0; i < 20; i++) {
       assertThat(cluster.cancel(i % 3, "j-1" + i).status()).isEqualTo(200);
     }
     cluster.advance(10);
-    assertThat(tasks()).isEqualTo((MACHINES - 20) * EACH);
+    assertThat(runningTaskCount()).isEqualTo((MACHINES - 20) * TASKS_PER_JOB);
     for (int i = 0; i < 20; i++) {
-      assertThat(cluster.submit(i % 3, job("j-3" + i, "standing", EACH)).status()).isEqualTo(201);
+      assertThat(cluster.submit(i % 3, job("j-3" + i, "standing", TASKS_PER_JOB)).status())
+          .isEqualTo(201);
     }
     cluster.advance(10);
-    cluster.store.restore(then, false);
-    liveAgain();
+    cluster.store.restore(earlier, false);
+    verifyServiceResumes();
     for (int i = 0; i < 20; i++) {
       assertThat(cluster.phase(i % 3, "j-1" + i)).isEqualTo("cancelled");
       assertThat(cluster.phase(i % 3, "j-3" + i)).isEqualTo("running");
--- a/src/test/java/io/embernotch/incarnation/DataLossTest.java
+++ b/src/test/java/io/embernotch/incarnation/DataLossTest.java
@@ -18,8 +18,8 @@
   private final SimulatedCluster cluster = new SimulatedCluster(3, 10);
   private ControllerNode leader;
 
-  /** A job that is done, a service and an array that run, one that waits for the array. */
-  private void work() {
+  /** Runs a job that is done, a service, an array, and a job that depends on the array. */
+  private void runJobs() {
     leader = cluster.awaitLeader(3);
     for (String json :
         new String[] {
@@ -40,9 +40,16 @@
     assertThat(cluster.runningTasks("j-3")).hasSize(4);
   }
 
-  /** All is as if nothing had been lost, within so many seconds, and goes on from there. */
-  private void allIsServedAgain(double within) {
-    for (double left = within; left > 0; left -= 0.25) {
+  /** Within so many seconds all is as if nothing had been lost, and goes on from there. */
+  private void verifyServiceResumes(double withinS) {
+    verifyNothingIsForgotten(withinS);
+    cluster.advance(30);
+    verifyAllAsBefore();
+    verifyProgressGoesOn();
+  }
+
+  private void verifyNothingIsForgotten(double forS) {
+    for (double remainingS = forS; remainingS > 0; remainingS -= 0.25) {
       cluster.advance(0.25);
       for (int n = 0; n < 3; n++) {
         for (String ref : new String[] {"j-1", "j-2", "j-3", "j-4"}) {
@@ -51,10 +58,12 @@
         assertThat(cluster.phase(n, "j-1")).isIn("done", "status 503");
       }
     }
-    cluster.advance(30);
+  }
+
+  private void verifyAllAsBefore() {
     assertThat(cluster.workers.values())
         .as("no worker's lease ran out")
-        .allSatisfy(w -> assertThat(w.epoch).isEqualTo(1));
+        .allSatisfy(worker -> assertThat(worker.epoch).isEqualTo(1));
     assertThat(cluster.runningTasks("j-2")).hasSize(3);
     assertThat(cluster.runningTasks("j-3")).hasSize(4);
     for (int n = 0; n < 3; n++) {
@@ -62,10 +71,13 @@
       assertThat(cluster.phase(n, "j-2")).isEqualTo("running");
       assertThat(cluster.phase(n, "j-4")).isEqualTo("queued");
       assertThat(cluster.phase(n, "j-99")).isEqualTo("status 404");
-      // A repeat is a repeat.
+      // A repeated submission is known as one.
       assertThat(cluster.submit(n, job("j-1", "array", 2)).status()).isEqualTo(200);
       assertThat(cluster.submit(n, job("j-3", "array", 4)).status()).isEqualTo(200);
     }
+  }
+
+  private void verifyProgressGoesOn() {
     cluster.completeTasks("j-3");
     cluster.advance(20);
     assertThat(cluster.phase(1, "j-3")).isEqualTo("done");
@@ -76,33 +88,34 @@
   }
 
   private static int losses(SimulatedCluster cluster) {
-    int n = 0;
+    int losses = 0;
     for (ControllerNode node : cluster.nodes) {
-      n += Json.parseObject(cluster.await(node.controller.overview()).body()).get("losses").asInt();
+      losses +=
+          Json.parseObject(cluster.await(node.controller.overview()).body()).get("losses").asInt();
     }
-    return n;
+    return losses;
   }
 
   @AfterEach
-  void nothingEverRanTwice() {
+  void verifyInvariants() {
     assertThat(cluster.violations()).isEmpty();
   }
 
   @Test
-  void everythingGoneInAQuietMoment() {
-    work();
+  void allDataLostWhileNothingHappens() {
+    runJobs();
     cluster.store.wipe();
-    allIsServedAgain(6);
-    assertThat(cluster.leader()).as("who was steward knows most, and leads").isSameAs(leader);
+    verifyServiceResumes(6);
+    assertThat(cluster.leader()).as("the former leader knows most, and leads").isSameAs(leader);
   }
 
   @Test
-  void everythingGoneTwiceInARow() {
-    work();
+  void allDataLostTwiceInARow() {
+    runJobs();
     cluster.store.wipe();
     cluster.advance(2.2);
     cluster.store.wipe();
-    allIsServedAgain(8);
+    verifyServiceResumes(8);
     cluster.store.wipe();
     cluster.advance(10);
     assertThat(cluster.phase(1, "j-3")).isEqualTo("done");
@@ -110,9 +123,9 @@
   }
 
   @Test
-  void putBackToAnEarlierMomentWhoseLeadersKeyStandsThere() {
-    work();
-    Snapshot then = cluster.store.snapshot();
+  void restoredToAnEarlierMomentWithItsLeaderKey() {
+    runJobs();
+    Snapshot earlier = cluster.store.snapshot();
     cluster.submit(1, job("j-7", "array", 2));
     cluster.submit(1, job("j-8", "array", 2));
     cluster.advance(6);
@@ -120,30 +133,30 @@
     cluster.completeTasks("j-8");
     cluster.advance(4);
     assertThat(cluster.phase(2, "j-8")).isEqualTo("done");
-    cluster.store.restore(then, true);
-    allIsServedAgain(6);
+    cluster.store.restore(earlier, true);
+    verifyServiceResumes(6);
     assertThat(cluster.phase(0, "j-8")).isEqualTo("done");
     assertThat(cluster.runningTasks("j-7")).hasSize(2);
   }
 
   @Test
-  void putBackWithoutLeasesWhileAnotherLeaderHasBeenSince() {
-    work();
-    Snapshot then = cluster.store.snapshot();
+  void restoredWithoutLeasesToBeforeAChangeOfLeader() {
+    runJobs();
+    Snapshot earlier = cluster.store.snapshot();
     leader.kill();
     cluster.advance(12);
     ControllerNode second = cluster.leader();
     assertThat(second).isNotNull().isNotSameAs(leader);
     leader.start();
     cluster.advance(3);
-    cluster.store.restore(then, false);
-    allIsServedAgain(6);
+    cluster.store.restore(earlier, false);
+    verifyServiceResumes(6);
     assertThat(cluster.leader()).isSameAs(second);
   }
 
   @Test
-  void goneBetweenACommitAndItsAnswerWhichArrivesInTheNextIncarnation() {
-    work();
+  void lostBeforeACommitThatArrivesInTheNextIncarnation() {
+    runJobs();
     cluster.faults.commitDelivery = Delivery.DELAYED;
     cluster.submit(1, job("j-6", "array", 2));
     cluster.advance(1.2);
@@ -153,14 +166,14 @@
     cluster.advance(6);
     int before = cluster.store.keys("").size();
     cluster.deliverDelayed();
-    // Stamps begin again after a loss, and the late one finds those that it names.
+    // Modification revisions begin again after a loss: the late commit finds those that it names.
     assertThat(cluster.store.keys("").size()).isEqualTo(before);
-    allIsServedAgain(1);
+    verifyServiceResumes(1);
   }
 
-  /** A submission's transaction is held back, and everything is lost before it arrives. */
-  private void aLateSubmission() {
-    work();
+  /** A submission's transaction is delayed, and all data is lost before it arrives. */
+  private void submitBeforeLossAndDeliverAfter() {
+    runJobs();
     cluster.faults.commitDelivery = Delivery.DELAYED;
     cluster.faults.commitDeliveryFilter = "job/j-6";
     assertThat(cluster.submit(1, job("j-6", "array", 2)).status()).isEqualTo(503);
@@ -172,52 +185,52 @@
   }
 
   @Test
-  void aTransactionFromBeforeTheLossIsNotAppliedThoughItsModRevisionsCoincide() {
-    aLateSubmission();
+  void aTransactionFromBeforeTheLossIsNotAppliedThoughModRevisionsCoincide() {
+    submitBeforeLossAndDeliverAfter();
     assertThat(cluster.store.value("job/j-6")).isNull();
-    allIsServedAgain(1);
+    verifyServiceResumes(1);
   }
 
   @Test
-  void itIsTheConditionOnTheIncarnationThatRefusesIt() {
+  void withoutTheFenceSuchATransactionWouldBeApplied() {
     cluster.store.ignoredConditionPrefix = "era/";
-    aLateSubmission();
+    submitBeforeLossAndDeliverAfter();
     assertThat(cluster.store.value("job/j-6")).isNotNull();
   }
 
   @Test
-  void aWorkerThatHasSeenAHigherTokenThanAnybodyKnowsIsServedInAnIncarnationAboveIt() {
-    work();
-    FakeWorker w = cluster.runningTasks("j-2").values().iterator().next();
-    w.fencingToken = 1L << 50;
+  void aWorkerWithAHigherTokenThanKnownIsServedInAnIncarnationAboveIt() {
+    runJobs();
+    FakeWorker worker = cluster.runningTasks("j-2").values().iterator().next();
+    worker.fencingToken = 1L << 50;
     cluster.advance(25);
     assertThat(cluster.leader()).isNotNull();
-    assertThat(w.epoch).isEqualTo(1);
-    assertThat(w.fencingToken).isGreaterThan(1L << 50);
+    assertThat(worker.epoch).isEqualTo(1);
+    assertThat(worker.fencingToken).isGreaterThan(1L << 50);
     assertThat(cluster.runningTasks("j-2")).hasSize(3);
     // No data was lost.
     assertThat(losses(cluster)).isZero();
   }
 
   @Test
-  void goneAsAnOutageEnds() {
-    work();
+  void allDataLostAsAnOutageEnds() {
+    runJobs();
     cluster.store.outage = true;
     cluster.advance(8);
     cluster.store.wipe();
     cluster.store.endOutage();
-    allIsServedAgain(6);
+    verifyServiceResumes(6);
   }
 
   @Test
-  void goneWhileAUserCancels() {
-    work();
-    FakeWorker w = cluster.runningTasks("j-3").values().iterator().next();
-    w.partitioned = true;
+  void allDataLostWhileAUserCancels() {
+    runJobs();
+    FakeWorker worker = cluster.runningTasks("j-3").values().iterator().next();
+    worker.partitioned = true;
     assertThat(cluster.cancel(1, "j-3").status()).isEqualTo(503);
     cluster.store.wipe();
     cluster.advance(6);
-    w.partitioned = false;
+    worker.partitioned = false;
     cluster.advance(6);
     assertThat(cluster.cancel(1, "j-3").status()).isEqualTo(200);
     cluster.store.wipe();
@@ -230,12 +243,12 @@
   }
 
   @Test
-  void theLeaderEndsWithTheDataAndWhatIsLeftGoesOnWithoutRunningTwice() {
-    work();
-    Snapshot then = cluster.store.snapshot();
+  void theLeaderIsKilledWithTheLossAndTheRemainsRunOnceOnly() {
+    runJobs();
+    Snapshot earlier = cluster.store.snapshot();
     cluster.submit(1, job("j-7", "array", 2));
     cluster.advance(6);
-    cluster.store.restore(then, false);
+    cluster.store.restore(earlier, false);
     leader.kill();
     cluster.advance(25);
     assertThat(cluster.leader()).isNotNull();
@@ -248,8 +261,8 @@
   }
 
   @Test
-  void aControllerThatWasAwayDuringTheLossGoesOverToTheNewIncarnation() {
-    work();
+  void aControllerPartitionedDuringTheLossAdoptsTheNewIncarnation() {
+    runJobs();
     ControllerNode other = cluster.otherNode(leader);
     other.storeUnavailable = true;
     other.peersUnreachable = true;
@@ -257,17 +270,17 @@
     cluster.advance(15);
     other.storeUnavailable = false;
     other.peersUnreachable = false;
-    allIsServedAgain(8);
+    verifyServiceResumes(8);
   }
 
   @Test
-  void takeoversOutagesAndRestartsAreNoLoss() {
-    work();
+  void failoversOutagesAndRestartsAreNoLoss() {
+    runJobs();
     for (int i = 0; i < 3; i++) {
-      ControllerNode now = cluster.leader();
-      now.kill();
+      ControllerNode current = cluster.leader();
+      current.kill();
       cluster.advance(14);
-      now.start();
+      current.start();
       cluster.store.outage = true;
       cluster.advance(5);
       cluster.store.endOutage();
@@ -280,18 +293,18 @@
   }
 
   @Test
-  void theLossIsNoticedWithinOneLeaseOfTheLeader() {
-    work();
-    double lease = leader.settings.workers().leaseS() / 10;
-    Snapshot then = cluster.store.snapshot();
+  void aLossIsDetectedWithinOneLeaderLease() {
+    runJobs();
+    double leaderLeaseS = leader.settings.workers().leaseS() / 10;
+    Snapshot earlier = cluster.store.snapshot();
     cluster.advance(5);
     cluster.store.wipe();
-    cluster.advance(lease);
+    cluster.advance(leaderLeaseS);
     assertThat(losses(cluster)).isPositive();
     cluster.advance(20);
     int before = losses(cluster);
-    cluster.store.restore(then, true);
-    cluster.advance(lease);
+    cluster.store.restore(earlier, true);
+    cluster.advance(leaderLeaseS);
     assertThat(losses(cluster)).isGreaterThan(before);
   }
 }
--- a/src/test/java/io/embernotch/store/LeaseRenewerTest.java
+++ b/src/test/java/io/embernotch/store/LeaseRenewerTest.java
@@ -13,26 +13,29 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The leader's lease while the core is busy, the service answers late, or leadership has moved on.
+ * Renewal of the leader's lease while the core is busy, the store answers late, or another lease
+ * has been granted since.
  */
 class LeaseRenewerTest {
-  private static final double LIFE_S = 3;
+  private static final double LEASE_TTL_S = 3;
 
   private final FakeTime time = new FakeTime();
-  private final List<String> asked = new ArrayList<>();
+  private final List<String> requestedPaths = new ArrayList<>();
   private final List<Long> ended = new ArrayList<>();
   private int status = 200;
-  private Promise<HttpReply> late;
 
-  /** What the core is told waits here, as if the core were busy. */
-  private final List<Runnable> core = new ArrayList<>();
+  /** Answers come from here if it is set. */
+  private Promise<HttpReply> lateReply;
+
+  /** What is to run on the core waits here, as if the core were busy. */
+  private final List<Runnable> coreTasks = new ArrayList<>();
 
   private final LeaseRenewer leaseRenewer =
       new LeaseRenewer(
           (method, to, path, body, timeout) -> {
-            asked.add(path);
-            if (late != null) {
-              return late.future();
+            requestedPaths.add(path);
+            if (lateReply != null) {
+              return lateReply.future();
             }
             return status == 0
                 ? Future.failedFuture(new CallFailedException(true, "no answer"))
@@ -42,30 +45,30 @@
           time,
           time,
           time,
-          core::add,
-          LIFE_S,
+          coreTasks::add,
+          LEASE_TTL_S,
           0.001,
           8);
 
-  private double left() {
+  private double remainingS() {
     return leaseRenewer.provenUntil() - time.now();
   }
 
   @Test
-  void itIsRenewedThoughTheCoreIsBusyButNotForEver() {
+  void renewsWhileTheCoreIsBusyButNotForEver() {
     leaseRenewer.keep(7, time.now(), ended::add);
     time.advance(7);
-    assertThat(left()).isGreaterThan(LIFE_S / 2);
-    // No sign of the core for longer than it may be busy: somebody else is to lead.
+    assertThat(remainingS()).isGreaterThan(LEASE_TTL_S / 2);
+    // No sign of the core for longer than it may be busy: another controller is to lead.
     time.advance(8);
-    assertThat(left()).isNegative();
+    assertThat(remainingS()).isNegative();
     leaseRenewer.coreAlive();
     time.advance(2);
-    assertThat(left()).isPositive();
+    assertThat(remainingS()).isPositive();
   }
 
   @Test
-  void aRenewalCountsFromItsSendingAndOneWithoutAnswerNotAtAll() {
+  void aRenewalCountsFromItsSendingAndOnlyIfAnswered() {
     leaseRenewer.keep(7, time.now(), ended::add);
     time.advance(0.5);
     double proven = leaseRenewer.provenUntil();
@@ -74,30 +77,30 @@
     assertThat(leaseRenewer.provenUntil()).isEqualTo(proven);
     status = 503;
     time.advance(2);
-    assertThat(left()).isNegative();
+    assertThat(remainingS()).isNegative();
     status = 404;
     time.advance(1);
-    core.forEach(Runnable::run);
+    coreTasks.forEach(Runnable::run);
     assertThat(ended).containsExactly(7L);
-    int before = asked.size();
+    int before = requestedPaths.size();
     time.advance(5);
-    assertThat(asked).hasSize(before);
+    assertThat(requestedPaths).hasSize(before);
   }
 
   @Test
   void anAnswerAboutAFormerLeaseProvesNothingOfTheNextOne() {
-    late = Promise.promise();
+    lateReply = Promise.promise();
     leaseRenewer.keep(7, time.now(), ended::add);
     time.advance(0.1);
-    Promise<HttpReply> old = late;
-    late = Promise.promise();
+    Promise<HttpReply> formerReply = lateReply;
+    lateReply = Promise.promise();
     leaseRenewer.release();
     assertThat(leaseRenewer.provenUntil()).isNegative();
     leaseRenewer.keep(8, time.now() - 2, ended::add);
     double proven = leaseRenewer.provenUntil();
-    old.complete(new HttpReply(200, new byte[0]));
+    formerReply.complete(new HttpReply(200, new byte[0]));
     time.advance(0.1);
     assertThat(leaseRenewer.provenUntil()).isEqualTo(proven);
-    assertThat(asked).last().isEqualTo("/leases/8/extend");
+    assertThat(requestedPaths).last().isEqualTo("/leases/8/extend");
   }
 }
--- a/src/test/java/io/embernotch/store/StoreClientTest.java
+++ b/src/test/java/io/embernotch/store/StoreClientTest.java
@@ -15,14 +15,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Rate limits of the store client, and the order in which its rate limiter grants requests. */
 class StoreClientTest {
   private final FakeTime time = new FakeTime();
   private final Settings settings = SettingsReader.parse(SimulatedCluster.settingsToml(0));
 
   @Test
-  void whatTheServiceRefusesForBeingTooMuchIsTriedAgainNoFasterThanItMay() {
-    // Trying again at will once made 1,400 requests a second, and leases were refused with the
-    // rest.
+  void throttledRequestsAreRetriedWithinTheRateLimit() {
+    // Retried without a limit, they make 1,400 requests a second, and the store refuses leases with
+    // the rest.
     int[] calls = new int[1];
     StoreClient store =
         new StoreClient(
@@ -52,18 +53,18 @@
   }
 
   @Test
-  void theUrgentPassesTheUsualAndTheSpareWaitsForHalfOfTheBurst() {
-    RateLimiter pacer = new RateLimiter(time, time, 10, 1);
-    List<String> order = new ArrayList<>();
-    pacer.acquire(10, RequestPriority.NORMAL, () -> order.add("burst"));
-    pacer.acquire(1, RequestPriority.BACKGROUND, () -> order.add("spare"));
-    pacer.acquire(1, RequestPriority.NORMAL, () -> order.add("usual"));
-    pacer.acquire(1, RequestPriority.HIGH, () -> order.add("first"));
+  void higherPriorityPassesNormalAndBackgroundWaitsForHalfOfTheBurst() {
+    RateLimiter limiter = new RateLimiter(time, time, 10, 1);
+    List<String> granted = new ArrayList<>();
+    limiter.acquire(10, RequestPriority.NORMAL, () -> granted.add("burst"));
+    limiter.acquire(1, RequestPriority.BACKGROUND, () -> granted.add("background"));
+    limiter.acquire(1, RequestPriority.NORMAL, () -> granted.add("normal"));
+    limiter.acquire(1, RequestPriority.HIGH, () -> granted.add("high"));
     time.advance(0.25);
-    assertThat(order).containsExactly("burst", "first", "usual");
+    assertThat(granted).containsExactly("burst", "high", "normal");
     time.advance(0.3);
-    assertThat(order).hasSize(3);
+    assertThat(granted).hasSize(3);
     time.advance(0.3);
-    assertThat(order).containsExactly("burst", "first", "usual", "spare");
+    assertThat(granted).containsExactly("burst", "high", "normal", "background");
   }
 }
