--- a/src/main/java/io/embernotch/agents/TaskLauncher.java
+++ b/src/main/java/io/embernotch/agents/TaskLauncher.java
@@ -62,7 +62,7 @@
   public void launch(SchedulingPlan.Start start, double now) {
     Job job = start.job();
     if (job.openAttempts.isEmpty() && job.done.isEmpty() && job.restartedTasks.isEmpty()) {
-      state.largestJobWaits.begins(job, context.clock().wallMs());
+      state.largestJobWaits.recordStart(job, context.clock().wallMs());
     }
     long number = job.nextAttempt++;
     RequestPriority priority = isService(job) ? RequestPriority.HIGH : RequestPriority.NORMAL;
--- a/src/main/java/io/embernotch/api/PollRateLimiter.java
+++ b/src/main/java/io/embernotch/api/PollRateLimiter.java
@@ -77,7 +77,7 @@
   }
 
   /** The poll was answered with the job's status. */
-  public void told(String ref) {
+  public void recordAnswer(String ref) {
     answeredAt.put(ref, clock.now());
   }
 }
--- a/src/main/java/io/embernotch/controller/JobQueries.java
+++ b/src/main/java/io/embernotch/controller/JobQueries.java
@@ -82,7 +82,7 @@
         .onSuccess(
             response -> {
               if (response.status() != UNAVAILABLE) {
-                rateLimiter.told(ref);
+                rateLimiter.recordAnswer(ref);
               }
             });
   }
--- a/src/main/java/io/embernotch/jobs/FailoverRecovery.java
+++ b/src/main/java/io/embernotch/jobs/FailoverRecovery.java
@@ -163,7 +163,7 @@
         .map(RecoveredJob::job)
         .filter(job -> !job.blocked())
         .sorted(Comparator.comparingLong(job -> job.eligibleSinceMs))
-        .forEach(job -> demandForecast.seen(job.spec, acquiredAt - eligibleForS(job)));
+        .forEach(job -> demandForecast.recordArrival(job.spec, acquiredAt - eligibleForS(job)));
   }
 
   private double eligibleForS(Job job) {
--- a/src/main/java/io/embernotch/leader/JobEventHandler.java
+++ b/src/main/java/io/embernotch/leader/JobEventHandler.java
@@ -47,7 +47,7 @@
   }
 
   private void recordDemand(Job job) {
-    components.demandForecast.seen(job.spec, components.context.clock().now());
+    components.demandForecast.recordArrival(job.spec, components.context.clock().now());
   }
 
   private void stopOpenAttempts(Job job) {
--- a/src/main/java/io/embernotch/leader/StatusLogger.java
+++ b/src/main/java/io/embernotch/leader/StatusLogger.java
@@ -41,7 +41,7 @@
     logUnlessNull("written", stateWriter.statusLine());
     logUnlessNull(
         "waits of the largest",
-        state.largestJobWaits.line(state.jobs.values(), context.clock().wallMs()));
+        state.largestJobWaits.statusLine(state.jobs.values(), context.clock().wallMs()));
   }
 
   private static void logUnlessNull(String subject, String status) {
--- a/src/main/java/io/embernotch/state/DemandForecast.java
+++ b/src/main/java/io/embernotch/state/DemandForecast.java
@@ -66,7 +66,7 @@
   }
 
   /** A job became eligible at {@code at}, in seconds of the steady clock; to be called in order. */
-  public void seen(JobSpec spec, double at) {
+  public void recordArrival(JobSpec spec, double at) {
     JobClassDemand demand =
         demandByClass.computeIfAbsent(spec.jobClass(), name -> new JobClassDemand());
     demand.latest = spec;
--- a/src/main/java/io/embernotch/state/LargestJobWaitTimes.java
+++ b/src/main/java/io/embernotch/state/LargestJobWaitTimes.java
@@ -43,7 +43,7 @@
   private final Map<String, JobClassWaits> waitsByClass = new TreeMap<>();
 
   /** The first tasks of a job are being started, at {@code wallMs} of wall-clock time. */
-  public void begins(Job job, long wallMs) {
+  public void recordStart(Job job, long wallMs) {
     JobClassWaits waits =
         waitsByClass.computeIfAbsent(job.spec.jobClass(), name -> new JobClassWaits());
     waits.sizes.recordValue(Math.min(MAX_TASKS, Math.max(1, job.spec.tasks())));
@@ -56,7 +56,7 @@
    * One line on all classes, with the longest wait among large {@code jobs} that still wait at
    * {@code wallMs}; null if no job has started.
    */
-  public String line(Collection<Job> jobs, long wallMs) {
+  public String statusLine(Collection<Job> jobs, long wallMs) {
     Map<String, Long> longestWaitMs = longestPresentWaitsMs(jobs, wallMs);
     StringBuilder line = new StringBuilder();
     waitsByClass.forEach(
--- a/src/test/java/io/embernotch/jobs/DependencyGraphTest.java
+++ b/src/test/java/io/embernotch/jobs/DependencyGraphTest.java
@@ -20,7 +20,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What jobs inherit from those that need them, and when they are let go. */
+/** Priority inheritance between dependent jobs, their release and their cancellation. */
 class DependencyGraphTest implements DependencyGraph.Listener {
   private final FakeTime time = new FakeTime();
   private final ControllerContext context =
@@ -70,17 +70,17 @@
     dependencyGraph.ended(job);
   }
 
-  private static String with(String json, String rank, double due) {
-    return json.replace("standard", rank).replace("\"due_s\":null", "\"due_s\":" + due);
+  private static String withPriorityAndDue(String json, String priority, double dueS) {
+    return json.replace("standard", priority).replace("\"due_s\":null", "\"due_s\":" + dueS);
   }
 
   @Test
-  void jobsTakeTheHighestRankAndTheTightestTimeOfAllThatNeedThem() {
+  void jobsInheritTheHighestPriorityAndTheEarliestStartOfTheirDependents() {
     Job first = add(job("j-1", "array", 1).replace("standard", "idle"));
     Job left = add(dependentJob("j-2", 1, "j-1"));
     Job right =
         add(dependentJob("j-3", 1, "j-1").replace("\"expect_s\":30.0", "\"expect_s\":50.0"));
-    Job last = add(with(dependentJob("j-4", 1, "j-2", "j-3"), "high", 300));
+    Job last = add(withPriorityAndDue(dependentJob("j-4", 1, "j-2", "j-3"), "high", 300));
     dependencyGraph.propagateUrgency();
     // Submitted at 1 s and due 300 s later; each stage takes its own estimate.
     assertThat(last.latestStartMs).isEqualTo(1_000 + 300_000 - 30_000);
@@ -90,7 +90,7 @@
     assertThat(List.of(first.effectivePriority, left.effectivePriority, right.effectivePriority))
         .containsOnly(Priority.HIGH);
     assertThat(first.spec.priority()).isEqualTo(Priority.LOW);
-    // Once the last one is cancelled, nobody needs them any more.
+    // Once the last one is cancelled, nothing depends on them any more.
     end(last, JobPhase.CANCELLED, 2_000);
     dependencyGraph.propagateUrgency();
     assertThat(first.effectivePriority).isEqualTo(Priority.NORMAL);
@@ -98,18 +98,18 @@
   }
 
   @Test
-  void nothingInheritsTheRankOfALiveService() {
-    Job before = add(job("j-1", "array", 1));
+  void noJobInheritsTheProductionPriorityOfAService() {
+    Job dependency = add(job("j-1", "array", 1));
     add(
         dependentJob("j-2", 1, "j-1")
             .replace("standard", "production")
             .replace("\"array\"", "\"standing\""));
     dependencyGraph.propagateUrgency();
-    assertThat(before.effectivePriority).isEqualTo(Priority.HIGH);
+    assertThat(dependency.effectivePriority).isEqualTo(Priority.HIGH);
   }
 
   @Test
-  void aJobIsLetGoWithTheLastThatItNeedsAndCountsFromThen() {
+  void aJobIsReleasedWithItsLastDependencyAndEligibleSinceThen() {
     Job one = add(job("j-1", "array", 1));
     Job two = add(job("j-2", "array", 1));
     Job last = add(dependentJob("j-3", 1, "j-1", "j-2"));
@@ -118,14 +118,14 @@
     end(two, JobPhase.DONE, 40_000);
     assertThat(released).containsExactly("j-3");
     assertThat(last.eligibleSinceMs).isEqualTo(50_000);
-    // One that comes when all is over, or after a takeover, comes to the same.
+    // A job that is added after its dependencies ended, as in a failover, has the same result.
     Job late = add(dependentJob("j-4", 1, "j-1", "j-2"));
     assertThat(late.blocked()).isFalse();
     assertThat(late.eligibleSinceMs).isEqualTo(50_000);
   }
 
   @Test
-  void aCancellationGoesThroughTheGraphOnceHoweverItIsTied() {
+  void aCancellationReachesEachDependentOnceHoweverManyPathsLeadToIt() {
     Job first = add(job("j-0", "array", 1));
     for (int i = 1; i < 2_000; i++) {
       add(dependentJob("j-" + i, 1, "j-" + (i - 1), "j-" + i / 2));
--- a/src/test/java/io/embernotch/state/LargestJobWaitTimesTest.java
+++ b/src/test/java/io/embernotch/state/LargestJobWaitTimesTest.java
@@ -20,14 +20,15 @@
   @Test
   void onlyTheLargestTenthOfAClassCountsAndPresentWaitsAreIncluded() {
     LargestJobWaitTimes largestJobWaits = new LargestJobWaitTimes();
-    assertThat(largestJobWaits.line(List.of(), 0)).isNull();
+    assertThat(largestJobWaits.statusLine(List.of(), 0)).isNull();
     for (int i = 0; i < 100; i++) {
-      largestJobWaits.begins(job(i, 1 + i % 10), 2000);
+      largestJobWaits.recordStart(job(i, 1 + i % 10), 2000);
     }
-    largestJobWaits.begins(job(200, 40), 61_000);
-    assertThat(largestJobWaits.line(List.of(job(300, 2), job(301, 50)), 31_000))
+    largestJobWaits.recordStart(job(200, 40), 61_000);
+    assertThat(largestJobWaits.statusLine(List.of(job(300, 2), job(301, 50)), 31_000))
         .contains("max 60")
         .endsWith("one waits since 30000 ms");
-    assertThat(largestJobWaits.line(List.of(job(300, 2)), 31_000)).doesNotContain("waits since");
+    assertThat(largestJobWaits.statusLine(List.of(job(300, 2)), 31_000))
+        .doesNotContain("waits since");
   }
 }
