--- a/src/test/java/io/embernotch/controller/RollingUpgradeTest.java
+++ b/src/test/java/io/embernotch/controller/RollingUpgradeTest.java
@@ -121,6 +121,15 @@
     cluster.completeTasks("j-2");
     cluster.advance(6);
     assertThat(cluster.store.keys("part/")).isEmpty();
+    assertJobsAreReadable();
+    assertThat(cluster.store.keys("run/")).containsExactly("run/j-1", "run/j-2");
+    assertProgressIsReadable();
+    // A large shard of the former version stays one while it fits.
+    assertThat(cluster.store.value("run/j-1").get("open")).hasSize(40);
+    assertThat(Json.bytes(cluster.store.value("run/j-1")).length).isGreaterThan(1024);
+  }
+
+  private void assertJobsAreReadable() {
     for (String key : cluster.store.keys("job/")) {
       ObjectNode value = cluster.store.value(key);
       assertThat(value.get("at").isIntegralNumber()).isTrue();
@@ -147,7 +156,9 @@
               "flush_s")
           .doesNotContain("awaits");
     }
-    assertThat(cluster.store.keys("run/")).containsExactly("run/j-1", "run/j-2");
+  }
+
+  private void assertProgressIsReadable() {
     for (String key : cluster.store.keys("run/")) {
       ObjectNode value = cluster.store.value(key);
       assertThat(value.get("next").isIntegralNumber()).isTrue();
@@ -158,9 +169,6 @@
         assertThat(attempt.get(2).isTextual() && attempt.get(3).isTextual()).isTrue();
       }
     }
-    // A large shard of the former version stays one while it fits.
-    assertThat(cluster.store.value("run/j-1").get("open")).hasSize(40);
-    assertThat(Json.bytes(cluster.store.value("run/j-1")).length).isGreaterThan(1024);
   }
 
   @Test
--- a/src/test/java/io/embernotch/faultcombinations/LostResponseTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/LostResponseTest.java
@@ -67,20 +67,7 @@
     scenario.answers.submit(1, "j-5", "standing", 3);
     scenario.cancelUntilConfirmed("j-2", 0, 3);
     cluster.advance(20);
-    Map<String, String> phases =
-        Map.of(
-            "j-1",
-            "done",
-            "j-2",
-            "cancelled",
-            "j-3",
-            "running",
-            "j-4",
-            "running",
-            "j-5",
-            "running");
-    phases.forEach(
-        (ref, phase) -> assertThat(cluster.phase(ref.charAt(2) % 3, ref)).as(ref).isEqualTo(phase));
+    assertPhases();
     scenario.verifyRecovery();
   }
 
@@ -106,6 +93,23 @@
     }
   }
 
+  private void assertPhases() {
+    Map<String, String> phases =
+        Map.of(
+            "j-1",
+            "done",
+            "j-2",
+            "cancelled",
+            "j-3",
+            "running",
+            "j-4",
+            "running",
+            "j-5",
+            "running");
+    phases.forEach(
+        (ref, phase) -> assertThat(cluster.phase(ref.charAt(2) % 3, ref)).as(ref).isEqualTo(phase));
+  }
+
   /** The leader does not know that its start is in the store; whoever follows it does. */
   @Test
   void startWithUnknownCommitIsNotSent() {
--- a/src/test/java/io/embernotch/faultcombinations/ReadConsistencyTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/ReadConsistencyTest.java
@@ -148,8 +148,8 @@
   }
 
   /**
-   * Marks of done tasks are written in their own time; what users were told of them, the next
-   * leader and the store tell too.
+   * Marks of done tasks are written in their own time; a count that was reported to users is not
+   * reduced by the next leader or the store.
    */
   @Test
   void countOfDoneTasksDoesNotFallAcrossFailover() {
@@ -159,7 +159,7 @@
     cluster.runningTasks("j-1").get("j-1/0").exitTask("j-1/0", "done");
     pollRepeatedly(leader, 12);
     leader.kill();
-    // Their heartbeats alone would tell the next leader.
+    // Their heartbeats alone would inform the next leader.
     cluster.workers.values().forEach(worker -> worker.outboundPartitioned = true);
     pollRepeatedly(cluster.otherNode(leader), 40);
     scenario.verifyRecovery();
