--- a/src/test/java/io/embernotch/codec/CodecTest.java
+++ b/src/test/java/io/embernotch/codec/CodecTest.java
@@ -21,12 +21,12 @@
  * Jobs, progress and heartbeats are written and read alike; malformed input is rejected by field.
  */
 class CodecTest {
-  private static byte[] utf(String s) {
-    return s.getBytes(StandardCharsets.UTF_8);
+  private static byte[] utf8(String text) {
+    return text.getBytes(StandardCharsets.UTF_8);
   }
 
   private static JobSpec read(String json) {
-    return JobCodec.read(Json.parseObject(utf(json)));
+    return JobCodec.read(Json.parseObject(utf8(json)));
   }
 
   @Test
@@ -64,9 +64,9 @@
 
   @Test
   void nonObjectsAreRejected() {
-    for (String s : new String[] {"", "[]", "3", "{", "{}x", "null"}) {
-      assertThatThrownBy(() -> Json.parseObject(utf(s)))
-          .as(s)
+    for (String json : new String[] {"", "[]", "3", "{", "{}x", "null"}) {
+      assertThatThrownBy(() -> Json.parseObject(utf8(json)))
+          .as(json)
           .isInstanceOf(MalformedInputException.class);
     }
   }
@@ -75,7 +75,7 @@
   void readsAHeartbeat() {
     Heartbeat heartbeat =
         WorkerCodec.read(
-            utf(
+            utf8(
                 "{\"hearth\":\"n-1\",\"address\":\"10.1.0.2:9000\",\"flavor\":\"g8\",\"room\":\"a\",\"loaner\":true,"
                     + "\"tenure\":2,\"tick\":88,\"baton\":41,\"new_field\":1,\"shards\":["
                     + "{\"shard\":\"j-4/3\",\"try\":2,\"phase\":\"running\"},"
@@ -125,14 +125,14 @@
     assertThat(restored.openAttempts.get(8).zone).isEqualTo("z2");
     assertThat(restored.preferredMachines).containsEntry(3, "n-9");
     job.finalPhase = JobPhase.CANCELLED;
-    ObjectNode o = JobProgressCodec.writeRun(job, 4, 0);
-    assertThat(JobProgressCodec.readEnd(o)).isEqualTo(JobPhase.CANCELLED);
+    ObjectNode written = JobProgressCodec.writeRun(job, 4, 0);
+    assertThat(JobProgressCodec.readEnd(written)).isEqualTo(JobPhase.CANCELLED);
   }
 
   @Test
   void heartbeatWithoutAFieldIsRejected() {
     for (String body : new String[] {"{\"hearth\":", "{\"hearth\":\"n-1\"}", "[]"}) {
-      assertThatThrownBy(() -> WorkerCodec.read(utf(body)))
+      assertThatThrownBy(() -> WorkerCodec.read(utf8(body)))
           .isInstanceOf(MalformedInputException.class);
     }
   }
--- a/src/test/java/io/embernotch/controller/JobStateTest.java
+++ b/src/test/java/io/embernotch/controller/JobStateTest.java
@@ -15,6 +15,12 @@
     super(new SimulatedCluster(3));
   }
 
+  private void startWithOneMachine() {
+    cluster.awaitLeader(2);
+    cluster.boot("g8", "z1", true);
+    cluster.advance(8);
+  }
+
   @Test
   void completedJobIsDoneOnEveryNode() {
     cluster.awaitLeader(2);
@@ -58,9 +64,7 @@
 
   @Test
   void unansweredCommandIsReplacedOnlyUnderANewerToken() {
-    cluster.awaitLeader(2);
-    cluster.boot("g8", "z1", true);
-    cluster.advance(8);
+    startWithOneMachine();
     cluster.faults.commandDelivery = Delivery.DELAYED;
     cluster.submit(0, job("j-7", "array", 1));
     cluster.advance(10);
@@ -78,9 +82,7 @@
 
   @Test
   void delayedTransactionDoesNotUndoANewerOne() {
-    cluster.awaitLeader(2);
-    cluster.boot("g8", "z1", true);
-    cluster.advance(8);
+    startWithOneMachine();
     cluster.faults.commitDelivery = Delivery.DELAYED;
     cluster.submit(0, job("j-8", "array", 1));
     cluster.advance(1);
@@ -97,9 +99,7 @@
 
   @Test
   void cancellationThatRacesAStartLeavesNothingRunning() {
-    cluster.awaitLeader(2);
-    cluster.boot("g8", "z1", true);
-    cluster.advance(8);
+    startWithOneMachine();
     cluster.faults.commandDelivery = Delivery.DELAYED;
     cluster.submit(0, job("j-9", "standing", 2));
     cluster.advance(0.3);
--- a/src/test/java/io/embernotch/snapshot/file/SnapshotArchiveTest.java
+++ b/src/test/java/io/embernotch/snapshot/file/SnapshotArchiveTest.java
@@ -31,11 +31,11 @@
 class SnapshotArchiveTest {
   @TempDir private Path dir;
 
-  private static ClusterSnapshot copy(int jobs, long epoch) {
-    ClusterSnapshot.Builder c =
+  private static ClusterSnapshot snapshot(int jobs, long epoch) {
+    ClusterSnapshot.Builder snapshot =
         ClusterSnapshot.newBuilder().setEpoch(epoch).setWallMs(1000 * epoch).setComplete(false);
     for (int i = 0; i < jobs; i++) {
-      c.addJob(
+      snapshot.addJob(
           JobSnapshot.newBuilder()
               .setRef("j-" + i)
               .setValue(ByteString.copyFromUtf8("{\"n\":" + i + "}"))
@@ -46,7 +46,7 @@
                       .setNumber(7)
                       .setMachine("n-" + i)
                       .setZone("z1")));
-      c.addEnded(
+      snapshot.addEnded(
           EndedJobSnapshot.newBuilder()
               .setRef("j-9" + i)
               .setEnd(End.DONE)
@@ -54,33 +54,35 @@
               .setDone(3)
               .setAtMs(i));
     }
-    return c.build();
+    return snapshot.build();
   }
 
-  private static byte[] bytes(ClusterSnapshot c) throws IOException {
+  private static byte[] bytes(ClusterSnapshot snapshot) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    SnapshotArchive.write(c, "an-era", out);
+    SnapshotArchive.write(snapshot, "an-era", out);
     return out.toByteArray();
   }
 
   @Test
   void damagedArchiveIsRejectedOrReadCorrectly() throws IOException {
-    ClusterSnapshot c = copy(12, 5);
-    byte[] whole = bytes(c);
-    assertThat(SnapshotArchive.read(new ByteArrayInputStream(whole)).copy()).isEqualTo(c);
+    ClusterSnapshot snapshot = snapshot(12, 5);
+    byte[] whole = bytes(snapshot);
+    assertThat(SnapshotArchive.read(new ByteArrayInputStream(whole)).copy()).isEqualTo(snapshot);
     int found = 0;
     for (int i = 0; i < whole.length; i++) {
       byte[] damaged = whole.clone();
       damaged[i] ^= 0x20;
       try {
         // A byte that says nothing of the contents may differ; then they are the same.
-        assertThat(SnapshotArchive.read(new ByteArrayInputStream(damaged)).copy()).isEqualTo(c);
+        assertThat(SnapshotArchive.read(new ByteArrayInputStream(damaged)).copy())
+            .isEqualTo(snapshot);
       } catch (IOException | IllegalArgumentException e) {
         found++;
       }
       byte[] shorter = Arrays.copyOf(whole, i);
       try {
-        assertThat(SnapshotArchive.read(new ByteArrayInputStream(shorter)).copy()).isEqualTo(c);
+        assertThat(SnapshotArchive.read(new ByteArrayInputStream(shorter)).copy())
+            .isEqualTo(snapshot);
       } catch (IOException | IllegalArgumentException e) {
         found++;
       }
@@ -90,12 +92,12 @@
 
   @Test
   void incompleteBlocksAreRejected() {
-    ClusterSnapshot c = copy(300, 5);
-    SnapshotBlocks packed = SnapshotBlocks.pack(c, 1024);
+    ClusterSnapshot snapshot = snapshot(300, 5);
+    SnapshotBlocks packed = SnapshotBlocks.pack(snapshot, 1024);
     assertThat(packed.blocks())
         .hasSizeGreaterThan(2)
-        .allSatisfy(b -> assertThat(b.length * 4 / 3).isLessThan(1024));
-    assertThat(packed.unpack()).isEqualTo(c);
+        .allSatisfy(bytes -> assertThat(bytes.length * 4 / 3).isLessThan(1024));
+    assertThat(packed.unpack()).isEqualTo(snapshot);
     List<byte[]> swapped = new ArrayList<>(packed.blocks());
     swapped.add(swapped.remove(0));
     assertThatThrownBy(() -> new SnapshotBlocks(swapped, packed.crc()).unpack())
@@ -109,16 +111,16 @@
   void newestIntactSnapshotIsReadAndOldOnesAreDeleted() throws IOException {
     SnapshotDirectory snapshots = new SnapshotDirectory(dir, 3);
     for (int i = 1; i <= 5; i++) {
-      snapshots.write(copy(i, i), "e");
+      snapshots.write(snapshot(i, i), "e");
     }
     assertThat(snapshots.list()).hasSize(3);
-    assertThat(snapshots.newest().copy()).isEqualTo(copy(5, 5));
+    assertThat(snapshots.newest().copy()).isEqualTo(snapshot(5, 5));
     Path newest = snapshots.list().get(0);
-    byte[] b = Files.readAllBytes(newest);
-    Files.write(newest, Arrays.copyOf(b, b.length / 2));
+    byte[] bytes = Files.readAllBytes(newest);
+    Files.write(newest, Arrays.copyOf(bytes, bytes.length / 2));
     // One that a crash left unfinished is none.
-    Files.write(dir.resolve("0000000000000009-000000000000009.unfinished"), b);
-    assertThat(snapshots.newest().copy()).isEqualTo(copy(4, 4));
+    Files.write(dir.resolve("0000000000000009-000000000000009.unfinished"), bytes);
+    assertThat(snapshots.newest().copy()).isEqualTo(snapshot(4, 4));
     assertThat(Main.run("snapshot", "list", dir.toString())).isEqualTo(1);
     assertThat(Main.run("snapshot", "verify", newest.toString())).isEqualTo(1);
     List<Path> files = snapshots.list();
@@ -130,7 +132,7 @@
                 "snapshot", "diff", files.get(1).toString(), files.get(2).toString(), "--json"))
         .isEqualTo(1);
     assertThat(Main.run("snapshot", "diff", files.get(1).toString())).isEqualTo(2);
-    assertThat(SnapshotDiff.of(copy(2, 1), copy(3, 1))).hasSize(2);
+    assertThat(SnapshotDiff.of(snapshot(2, 1), snapshot(3, 1))).hasSize(2);
   }
 
   @Test
--- a/src/test/java/io/embernotch/straggler/StragglerRoundTest.java
+++ b/src/test/java/io/embernotch/straggler/StragglerRoundTest.java
@@ -90,11 +90,11 @@
   void partitionsAreBalancedAndOnlyThoseOfALostControllerMove() {
     int[] count = new int[3];
     for (int i = 0; i < 300; i++) {
-      String m = String.format("n-%06d", i);
-      String owner = MachinePartitions.owner(m, Set.of("c0", "c1", "c2"));
+      String machine = String.format("n-%06d", i);
+      String owner = MachinePartitions.owner(machine, Set.of("c0", "c1", "c2"));
       count[owner.charAt(1) - '0']++;
       if (!owner.equals("c2")) {
-        assertThat(MachinePartitions.owner(m, Set.of("c0", "c1"))).isEqualTo(owner);
+        assertThat(MachinePartitions.owner(machine, Set.of("c0", "c1"))).isEqualTo(owner);
       }
     }
     assertThat(java.util.Arrays.stream(count).min().getAsInt()).isGreaterThan(50);
