--- a/src/test/java/io/embernotch/actor/LatencyRecorderTest.java
+++ b/src/test/java/io/embernotch/actor/LatencyRecorderTest.java
@@ -4,10 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The line that sums latencies up. */
+/** The summary line of recorded latencies. */
 class LatencyRecorderTest {
   @Test
-  void aLineSumsUpWhatWasRecordedSinceTheLastOne() {
+  void lineSummarizesWhatWasRecordedSinceTheLast() {
     LatencyRecorder recorder = new LatencyRecorder();
     assertThat(recorder.line()).isNull();
     for (int i = 1; i <= 100; i++) {
--- a/src/test/java/io/embernotch/controller/JobStateTest.java
+++ b/src/test/java/io/embernotch/controller/JobStateTest.java
@@ -9,12 +9,18 @@
 import io.embernotch.testkit.SimulatedCluster;
 import org.junit.jupiter.api.Test;
 
-/** Jobs keep the state that users were told, whatever becomes of commands and commits. */
+/** Jobs keep the state that was reported to users, whatever becomes of commands and commits. */
 class JobStateTest extends ClusterTest {
   JobStateTest() {
     super(new SimulatedCluster(3));
   }
 
+  private void startWithOneMachine() {
+    cluster.awaitLeader(2);
+    cluster.boot("g8", "z1", true);
+    cluster.advance(8);
+  }
+
   @Test
   void completedJobIsDoneOnEveryNode() {
     cluster.awaitLeader(2);
@@ -26,7 +32,7 @@
       assertThat(cluster.phase(node, "j-1")).isEqualTo("done");
       assertThat(cluster.submit(node, job("j-1", "array", 3)).status()).isEqualTo(200);
     }
-    // Only after the end is stored may the worker be told to reap the tasks.
+    // Only after the end is stored may the worker get the command to reap the tasks.
     assertThat(cluster.store.value("run/j-1").get("end").asText()).isEqualTo("done");
     cluster.advance(3);
     assertThat(
@@ -58,9 +64,7 @@
 
   @Test
   void unansweredCommandIsReplacedOnlyUnderANewerToken() {
-    cluster.awaitLeader(2);
-    cluster.boot("g8", "z1", true);
-    cluster.advance(8);
+    startWithOneMachine();
     cluster.faults.commandDelivery = Delivery.DELAYED;
     cluster.submit(0, job("j-7", "array", 1));
     cluster.advance(10);
@@ -78,9 +82,7 @@
 
   @Test
   void delayedTransactionDoesNotUndoANewerOne() {
-    cluster.awaitLeader(2);
-    cluster.boot("g8", "z1", true);
-    cluster.advance(8);
+    startWithOneMachine();
     cluster.faults.commitDelivery = Delivery.DELAYED;
     cluster.submit(0, job("j-8", "array", 1));
     cluster.advance(1);
@@ -97,9 +99,7 @@
 
   @Test
   void cancellationThatRacesAStartLeavesNothingRunning() {
-    cluster.awaitLeader(2);
-    cluster.boot("g8", "z1", true);
-    cluster.advance(8);
+    startWithOneMachine();
     cluster.faults.commandDelivery = Delivery.DELAYED;
     cluster.submit(0, job("j-9", "standing", 2));
     cluster.advance(0.3);
--- a/src/test/java/io/embernotch/http/HttpApiServerTest.java
+++ b/src/test/java/io/embernotch/http/HttpApiServerTest.java
@@ -26,8 +26,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The server in front of a busy core loop: the test runs the core's tasks, and sets the time that
- * they see.
+ * The HTTP server in front of a controller's event loop that is busy: its tasks are run by the
+ * test, on a fake clock.
  */
 class HttpApiServerTest implements RequestHandler {
   private final Settings settings =
@@ -65,86 +65,86 @@
     return future.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
   }
 
-  private Future<Integer> send(HttpMethod method, String path, String body) {
+  private Future<Integer> request(HttpMethod method, String path, String body) {
     return client
         .request(method, port, "127.0.0.1", path)
         .compose(r -> r.send(body))
         .map(r -> r.statusCode());
   }
 
-  private void runNextOnCore() throws InterruptedException {
+  private void runNext() throws InterruptedException {
     core.poll(20, TimeUnit.SECONDS).run();
   }
 
   @Test
-  void aRequestWhoseUserHasGivenUpIsNotHandled() throws Exception {
-    Future<Integer> late = send(HttpMethod.GET, "/api/jobs/j-1", "");
+  void timedOutRequestDoesNotReachTheCore() throws Exception {
+    Future<Integer> late = request(HttpMethod.GET, "/api/jobs/j-1", "");
     Runnable waiting = core.poll(20, TimeUnit.SECONDS);
-    // Users give a poll two seconds.
+    // Users wait two seconds for a poll.
     time.advance(2.5);
     waiting.run();
     assertThat(await(late)).isEqualTo(503);
     assertThat(pollCount).isZero();
-    Future<Integer> good = send(HttpMethod.GET, "/api/jobs/j-1", "");
-    runNextOnCore();
+    Future<Integer> good = request(HttpMethod.GET, "/api/jobs/j-1", "");
+    runNext();
     assertThat(await(good)).isEqualTo(200);
     assertThat(pollCount).isEqualTo(1);
   }
 
   @Test
-  void aHealthCheckGetsTheLastKnownAnswerWhileTheCoreIsBusy() throws Exception {
-    Future<Integer> first = send(HttpMethod.GET, "/ready", "");
-    runNextOnCore();
+  void healthCheckGetsTheLastKnownStateWhileTheCoreIsBusy() throws Exception {
+    Future<Integer> first = request(HttpMethod.GET, "/ready", "");
+    runNext();
     assertThat(await(first)).isEqualTo(200);
-    Future<Integer> busy = send(HttpMethod.GET, "/ready", "");
+    Future<Integer> busy = request(HttpMethod.GET, "/ready", "");
     assertThat(await(busy)).isEqualTo(200);
   }
 
-  /** Otherwise heartbeats from the buffers of a paused process would be taken for fresh. */
+  /** Heartbeats that waited in buffers while the process paused must not be taken for fresh. */
   @Test
-  void requestsFromAPauseOfTheProcessAreDropped() throws Exception {
-    Future<Integer> before = send(HttpMethod.GET, "/api/jobs/j-1", "");
-    runNextOnCore();
+  void requestsThatArrivedDuringAPauseAreDropped() throws Exception {
+    Future<Integer> before = request(HttpMethod.GET, "/api/jobs/j-1", "");
+    runNext();
     assertThat(await(before)).isEqualTo(200);
     time.advance(30);
-    Future<Integer> late = send(HttpMethod.GET, "/api/jobs/j-1", "");
+    Future<Integer> late = request(HttpMethod.GET, "/api/jobs/j-1", "");
     assertThat(late.toCompletionStage().toCompletableFuture()).failsWithin(20, TimeUnit.SECONDS);
     assertThat(core).isEmpty();
     time.advance(1);
-    Future<Integer> after = send(HttpMethod.GET, "/api/jobs/j-1", "");
-    runNextOnCore();
+    Future<Integer> after = request(HttpMethod.GET, "/api/jobs/j-1", "");
+    runNext();
     assertThat(await(after)).isEqualTo(200);
   }
 
   /**
-   * Otherwise, with fewer connections than workers, those that came first would keep theirs, and
-   * the others would lose what they run.
+   * With fewer connections than workers, those that came first must not keep theirs while the
+   * others lose their leases.
    */
   @Test
-  void underConnectionPressureWorkersConnectionsAreClosed() throws Exception {
+  void workersShareScarceConnections() throws Exception {
     String heartbeat =
         "{\"hearth\":\"n-1\",\"address\":\"10.0.0.9:9\",\"flavor\":\"g8\",\"room\":\"z1\",\"loaner\":false,"
             + "\"tenure\":1,\"tick\":1,\"baton\":0,\"recall_s\":null,\"shards\":[]}";
     // A client that is no longer referenced closes its connections.
     List<HttpClient> clients = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
-      HttpClient worker = vertx.createHttpClient();
-      clients.add(worker);
-      Future<Boolean> closed =
-          worker
+      HttpClient workerClient = vertx.createHttpClient();
+      clients.add(workerClient);
+      Future<Boolean> closesConnection =
+          workerClient
               .request(HttpMethod.POST, port, "127.0.0.1", "/hello")
               .compose(r -> r.send(heartbeat))
               .map(r -> "close".equals(r.getHeader("connection")));
-      runNextOnCore();
-      // Three quarters of what is left beside eight direct calls.
-      assertThat(await(closed)).isEqualTo(i >= 3);
+      runNext();
+      // Three quarters of the connections that are left beside eight outgoing calls.
+      assertThat(await(closesConnection)).isEqualTo(i >= 3);
     }
     assertThat(heartbeatCount).isEqualTo(clients.size());
   }
 
   @Test
-  void aMalformedHeartbeatIsRefusedWithoutTheCore() throws Exception {
-    assertThat(await(send(HttpMethod.POST, "/hello", "{\"hearth\":"))).isEqualTo(400);
+  void malformedHeartbeatIsRejectedWithoutTheCore() throws Exception {
+    assertThat(await(request(HttpMethod.POST, "/hello", "{\"hearth\":"))).isEqualTo(400);
     assertThat(core).isEmpty();
     assertThat(heartbeatCount).isZero();
   }
--- a/src/test/java/io/embernotch/http/VertxHttpCallerTest.java
+++ b/src/test/java/io/embernotch/http/VertxHttpCallerTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The bound on the number of hosts that a caller is connected to. */
+/** Connections of the outgoing HTTP client. */
 class VertxHttpCallerTest {
   private Vertx vertx;
   private Context loop;
@@ -27,9 +27,9 @@
     loop = vertx.getOrCreateContext();
     server = vertx.createHttpServer();
     server.requestHandler(
-        request -> {
-          if (!request.path().equals("/never")) {
-            request.response().end("ok");
+        r -> {
+          if (!r.path().equals("/never")) {
+            r.response().end("ok");
           }
         });
     server.listen(0, "0.0.0.0").toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
@@ -56,11 +56,11 @@
   }
 
   /**
-   * Otherwise commands to further machines would fail for most of a heartbeat interval, while idle
-   * connections are kept.
+   * If idle connections were kept, commands to further machines would fail for most of a heartbeat
+   * interval.
    */
   @Test
-  void anIdleConnectionIsClosedForAnotherHostAndABusyOneIsNot() throws Exception {
+  void idleConnectionIsClosedForAnotherHostAndABusyOneIsNot() throws Exception {
     VertxHttpCaller caller =
         new VertxHttpCaller(vertx, new SystemClock(), new VertxTimers(vertx, loop), 1, 1, 5, 60);
     for (String host : new String[] {"127.0.0.1", "127.0.0.2", "127.0.0.1", "127.0.0.3"}) {
--- a/src/test/java/io/embernotch/rounds/MachineViewPublisherTest.java
+++ b/src/test/java/io/embernotch/rounds/MachineViewPublisherTest.java
@@ -17,12 +17,12 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What the publisher sends, and when. */
+/** What machine views show to straggler rounds. */
 class MachineViewPublisherTest {
   private final FakeTime time = new FakeTime();
   private final ClusterState state = new ClusterState();
   private final List<MachineView> views = new ArrayList<>();
-  private final MachineViewPublisher publisher =
+  private final MachineViewPublisher machineViewPublisher =
       new MachineViewPublisher(
           new ControllerContext(
               SettingsReader.parse(SimulatedCluster.settingsToml(0)),
@@ -40,9 +40,9 @@
           (owner, view) -> views.add(view),
           (owner, machine) -> {});
 
-  /** Restarts are proposed for free capacity, which reserved capacity is not. */
+  /** Restarts are proposed for free capacity; what is reserved is not free. */
   @Test
-  void reservedCapacityIsLeftOutAndEveryMachineIsSentInARound() {
+  void reservedCapacityIsHiddenAndEveryMachineIsPublishedInARound() {
     for (int i = 0; i < 40; i++) {
       Machine machine = state.machine("n-" + i, 1);
       machine.type = new MachineType("g8", 48, 8, 288, 100, 1, 12, 4, 60, List.of("z1"));
@@ -51,8 +51,8 @@
       machine.reservedGpus = 3;
       machine.reservedCpus = 12;
     }
-    for (double elapsedS = 0; elapsedS < OperatorSettings.DEFAULTS.roundS(); elapsedS += 0.4) {
-      publisher.publish(Set.of("c0", "c1", "c2"));
+    for (double at = 0; at < OperatorSettings.DEFAULTS.roundS(); at += 0.4) {
+      machineViewPublisher.publish(Set.of("c0", "c1", "c2"));
       time.advance(0.4);
     }
     assertThat(views).hasSize(40);
--- a/src/test/java/io/embernotch/settings/SettingsTest.java
+++ b/src/test/java/io/embernotch/settings/SettingsTest.java
@@ -8,10 +8,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The settings files: what is read, and how mistakes are reported. */
+/** Settings files are read, checked, and their errors name the field. */
 class SettingsTest {
   @Test
-  void unknownFieldsAreIgnored() {
+  void readsTheFileAndIgnoresUnknownFields() {
     Settings settings =
         SettingsReader.parse("novelty = 3\n" + SimulatedCluster.settingsToml(1) + "novelty = 4\n");
     assertThat(settings.node()).isEqualTo("c1");
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void minStoreLimitsAreTheSmallerOfPresentAndNextLimits() {
+  void writesObeyTheSmallerOfPresentAndComingLimits() {
     Settings same = SettingsReader.parse(SimulatedCluster.settingsToml(1));
     assertThat(same.minStoreLimits()).isEqualTo(same.storeLimits());
     String next = "txn_ops = 12\n[cluster.state.next]\ntxn_ops = 4\nwrite_rps = 200.0\n";
@@ -47,7 +47,7 @@
         "txn_ops = 12 | txn_ops = 12\\n[cluster.state.next]\\ntxn_ops = 1 | cluster.state.next.txn_ops: must be at least 2",
         "txn_ops = 12 | txn_ops = 12\\n[cluster.state.next]\\nvalue_kb = 'x' | cluster.state.next.value_kb"
       })
-  void aWrongFieldIsNamed(String good, String bad, String message) {
+  void invalidFieldIsNamed(String good, String bad, String message) {
     String toml = SimulatedCluster.settingsToml(1);
     assertThat(toml).contains(good);
     assertThatThrownBy(() -> SettingsReader.parse(toml.replace(good, bad.replace("\\n", "\n"))))
--- a/src/test/java/io/embernotch/snapshot/SnapshotMergeTest.java
+++ b/src/test/java/io/embernotch/snapshot/SnapshotMergeTest.java
@@ -18,7 +18,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** The algebra of merging snapshots, on random ones. */
+/** Algebraic properties of merging snapshots. */
 class SnapshotMergeTest {
   /** Snapshots of a few jobs, each with some tasks done or open, ended, or reduced to its end. */
   @Provide
@@ -62,14 +62,14 @@
 
   private static JobSnapshot job(String ref, SplittableRandom random) {
     BitSet done = BitSet.valueOf(new long[] {random.nextInt(16)});
-    JobSnapshot.Builder builder =
+    JobSnapshot.Builder b =
         JobSnapshot.newBuilder()
             .setRef(ref)
             .setValue(ByteString.copyFromUtf8("{\"piece\":" + random.nextInt(2) + "}"))
             .setNextAttempt(random.nextInt(9))
             .setDone(ByteString.copyFrom(done.toByteArray()));
     if (random.nextInt(3) == 0) {
-      builder.setEnd(end(random)).setEndedMs(random.nextInt(9));
+      b.setEnd(end(random)).setEndedMs(random.nextInt(9));
     }
     for (int task = 0; task < 4; task++) {
       if (random.nextBoolean()) {
@@ -79,10 +79,10 @@
                 .setNumber(random.nextInt(4))
                 .setMachine("n-" + random.nextInt(3))
                 .setZone("z");
-        builder.addOpen(random.nextBoolean() ? attempt.setWish("n-" + random.nextInt(2)) : attempt);
+        b.addOpen(random.nextBoolean() ? attempt.setWish("n-" + random.nextInt(2)) : attempt);
       }
     }
-    return builder.build();
+    return b.build();
   }
 
   @Property(tries = 500, seed = "4711")
@@ -98,7 +98,7 @@
   }
 
   @Property(tries = 500, seed = "4711")
-  void mergeLosesNothingOfEither(
+  void mergeLosesNoProgress(
       @ForAll("snapshots") ClusterSnapshot a, @ForAll("snapshots") ClusterSnapshot b) {
     ClusterSnapshot merged = SnapshotMerge.of(a, b);
     TreeMap<String, JobSnapshot> jobs = new TreeMap<>();
@@ -111,19 +111,17 @@
       if (ended.contains(job.getRef())) {
         continue;
       }
-      JobSnapshot now = jobs.get(job.getRef());
-      assertThat(now).isNotNull();
-      assertThat(now.hasEnd() || !job.hasEnd()).isTrue();
-      assertThat(now.getNextAttempt()).isGreaterThanOrEqualTo(job.getNextAttempt());
-      BitSet done = BitSet.valueOf(now.getDone().toByteArray());
+      JobSnapshot mergedJob = jobs.get(job.getRef());
+      assertThat(mergedJob).isNotNull();
+      assertThat(mergedJob.hasEnd() || !job.hasEnd()).isTrue();
+      assertThat(mergedJob.getNextAttempt()).isGreaterThanOrEqualTo(job.getNextAttempt());
+      BitSet done = BitSet.valueOf(mergedJob.getDone().toByteArray());
       BitSet.valueOf(job.getDone().toByteArray()).stream()
           .forEach(task -> assertThat(done.get(task)).isTrue());
       for (OpenAttemptSnapshot attempt : job.getOpenList()) {
-        assertThat(now.getOpenList())
+        assertThat(mergedJob.getOpenList())
             .anyMatch(
-                laterAttempt ->
-                    laterAttempt.getTask() == attempt.getTask()
-                        && laterAttempt.getNumber() >= attempt.getNumber());
+                n -> n.getTask() == attempt.getTask() && n.getNumber() >= attempt.getNumber());
       }
     }
   }
