--- a/src/main/java/io/embernotch/codec/JobCodec.java
+++ b/src/main/java/io/embernotch/codec/JobCodec.java
@@ -162,8 +162,8 @@
   }
 
   /**
-   * The answer to a poll. Polls are the most frequent requests, so the text is put together
-   * directly; {@link #isRef} keeps the id free of characters to escape.
+   * The answer to a poll. It is put together without a JSON tree; ids need no escaping, see {@link
+   * #isRef}.
    *
    * @param done number of done tasks
    * @param running number of running tasks
--- a/src/main/java/io/embernotch/model/Job.java
+++ b/src/main/java/io/embernotch/model/Job.java
@@ -122,9 +122,6 @@
    */
   public final BitSet restartedTasks = new BitSet();
 
-  /** Whether the gang's present attempt lost a task: the rest must end before the next one. */
-  public boolean gangBroken;
-
   /** Sum of the run times of {@link #finishedCount} finished tasks, in seconds. */
   public double finishedSumS;
 
