--- a/src/main/java/io/embernotch/jobs/FailoverRecovery.java
+++ b/src/main/java/io/embernotch/jobs/FailoverRecovery.java
@@ -172,7 +172,7 @@
 
   /** The id of the job that a {@code run/} or {@code part/} entry belongs to. */
   private static String refOf(VersionedEntry entry) {
-    return entry.key().split("/")[1];
+    return entry.key().split("/", -1)[1];
   }
 
   /** Returns whether {@code read} succeeded; otherwise its entry is logged and left out. */
--- a/src/main/java/io/embernotch/store/StoreProtocol.java
+++ b/src/main/java/io/embernotch/store/StoreProtocol.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.codec.Json;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -135,7 +136,7 @@
 
   /** What a transaction that was answered {@code 400} failed for. */
   static StoreException readRejection(byte[] body) {
-    String text = new String(body);
+    String text = new String(body, StandardCharsets.UTF_8);
     return text.contains(NO_SUCH_LEASE)
         ? new StoreException(StoreException.Kind.NO_LEASE, NO_SUCH_LEASE)
         : new StoreException(StoreException.Kind.MALFORMED, text);
--- a/src/main/java/io/embernotch/store/StoreReply.java
+++ b/src/main/java/io/embernotch/store/StoreReply.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.embernotch.http.HttpReply;
 import io.vertx.core.Future;
+import java.nio.charset.StandardCharsets;
 
 /**
  * An answer of the store.
@@ -23,6 +24,6 @@
     return Future.failedFuture(
         new StoreException(
             StoreException.Kind.UNKNOWN,
-            "answer " + http.status() + " " + new String(http.body())));
+            "answer " + http.status() + " " + new String(http.body(), StandardCharsets.UTF_8)));
   }
 }
--- a/src/test/java/io/embernotch/agents/AgentReconcilerTest.java
+++ b/src/test/java/io/embernotch/agents/AgentReconcilerTest.java
@@ -22,6 +22,7 @@
 import io.embernotch.testkit.SimulatedCluster;
 import io.embernotch.testkit.TestJobs;
 import io.vertx.core.Promise;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -65,7 +66,10 @@
           new RenewalDelegations(settings, time.now(), new HashSet<>()),
           this);
   private final Job job =
-      new Job(JobCodec.read(Json.parseObject(TestJobs.job("j-1", "array", 16).getBytes())), 0);
+      new Job(
+          JobCodec.read(
+              Json.parseObject(TestJobs.job("j-1", "array", 16).getBytes(StandardCharsets.UTF_8))),
+          0);
   private boolean leading = true;
   private final List<Attempt> gone = new ArrayList<>();
 
@@ -89,12 +93,14 @@
     }
     // Half of the eight calls that may be in flight.
     assertThat(called).hasSize(4).doesNotContain("10.0.1.4/do");
-    assertThat(new String(agents.processHeartbeat(heartbeat(4, 2), true, 0)))
+    assertThat(
+            new String(agents.processHeartbeat(heartbeat(4, 2), true, 0), StandardCharsets.UTF_8))
         .contains("\"run\"")
         .contains("j-1/4");
     replies.get(0).fail(new CallFailedException(true, "no answer in time"));
     assertThat(called).hasSize(4);
-    assertThat(new String(agents.processHeartbeat(heartbeat(3, 2), true, 0)))
+    assertThat(
+            new String(agents.processHeartbeat(heartbeat(3, 2), true, 0), StandardCharsets.UTF_8))
         .doesNotContain("\"run\"");
   }
 
@@ -143,7 +149,9 @@
     Machine machine = machineWithStart(1);
     machine.commandFailedAt = time.now();
     Attempt attempt = machine.openAttempts.values().iterator().next();
-    assertThat(new String(agents.processHeartbeat(heartbeat(1, 2), true, 0))).contains("\"run\"");
+    assertThat(
+            new String(agents.processHeartbeat(heartbeat(1, 2), true, 0), StandardCharsets.UTF_8))
+        .contains("\"run\"");
     attempt.stopping = true;
     agents.processHeartbeat(heartbeat(1, 3), true, 0);
     assertThat(gone).containsExactly(attempt);
--- a/src/test/java/io/embernotch/controller/HeartbeatForwardingTest.java
+++ b/src/test/java/io/embernotch/controller/HeartbeatForwardingTest.java
@@ -294,7 +294,9 @@
     Heartbeat leader = WorkerCodec.read(worker.heartbeat());
     cluster.completeTasks("j-4");
     cluster.advance(3);
-    String answer = new String(cluster.await(node.controller.handleHeartbeat(leader)).body());
+    String answer =
+        new String(
+            cluster.await(node.controller.handleHeartbeat(leader)).body(), StandardCharsets.UTF_8);
     assertThat(answer).contains("\"orders\":[]");
   }
 }
--- a/src/test/java/io/embernotch/controller/JobDependenciesTest.java
+++ b/src/test/java/io/embernotch/controller/JobDependenciesTest.java
@@ -10,6 +10,7 @@
 import io.embernotch.testkit.ControllerNode;
 import io.embernotch.testkit.Delivery;
 import io.embernotch.testkit.SimulatedCluster;
+import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -155,7 +156,8 @@
     accept(0, dependentJob("j-2", 1, "j-1"));
     cluster.advance(15);
     complete("j-1");
-    assertThat(new String(cluster.cancel(0, "j-1").body())).contains("done");
+    assertThat(new String(cluster.cancel(0, "j-1").body(), StandardCharsets.UTF_8))
+        .contains("done");
     cluster.advance(5);
     assertThat(cluster.runningTasks("j-2")).hasSize(1);
   }
@@ -240,7 +242,7 @@
     accept(node.index, job("j-2", "array", 1));
     HttpResponse never = cluster.submit(node.index, dependentJob("j-3", 1, "j-2", "j-77"));
     assertThat(never.status()).isEqualTo(422);
-    assertThat(new String(never.body())).contains("j-77");
+    assertThat(new String(never.body(), StandardCharsets.UTF_8)).contains("j-77");
     assertThat(cluster.submit(node.index, dependentJob("j-3", 1, "j-3")).status()).isEqualTo(422);
     assertThat(cluster.submit(node.index, dependentJob("j-3", 1, "j-1")).status()).isEqualTo(422);
     assertThat(
--- a/src/test/java/io/embernotch/jobs/DependencyGraphTest.java
+++ b/src/test/java/io/embernotch/jobs/DependencyGraphTest.java
@@ -16,6 +16,7 @@
 import io.embernotch.store.VersionedEntry;
 import io.embernotch.testkit.FakeTime;
 import io.embernotch.testkit.SimulatedCluster;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -57,7 +58,7 @@
   }
 
   private Job add(String json) {
-    Job job = new Job(JobCodec.read(Json.parseObject(json.getBytes())), 1000);
+    Job job = new Job(JobCodec.read(Json.parseObject(json.getBytes(StandardCharsets.UTF_8))), 1000);
     state.jobs.put(job.spec.ref(), job);
     dependencyGraph.add(job);
     return job;
--- a/src/test/java/io/embernotch/state/FailureAttributionTest.java
+++ b/src/test/java/io/embernotch/state/FailureAttributionTest.java
@@ -10,6 +10,7 @@
 import io.embernotch.testkit.FakeTime;
 import io.embernotch.testkit.SimulatedCluster;
 import io.embernotch.testkit.TestJobs;
+import java.nio.charset.StandardCharsets;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
@@ -24,7 +25,11 @@
     return state.jobs.computeIfAbsent(
         "j-" + number,
         ref ->
-            new Job(JobCodec.read(Json.parseObject(TestJobs.job(ref, "array", 40).getBytes())), 0));
+            new Job(
+                JobCodec.read(
+                    Json.parseObject(
+                        TestJobs.job(ref, "array", 40).getBytes(StandardCharsets.UTF_8))),
+                0));
   }
 
   private Machine machine(int number) {
--- a/src/test/java/io/embernotch/state/LargestJobWaitTimesTest.java
+++ b/src/test/java/io/embernotch/state/LargestJobWaitTimesTest.java
@@ -6,6 +6,7 @@
 import io.embernotch.codec.Json;
 import io.embernotch.model.Job;
 import io.embernotch.testkit.TestJobs;
+import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -13,7 +14,9 @@
 class LargestJobWaitTimesTest {
   private static Job job(int number, int tasks) {
     return new Job(
-        JobCodec.read(Json.parseObject(TestJobs.job("j-" + number, "array", tasks).getBytes())),
+        JobCodec.read(
+            Json.parseObject(
+                TestJobs.job("j-" + number, "array", tasks).getBytes(StandardCharsets.UTF_8))),
         1000);
   }
 
--- a/src/test/java/io/embernotch/testkit/FakeStore.java
+++ b/src/test/java/io/embernotch/testkit/FakeStore.java
@@ -201,7 +201,7 @@
       double ttlS = Json.parseObject(body).get("life_ms").asDouble() / MS_PER_S;
       return reply(200, Json.object().put("permit", leases.grant(ttlS)));
     }
-    return handleLease(method, Long.parseLong(path.split("/")[2]));
+    return handleLease(method, Long.parseLong(path.split("/", -1)[2]));
   }
 
   private Future<HttpReply> handleLease(String method, long leaseId) {
@@ -289,7 +289,7 @@
     ObjectNode value = change.get("v").deepCopy();
     writeCounts.merge(key, 1, Integer::sum);
     if (value.path("end").asText().equals("done")) {
-      jobsEverDone.add(key.split("/")[1]);
+      jobsEverDone.add(key.split("/", -1)[1]);
     }
     data.write(key, value, change.path("permit").asLong(0));
     if (key.equals(JobProgressCodec.LEADER)) {
@@ -302,7 +302,7 @@
   }
 
   private static String query(String path, String name) {
-    for (String part : path.substring(path.indexOf('?') + 1).split("&")) {
+    for (String part : path.substring(path.indexOf('?') + 1).split("&", -1)) {
       if (part.startsWith(name + "=")) {
         return part.substring(name.length() + 1);
       }
--- a/src/test/java/io/embernotch/testkit/StoreConnection.java
+++ b/src/test/java/io/embernotch/testkit/StoreConnection.java
@@ -40,7 +40,7 @@
     }
     if (path.equals(COMMIT)
         && faults.commitDelivery != Delivery.DELIVERED
-        && new String(body).contains(faults.commitDeliveryFilter)) {
+        && new String(body, StandardCharsets.UTF_8).contains(faults.commitDeliveryFilter)) {
       deliverAsChosen(method, path, body);
       return HttpNetwork.noReply();
     }
