--- a/src/main/java/io/embernotch/agents/StatusProber.java
+++ b/src/main/java/io/embernotch/agents/StatusProber.java
@@ -127,12 +127,12 @@
   private void requestFailed(Machine machine, double requestedAt, Throwable cause) {
     machine.probing = false;
     callLimiter.release();
-    if (!(cause instanceof CallFailedException failure) || failure.tried) {
+    if (!(cause instanceof CallFailedException failure) || failure.tried()) {
       machine.probeFailedAt = context.clock().now();
       if (machine.up() && machine.lastHeartbeatAt > requestedAt) {
         reachability.callUnanswered(machine, machine.probeFailedAt);
       }
-      machine.probeConnected = cause instanceof CallFailedException failure && failure.sent;
+      machine.probeConnected = cause instanceof CallFailedException failure && failure.sent();
     }
   }
 
--- a/src/main/java/io/embernotch/calendar/OccurrenceStore.java
+++ b/src/main/java/io/embernotch/calendar/OccurrenceStore.java
@@ -1,7 +1,7 @@
 package io.embernotch.calendar;
 
 import io.embernotch.codec.CalendarCodec;
-import io.embernotch.codec.CalendarCodec.Kept;
+import io.embernotch.codec.CalendarCodec.StoredOccurrence;
 import io.embernotch.codec.MalformedInputException;
 import io.embernotch.shared.SharedState;
 import java.util.Collections;
@@ -19,7 +19,7 @@
   private static final String PREFIX = "release/";
 
   private final SharedState shared;
-  private final Map<String, Kept> occurrences = new TreeMap<>();
+  private final Map<String, StoredOccurrence> occurrences = new TreeMap<>();
 
   /** The version of the shared state that {@link #occurrences} was read from. */
   private long readVersion = -1;
@@ -48,7 +48,7 @@
   }
 
   /** All occurrences as of the last {@link #refresh}, by RELEASE/DATE in that order. */
-  Map<String, Kept> all() {
+  Map<String, StoredOccurrence> all() {
     return Collections.unmodifiableMap(occurrences);
   }
 
@@ -57,7 +57,7 @@
   }
 
   /** One occurrence as of the last {@link #refresh}; null if it is not stored, or for null. */
-  Kept get(String name) {
+  StoredOccurrence get(String name) {
     return name == null ? null : occurrences.get(name);
   }
 
@@ -67,7 +67,7 @@
   }
 
   /** Has an occurrence written; {@code durable} runs once the store holds it. */
-  void put(String name, Kept occurrence, Runnable durable) {
+  void put(String name, StoredOccurrence occurrence, Runnable durable) {
     shared.put(PREFIX + name, CalendarCodec.write(occurrence), durable);
   }
 }
--- a/src/main/java/io/embernotch/codec/CalendarCodec.java
+++ b/src/main/java/io/embernotch/codec/CalendarCodec.java
@@ -19,109 +19,184 @@
 import java.util.TreeSet;
 
 /**
- * The embargo calendar as facts that controllers share: its releases, and each coming out with its
- * deadline.
+ * The embargo calendar as shared state entries: its releases, and each occurrence of a release with
+ * its deadline.
  */
 public final class CalendarCodec {
+  /** Generation of the calendar that a value is of. */
+  private static final String GENERATION = "gen";
+
+  /** Present deadline of an occurrence, in milliseconds of the time of day. */
+  private static final String DEADLINE_MS = "at";
+
+  /** Deadline of an occurrence when it was first written. */
+  private static final String FIRST_DEADLINE_MS = "first";
+
+  /** Whether the embargo of an occurrence is lifted. */
+  private static final String LIFTED = "lifted";
+
+  /** Number of jobs of an occurrence. */
+  private static final String JOBS = "jobs";
+
+  /** How many of them were done by the deadline. */
+  private static final String IN_TIME = "in_time";
+
+  /** Whether the deadline of an occurrence has passed. */
+  private static final String OVER = "over";
+
+  /** List of releases. */
+  private static final String RELEASES = "releases";
+
+  /** Id of a release. */
+  private static final String ID = "id";
+
+  /** Time zone of a release. */
+  private static final String ZONE = "zone";
+
+  /** Time of day of a release. */
+  private static final String TIME = "time";
+
+  /** Seconds before the deadline by which the work is to be done. */
+  private static final String LEAD_S = "lead";
+
+  /** Days of the week, Monday is 1. */
+  private static final String DAYS = "days";
+
+  /** Dates without an occurrence. */
+  private static final String EXCEPT = "except";
+
+  /** Additional dates with their time. */
+  private static final String ALSO = "also";
+
+  /** Dates with another time; null: lifted. */
+  private static final String MOVED = "moved";
+
+  /** Selectors of the work that a release needs. */
+  private static final String ORDERS = "orders";
+
   private CalendarCodec() {}
 
   /**
-   * One coming out as it is kept: {@code firstMs} is its deadline when it was first written, which
-   * never changes.
+   * One occurrence of a release as it is stored.
+   *
+   * @param generation generation of the calendar that it was written under
+   * @param deadlineMs present deadline, in milliseconds of the time of day
+   * @param firstDeadlineMs the deadline when it was first written; it never changes
+   * @param lifted whether its embargo is lifted
+   * @param jobs number of jobs for it
+   * @param inTime how many of them were done by the deadline
+   * @param over whether the deadline has passed, and the counts are final
    */
-  public record Kept(
+  public record StoredOccurrence(
       long generation,
-      long atMs,
-      long firstMs,
+      long deadlineMs,
+      long firstDeadlineMs,
       boolean lifted,
       int jobs,
       int inTime,
       boolean over) {}
 
-  public static ObjectNode write(Kept k) {
+  /** The value of an occurrence. */
+  public static ObjectNode write(StoredOccurrence occurrence) {
     return Json.object()
-        .put("gen", k.generation())
-        .put("at", k.atMs())
-        .put("first", k.firstMs())
-        .put("lifted", k.lifted())
-        .put("jobs", k.jobs())
-        .put("in_time", k.inTime())
-        .put("over", k.over());
+        .put(GENERATION, occurrence.generation())
+        .put(DEADLINE_MS, occurrence.deadlineMs())
+        .put(FIRST_DEADLINE_MS, occurrence.firstDeadlineMs())
+        .put(LIFTED, occurrence.lifted())
+        .put(JOBS, occurrence.jobs())
+        .put(IN_TIME, occurrence.inTime())
+        .put(OVER, occurrence.over());
   }
 
-  public static Kept read(JsonNode o) {
-    return new Kept(
-        Json.whole(o, "gen"),
-        Json.whole(o, "at"),
-        Json.whole(o, "first"),
-        o.path("lifted").asBoolean(),
-        o.path("jobs").asInt(),
-        o.path("in_time").asInt(),
-        o.path("over").asBoolean());
+  /**
+   * Reads the value of an occurrence.
+   *
+   * @throws MalformedInputException if its generation or a deadline is missing
+   */
+  public static StoredOccurrence read(JsonNode json) {
+    return new StoredOccurrence(
+        Json.whole(json, GENERATION),
+        Json.whole(json, DEADLINE_MS),
+        Json.whole(json, FIRST_DEADLINE_MS),
+        json.path(LIFTED).asBoolean(),
+        json.path(JOBS).asInt(),
+        json.path(IN_TIME).asInt(),
+        json.path(OVER).asBoolean());
   }
 
+  /** The value that holds a calendar's releases. */
   public static ObjectNode writeReleases(long generation, List<Release> releases) {
-    ObjectNode o = Json.object().put("gen", generation);
-    ArrayNode list = o.putArray("releases");
-    for (Release r : releases) {
-      ObjectNode n =
+    ObjectNode json = Json.object().put(GENERATION, generation);
+    ArrayNode list = json.putArray(RELEASES);
+    for (Release release : releases) {
+      ObjectNode entry =
           list.addObject()
-              .put("id", r.id())
-              .put("zone", r.zone().getId())
-              .put("time", r.time().toString())
-              .put("lead", r.leadS());
-      ArrayNode days = n.putArray("days");
-      r.days().forEach(d -> days.add(d.getValue()));
-      ArrayNode except = n.putArray("except");
-      r.except().forEach(d -> except.add(d.toString()));
-      times(n.putObject("also"), r.also());
-      times(n.putObject("moved"), r.moved());
-      ArrayNode orders = n.putArray("orders");
-      r.orders().forEach(s -> orders.add(ReservationCodec.writeSelector(s)));
+              .put(ID, release.id())
+              .put(ZONE, release.zone().getId())
+              .put(TIME, release.time().toString())
+              .put(LEAD_S, release.leadS());
+      ArrayNode days = entry.putArray(DAYS);
+      release.days().forEach(day -> days.add(day.getValue()));
+      ArrayNode except = entry.putArray(EXCEPT);
+      release.except().forEach(date -> except.add(date.toString()));
+      writeTimes(entry.putObject(ALSO), release.also());
+      writeTimes(entry.putObject(MOVED), release.moved());
+      ArrayNode orders = entry.putArray(ORDERS);
+      release.orders().forEach(s -> orders.add(ReservationCodec.writeSelector(s)));
     }
-    return o;
+    return json;
   }
 
-  private static void times(ObjectNode into, Map<LocalDate, LocalTime> times) {
-    times.forEach((d, t) -> into.put(d.toString(), t == null ? null : t.toString()));
+  private static void writeTimes(ObjectNode json, Map<LocalDate, LocalTime> times) {
+    times.forEach((date, time) -> json.put(date.toString(), time == null ? null : time.toString()));
   }
 
-  public static List<Release> readReleases(JsonNode o) {
-    List<Release> out = new ArrayList<>();
+  /**
+   * Reads a calendar's releases.
+   *
+   * @throws MalformedInputException if a field is missing, or a date, time or time zone is none
+   */
+  public static List<Release> readReleases(JsonNode json) {
+    List<Release> releases = new ArrayList<>();
     try {
-      for (JsonNode n : Json.need(o, "releases")) {
-        Set<DayOfWeek> days = EnumSet.noneOf(DayOfWeek.class);
-        n.path("days").forEach(d -> days.add(DayOfWeek.of(d.asInt())));
-        Set<LocalDate> except = new TreeSet<>();
-        n.path("except").forEach(d -> except.add(LocalDate.parse(d.asText())));
-        List<Selector> orders = new ArrayList<>();
-        n.path("orders").forEach(s -> orders.add(ReservationCodec.readSelector(s)));
-        out.add(
-            new Release(
-                Json.need(n, "id").asText(),
-                ZoneId.of(Json.need(n, "zone").asText()),
-                LocalTime.parse(Json.need(n, "time").asText()),
-                days,
-                except,
-                times(n.path("also")),
-                times(n.path("moved")),
-                orders,
-                n.path("lead").asDouble()));
+      for (JsonNode entry : Json.need(json, RELEASES)) {
+        releases.add(readRelease(entry));
       }
     } catch (DateTimeException e) {
-      throw new MalformedInputException("releases: " + e.getMessage());
+      throw new MalformedInputException(RELEASES + ": " + e.getMessage());
     }
-    return out;
+    return releases;
+  }
+
+  private static Release readRelease(JsonNode entry) {
+    Set<DayOfWeek> days = EnumSet.noneOf(DayOfWeek.class);
+    entry.path(DAYS).forEach(day -> days.add(DayOfWeek.of(day.asInt())));
+    Set<LocalDate> except = new TreeSet<>();
+    entry.path(EXCEPT).forEach(date -> except.add(LocalDate.parse(date.asText())));
+    List<Selector> orders = new ArrayList<>();
+    entry.path(ORDERS).forEach(s -> orders.add(ReservationCodec.readSelector(s)));
+    return new Release(
+        Json.need(entry, ID).asText(),
+        ZoneId.of(Json.need(entry, ZONE).asText()),
+        LocalTime.parse(Json.need(entry, TIME).asText()),
+        days,
+        except,
+        readTimes(entry.path(ALSO)),
+        readTimes(entry.path(MOVED)),
+        orders,
+        entry.path(LEAD_S).asDouble());
   }
 
-  private static Map<LocalDate, LocalTime> times(JsonNode o) {
-    Map<LocalDate, LocalTime> out = new LinkedHashMap<>();
-    o.fields()
+  private static Map<LocalDate, LocalTime> readTimes(JsonNode json) {
+    Map<LocalDate, LocalTime> times = new LinkedHashMap<>();
+    json.fields()
         .forEachRemaining(
-            e ->
-                out.put(
-                    LocalDate.parse(e.getKey()),
-                    e.getValue().isNull() ? null : LocalTime.parse(e.getValue().asText())));
-    return out;
+            field -> {
+              JsonNode time = field.getValue();
+              times.put(
+                  LocalDate.parse(field.getKey()),
+                  time.isNull() ? null : LocalTime.parse(time.asText()));
+            });
+    return times;
   }
 }
--- a/src/main/java/io/embernotch/codec/Json.java
+++ b/src/main/java/io/embernotch/codec/Json.java
@@ -10,7 +10,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 
-/** Reading fields with complaints that name them. */
+/** Reads fields of JSON objects; errors name the field. */
 public final class Json {
   private static final ObjectMapper MAPPER =
       JsonMapper.builder()
@@ -20,82 +20,127 @@
 
   private Json() {}
 
+  /** A new, empty object. */
   public static ObjectNode object() {
     return JsonNodeFactory.instance.objectNode();
   }
 
-  /** Parses a body that must be one JSON object. */
+  /**
+   * Parses a body that must be one JSON object, without duplicate fields or trailing content.
+   *
+   * @throws MalformedInputException if it is not
+   */
   public static ObjectNode parseObject(byte[] body) {
-    JsonNode n;
+    JsonNode node;
     try {
-      n = MAPPER.readTree(body);
+      node = MAPPER.readTree(body);
     } catch (IOException e) {
       throw new MalformedInputException("not JSON");
     }
-    if (n == null || !n.isObject()) {
+    if (node == null || !node.isObject()) {
       throw new MalformedInputException("not a JSON object");
     }
-    return (ObjectNode) n;
+    return (ObjectNode) node;
   }
 
-  public static byte[] bytes(JsonNode n) {
+  /** The JSON text of a node in UTF-8. */
+  public static byte[] bytes(JsonNode node) {
     try {
-      return MAPPER.writeValueAsBytes(n);
+      return MAPPER.writeValueAsBytes(node);
     } catch (JsonProcessingException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  /** The field, or null if it is absent or null. */
-  public static JsonNode opt(JsonNode o, String name) {
-    JsonNode n = o.get(name);
-    return n == null || n.isNull() ? null : n;
+  /** The field, or null if it is absent or JSON null. */
+  public static JsonNode opt(JsonNode object, String name) {
+    JsonNode node = object.get(name);
+    return node == null || node.isNull() ? null : node;
   }
 
-  public static JsonNode need(JsonNode o, String name) {
-    JsonNode n = opt(o, name);
-    if (n == null) {
+  /**
+   * A field that must be there.
+   *
+   * @throws MalformedInputException if it is absent or JSON null
+   */
+  public static JsonNode need(JsonNode object, String name) {
+    JsonNode node = opt(object, name);
+    if (node == null) {
       throw new MalformedInputException(name + ": missing");
     }
-    return n;
+    return node;
   }
 
-  public static String text(JsonNode o, String name) {
-    JsonNode n = need(o, name);
-    if (!n.isTextual()) {
+  /**
+   * A string.
+   *
+   * @throws MalformedInputException if the field is missing or no string
+   */
+  public static String text(JsonNode object, String name) {
+    JsonNode node = need(object, name);
+    if (!node.isTextual()) {
       throw new MalformedInputException(name + ": must be a string");
     }
-    return n.textValue();
+    return node.textValue();
   }
 
-  public static boolean flag(JsonNode o, String name) {
-    JsonNode n = need(o, name);
-    if (!n.isBoolean()) {
+  /**
+   * A boolean.
+   *
+   * @throws MalformedInputException if the field is missing or no boolean
+   */
+  public static boolean flag(JsonNode object, String name) {
+    JsonNode node = need(object, name);
+    if (!node.isBoolean()) {
       throw new MalformedInputException(name + ": must be true or false");
     }
-    return n.booleanValue();
+    return node.booleanValue();
   }
 
-  /** A flag that may be omitted, as one may that is null. */
-  public static boolean flagOr(JsonNode o, String name, boolean fallback) {
-    return opt(o, name) == null ? fallback : flag(o, name);
+  /**
+   * A boolean that may be absent or JSON null.
+   *
+   * @param fallback its value then
+   * @throws MalformedInputException if the field is there and no boolean
+   */
+  public static boolean flagOr(JsonNode object, String name, boolean fallback) {
+    return opt(object, name) == null ? fallback : flag(object, name);
   }
 
-  /** A finite number of at least 0. */
-  public static double amount(JsonNode o, String name) {
-    JsonNode n = need(o, name);
-    double v = n.isNumber() ? n.doubleValue() : Double.NaN;
-    if (!(v >= 0) || Double.isInfinite(v)) {
+  /**
+   * A finite number of at least 0.
+   *
+   * @throws MalformedInputException if the field is missing or no such number
+   */
+  public static double amount(JsonNode object, String name) {
+    JsonNode node = need(object, name);
+    double number = node.isNumber() ? node.doubleValue() : Double.NaN;
+    if (!(number >= 0) || Double.isInfinite(number)) {
       throw new MalformedInputException(name + ": must be a number of at least 0");
     }
-    return v;
+    return number;
   }
 
-  public static long whole(JsonNode o, String name) {
-    JsonNode n = need(o, name);
-    if (!n.isIntegralNumber() || !n.canConvertToLong() || n.longValue() < 0) {
+  /**
+   * An {@linkplain #amount amount} that may be absent or JSON null.
+   *
+   * @param fallback its value then
+   * @throws MalformedInputException if the field is there and no such number
+   */
+  public static double amountOr(JsonNode object, String name, double fallback) {
+    return opt(object, name) == null ? fallback : amount(object, name);
+  }
+
+  /**
+   * A whole number of at least 0.
+   *
+   * @throws MalformedInputException if the field is missing or no such number
+   */
+  public static long whole(JsonNode object, String name) {
+    JsonNode node = need(object, name);
+    if (!node.isIntegralNumber() || !node.canConvertToLong() || node.longValue() < 0) {
       throw new MalformedInputException(name + ": must be a whole number of at least 0");
     }
-    return n.longValue();
+    return node.longValue();
   }
 }
--- a/src/main/java/io/embernotch/codec/ReservationCodec.java
+++ b/src/main/java/io/embernotch/codec/ReservationCodec.java
@@ -13,112 +13,188 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/**
- * Reservations as facts that controllers share: their terms, and what is held on which machines.
- */
+/** Reservations as shared state entries: their terms, and what is reserved on which machines. */
 public final class ReservationCodec {
+  /** Generation of the reservations that a value is of. */
+  private static final String GENERATION = "gen";
+
+  /** List of reservations. */
+  private static final String TERMS = "terms";
+
+  /** Name of a reservation. */
+  private static final String NAME = "name";
+
+  /** Number of whole machines. */
+  private static final String MACHINES = "machines";
+
+  /** Number of CPUs. */
+  private static final String CPUS = "cpus";
+
+  /** Number of GPUs. */
+  private static final String GPUS = "gpus";
+
+  /** Memory in GB. */
+  private static final String MEM_GB = "mem";
+
+  /** Headroom as a share of what the work holds. */
+  private static final String SHARE = "share";
+
+  /** Headroom in standard deviations of the work's growth. */
+  private static final String DEVIATIONS = "dev";
+
+  /** Selectors of the work that a reservation serves. */
+  private static final String SERVES = "serves";
+
+  /** Machine types that a reservation may use. */
+  private static final String TYPES = "types";
+
+  /** Least share of the headroom by zone. */
+  private static final String ZONES = "zones";
+
+  /** Priority that a selector asks for, absent for any. */
+  private static final String PRIORITY = "priority";
+
+  /** Shape that a selector asks for, absent for any. */
+  private static final String SHAPE = "shape";
+
+  /** Team that a selector asks for, null for any. */
+  private static final String TEAM = "team";
+
+  /** Job class that a selector asks for, null for any. */
+  private static final String JOB_CLASS = "class";
+
+  /** Reserved amounts by machine. */
+  private static final String RESERVED = "on";
+
+  /** Reserved amounts are stored as whole numbers of this fraction. */
+  private static final double UNITS = 1000.0;
+
+  /** CPUs, GPUs and memory. */
+  private static final int AMOUNTS = 3;
+
   private ReservationCodec() {}
 
+  /** The value that holds the terms of all reservations. */
   public static ObjectNode writeTerms(long generation, List<Reservation> terms) {
-    ObjectNode o = Json.object().put("gen", generation);
-    ArrayNode list = o.putArray("terms");
-    for (Reservation r : terms) {
-      ObjectNode t =
+    ObjectNode json = Json.object().put(GENERATION, generation);
+    ArrayNode list = json.putArray(TERMS);
+    for (Reservation reservation : terms) {
+      ObjectNode entry =
           list.addObject()
-              .put("name", r.name())
-              .put("machines", r.machines())
-              .put("cpus", r.cpus())
-              .put("gpus", r.gpus())
-              .put("mem", r.memGb())
-              .put("share", r.share())
-              .put("dev", r.deviations());
-      ArrayNode serves = t.putArray("serves");
-      r.serves().forEach(s -> serves.add(writeSelector(s)));
-      ArrayNode types = t.putArray("types");
-      r.types().forEach(types::add);
-      ObjectNode zones = t.putObject("zones");
-      r.zones().forEach(zones::put);
+              .put(NAME, reservation.name())
+              .put(MACHINES, reservation.machines())
+              .put(CPUS, reservation.cpus())
+              .put(GPUS, reservation.gpus())
+              .put(MEM_GB, reservation.memGb())
+              .put(SHARE, reservation.share())
+              .put(DEVIATIONS, reservation.deviations());
+      ArrayNode serves = entry.putArray(SERVES);
+      reservation.serves().forEach(selector -> serves.add(writeSelector(selector)));
+      ArrayNode types = entry.putArray(TYPES);
+      reservation.types().forEach(types::add);
+      ObjectNode zones = entry.putObject(ZONES);
+      reservation.zones().forEach(zones::put);
     }
-    return o;
+    return json;
   }
 
-  public static ObjectNode writeSelector(Selector s) {
-    ObjectNode o = Json.object();
-    if (s.priority() != null) {
-      o.put("priority", s.priority().name());
+  /** A selector as JSON. */
+  public static ObjectNode writeSelector(Selector selector) {
+    ObjectNode json = Json.object();
+    if (selector.priority() != null) {
+      json.put(PRIORITY, selector.priority().name());
     }
-    if (s.shape() != null) {
-      o.put("shape", s.shape().name());
+    if (selector.shape() != null) {
+      json.put(SHAPE, selector.shape().name());
     }
-    return o.put("team", s.team()).put("class", s.jobClass());
+    return json.put(TEAM, selector.team()).put(JOB_CLASS, selector.jobClass());
   }
 
-  public static Selector readSelector(JsonNode s) {
+  /**
+   * Reads a selector.
+   *
+   * @throws MalformedInputException if its priority or shape is unknown
+   */
+  public static Selector readSelector(JsonNode json) {
     try {
       return new Selector(
-          s.has("priority") ? Priority.valueOf(s.get("priority").asText()) : null,
-          s.has("shape") ? JobShape.valueOf(s.get("shape").asText()) : null,
-          s.path("team").asText(null),
-          s.path("class").asText(null));
+          json.has(PRIORITY) ? Priority.valueOf(json.get(PRIORITY).asText()) : null,
+          json.has(SHAPE) ? JobShape.valueOf(json.get(SHAPE).asText()) : null,
+          json.path(TEAM).asText(null),
+          json.path(JOB_CLASS).asText(null));
     } catch (IllegalArgumentException e) {
       throw new MalformedInputException("selector: " + e.getMessage());
     }
   }
 
-  public static List<Reservation> readTerms(JsonNode o) {
-    List<Reservation> out = new ArrayList<>();
-    for (JsonNode t : Json.need(o, "terms")) {
-      List<Selector> serves = new ArrayList<>();
-      t.path("serves").forEach(s -> serves.add(readSelector(s)));
-      List<String> types = new ArrayList<>();
-      t.path("types").forEach(x -> types.add(x.asText()));
-      Map<String, Double> zones = new LinkedHashMap<>();
-      t.path("zones")
-          .fields()
-          .forEachRemaining(z -> zones.put(z.getKey(), z.getValue().asDouble()));
-      out.add(
-          new Reservation(
-              Json.need(t, "name").asText(),
-              serves,
-              t.path("machines").asInt(),
-              t.path("cpus").asDouble(),
-              t.path("gpus").asDouble(),
-              t.path("mem").asDouble(),
-              t.path("share").asDouble(),
-              t.path("dev").asDouble(),
-              types,
-              zones));
+  /**
+   * Reads the terms of all reservations.
+   *
+   * @throws MalformedInputException if the list or a name is missing, or a selector is malformed
+   */
+  public static List<Reservation> readTerms(JsonNode json) {
+    List<Reservation> terms = new ArrayList<>();
+    for (JsonNode entry : Json.need(json, TERMS)) {
+      terms.add(readReservation(entry));
     }
-    return out;
+    return terms;
+  }
+
+  private static Reservation readReservation(JsonNode entry) {
+    List<Selector> serves = new ArrayList<>();
+    entry.path(SERVES).forEach(selector -> serves.add(readSelector(selector)));
+    List<String> types = new ArrayList<>();
+    entry.path(TYPES).forEach(type -> types.add(type.asText()));
+    Map<String, Double> zones = new LinkedHashMap<>();
+    entry
+        .path(ZONES)
+        .fields()
+        .forEachRemaining(zone -> zones.put(zone.getKey(), zone.getValue().asDouble()));
+    return new Reservation(
+        Json.need(entry, NAME).asText(),
+        serves,
+        entry.path(MACHINES).asInt(),
+        entry.path(CPUS).asDouble(),
+        entry.path(GPUS).asDouble(),
+        entry.path(MEM_GB).asDouble(),
+        entry.path(SHARE).asDouble(),
+        entry.path(DEVIATIONS).asDouble(),
+        types,
+        zones);
   }
 
-  /** What is held on machines, by name: CPUs, GPUs and memory in GB, in thousandths. */
-  public static ObjectNode writeHeld(Map<String, double[]> held) {
-    ObjectNode o = Json.object();
-    ObjectNode on = o.putObject("on");
-    new TreeMap<>(held)
+  /**
+   * The value that holds what is reserved on machines.
+   *
+   * @param reserved CPUs, GPUs and memory in GB by machine; they are kept to a thousandth
+   */
+  public static ObjectNode writeReserved(Map<String, double[]> reserved) {
+    ObjectNode json = Json.object();
+    ObjectNode byMachine = json.putObject(RESERVED);
+    new TreeMap<>(reserved)
         .forEach(
-            (machine, a) -> {
-              ArrayNode list = on.putArray(machine);
-              for (double d : a) {
-                list.add(Math.round(d * 1000));
+            (machine, amounts) -> {
+              ArrayNode list = byMachine.putArray(machine);
+              for (double amount : amounts) {
+                list.add(Math.round(amount * UNITS));
               }
             });
-    return o;
+    return json;
   }
 
-  public static Map<String, double[]> readHeld(JsonNode o) {
-    Map<String, double[]> out = new TreeMap<>();
-    o.path("on")
+  /** Reads what is reserved on machines: CPUs, GPUs and memory in GB by machine. */
+  public static Map<String, double[]> readReserved(JsonNode json) {
+    Map<String, double[]> reserved = new TreeMap<>();
+    json.path(RESERVED)
         .fields()
         .forEachRemaining(
-            e -> {
-              double[] a = new double[3];
-              for (int i = 0; i < 3; i++) {
-                a[i] = e.getValue().path(i).asLong() / 1000.0;
+            field -> {
+              double[] amounts = new double[AMOUNTS];
+              for (int i = 0; i < AMOUNTS; i++) {
+                amounts[i] = field.getValue().path(i).asLong() / UNITS;
               }
-              out.put(e.getKey(), a);
+              reserved.put(field.getKey(), amounts);
             });
-    return out;
+    return reserved;
   }
 }
--- a/src/main/java/io/embernotch/controller/Controller.java
+++ b/src/main/java/io/embernotch/controller/Controller.java
@@ -82,7 +82,7 @@
     localPartition =
         new LocalPartition(context.clock(), MACHINE_VIEW_ROUNDS * context.operator().roundS());
     leaderClient = createLeaderClient();
-    shardSize = JobProgressCodec.shard(settings.minStoreLimits().valueKb(), settings.zones());
+    shardSize = JobProgressCodec.shardSize(settings.minStoreLimits().valueKb(), settings.zones());
     jobAnnouncements = createJobAnnouncements();
     submissions = createSubmissionHandler();
     jobQueries =
--- a/src/main/java/io/embernotch/controller/PeerFrameDispatcher.java
+++ b/src/main/java/io/embernotch/controller/PeerFrameDispatcher.java
@@ -71,7 +71,7 @@
     } else if (frame instanceof Frame.ImageInventoryUpdate update) {
       imageInventory.update(update);
     } else if (frame instanceof Frame.MachineViewRemoval removal) {
-      localPartition.forget(removal.epoch(), removal.machine());
+      localPartition.remove(removal.epoch(), removal.machine());
     } else if (frame instanceof Frame.RestartProposals proposals) {
       restartsProposed(proposals);
     }
@@ -80,7 +80,7 @@
   private void forwardedRequest(Frame.ForwardedRequest request, PeerLink.ReplyChannel replies) {
     Promise<HttpResponse> reply = Promise.promise();
     reply.future().onSuccess(response -> replies.send(frameOf(request.id(), response)));
-    if (!localLeader.tell(new LeaderMessage.UserRequest(request.what(), request.ref(), reply))) {
+    if (!localLeader.tell(new LeaderMessage.UserRequest(request.kind(), request.ref(), reply))) {
       reply.complete(HttpResponse.later("not the steward"));
     }
   }
--- a/src/main/java/io/embernotch/forwarding/HeartbeatResponses.java
+++ b/src/main/java/io/embernotch/forwarding/HeartbeatResponses.java
@@ -19,7 +19,7 @@
 
   /** Renews nothing; the agent stays with this controller and sends its next heartbeat here. */
   static HttpResponse stay() {
-    return HttpResponse.of(OK, WorkerCodec.stay());
+    return HttpResponse.of(OK, WorkerCodec.emptyResponse());
   }
 
   /** Renews the agent's lease under the fencing token that it has, and commands nothing. */
--- a/src/main/java/io/embernotch/leader/LeaderComponents.java
+++ b/src/main/java/io/embernotch/leader/LeaderComponents.java
@@ -124,7 +124,7 @@
   private ShardLayout createShardLayout() {
     Settings settings = context.settings();
     return new ShardLayout(
-        JobProgressCodec.shard(settings.minStoreLimits().valueKb(), settings.zones()));
+        JobProgressCodec.shardSize(settings.minStoreLimits().valueKb(), settings.zones()));
   }
 
   private StateWriter createStateWriter() {
@@ -172,8 +172,8 @@
     return new MachineViewPublisher(
         context,
         state,
-        (node, view) -> leaderContext.partitionViews().view(node, term.epoch(), view),
-        (node, machine) -> leaderContext.partitionViews().forget(node, term.epoch(), machine));
+        (node, view) -> leaderContext.partitionViews().send(node, term.epoch(), view),
+        (node, machine) -> leaderContext.partitionViews().remove(node, term.epoch(), machine));
   }
 
   private SharedStateServices createSharedState() {
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotArchive.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotArchive.java
@@ -16,7 +16,7 @@
 import java.util.zip.ZipOutputStream;
 
 /**
- * One snapshot as a ZIP archive, so that common tools can look at it too: {@code head} is a {@link
+ * One snapshot as a ZIP archive, which common tools can open too: {@code head} is a {@link
  * SnapshotHead}, each {@code part-K} a {@link ClusterSnapshot} of some of the jobs. ZIP has a
  * checksum for each of them; the head has the number of parts and one checksum over all, since an
  * archive that lacks its last parts would look whole.
@@ -24,118 +24,146 @@
 public final class SnapshotArchive {
   private static final int VERSION = 1;
 
-  /** Jobs in a part, and ends: damage is named by the part. */
-  private static final int JOBS = 500;
+  private static final String HEAD = "head";
 
-  private static final int ENDS = 5000;
+  /** Jobs in a part; messages about damage name the part. */
+  private static final int JOBS_PER_PART = 500;
+
+  /** Jobs of which only the end is left, in a part. */
+  private static final int ENDED_JOBS_PER_PART = 5000;
 
   /** A file that is not a whole snapshot; the message names the place. */
-  public static final class Damaged extends IOException {
+  public static final class DamagedSnapshotException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    public Damaged(String message) {
+    /**
+     * @param message the place of the damage and what is wrong
+     */
+    public DamagedSnapshotException(String message) {
       super(message);
     }
   }
 
   private final SnapshotHead head;
-  private final ClusterSnapshot copy;
+  private final ClusterSnapshot snapshot;
 
-  private SnapshotArchive(SnapshotHead head, ClusterSnapshot copy) {
+  private SnapshotArchive(SnapshotHead head, ClusterSnapshot snapshot) {
     this.head = head;
-    this.copy = copy;
+    this.snapshot = snapshot;
   }
 
+  /** The head of the archive. */
   public SnapshotHead head() {
     return head;
   }
 
-  public ClusterSnapshot copy() {
-    return copy;
+  /** The snapshot; marked as incomplete, since what followed it is not in it. */
+  public ClusterSnapshot snapshot() {
+    return snapshot;
   }
 
-  /** Writes a copy that belongs to an incarnation; leaves {@code out} open. */
-  public static void write(ClusterSnapshot copy, String incarnation, OutputStream out)
+  /**
+   * Writes a snapshot.
+   *
+   * @param incarnation name of the store incarnation that it is of
+   * @param out takes the archive; it is left open
+   */
+  public static void write(ClusterSnapshot snapshot, String incarnation, OutputStream out)
       throws IOException {
-    List<byte[]> parts = parts(copy);
+    List<byte[]> parts = parts(snapshot);
     SnapshotHead head =
         SnapshotHead.newBuilder()
             .setVersion(VERSION)
             .setEra(incarnation)
-            .setEpoch(copy.getEpoch())
-            .setWallMs(copy.getWallMs())
-            .setJobs(copy.getJobCount())
-            .setEnded(copy.getEndedCount())
+            .setEpoch(snapshot.getEpoch())
+            .setWallMs(snapshot.getWallMs())
+            .setJobs(snapshot.getJobCount())
+            .setEnded(snapshot.getEndedCount())
             .setParts(parts.size())
             .setCrc(sum(parts))
             .build();
     ZipOutputStream zip = new ZipOutputStream(out);
-    entry(zip, "head", head.toByteArray());
-    for (int k = 0; k < parts.size(); k++) {
-      entry(zip, part(k), parts.get(k));
+    putEntry(zip, HEAD, head.toByteArray());
+    for (int index = 0; index < parts.size(); index++) {
+      putEntry(zip, partName(index), parts.get(index));
     }
     zip.finish();
   }
 
   /**
-   * @throws Damaged if it is not a whole snapshot, with the place; nothing of it is to be used then
+   * Reads an archive.
+   *
+   * @throws DamagedSnapshotException if it is not a whole snapshot; nothing of it is to be used
+   *     then
+   * @throws IOException if it cannot be read
    */
-  public static SnapshotArchive read(InputStream in) throws IOException {
-    ZipInputStream zip = new ZipInputStream(in);
+  public static SnapshotArchive read(InputStream input) throws IOException {
+    ZipInputStream zip = new ZipInputStream(input);
     SnapshotHead head;
-    ClusterSnapshot.Builder copy = ClusterSnapshot.newBuilder();
-    String at = "head";
+    ClusterSnapshot.Builder snapshot = ClusterSnapshot.newBuilder();
+    String place = HEAD;
     List<byte[]> parts = new ArrayList<>();
     try {
-      head = SnapshotHead.parseFrom(next(zip, at));
+      head = SnapshotHead.parseFrom(nextEntry(zip, place));
       if (head.getVersion() > VERSION) {
-        throw new Damaged("head: version " + head.getVersion() + " is newer than " + VERSION);
+        throw new DamagedSnapshotException(
+            "head: version " + head.getVersion() + " is newer than " + VERSION);
       }
-      for (int k = 0; k < head.getParts(); k++) {
-        at = part(k);
-        parts.add(next(zip, at));
-        copy.mergeFrom(ClusterSnapshot.parseFrom(parts.get(k)));
+      for (int index = 0; index < head.getParts(); index++) {
+        place = partName(index);
+        parts.add(nextEntry(zip, place));
+        snapshot.mergeFrom(ClusterSnapshot.parseFrom(parts.get(index)));
       }
     } catch (ZipException | EOFException | InvalidProtocolBufferException e) {
-      throw new Damaged(
-          at + ": " + (e.getMessage() == null ? "the file ends too early" : e.getMessage()));
+      throw new DamagedSnapshotException(
+          place + ": " + (e.getMessage() == null ? "the file ends too early" : e.getMessage()));
     }
     if (sum(parts) != head.getCrc()
-        || copy.getJobCount() != head.getJobs()
-        || copy.getEndedCount() != head.getEnded()) {
-      throw new Damaged("head: the checksum over all parts, or their contents' count, is another");
+        || snapshot.getJobCount() != head.getJobs()
+        || snapshot.getEndedCount() != head.getEnded()) {
+      throw new DamagedSnapshotException(
+          "head: the checksum over all parts, or their contents' count, is another");
     }
     return new SnapshotArchive(
         head,
-        copy.setEpoch(head.getEpoch()).setWallMs(head.getWallMs()).setComplete(false).build());
+        snapshot.setEpoch(head.getEpoch()).setWallMs(head.getWallMs()).setComplete(false).build());
   }
 
-  private static List<byte[]> parts(ClusterSnapshot copy) {
+  private static List<byte[]> parts(ClusterSnapshot snapshot) {
     List<byte[]> out = new ArrayList<>();
-    for (int from = 0; from < copy.getJobCount(); from += JOBS) {
+    for (int from = 0; from < snapshot.getJobCount(); from += JOBS_PER_PART) {
       out.add(
           ClusterSnapshot.newBuilder()
-              .addAllJob(copy.getJobList().subList(from, Math.min(copy.getJobCount(), from + JOBS)))
+              .addAllJob(
+                  snapshot
+                      .getJobList()
+                      .subList(from, Math.min(snapshot.getJobCount(), from + JOBS_PER_PART)))
               .build()
               .toByteArray());
     }
-    if (copy.getSharedCount() > 0) {
+    if (snapshot.getSharedCount() > 0) {
       out.add(
-          ClusterSnapshot.newBuilder().addAllShared(copy.getSharedList()).build().toByteArray());
+          ClusterSnapshot.newBuilder()
+              .addAllShared(snapshot.getSharedList())
+              .build()
+              .toByteArray());
     }
-    for (int from = 0; from < copy.getEndedCount(); from += ENDS) {
+    for (int from = 0; from < snapshot.getEndedCount(); from += ENDED_JOBS_PER_PART) {
       out.add(
           ClusterSnapshot.newBuilder()
               .addAllEnded(
-                  copy.getEndedList().subList(from, Math.min(copy.getEndedCount(), from + ENDS)))
+                  snapshot
+                      .getEndedList()
+                      .subList(
+                          from, Math.min(snapshot.getEndedCount(), from + ENDED_JOBS_PER_PART)))
               .build()
               .toByteArray());
     }
     return out;
   }
 
-  private static String part(int k) {
-    return String.format("part-%05d", k);
+  private static String partName(int index) {
+    return String.format("part-%05d", index);
   }
 
   private static long sum(List<byte[]> parts) {
@@ -144,19 +172,19 @@
     return crc.getValue();
   }
 
-  private static void entry(ZipOutputStream zip, String name, byte[] bytes) throws IOException {
-    ZipEntry e = new ZipEntry(name);
-    e.setTime(0);
-    zip.putNextEntry(e);
+  private static void putEntry(ZipOutputStream zip, String name, byte[] bytes) throws IOException {
+    ZipEntry entry = new ZipEntry(name);
+    entry.setTime(0);
+    zip.putNextEntry(entry);
     zip.write(bytes);
     zip.closeEntry();
   }
 
-  /** Reading an entry to its end checks its checksum. */
-  private static byte[] next(ZipInputStream zip, String name) throws IOException {
-    ZipEntry e = zip.getNextEntry();
-    if (e == null || !e.getName().equals(name)) {
-      throw new Damaged(name + ": not there");
+  /** The bytes of the next entry. Reading an entry to its end checks its checksum. */
+  private static byte[] nextEntry(ZipInputStream zip, String name) throws IOException {
+    ZipEntry entry = zip.getNextEntry();
+    if (entry == null || !entry.getName().equals(name)) {
+      throw new DamagedSnapshotException(name + ": not there");
     }
     return zip.readAllBytes();
   }
--- a/src/main/java/io/embernotch/store/StoreTransport.java
+++ b/src/main/java/io/embernotch/store/StoreTransport.java
@@ -115,7 +115,7 @@
 
   private void callFailed(Promise<StoreReply> promise, Throwable failure) {
     recordFailure();
-    boolean sent = !(failure instanceof CallFailedException call) || call.sent;
+    boolean sent = !(failure instanceof CallFailedException call) || call.sent();
     promise.fail(new StoreException(sent ? Kind.UNKNOWN : Kind.REFUSED, failure.getMessage()));
   }
 
--- a/src/main/java/io/embernotch/straggler/LocalPartition.java
+++ b/src/main/java/io/embernotch/straggler/LocalPartition.java
@@ -7,22 +7,26 @@
 import java.util.Map;
 
 /**
- * A controller's part: the latest view of each machine in it, as the leader streams them. The views
- * of an earlier leader, and those that are not renewed, are forgotten.
+ * A controller's partition: the latest view of each machine in it, as the leader streams them. The
+ * views of an earlier leader, and those that are not renewed, are dropped. Core loop only.
  */
 public final class LocalPartition {
-  private record Held(MachineView view, double at) {}
+  private record ReceivedView(MachineView view, double receivedAt) {}
 
   private final Clock clock;
-  private final double forgetS;
-  private final Map<String, Held> views = new HashMap<>();
+  private final double expiryS;
+  private final Map<String, ReceivedView> views = new HashMap<>();
   private long epoch;
 
-  public LocalPartition(Clock clock, double forgetS) {
+  /**
+   * @param expiryS seconds after which a view that is not renewed is dropped
+   */
+  public LocalPartition(Clock clock, double expiryS) {
     this.clock = clock;
-    this.forgetS = forgetS;
+    this.expiryS = expiryS;
   }
 
+  /** Takes a view; those of an earlier leader than the latest known are ignored. */
   public void put(long leaderEpoch, MachineView view) {
     if (leaderEpoch < epoch) {
       return;
@@ -31,64 +35,34 @@
       epoch = leaderEpoch;
       views.clear();
     }
-    views.put(view.machine(), new Held(view, clock.now()));
+    views.put(view.machine(), new ReceivedView(view, clock.now()));
   }
 
-  public void forget(long leaderEpoch, String machine) {
+  /** Drops the view of a machine, unless another leader than the latest known says so. */
+  public void remove(long leaderEpoch, String machine) {
     if (leaderEpoch == epoch) {
       views.remove(machine);
     }
   }
 
+  /** Epoch of the leader whose views these are; 0 before the first. */
   public long epoch() {
     return epoch;
   }
 
+  /** Number of machines in the partition. */
   public int size() {
     return views.size();
   }
 
-  /** The part now: run times have gone on since each view was made. */
+  /** The partition now: run times have gone on since each view was made. */
   public List<MachineView> current() {
     double now = clock.now();
-    views.values().removeIf(h -> now - h.at > forgetS);
-    List<MachineView> out = new ArrayList<>();
-    for (Held h : views.values()) {
-      out.add(aged(h.view, now - h.at));
+    views.values().removeIf(received -> now - received.receivedAt > expiryS);
+    List<MachineView> current = new ArrayList<>();
+    for (ReceivedView received : views.values()) {
+      current.add(received.view.agedBy(now - received.receivedAt));
     }
-    return out;
-  }
-
-  private static MachineView aged(MachineView m, double by) {
-    List<MachineView.TaskView> tasks = new ArrayList<>();
-    for (MachineView.TaskView t : m.tasks()) {
-      tasks.add(
-          new MachineView.TaskView(
-              t.ref(),
-              t.task(),
-              t.attempt(),
-              t.elapsedS() + by,
-              t.jobMeanS(),
-              t.cpus(),
-              t.gpus(),
-              t.memGb(),
-              t.spotAllowed(),
-              t.zone(),
-              t.types()));
-    }
-    return new MachineView(
-        m.machine(),
-        m.type(),
-        m.zone(),
-        m.spot(),
-        m.cores(),
-        m.pricePerS(),
-        m.usable(),
-        m.freeCpus(),
-        m.freeGpus(),
-        m.freeMemGb(),
-        m.busyTasks(),
-        m.ratios(),
-        tasks);
+    return current;
   }
 }
