--- a/src/main/java/io/embernotch/api/PollRateLimiter.java
+++ b/src/main/java/io/embernotch/api/PollRateLimiter.java
@@ -55,7 +55,7 @@
     this.answeredAt = new LeastRecentlyUsed<>(settings.quota().rememberedJobs());
   }
 
-  /** Whether the poll may be answered; if it then was, {@link #told} is to be called. */
+  /** Whether the poll may be answered; if it then was, {@link #recordAnswer} is to be called. */
   public boolean admit(String ref) {
     double available = limiter.available();
     double load = Math.max(0, 1 - available / (UNLIMITED_SHARE * answersPerS));
--- a/src/main/java/io/embernotch/api/Submission.java
+++ b/src/main/java/io/embernotch/api/Submission.java
@@ -11,6 +11,7 @@
  * @param body the request's body, as another controller is to get it
  * @param mayForward false if another controller has forwarded it to this one
  */
+@SuppressWarnings("ArrayRecordComponent") // The bytes are passed on and never compared.
 record Submission(Job job, ObjectNode value, byte[] body, boolean mayForward) {
   String ref() {
     return job.spec.ref();
--- a/src/main/java/io/embernotch/cloud/CloudClient.java
+++ b/src/main/java/io/embernotch/cloud/CloudClient.java
@@ -12,6 +12,7 @@
 import io.embernotch.store.RateLimiter.RequestPriority;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Supplier;
@@ -82,7 +83,8 @@
   }
 
   private static boolean refusedForCapacity(HttpReply reply) {
-    return reply.status() == UNAVAILABLE && new String(reply.body()).contains(CAPACITY_ERROR);
+    return reply.status() == UNAVAILABLE
+        && new String(reply.body(), StandardCharsets.UTF_8).contains(CAPACITY_ERROR);
   }
 
   /**
@@ -144,6 +146,7 @@
   }
 
   private static <T> Future<T> unexpected(HttpReply reply) {
-    return Future.failedFuture("answer " + reply.status() + " " + new String(reply.body()));
+    return Future.failedFuture(
+        "answer " + reply.status() + " " + new String(reply.body(), StandardCharsets.UTF_8));
   }
 }
--- a/src/main/java/io/embernotch/http/HttpReply.java
+++ b/src/main/java/io/embernotch/http/HttpReply.java
@@ -9,6 +9,7 @@
  * @param status HTTP status
  * @param body body of the reply, possibly empty
  */
+@SuppressWarnings("ArrayRecordComponent") // The bytes are passed on and never compared.
 public record HttpReply(int status, byte[] body) {
   /**
    * The body as a JSON object.
--- a/src/main/java/io/embernotch/http/HttpResponse.java
+++ b/src/main/java/io/embernotch/http/HttpResponse.java
@@ -9,6 +9,7 @@
  * @param body JSON body
  * @param retryAfterS seconds after which the caller is to try again; 0: not said
  */
+@SuppressWarnings("ArrayRecordComponent") // The bytes are passed on and never compared.
 public record HttpResponse(int status, byte[] body, int retryAfterS) {
   private static final int SERVICE_UNAVAILABLE = 503;
 
--- a/src/main/java/io/embernotch/peer/Frame.java
+++ b/src/main/java/io/embernotch/peer/Frame.java
@@ -25,6 +25,7 @@
    * @param value JSON of the job's submission key, with the incarnation and the revision that wrote
    *     it
    */
+  @SuppressWarnings("ArrayRecordComponent") // The bytes are passed on and never compared.
   record JobAccepted(byte[] value) implements Frame {}
 
   /**
@@ -52,6 +53,7 @@
    * @param id number of the request, which its response repeats
    * @param body body of the user's request
    */
+  @SuppressWarnings("ArrayRecordComponent") // The bytes are passed on and never compared.
   record ForwardedSubmission(long id, byte[] body) implements Frame {}
 
   /**
@@ -62,6 +64,7 @@
    * @param retryAfterS seconds after which the caller is to try again; 0: not said
    * @param body body of the HTTP response
    */
+  @SuppressWarnings("ArrayRecordComponent") // The bytes are passed on and never compared.
   record Response(long id, int status, int retryAfterS, byte[] body) implements Frame {}
 
   /**
--- a/src/main/java/io/embernotch/peer/FrameEncoder.java
+++ b/src/main/java/io/embernotch/peer/FrameEncoder.java
@@ -201,11 +201,13 @@
   }
 
   /** An enum constant by its position. */
+  @SuppressWarnings("EnumOrdinal") // The position is the encoding; constants are only appended.
   private void putEnum(Enum<?> value) {
     buffer.put((byte) value.ordinal());
   }
 
   /** An enum constant by its position; null as -1. */
+  @SuppressWarnings("EnumOrdinal") // The position is the encoding; constants are only appended.
   private void putOptionalEnum(Enum<?> value) {
     buffer.put(value == null ? ABSENT_ENUM : (byte) value.ordinal());
   }
--- a/src/main/java/io/embernotch/persistence/WriteScheduler.java
+++ b/src/main/java/io/embernotch/persistence/WriteScheduler.java
@@ -14,6 +14,8 @@
   /** Builds and sends a transaction. */
   interface Writer {
     /**
+     * Writes what is due.
+     *
      * @param minChanges changes that the write slot grants
      * @return number of changes made
      */
--- a/src/main/java/io/embernotch/scheduling/Scheduler.java
+++ b/src/main/java/io/embernotch/scheduling/Scheduler.java
@@ -47,7 +47,7 @@
     this.settings = settings;
     this.operator = operator;
     this.maxNewMachines =
-        (int) Math.max(1, settings.cloudLimits().rps()) * Settings.CloudLimits.MAX_RENT;
+        ((int) Math.max(1, settings.cloudLimits().rps())) * Settings.CloudLimits.MAX_RENT;
   }
 
   /**
--- a/src/main/java/io/embernotch/snapshot/BaseSnapshot.java
+++ b/src/main/java/io/embernotch/snapshot/BaseSnapshot.java
@@ -152,7 +152,7 @@
   }
 
   private void layOver(VersionedEntry entry, Map<String, VersionedEntry> entries) {
-    String ref = entry.key().split("/")[1];
+    String ref = entry.key().split("/", -1)[1];
     if (endedJobs.containsKey(ref)) {
       return;
     }
--- a/src/main/java/io/embernotch/snapshot/ProgressShard.java
+++ b/src/main/java/io/embernotch/snapshot/ProgressShard.java
@@ -23,7 +23,7 @@
    * @throws MalformedInputException if its size or index is no number
    */
   public static ProgressShard of(VersionedEntry entry) {
-    String[] names = entry.key().substring(JobProgressCodec.REFINED_SHARD.length()).split("/");
+    String[] names = entry.key().substring(JobProgressCodec.REFINED_SHARD.length()).split("/", -1);
     try {
       return new ProgressShard(
           names[0], Integer.parseInt(names[1]), Integer.parseInt(names[2]), entry);
--- a/src/main/java/io/embernotch/snapshot/SnapshotMerge.java
+++ b/src/main/java/io/embernotch/snapshot/SnapshotMerge.java
@@ -83,6 +83,7 @@
     return shared;
   }
 
+  @SuppressWarnings("ReferenceEquality") // Versions.later returns one of its two arguments.
   private static SharedStateEntry later(SharedStateEntry a, SharedStateEntry b) {
     ObjectNode valueOfA = Json.parseObject(a.getValue().toByteArray());
     ObjectNode valueOfB = Json.parseObject(b.getValue().toByteArray());
--- a/src/main/java/io/embernotch/snapshot/StateSnapshot.java
+++ b/src/main/java/io/embernotch/snapshot/StateSnapshot.java
@@ -109,7 +109,7 @@
     }
 
     void readShard(VersionedEntry entry) {
-      Job job = jobs.get(entry.key().split("/")[1]);
+      Job job = jobs.get(entry.key().split("/", -1)[1]);
       if (job != null) {
         JobProgressCodec.readShard(
             entry.value(),
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotDiff.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotDiff.java
@@ -10,6 +10,7 @@
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Objects;
 import java.util.TreeSet;
@@ -25,7 +26,7 @@
         .put(
             "phase",
             job.hasEnd()
-                ? job.getEnd().name().toLowerCase()
+                ? job.getEnd().name().toLowerCase(Locale.ROOT)
                 : job.getOpenCount() > 0 ? "running" : "queued")
         .put("done", BitSet.valueOf(job.getDone().toByteArray()).cardinality())
         .put("open", job.getOpenCount())
@@ -36,7 +37,7 @@
   public static ObjectNode line(EndedJobSnapshot endedJob) {
     return Json.object()
         .put("ref", endedJob.getRef())
-        .put("phase", endedJob.getEnd().name().toLowerCase())
+        .put("phase", endedJob.getEnd().name().toLowerCase(Locale.ROOT))
         .put("done", endedJob.getDone())
         .put("open", 0);
   }
--- a/src/main/java/io/embernotch/store/StoreRequest.java
+++ b/src/main/java/io/embernotch/store/StoreRequest.java
@@ -8,6 +8,7 @@
  * @param body null if it has none
  * @param changes number of changes that it counts as under the store's limit of writes
  */
+@SuppressWarnings("ArrayRecordComponent") // The bytes are passed on and never compared.
 record StoreRequest(
     String method, String path, byte[] body, int changes, RequestPriority priority) {
 
--- a/src/test/java/io/embernotch/calendar/ReleaseCalendarTest.java
+++ b/src/test/java/io/embernotch/calendar/ReleaseCalendarTest.java
@@ -165,7 +165,7 @@
     switch (random.nextInt(6)) {
       case 0 -> {
         cluster.faults.commitDeliveryFilter = random.nextBoolean() ? "shared/" : "run/";
-        cluster.faults.commitDelivery = Delivery.values()[random.nextInt(3)];
+        cluster.faults.commitDelivery = Delivery.draw(random);
       }
       case 1 -> cluster.deliverDelayed();
       case 2 -> cluster.completeTasks("j-" + random.nextInt(12));
--- a/src/test/java/io/embernotch/controller/ProcessIncarnationsRandomizedTest.java
+++ b/src/test/java/io/embernotch/controller/ProcessIncarnationsRandomizedTest.java
@@ -60,8 +60,8 @@
                 1 + random.nextInt(4));
         case 3 -> drawJob().forEach(cluster::completeTasks);
         case 4 -> drawJob().forEach(ref -> answers.cancel(node, ref));
-        case 5 -> cluster.faults.commitDelivery = Delivery.values()[random.nextInt(3)];
-        case 6 -> cluster.faults.commandDelivery = Delivery.values()[random.nextInt(3)];
+        case 5 -> cluster.faults.commitDelivery = Delivery.draw(random);
+        case 6 -> cluster.faults.commandDelivery = Delivery.draw(random);
         case 7 -> cluster.faults.delayFrames = !cluster.faults.delayFrames;
         case 8 -> {
           cluster.deliverDelayed();
--- a/src/test/java/io/embernotch/faultcombinations/ConfirmedCancellationTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/ConfirmedCancellationTest.java
@@ -68,7 +68,7 @@
       former.storeUnresponsive = random.nextBoolean();
       former.peersUnreachable = random.nextInt(3) > 0;
       boolean inboundPartitioned = random.nextInt(3) == 0;
-      cluster.faults.commandDelivery = Delivery.values()[random.nextInt(3)];
+      cluster.faults.commandDelivery = Delivery.draw(random);
       double outageAt = random.nextDouble(30);
       double outageS = random.nextDouble(0.5, 2) * cancelS;
       double cancelsFrom = random.nextDouble(outageAt + 3);
--- a/src/test/java/io/embernotch/reservation/ReservationTest.java
+++ b/src/test/java/io/embernotch/reservation/ReservationTest.java
@@ -263,7 +263,7 @@
         }
         case 5 -> {
           cluster.faults.commitDeliveryFilter = random.nextBoolean() ? "shared/" : "run/";
-          cluster.faults.commitDelivery = Delivery.values()[random.nextInt(3)];
+          cluster.faults.commitDelivery = Delivery.draw(random);
         }
         case 6 -> cluster.deliverDelayed();
         case 7 -> cluster.cloud.bootDisabled = !cluster.cloud.bootDisabled;
--- a/src/test/java/io/embernotch/scheduling/ReleaseMorning.java
+++ b/src/test/java/io/embernotch/scheduling/ReleaseMorning.java
@@ -10,6 +10,7 @@
 import io.embernotch.settings.SettingsReader;
 import io.embernotch.testkit.SimulatedCluster;
 import io.embernotch.testkit.TestJobs;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -124,7 +125,10 @@
             .replace(
                 "\"jobclass\":\"c\"",
                 "\"jobclass\":\"" + (nextJob % 3 == 0 ? "rest" : "wire") + "\"");
-    Job job = new Job(JobCodec.read(Json.parseObject(json.getBytes())), Math.round(now * 1000));
+    Job job =
+        new Job(
+            JobCodec.read(Json.parseObject(json.getBytes(StandardCharsets.UTF_8))),
+            Math.round(now * 1000));
     double due = now + runS * 1.5 + random.nextInt(300);
     if (job.spec.jobClass().equals("wire")) {
       dueAt.put(job, due);
--- a/src/test/java/io/embernotch/scheduling/SchedulerFixture.java
+++ b/src/test/java/io/embernotch/scheduling/SchedulerFixture.java
@@ -11,6 +11,7 @@
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.SettingsReader;
 import io.embernotch.testkit.SimulatedCluster;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -82,7 +83,9 @@
   }
 
   Job add(String json) {
-    Job job = new Job(JobCodec.read(Json.parseObject(json.getBytes())), jobs.size());
+    Job job =
+        new Job(
+            JobCodec.read(Json.parseObject(json.getBytes(StandardCharsets.UTF_8))), jobs.size());
     jobs.add(job);
     return job;
   }
--- a/src/test/java/io/embernotch/scheduling/ServiceFleet.java
+++ b/src/test/java/io/embernotch/scheduling/ServiceFleet.java
@@ -8,6 +8,7 @@
 import io.embernotch.settings.OperatorSettings;
 import io.embernotch.settings.SettingsReader;
 import io.embernotch.testkit.SimulatedCluster;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -43,7 +44,9 @@
             .replace("\"owner\":\"red\"", "\"owner\":\"blue\"")
             .replace("\"bundle\":\"img\"", "\"bundle\":\"img-" + ref + "\"")
             .replace("\"size_gb\":1.0", "\"size_gb\":" + imageGb);
-    Job job = new Job(JobCodec.read(Json.parseObject(json.getBytes())), jobs.size());
+    Job job =
+        new Job(
+            JobCodec.read(Json.parseObject(json.getBytes(StandardCharsets.UTF_8))), jobs.size());
     jobs.add(job);
     return job;
   }
--- a/src/test/java/io/embernotch/structure/StructureTest.java
+++ b/src/test/java/io/embernotch/structure/StructureTest.java
@@ -54,8 +54,8 @@
   }
 
   private static Stream<Path> files() {
-    try {
-      return Files.walk(SOURCES).filter(p -> p.toString().endsWith(".java")).toList().stream();
+    try (Stream<Path> all = Files.walk(SOURCES)) {
+      return all.filter(p -> p.toString().endsWith(".java")).toList().stream();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
--- a/src/test/java/io/embernotch/testkit/Delivery.java
+++ b/src/test/java/io/embernotch/testkit/Delivery.java
@@ -1,6 +1,9 @@
 package io.embernotch.testkit;
 
-/** What becomes of a message. Randomized tests draw by position, so the order is fixed. */
+import java.util.List;
+import java.util.SplittableRandom;
+
+/** What becomes of a message. */
 public enum Delivery {
   DELIVERED,
   /** It is never carried out, and no response comes. */
@@ -8,5 +11,12 @@
   /** The sender times out; {@link SimulatedCluster#deliverDelayed()} delivers it later. */
   DELAYED,
   /** It is carried out at once, and only its response is lost. */
-  RESPONSE_LOST
+  RESPONSE_LOST;
+
+  private static final List<Delivery> DRAWN = List.of(DELIVERED, LOST, DELAYED);
+
+  /** One of the first three, drawn with one number of {@code random}. */
+  public static Delivery draw(SplittableRandom random) {
+    return DRAWN.get(random.nextInt(DRAWN.size()));
+  }
 }
--- a/src/test/java/io/embernotch/testkit/FakeCloud.java
+++ b/src/test/java/io/embernotch/testkit/FakeCloud.java
@@ -9,14 +9,14 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
+import java.util.SortedMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
 
 /** The cloud of PROTOCOL, in memory: boots, lists and deletes machines of one type. */
 public final class FakeCloud {
   private final FakeTime time;
-  private final TreeMap<String, FakeWorker> workers;
+  private final SortedMap<String, FakeWorker> workers;
   private final Consumer<FakeWorker> bootListener;
   private final Map<String, List<String>> machinesOfRequest = new HashMap<>();
   private int nextMachine = 1;
@@ -45,7 +45,8 @@
    * @param workers the machines that are up, by name; those that are deleted are removed from it
    * @param bootListener is given each machine that comes up
    */
-  FakeCloud(FakeTime time, TreeMap<String, FakeWorker> workers, Consumer<FakeWorker> bootListener) {
+  FakeCloud(
+      FakeTime time, SortedMap<String, FakeWorker> workers, Consumer<FakeWorker> bootListener) {
     this.time = time;
     this.workers = workers;
     this.bootListener = bootListener;
--- a/src/test/java/io/embernotch/testkit/FakeStore.java
+++ b/src/test/java/io/embernotch/testkit/FakeStore.java
@@ -23,10 +23,10 @@
 
   /** What the store held at some moment. */
   public static final class Snapshot {
-    private final TreeMap<String, Entry> entries;
+    private final Map<String, Entry> entries;
     private final long revision;
 
-    private Snapshot(TreeMap<String, Entry> entries, long revision) {
+    private Snapshot(Map<String, Entry> entries, long revision) {
       this.entries = entries;
       this.revision = revision;
     }
--- a/src/test/java/io/embernotch/testkit/FakeWorker.java
+++ b/src/test/java/io/embernotch/testkit/FakeWorker.java
@@ -9,6 +9,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
@@ -128,8 +129,8 @@
   // ---- what is on it
 
   /** Task names that are on the machine and have not exited. */
-  public TreeSet<String> runningTasks() {
-    TreeSet<String> running = new TreeSet<>();
+  public Set<String> runningTasks() {
+    Set<String> running = new TreeSet<>();
     tasks.forEach(
         (name, task) -> {
           if (!task.hasExited()) {
--- a/src/test/java/io/embernotch/testkit/StoreData.java
+++ b/src/test/java/io/embernotch/testkit/StoreData.java
@@ -138,7 +138,7 @@
     entries.keySet().removeIf(key -> key.startsWith(prefix));
   }
 
-  TreeMap<String, Entry> copyOfEntries() {
+  Map<String, Entry> copyOfEntries() {
     return new TreeMap<>(entries);
   }
 
