--- a/src/main/java/io/embernotch/forwarding/HeartbeatForwarder.java
+++ b/src/main/java/io/embernotch/forwarding/HeartbeatForwarder.java
@@ -27,7 +27,7 @@
  */
 public final class HeartbeatForwarder {
   /** Seconds to wait for an answer to a heartbeat: its agent gives up after four. */
-  public static final double PATIENCE_S = 3;
+  public static final double RESPONSE_TIMEOUT_S = 3;
 
   private static final int SERVICE_UNAVAILABLE = 503;
 
@@ -87,7 +87,7 @@
         new RecentHeartbeats(
             context.settings().workers().heartbeatIntervalS(),
             context.settings().quota().maxConnections());
-    this.parkedHeartbeats = new ParkedHeartbeats(context.timers(), PATIENCE_S);
+    this.parkedHeartbeats = new ParkedHeartbeats(context.timers(), RESPONSE_TIMEOUT_S);
     this.leaderResponsiveness = new LeaderResponsiveness(contactTimeoutS);
     this.leaderChangedAt = context.clock().now();
     this.delegatedRenewal = new DelegatedRenewal(context);
@@ -204,7 +204,7 @@
       return Future.succeededFuture(misdirected(leader));
     }
     long toEpoch = epoch;
-    return host.ask(leader, id -> new Frame.ForwardedHeartbeat(id, heartbeat), PATIENCE_S)
+    return host.ask(leader, id -> new Frame.ForwardedHeartbeat(id, heartbeat), RESPONSE_TIMEOUT_S)
         .map(
             response -> {
               if (response.status() == SERVICE_UNAVAILABLE) {
--- a/src/main/java/io/embernotch/leader/PendingHeartbeats.java
+++ b/src/main/java/io/embernotch/leader/PendingHeartbeats.java
@@ -37,7 +37,7 @@
       before.reply().tryComplete(WorkerCodec.stay());
     }
     timers.after(
-        HeartbeatForwarder.PATIENCE_S,
+        HeartbeatForwarder.RESPONSE_TIMEOUT_S,
         () -> {
           if (awaited.remove(machine, message)) {
             add(message.heartbeat());
--- a/src/test/java/io/embernotch/forwarding/DelegatedRenewalTest.java
+++ b/src/test/java/io/embernotch/forwarding/DelegatedRenewalTest.java
@@ -22,8 +22,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A partitioned zone: its tasks keep running, and all invariants hold. ControllerNode 2 is in zone
- * z2, so that it is partitioned together with the agents of that zone.
+ * A partitioned zone: its tasks keep running, and all invariants hold. Node 2 is in zone z2, so
+ * that it is partitioned together with the agents of that zone.
  */
 class DelegatedRenewalTest {
   private static final double PARTITION_S = 56;
