--- a/src/main/java/io/embernotch/calendar/Occurrences.java
+++ b/src/main/java/io/embernotch/calendar/Occurrences.java
@@ -8,6 +8,7 @@
 import java.time.zone.ZoneOffsetTransition;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 
 /**
  * Computes when releases come out; pure. A time that a change of the clocks skips is taken as much
@@ -50,21 +51,20 @@
     for (LocalDate date = from.atZone(release.zone()).toLocalDate().minusDays(1);
         !date.isAfter(last);
         date = date.plusDays(1)) {
-      Occurrence occurrence = on(release, date);
-      if (occurrence != null && !occurrence.at.isBefore(from) && occurrence.at.isBefore(to)) {
-        occurrences.add(occurrence);
-      }
+      on(release, date)
+          .filter(occurrence -> !occurrence.at.isBefore(from) && occurrence.at.isBefore(to))
+          .ifPresent(occurrences::add);
     }
     return occurrences;
   }
 
-  /** The occurrence on a date; null if the release does not come out on it. */
-  public static Occurrence on(Release release, LocalDate date) {
+  /** The occurrence on a date; empty if the release does not come out on it. */
+  public static Optional<Occurrence> on(Release release, LocalDate date) {
     boolean comesOut =
         release.also().containsKey(date)
             || (release.days().contains(date.getDayOfWeek()) && !release.except().contains(date));
     if (!comesOut) {
-      return null;
+      return Optional.empty();
     }
     boolean moved = release.moved().containsKey(date);
     boolean lifted = moved && release.moved().get(date) == null;
@@ -74,7 +74,7 @@
             : release.also().getOrDefault(date, release.time());
     ZonedDateTime at = ZonedDateTime.of(date, time, release.zone());
     String note = clockChangeNote(release, date, time, at);
-    return new Occurrence(release.id(), date, at.toInstant(), lifted, note);
+    return Optional.of(new Occurrence(release.id(), date, at.toInstant(), lifted, note));
   }
 
   private static String clockChangeNote(
--- a/src/main/java/io/embernotch/calendar/ReleaseCalendar.java
+++ b/src/main/java/io/embernotch/calendar/ReleaseCalendar.java
@@ -20,6 +20,7 @@
 import java.time.LocalDate;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -115,10 +116,7 @@
       for (LocalDate date = today.minusDays(DAYS_BACK);
           !date.isAfter(last);
           date = date.plusDays(1)) {
-        Occurrence occurrence = Occurrences.on(release, date);
-        if (occurrence != null) {
-          write(occurrence);
-        }
+        Occurrences.on(release, date).ifPresent(this::write);
       }
     }
     for (Map.Entry<String, Kept> entry : Map.copyOf(occurrences.all()).entrySet()) {
@@ -233,17 +231,18 @@
   private void settle(Job job) {
     for (Release release : releases.value()) {
       if (release.orders(job.spec)) {
-        String first = firstOccurrence(release, job.submittedMs);
-        if (first != null) {
-          job.release = first;
-          onSettled.accept(job);
-        }
+        firstOccurrence(release, job.submittedMs)
+            .ifPresent(
+                name -> {
+                  job.release = name;
+                  onSettled.accept(job);
+                });
         return;
       }
     }
   }
 
-  private String firstOccurrence(Release release, long afterMs) {
+  private Optional<String> firstOccurrence(Release release, long afterMs) {
     String first = null;
     long firstMs = Long.MAX_VALUE;
     for (Map.Entry<String, Kept> entry : occurrences.all().entrySet()) {
@@ -256,7 +255,7 @@
         firstMs = occurrence.firstMs();
       }
     }
-    return first;
+    return Optional.ofNullable(first);
   }
 
   /** Seconds that the job still needs once it starts: to run, and to fetch its image. */
--- a/src/main/java/io/embernotch/scheduling/CapacityAllocator.java
+++ b/src/main/java/io/embernotch/scheduling/CapacityAllocator.java
@@ -7,6 +7,7 @@
 import io.embernotch.scheduling.CandidateMachines.Capacity;
 import io.embernotch.settings.Reservation;
 import java.util.List;
+import java.util.Optional;
 
 /**
  * Gives tasks capacity: free now, being freed, booting, or of machines that are rented for them.
@@ -137,10 +138,11 @@
             && (candidates.anySpot() || scaleOutPlanner.spotAvailable(spec));
     boolean ordinaryToo = !waitsForSpot && cycle.queueing().worthOrdinaryMachine(spec);
     while (claimed < wanted) {
-      CandidateMachine candidate = scaleOutPlanner.request(spec, zones, ordinaryToo);
-      if (candidate == null) {
+      Optional<CandidateMachine> rented = scaleOutPlanner.request(spec, zones, ordinaryToo);
+      if (rented.isEmpty()) {
         break;
       }
+      CandidateMachine candidate = rented.get();
       int tasks =
           zones.limit(candidate.zone, candidate.taskCapacity(spec, false), wanted - claimed);
       take(candidate, spec, tasks, zones);
--- a/src/main/java/io/embernotch/scheduling/ScaleOutPlanner.java
+++ b/src/main/java/io/embernotch/scheduling/ScaleOutPlanner.java
@@ -5,6 +5,7 @@
 import io.embernotch.model.MachineType;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Optional;
 
 /** Chooses the machines that a plan rents. */
 final class ScaleOutPlanner {
@@ -39,25 +40,28 @@
    * Rents the machine with the lowest price for a task of this size.
    *
    * @param ordinaryToo whether it may be an ordinary machine
-   * @return the machine, which is among the candidates now; null if none can be rented
+   * @return the machine, which is among the candidates now; empty if none can be rented
    */
-  CandidateMachine request(JobSpec spec, ZoneConstraints zones, boolean ordinaryToo) {
+  Optional<CandidateMachine> request(JobSpec spec, ZoneConstraints zones, boolean ordinaryToo) {
     if (remaining <= 0) {
-      return null;
-    }
-    CandidateMachine cheapest = cheapest(spec, zones, ordinaryToo);
-    if (cheapest != null) {
-      remaining--;
-      requested.merge(
-          new SchedulingPlan.ScaleOutRequest(cheapest.type.name(), cheapest.zone, cheapest.spot, 0),
-          1,
-          Integer::sum);
-      candidates.add(cheapest);
+      return Optional.empty();
     }
+    Optional<CandidateMachine> cheapest = cheapest(spec, zones, ordinaryToo);
+    cheapest.ifPresent(this::add);
     return cheapest;
   }
 
-  private CandidateMachine cheapest(JobSpec spec, ZoneConstraints zones, boolean ordinaryToo) {
+  private void add(CandidateMachine machine) {
+    remaining--;
+    requested.merge(
+        new SchedulingPlan.ScaleOutRequest(machine.type.name(), machine.zone, machine.spot, 0),
+        1,
+        Integer::sum);
+    candidates.add(machine);
+  }
+
+  private Optional<CandidateMachine> cheapest(
+      JobSpec spec, ZoneConstraints zones, boolean ordinaryToo) {
     CandidateMachine best = null;
     for (MachineType type : types.values()) {
       if (!type.fits(spec)) {
@@ -77,7 +81,7 @@
         }
       }
     }
-    return best;
+    return Optional.ofNullable(best);
   }
 
   /** A machine that could be rented, scored by its price for one task. */
--- a/src/test/java/io/embernotch/calendar/OccurrencesTest.java
+++ b/src/test/java/io/embernotch/calendar/OccurrencesTest.java
@@ -39,7 +39,7 @@
   }
 
   private static Occurrence on(Release release, String date) {
-    return Occurrences.on(release, LocalDate.parse(date));
+    return Occurrences.on(release, LocalDate.parse(date)).orElseThrow();
   }
 
   /**
