--- a/src/main/java/io/embernotch/agents/CommandSender.java
+++ b/src/main/java/io/embernotch/agents/CommandSender.java
@@ -145,7 +145,7 @@
     }
     long token = machine.token;
     machine.commandInFlight = true;
-    byte[] body = WorkerCodec.direct(token, machine.agentEpoch, batch.commands);
+    byte[] body = WorkerCodec.directCommand(token, machine.agentEpoch, batch.commands);
     context
         .workers()
         .call("POST", address, COMMAND_PATH, body, callTimeoutS)
@@ -214,12 +214,12 @@
   private void commandFailed(Machine machine, long token, List<Attempt> starting, Throwable cause) {
     machine.commandInFlight = false;
     machine.commandFailedAt = context.clock().now();
-    boolean sent = !(cause instanceof CallFailedException failure) || failure.sent;
+    boolean sent = !(cause instanceof CallFailedException failure) || failure.sent();
     LOG.info("command to {} failed, sent {}: {}", machine.name, sent, cause.getMessage());
     if (sent) {
       AttemptReconciler.fenceOff(machine, token);
     }
-    if (sent || !(cause instanceof CallFailedException failure) || failure.tried) {
+    if (sent || !(cause instanceof CallFailedException failure) || failure.tried()) {
       reachability.callUnanswered(machine, context.clock().now());
     }
     for (Attempt attempt : starting) {
--- a/src/main/java/io/embernotch/api/RecentSubmissions.java
+++ b/src/main/java/io/embernotch/api/RecentSubmissions.java
@@ -56,7 +56,7 @@
     for (Map.Entry<String, byte[]> entry : values.entrySet()) {
       if (!host.base().has(entry.getKey())) {
         ObjectNode value = Json.parseObject(entry.getValue());
-        rewrite(entry.getKey(), value.put(JobProgressCodec.AGAIN, true));
+        rewrite(entry.getKey(), value.put(JobProgressCodec.REWRITTEN_AFTER_LOSS, true));
       }
     }
   }
--- a/src/main/java/io/embernotch/controller/JobAnnouncements.java
+++ b/src/main/java/io/embernotch/controller/JobAnnouncements.java
@@ -53,7 +53,7 @@
   void announce(Job job, ObjectNode value, long revision) {
     boolean leaderIsHere = localLeader.tell(new LeaderMessage.JobAccepted(job, shardSize));
     if (!leaderIsHere && leaderObserver.node() != null) {
-      ObjectNode announcement = IncarnationCodec.told(value, incarnations.name(), revision);
+      ObjectNode announcement = IncarnationCodec.announcement(value, incarnations.name(), revision);
       peers.send(leaderObserver.node(), new Frame.JobAccepted(Json.bytes(announcement)));
     }
   }
@@ -69,10 +69,12 @@
           new LeaderMessage.JobAccepted(
               JobProgressCodec.readJob(value), JobProgressCodec.readShardSize(value));
       String incarnation = incarnations.name();
-      if (!incarnation.isEmpty() && incarnation.equals(IncarnationCodec.toldIncarnation(value))) {
+      if (!incarnation.isEmpty()
+          && incarnation.equals(IncarnationCodec.announcedIncarnation(value))) {
         // Without it, contents restored to a state just before the write would pass for current.
         store.noteRevision(
-            JobProgressCodec.JOB + accepted.job().spec.ref(), IncarnationCodec.toldEpoch(value));
+            JobProgressCodec.JOB + accepted.job().spec.ref(),
+            IncarnationCodec.announcedEpoch(value));
       }
       localLeader.tell(accepted);
     } catch (MalformedInputException e) {
--- a/src/main/java/io/embernotch/controller/MachineTypeCatalog.java
+++ b/src/main/java/io/embernotch/controller/MachineTypeCatalog.java
@@ -47,7 +47,7 @@
         .onComplete(
             read -> {
               if (read.succeeded() && read.result().present()) {
-                learn(CloudCodec.types(read.result().value()));
+                learn(CloudCodec.readTypes(read.result().value()));
               } else {
                 loadFromCloud();
               }
--- a/src/main/java/io/embernotch/jobs/FailoverRecovery.java
+++ b/src/main/java/io/embernotch/jobs/FailoverRecovery.java
@@ -130,7 +130,7 @@
   }
 
   private static void readShard(VersionedEntry entry, RecoveredJob owner) {
-    JobProgressCodec.readRun(
+    JobProgressCodec.readShard(
         entry.value(), owner.job, owner.shardSize, JobProgressCodec.shardOf(entry.key()));
   }
 
@@ -145,7 +145,7 @@
           RecoveredJob owner = recovered.get(ref);
           if (owner != null) {
             stateWriter.limitsLowered();
-            ProgressShard.add(owner.job, shards);
+            ProgressShard.applyAll(owner.job, shards);
             shards.forEach(shard -> shardLayout.recordRefinedSize(ref, shard.size()));
           }
         });
@@ -163,7 +163,7 @@
         .map(RecoveredJob::job)
         .filter(job -> !job.blocked())
         .sorted(Comparator.comparingLong(job -> job.eligibleSinceMs))
-        .forEach(job -> demandForecast.seen(job.spec, acquiredAt - eligibleForS(job)));
+        .forEach(job -> demandForecast.recordArrival(job.spec, acquiredAt - eligibleForS(job)));
   }
 
   private double eligibleForS(Job job) {
--- a/src/main/java/io/embernotch/leader/PendingHeartbeats.java
+++ b/src/main/java/io/embernotch/leader/PendingHeartbeats.java
@@ -34,14 +34,14 @@
     String machine = message.heartbeat().machine();
     LeaderMessage.HeartbeatReceived before = awaited.put(machine, message);
     if (before != null) {
-      before.reply().tryComplete(WorkerCodec.stay());
+      before.reply().tryComplete(WorkerCodec.emptyResponse());
     }
     timers.after(
         HeartbeatForwarder.PATIENCE_S,
         () -> {
           if (awaited.remove(machine, message)) {
             add(message.heartbeat());
-            message.reply().tryComplete(WorkerCodec.stay());
+            message.reply().tryComplete(WorkerCodec.emptyResponse());
           }
         });
   }
--- a/src/main/java/io/embernotch/persistence/PersistedJob.java
+++ b/src/main/java/io/embernotch/persistence/PersistedJob.java
@@ -23,7 +23,7 @@
         .getConfirmed(JobProgressCodec.JOB + ref)
         .map(
             entry ->
-                baseSnapshot.beneath(ref, JobProgressCodec.JOB, present(entry)).stream()
+                baseSnapshot.overlay(ref, JobProgressCodec.JOB, present(entry)).stream()
                     .findFirst()
                     .orElse(VersionedEntry.absent(entry.key())));
   }
@@ -45,7 +45,7 @@
       StoreClient store, BaseSnapshot baseSnapshot, VersionedEntry submission) {
     Job job = JobProgressCodec.readJob(submission.value());
     return store
-        .get(JobProgressCodec.RUN + job.spec.ref())
+        .get(JobProgressCodec.SHARD + job.spec.ref())
         .compose(
             firstShard -> {
               int shardSize = JobProgressCodec.readShardSize(submission.value());
@@ -65,8 +65,8 @@
       int shardSize) {
     String ref = job.spec.ref();
     for (VersionedEntry shard :
-        baseSnapshot.beneath(ref, JobProgressCodec.RUN, present(firstShard))) {
-      JobProgressCodec.readRun(
+        baseSnapshot.overlay(ref, JobProgressCodec.SHARD, present(firstShard))) {
+      JobProgressCodec.readShard(
           shard.value(), job, shardSize, JobProgressCodec.shardOf(shard.key()));
     }
     if (job.finalPhase != null) {
@@ -81,8 +81,8 @@
   private static Job addRefinedShards(
       BaseSnapshot baseSnapshot, Job job, List<VersionedEntry> stored) {
     List<VersionedEntry> refined =
-        baseSnapshot.beneath(job.spec.ref(), JobProgressCodec.REFINED_SHARD, stored);
-    ProgressShard.add(job, refined.stream().map(ProgressShard::of).toList());
+        baseSnapshot.overlay(job.spec.ref(), JobProgressCodec.REFINED_SHARD, stored);
+    ProgressShard.applyAll(job, refined.stream().map(ProgressShard::of).toList());
     return job;
   }
 }
--- a/src/main/java/io/embernotch/reservation/ReservationManager.java
+++ b/src/main/java/io/embernotch/reservation/ReservationManager.java
@@ -121,7 +121,7 @@
   private void use(List<Reservation> configured) {
     reservations =
         configured.isEmpty() && context.operator().reserve().live()
-            ? List.of(context.operator().reserve().byDefault())
+            ? List.of(context.operator().reserve().defaultReservation())
             : configured;
     usage.use(reservations);
     wanted = Map.of();
--- a/src/main/java/io/embernotch/reservation/ReservationShards.java
+++ b/src/main/java/io/embernotch/reservation/ReservationShards.java
@@ -75,7 +75,7 @@
   private static void addTo(
       Map<String, ReservationAmounts> reserved, ObjectNode entry, int index, int reservations) {
     if (entry != null) {
-      ReservationCodec.readHeld(entry)
+      ReservationCodec.readReserved(entry)
           .forEach(
               (machine, amounts) -> {
                 ReservationAmounts there =
@@ -98,7 +98,7 @@
               .anyMatch(
                   reservation -> entry.getKey().startsWith(PREFIX + reservation.name() + "/"));
       if (!current && !entry.getValue().path(MACHINES).isEmpty()) {
-        shared.put(entry.getKey(), ReservationCodec.writeHeld(Map.of()), () -> {});
+        shared.put(entry.getKey(), ReservationCodec.writeReserved(Map.of()), () -> {});
       }
     }
   }
@@ -120,7 +120,7 @@
     for (int shard = 0; shard < SHARDS; shard++) {
       Map<String, double[]> amounts = amounts(index, shard, wanted, maxMachines);
       String name = name(reservation, shard);
-      ObjectNode value = ReservationCodec.writeHeld(amounts);
+      ObjectNode value = ReservationCodec.writeReserved(amounts);
       ObjectNode stored = shared.get(name);
       boolean same =
           stored == null ? amounts.isEmpty() : stored.path(MACHINES).equals(value.path(MACHINES));
