--- a/src/main/java/io/embernotch/snapshot/file/SnapshotDiff.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotDiff.java
@@ -10,6 +10,7 @@
 import java.util.BitSet;
 import java.util.HashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Objects;
 import java.util.TreeSet;
@@ -31,7 +32,7 @@
         .put(
             PHASE,
             job.hasEnd()
-                ? job.getEnd().name().toLowerCase()
+                ? job.getEnd().name().toLowerCase(Locale.ROOT)
                 : job.getOpenCount() > 0 ? "running" : "queued")
         .put(DONE_TASKS, BitSet.valueOf(job.getDone().toByteArray()).cardinality())
         .put(OPEN_ATTEMPTS, job.getOpenCount())
@@ -42,7 +43,7 @@
   public static ObjectNode line(EndedJobSnapshot endedJob) {
     return Json.object()
         .put(REF, endedJob.getRef())
-        .put(PHASE, endedJob.getEnd().name().toLowerCase())
+        .put(PHASE, endedJob.getEnd().name().toLowerCase(Locale.ROOT))
         .put(DONE_TASKS, endedJob.getDone())
         .put(OPEN_ATTEMPTS, 0);
   }
