--- a/src/test/java/io/embernotch/testkit/ControllerNode.java
+++ b/src/test/java/io/embernotch/testkit/ControllerNode.java
@@ -8,8 +8,12 @@
 
 /** The machine of one controller. Each start begins a new incarnation of the process. */
 public final class ControllerNode {
+  /** Its position in {@link SimulatedCluster#nodes}. */
   public final int index;
+
   public final Settings settings;
+
+  /** The controller of the present incarnation, or of the last one while it is down. */
   public Controller controller;
 
   /** The process has ended and was not started again. */
--- a/src/test/java/io/embernotch/testkit/FakeStore.java
+++ b/src/test/java/io/embernotch/testkit/FakeStore.java
@@ -67,6 +67,7 @@
   /** Runs whenever a controller has become leader. */
   Runnable onLeaderChange = () -> {};
 
+  /** An empty store with the usual limits. */
   public FakeStore(FakeTime time) {
     this.time = time;
     data = new StoreData(time);
@@ -123,14 +124,17 @@
     limits.set(valueBytes, operations, changesPerS);
   }
 
+  /** How many changes a transaction may have. */
   public int maxTransactionOperations() {
     return limits.maxOperations();
   }
 
+  /** Sets how many changes a transaction may have. */
   public void setMaxTransactionOperations(int operations) {
     limits.setMaxOperations(operations);
   }
 
+  /** Sets how many changes a second are accepted. */
   public void setMaxChangesPerS(double changesPerS) {
     limits.setMaxChangesPerS(changesPerS);
   }
--- a/src/test/java/io/embernotch/testkit/FakeWorker.java
+++ b/src/test/java/io/embernotch/testkit/FakeWorker.java
@@ -115,6 +115,11 @@
   /** How often it went to another controller. */
   public int controllerChanges;
 
+  /**
+   * Creates a machine without tasks.
+   *
+   * @param now the time, from which its first lease counts
+   */
   public FakeWorker(
       String name, String type, String zone, boolean spot, String address, double now) {
     this.name = name;
--- a/src/test/java/io/embernotch/testkit/InvariantChecker.java
+++ b/src/test/java/io/embernotch/testkit/InvariantChecker.java
@@ -24,6 +24,7 @@
   /** All faults are over: no job may be left waiting beside room for it. */
   public boolean faultsOver;
 
+  /** Checks a cluster with the given limits and times. */
   public InvariantChecker(Settings settings) {
     responses = new ResponseInvariants(settings.workers().heartbeatIntervalS(), jobs, violations);
     placements = new PlacementInvariants(settings, jobs, violations);
--- a/src/test/java/io/embernotch/testkit/RecordedAnswers.java
+++ b/src/test/java/io/embernotch/testkit/RecordedAnswers.java
@@ -22,8 +22,10 @@
   /** Jobs whose submission was accepted; tests add those that they submit by themselves. */
   public final List<String> accepted = new ArrayList<>();
 
+  /** What contradicts earlier answers, or is missing. */
   public final List<String> violations = new ArrayList<>();
 
+  /** Records the answers of a cluster. */
   public RecordedAnswers(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
--- a/src/test/java/io/embernotch/testkit/SimulatedCluster.java
+++ b/src/test/java/io/embernotch/testkit/SimulatedCluster.java
@@ -41,6 +41,7 @@
   private final SimulatedUsers users;
   private final MachineInvariants machineInvariants;
 
+  /** A cluster with the usual quota. */
   public SimulatedCluster(int controllers) {
     this(controllers, 1);
   }
@@ -197,6 +198,7 @@
     buffer.deliverDelayed();
   }
 
+  /** Messages that are delayed now. */
   public int delayedCount() {
     return buffer.delayedCount();
   }
--- a/src/test/java/io/embernotch/testkit/TestSettings.java
+++ b/src/test/java/io/embernotch/testkit/TestSettings.java
@@ -16,8 +16,8 @@
    * @param next the section {@code cluster.state.next}; empty if there is none
    */
   static String toml(int index, int scale, String next) {
-    StringBuilder s = new StringBuilder();
-    s.append("node='c")
+    StringBuilder toml = new StringBuilder();
+    toml.append("node='c")
         .append(index)
         .append("'\nlocation='")
         .append(zone(index))
@@ -28,7 +28,7 @@
         .append(":8081'\n");
     for (int i = 0; i < 3; i++) {
       if (i != index) {
-        s.append("[[members]]\nnode='c")
+        toml.append("[[members]]\nnode='c")
             .append(i)
             .append("'\nlocation='")
             .append(zone(i))
@@ -37,7 +37,7 @@
             .append(":8081'\n");
       }
     }
-    return s.append(CLUSTER)
+    return toml.append(CLUSTER)
         .toString()
         .replace("# next\n", next)
         .replace("gpus_max = 24.0", "gpus_max = " + 24.0 * scale);
