--- a/src/main/java/io/embernotch/agents/ReachabilityTracker.java
+++ b/src/main/java/io/embernotch/agents/ReachabilityTracker.java
@@ -1,5 +1,6 @@
 package io.embernotch.agents;
 
+import io.embernotch.actor.Clock;
 import io.embernotch.model.Heartbeat;
 import io.embernotch.model.Machine;
 import java.util.LinkedHashSet;
@@ -43,7 +44,7 @@
   private final Set<Machine> unansweredMachines = new LinkedHashSet<>();
 
   /** When a call to any machine was last answered. */
-  private double lastCallAnsweredAt = SteadyTime.NEVER;
+  private double lastCallAnsweredAt = Clock.NEVER;
 
   ReachabilityTracker(long tokenBase, double heartbeatIntervalS) {
     this.tokenBase = tokenBase;
--- a/src/main/java/io/embernotch/agents/RenewalDelegations.java
+++ b/src/main/java/io/embernotch/agents/RenewalDelegations.java
@@ -1,5 +1,6 @@
 package io.embernotch.agents;
 
+import io.embernotch.actor.Clock;
 import io.embernotch.context.LeastRecentlyUsed;
 import io.embernotch.context.ProcessIncarnation;
 import io.embernotch.peer.Frame;
@@ -37,10 +38,10 @@
     final Map<Long, Long> acknowledgements = new LeastRecentlyUsed<>(REMEMBERED_MESSAGES);
 
     /** The latest renewal that it has reported, or that it cannot know of and may have made. */
-    double renewedAt = SteadyTime.NEVER;
+    double renewedAt = Clock.NEVER;
 
     /** Up to then it has renewed nothing that it has not reported. */
-    double noUnreportedRenewalUntil = SteadyTime.NEVER;
+    double noUnreportedRenewalUntil = Clock.NEVER;
 
     /** When the delegation that it was last granted ends; 0 if none was granted. */
     double grantEndsAt;
@@ -184,7 +185,7 @@
 
   /** The bound takes null for a controller that has sent nothing in this term. */
   private double latestOfZone(String zone, ToDoubleFunction<Delegation> bound) {
-    double latest = SteadyTime.NEVER;
+    double latest = Clock.NEVER;
     for (Settings.Member member : settings.members()) {
       if (member.location().equals(zone)) {
         latest = Math.max(latest, bound.applyAsDouble(delegations.get(member.node())));
--- a/src/main/java/io/embernotch/agents/TaskStopper.java
+++ b/src/main/java/io/embernotch/agents/TaskStopper.java
@@ -1,5 +1,6 @@
 package io.embernotch.agents;
 
+import io.embernotch.actor.Clock;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Job;
@@ -54,7 +55,7 @@
       attempt.stopping = true;
       attempt.stopGraceS = graceS;
       attempt.stopRequestedAt = context.clock().now();
-      attempt.stopSentAt = SteadyTime.NEVER;
+      attempt.stopSentAt = Clock.NEVER;
     }
     Machine machine = state.machines.get(attempt.machine);
     if (machine != null && isLoaded.getAsBoolean()) {
--- a/src/main/java/io/embernotch/agents/WorkerLeases.java
+++ b/src/main/java/io/embernotch/agents/WorkerLeases.java
@@ -46,7 +46,7 @@
   /** A former leader may have renewed until then an agent that has seen no token of this term. */
   private double formerLeaderRenewalsUntil(Machine machine) {
     return machine.highestReportedToken >= tokenBase
-        ? SteadyTime.NEVER
+        ? Clock.NEVER
         : acquiredAt + RenewalDelegations.longestGracePeriodS(settings);
   }
 
--- a/src/main/java/io/embernotch/forwarding/DelegatedRenewal.java
+++ b/src/main/java/io/embernotch/forwarding/DelegatedRenewal.java
@@ -1,5 +1,6 @@
 package io.embernotch.forwarding;
 
+import io.embernotch.actor.Clock;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.context.LeastRecentlyUsed;
 import io.embernotch.context.ProcessIncarnation;
@@ -26,8 +27,6 @@
   /** Heartbeats of which the instant of sending is remembered. */
   private static final int REMEMBERED_HEARTBEATS = 64;
 
-  private static final double NEVER = -1e9;
-
   /** What {@link Frame.DelegateHeartbeat} carries, and this class starts with, for no renewal. */
   private static final double NOT_RENEWED = -1;
 
@@ -41,7 +40,7 @@
   private double contactAt;
 
   /** When the latest heartbeat was sent whose answer granted the delegation. */
-  private double grantedAt = NEVER;
+  private double grantedAt = Clock.NEVER;
 
   private double renewedAt = NOT_RENEWED;
 
--- a/src/main/java/io/embernotch/leader/ImageInventoryPublisher.java
+++ b/src/main/java/io/embernotch/leader/ImageInventoryPublisher.java
@@ -1,5 +1,6 @@
 package io.embernotch.leader;
 
+import io.embernotch.actor.Clock;
 import io.embernotch.model.Machine;
 import io.embernotch.peer.Frame;
 import java.util.Collection;
@@ -14,7 +15,7 @@
   private final Map<String, Integer> published = new HashMap<>();
 
   private final double roundS;
-  private double lastRoundAt = Timing.NEVER;
+  private double lastRoundAt = Clock.NEVER;
 
   /**
    * @param roundS seconds between two rounds
--- a/src/main/java/io/embernotch/leader/SchedulingLoop.java
+++ b/src/main/java/io/embernotch/leader/SchedulingLoop.java
@@ -1,5 +1,6 @@
 package io.embernotch.leader;
 
+import io.embernotch.actor.Clock;
 import io.embernotch.actor.LatencyRecorder;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.fleet.FleetManager;
@@ -48,7 +49,7 @@
   /** A run is requested for this iteration of the loop, since a job was released. */
   private boolean scheduledNow;
 
-  private double lastRunAt = Timing.NEVER;
+  private double lastRunAt = Clock.NEVER;
   private double lastRunTookS;
   private long runCount;
 
--- a/src/main/java/io/embernotch/leader/StatusLogger.java
+++ b/src/main/java/io/embernotch/leader/StatusLogger.java
@@ -1,5 +1,6 @@
 package io.embernotch.leader;
 
+import io.embernotch.actor.Clock;
 import io.embernotch.context.ControllerContext;
 import io.embernotch.persistence.StateWriter;
 import io.embernotch.state.ClusterState;
@@ -15,7 +16,7 @@
   private final ClusterState state;
   private final SchedulingLoop schedulingLoop;
   private final StateWriter stateWriter;
-  private double loggedAt = Timing.NEVER;
+  private double loggedAt = Clock.NEVER;
 
   StatusLogger(
       ControllerContext context,
--- a/src/main/java/io/embernotch/leader/Timing.java
+++ b/src/main/java/io/embernotch/leader/Timing.java
@@ -2,9 +2,6 @@
 
 /** Times that stand for something else than a time, in seconds. */
 final class Timing {
-  /** In place of a time of the steady clock: before any. */
-  static final double NEVER = -1e9;
-
   /** The shortest pause that a timer knows: the next iteration of the event loop. */
   static final double NEXT_ITERATION_S = 0.001;
 
--- a/src/main/java/io/embernotch/settings/Settings.java
+++ b/src/main/java/io/embernotch/settings/Settings.java
@@ -203,7 +203,7 @@
    * reach a leader or prove to be one, that is a leader partitioned from the store, and a
    * controller partitioned with its zone. It is one worker lease longer than {@link
    * #legacyGracePeriodS}; so a cancellation is only confirmed once each task of the job is proven
-   * gone, or must be in time whoever renews ("ran_cancelled" in ARCHITECTURE).
+   * gone, or must be in time whoever renews ("ran_cancelled" in docs/design/correctness.md).
    */
   public double gracePeriodS() {
     return legacyGracePeriodS() + workers.leaseS();
--- a/src/main/java/io/embernotch/store/StoreTransport.java
+++ b/src/main/java/io/embernotch/store/StoreTransport.java
@@ -19,9 +19,6 @@
   /** Some of a second's worth of requests has come free after so long. */
   private static final double THROTTLE_RETRY_S = 0.1;
 
-  /** The value of {@code answeredAt} before the first answer. */
-  private static final double NEVER = -1e9;
-
   /** The value of {@code failingSince} while the store answers. */
   private static final double NOT_FAILING = -1;
 
@@ -31,7 +28,7 @@
   private final HostPort storeAddress;
   private final StoreRateLimits limits;
   private final IncarnationGuard guard;
-  private double answeredAt = NEVER;
+  private double answeredAt = Clock.NEVER;
   private double failingSince = NOT_FAILING;
 
   StoreTransport(
