--- a/src/main/java/io/embernotch/app/RehearseCommand.java
+++ b/src/main/java/io/embernotch/app/RehearseCommand.java
@@ -9,6 +9,9 @@
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
+import java.net.URISyntaxException;
+import java.nio.file.Files;
+import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import picocli.CommandLine.Command;
@@ -27,6 +30,10 @@
 
   @Override
   public Integer call() throws Exception {
+    Path program = ownLocation();
+    if (Files.isRegularFile(program)) {
+      ClassPreloader.loadAll(program);
+    }
     int client = freePort();
     int peers = freePort();
     int services = freePort();
@@ -59,6 +66,12 @@
         .compose(response -> response.body());
   }
 
+  /** The jar that this program runs from, or a directory of classes. */
+  private static Path ownLocation() throws URISyntaxException {
+    return Path.of(
+        RehearseCommand.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+  }
+
   private static int freePort() throws IOException {
     try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       return socket.getLocalPort();
