--- a/src/main/java/io/embernotch/context/ControllerContext.java
+++ b/src/main/java/io/embernotch/context/ControllerContext.java
@@ -12,19 +12,19 @@
 import java.util.function.Supplier;
 
 /**
- * What a controller is given to work with.
+ * Settings, clocks, executors and clients that the parts of a controller share.
  *
  * @param settings the platform's settings
  * @param operator the operators' settings
- * @param clock the process's clocks
+ * @param clock monotonic and wall-clock time of the process
  * @param timers timers on the core loop
- * @param loop runs tasks on the core loop
- * @param profile measures the core loop
+ * @param loop runs tasks on the core loop, the event loop of the controller
+ * @param profile measures what the time of the core loop is spent on
  * @param store client of the store
  * @param cloud client of the cloud
- * @param workers caller of the workers
- * @param names makes globally unique names
- * @param blocking runs tasks that block, such as those that wait for a disk
+ * @param workers HTTP client for the agents of the machines
+ * @param names generates globally unique names
+ * @param blocking runs blocking tasks such as disk access
  */
 public record ControllerContext(
     Settings settings,
--- a/src/main/java/io/embernotch/context/LeastRecentlyUsed.java
+++ b/src/main/java/io/embernotch/context/LeastRecentlyUsed.java
@@ -4,10 +4,11 @@
 import java.util.Map;
 
 /**
- * A map that keeps its most recently used entries. Not thread-safe.
+ * A map that evicts its least recently used entry when it grows beyond its maximum size. Not
+ * thread-safe.
  *
- * @param <K> type of keys
- * @param <V> type of values
+ * @param <K> type of the keys
+ * @param <V> type of the values
  */
 public final class LeastRecentlyUsed<K, V> extends LinkedHashMap<K, V> {
   private static final long serialVersionUID = 1L;
@@ -17,7 +18,7 @@
   private final int maxEntries;
 
   /**
-   * @param maxEntries most entries; one more evicts the least recently used one
+   * @param maxEntries maximum number of entries; one more evicts the least recently used entry
    */
   public LeastRecentlyUsed(int maxEntries) {
     super(INITIAL_CAPACITY, LOAD_FACTOR, true);
--- a/src/main/java/io/embernotch/context/ProcessIncarnation.java
+++ b/src/main/java/io/embernotch/context/ProcessIncarnation.java
@@ -3,10 +3,11 @@
 import java.util.function.Supplier;
 
 /**
- * Message numbers that are distinct for each incarnation of a process: 31 bits that name the
- * incarnation, 32 that count in it. A process of the same name and address may be back within a
- * fraction of a second, and messages to or from the one before it may arrive only then. The time of
- * day cannot tell incarnations apart, since it can go back by more than that.
+ * Message numbers that differ between the incarnations of a process: the upper 31 bits identify the
+ * incarnation, the lower 32 bits count its messages. A process may be restarted with the same name
+ * and address within a fraction of a second, while messages to or from its predecessor are still in
+ * flight. Wall-clock time can't tell the two incarnations apart, since it may be set back by more
+ * than that.
  */
 public final class ProcessIncarnation {
   private static final int COUNTER_BITS = 32;
@@ -15,15 +16,16 @@
   private ProcessIncarnation() {}
 
   /**
-   * The number before the first one of an incarnation that begins now.
+   * Starts a new incarnation.
    *
-   * @param names makes globally unique names
+   * @param names generates globally unique names
+   * @return the number before the first message number of the incarnation
    */
   public static long begin(Supplier<String> names) {
     return (names.get().hashCode() & INCARNATION_MASK) << COUNTER_BITS;
   }
 
-  /** The incarnation that a number is of. */
+  /** The incarnation that a message number belongs to. */
   public static long of(long number) {
     return number >>> COUNTER_BITS;
   }
--- a/src/main/java/io/embernotch/context/package-info.java
+++ b/src/main/java/io/embernotch/context/package-info.java
@@ -1,7 +1,8 @@
 /**
- * What every part of a controller is given to work with, and small helpers without a better home.
+ * What all parts of a controller share: their common context, the numbering of process
+ * incarnations, and small utilities.
  *
- * <p>The package owns {@link io.embernotch.context.ControllerContext} and how process incarnations
- * are numbered. It holds no state of the cluster and makes no decisions.
+ * <p>The package holds no state of the cluster and makes no decisions. Its main type is {@link
+ * io.embernotch.context.ControllerContext}.
  */
 package io.embernotch.context;
--- a/src/main/java/io/embernotch/election/Candidacy.java
+++ b/src/main/java/io/embernotch/election/Candidacy.java
@@ -2,46 +2,65 @@
 
 import io.embernotch.store.Transaction;
 
-/** On what terms this node may lead: of which incarnation of the store's contents. */
+/** Decides whether this controller may claim leadership, and for which store incarnation. */
 public interface Candidacy {
   /**
-   * What a claim to the leader key stands for.
+   * The terms of a claim to the leader key.
    *
-   * @param incarnation name of the store incarnation that is led
-   * @param epochFloor added to the key's modification revision to get the epoch
-   * @param waitS seconds for which a leader from before a loss of data may yet count its lease as
-   *     valid; at most 0 if there is none to wait for
+   * @param incarnation name of the store incarnation that is claimed
+   * @param epochFloor number that is added to the key's modification revision to get the epoch
+   * @param waitS seconds for which a leader from before a data loss may still count its lease as
+   *     valid; 0 or negative if there is none to wait for
    */
   record Claim(String incarnation, long epochFloor, double waitS) {}
 
-  /** True if the store's contents are known, or ready to begin a new incarnation. */
+  /**
+   * True if a claim is allowed: the store's contents are known, or a new incarnation is prepared.
+   */
   boolean mayClaim();
 
-  /** True if data is lost: whoever the key names does not lead, and a claim takes its place. */
+  /**
+   * True if the store has lost data. The controller that the key names does not lead then, and a
+   * claim replaces the key.
+   */
   boolean startsNewIncarnation();
 
-  /** Adds to a claim what begins an incarnation, if one is to begin with it. */
+  /**
+   * Adds the operations that start a new incarnation to a claim, if it is to start one.
+   *
+   * @param txn the transaction that writes the leader key
+   * @return the terms of the claim
+   */
   Claim claim(Transaction txn);
 
-  /** The last claim was made, at this modification revision. */
+  /**
+   * The last claim succeeded.
+   *
+   * @param modRevision modification revision of the leader key
+   */
   void claimSucceeded(long modRevision);
 
-  /** The last claim was not made. */
+  /** The last claim failed. */
   void claimRefused();
 
   /**
    * The leader key was read.
    *
-   * @param incarnation the one that the key names: "" if a version before incarnations leads, null
-   *     if the key is absent
+   * @param incarnation name of the store incarnation that the key names; "" if its leader runs a
+   *     version without incarnations; null if the key is absent
    */
   void incarnationNamed(String incarnation);
 
   /**
-   * The leader key names this node, which does not lead: checks whether the contents are current.
+   * The leader key names this controller, which does not lead: verifies that the store's contents
+   * are current.
    */
   void probe();
 
-  /** The leader key is there though the lease is gone that it was attached to: leases are lost. */
+  /**
+   * The leader key exists although its lease has ended, which shows that the store has lost leases.
+   *
+   * @param holder name of the controller that the key names
+   */
   void leaderKeyOrphaned(String holder);
 }
--- a/src/main/java/io/embernotch/election/LeaderClaim.java
+++ b/src/main/java/io/embernotch/election/LeaderClaim.java
@@ -9,18 +9,19 @@
 import io.embernotch.store.VersionedEntry;
 
 /**
- * A candidate's claim to the leader key: a lease is granted, the key is written under it on
- * condition that nobody else has changed it, and a claim whose answer is missing is looked up. Each
- * claim ends with one call of its outcome.
+ * A candidate's claim to the leader key. It is granted a lease, and writes the key under that lease
+ * on condition that the key has not changed since it was read. If the write is not answered, the
+ * claim reads the key to learn whether it was applied. Each claim calls its outcome exactly once.
  */
 final class LeaderClaim {
-  /** How a claim ended. */
+  /** Receives the result of a claim. */
   interface Outcome {
-    /** The key is this node's. */
+    /** This controller holds the key. */
     void succeeded(Success success);
 
     /**
-     * The key is not this node's, and the lease is given back.
+     * This controller does not hold the key. The lease of the claim, if one was granted, is being
+     * revoked.
      *
      * @param retryInS seconds after which the key is to be read again
      */
@@ -28,12 +29,12 @@
   }
 
   /**
-   * A claim that succeeded.
+   * The result of a successful claim.
    *
-   * @param leaseId the lease that the key is attached to
-   * @param modRevision the key's modification revision
-   * @param claim the terms of the claim
-   * @param grantSentAt when the request for the lease was sent, by the steady clock
+   * @param leaseId id of the lease that the key is attached to
+   * @param modRevision modification revision of the key
+   * @param claim terms of the claim
+   * @param grantSentAt when the lease was requested, in seconds of the monotonic clock
    */
   record Success(long leaseId, long modRevision, Candidacy.Claim claim, double grantSentAt) {}
 
@@ -51,8 +52,9 @@
   private double grantSentAt;
 
   /**
-   * @param current the key as it was read: absent, or left from before a loss of data
-   * @param retryS seconds to wait after a failure before the key is read again
+   * @param retryS seconds after which the key is to be read again if a request has failed
+   * @param current the key as it was read: absent, or left from before a data loss
+   * @param outcome receives the result
    */
   LeaderClaim(
       String node,
@@ -73,7 +75,7 @@
     this.outcome = outcome;
   }
 
-  /** Begins the claim; called once. */
+  /** Starts the claim. To be called once. */
   void start() {
     grantSentAt = clock.now();
     store.grant(leaseTtlS).onSuccess(this::write).onFailure(failure -> outcome.failed(retryS));
@@ -101,7 +103,7 @@
       refused(LeaderElection.IMMEDIATELY_S);
       return;
     }
-    // The former holder must not go on proving its lease.
+    // Revoking the former leader's lease prevents that leader from renewing it.
     LeaderKey.read(current).ifPresent(former -> store.revoke(former.leaseId()));
     succeeded(result.revision());
   }
@@ -115,7 +117,7 @@
     }
   }
 
-  /** The write was not answered: only the key itself shows whether it was made. */
+  /** Reads the key after a write without an answer: only the key shows whether it was applied. */
   private void confirm() {
     store
         .get(LeaderKey.NAME)
@@ -130,7 +132,7 @@
         .onFailure(failure -> withdraw());
   }
 
-  /** Gives the lease back first: with it gone, a late write can no longer be applied. */
+  /** Revokes the lease before the claim fails: once it has ended, a late write can't be applied. */
   private void withdraw() {
     store.revoke(leaseId).onComplete(revoked -> refused(retryS));
   }
--- a/src/main/java/io/embernotch/election/LeaderElection.java
+++ b/src/main/java/io/embernotch/election/LeaderElection.java
@@ -11,33 +11,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Leadership: whoever holds the leader key in the store, attached to its own short lease, is the
- * one that writes. The key's modification revision names the term: every commit of the leader
- * conditions on it, so nothing that an earlier leader sent can be applied later.
+ * Elects a leader through the leader key in the store. The key is attached to a short lease of its
+ * own, and the controller that holds it is the only one that writes. The key's modification
+ * revision identifies the term: every commit of the leader has it as a condition, so the store
+ * rejects commits of earlier leaders that arrive late.
  *
- * <p>A state machine. A follower reads the key, and waits for its change while another node holds
- * it. Once it is absent the follower becomes a candidate, which makes one {@link LeaderClaim} and
- * ends as leader or as follower. A leader becomes a follower when its lease ends, when it resigns,
- * or when a newer leader is known.
+ * <p>The election is a state machine. A follower reads the key, and watches it while another
+ * controller holds it. When the key is absent, the follower becomes a candidate, which makes one
+ * {@link LeaderClaim} and becomes leader or follower again. A leader becomes a follower when its
+ * lease ends, when it resigns, when the store loses data, or when it learns of a newer leader.
  */
 public final class LeaderElection {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
 
-  /** Seconds of the shortest pause: the next iteration of the loop. */
+  /** Shortest timer delay in seconds: the next iteration of the event loop. */
   static final double IMMEDIATELY_S = 0.001;
 
-  /** Seconds until the key is read again after the lease of a former process was revoked. */
+  /** Seconds between the revocation of a former process's lease and the next read of the key. */
   private static final double AFTER_REVOCATION_S = 0.01;
 
-  /** In place of a time: this node need not keep from contending. */
+  /** A monotonic time before all others: no delay of claims, or no proven lease. */
   private static final double NEVER = -1;
 
   private enum State {
-    /** Reads the key, or waits for its change or for the next reading. */
+    /** Reads the key, watches it, or waits until the next read. */
     FOLLOWER,
-    /** A claim to the key is under way. */
+    /** A claim to the key is in progress. */
     CANDIDATE,
-    /** Holds the key; leads once the leases of leaders from before a loss of data have expired. */
+    /** Holds the key. Leads once the leases of all leaders from before a data loss have expired. */
     LEADER
   }
 
@@ -50,13 +51,13 @@
   private final OrphanedKeyDetector orphanedKeys;
   private final double leaseTtlS;
 
-  /** Seconds after a failure until the key is read again. */
+  /** Seconds until the key is read again after a failure, or while no claim is allowed. */
   private final double retryS;
 
-  /** Seconds for which the change of a key that another node holds is waited for. */
+  /** Longest duration in seconds of one watch on a key that another controller holds. */
   private final double watchS;
 
-  /** Seconds by which a controller that is badly placed contends later than the others. */
+  /** Seconds by which a controller delays its claim if others are better suited to lead. */
   private final double yieldS;
 
   private LeadershipListener listener;
@@ -69,10 +70,9 @@
   private boolean reading;
 
   /**
-   * An election that has not begun: see {@link #start}.
+   * Creates an election that does nothing before {@link #start}.
    *
    * @param leaseRenewer renews the lease that the key is attached to
-   * @param candidacy tells whether, and on what terms, this node may lead
    */
   public LeaderElection(
       ControllerContext context,
@@ -92,42 +92,49 @@
     this.orphanedKeys = new OrphanedKeyDetector(store, clock, candidacy, peerLiveness, leaseTtlS);
   }
 
-  /** Begins as a follower, and contends whenever the key is absent; called once. */
+  /** Starts as a follower, and claims the key whenever it is absent. To be called once. */
   public void start(LeadershipListener leadershipListener) {
     listener = leadershipListener;
     readKey();
   }
 
-  /** True while this node is leader, or waits to be one with the key in its hands. */
+  /** True while this controller holds the leader key: it leads, or waits until it may lead. */
   public boolean holdsKey() {
     return state == State.LEADER;
   }
 
   /**
-   * True while nobody else can be leader: counted by the steady clock from the sending of the last
-   * good renewal, less drift.
+   * True while this controller leads and no other one can. The lease counts from the sending of the
+   * last successful renewal on the monotonic clock, less the allowed clock drift.
    */
   public boolean isLeaseValid() {
     double now = clock.now();
     return state == State.LEADER && now >= leadsFrom && now < leaseRenewer.provenUntil();
   }
 
-  /** Seconds since the lease could last be proven; at most 0 while it can be. */
+  /** Seconds since the lease stopped being proven valid; 0 or negative while it is valid. */
   public double leaseUnprovenForS() {
     return clock.now() - leaseRenewer.provenUntil();
   }
 
-  /** The epoch of the last term for which this node held the key; 0 if there was none. */
+  /** Epoch of the last term in which this controller held the key; 0 if there was none. */
   public long epoch() {
     return epoch;
   }
 
-  /** When this node began to claim the key for that term: nobody saw it hold the key before. */
+  /**
+   * When this controller started the claim of its last term, in seconds of the monotonic clock. No
+   * other controller can have seen it hold the key of that term before.
+   */
   public double claimedAt() {
     return claimedAt;
   }
 
-  /** Gives up leadership, and does not contend again for {@code avoidS} seconds. */
+  /**
+   * Gives up leadership, and makes no claim for {@code avoidS} seconds.
+   *
+   * @param why the reason, for the log
+   */
   public void resign(String why, double avoidS) {
     avoidUntil = clock.now() + avoidS;
     if (state == State.LEADER) {
@@ -136,14 +143,21 @@
     }
   }
 
-  /** Becomes a follower: another leader has been seen, or a commit failed on the leader key. */
+  /**
+   * Becomes a follower, for example because another leader was seen.
+   *
+   * @param why the reason, for the log
+   */
   public void stepDown(String why) {
     if (state == State.LEADER) {
       loseLeadership(why, NEVER);
     }
   }
 
-  /** Becomes a follower since the store has lost data, and with it the lease, if that lasted. */
+  /**
+   * Becomes a follower because the store has lost data, and with it the lease if it was still
+   * valid.
+   */
   public void stepDownAfterLoss() {
     if (state == State.LEADER) {
       loseLeadership("the store has lost data", leaseRenewer.provenUntil());
@@ -201,12 +215,12 @@
     }
   }
 
-  /** Nobody holds the key. */
+  /** Claims the absent key, or reads it again once this controller's delay has passed. */
   private void contendWhenDue(VersionedEntry absent) {
     listener.leaderAbsent();
     double pauseS = Math.max(avoidUntil - clock.now(), listener.shouldYield() ? yieldS : 0);
     if (pauseS > 0) {
-      // After the pause somebody else may have it, so look again rather than contend blindly.
+      // Another controller may hold the key after the delay, so it is read again before a claim.
       avoidUntil = Math.min(avoidUntil, clock.now());
       timers.after(pauseS, this::readKeyOrContend);
     } else {
@@ -232,9 +246,10 @@
   }
 
   /**
-   * The key names this node, which does not lead. Either a former process of this node left it,
-   * which is dead, so its lease need not be waited for. Or it was put back with older contents:
-   * then there may be no lease that could end, and no answer that shows how old the key is.
+   * Revokes the lease of a key that names this controller although it does not lead. Normally a
+   * former process of this controller left the key; it is dead, so its lease need not expire first.
+   * If the store was rolled back to contents that include the key, its lease may not exist, and no
+   * response shows how old the key is. So the contents are verified as well.
    */
   private void dropOwnKey(VersionedEntry entry, LeaderKey key) {
     orphanedKeys.observeOwn(entry, node);
@@ -257,9 +272,7 @@
   // ---- candidate
 
   /**
-   * Takes a lease and claims the key.
-   *
-   * @param current the key as it was read: absent, or left from before a loss of data
+   * @param current the key as it was read: absent, or left from before a data loss
    */
   private void contend(VersionedEntry current) {
     state = State.CANDIDATE;
@@ -296,7 +309,7 @@
       startLeading(success);
     } else {
       LOG.info(
-          "leader of a new store incarnation in {} s, when the lease of any former leader has expired",
+          "claimed a new store incarnation; leading in {} s, when former leases have expired",
           waitS);
       timers.after(waitS, () -> startLeading(success));
     }
@@ -307,8 +320,8 @@
       return;
     }
     if (candidacy.startsNewIncarnation()) {
-      // Data was lost while the claim was under way: the claim is lost too.
-      loseLeadership("the claim was made on store contents that are lost", NEVER);
+      // The store lost data while the claim was in progress, and with it the claim.
+      loseLeadership("the store lost data while leadership was being claimed", NEVER);
       return;
     }
     LOG.info("leader since epoch {}", epoch);
@@ -318,7 +331,7 @@
 
   private void leaseEnded(long endedLeaseId) {
     if (state == State.LEADER && leaseId == endedLeaseId) {
-      // It may not end early: if it has, that is by a loss of data.
+      // A lease ends before its proven validity does only if the store has lost data.
       loseLeadership("the lease expired", leaseRenewer.provenUntil());
     }
   }
--- a/src/main/java/io/embernotch/election/LeaderKey.java
+++ b/src/main/java/io/embernotch/election/LeaderKey.java
@@ -7,18 +7,19 @@
 import java.util.Optional;
 
 /**
- * What the leader key says of the leader. The field names of its JSON are older than the terms used
- * here, and stay for the sake of rolling upgrades.
+ * The value of the leader key. Its JSON field names are older than the terms used in this code, and
+ * are kept for rolling upgrades.
  *
- * @param node the leader's name
- * @param leaseId the store lease that the key is attached to
- * @param acceptsForwarded whether the leader accepts heartbeats that others forward
- * @param incarnation the store incarnation that it leads; "" before there were any
- * @param epochFloor added to the key's modification revision to get the epoch
+ * @param node name of the leader
+ * @param leaseId id of the store lease that the key is attached to
+ * @param acceptsForwarded whether the leader accepts agents' heartbeats that other controllers
+ *     forward
+ * @param incarnation name of the store incarnation that is led; "" if the leader's version has none
+ * @param epochFloor number that is added to the key's modification revision to get the epoch
  */
 record LeaderKey(
     String node, long leaseId, boolean acceptsForwarded, String incarnation, long epochFloor) {
-  /** The key's name in the store. */
+  /** Name of the leader key in the store. */
   static final String NAME = JobProgressCodec.LEADER;
 
   private static final String LEASE_ID = "permit";
@@ -26,7 +27,7 @@
   private static final String INCARNATION = "era";
   private static final String EPOCH_FLOOR = "floor";
 
-  /** Reads the key; empty if it is absent. Missing fields get their types' defaults. */
+  /** Decodes the leader key; empty if it is absent. Missing fields get their default values. */
   static Optional<LeaderKey> read(VersionedEntry entry) {
     if (!entry.present()) {
       return Optional.empty();
@@ -41,7 +42,7 @@
             value.path(EPOCH_FLOOR).asLong(0)));
   }
 
-  /** The value to be written. */
+  /** Encodes the value of the leader key. */
   ObjectNode write() {
     return Json.object()
         .put("node", node)
--- a/src/main/java/io/embernotch/election/LeaderObserver.java
+++ b/src/main/java/io/embernotch/election/LeaderObserver.java
@@ -3,10 +3,10 @@
 import io.embernotch.actor.Clock;
 
 /**
- * The leader that this controller knows: the one that the key names, and between two reads of the
- * key one that claims leadership in its heartbeat. A heartbeat may be seconds late, and its sender
- * no leader any more or not even alive; so a claim of a term that the key has shown to be over is
- * not believed.
+ * Tracks the leader that this controller knows of: the one that the leader key names or, between
+ * two reads of the key, one that claims leadership in its heartbeat. A heartbeat may be seconds
+ * late, and its sender may have lost leadership or have died, so a claim to a term that the key has
+ * shown to be over is ignored.
  */
 public final class LeaderObserver {
   private String node;
@@ -17,7 +17,7 @@
   private String highestNode;
   private double highestSeenAt;
 
-  /** Nothing has been seen or heard yet. */
+  /** Creates an observer that knows of no leader. */
   public LeaderObserver(Clock clock) {
     this.clock = clock;
   }
@@ -33,24 +33,25 @@
   }
 
   /**
-   * The highest epoch of a leader that was ever seen or heard of, by whatever way. A term before it
-   * is not the last one; that a term is not before it proves nothing.
+   * The highest epoch of a leader that this controller has learned of in any way; 0 if there was
+   * none. A term with a lower epoch was not the last one. A term with this epoch may not be the
+   * last one either.
    */
   public long highestEpoch() {
     return highestEpoch;
   }
 
-  /** The leader of that epoch; null if none was seen. */
+  /** Name of the first leader observed with the highest epoch; null if there was none. */
   public String highestNode() {
     return highestNode;
   }
 
-  /** Seconds since that epoch was first seen or heard of. */
+  /** Seconds since the highest epoch was first observed; meaningless if there was none. */
   public double highestSeenForS() {
     return clock.now() - highestSeenAt;
   }
 
-  /** Another controller has seen a leader of this epoch. */
+  /** Records that a leader of this epoch exists or existed, without making it the known leader. */
   public void observeEpoch(String leader, long seen) {
     if (seen > highestEpoch) {
       highestEpoch = seen;
@@ -60,10 +61,10 @@
   }
 
   /**
-   * The key was read, or a term here has ended.
+   * Sets the known leader, after the key was read or a term of this controller has ended.
    *
-   * @param newNode the leader, null if there is none
-   * @param newEpoch its epoch, 0 if there is none
+   * @param newNode name of the leader; null if there is none
+   * @param newEpoch epoch of the leader; 0 if there is none
    */
   public void update(String newNode, long newEpoch) {
     observeEpoch(newNode, newEpoch);
@@ -74,7 +75,11 @@
     epoch = newEpoch;
   }
 
-  /** A controller claims to lead; false if that is known already, or known to be over. */
+  /**
+   * Records that a controller claims leadership.
+   *
+   * @return false if the claim is already known, or its term is known to be over
+   */
   public boolean observeClaim(String newNode, long newEpoch) {
     observeEpoch(newNode, newEpoch);
     if (newEpoch <= Math.max(epoch, endedEpoch)) {
--- a/src/main/java/io/embernotch/election/LeadershipListener.java
+++ b/src/main/java/io/embernotch/election/LeadershipListener.java
@@ -1,43 +1,47 @@
 package io.embernotch.election;
 
-/** Is notified of changes of leadership, and asked whether to contend. */
+/** Receives changes of leadership, and decides whether this controller delays its claims. */
 public interface LeadershipListener {
   /**
-   * This node leads from now on.
+   * This controller becomes leader.
    *
-   * @param epoch names the term in all store incarnations
-   * @param modRevision modification revision of the leader key
+   * @param epoch epoch of the term, unique across all store incarnations
+   * @param modRevision modification revision of the leader key in this term
    */
   void leadershipAcquired(long epoch, long modRevision);
 
   /**
-   * This node leads no more, or does not get to lead though it held the key.
+   * This controller stops leading, or loses the leader key before it has started to lead.
    *
    * @param why the reason, for the log
-   * @param provenUntil until when nobody else can have led, by the steady clock
+   * @param provenUntil time of the monotonic clock, in seconds, until which no other controller can
+   *     have led; negative if no such time is proven
    */
   void leadershipLost(String why, double provenUntil);
 
   /**
-   * The leader key names a leader, this node or another.
+   * The leader key was read or claimed, and names a leader: this controller or another one. Calls
+   * may repeat the last one.
    *
-   * @param node the leader
-   * @param epoch the leader's epoch
-   * @param acceptsForwarded whether the leader accepts heartbeats that others forward
+   * @param node name of the leader
+   * @param epoch epoch of the leader
+   * @param acceptsForwarded whether the leader accepts agents' heartbeats that other controllers
+   *     forward
    */
   void leaderChanged(String node, long epoch, boolean acceptsForwarded);
 
   /**
-   * The leader key was read in contents that are lost: whoever it names has led.
+   * The leader key was read after the store has lost data. The controller that it names led before
+   * the loss.
    *
-   * @param node that leader
-   * @param epoch the leader's epoch
+   * @param node name of the former leader
+   * @param epoch epoch of the former leader
    */
   void formerLeaderSeen(String node, long epoch);
 
-  /** The leader key was read: there is no leader. */
+  /** The leader key was read, and there is no leader. */
   void leaderAbsent();
 
-  /** True if another controller is better placed to lead, so that this one contends later. */
+  /** True if other controllers are better suited to lead, so that this one delays its claim. */
   boolean shouldYield();
 }
--- a/src/main/java/io/embernotch/election/OrphanedKeyDetector.java
+++ b/src/main/java/io/embernotch/election/OrphanedKeyDetector.java
@@ -5,18 +5,19 @@
 import io.embernotch.store.VersionedEntry;
 
 /**
- * Finds a leader key whose lease is gone without it. Such a key would never be dropped, and nobody
- * could ever lead. So when its holder has not been live for far longer than its lease lasts, or the
- * lease was revoked here, the lease is looked up.
+ * Detects a leader key that still exists although its lease has ended. The store would never delete
+ * such a key, and no controller could ever lead. If the holder of an unchanged key has not been
+ * live for several lease times, the detector looks its lease up. If the key names this controller,
+ * and still exists after this controller has revoked its lease, it is orphaned as well.
  */
 final class OrphanedKeyDetector {
   /**
-   * Lease times that the holder of an unchanged key must be unresponsive before its lease is
-   * checked.
+   * Number of lease times for which the holder of an unchanged key must be unresponsive before its
+   * lease is looked up.
    */
   private static final int UNRESPONSIVE_LEASES = 4;
 
-  /** In place of a modification revision: none of this node's leases has been revoked. */
+  /** Value of {@link #revokedModRevision} while this controller has revoked no lease of its key. */
   private static final long NONE_REVOKED = -1;
 
   private final StoreClient store;
@@ -41,7 +42,7 @@
     this.unresponsiveS = UNRESPONSIVE_LEASES * leaseTtlS;
   }
 
-  /** The key, read just now, names another controller as leader. */
+  /** Processes a key that was just read and names another controller. */
   void observe(VersionedEntry entry, LeaderKey key) {
     double now = clock.now();
     if (entry.modRevision() != watchedModRevision || peerLiveness.isLive(key.node())) {
@@ -60,14 +61,14 @@
     }
   }
 
-  /** The lease of this node's own key, of this modification revision, has been revoked. */
+  /** Records that the lease of this controller's own key, with this revision, was revoked. */
   void leaseRevoked(long modRevision) {
     revokedModRevision = modRevision;
   }
 
   /**
-   * This node's own key was read. If its lease has been revoked before, and it is still there, it
-   * is attached to no lease.
+   * Processes a key that was just read and names this controller. If its lease was revoked before,
+   * the key is attached to no lease.
    */
   void observeOwn(VersionedEntry entry, String node) {
     if (entry.modRevision() == revokedModRevision) {
--- a/src/main/java/io/embernotch/election/PeerLiveness.java
+++ b/src/main/java/io/embernotch/election/PeerLiveness.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Which of the other controllers are live, and which of them the store answers. */
+/** Tracks which other controllers are live, and which of those can reach the store. */
 public final class PeerLiveness {
   private record LastHeartbeat(double at, boolean storeReachable, boolean replicates) {}
 
@@ -19,17 +19,20 @@
   /** Seconds after its last heartbeat for which a controller counts as live. */
   private final double liveS;
 
-  /** Seconds between two renewals of the connection to a controller that is not live. */
+  /** Seconds between two reconnects to a controller that is not live. */
   private final double renewS;
 
   private final Map<String, LastHeartbeat> lastHeartbeats = new HashMap<>();
 
-  /** When each connection was last renewed, for all other controllers of the settings. */
+  /**
+   * When the connection to each other controller was last renewed, in seconds of the monotonic
+   * clock. The keys are all other controllers in the settings.
+   */
   private final Map<String, Double> renewedAt = new HashMap<>();
 
   private int nextIndex;
 
-  /** No heartbeat has been received yet. */
+  /** Creates a tracker that has received no heartbeat. */
   public PeerLiveness(Settings settings, Clock clock) {
     this.clock = clock;
     this.liveS = settings.workers().heartbeatIntervalS();
@@ -40,35 +43,36 @@
   }
 
   /**
-   * A heartbeat has come.
+   * Records a heartbeat of another controller.
    *
-   * @param storeReachable whether the store answers the sender
-   * @param replicates whether the sender takes the frames of replication; tells nothing unless the
-   *     store answers the sender
+   * @param node name of the sender
+   * @param storeReachable whether the sender can reach the store
+   * @param replicates whether the sender accepts replication frames; ignored unless it can reach
+   *     the store
    */
   public void recordHeartbeat(String node, boolean storeReachable, boolean replicates) {
     boolean stillReplicates = storeReachable ? replicates : replicates(node);
     lastHeartbeats.put(node, new LastHeartbeat(clock.now(), storeReachable, stillReplicates));
   }
 
-  /** A frame of replication has come from a controller: it takes them too. */
+  /** Records that a controller has sent a replication frame: it accepts such frames as well. */
   public void recordReplicates(String node) {
     lastHeartbeats.computeIfPresent(
         node, (name, last) -> new LastHeartbeat(last.at, last.storeReachable, true));
   }
 
-  /** Whether the controller takes the frames of replication, by the last that it told of that. */
+  /** Whether the controller accepts replication frames, according to its last report. */
   public boolean replicates(String node) {
     LastHeartbeat last = lastHeartbeats.get(node);
     return last != null && last.replicates;
   }
 
-  /** The live controllers that take the frames of replication, by name. */
+  /** Names of the live controllers that accept replication frames, sorted. */
   public List<String> liveReplicas() {
     return live().stream().filter(this::replicates).toList();
   }
 
-  /** True once a heartbeat of every other controller has been received. */
+  /** True once every other controller has sent a heartbeat to this process. */
   public boolean hasHeardFromAll() {
     return lastHeartbeats.keySet().containsAll(renewedAt.keySet());
   }
@@ -79,7 +83,7 @@
     return last != null && clock.now() - last.at < liveS;
   }
 
-  /** True if some other controller is live, or if there is no other. */
+  /** True if another controller is live, or if there is no other one. */
   public boolean hearsAny() {
     return renewedAt.isEmpty() || !live().isEmpty();
   }
@@ -89,7 +93,7 @@
     return renewedAt.keySet().stream().allMatch(this::isLive);
   }
 
-  /** The controllers that are live, by name; a copy. */
+  /** Names of the live controllers, sorted; a copy. */
   public Set<String> live() {
     Set<String> live = new TreeSet<>();
     for (String node : lastHeartbeats.keySet()) {
@@ -100,12 +104,14 @@
     return live;
   }
 
-  /** True if the store answers some other controller that is live. */
+  /** True if another controller is live and can reach the store. */
   public boolean anyReachesStore() {
     return !liveWithStore().isEmpty();
   }
 
-  /** A live controller that the store answers, another one each time; empty if there is none. */
+  /**
+   * Name of a live controller that can reach the store, chosen round-robin; empty if there is none.
+   */
   public Optional<String> nextWithStore() {
     List<String> candidates = liveWithStore();
     return candidates.isEmpty()
@@ -118,8 +124,8 @@
   }
 
   /**
-   * Controllers whose connection is worth renewing now, since it may hang behind a network
-   * partition that is over; each is returned once in a heartbeat interval.
+   * Controllers whose connections are to be renewed now, since they may hang although a network
+   * partition has ended. Each controller is returned at most once per heartbeat interval.
    */
   public List<String> takeNewlyUnresponsive() {
     List<String> unresponsive = new ArrayList<>();
--- a/src/main/java/io/embernotch/election/package-info.java
+++ b/src/main/java/io/embernotch/election/package-info.java
@@ -1,10 +1,12 @@
 /**
- * Leader election among the controllers: the leader key in the store, and what is known of the
- * other controllers while it can't be read.
+ * Leader election among the controllers through the leader key in the store, and tracking of the
+ * known leader and of live peers while the key can't be read.
  *
- * <p>The package decides who leads and under which epoch. What a controller does as leader or
- * follower is its listener's concern, and which incarnation of the store's contents may be led is
- * decided behind {@link io.embernotch.election.Candidacy}; neither is known here. It must not write
- * any key but the leader key and what a claim adds. Everything runs on the core loop.
+ * <p>The package decides which controller leads, and in which epoch. What a controller does as
+ * leader or follower is the concern of its {@link io.embernotch.election.LeadershipListener}. Which
+ * incarnation of the store's contents may be led is decided by the implementation of {@link
+ * io.embernotch.election.Candidacy}. The package writes only the leader key, and the operations
+ * that a candidacy adds to a claim. Everything runs on the core loop, the event loop of the
+ * controller.
  */
 package io.embernotch.election;
--- a/src/main/java/io/embernotch/leader/AgentEventHandler.java
+++ b/src/main/java/io/embernotch/leader/AgentEventHandler.java
@@ -8,7 +8,7 @@
 import io.embernotch.model.Machine;
 import io.embernotch.persistence.StateWriter;
 
-/** Reacts to what agents' heartbeats show of attempts and of other leaders. */
+/** Reacts to what agents' heartbeats reveal of attempts and of other leaders. */
 final class AgentEventHandler implements AgentReconciler.Listener {
   private final LeaderComponents components;
 
@@ -43,7 +43,7 @@
 
   @Override
   public void unexpectedTaskReported(Machine machine, String ref) {
-    // Where a loss has left jobs unknown, tasks of such jobs are to be expected.
+    // If a data loss has left jobs unknown, agents may report tasks of those jobs.
     if (components.lifecycle.isLoaded() && !components.term.baseSnapshot().jobsMissing()) {
       components.contentsCheck.unexpectedTaskReported(machine, ref);
     }
--- a/src/main/java/io/embernotch/leader/ContentsCheck.java
+++ b/src/main/java/io/embernotch/leader/ContentsCheck.java
@@ -11,22 +11,23 @@
 import java.util.function.Consumer;
 
 /**
- * Compares what workers report with what the leader has loaded from the store. Job keys are never
- * deleted and are written before any task starts, so a task of a job that the store does not hold
- * shows that the store was put back to an earlier moment. Owned by the leader's event loop.
+ * Detects a rollback of the store by comparing what agents report with what the leader has loaded.
+ * Job keys are never deleted, and are written before any task of the job starts. So a task of a job
+ * that the store does not hold shows that the store was rolled back to an earlier revision.
+ * Confined to the leader's event loop.
  */
 final class ContentsCheck {
   private final ControllerContext context;
   private final ClusterState state;
   private final Consumer<String> contentsPutBack;
 
-  /** Jobs that are being looked up, since a worker reports tasks of them. */
+  /** Ids of jobs that agents report, and that are being looked up in the store. */
   private final Set<String> pendingLookups = new HashSet<>();
 
   /**
-   * A check that nothing has contradicted yet.
+   * Creates a detector that has found nothing.
    *
-   * @param contentsPutBack receives what shows that the store was put back
+   * @param contentsPutBack receives the evidence of a rollback, for the log
    */
   ContentsCheck(ControllerContext context, ClusterState state, Consumer<String> contentsPutBack) {
     this.context = context;
@@ -35,10 +36,10 @@
   }
 
   /**
-   * Whether each machine that the cloud lists as running was heard, and none has shown that the
-   * store was put back.
+   * Whether each machine that the cloud lists as running has sent a heartbeat, and no job that
+   * agents report is still being looked up.
    *
-   * @param machinesListed whether the cloud's list has been received
+   * @param machinesListed whether the machine list of the cloud has been received
    */
   boolean isPassed(boolean machinesListed) {
     return machinesListed
@@ -50,7 +51,12 @@
     return machine.listedUpAt >= 0 && !machine.up();
   }
 
-  /** A machine reports a task that this leader has no open attempt of. */
+  /**
+   * Looks up the job of a task that a machine reports without an open attempt, unless this leader
+   * knows the job.
+   *
+   * @param ref id of the job
+   */
   void unexpectedTaskReported(Machine machine, String ref) {
     if (state.knowledgeOf(ref) == JobKnowledge.NOT_SEEN && pendingLookups.add(ref)) {
       context
--- a/src/main/java/io/embernotch/leader/FleetEventHandler.java
+++ b/src/main/java/io/embernotch/leader/FleetEventHandler.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reacts to events of the fleet: machines that are gone or that can't be reached. */
+/** Reacts to events of the fleet: machines that are gone or unreachable. */
 final class FleetEventHandler implements FleetManager.Listener {
   private final LeaderComponents components;
 
--- a/src/main/java/io/embernotch/leader/HeartbeatHandler.java
+++ b/src/main/java/io/embernotch/leader/HeartbeatHandler.java
@@ -4,7 +4,10 @@
 import io.embernotch.model.Machine;
 import io.embernotch.peer.Frame;
 
-/** Processes heartbeats of agents, and of controllers that renew agents' leases for the leader. */
+/**
+ * Processes the heartbeats of agents, and of controllers that renew agents' leases on behalf of the
+ * leader.
+ */
 final class HeartbeatHandler {
   private final LeaderComponents components;
 
@@ -12,7 +15,7 @@
     this.components = components;
   }
 
-  /** An agent's heartbeat, which is answered. */
+  /** Processes an agent's heartbeat and sends the response. */
   void received(LeaderMessage.HeartbeatReceived message) {
     if (components.lifecycle.isStopped()) {
       LeaderMessageDispatcher.refuse(message);
@@ -31,7 +34,7 @@
     }
   }
 
-  /** An agent's heartbeat that another controller received, and that nobody waits for. */
+  /** Processes an agent's heartbeat to which no response is awaited. */
   void handedOver(Heartbeat heartbeat) {
     if (!components.lifecycle.isStopped() && components.agents.processForwarded(heartbeat)) {
       components.schedulingLoop.scheduleSoon();
--- a/src/main/java/io/embernotch/leader/HeartbeatQueue.java
+++ b/src/main/java/io/embernotch/leader/HeartbeatQueue.java
@@ -9,27 +9,32 @@
 import java.util.function.Consumer;
 
 /**
- * Handles agents' heartbeats a few at a time, and lets the loop do everything else in between.
- * After a failover a thousand come at once; handled in one iteration of the loop, they would delay
- * the commits of live services, which need two iterations each, from 20 ms to 2.6 s.
+ * Handles agents' heartbeats in small batches, so that the event loop can do other work in between.
+ * After a failover a thousand heartbeats arrive at once. Handled in one iteration of the loop, they
+ * would delay the commits of live services, which need two iterations each, from 20 ms to 2.6 s.
  *
- * <p>Where more come than can be handled, only what its agent still waits for is worth handling: of
- * a machine the last one, none that is older than its agent's patience, and the youngest first once
- * they are queued for long. Handled in the order they came, each would be answered just too late:
- * the 95th percentile of answers was 6.8 s where agents wait for 4, and tasks on those machines
- * ended with their lease.
+ * <p>If more heartbeats arrive than can be handled, only those are worth handling whose agents
+ * still wait for a response. So the queue keeps only the last heartbeat of each machine, drops
+ * heartbeats that are older than the agents' response timeout, and handles the newest first once
+ * the oldest has been queued for long. In the order of arrival, each response would be just too
+ * late: the 95th percentile of response times was 6.8 s, while agents wait for 4 s, and the leases
+ * of those machines expired, which ended their tasks.
  */
 public final class HeartbeatQueue {
-  /** Heartbeats handled in one iteration of the loop. */
+  /** Maximum number of heartbeats handled in one iteration of the loop. */
   private static final int MAX_PER_ITERATION = 8;
 
-  /** Seconds that an agent waits for an answer ("Workers"). */
+  /** Seconds that an agent waits for the response to a heartbeat. */
   private static final double AGENT_PATIENCE_S = 4;
 
-  /** Seconds that the oldest is queued from which on the youngest heartbeat goes first. */
+  /**
+   * If the oldest heartbeat has been queued for longer, in seconds, the newest is handled first.
+   */
   private static final double OVERLOADED_S = AGENT_PATIENCE_S / 4;
 
-  /** Seconds that the oldest is queued from which on other work is to make room. */
+  /**
+   * If the oldest heartbeat has been queued for longer, in seconds, other work is to be reduced.
+   */
   private static final double PRESSURE_S = OVERLOADED_S / 4;
 
   private record Queued(LeaderMessage.HeartbeatReceived message, double since) {}
@@ -39,7 +44,7 @@
   private final Consumer<LeaderMessage.HeartbeatReceived> handler;
   private final Consumer<LeaderMessage.HeartbeatReceived> onDropped;
 
-  /** By position: in the order they came. */
+  /** Queued heartbeats by their position in the order of arrival. */
   private final TreeMap<Long, Queued> queue = new TreeMap<>();
 
   private final Map<String, Long> positionByMachine = new HashMap<>();
@@ -48,10 +53,10 @@
   private boolean iterationScheduled;
 
   /**
-   * An empty queue.
+   * Creates an empty queue.
    *
    * @param handler handles a heartbeat
-   * @param onDropped gets the heartbeats that nobody waits for any more
+   * @param onDropped receives the heartbeats that are dropped
    */
   public HeartbeatQueue(
       Clock clock,
@@ -64,7 +69,9 @@
     this.onDropped = onDropped;
   }
 
-  /** Handles the heartbeat now if few were in this iteration of the loop, else queues it. */
+  /**
+   * Handles the heartbeat at once if this iteration of the loop has handled few, else queues it.
+   */
   public void add(LeaderMessage.HeartbeatReceived message) {
     if (remainingInIteration > 0 && queue.isEmpty()) {
       remainingInIteration--;
@@ -77,8 +84,8 @@
     if (position != null) {
       Heartbeat queued = queue.get(position).message.heartbeat();
       if (!message.heartbeat().newerThan(queued.agentEpoch(), queued.seq())) {
-        // A copy that came late, or one of another incarnation of the agent: it must not displace
-        // the one whose answer is waited for.
+        // A late copy, or a heartbeat of another incarnation of the agent: it must not replace the
+        // one that the agent awaits a response to.
         onDropped.accept(message);
         return;
       }
@@ -113,7 +120,7 @@
     }
   }
 
-  /** True if heartbeats are queued for longer than an agent would notice. */
+  /** True if the oldest heartbeat has been queued for so long that other work is to be reduced. */
   public boolean isUnderPressure() {
     return !queue.isEmpty() && oldestQueuedForS(clock.now()) > PRESSURE_S;
   }
--- a/src/main/java/io/embernotch/leader/ImageInventory.java
+++ b/src/main/java/io/embernotch/leader/ImageInventory.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * Which images machines have, as the last leader published it. Agents do not send it, so a new
- * leader that knew of none would have them fetched anew after each failover. The leader publishes
- * it to the other controllers ({@link ImageInventoryPublisher}); nothing depends on it but where
+ * The images that each machine has, as a leader last published them. Agents do not report them, so
+ * without this inventory all images would be fetched again after each failover. The leader
+ * publishes them to the other controllers ({@link ImageInventoryPublisher}). They only affect where
  * tasks start fastest, so a lost update does no harm.
  */
 public final class ImageInventory {
@@ -16,15 +16,16 @@
   private long epoch;
 
   /**
-   * An inventory that knows nothing.
+   * Creates an empty inventory.
    *
-   * @param maxMachines machines to remember; those whose removal was lost must not fill memory
+   * @param maxMachines maximum number of machines; bounds the memory that removed machines take
+   *     whose removal was not received
    */
   public ImageInventory(int maxMachines) {
     imagesByMachine = new LeastRecentlyUsed<>(maxMachines);
   }
 
-  /** Stores the images of a machine; ignored if an update of a later epoch has been seen. */
+  /** Stores the images of a machine; ignores an update of an earlier epoch than the last one. */
   public void update(Frame.ImageInventoryUpdate update) {
     if (update.epoch() < epoch) {
       return;
@@ -37,7 +38,7 @@
     }
   }
 
-  /** The images that the machine is known to have, least recently used first. */
+  /** Names of the images of the machine, least recently used first; empty if none are known. */
   public List<String> of(String machine) {
     return imagesByMachine.getOrDefault(machine, List.of());
   }
--- a/src/main/java/io/embernotch/leader/ImageInventoryPublisher.java
+++ b/src/main/java/io/embernotch/leader/ImageInventoryPublisher.java
@@ -9,34 +9,41 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Publishes to the other controllers which images machines have, once a round at most. */
+/** Publishes the images of all machines to the other controllers, at most once per round. */
 final class ImageInventoryPublisher {
-  /** Hash of the images that were published last, by machine. */
+  /** Hash of the last published images, by machine. */
   private final Map<String, Integer> published = new HashMap<>();
 
   private final double roundS;
   private double lastRoundAt = Clock.NEVER;
 
   /**
-   * @param roundS seconds between two rounds
+   * @param roundS minimum number of seconds between two rounds
    */
   ImageInventoryPublisher(double roundS) {
     this.roundS = roundS;
   }
 
-  /** A controller has restarted, and has lost what was published to its former process. */
+  /**
+   * Publishes all images again in the next round, because a restarted controller has lost what its
+   * former process received.
+   */
   void republishAll() {
     published.clear();
   }
 
-  /** The machine is gone; this is published if its images were. */
+  /** Publishes the removal of a machine, if its images were published. */
   void machineRemoved(String machine, long epoch, Consumer<Frame> send) {
     if (published.remove(machine) != null) {
       send.accept(new Frame.ImageInventoryUpdate(epoch, machine, List.of()));
     }
   }
 
-  /** Sends the images of all machines whose images have changed, if a round is due. */
+  /**
+   * Publishes the images of all machines whose images have changed, if a round is due.
+   *
+   * @param now seconds of the monotonic clock
+   */
   void publish(Collection<Machine> machines, long epoch, double now, Consumer<Frame> send) {
     if (now - lastRoundAt < roundS) {
       return;
--- a/src/main/java/io/embernotch/leader/JobEventHandler.java
+++ b/src/main/java/io/embernotch/leader/JobEventHandler.java
@@ -16,9 +16,12 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reacts to new jobs, to the completion of jobs that others depend on, and to users' aborts. */
+/**
+ * Reacts to new jobs, to jobs that are released or cancelled because of their dependencies, and to
+ * users' cancellations.
+ */
 final class JobEventHandler implements DependencyGraph.Listener, JobRequestHandler.Host {
-  /** The leader's, so that its log lines of jobs keep the name that they are filtered by. */
+  /** The logger of the leader: operators filter log lines about jobs by its name. */
   private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
 
   private final LeaderComponents components;
@@ -28,9 +31,10 @@
   }
 
   /**
-   * A job was accepted, or its submission was found; nothing happens unless it is new.
+   * Adds a job that was accepted, or whose submission was found in the store; does nothing if the
+   * job is known.
    *
-   * @param shardSize number of its tasks kept in one shard
+   * @param shardSize number of the job's tasks in each shard
    */
   void jobAccepted(Job job, int shardSize) {
     ClusterState state = components.state;
--- a/src/main/java/io/embernotch/leader/Leader.java
+++ b/src/main/java/io/embernotch/leader/Leader.java
@@ -17,9 +17,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The leader of one term, the only one that writes: it owns the cluster state, and exists from the
- * moment its node acquires the leader key until it loses it. It loads the store, serves, and is
- * stopped. Core loop only.
+ * The leader of one term. It owns the cluster state, and is the only one that writes its changes to
+ * the store. It is created when its controller acquires leadership, loads the store, serves, and is
+ * stopped when leadership is lost. Core loop only.
  */
 public final class Leader extends Actor<LeaderMessage> {
   private static final Logger LOG = LoggerFactory.getLogger(Leader.class);
@@ -34,18 +34,24 @@
   private final LeaderComponents components;
   private final LeaderMessageDispatcher dispatcher;
 
-  /** Whether no task could run that this leader did not know of, as its term ended. */
+  /**
+   * Whether it was certain, when the term ended, that no task ran that this leader did not know of.
+   */
   private boolean allStartsKnown;
 
-  /** Used in place of the cluster state until that is loaded; null if there is none, and after. */
+  /**
+   * Returned by {@link #snapshot} until the cluster state is loaded; null if there is none, and
+   * once the state is loaded.
+   */
   private ClusterSnapshot initialSnapshot;
 
   /**
-   * A leader that does nothing before {@link #start}.
+   * Creates a leader that does nothing before {@link #start}.
    *
-   * @param initialSnapshot what the store held when the term began, if the term began a store
+   * @param machineTypes the machine types that are known
+   * @param initialSnapshot the contents of the store when the term began, if the term began a store
    *     incarnation; null if others may have written since
-   * @param controllersDelayingCancellations as in {@link RenewalDelegations}
+   * @param controllersDelayingCancellations see {@link RenewalDelegations}
    */
   public Leader(
       ControllerContext context,
@@ -72,7 +78,7 @@
     this.dispatcher = new LeaderMessageDispatcher(components);
   }
 
-  /** Begins to load the store; called once. */
+  /** Starts to load the store. To be called once. */
   public void start() {
     new StoreLoader(context, term.baseSnapshot(), lifecycle::isStopped)
         .read(
@@ -85,7 +91,7 @@
     scheduleTick();
   }
 
-  /** Ends the term: nothing is written or sent any more, and what waits is refused. */
+  /** Ends the term: nothing is written or sent any more, and pending messages are refused. */
   public void stop() {
     allStartsKnown = components.failoverRecovery.allStartsKnown();
     lifecycle.markStopped();
@@ -139,24 +145,28 @@
     return components.heartbeatHandler.delegateHeartbeatReceived(heartbeat);
   }
 
-  /** Seconds for which agents' leases are renewed without a proven lease of the leader. */
+  /** Seconds for which agents' leases are renewed although the leader's own lease is not proven. */
   public double gracePeriodS() {
     return components.delegations.ownGracePeriodS();
   }
 
-  /** Machine types have been learned; {@code types}: by name. */
+  /**
+   * Adds machine types to the cluster state.
+   *
+   * @param types machine types by name
+   */
   public void addMachineTypes(Map<String, MachineType> types) {
     components.state.types.putAll(types);
   }
 
-  /** Whether it has read the store, so that its cluster state holds all that the store did. */
+  /** Whether the store is loaded, so that the cluster state contains everything that it held. */
   public boolean isLoaded() {
     return lifecycle.isLoaded();
   }
 
   /**
-   * Whether the term was found to have been led on contents that were put back before it: others
-   * may have led after what it knows.
+   * Whether the store was found to have been rolled back before this term began. Other leaders may
+   * then have led after the state that this leader has loaded.
    */
   public boolean hasLedPutBackContents() {
     return lifecycle.isContentsPutBack();
@@ -173,8 +183,10 @@
   }
 
   /**
-   * A snapshot of all that is known here of jobs, whether or not the store has it yet; null before
-   * that is known. Also after the leader was stopped.
+   * A snapshot of all jobs that this leader knows, including changes that the store does not hold
+   * yet. Also available after the leader was stopped.
+   *
+   * @return null before the store is loaded, if the term began without an initial snapshot
    */
   public ClusterSnapshot snapshot() {
     if (!lifecycle.isLoaded()) {
--- a/src/main/java/io/embernotch/leader/LeaderComponents.java
+++ b/src/main/java/io/embernotch/leader/LeaderComponents.java
@@ -27,15 +27,15 @@
 import java.util.function.Consumer;
 
 /**
- * Assembles a leader: builds its components in the order in which they need each other, and
- * connects them. A component whose events concern others that are built later gets a handler that
- * looks those up when an event occurs; no event occurs during the assembly.
+ * Creates the components of a leader in the order of their dependencies, and connects them. A
+ * component whose events concern components that are created later gets a handler that looks those
+ * up when an event occurs. No event occurs during construction.
  */
 final class LeaderComponents {
-  /** The shard of this task also stores the job as a whole, its completion included. */
+  /** The task whose shard also stores the state of the job as a whole, including its completion. */
   static final int FIRST_TASK = 0;
 
-  /** Name of the time that agents' heartbeats take, in the log of the event loop's profile. */
+  /** Name under which the event loop's profile lists the time spent on agents' heartbeats. */
   private static final String HEARTBEAT_PROFILE = "Report";
 
   final ControllerContext context;
@@ -72,8 +72,8 @@
   private final Consumer<LeaderMessage> self;
 
   /**
-   * @param acquiredAt when the term began, by the steady clock
-   * @param self sends a message to the leader that is assembled
+   * @param acquiredAt when the term began, in seconds of the monotonic clock
+   * @param self sends a message to the leader that owns these components
    */
   LeaderComponents(
       ControllerContext context,
@@ -136,7 +136,7 @@
         context.timers(),
         context.profile(),
         term.modRevision(),
-        () -> leaderContext.superseded("a transaction failed on the leader key"));
+        () -> leaderContext.superseded("a transaction failed its condition on the leader key"));
   }
 
   private JobCompletions createCompletions() {
@@ -182,7 +182,9 @@
         state,
         term,
         job -> stateWriter.writeLater(job, FIRST_TASK),
-        () -> leaderContext.superseded("a shared state transaction failed on the leader key"));
+        () ->
+            leaderContext.superseded(
+                "a shared state transaction failed its condition on the leader key"));
   }
 
   private SchedulingLoop createSchedulingLoop() {
@@ -213,7 +215,11 @@
         term.baseSnapshot());
   }
 
-  /** The store had been put back to an earlier moment before this term began. */
+  /**
+   * Reports that the store was rolled back to an earlier revision before this term began.
+   *
+   * @param why the evidence, for the log
+   */
   void contentsPutBack(String why) {
     if (!lifecycle.isStopped()) {
       lifecycle.markContentsPutBack();
@@ -221,7 +227,10 @@
     }
   }
 
-  /** True while this leader may start anything: its term lasts, and its lease is proven. */
+  /**
+   * True while this leader may start tasks and rent machines: it is not stopped, and its lease is
+   * proven.
+   */
   boolean isLeading() {
     return !lifecycle.isStopped() && leaderContext.isLeaseValid();
   }
--- a/src/main/java/io/embernotch/leader/LeaderContext.java
+++ b/src/main/java/io/embernotch/leader/LeaderContext.java
@@ -6,58 +6,71 @@
 import java.util.List;
 import java.util.Set;
 
-/** What a leader needs of the controller that it runs in. Core loop only. */
+/** What a leader uses of the controller that it runs in. To be called on the core loop only. */
 public interface LeaderContext {
-  /** True while nobody else can be leader. */
+  /** True while this controller leads and no other controller can. */
   boolean isLeaseValid();
 
-  /** The live controllers, this one included. */
+  /** Names of the live controllers, including this one. */
   Set<String> controllers();
 
-  /** Delivers machine views to the controllers that own their partitions. */
+  /** Sends machine views to the controllers that own the partitions of the machines. */
   PartitionViews partitionViews();
 
   /**
-   * A newer leader has been seen: this one is to be stopped.
+   * Makes this controller step down: a newer leader was seen, or a commit failed its condition on
+   * the leader key.
    *
    * @param why the reason, for the log
    */
   void superseded(String why);
 
   /**
-   * The store had been put back to an earlier moment before this term began.
+   * Reports that the store was rolled back to an earlier revision before this term began.
    *
-   * @param why what shows it, for the log
+   * @param why the evidence, for the log
    */
   void contentsPutBack(String why);
 
-  /** Whether the store can't have been put back just before this process read it. */
+  /**
+   * Whether it is certain that the store was not rolled back just before this process first read
+   * it.
+   */
   boolean areContentsConfirmed();
 
-  /** The workers of all machines were heard, and none contradicts the store's contents. */
+  /**
+   * Records that the agents of all machines have sent heartbeats, and that none contradicts the
+   * store's contents.
+   */
   void confirmContents();
 
-  /** A fencing token of this epoch has been seen. */
+  /** Records the epoch of a fencing token that an agent has seen. */
   void observeEpoch(long epoch);
 
   /**
-   * Gives leadership up, since this node is badly placed for it.
+   * Gives up leadership, because this controller is poorly connected. Has no effect unless another
+   * controller is live.
    *
    * @param why the reason, for the log
    */
   void resign(String why);
 
   /**
-   * A job's completion is in the store.
+   * Records that the store holds the completion of a job.
    *
+   * @param ref the job's id
+   * @param phase the job's final phase
    * @param tasks number of the job's tasks
-   * @param done number of those that are done
+   * @param done number of the tasks that are done
    */
   void jobCompleted(String ref, JobPhase phase, int tasks, int done);
 
-  /** Sends a frame to all other controllers; this one learns from it what they do. */
+  /** Sends a frame to all other controllers, and applies it to this controller as well. */
   void broadcast(Frame frame);
 
-  /** The images that an earlier leader published of the machine; empty if none are known. */
+  /**
+   * Names of the images that a leader last published for the machine, least recently used first;
+   * empty if none are known.
+   */
   List<String> lastKnownImages(String machine);
 }
--- a/src/main/java/io/embernotch/leader/LeaderLifecycle.java
+++ b/src/main/java/io/embernotch/leader/LeaderLifecycle.java
@@ -1,8 +1,8 @@
 package io.embernotch.leader;
 
 /**
- * How far a leader's term has got: it loads the store, then serves, and is stopped at any time. A
- * leader that was stopped after it had loaded still knows the cluster state.
+ * The lifecycle of a leader: it loads the store, then serves, and may be stopped at any time. A
+ * leader that is stopped after it has loaded the store keeps its cluster state.
  */
 final class LeaderLifecycle {
   private boolean loaded;
@@ -10,38 +10,46 @@
   private boolean stopped;
   private boolean contentsPutBack;
 
-  /** The store has been read, at this time of the steady clock. */
+  /**
+   * Records that the store is loaded.
+   *
+   * @param now seconds of the monotonic clock
+   */
   void markLoaded(double now) {
     loaded = true;
     loadedAt = now;
   }
 
-  /** The term is over. */
+  /** Records that the term has ended. */
   void markStopped() {
     stopped = true;
   }
 
-  /** The store had been put back to an earlier moment before the term began. */
+  /** Records that the store was rolled back to an earlier revision before the term began. */
   void markContentsPutBack() {
     contentsPutBack = true;
   }
 
-  /** True if the term was found to have been led on contents that were put back before it. */
+  /** True if the store was found to have been rolled back before the term began. */
   boolean isContentsPutBack() {
     return contentsPutBack;
   }
 
-  /** True once the cluster state is known. */
+  /** True once the cluster state is loaded. */
   boolean isLoaded() {
     return loaded;
   }
 
-  /** Seconds since the store was read; only once it is. */
+  /**
+   * Seconds since the store was loaded; meaningless before.
+   *
+   * @param now seconds of the monotonic clock
+   */
   double loadedForS(double now) {
     return now - loadedAt;
   }
 
-  /** True once the term is over. */
+  /** True once the term has ended. */
   boolean isStopped() {
     return stopped;
   }
--- a/src/main/java/io/embernotch/leader/LeaderMessage.java
+++ b/src/main/java/io/embernotch/leader/LeaderMessage.java
@@ -8,29 +8,31 @@
 import io.vertx.core.Promise;
 import java.util.List;
 
-/** What the leader can be sent. */
+/**
+ * The messages that a leader processes. The event loop's profile lists them by their simple names.
+ */
 public sealed interface LeaderMessage {
   /**
-   * An agent's heartbeat that is to be answered.
+   * An agent's heartbeat whose agent waits for a response.
    *
    * @param via process incarnation of the controller that forwarded it; 0 if the agent sent it to
-   *     the leader's own node
-   * @param reply gets the body of the 200, or null if the agent must not get one
+   *     the leader's own controller
+   * @param reply receives the body of the 200 response, or null if the agent must not get one
    */
   record HeartbeatReceived(Heartbeat heartbeat, long via, Promise<byte[]> reply)
       implements LeaderMessage {}
 
   /**
-   * The last heartbeat that an agent sent to another controller before this leader was known;
-   * nobody waits for an answer.
+   * The last heartbeat of an agent that a controller received before it knew this leader. The
+   * controller passes it on when the leader becomes known; no response is awaited.
    */
   record HeartbeatHandedOver(Heartbeat heartbeat) implements LeaderMessage {}
 
   /**
-   * A user's request for a job or for the overview.
+   * A user's request that concerns a job, or for the overview.
    *
-   * @param ref the job's reference; "" for the overview
-   * @param reply gets the answer
+   * @param ref id of the job; "" for the overview
+   * @param reply receives the response
    */
   record UserRequest(Frame.ForwardedRequest.Kind kind, String ref, Promise<HttpResponse> reply)
       implements LeaderMessage {}
@@ -38,16 +40,16 @@
   /**
    * A job was accepted and is in the store.
    *
-   * @param shardSize number of its tasks kept in one shard
+   * @param shardSize number of the job's tasks in each shard
    */
   record JobAccepted(Job job, int shardSize) implements LeaderMessage {}
 
-  /** A straggler round of controller {@code from} proposes these restarts. */
+  /** A straggler round of controller {@code from} proposes to restart these tasks. */
   record RestartsProposed(String from, List<Restart> restarts) implements LeaderMessage {}
 
-  /** Time has passed: what is due is to be done. */
+  /** Runs the periodic tasks. */
   record Tick() implements LeaderMessage {}
 
-  /** A scheduling run is due. */
+  /** Runs the scheduler. */
   record RunScheduler() implements LeaderMessage {}
 }
--- a/src/main/java/io/embernotch/leader/LeaderMessageDispatcher.java
+++ b/src/main/java/io/embernotch/leader/LeaderMessageDispatcher.java
@@ -6,8 +6,9 @@
 import java.util.List;
 
 /**
- * Passes each message to whoever handles its type. While the store is being loaded messages are
- * kept until it is; once the leader is stopped they are refused.
+ * Dispatches each message to the handler of its type. Messages that arrive while the store is being
+ * loaded are deferred until it is loaded. Messages that arrive after the leader was stopped are
+ * refused.
  */
 final class LeaderMessageDispatcher {
   private final ControllerContext context;
@@ -17,7 +18,7 @@
   private final PeriodicTasks periodicTasks;
   private final PendingHeartbeats pendingHeartbeats = new PendingHeartbeats();
 
-  /** What came while the store was being loaded, other than heartbeats. */
+  /** Messages other than heartbeats that arrived while the store was being loaded. */
   private final List<LeaderMessage> pendingMessages = new ArrayList<>();
 
   LeaderMessageDispatcher(LeaderComponents components) {
@@ -28,7 +29,7 @@
     this.periodicTasks = new PeriodicTasks(components);
   }
 
-  /** Handles, keeps or refuses the message; its run time is recorded in the profile by type. */
+  /** Handles, defers or refuses the message; the profile records the time it takes by its type. */
   void dispatch(LeaderMessage message) {
     context
         .profile()
@@ -51,7 +52,7 @@
     } else if (message instanceof LeaderMessage.HeartbeatHandedOver handedOver) {
       pendingHeartbeats.add(handedOver.heartbeat());
     } else if (message instanceof LeaderMessage.UserRequest request) {
-      // Its user would have gone before the store is read.
+      // The user would have given up before the store is loaded.
       refuse(request);
     } else if (!(message instanceof LeaderMessage.Tick)) {
       pendingMessages.add(message);
@@ -76,7 +77,9 @@
     }
   }
 
-  /** The store is loaded: what was kept is handled now, heartbeats a few at a time. */
+  /**
+   * Handles the deferred messages once the store is loaded, and the deferred heartbeats in batches.
+   */
   void releasePending() {
     List<LeaderMessage> kept = List.copyOf(pendingMessages);
     pendingMessages.clear();
@@ -84,14 +87,16 @@
     pendingHeartbeats.drain(context.loop(), this::dispatch);
   }
 
-  /** The leader is stopped: what was kept is refused. */
+  /** Refuses the deferred messages because the leader was stopped. */
   void refusePending() {
     pendingMessages.forEach(LeaderMessageDispatcher::refuse);
     pendingMessages.clear();
     pendingHeartbeats.refuse();
   }
 
-  /** Answers a message, if it is to be answered, as a node that is not leader. */
+  /**
+   * Answers a message as a controller that does not lead would, if its sender waits for an answer.
+   */
   static void refuse(LeaderMessage message) {
     if (message instanceof LeaderMessage.HeartbeatReceived received) {
       received.reply().tryComplete(null);
--- a/src/main/java/io/embernotch/leader/LeaderTerm.java
+++ b/src/main/java/io/embernotch/leader/LeaderTerm.java
@@ -5,8 +5,9 @@
 /**
  * The term of a leader.
  *
- * @param epoch names the term in all store incarnations; grows from term to term
- * @param modRevision modification revision of the leader key, which all commits condition on
- * @param baseSnapshot what the present store incarnation began with, beneath the store's keys
+ * @param epoch identifies the term across all store incarnations; increases from term to term
+ * @param modRevision modification revision of the leader key, which is a condition of all commits
+ * @param baseSnapshot the snapshot that the present store incarnation began with; keys of the store
+ *     override it
  */
 public record LeaderTerm(long epoch, long modRevision, BaseSnapshot baseSnapshot) {}
--- a/src/main/java/io/embernotch/leader/PendingHeartbeats.java
+++ b/src/main/java/io/embernotch/leader/PendingHeartbeats.java
@@ -11,24 +11,28 @@
 import java.util.function.Consumer;
 
 /**
- * Agents' heartbeats that come before the store is loaded. They are kept until it is, since an
- * answer that renews their leases counts from the heartbeat's sending. Agents that would give up
- * earlier get an answer without a token: it renews nothing, but its agent keeps the connection. A
- * thousand agents that gave up and connected anew would take the time that loading needs.
+ * Agents' heartbeats that arrive before the store is loaded. They are kept until then, since a
+ * response renews leases from the time at which the heartbeat was sent. Agents that would give up
+ * earlier get a response without a fencing token: it renews nothing, but the agent keeps its
+ * connection. If a thousand agents gave up and reconnected, that would take the processor time that
+ * loading needs.
  */
 final class PendingHeartbeats {
-  /** Heartbeats released in one iteration of the loop, so that everything else gets its own. */
+  /**
+   * Maximum number of heartbeats handled in one iteration of the loop, so that other work is not
+   * delayed.
+   */
   private static final int MAX_PER_ITERATION = 32;
 
-  /** The last heartbeat of each machine that nobody waits for any more. */
+  /** The last heartbeat of each machine to which no response is awaited. */
   private final Map<String, Heartbeat> unawaited = new LinkedHashMap<>();
 
-  /** The heartbeat of each machine whose agent waits for the answer. */
+  /** The last heartbeat of each machine whose agent awaits a response. */
   private final Map<String, LeaderMessage.HeartbeatReceived> awaited = new LinkedHashMap<>();
 
   /**
-   * A heartbeat whose agent waits; it is answered without a token unless {@link #drain} comes
-   * first.
+   * Adds a heartbeat whose agent awaits a response. Unless {@link #drain} is called in time, it is
+   * answered without a token.
    */
   void add(LeaderMessage.HeartbeatReceived message, Timers timers) {
     String machine = message.heartbeat().machine();
@@ -46,7 +50,10 @@
         });
   }
 
-  /** A heartbeat that nobody waits for; dropped if a newer one of the machine is known. */
+  /**
+   * Adds a heartbeat to which no response is awaited; drops it if a newer one of the machine is
+   * known.
+   */
   void add(Heartbeat heartbeat) {
     unawaited.merge(
         heartbeat.machine(),
@@ -55,8 +62,10 @@
   }
 
   /**
-   * Releases those that are waited for, and then the others, some in each iteration of the loop.
+   * Removes all heartbeats and has them handled in batches, one in each iteration of the loop.
+   * Those whose agents await a response come first.
    *
+   * @param loop executor of the event loop
    * @param handler handles a heartbeat
    */
   void drain(Executor loop, Consumer<LeaderMessage> handler) {
@@ -79,7 +88,10 @@
     }
   }
 
-  /** The store will not be loaded here: those that are waited for get no answer. */
+  /**
+   * Refuses the heartbeats whose agents await a response: the leader was stopped before it loaded
+   * the store.
+   */
   void refuse() {
     awaited.values().forEach(message -> message.reply().tryComplete(null));
     awaited.clear();
--- a/src/main/java/io/embernotch/leader/PeriodicTasks.java
+++ b/src/main/java/io/embernotch/leader/PeriodicTasks.java
@@ -4,7 +4,7 @@
 import io.embernotch.model.Machine;
 import java.util.List;
 
-/** What the leader does as time passes, several times in a heartbeat interval. */
+/** The periodic tasks of the leader, which run several times per heartbeat interval. */
 final class PeriodicTasks {
   private final LeaderComponents components;
 
@@ -12,7 +12,7 @@
     this.components = components;
   }
 
-  /** Does what is due; nothing while the lease is not proven. */
+  /** Runs the tasks that are due; does nothing while the lease is not proven. */
   void run() {
     if (!components.leaderContext.isLeaseValid()) {
       return;
@@ -26,7 +26,7 @@
     components.restartReviewer.commitDue();
     if (components.lifecycle.loadedForS(now)
         > components.context.settings().workers().heartbeatIntervalS()) {
-      // Right after a failover, what does not serve live services must not take time from them.
+      // Right after a failover, tasks that don't benefit live services must not delay them.
       evictAndPublish(now);
     }
     components.sharedState.tick();
--- a/src/main/java/io/embernotch/leader/PlanExecutor.java
+++ b/src/main/java/io/embernotch/leader/PlanExecutor.java
@@ -8,9 +8,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Has a scheduling plan carried out: stops, starts, and changes of the fleet. */
+/** Executes scheduling plans: stops and starts tasks, and rents and returns machines. */
 final class PlanExecutor {
-  /** The scheduling loop's, so that these log lines keep the name that they are filtered by. */
+  /** The logger of the scheduling loop: operators filter these log lines by its name. */
   private static final Logger LOG = LoggerFactory.getLogger(SchedulingLoop.class);
 
   private final FleetManager fleetManager;
@@ -24,9 +24,10 @@
   }
 
   /**
-   * Carries the plan out, as far as the cloud's state is known.
+   * Executes the plan. Machines are rented and returned only as far as the state of the cloud is
+   * known.
    *
-   * @param now when the plan was begun, in seconds of the steady clock
+   * @param now when planning began, in seconds of the monotonic clock
    */
   void execute(SchedulingPlan plan, double now) {
     for (SchedulingPlan.Stop stop : plan.stops()) {
--- a/src/main/java/io/embernotch/leader/SchedulingInputs.java
+++ b/src/main/java/io/embernotch/leader/SchedulingInputs.java
@@ -8,9 +8,9 @@
 import io.embernotch.state.DemandForecast;
 import java.util.List;
 
-/** Gathers the input of a scheduling run from the leader's components. */
+/** Collects the input of a scheduling run from the leader's components. */
 final class SchedulingInputs {
-  /** Headroom for live services is raised by this factor when a release is near. */
+  /** Factor by which the headroom for live services is raised when a release is near. */
   private static final double NEAR_RELEASE_FACTOR = 1.5;
 
   private final ControllerContext context;
@@ -33,9 +33,9 @@
   }
 
   /**
-   * The input of a run; the release calendar is applied to the jobs first.
+   * Collects the input of a run, after applying the release calendar to the jobs.
    *
-   * @param now seconds of the steady clock
+   * @param now seconds of the monotonic clock
    */
   SchedulingInput gather(double now) {
     long wallMs = context.clock().wallMs();
--- a/src/main/java/io/embernotch/leader/SchedulingLoop.java
+++ b/src/main/java/io/embernotch/leader/SchedulingLoop.java
@@ -21,15 +21,19 @@
 final class SchedulingLoop {
   private static final Logger LOG = LoggerFactory.getLogger(SchedulingLoop.class);
 
-  /** Runs in a heartbeat interval, at most and, while nothing is known to change, at least. */
+  /** Maximum number of scheduling runs in a heartbeat interval. */
   private static final int MAX_RUNS_PER_HEARTBEAT_INTERVAL = 60;
 
+  /** Minimum number of scheduling runs in a heartbeat interval, even if nothing has changed. */
   private static final int MIN_RUNS_PER_HEARTBEAT_INTERVAL = 3;
 
-  /** The pause after a run, as a multiple of the run's duration. */
+  /** Pause after a run, as a multiple of the duration of the run. */
   private static final double PAUSE_FACTOR = 4;
 
-  /** The same while heartbeats are queued, divided by this process's share of the processor. */
+  /**
+   * The same while heartbeats are queued. The pause is then also divided by this process's share of
+   * a processor.
+   */
   private static final double PAUSE_FACTOR_UNDER_PRESSURE = 3;
 
   private final ControllerContext context;
@@ -50,10 +54,10 @@
   private double loadedAt;
   private boolean closed;
 
-  /** A run is scheduled at the pace that runs are allowed. */
+  /** Whether a rate-limited run is scheduled. */
   private boolean scheduledSoon;
 
-  /** A run is requested for this iteration of the loop, since a job was released. */
+  /** Whether a run is requested for this iteration of the loop, because a job was released. */
   private boolean scheduledNow;
 
   private double lastRunAt = Clock.NEVER;
@@ -62,14 +66,14 @@
   private long failureCount;
   private WaitSummary waits = new WaitSummary();
 
-  /** Ids of the jobs whose failure has been logged. */
+  /** Ids of the jobs whose planning failure was logged. */
   private final Set<String> failedJobs = new HashSet<>();
 
   /**
-   * @param acquiredAt when the term began, by the steady clock
-   * @param isLeading whether anything may be started
-   * @param isUnderPressure whether agents' heartbeats are queued
-   * @param requestRun has {@link #runScheduler} called by a message of its own
+   * @param acquiredAt when the term began, in seconds of the monotonic clock
+   * @param isLeading whether this leader may start tasks and rent machines
+   * @param isUnderPressure whether agents' heartbeats have been queued for long
+   * @param requestRun sends the leader a message upon which it calls {@link #runScheduler}
    */
   SchedulingLoop(
       ControllerContext context,
@@ -98,46 +102,50 @@
     this.scheduler = new Scheduler(context.settings(), context.operator());
   }
 
-  /** The store is loaded: from now on the scheduler runs. */
+  /** Starts scheduling, once the store is loaded. */
   void begin() {
     loaded = true;
     loadedAt = context.clock().now();
     context.timers().after(liveServicesFirstS(), this::scheduleSoon);
   }
 
-  /** No run is scheduled any more. */
+  /** Schedules no more runs. */
   void close() {
     closed = true;
   }
 
-  /** How often a job was left out of a plan, since planning it failed. */
+  /** Number of times that a job was left out of a plan because planning it failed. */
   long failureCount() {
     return failureCount;
   }
 
-  /** What the last whole plan left waiting, and why. */
+  /** What the last plan for all jobs left waiting, by reason. */
   WaitSummary waits() {
     return waits;
   }
 
-  /** How often the scheduler ran. */
+  /** Number of scheduling runs. */
   long runCount() {
     return runCount;
   }
 
-  /** Durations of the runs since the last call; null if there was none. */
+  /** Latencies of the runs since the last call; null if there was none. */
   String statusLine() {
     return latencies.line();
   }
 
-  /** Time has passed: a run is due now and then even if nothing is known to have changed. */
+  /**
+   * Schedules a run if the last one was too long ago, even if nothing is known to have changed.
+   *
+   * @param now seconds of the monotonic clock
+   */
   void tick(double now) {
     if (now - lastRunAt > heartbeatIntervalS / MIN_RUNS_PER_HEARTBEAT_INTERVAL) {
       scheduleSoon();
     }
   }
 
-  /** Requests a run regardless of the pace: few jobs are released in a second. */
+  /** Requests a run without rate limit: only a few jobs are released per second. */
   void scheduleNow() {
     if (!scheduledNow) {
       scheduledNow = true;
@@ -145,7 +153,7 @@
     }
   }
 
-  /** Schedules a run at the pace that runs are allowed. */
+  /** Schedules a run within the rate limit, unless one is scheduled already. */
   void scheduleSoon() {
     if (!scheduledSoon && loaded && !closed) {
       scheduledSoon = true;
@@ -157,9 +165,10 @@
   }
 
   /**
-   * However long a run lasts, most of the time is left to heartbeats. While these are queued, that
-   * is measured by this process's share of the processor: after a failover, a pause of four times
-   * the last run's duration would leave half of that share to the scheduler.
+   * Seconds to pause after the last run, so that most of the time is left to heartbeats however
+   * long a run takes. While heartbeats are queued, the pause takes this process's share of a
+   * processor into account: after a failover, a pause of four times the last run's duration would
+   * leave half of that share to the scheduler.
    */
   private double pauseS() {
     return isUnderPressure.getAsBoolean()
@@ -167,7 +176,7 @@
         : PAUSE_FACTOR * lastRunTookS;
   }
 
-  /** Makes a plan and has it carried out, if this leader may act and knows the fleet. */
+  /** Makes a plan and executes it, if this leader may act and knows the fleet. */
   void runScheduler() {
     scheduledSoon = false;
     scheduledNow = false;
@@ -195,11 +204,15 @@
     failureCount++;
     if (failedJobs.add(failure.job().spec.ref())) {
       LOG.error(
-          "job {} can't be planned, the others are", failure.job().spec.ref(), failure.cause());
+          "job {} cannot be planned and is left out of the plan",
+          failure.job().spec.ref(),
+          failure.cause());
     }
   }
 
-  /** True for a new leader that knows no machine yet and has no list from the cloud. */
+  /**
+   * True for a new leader that knows no machine and has not received the machine list of the cloud.
+   */
   private boolean fleetUnknown(double now) {
     return !fleetManager.listedOnce()
         && now - acquiredAt < heartbeatIntervalS
@@ -207,9 +220,9 @@
   }
 
   /**
-   * Right after a failover live services are scheduled by themselves. The first run for all jobs
-   * takes some 0.4 s on a starved core, knows few machines yet, and keeps the next one waiting for
-   * four times that.
+   * Whether to plan live services only, as is done right after a failover while any of their tasks
+   * is pending. The first run for all jobs takes about 0.4 s on a throttled processor, knows few
+   * machines yet, and delays the next run by four times its duration.
    */
   private boolean liveServicesWait(double now) {
     return now - loadedAt < liveServicesFirstS()
@@ -217,7 +230,7 @@
             .anyMatch(job -> job.spec.priority() == Priority.PRODUCTION && job.pendingCount() > 0);
   }
 
-  /** Seconds after a failover for which live services come before everything else. */
+  /** Seconds after a failover during which live services take precedence over all other jobs. */
   private double liveServicesFirstS() {
     return heartbeatIntervalS / 2;
   }
--- a/src/main/java/io/embernotch/leader/SharedStateServices.java
+++ b/src/main/java/io/embernotch/leader/SharedStateServices.java
@@ -16,8 +16,8 @@
 import java.util.function.Consumer;
 
 /**
- * What leaders hand on from term to term beside jobs: reservations, the release calendar and the
- * places of images. It is loaded before anything but live services is scheduled.
+ * State other than jobs that is passed from term to term: reservations, the release calendar, and
+ * the locations of images. It is loaded before anything but live services is scheduled.
  */
 final class SharedStateServices {
   private final SharedState sharedState;
@@ -27,8 +27,8 @@
   private final Clock clock;
 
   /**
-   * @param rewriteProgress has a job's progress written anew
-   * @param onSuperseded called when a transaction failed on the leader key
+   * @param rewriteProgress writes a job's progress again
+   * @param onSuperseded called when a transaction failed its condition on the leader key
    */
   SharedStateServices(
       ControllerContext context,
@@ -45,7 +45,7 @@
     this.imageLocality = new ImageLocality(context, state, sharedState);
   }
 
-  /** Loads what the store holds of it. */
+  /** Loads the shared state entries of the store. */
   void load(List<VersionedEntry> entries) {
     sharedState.load(entries);
     reservations.load();
@@ -53,7 +53,7 @@
     imageLocality.load();
   }
 
-  /** Stops writing. */
+  /** Stops writing to the store. */
   void close() {
     sharedState.close();
   }
@@ -66,23 +66,29 @@
     return calendar;
   }
 
-  /** Time has passed: what is due is written. */
+  /** Writes the changes that are due. */
   void tick() {
     calendar.tick(clock.wallMs());
     imageLocality.tick(clock.now());
   }
 
-  /** The images that a former leader knew a machine to have. */
+  /**
+   * Names of the images that the machine had according to a former leader; empty if none are known.
+   */
   List<String> images(String machine) {
     return imageLocality.of(machine);
   }
 
-  /** Adds to the answer to a poll what the calendar says of the job. */
+  /**
+   * Adds the fields of the release calendar to the status of a job.
+   *
+   * @param into the body of the response to a poll
+   */
   void describe(Job job, ObjectNode into) {
     calendar.status(job, into, clock.wallMs());
   }
 
-  /** The entries of the shared state by name, for snapshots. */
+  /** The shared state entries by name, for snapshots. */
   Map<String, ObjectNode> entries() {
     return sharedState.copy();
   }
--- a/src/main/java/io/embernotch/leader/StatusLogger.java
+++ b/src/main/java/io/embernotch/leader/StatusLogger.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Writes the leader's status to the log, twice in the time of an agent's lease. */
+/** Logs the status of the leader, twice in the duration of an agent's lease. */
 final class StatusLogger {
   private static final Logger LOG = LoggerFactory.getLogger(StatusLogger.class);
 
@@ -29,7 +29,11 @@
     this.stateWriter = stateWriter;
   }
 
-  /** Logs if it is due. */
+  /**
+   * Logs the status if it is due.
+   *
+   * @param now seconds of the monotonic clock
+   */
   void tick(double now) {
     double intervalS = context.settings().workers().leaseS() / 2;
     if (now - loggedAt <= intervalS) {
@@ -43,7 +47,7 @@
     context.profile().log();
     logUnlessNull("written", stateWriter.statusLine());
     logUnlessNull(
-        "waits of the largest",
+        "wait times of the largest jobs",
         state.largestJobWaits.statusLine(state.jobs.values(), context.clock().wallMs()));
   }
 
--- a/src/main/java/io/embernotch/leader/UserRequestHandler.java
+++ b/src/main/java/io/embernotch/leader/UserRequestHandler.java
@@ -5,7 +5,7 @@
 import io.embernotch.http.HttpResponse;
 import io.embernotch.state.ClusterOverview;
 
-/** Answers what users ask the leader for: a job's state, its cancellation, or the overview. */
+/** Handles users' requests: for a job's status, for its cancellation, or for the overview. */
 final class UserRequestHandler {
   private final LeaderComponents components;
 
--- a/src/main/java/io/embernotch/leader/package-info.java
+++ b/src/main/java/io/embernotch/leader/package-info.java
@@ -1,12 +1,12 @@
 /**
- * The leader: the one that decides for the cluster, for one term. It exists from the moment its
- * node acquires leadership until it loses it.
+ * The leader, which manages the cluster for one term: from the moment its controller acquires
+ * leadership until it loses it.
  *
- * <p>{@link io.embernotch.leader.Leader} is an actor that owns the cluster state of its term; the
- * other classes run on its messages, on the core loop. Messages are handled by the packages for
- * jobs, agents, the fleet and scheduling; the events of one of these are passed to the others here.
- * The package must not know who else is a controller or how elections go, except through {@link
- * io.embernotch.leader.LeaderContext}, and must not outlive its term: once stopped, it changes
- * nothing any more.
+ * <p>{@link io.embernotch.leader.Leader} is an actor that owns the cluster state of its term. The
+ * other classes process its messages on the core loop, the event loop of the controller. The
+ * packages for jobs, agents, the fleet and scheduling do the actual work, and this package passes
+ * the events of each to the others. It must not know the other controllers or the election except
+ * through {@link io.embernotch.leader.LeaderContext}. A leader must not outlive its term: once
+ * stopped, it changes nothing.
  */
 package io.embernotch.leader;
--- a/src/test/java/io/embernotch/election/LeaderKeyTest.java
+++ b/src/test/java/io/embernotch/election/LeaderKeyTest.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The stored form of the leader key, which controllers of other versions read. */
+/** The stored format of the leader key, which controllers of other versions read. */
 class LeaderKeyTest {
   private static final String STORED =
       "{\"node\":\"c1\",\"permit\":42,\"relay\":true,\"era\":\"c0-7\",\"floor\":16777216}";
--- a/src/test/java/io/embernotch/election/LeaderObserverTest.java
+++ b/src/test/java/io/embernotch/election/LeaderObserverTest.java
@@ -5,7 +5,10 @@
 import io.embernotch.testkit.FakeTime;
 import org.junit.jupiter.api.Test;
 
-/** The highest epoch that a controller has seen, by which others tell whose term was the last. */
+/**
+ * The highest epoch that a controller has observed. After a data loss, controllers compare it to
+ * find out which term was the last.
+ */
 class LeaderObserverTest {
   private final FakeTime time = new FakeTime();
   private final LeaderObserver observer = new LeaderObserver(time);
@@ -16,14 +19,17 @@
     assertThat(observer.highestSeenForS()).isEqualTo(seenForS);
   }
 
-  /** Guards against a leader where none was seen. */
+  /** Guards against a reported leader although none was observed. */
   @Test
   void atFirstNoEpochWasSeen() {
     assertThat(observer.highestNode()).isNull();
     assertThat(observer.highestEpoch()).isZero();
   }
 
-  /** Guards against a way of learning of a term that is left out. */
+  /**
+   * Guards against a source of epochs that is ignored: the leader key, a claim in a heartbeat, and
+   * another controller's report.
+   */
   @Test
   void theHighestEpochIsTakenFromTheKeyFromClaimsAndFromHearsay() {
     observer.update("c0", 5);
@@ -35,7 +41,9 @@
     assertThat(observer.node()).isEqualTo("c1");
   }
 
-  /** Guards against a term that seems to be younger than it is, since it is heard of again. */
+  /**
+   * Guards against a term that seems more recent than it is because its epoch is observed again.
+   */
   @Test
   void thatAnEpochIsSeenAgainDoesNotMakeItNewer() {
     observer.observeEpoch("c0", 5);
@@ -46,7 +54,7 @@
     expectHighest("c0", 5, 4);
   }
 
-  /** Guards against late heartbeats that take back a later term. */
+  /** Guards against late heartbeats that replace the epoch of a later term. */
   @Test
   void lowerEpochsAndTheEndOfTheTermChangeNothing() {
     observer.update("c0", 5);
@@ -57,7 +65,10 @@
     expectHighest("c0", 5, 2);
   }
 
-  /** Guards against an epoch that came again after a loss taking the place of the first one. */
+  /**
+   * Guards against a repeated epoch: after a data loss another leader may get an epoch that was
+   * used before.
+   */
   @Test
   void theFirstLeaderOfTheHighestEpochStays() {
     observer.observeEpoch("c0", 5);
--- a/src/test/java/io/embernotch/leader/ImageInventoryTest.java
+++ b/src/test/java/io/embernotch/leader/ImageInventoryTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What the leader publishes of machines' images, and what a follower remembers of it. */
+/** The images of machines that the leader publishes, and what a follower stores of them. */
 class ImageInventoryTest {
   @Test
   void aFollowerKnowsWhatTheLeaderLastSaidAndForgetsWhatIsGone() {
@@ -26,10 +26,10 @@
     publisher.publish(List.of(machine), 7, 116, sent::add);
     sent.forEach(frame -> follower.update((Frame.ImageInventoryUpdate) frame));
     assertThat(follower.of("n-1")).containsExactly("a", "b");
-    // What a deposed leader still says changes nothing.
+    // An update of a former leader, with a lower epoch, is ignored.
     follower.update(new Frame.ImageInventoryUpdate(6, "n-1", List.of("old")));
     assertThat(follower.of("n-1")).containsExactly("a", "b");
-    // After a follower's restart everything is published again, though nothing has changed.
+    // After a restart of a follower everything is published again, although nothing has changed.
     publisher.republishAll();
     ImageInventory next = new ImageInventory(4);
     publisher.publish(
--- a/src/test/java/io/embernotch/structure/StructureTest.java
+++ b/src/test/java/io/embernotch/structure/StructureTest.java
@@ -20,7 +20,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Packages are described, small enough to be read, and depend on each other without cycles. */
+/** Packages are documented, limited in size, and free of cyclic dependencies. */
 @AnalyzeClasses(packages = "io.embernotch", importOptions = DoNotIncludeTests.class)
 class StructureTest {
   private static final Path SOURCES = Path.of("src/main/java/io/embernotch");
@@ -30,7 +30,10 @@
   static final ArchRule PACKAGES_ARE_ACYCLIC =
       slices().matching("io.embernotch.(*)..").should().beFreeOfCycles();
 
-  /** Their order differs from one process to the next, so no run would repeat by its seed. */
+  /**
+   * The iteration order of these copies differs from one process to the next, so that a simulation
+   * would not be repeatable by its seed.
+   */
   @ArchTest
   static final ArchRule COPIES_KEEP_THEIR_ORDER =
       noClasses()
