--- a/src/main/java/io/embernotch/context/ProcessIncarnation.java
+++ b/src/main/java/io/embernotch/context/ProcessIncarnation.java
@@ -26,7 +26,7 @@
   }
 
   /** The incarnation that a message number belongs to. */
-  public static long of(long number) {
-    return number >>> COUNTER_BITS;
+  public static long of(long messageNumber) {
+    return messageNumber >>> COUNTER_BITS;
   }
 }
--- a/src/main/java/io/embernotch/election/Candidacy.java
+++ b/src/main/java/io/embernotch/election/Candidacy.java
@@ -28,10 +28,10 @@
   /**
    * Adds the operations that start a new incarnation to a claim, if it is to start one.
    *
-   * @param txn the transaction that writes the leader key
+   * @param transaction the transaction that writes the leader key
    * @return the terms of the claim
    */
-  Claim claim(Transaction txn);
+  Claim claim(Transaction transaction);
 
   /**
    * The last claim succeeded.
--- a/src/main/java/io/embernotch/election/LeaderClaim.java
+++ b/src/main/java/io/embernotch/election/LeaderClaim.java
@@ -23,9 +23,9 @@
      * This controller does not hold the key. The lease of the claim, if one was granted, is being
      * revoked.
      *
-     * @param retryInS seconds after which the key is to be read again
+     * @param retryAfterS seconds after which the key is to be read again
      */
-    void failed(double retryInS);
+    void failed(double retryAfterS);
   }
 
   /**
@@ -43,7 +43,7 @@
   private final Clock clock;
   private final Candidacy candidacy;
   private final double leaseTtlS;
-  private final double retryS;
+  private final double retryDelayS;
   private final VersionedEntry current;
   private final Outcome outcome;
 
@@ -52,7 +52,7 @@
   private double grantSentAt;
 
   /**
-   * @param retryS seconds after which the key is to be read again if a request has failed
+   * @param retryDelayS seconds after which the key is to be read again if a request has failed
    * @param current the key as it was read: absent, or left from before a data loss
    * @param outcome receives the result
    */
@@ -62,7 +62,7 @@
       Clock clock,
       Candidacy candidacy,
       double leaseTtlS,
-      double retryS,
+      double retryDelayS,
       VersionedEntry current,
       Outcome outcome) {
     this.node = node;
@@ -70,7 +70,7 @@
     this.clock = clock;
     this.candidacy = candidacy;
     this.leaseTtlS = leaseTtlS;
-    this.retryS = retryS;
+    this.retryDelayS = retryDelayS;
     this.current = current;
     this.outcome = outcome;
   }
@@ -78,14 +78,14 @@
   /** Starts the claim. To be called once. */
   void start() {
     grantSentAt = clock.now();
-    store.grant(leaseTtlS).onSuccess(this::write).onFailure(failure -> outcome.failed(retryS));
+    store.grant(leaseTtlS).onSuccess(this::write).onFailure(failure -> outcome.failed(retryDelayS));
   }
 
   private void write(long grantedLeaseId) {
     leaseId = grantedLeaseId;
     if (!candidacy.mayClaim() || (current.present() && !candidacy.startsNewIncarnation())) {
       store.revoke(leaseId);
-      outcome.failed(LeaderElection.IMMEDIATELY_S);
+      outcome.failed(LeaderElection.NEXT_ITERATION_S);
       return;
     }
     Transaction transaction = new Transaction().when(LeaderKey.NAME, current.modRevision());
@@ -93,14 +93,14 @@
     LeaderKey key = new LeaderKey(node, leaseId, true, claim.incarnation(), claim.epochFloor());
     store
         .commit(transaction.write(LeaderKey.NAME, key.write(), leaseId), RequestPriority.URGENT)
-        .onSuccess(this::written)
+        .onSuccess(this::writeAnswered)
         .onFailure(this::writeFailed);
   }
 
-  private void written(TransactionResult result) {
+  private void writeAnswered(TransactionResult result) {
     if (!result.applied()) {
       store.revoke(leaseId);
-      refused(LeaderElection.IMMEDIATELY_S);
+      claimFailed(LeaderElection.NEXT_ITERATION_S);
       return;
     }
     // Revoking the former leader's lease prevents that leader from renewing it.
@@ -110,15 +110,15 @@
 
   private void writeFailed(Throwable failure) {
     if (StoreException.kindOf(failure) == StoreException.Kind.UNKNOWN) {
-      confirm();
+      readBack();
     } else {
       store.revoke(leaseId);
-      refused(retryS);
+      claimFailed(retryDelayS);
     }
   }
 
   /** Reads the key after a write without an answer: only the key shows whether it was applied. */
-  private void confirm() {
+  private void readBack() {
     store
         .get(LeaderKey.NAME)
         .onSuccess(
@@ -134,15 +134,15 @@
 
   /** Revokes the lease before the claim fails: once it has ended, a late write can't be applied. */
   private void withdraw() {
-    store.revoke(leaseId).onComplete(revoked -> refused(retryS));
+    store.revoke(leaseId).onComplete(revoked -> claimFailed(retryDelayS));
   }
 
   private void succeeded(long modRevision) {
     outcome.succeeded(new Success(leaseId, modRevision, claim, grantSentAt));
   }
 
-  private void refused(double retryInS) {
+  private void claimFailed(double retryAfterS) {
     candidacy.claimRefused();
-    outcome.failed(retryInS);
+    outcome.failed(retryAfterS);
   }
 }
--- a/src/main/java/io/embernotch/election/LeaderElection.java
+++ b/src/main/java/io/embernotch/election/LeaderElection.java
@@ -25,13 +25,13 @@
   private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
 
   /** Shortest timer delay in seconds: the next iteration of the event loop. */
-  static final double IMMEDIATELY_S = 0.001;
+  static final double NEXT_ITERATION_S = 0.001;
 
   /** Seconds between the revocation of a former process's lease and the next read of the key. */
-  private static final double AFTER_REVOCATION_S = 0.01;
+  private static final double REREAD_AFTER_REVOCATION_S = 0.01;
 
   /** A monotonic time before all others: no delay of claims, or no proven lease. */
-  private static final double NEVER = -1;
+  private static final double DISTANT_PAST = -1;
 
   private enum State {
     /** Reads the key, watches it, or waits until the next read. */
@@ -52,13 +52,13 @@
   private final double leaseTtlS;
 
   /** Seconds until the key is read again after a failure, or while no claim is allowed. */
-  private final double retryS;
+  private final double retryDelayS;
 
   /** Longest duration in seconds of one watch on a key that another controller holds. */
-  private final double watchS;
+  private final double watchTimeoutS;
 
   /** Seconds by which a controller delays its claim if others are better suited to lead. */
-  private final double yieldS;
+  private final double yieldDelayS;
 
   private LeadershipListener listener;
   private State state = State.FOLLOWER;
@@ -66,8 +66,8 @@
   private long epoch;
   private double claimedAt;
   private double leadsFrom;
-  private double avoidUntil = NEVER;
-  private boolean reading;
+  private double noClaimBefore = DISTANT_PAST;
+  private boolean readInFlight;
 
   /**
    * Creates an election that does nothing before {@link #start}.
@@ -86,9 +86,9 @@
     this.leaseRenewer = leaseRenewer;
     this.candidacy = candidacy;
     this.leaseTtlS = leaseRenewer.leaseTtlS();
-    this.retryS = leaseTtlS / 8;
-    this.watchS = 2 * leaseTtlS;
-    this.yieldS = leaseTtlS / 4;
+    this.retryDelayS = leaseTtlS / 8;
+    this.watchTimeoutS = 2 * leaseTtlS;
+    this.yieldDelayS = leaseTtlS / 4;
     this.orphanedKeys = new OrphanedKeyDetector(store, clock, candidacy, peerLiveness, leaseTtlS);
   }
 
@@ -131,26 +131,26 @@
   }
 
   /**
-   * Gives up leadership, and makes no claim for {@code avoidS} seconds.
+   * Gives up leadership, and makes no claim for {@code noClaimForS} seconds.
    *
-   * @param why the reason, for the log
+   * @param reason the reason, for the log
    */
-  public void resign(String why, double avoidS) {
-    avoidUntil = clock.now() + avoidS;
+  public void resign(String reason, double noClaimForS) {
+    noClaimBefore = clock.now() + noClaimForS;
     if (state == State.LEADER) {
       store.revoke(leaseId);
-      loseLeadership(why, clock.now());
+      loseLeadership(reason, clock.now());
     }
   }
 
   /**
    * Becomes a follower, for example because another leader was seen.
    *
-   * @param why the reason, for the log
+   * @param reason the reason, for the log
    */
-  public void stepDown(String why) {
+  public void stepDown(String reason) {
     if (state == State.LEADER) {
-      loseLeadership(why, NEVER);
+      loseLeadership(reason, DISTANT_PAST);
     }
   }
 
@@ -167,29 +167,29 @@
   // ---- follower
 
   private void readKey() {
-    if (state != State.FOLLOWER || reading) {
+    if (state != State.FOLLOWER || readInFlight) {
       return;
     }
-    reading = true;
+    readInFlight = true;
     store
         .get(LeaderKey.NAME)
         .onSuccess(
             entry -> {
-              reading = false;
-              keyRead(entry);
+              readInFlight = false;
+              processKey(entry);
             })
         .onFailure(
             failure -> {
-              reading = false;
-              readKeyAfter(retryS);
+              readInFlight = false;
+              readKeyAfter(retryDelayS);
             });
   }
 
-  private void readKeyAfter(double pauseS) {
-    timers.after(pauseS, this::readKey);
+  private void readKeyAfter(double delayS) {
+    timers.after(delayS, this::readKey);
   }
 
-  private void keyRead(VersionedEntry entry) {
+  private void processKey(VersionedEntry entry) {
     if (state != State.FOLLOWER) {
       return;
     }
@@ -203,33 +203,33 @@
     }
     if ((startsNewIncarnation || key.isEmpty()) && !candidacy.mayClaim()) {
       listener.leaderAbsent();
-      readKeyAfter(retryS);
+      readKeyAfter(retryDelayS);
     } else if (startsNewIncarnation) {
-      contend(entry);
+      startClaim(entry);
     } else if (key.isEmpty()) {
-      contendWhenDue(entry);
+      claimAfterDelay(entry);
     } else if (key.get().node().equals(node)) {
-      dropOwnKey(entry, key.get());
+      revokeOwnKey(entry, key.get());
     } else {
-      followHolder(entry, key.get());
+      followLeader(entry, key.get());
     }
   }
 
   /** Claims the absent key, or reads it again once this controller's delay has passed. */
-  private void contendWhenDue(VersionedEntry absent) {
+  private void claimAfterDelay(VersionedEntry absent) {
     listener.leaderAbsent();
-    double pauseS = Math.max(avoidUntil - clock.now(), listener.shouldYield() ? yieldS : 0);
-    if (pauseS > 0) {
+    double delayS = Math.max(noClaimBefore - clock.now(), listener.shouldYield() ? yieldDelayS : 0);
+    if (delayS > 0) {
       // Another controller may hold the key after the delay, so it is read again before a claim.
-      avoidUntil = Math.min(avoidUntil, clock.now());
-      timers.after(pauseS, this::readKeyOrContend);
+      noClaimBefore = Math.min(noClaimBefore, clock.now());
+      timers.after(delayS, this::readKeyAndClaim);
     } else {
-      contend(absent);
+      startClaim(absent);
     }
   }
 
-  private void readKeyOrContend() {
-    if (state != State.FOLLOWER || reading) {
+  private void readKeyAndClaim() {
+    if (state != State.FOLLOWER || readInFlight) {
       return;
     }
     store
@@ -237,12 +237,12 @@
         .onSuccess(
             entry -> {
               if (entry.present() || !candidacy.mayClaim()) {
-                keyRead(entry);
+                processKey(entry);
               } else if (state == State.FOLLOWER) {
-                contend(entry);
+                startClaim(entry);
               }
             })
-        .onFailure(failure -> readKeyAfter(retryS));
+        .onFailure(failure -> readKeyAfter(retryDelayS));
   }
 
   /**
@@ -251,22 +251,22 @@
    * If the store was rolled back to contents that include the key, its lease may not exist, and no
    * response shows how old the key is. So the contents are verified as well.
    */
-  private void dropOwnKey(VersionedEntry entry, LeaderKey key) {
-    orphanedKeys.observeOwn(entry, node);
+  private void revokeOwnKey(VersionedEntry entry, LeaderKey key) {
+    orphanedKeys.observeOwnKey(entry, node);
     candidacy.probe();
     store
         .revoke(key.leaseId())
         .onSuccess(revoked -> orphanedKeys.leaseRevoked(entry.modRevision()))
-        .onComplete(revoked -> readKeyAfter(AFTER_REVOCATION_S));
+        .onComplete(revoked -> readKeyAfter(REREAD_AFTER_REVOCATION_S));
   }
 
-  private void followHolder(VersionedEntry entry, LeaderKey key) {
-    orphanedKeys.observe(entry, key);
+  private void followLeader(VersionedEntry entry, LeaderKey key) {
+    orphanedKeys.observeOtherKey(entry, key);
     listener.leaderChanged(
         key.node(), key.epochFloor() + entry.modRevision(), key.acceptsForwarded());
     store
-        .watch(LeaderKey.NAME, entry.modRevision(), watchS)
-        .onComplete(change -> readKeyAfter(change.failed() ? retryS : IMMEDIATELY_S));
+        .watch(LeaderKey.NAME, entry.modRevision(), watchTimeoutS)
+        .onComplete(change -> readKeyAfter(change.failed() ? retryDelayS : NEXT_ITERATION_S));
   }
 
   // ---- candidate
@@ -274,9 +274,10 @@
   /**
    * @param current the key as it was read: absent, or left from before a data loss
    */
-  private void contend(VersionedEntry current) {
+  private void startClaim(VersionedEntry current) {
     state = State.CANDIDATE;
-    new LeaderClaim(node, store, clock, candidacy, leaseTtlS, retryS, current, new ClaimOutcome())
+    new LeaderClaim(
+            node, store, clock, candidacy, leaseTtlS, retryDelayS, current, new ClaimOutcome())
         .start();
   }
 
@@ -287,9 +288,9 @@
     }
 
     @Override
-    public void failed(double retryInS) {
+    public void failed(double retryAfterS) {
       state = State.FOLLOWER;
-      readKeyAfter(retryInS);
+      readKeyAfter(retryAfterS);
     }
   }
 
@@ -321,7 +322,7 @@
     }
     if (candidacy.startsNewIncarnation()) {
       // The store lost data while the claim was in progress, and with it the claim.
-      loseLeadership("the store lost data while leadership was being claimed", NEVER);
+      loseLeadership("the store lost data while leadership was being claimed", DISTANT_PAST);
       return;
     }
     LOG.info("leader since epoch {}", epoch);
@@ -336,12 +337,12 @@
     }
   }
 
-  private void loseLeadership(String why, double provenUntil) {
+  private void loseLeadership(String reason, double provenUntil) {
     double leaseLeftS = -leaseUnprovenForS();
-    LOG.info("no longer leader: {}; epoch {}, lease left {} s", why, epoch, leaseLeftS);
+    LOG.info("no longer leader: {}; epoch {}, lease left {} s", reason, epoch, leaseLeftS);
     state = State.FOLLOWER;
     leaseRenewer.release();
-    listener.leadershipLost(why, provenUntil);
+    listener.leadershipLost(reason, provenUntil);
     readKey();
   }
 }
--- a/src/main/java/io/embernotch/election/LeaderObserver.java
+++ b/src/main/java/io/embernotch/election/LeaderObserver.java
@@ -11,7 +11,7 @@
 public final class LeaderObserver {
   private String node;
   private long epoch;
-  private long endedEpoch;
+  private long highestEndedEpoch;
   private final Clock clock;
   private long highestEpoch;
   private String highestNode;
@@ -52,9 +52,9 @@
   }
 
   /** Records that a leader of this epoch exists or existed, without making it the known leader. */
-  public void observeEpoch(String leader, long seen) {
-    if (seen > highestEpoch) {
-      highestEpoch = seen;
+  public void observeEpoch(String leader, long observedEpoch) {
+    if (observedEpoch > highestEpoch) {
+      highestEpoch = observedEpoch;
       highestNode = leader;
       highestSeenAt = clock.now();
     }
@@ -69,7 +69,7 @@
   public void update(String newNode, long newEpoch) {
     observeEpoch(newNode, newEpoch);
     if (newNode == null) {
-      endedEpoch = Math.max(endedEpoch, epoch);
+      highestEndedEpoch = Math.max(highestEndedEpoch, epoch);
     }
     node = newNode;
     epoch = newEpoch;
@@ -82,7 +82,7 @@
    */
   public boolean observeClaim(String newNode, long newEpoch) {
     observeEpoch(newNode, newEpoch);
-    if (newEpoch <= Math.max(epoch, endedEpoch)) {
+    if (newEpoch <= Math.max(epoch, highestEndedEpoch)) {
       return false;
     }
     node = newNode;
--- a/src/main/java/io/embernotch/election/LeadershipListener.java
+++ b/src/main/java/io/embernotch/election/LeadershipListener.java
@@ -13,11 +13,11 @@
   /**
    * This controller stops leading, or loses the leader key before it has started to lead.
    *
-   * @param why the reason, for the log
+   * @param reason the reason, for the log
    * @param provenUntil time of the monotonic clock, in seconds, until which no other controller can
    *     have led; negative if no such time is proven
    */
-  void leadershipLost(String why, double provenUntil);
+  void leadershipLost(String reason, double provenUntil);
 
   /**
    * The leader key was read or claimed, and names a leader: this controller or another one. Calls
--- a/src/main/java/io/embernotch/election/OrphanedKeyDetector.java
+++ b/src/main/java/io/embernotch/election/OrphanedKeyDetector.java
@@ -15,19 +15,19 @@
    * Number of lease times for which the holder of an unchanged key must be unresponsive before its
    * lease is looked up.
    */
-  private static final int UNRESPONSIVE_LEASES = 4;
+  private static final int UNRESPONSIVE_LEASE_TIMES = 4;
 
   /** Value of {@link #revokedModRevision} while this controller has revoked no lease of its key. */
-  private static final long NONE_REVOKED = -1;
+  private static final long NO_REVISION = -1;
 
   private final StoreClient store;
   private final Clock clock;
   private final Candidacy candidacy;
   private final PeerLiveness peerLiveness;
-  private final double unresponsiveS;
-  private long watchedModRevision;
-  private double watchedSince;
-  private long revokedModRevision = NONE_REVOKED;
+  private final double unresponsiveTimeoutS;
+  private long observedModRevision;
+  private double unresponsiveSince;
+  private long revokedModRevision = NO_REVISION;
 
   OrphanedKeyDetector(
       StoreClient store,
@@ -39,17 +39,17 @@
     this.clock = clock;
     this.candidacy = candidacy;
     this.peerLiveness = peerLiveness;
-    this.unresponsiveS = UNRESPONSIVE_LEASES * leaseTtlS;
+    this.unresponsiveTimeoutS = UNRESPONSIVE_LEASE_TIMES * leaseTtlS;
   }
 
   /** Processes a key that was just read and names another controller. */
-  void observe(VersionedEntry entry, LeaderKey key) {
+  void observeOtherKey(VersionedEntry entry, LeaderKey key) {
     double now = clock.now();
-    if (entry.modRevision() != watchedModRevision || peerLiveness.isLive(key.node())) {
-      watchedModRevision = entry.modRevision();
-      watchedSince = now;
-    } else if (now - watchedSince > unresponsiveS) {
-      watchedSince = now;
+    if (entry.modRevision() != observedModRevision || peerLiveness.isLive(key.node())) {
+      observedModRevision = entry.modRevision();
+      unresponsiveSince = now;
+    } else if (now - unresponsiveSince > unresponsiveTimeoutS) {
+      unresponsiveSince = now;
       store
           .renewIfPresent(key.leaseId())
           .onSuccess(
@@ -70,7 +70,7 @@
    * Processes a key that was just read and names this controller. If its lease was revoked before,
    * the key is attached to no lease.
    */
-  void observeOwn(VersionedEntry entry, String node) {
+  void observeOwnKey(VersionedEntry entry, String node) {
     if (entry.modRevision() == revokedModRevision) {
       candidacy.leaderKeyOrphaned(node);
     }
--- a/src/main/java/io/embernotch/election/PeerLiveness.java
+++ b/src/main/java/io/embernotch/election/PeerLiveness.java
@@ -12,15 +12,16 @@
 
 /** Tracks which other controllers are live, and which of those can reach the store. */
 public final class PeerLiveness {
-  private record LastHeartbeat(double at, boolean storeReachable, boolean replicates) {}
+  private record LastHeartbeat(
+      double receivedAt, boolean storeReachable, boolean acceptsReplication) {}
 
   private final Clock clock;
 
   /** Seconds after its last heartbeat for which a controller counts as live. */
-  private final double liveS;
+  private final double livenessTimeoutS;
 
   /** Seconds between two reconnects to a controller that is not live. */
-  private final double renewS;
+  private final double reconnectIntervalS;
 
   private final Map<String, LastHeartbeat> lastHeartbeats = new HashMap<>();
 
@@ -28,17 +29,17 @@
    * When the connection to each other controller was last renewed, in seconds of the monotonic
    * clock. The keys are all other controllers in the settings.
    */
-  private final Map<String, Double> renewedAt = new HashMap<>();
+  private final Map<String, Double> connectionRenewedAt = new HashMap<>();
 
-  private int nextIndex;
+  private int nextCandidateIndex;
 
   /** Creates a tracker that has received no heartbeat. */
   public PeerLiveness(Settings settings, Clock clock) {
     this.clock = clock;
-    this.liveS = settings.workers().heartbeatIntervalS();
-    this.renewS = settings.workers().heartbeatIntervalS();
+    this.livenessTimeoutS = settings.workers().heartbeatIntervalS();
+    this.reconnectIntervalS = settings.workers().heartbeatIntervalS();
     for (Settings.Member member : settings.members()) {
-      renewedAt.put(member.node(), clock.now());
+      connectionRenewedAt.put(member.node(), clock.now());
     }
   }
 
@@ -51,20 +52,20 @@
    *     the store
    */
   public void recordHeartbeat(String node, boolean storeReachable, boolean replicates) {
-    boolean stillReplicates = storeReachable ? replicates : replicates(node);
-    lastHeartbeats.put(node, new LastHeartbeat(clock.now(), storeReachable, stillReplicates));
+    boolean acceptsReplication = storeReachable ? replicates : replicates(node);
+    lastHeartbeats.put(node, new LastHeartbeat(clock.now(), storeReachable, acceptsReplication));
   }
 
   /** Records that a controller has sent a replication frame: it accepts such frames as well. */
   public void recordReplicates(String node) {
     lastHeartbeats.computeIfPresent(
-        node, (name, last) -> new LastHeartbeat(last.at, last.storeReachable, true));
+        node, (name, last) -> new LastHeartbeat(last.receivedAt, last.storeReachable, true));
   }
 
   /** Whether the controller accepts replication frames, according to its last report. */
   public boolean replicates(String node) {
     LastHeartbeat last = lastHeartbeats.get(node);
-    return last != null && last.replicates;
+    return last != null && last.acceptsReplication;
   }
 
   /** Names of the live controllers that accept replication frames, sorted. */
@@ -74,23 +75,23 @@
 
   /** True once every other controller has sent a heartbeat to this process. */
   public boolean hasHeardFromAll() {
-    return lastHeartbeats.keySet().containsAll(renewedAt.keySet());
+    return lastHeartbeats.keySet().containsAll(connectionRenewedAt.keySet());
   }
 
   /** True if a heartbeat of the controller was received within the last heartbeat interval. */
   public boolean isLive(String node) {
     LastHeartbeat last = lastHeartbeats.get(node);
-    return last != null && clock.now() - last.at < liveS;
+    return last != null && clock.now() - last.receivedAt < livenessTimeoutS;
   }
 
   /** True if another controller is live, or if there is no other one. */
   public boolean hearsAny() {
-    return renewedAt.isEmpty() || !live().isEmpty();
+    return connectionRenewedAt.isEmpty() || !live().isEmpty();
   }
 
   /** True if every other controller is live. */
   public boolean hearsAll() {
-    return renewedAt.keySet().stream().allMatch(this::isLive);
+    return connectionRenewedAt.keySet().stream().allMatch(this::isLive);
   }
 
   /** Names of the live controllers, sorted; a copy. */
@@ -106,20 +107,20 @@
 
   /** True if another controller is live and can reach the store. */
   public boolean anyReachesStore() {
-    return !liveWithStore().isEmpty();
+    return !liveReachingStore().isEmpty();
   }
 
   /**
    * Name of a live controller that can reach the store, chosen round-robin; empty if there is none.
    */
   public Optional<String> nextWithStore() {
-    List<String> candidates = liveWithStore();
+    List<String> candidates = liveReachingStore();
     return candidates.isEmpty()
         ? Optional.empty()
-        : Optional.of(candidates.get(nextIndex++ % candidates.size()));
+        : Optional.of(candidates.get(nextCandidateIndex++ % candidates.size()));
   }
 
-  private List<String> liveWithStore() {
+  private List<String> liveReachingStore() {
     return live().stream().filter(node -> lastHeartbeats.get(node).storeReachable).toList();
   }
 
@@ -129,8 +130,8 @@
    */
   public List<String> takeNewlyUnresponsive() {
     List<String> unresponsive = new ArrayList<>();
-    for (Map.Entry<String, Double> renewal : renewedAt.entrySet()) {
-      if (!isLive(renewal.getKey()) && clock.now() - renewal.getValue() > renewS) {
+    for (Map.Entry<String, Double> renewal : connectionRenewedAt.entrySet()) {
+      if (!isLive(renewal.getKey()) && clock.now() - renewal.getValue() > reconnectIntervalS) {
         renewal.setValue(clock.now());
         unresponsive.add(renewal.getKey());
       }
--- a/src/main/java/io/embernotch/leader/AgentEventHandler.java
+++ b/src/main/java/io/embernotch/leader/AgentEventHandler.java
@@ -25,8 +25,8 @@
   }
 
   @Override
-  public void attemptGone(Attempt attempt, Machine machine, String why) {
-    components.attemptOutcomes.gone(attempt, machine, why);
+  public void attemptGone(Attempt attempt, Machine machine, String reason) {
+    components.attemptOutcomes.gone(attempt, machine, reason);
   }
 
   @Override
@@ -37,7 +37,7 @@
 
   @Override
   public void unissuedTokenSeen(Machine machine, long token) {
-    components.contentsPutBack(
+    components.storeRolledBack(
         machine.name + " has seen fencing token " + token + ", which this term has not issued");
   }
 
@@ -45,7 +45,7 @@
   public void unexpectedTaskReported(Machine machine, String ref) {
     // If a data loss has left jobs unknown, agents may report tasks of those jobs.
     if (components.lifecycle.isLoaded() && !components.term.baseSnapshot().jobsMissing()) {
-      components.contentsCheck.unexpectedTaskReported(machine, ref);
+      components.rollbackDetector.unexpectedTaskReported(machine, ref);
     }
   }
 
--- a/src/main/java/io/embernotch/leader/HeartbeatHandler.java
+++ b/src/main/java/io/embernotch/leader/HeartbeatHandler.java
@@ -16,26 +16,28 @@
   }
 
   /** Processes an agent's heartbeat and sends the response. */
-  void received(LeaderMessage.HeartbeatReceived message) {
+  void handle(LeaderMessage.HeartbeatReceived message) {
     if (components.lifecycle.isStopped()) {
       LeaderMessageDispatcher.refuse(message);
       return;
     }
     String name = message.heartbeat().machine();
     Machine before = components.state.machines.get(name);
-    int openBefore = before == null ? 0 : before.openAttempts.size();
+    int openAttemptsBefore = before == null ? 0 : before.openAttempts.size();
     byte[] body =
         components.agents.processHeartbeat(
-            message.heartbeat(), components.leaderContext.isLeaseValid(), message.via());
+            message.heartbeat(),
+            components.leaderContext.isLeaseValid(),
+            message.forwarderIncarnation());
     message.reply().complete(body);
     Machine after = components.state.machines.get(name);
-    if (after != null && after.openAttempts.size() != openBefore) {
+    if (after != null && after.openAttempts.size() != openAttemptsBefore) {
       components.schedulingLoop.scheduleSoon();
     }
   }
 
   /** Processes an agent's heartbeat to which no response is awaited. */
-  void handedOver(Heartbeat heartbeat) {
+  void handleWithoutReply(Heartbeat heartbeat) {
     if (!components.lifecycle.isStopped() && components.agents.processForwarded(heartbeat)) {
       components.schedulingLoop.scheduleSoon();
     }
--- a/src/main/java/io/embernotch/leader/HeartbeatQueue.java
+++ b/src/main/java/io/embernotch/leader/HeartbeatQueue.java
@@ -25,19 +25,19 @@
   private static final int MAX_PER_ITERATION = 8;
 
   /** Seconds that an agent waits for the response to a heartbeat. */
-  private static final double AGENT_PATIENCE_S = 4;
+  private static final double AGENT_RESPONSE_TIMEOUT_S = 4;
 
   /**
    * If the oldest heartbeat has been queued for longer, in seconds, the newest is handled first.
    */
-  private static final double OVERLOADED_S = AGENT_PATIENCE_S / 4;
+  private static final double NEWEST_FIRST_AGE_S = AGENT_RESPONSE_TIMEOUT_S / 4;
 
   /**
    * If the oldest heartbeat has been queued for longer, in seconds, other work is to be reduced.
    */
-  private static final double PRESSURE_S = OVERLOADED_S / 4;
+  private static final double PRESSURE_AGE_S = NEWEST_FIRST_AGE_S / 4;
 
-  private record Queued(LeaderMessage.HeartbeatReceived message, double since) {}
+  private record Queued(LeaderMessage.HeartbeatReceived message, double queuedAt) {}
 
   private final Clock clock;
   private final Timers timers;
@@ -98,7 +98,7 @@
   private void scheduleIteration() {
     if (!iterationScheduled) {
       iterationScheduled = true;
-      timers.after(Timing.NEXT_ITERATION_S, this::runIteration);
+      timers.after(TimerDelays.NEXT_ITERATION_S, this::runIteration);
     }
   }
 
@@ -106,27 +106,27 @@
     iterationScheduled = false;
     remainingInIteration = MAX_PER_ITERATION;
     double now = clock.now();
-    while (!queue.isEmpty() && oldestQueuedForS(now) > AGENT_PATIENCE_S) {
+    while (!queue.isEmpty() && oldestQueuedForS(now) > AGENT_RESPONSE_TIMEOUT_S) {
       onDropped.accept(remove(queue.firstKey()));
     }
     if (queue.isEmpty()) {
       return;
     }
     scheduleIteration();
-    boolean overloaded = oldestQueuedForS(now) > OVERLOADED_S;
+    boolean newestFirst = oldestQueuedForS(now) > NEWEST_FIRST_AGE_S;
     while (remainingInIteration > 0 && !queue.isEmpty()) {
       remainingInIteration--;
-      handler.accept(remove(overloaded ? queue.lastKey() : queue.firstKey()));
+      handler.accept(remove(newestFirst ? queue.lastKey() : queue.firstKey()));
     }
   }
 
   /** True if the oldest heartbeat has been queued for so long that other work is to be reduced. */
   public boolean isUnderPressure() {
-    return !queue.isEmpty() && oldestQueuedForS(clock.now()) > PRESSURE_S;
+    return !queue.isEmpty() && oldestQueuedForS(clock.now()) > PRESSURE_AGE_S;
   }
 
   private double oldestQueuedForS(double now) {
-    return now - queue.firstEntry().getValue().since;
+    return now - queue.firstEntry().getValue().queuedAt;
   }
 
   private LeaderMessage.HeartbeatReceived remove(long position) {
--- a/src/main/java/io/embernotch/leader/ImageInventoryPublisher.java
+++ b/src/main/java/io/embernotch/leader/ImageInventoryPublisher.java
@@ -51,8 +51,8 @@
     lastRoundAt = now;
     for (Machine machine : machines) {
       int hash = machine.images.hashCode();
-      Integer before = published.put(machine.name, hash);
-      if (before == null ? !machine.images.isEmpty() : before != hash) {
+      Integer previousHash = published.put(machine.name, hash);
+      if (previousHash == null ? !machine.images.isEmpty() : previousHash != hash) {
         send.accept(
             new Frame.ImageInventoryUpdate(epoch, machine.name, List.copyOf(machine.images)));
       }
--- a/src/main/java/io/embernotch/leader/JobEventHandler.java
+++ b/src/main/java/io/embernotch/leader/JobEventHandler.java
@@ -122,7 +122,7 @@
     boolean machinesListed = components.fleetManager.listedOnce();
     if (!leaderContext.areContentsConfirmed()
         && components.lifecycle.isLoaded()
-        && components.contentsCheck.isPassed(machinesListed)) {
+        && components.rollbackDetector.isCheckComplete(machinesListed)) {
       leaderContext.confirmContents();
     }
     return leaderContext.areContentsConfirmed();
--- a/src/main/java/io/embernotch/leader/Leader.java
+++ b/src/main/java/io/embernotch/leader/Leader.java
@@ -118,7 +118,7 @@
             (job, shardSize) -> tell(new LeaderMessage.JobAccepted(job, shardSize)),
             lifecycle::isStopped)
         .from(jobsRevision);
-    dispatcher.releasePending();
+    dispatcher.dispatchPending();
     components.schedulingLoop.scheduleSoon();
   }
 
@@ -169,7 +169,7 @@
    * then have led after the state that this leader has loaded.
    */
   public boolean hasLedPutBackContents() {
-    return lifecycle.isContentsPutBack();
+    return lifecycle.isStoreRolledBack();
   }
 
   /** Modification revision of the leader key in this term. */
--- a/src/main/java/io/embernotch/leader/LeaderComponents.java
+++ b/src/main/java/io/embernotch/leader/LeaderComponents.java
@@ -36,7 +36,7 @@
   static final int FIRST_TASK = 0;
 
   /** Name under which the event loop's profile lists the time spent on agents' heartbeats. */
-  private static final String HEARTBEAT_PROFILE = "Report";
+  private static final String HEARTBEAT_PROFILE_NAME = "Report";
 
   final ControllerContext context;
   final LeaderContext leaderContext;
@@ -65,15 +65,15 @@
   final ImageInventoryPublisher imagePublisher;
   final StatusLogger statusLogger;
   final FailoverRecovery failoverRecovery;
-  final ContentsCheck contentsCheck;
+  final RollbackDetector rollbackDetector;
   final JobEventHandler jobEvents = new JobEventHandler(this);
 
   private final double acquiredAt;
-  private final Consumer<LeaderMessage> self;
+  private final Consumer<LeaderMessage> sendToLeader;
 
   /**
    * @param acquiredAt when the term began, in seconds of the monotonic clock
-   * @param self sends a message to the leader that owns these components
+   * @param sendToLeader sends a message to the leader that owns these components
    */
   LeaderComponents(
       ControllerContext context,
@@ -83,17 +83,17 @@
       double acquiredAt,
       Collection<MachineType> machineTypes,
       Set<String> controllersDelayingCancellations,
-      Consumer<LeaderMessage> self) {
+      Consumer<LeaderMessage> sendToLeader) {
     this.context = context;
     this.leaderContext = leaderContext;
     this.term = term;
     this.lifecycle = lifecycle;
     this.acquiredAt = acquiredAt;
-    this.self = self;
+    this.sendToLeader = sendToLeader;
     Settings settings = context.settings();
     machineTypes.forEach(type -> state.types.put(type.name(), type));
     demandForecast = new DemandForecast(spec -> Scheduler.mayWaitForCapacity(settings, spec));
-    contentsCheck = new ContentsCheck(context, state, this::contentsPutBack);
+    rollbackDetector = new RollbackDetector(context, state, this::storeRolledBack);
     shardLayout = createShardLayout();
     stateWriter = createStateWriter();
     dependencyGraph = new DependencyGraph(context, state, jobEvents);
@@ -164,7 +164,7 @@
         context.clock(),
         context.timers(),
         message ->
-            context.profile().run(HEARTBEAT_PROFILE, () -> heartbeatHandler.received(message)),
+            context.profile().run(HEARTBEAT_PROFILE_NAME, () -> heartbeatHandler.handle(message)),
         LeaderMessageDispatcher::refuse);
   }
 
@@ -194,12 +194,12 @@
         dependencyGraph,
         fleetManager,
         sharedState,
-        new SchedulingInputs(context, state, demandForecast, fleetManager, sharedState),
+        new SchedulingInputCollector(context, state, demandForecast, fleetManager, sharedState),
         new PlanExecutor(fleetManager, launcher, stopper),
         acquiredAt,
         this::isLeading,
         heartbeatQueue::isUnderPressure,
-        () -> self.accept(new LeaderMessage.RunScheduler()));
+        () -> sendToLeader.accept(new LeaderMessage.RunScheduler()));
   }
 
   private FailoverRecovery createFailoverRecovery() {
@@ -218,12 +218,12 @@
   /**
    * Reports that the store was rolled back to an earlier revision before this term began.
    *
-   * @param why the evidence, for the log
+   * @param reason evidence of the rollback, for the log
    */
-  void contentsPutBack(String why) {
+  void storeRolledBack(String reason) {
     if (!lifecycle.isStopped()) {
-      lifecycle.markContentsPutBack();
-      leaderContext.contentsPutBack(why);
+      lifecycle.markStoreRolledBack();
+      leaderContext.contentsPutBack(reason);
     }
   }
 
@@ -241,6 +241,6 @@
 
   private List<String> lastKnownImages(String machine) {
     List<String> images = leaderContext.lastKnownImages(machine);
-    return images.isEmpty() ? sharedState.images(machine) : images;
+    return images.isEmpty() ? sharedState.lastKnownImages(machine) : images;
   }
 }
--- a/src/main/java/io/embernotch/leader/LeaderContext.java
+++ b/src/main/java/io/embernotch/leader/LeaderContext.java
@@ -21,16 +21,16 @@
    * Makes this controller step down: a newer leader was seen, or a commit failed its condition on
    * the leader key.
    *
-   * @param why the reason, for the log
+   * @param reason the reason, for the log
    */
-  void superseded(String why);
+  void superseded(String reason);
 
   /**
    * Reports that the store was rolled back to an earlier revision before this term began.
    *
-   * @param why the evidence, for the log
+   * @param reason evidence of the rollback, for the log
    */
-  void contentsPutBack(String why);
+  void contentsPutBack(String reason);
 
   /**
    * Whether it is certain that the store was not rolled back just before this process first read
@@ -51,9 +51,9 @@
    * Gives up leadership, because this controller is poorly connected. Has no effect unless another
    * controller is live.
    *
-   * @param why the reason, for the log
+   * @param reason the reason, for the log
    */
-  void resign(String why);
+  void resign(String reason);
 
   /**
    * Records that the store holds the completion of a job.
--- a/src/main/java/io/embernotch/leader/LeaderLifecycle.java
+++ b/src/main/java/io/embernotch/leader/LeaderLifecycle.java
@@ -8,7 +8,7 @@
   private boolean loaded;
   private double loadedAt;
   private boolean stopped;
-  private boolean contentsPutBack;
+  private boolean storeRolledBack;
 
   /**
    * Records that the store is loaded.
@@ -26,13 +26,13 @@
   }
 
   /** Records that the store was rolled back to an earlier revision before the term began. */
-  void markContentsPutBack() {
-    contentsPutBack = true;
+  void markStoreRolledBack() {
+    storeRolledBack = true;
   }
 
   /** True if the store was found to have been rolled back before the term began. */
-  boolean isContentsPutBack() {
-    return contentsPutBack;
+  boolean isStoreRolledBack() {
+    return storeRolledBack;
   }
 
   /** True once the cluster state is loaded. */
--- a/src/main/java/io/embernotch/leader/LeaderMessage.java
+++ b/src/main/java/io/embernotch/leader/LeaderMessage.java
@@ -15,11 +15,11 @@
   /**
    * An agent's heartbeat whose agent waits for a response.
    *
-   * @param via process incarnation of the controller that forwarded it; 0 if the agent sent it to
-   *     the leader's own controller
+   * @param forwarderIncarnation process incarnation of the controller that forwarded it; 0 if the
+   *     agent sent it to the leader's own controller
    * @param reply receives the body of the 200 response, or null if the agent must not get one
    */
-  record HeartbeatReceived(Heartbeat heartbeat, long via, Promise<byte[]> reply)
+  record HeartbeatReceived(Heartbeat heartbeat, long forwarderIncarnation, Promise<byte[]> reply)
       implements LeaderMessage {}
 
   /**
--- a/src/main/java/io/embernotch/leader/LeaderMessageDispatcher.java
+++ b/src/main/java/io/embernotch/leader/LeaderMessageDispatcher.java
@@ -41,12 +41,12 @@
               } else if (lifecycle.isLoaded()) {
                 handle(message);
               } else {
-                keep(message);
+                defer(message);
               }
             });
   }
 
-  private void keep(LeaderMessage message) {
+  private void defer(LeaderMessage message) {
     if (message instanceof LeaderMessage.HeartbeatReceived received) {
       pendingHeartbeats.add(received, context.timers());
     } else if (message instanceof LeaderMessage.HeartbeatHandedOver handedOver) {
@@ -63,7 +63,7 @@
     if (message instanceof LeaderMessage.HeartbeatReceived received) {
       components.heartbeatQueue.add(received);
     } else if (message instanceof LeaderMessage.HeartbeatHandedOver handedOver) {
-      components.heartbeatHandler.handedOver(handedOver.heartbeat());
+      components.heartbeatHandler.handleWithoutReply(handedOver.heartbeat());
     } else if (message instanceof LeaderMessage.UserRequest request) {
       userRequests.handle(request);
     } else if (message instanceof LeaderMessage.JobAccepted accepted) {
@@ -80,10 +80,10 @@
   /**
    * Handles the deferred messages once the store is loaded, and the deferred heartbeats in batches.
    */
-  void releasePending() {
-    List<LeaderMessage> kept = List.copyOf(pendingMessages);
+  void dispatchPending() {
+    List<LeaderMessage> deferred = List.copyOf(pendingMessages);
     pendingMessages.clear();
-    kept.forEach(this::dispatch);
+    deferred.forEach(this::dispatch);
     pendingHeartbeats.drain(context.loop(), this::dispatch);
   }
 
@@ -91,7 +91,7 @@
   void refusePending() {
     pendingMessages.forEach(LeaderMessageDispatcher::refuse);
     pendingMessages.clear();
-    pendingHeartbeats.refuse();
+    pendingHeartbeats.refuseAll();
   }
 
   /**
--- a/src/main/java/io/embernotch/leader/PendingHeartbeats.java
+++ b/src/main/java/io/embernotch/leader/PendingHeartbeats.java
@@ -25,10 +25,10 @@
   private static final int MAX_PER_ITERATION = 32;
 
   /** The last heartbeat of each machine to which no response is awaited. */
-  private final Map<String, Heartbeat> unawaited = new LinkedHashMap<>();
+  private final Map<String, Heartbeat> withoutReply = new LinkedHashMap<>();
 
   /** The last heartbeat of each machine whose agent awaits a response. */
-  private final Map<String, LeaderMessage.HeartbeatReceived> awaited = new LinkedHashMap<>();
+  private final Map<String, LeaderMessage.HeartbeatReceived> awaitingReply = new LinkedHashMap<>();
 
   /**
    * Adds a heartbeat whose agent awaits a response. Unless {@link #drain} is called in time, it is
@@ -36,14 +36,14 @@
    */
   void add(LeaderMessage.HeartbeatReceived message, Timers timers) {
     String machine = message.heartbeat().machine();
-    LeaderMessage.HeartbeatReceived before = awaited.put(machine, message);
-    if (before != null) {
-      before.reply().tryComplete(WorkerCodec.emptyResponse());
+    LeaderMessage.HeartbeatReceived replaced = awaitingReply.put(machine, message);
+    if (replaced != null) {
+      replaced.reply().tryComplete(WorkerCodec.emptyResponse());
     }
     timers.after(
         HeartbeatForwarder.RESPONSE_TIMEOUT_S,
         () -> {
-          if (awaited.remove(machine, message)) {
+          if (awaitingReply.remove(machine, message)) {
             add(message.heartbeat());
             message.reply().tryComplete(WorkerCodec.emptyResponse());
           }
@@ -55,7 +55,7 @@
    * known.
    */
   void add(Heartbeat heartbeat) {
-    unawaited.merge(
+    withoutReply.merge(
         heartbeat.machine(),
         heartbeat,
         (known, added) -> added.newerThan(known.agentEpoch(), known.seq()) ? added : known);
@@ -69,12 +69,12 @@
    * @param handler handles a heartbeat
    */
   void drain(Executor loop, Consumer<LeaderMessage> handler) {
-    ArrayDeque<LeaderMessage> pending = new ArrayDeque<>(awaited.values());
-    unawaited
+    ArrayDeque<LeaderMessage> pending = new ArrayDeque<>(awaitingReply.values());
+    withoutReply
         .values()
         .forEach(heartbeat -> pending.add(new LeaderMessage.HeartbeatHandedOver(heartbeat)));
-    awaited.clear();
-    unawaited.clear();
+    awaitingReply.clear();
+    withoutReply.clear();
     drainSome(pending, loop, handler);
   }
 
@@ -92,8 +92,8 @@
    * Refuses the heartbeats whose agents await a response: the leader was stopped before it loaded
    * the store.
    */
-  void refuse() {
-    awaited.values().forEach(message -> message.reply().tryComplete(null));
-    awaited.clear();
+  void refuseAll() {
+    awaitingReply.values().forEach(message -> message.reply().tryComplete(null));
+    awaitingReply.clear();
   }
 }
--- a/src/main/java/io/embernotch/leader/ContentsCheck.java
+++ b/src/main/java/io/embernotch/leader/RollbackDetector.java
@@ -16,10 +16,10 @@
  * that the store does not hold shows that the store was rolled back to an earlier revision.
  * Confined to the leader's event loop.
  */
-final class ContentsCheck {
+final class RollbackDetector {
   private final ControllerContext context;
   private final ClusterState state;
-  private final Consumer<String> contentsPutBack;
+  private final Consumer<String> onRollback;
 
   /** Ids of jobs that agents report, and that are being looked up in the store. */
   private final Set<String> pendingLookups = new HashSet<>();
@@ -27,12 +27,12 @@
   /**
    * Creates a detector that has found nothing.
    *
-   * @param contentsPutBack receives the evidence of a rollback, for the log
+   * @param onRollback receives the evidence of a rollback, for the log
    */
-  ContentsCheck(ControllerContext context, ClusterState state, Consumer<String> contentsPutBack) {
+  RollbackDetector(ControllerContext context, ClusterState state, Consumer<String> onRollback) {
     this.context = context;
     this.state = state;
-    this.contentsPutBack = contentsPutBack;
+    this.onRollback = onRollback;
   }
 
   /**
@@ -41,13 +41,13 @@
    *
    * @param machinesListed whether the machine list of the cloud has been received
    */
-  boolean isPassed(boolean machinesListed) {
+  boolean isCheckComplete(boolean machinesListed) {
     return machinesListed
         && pendingLookups.isEmpty()
-        && state.machines.values().stream().noneMatch(ContentsCheck::isRunningUnheard);
+        && state.machines.values().stream().noneMatch(RollbackDetector::isRunningWithoutHeartbeat);
   }
 
-  private static boolean isRunningUnheard(Machine machine) {
+  private static boolean isRunningWithoutHeartbeat(Machine machine) {
     return machine.listedUpAt >= 0 && !machine.up();
   }
 
@@ -62,16 +62,15 @@
       context
           .store()
           .getConfirmed(JobProgressCodec.JOB + ref)
-          .onSuccess(entry -> submissionRead(machine, ref, entry))
+          .onSuccess(entry -> submissionLookedUp(machine, ref, entry))
           .onFailure(failure -> pendingLookups.remove(ref));
     }
   }
 
-  private void submissionRead(Machine machine, String ref, VersionedEntry entry) {
+  private void submissionLookedUp(Machine machine, String ref, VersionedEntry entry) {
     pendingLookups.remove(ref);
     if (!entry.present()) {
-      contentsPutBack.accept(
-          machine.name + " has a task of " + ref + ", which the store does not hold");
+      onRollback.accept(machine.name + " has a task of " + ref + ", which the store does not hold");
     }
   }
 }
--- a/src/main/java/io/embernotch/leader/SchedulingInputs.java
+++ b/src/main/java/io/embernotch/leader/SchedulingInputCollector.java
@@ -9,7 +9,7 @@
 import java.util.List;
 
 /** Collects the input of a scheduling run from the leader's components. */
-final class SchedulingInputs {
+final class SchedulingInputCollector {
   /** Factor by which the headroom for live services is raised when a release is near. */
   private static final double NEAR_RELEASE_FACTOR = 1.5;
 
@@ -19,7 +19,7 @@
   private final FleetManager fleetManager;
   private final SharedStateServices sharedState;
 
-  SchedulingInputs(
+  SchedulingInputCollector(
       ControllerContext context,
       ClusterState state,
       DemandForecast demandForecast,
@@ -37,7 +37,7 @@
    *
    * @param now seconds of the monotonic clock
    */
-  SchedulingInput gather(double now) {
+  SchedulingInput collect(double now) {
     long wallMs = context.clock().wallMs();
     sharedState.calendar().apply(wallMs);
     List<FleetView.Headroom> headroom = headroom(now, wallMs);
--- a/src/main/java/io/embernotch/leader/SchedulingLoop.java
+++ b/src/main/java/io/embernotch/leader/SchedulingLoop.java
@@ -41,7 +41,7 @@
   private final DependencyGraph dependencyGraph;
   private final FleetManager fleetManager;
   private final SharedStateServices sharedState;
-  private final SchedulingInputs inputs;
+  private final SchedulingInputCollector inputCollector;
   private final PlanExecutor executor;
   private final double acquiredAt;
   private final BooleanSupplier isLeading;
@@ -55,10 +55,10 @@
   private boolean closed;
 
   /** Whether a rate-limited run is scheduled. */
-  private boolean scheduledSoon;
+  private boolean runScheduled;
 
   /** Whether a run is requested for this iteration of the loop, because a job was released. */
-  private boolean scheduledNow;
+  private boolean immediateRunRequested;
 
   private double lastRunAt = Clock.NEVER;
   private double lastRunTookS;
@@ -81,7 +81,7 @@
       DependencyGraph dependencyGraph,
       FleetManager fleetManager,
       SharedStateServices sharedState,
-      SchedulingInputs inputs,
+      SchedulingInputCollector inputCollector,
       PlanExecutor executor,
       double acquiredAt,
       BooleanSupplier isLeading,
@@ -92,7 +92,7 @@
     this.dependencyGraph = dependencyGraph;
     this.fleetManager = fleetManager;
     this.sharedState = sharedState;
-    this.inputs = inputs;
+    this.inputCollector = inputCollector;
     this.executor = executor;
     this.acquiredAt = acquiredAt;
     this.isLeading = isLeading;
@@ -106,7 +106,7 @@
   void begin() {
     loaded = true;
     loadedAt = context.clock().now();
-    context.timers().after(liveServicesFirstS(), this::scheduleSoon);
+    context.timers().after(liveServicesFirstPeriodS(), this::scheduleSoon);
   }
 
   /** Schedules no more runs. */
@@ -147,20 +147,20 @@
 
   /** Requests a run without rate limit: only a few jobs are released per second. */
   void scheduleNow() {
-    if (!scheduledNow) {
-      scheduledNow = true;
+    if (!immediateRunRequested) {
+      immediateRunRequested = true;
       requestRun.run();
     }
   }
 
   /** Schedules a run within the rate limit, unless one is scheduled already. */
   void scheduleSoon() {
-    if (!scheduledSoon && loaded && !closed) {
-      scheduledSoon = true;
-      double spacingS = Math.max(heartbeatIntervalS / MAX_RUNS_PER_HEARTBEAT_INTERVAL, pauseS());
-      double waitS =
-          Math.max(Timing.NEXT_ITERATION_S, lastRunAt + spacingS - context.clock().now());
-      context.timers().after(waitS, requestRun);
+    if (!runScheduled && loaded && !closed) {
+      runScheduled = true;
+      double intervalS = Math.max(heartbeatIntervalS / MAX_RUNS_PER_HEARTBEAT_INTERVAL, pauseS());
+      double delayS =
+          Math.max(TimerDelays.NEXT_ITERATION_S, lastRunAt + intervalS - context.clock().now());
+      context.timers().after(delayS, requestRun);
     }
   }
 
@@ -178,17 +178,17 @@
 
   /** Makes a plan and executes it, if this leader may act and knows the fleet. */
   void runScheduler() {
-    scheduledSoon = false;
-    scheduledNow = false;
+    runScheduled = false;
+    immediateRunRequested = false;
     double now = context.clock().now();
-    if (!isLeading.getAsBoolean() || fleetUnknown(now)) {
+    if (!isLeading.getAsBoolean() || isFleetUnknown(now)) {
       return;
     }
     lastRunAt = now;
     runCount++;
     dependencyGraph.propagateUrgency();
-    boolean liveServicesOnly = liveServicesWait(now);
-    SchedulingInput input = inputs.gather(now);
+    boolean liveServicesOnly = shouldPlanLiveServicesOnly(now);
+    SchedulingInput input = inputCollector.collect(now);
     SchedulingPlan plan = liveServicesOnly ? scheduler.liveOnly(input) : scheduler.plan(input);
     plan.failures().forEach(this::reportFailure);
     if (!liveServicesOnly) {
@@ -213,7 +213,7 @@
   /**
    * True for a new leader that knows no machine and has not received the machine list of the cloud.
    */
-  private boolean fleetUnknown(double now) {
+  private boolean isFleetUnknown(double now) {
     return !fleetManager.listedOnce()
         && now - acquiredAt < heartbeatIntervalS
         && state.machines.isEmpty();
@@ -224,14 +224,14 @@
    * is pending. The first run for all jobs takes about 0.4 s on a throttled processor, knows few
    * machines yet, and delays the next run by four times its duration.
    */
-  private boolean liveServicesWait(double now) {
-    return now - loadedAt < liveServicesFirstS()
+  private boolean shouldPlanLiveServicesOnly(double now) {
+    return now - loadedAt < liveServicesFirstPeriodS()
         && state.jobs.values().stream()
             .anyMatch(job -> job.spec.priority() == Priority.PRODUCTION && job.pendingCount() > 0);
   }
 
   /** Seconds after a failover during which live services take precedence over all other jobs. */
-  private double liveServicesFirstS() {
+  private double liveServicesFirstPeriodS() {
     return heartbeatIntervalS / 2;
   }
 }
--- a/src/main/java/io/embernotch/leader/SharedStateServices.java
+++ b/src/main/java/io/embernotch/leader/SharedStateServices.java
@@ -75,7 +75,7 @@
   /**
    * Names of the images that the machine had according to a former leader; empty if none are known.
    */
-  List<String> images(String machine) {
+  List<String> lastKnownImages(String machine) {
     return imageLocality.of(machine);
   }
 
--- a/src/test/java/io/embernotch/election/LeaderKeyTest.java
+++ b/src/test/java/io/embernotch/election/LeaderKeyTest.java
@@ -26,13 +26,13 @@
   }
 
   @Test
-  void fieldsThatFormerVersionsDoNotWriteHaveDefaults() {
+  void fieldsMissingInFormerVersionsHaveDefaults() {
     assertThat(LeaderKey.read(entry("{\"node\":\"c1\",\"permit\":42}")))
         .contains(new LeaderKey("c1", 42, false, "", 0));
   }
 
   @Test
-  void anAbsentKeyNamesNobody() {
+  void absentKeyIsReadAsEmpty() {
     assertThat(LeaderKey.read(new VersionedEntry(LeaderKey.NAME, null, 0))).isEmpty();
   }
 
--- a/src/test/java/io/embernotch/election/LeaderObserverTest.java
+++ b/src/test/java/io/embernotch/election/LeaderObserverTest.java
@@ -21,7 +21,7 @@
 
   /** Guards against a reported leader although none was observed. */
   @Test
-  void atFirstNoEpochWasSeen() {
+  void noEpochIsKnownInitially() {
     assertThat(observer.highestNode()).isNull();
     assertThat(observer.highestEpoch()).isZero();
   }
@@ -31,7 +31,7 @@
    * another controller's report.
    */
   @Test
-  void theHighestEpochIsTakenFromTheKeyFromClaimsAndFromHearsay() {
+  void highestEpochIncludesKeyReadsClaimsAndReports() {
     observer.update("c0", 5);
     expectHighest("c0", 5, 0);
     observer.observeClaim("c1", 6);
@@ -45,7 +45,7 @@
    * Guards against a term that seems more recent than it is because its epoch is observed again.
    */
   @Test
-  void thatAnEpochIsSeenAgainDoesNotMakeItNewer() {
+  void repeatedObservationKeepsTheFirstTime() {
     observer.observeEpoch("c0", 5);
     time.advance(4);
     observer.observeEpoch("c0", 5);
@@ -56,7 +56,7 @@
 
   /** Guards against late heartbeats that replace the epoch of a later term. */
   @Test
-  void lowerEpochsAndTheEndOfTheTermChangeNothing() {
+  void lowerEpochsAndTheEndOfTheTermKeepTheHighestEpoch() {
     observer.update("c0", 5);
     time.advance(2);
     observer.observeEpoch("c1", 4);
@@ -70,7 +70,7 @@
    * used before.
    */
   @Test
-  void theFirstLeaderOfTheHighestEpochStays() {
+  void firstLeaderOfTheHighestEpochIsKept() {
     observer.observeEpoch("c0", 5);
     time.advance(1);
     observer.update("c1", 5);
--- a/src/test/java/io/embernotch/leader/ImageInventoryTest.java
+++ b/src/test/java/io/embernotch/leader/ImageInventoryTest.java
@@ -11,7 +11,7 @@
 /** The images of machines that the leader publishes, and what a follower stores of them. */
 class ImageInventoryTest {
   @Test
-  void aFollowerKnowsWhatTheLeaderLastSaidAndForgetsWhatIsGone() {
+  void followerStoresPublishedImagesUntilTheMachineIsRemoved() {
     ImageInventory follower = new ImageInventory(4);
     ImageInventoryPublisher publisher = new ImageInventoryPublisher(5);
     List<Frame> sent = new ArrayList<>();
@@ -31,10 +31,10 @@
     assertThat(follower.of("n-1")).containsExactly("a", "b");
     // After a restart of a follower everything is published again, although nothing has changed.
     publisher.republishAll();
-    ImageInventory next = new ImageInventory(4);
+    ImageInventory restarted = new ImageInventory(4);
     publisher.publish(
-        List.of(machine), 7, 122, frame -> next.update((Frame.ImageInventoryUpdate) frame));
-    assertThat(next.of("n-1")).containsExactly("a", "b");
+        List.of(machine), 7, 122, frame -> restarted.update((Frame.ImageInventoryUpdate) frame));
+    assertThat(restarted.of("n-1")).containsExactly("a", "b");
     publisher.machineRemoved(
         "n-1", 7, frame -> follower.update((Frame.ImageInventoryUpdate) frame));
     assertThat(follower.of("n-1")).isEmpty();
--- a/src/test/java/io/embernotch/structure/StructureTest.java
+++ b/src/test/java/io/embernotch/structure/StructureTest.java
@@ -35,7 +35,7 @@
    * would not be repeatable by its seed.
    */
   @ArchTest
-  static final ArchRule COPIES_KEEP_THEIR_ORDER =
+  static final ArchRule COPIES_KEEP_ITERATION_ORDER =
       noClasses()
           .should()
           .callMethod(Set.class, "copyOf", Collection.class)
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void everyPackageIsDescribedInTheArchitecture() throws IOException {
+  void everyPackageIsListedInTheArchitectureDocument() throws IOException {
     String page = Files.readString(Path.of("docs/ARCHITECTURE.md"));
     List<String> names =
         files()
