--- a/src/main/java/io/embernotch/election/LeaderClaim.java
+++ b/src/main/java/io/embernotch/election/LeaderClaim.java
@@ -9,31 +9,32 @@
 import io.embernotch.store.VersionedEntry;
 
 /**
- * A candidate's claim to the leader key: a lease is granted, the key is written under it on
- * condition that nobody else has changed it, and a claim whose answer is missing is looked up. Each
- * claim ends with one call of its outcome.
+ * A candidate's claim to the leader key. It is granted a lease, and writes the key under that lease
+ * on condition that the key has not changed since it was read. If the write is not answered, the
+ * claim reads the key to learn whether it was applied. Each claim calls its outcome exactly once.
  */
 final class LeaderClaim {
-  /** How a claim ended. */
+  /** Receives the result of a claim. */
   interface Outcome {
-    /** The key is this node's. */
+    /** This controller holds the key. */
     void succeeded(Success success);
 
     /**
-     * The key is not this node's, and the lease is given back.
+     * This controller does not hold the key. The lease of the claim, if one was granted, is being
+     * revoked.
      *
-     * @param retryInS seconds after which the key is to be read again
+     * @param retryAfterS seconds after which the key is to be read again
      */
-    void failed(double retryInS);
+    void failed(double retryAfterS);
   }
 
   /**
-   * A claim that succeeded.
+   * The result of a successful claim.
    *
-   * @param leaseId the lease that the key is attached to
-   * @param modRevision the key's modification revision
-   * @param claim the terms of the claim
-   * @param grantSentAt when the request for the lease was sent, by the steady clock
+   * @param leaseId id of the lease that the key is attached to
+   * @param modRevision modification revision of the key
+   * @param claim terms of the claim
+   * @param grantSentAt when the lease was requested, in seconds of the monotonic clock
    */
   record Success(long leaseId, long modRevision, Candidacy.Claim claim, double grantSentAt) {}
 
@@ -42,7 +43,7 @@
   private final Clock clock;
   private final Candidacy candidacy;
   private final double leaseTtlS;
-  private final double retryS;
+  private final double retryDelayS;
   private final VersionedEntry current;
   private final Outcome outcome;
 
@@ -51,8 +52,9 @@
   private double grantSentAt;
 
   /**
-   * @param current the key as it was read: absent, or left from before a loss of data
-   * @param retryS seconds to wait after a failure before the key is read again
+   * @param retryDelayS seconds after which the key is to be read again if a request has failed
+   * @param current the key as it was read: absent, or left from before a data loss
+   * @param outcome receives the result
    */
   LeaderClaim(
       String node,
@@ -60,7 +62,7 @@
       Clock clock,
       Candidacy candidacy,
       double leaseTtlS,
-      double retryS,
+      double retryDelayS,
       VersionedEntry current,
       Outcome outcome) {
     this.node = node;
@@ -68,22 +70,22 @@
     this.clock = clock;
     this.candidacy = candidacy;
     this.leaseTtlS = leaseTtlS;
-    this.retryS = retryS;
+    this.retryDelayS = retryDelayS;
     this.current = current;
     this.outcome = outcome;
   }
 
-  /** Begins the claim; called once. */
+  /** Starts the claim. To be called once. */
   void start() {
     grantSentAt = clock.now();
-    store.grant(leaseTtlS).onSuccess(this::write).onFailure(failure -> outcome.failed(retryS));
+    store.grant(leaseTtlS).onSuccess(this::write).onFailure(failure -> outcome.failed(retryDelayS));
   }
 
   private void write(long grantedLeaseId) {
     leaseId = grantedLeaseId;
     if (!candidacy.mayClaim() || (current.present() && !candidacy.startsNewIncarnation())) {
       store.revoke(leaseId);
-      outcome.failed(LeaderElection.IMMEDIATELY_S);
+      outcome.failed(LeaderElection.NEXT_ITERATION_S);
       return;
     }
     Transaction transaction = new Transaction().when(LeaderKey.NAME, current.modRevision());
@@ -91,32 +93,32 @@
     LeaderKey key = new LeaderKey(node, leaseId, true, claim.incarnation(), claim.epochFloor());
     store
         .commit(transaction.write(LeaderKey.NAME, key.write(), leaseId), RequestPriority.URGENT)
-        .onSuccess(this::written)
+        .onSuccess(this::writeAnswered)
         .onFailure(this::writeFailed);
   }
 
-  private void written(TransactionResult result) {
+  private void writeAnswered(TransactionResult result) {
     if (!result.applied()) {
       store.revoke(leaseId);
-      refused(LeaderElection.IMMEDIATELY_S);
+      claimFailed(LeaderElection.NEXT_ITERATION_S);
       return;
     }
-    // The former holder must not go on proving its lease.
+    // Revoking the former leader's lease prevents that leader from renewing it.
     LeaderKey.read(current).ifPresent(former -> store.revoke(former.leaseId()));
     succeeded(result.revision());
   }
 
   private void writeFailed(Throwable failure) {
     if (StoreException.kindOf(failure) == StoreException.Kind.UNKNOWN) {
-      confirm();
+      readBack();
     } else {
       store.revoke(leaseId);
-      refused(retryS);
+      claimFailed(retryDelayS);
     }
   }
 
-  /** The write was not answered: only the key itself shows whether it was made. */
-  private void confirm() {
+  /** Reads the key after a write without an answer: only the key shows whether it was applied. */
+  private void readBack() {
     store
         .get(LeaderKey.NAME)
         .onSuccess(
@@ -130,17 +132,17 @@
         .onFailure(failure -> withdraw());
   }
 
-  /** Gives the lease back first: with it gone, a late write can no longer be applied. */
+  /** Revokes the lease before the claim fails: once it has ended, a late write can't be applied. */
   private void withdraw() {
-    store.revoke(leaseId).onComplete(revoked -> refused(retryS));
+    store.revoke(leaseId).onComplete(revoked -> claimFailed(retryDelayS));
   }
 
   private void succeeded(long modRevision) {
     outcome.succeeded(new Success(leaseId, modRevision, claim, grantSentAt));
   }
 
-  private void refused(double retryInS) {
+  private void claimFailed(double retryAfterS) {
     candidacy.claimRefused();
-    outcome.failed(retryInS);
+    outcome.failed(retryAfterS);
   }
 }
--- a/src/main/java/io/embernotch/election/LeaderElection.java
+++ b/src/main/java/io/embernotch/election/LeaderElection.java
@@ -11,33 +11,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Leadership: whoever holds the leader key in the store, attached to its own short lease, is the
- * one that writes. The key's modification revision names the term: every commit of the leader
- * conditions on it, so nothing that an earlier leader sent can be applied later.
+ * Elects a leader through the leader key in the store. The key is attached to a short lease of its
+ * own, and the controller that holds it is the only one that writes. The key's modification
+ * revision identifies the term: every commit of the leader has it as a condition, so the store
+ * rejects commits of earlier leaders that arrive late.
  *
- * <p>A state machine. A follower reads the key, and waits for its change while another node holds
- * it. Once it is absent the follower becomes a candidate, which makes one {@link LeaderClaim} and
- * ends as leader or as follower. A leader becomes a follower when its lease ends, when it resigns,
- * or when a newer leader is known.
+ * <p>The election is a state machine. A follower reads the key, and watches it while another
+ * controller holds it. When the key is absent, the follower becomes a candidate, which makes one
+ * {@link LeaderClaim} and becomes leader or follower again. A leader becomes a follower when its
+ * lease ends, when it resigns, when the store loses data, or when it learns of a newer leader.
  */
 public final class LeaderElection {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderElection.class);
 
-  /** Seconds of the shortest pause: the next iteration of the loop. */
-  static final double IMMEDIATELY_S = 0.001;
+  /** Shortest timer delay in seconds: the next iteration of the event loop. */
+  static final double NEXT_ITERATION_S = 0.001;
 
-  /** Seconds until the key is read again after the lease of a former process was revoked. */
-  private static final double AFTER_REVOCATION_S = 0.01;
+  /** Seconds between the revocation of a former process's lease and the next read of the key. */
+  private static final double REREAD_AFTER_REVOCATION_S = 0.01;
 
-  /** In place of a time: this node need not keep from contending. */
-  private static final double NEVER = -1;
+  /** A monotonic time before all others: no delay of claims, or no proven lease. */
+  private static final double DISTANT_PAST = -1;
 
   private enum State {
-    /** Reads the key, or waits for its change or for the next reading. */
+    /** Reads the key, watches it, or waits until the next read. */
     FOLLOWER,
-    /** A claim to the key is under way. */
+    /** A claim to the key is in progress. */
     CANDIDATE,
-    /** Holds the key; leads once the leases of leaders from before a loss of data have expired. */
+    /** Holds the key. Leads once the leases of all leaders from before a data loss have expired. */
     LEADER
   }
 
@@ -50,14 +51,14 @@
   private final OrphanedKeyDetector orphanedKeys;
   private final double leaseTtlS;
 
-  /** Seconds after a failure until the key is read again. */
-  private final double retryS;
+  /** Seconds until the key is read again after a failure, or while no claim is allowed. */
+  private final double retryDelayS;
 
-  /** Seconds for which the change of a key that another node holds is waited for. */
-  private final double watchS;
+  /** Longest duration in seconds of one watch on a key that another controller holds. */
+  private final double watchTimeoutS;
 
-  /** Seconds by which a controller that is badly placed contends later than the others. */
-  private final double yieldS;
+  /** Seconds by which a controller delays its claim if others are better suited to lead. */
+  private final double yieldDelayS;
 
   private LeadershipListener listener;
   private State state = State.FOLLOWER;
@@ -65,14 +66,13 @@
   private long epoch;
   private double claimedAt;
   private double leadsFrom;
-  private double avoidUntil = NEVER;
-  private boolean reading;
+  private double noClaimBefore = DISTANT_PAST;
+  private boolean readInFlight;
 
   /**
-   * An election that has not begun: see {@link #start}.
+   * Creates an election that does nothing before {@link #start}.
    *
    * @param leaseRenewer renews the lease that the key is attached to
-   * @param candidacy tells whether, and on what terms, this node may lead
    */
   public LeaderElection(
       ControllerContext context,
@@ -86,64 +86,78 @@
     this.leaseRenewer = leaseRenewer;
     this.candidacy = candidacy;
     this.leaseTtlS = leaseRenewer.leaseTtlS();
-    this.retryS = leaseTtlS / 8;
-    this.watchS = 2 * leaseTtlS;
-    this.yieldS = leaseTtlS / 4;
+    this.retryDelayS = leaseTtlS / 8;
+    this.watchTimeoutS = 2 * leaseTtlS;
+    this.yieldDelayS = leaseTtlS / 4;
     this.orphanedKeys = new OrphanedKeyDetector(store, clock, candidacy, peerLiveness, leaseTtlS);
   }
 
-  /** Begins as a follower, and contends whenever the key is absent; called once. */
+  /** Starts as a follower, and claims the key whenever it is absent. To be called once. */
   public void start(LeadershipListener leadershipListener) {
     listener = leadershipListener;
     readKey();
   }
 
-  /** True while this node is leader, or waits to be one with the key in its hands. */
+  /** True while this controller holds the leader key: it leads, or waits until it may lead. */
   public boolean holdsKey() {
     return state == State.LEADER;
   }
 
   /**
-   * True while nobody else can be leader: counted by the steady clock from the sending of the last
-   * good renewal, less drift.
+   * True while this controller leads and no other one can. The lease counts from the sending of the
+   * last successful renewal on the monotonic clock, less the allowed clock drift.
    */
   public boolean isLeaseValid() {
     double now = clock.now();
     return state == State.LEADER && now >= leadsFrom && now < leaseRenewer.provenUntil();
   }
 
-  /** Seconds since the lease could last be proven; at most 0 while it can be. */
+  /** Seconds since the lease stopped being proven valid; 0 or negative while it is valid. */
   public double leaseUnprovenForS() {
     return clock.now() - leaseRenewer.provenUntil();
   }
 
-  /** The epoch of the last term for which this node held the key; 0 if there was none. */
+  /** Epoch of the last term in which this controller held the key; 0 if there was none. */
   public long epoch() {
     return epoch;
   }
 
-  /** When this node began to claim the key for that term: nobody saw it hold the key before. */
+  /**
+   * When this controller started the claim of its last term, in seconds of the monotonic clock. No
+   * other controller can have seen it hold the key of that term before.
+   */
   public double claimedAt() {
     return claimedAt;
   }
 
-  /** Gives up leadership, and does not contend again for {@code avoidS} seconds. */
-  public void resign(String why, double avoidS) {
-    avoidUntil = clock.now() + avoidS;
+  /**
+   * Gives up leadership, and makes no claim for {@code noClaimForS} seconds.
+   *
+   * @param reason the reason, for the log
+   */
+  public void resign(String reason, double noClaimForS) {
+    noClaimBefore = clock.now() + noClaimForS;
     if (state == State.LEADER) {
       store.revoke(leaseId);
-      loseLeadership(why, clock.now());
+      loseLeadership(reason, clock.now());
     }
   }
 
-  /** Becomes a follower: another leader has been seen, or a commit failed on the leader key. */
-  public void stepDown(String why) {
+  /**
+   * Becomes a follower, for example because another leader was seen.
+   *
+   * @param reason the reason, for the log
+   */
+  public void stepDown(String reason) {
     if (state == State.LEADER) {
-      loseLeadership(why, NEVER);
+      loseLeadership(reason, DISTANT_PAST);
     }
   }
 
-  /** Becomes a follower since the store has lost data, and with it the lease, if that lasted. */
+  /**
+   * Becomes a follower because the store has lost data, and with it the lease if it was still
+   * valid.
+   */
   public void stepDownAfterLoss() {
     if (state == State.LEADER) {
       loseLeadership("the store has lost data", leaseRenewer.provenUntil());
@@ -153,29 +167,29 @@
   // ---- follower
 
   private void readKey() {
-    if (state != State.FOLLOWER || reading) {
+    if (state != State.FOLLOWER || readInFlight) {
       return;
     }
-    reading = true;
+    readInFlight = true;
     store
         .get(LeaderKey.NAME)
         .onSuccess(
             entry -> {
-              reading = false;
-              keyRead(entry);
+              readInFlight = false;
+              processKey(entry);
             })
         .onFailure(
             failure -> {
-              reading = false;
-              readKeyAfter(retryS);
+              readInFlight = false;
+              readKeyAfter(retryDelayS);
             });
   }
 
-  private void readKeyAfter(double pauseS) {
-    timers.after(pauseS, this::readKey);
+  private void readKeyAfter(double delayS) {
+    timers.after(delayS, this::readKey);
   }
 
-  private void keyRead(VersionedEntry entry) {
+  private void processKey(VersionedEntry entry) {
     if (state != State.FOLLOWER) {
       return;
     }
@@ -189,33 +203,33 @@
     }
     if ((startsNewIncarnation || key.isEmpty()) && !candidacy.mayClaim()) {
       listener.leaderAbsent();
-      readKeyAfter(retryS);
+      readKeyAfter(retryDelayS);
     } else if (startsNewIncarnation) {
-      contend(entry);
+      startClaim(entry);
     } else if (key.isEmpty()) {
-      contendWhenDue(entry);
+      claimAfterDelay(entry);
     } else if (key.get().node().equals(node)) {
-      dropOwnKey(entry, key.get());
+      revokeOwnKey(entry, key.get());
     } else {
-      followHolder(entry, key.get());
+      followLeader(entry, key.get());
     }
   }
 
-  /** Nobody holds the key. */
-  private void contendWhenDue(VersionedEntry absent) {
+  /** Claims the absent key, or reads it again once this controller's delay has passed. */
+  private void claimAfterDelay(VersionedEntry absent) {
     listener.leaderAbsent();
-    double pauseS = Math.max(avoidUntil - clock.now(), listener.shouldYield() ? yieldS : 0);
-    if (pauseS > 0) {
-      // After the pause somebody else may have it, so look again rather than contend blindly.
-      avoidUntil = Math.min(avoidUntil, clock.now());
-      timers.after(pauseS, this::readKeyOrContend);
+    double delayS = Math.max(noClaimBefore - clock.now(), listener.shouldYield() ? yieldDelayS : 0);
+    if (delayS > 0) {
+      // Another controller may hold the key after the delay, so it is read again before a claim.
+      noClaimBefore = Math.min(noClaimBefore, clock.now());
+      timers.after(delayS, this::readKeyAndClaim);
     } else {
-      contend(absent);
+      startClaim(absent);
     }
   }
 
-  private void readKeyOrContend() {
-    if (state != State.FOLLOWER || reading) {
+  private void readKeyAndClaim() {
+    if (state != State.FOLLOWER || readInFlight) {
       return;
     }
     store
@@ -223,47 +237,47 @@
         .onSuccess(
             entry -> {
               if (entry.present() || !candidacy.mayClaim()) {
-                keyRead(entry);
+                processKey(entry);
               } else if (state == State.FOLLOWER) {
-                contend(entry);
+                startClaim(entry);
               }
             })
-        .onFailure(failure -> readKeyAfter(retryS));
+        .onFailure(failure -> readKeyAfter(retryDelayS));
   }
 
   /**
-   * The key names this node, which does not lead. Either a former process of this node left it,
-   * which is dead, so its lease need not be waited for. Or it was put back with older contents:
-   * then there may be no lease that could end, and no answer that shows how old the key is.
+   * Revokes the lease of a key that names this controller although it does not lead. Normally a
+   * former process of this controller left the key; it is dead, so its lease need not expire first.
+   * If the store was rolled back to contents that include the key, its lease may not exist, and no
+   * response shows how old the key is. So the contents are verified as well.
    */
-  private void dropOwnKey(VersionedEntry entry, LeaderKey key) {
-    orphanedKeys.observeOwn(entry, node);
+  private void revokeOwnKey(VersionedEntry entry, LeaderKey key) {
+    orphanedKeys.observeOwnKey(entry, node);
     candidacy.probe();
     store
         .revoke(key.leaseId())
         .onSuccess(revoked -> orphanedKeys.leaseRevoked(entry.modRevision()))
-        .onComplete(revoked -> readKeyAfter(AFTER_REVOCATION_S));
+        .onComplete(revoked -> readKeyAfter(REREAD_AFTER_REVOCATION_S));
   }
 
-  private void followHolder(VersionedEntry entry, LeaderKey key) {
-    orphanedKeys.observe(entry, key);
+  private void followLeader(VersionedEntry entry, LeaderKey key) {
+    orphanedKeys.observeOtherKey(entry, key);
     listener.leaderChanged(
         key.node(), key.epochFloor() + entry.modRevision(), key.acceptsForwarded());
     store
-        .watch(LeaderKey.NAME, entry.modRevision(), watchS)
-        .onComplete(change -> readKeyAfter(change.failed() ? retryS : IMMEDIATELY_S));
+        .watch(LeaderKey.NAME, entry.modRevision(), watchTimeoutS)
+        .onComplete(change -> readKeyAfter(change.failed() ? retryDelayS : NEXT_ITERATION_S));
   }
 
   // ---- candidate
 
   /**
-   * Takes a lease and claims the key.
-   *
-   * @param current the key as it was read: absent, or left from before a loss of data
+   * @param current the key as it was read: absent, or left from before a data loss
    */
-  private void contend(VersionedEntry current) {
+  private void startClaim(VersionedEntry current) {
     state = State.CANDIDATE;
-    new LeaderClaim(node, store, clock, candidacy, leaseTtlS, retryS, current, new ClaimOutcome())
+    new LeaderClaim(
+            node, store, clock, candidacy, leaseTtlS, retryDelayS, current, new ClaimOutcome())
         .start();
   }
 
@@ -274,9 +288,9 @@
     }
 
     @Override
-    public void failed(double retryInS) {
+    public void failed(double retryAfterS) {
       state = State.FOLLOWER;
-      readKeyAfter(retryInS);
+      readKeyAfter(retryAfterS);
     }
   }
 
@@ -296,7 +310,7 @@
       startLeading(success);
     } else {
       LOG.info(
-          "leader of a new store incarnation in {} s, when the lease of any former leader has expired",
+          "claimed a new store incarnation; leading in {} s, when former leases have expired",
           waitS);
       timers.after(waitS, () -> startLeading(success));
     }
@@ -307,8 +321,8 @@
       return;
     }
     if (candidacy.startsNewIncarnation()) {
-      // Data was lost while the claim was under way: the claim is lost too.
-      loseLeadership("the claim was made on store contents that are lost", NEVER);
+      // The store lost data while the claim was in progress, and with it the claim.
+      loseLeadership("the store lost data while leadership was being claimed", DISTANT_PAST);
       return;
     }
     LOG.info("leader since epoch {}", epoch);
@@ -318,17 +332,17 @@
 
   private void leaseEnded(long endedLeaseId) {
     if (state == State.LEADER && leaseId == endedLeaseId) {
-      // It may not end early: if it has, that is by a loss of data.
+      // A lease ends before its proven validity does only if the store has lost data.
       loseLeadership("the lease expired", leaseRenewer.provenUntil());
     }
   }
 
-  private void loseLeadership(String why, double provenUntil) {
+  private void loseLeadership(String reason, double provenUntil) {
     double leaseLeftS = -leaseUnprovenForS();
-    LOG.info("no longer leader: {}; epoch {}, lease left {} s", why, epoch, leaseLeftS);
+    LOG.info("no longer leader: {}; epoch {}, lease left {} s", reason, epoch, leaseLeftS);
     state = State.FOLLOWER;
     leaseRenewer.release();
-    listener.leadershipLost(why, provenUntil);
+    listener.leadershipLost(reason, provenUntil);
     readKey();
   }
 }
--- a/src/main/java/io/embernotch/leader/AgentEventHandler.java
+++ b/src/main/java/io/embernotch/leader/AgentEventHandler.java
@@ -8,7 +8,7 @@
 import io.embernotch.model.Machine;
 import io.embernotch.persistence.StateWriter;
 
-/** Reacts to what agents' heartbeats show of attempts and of other leaders. */
+/** Reacts to what agents' heartbeats reveal of attempts and of other leaders. */
 final class AgentEventHandler implements AgentReconciler.Listener {
   private final LeaderComponents components;
 
@@ -25,8 +25,8 @@
   }
 
   @Override
-  public void attemptGone(Attempt attempt, Machine machine, String why) {
-    components.attemptOutcomes.gone(attempt, machine, why);
+  public void attemptGone(Attempt attempt, Machine machine, String reason) {
+    components.attemptOutcomes.gone(attempt, machine, reason);
   }
 
   @Override
@@ -37,15 +37,15 @@
 
   @Override
   public void unissuedTokenSeen(Machine machine, long token) {
-    components.contentsPutBack(
+    components.storeRolledBack(
         machine.name + " has seen fencing token " + token + ", which this term has not issued");
   }
 
   @Override
   public void unexpectedTaskReported(Machine machine, String ref) {
-    // Where a loss has left jobs unknown, tasks of such jobs are to be expected.
+    // If a data loss has left jobs unknown, agents may report tasks of those jobs.
     if (components.lifecycle.isLoaded() && !components.term.baseSnapshot().jobsMissing()) {
-      components.contentsCheck.unexpectedTaskReported(machine, ref);
+      components.rollbackDetector.unexpectedTaskReported(machine, ref);
     }
   }
 
--- a/src/main/java/io/embernotch/leader/HeartbeatHandler.java
+++ b/src/main/java/io/embernotch/leader/HeartbeatHandler.java
@@ -4,7 +4,10 @@
 import io.embernotch.model.Machine;
 import io.embernotch.peer.Frame;
 
-/** Processes heartbeats of agents, and of controllers that renew agents' leases for the leader. */
+/**
+ * Processes the heartbeats of agents, and of controllers that renew agents' leases on behalf of the
+ * leader.
+ */
 final class HeartbeatHandler {
   private final LeaderComponents components;
 
@@ -12,27 +15,29 @@
     this.components = components;
   }
 
-  /** An agent's heartbeat, which is answered. */
-  void received(LeaderMessage.HeartbeatReceived message) {
+  /** Processes an agent's heartbeat and sends the response. */
+  void handle(LeaderMessage.HeartbeatReceived message) {
     if (components.lifecycle.isStopped()) {
       LeaderMessageDispatcher.refuse(message);
       return;
     }
     String name = message.heartbeat().machine();
     Machine before = components.state.machines.get(name);
-    int openBefore = before == null ? 0 : before.openAttempts.size();
+    int openAttemptsBefore = before == null ? 0 : before.openAttempts.size();
     byte[] body =
         components.agents.processHeartbeat(
-            message.heartbeat(), components.leaderContext.isLeaseValid(), message.via());
+            message.heartbeat(),
+            components.leaderContext.isLeaseValid(),
+            message.forwarderIncarnation());
     message.reply().complete(body);
     Machine after = components.state.machines.get(name);
-    if (after != null && after.openAttempts.size() != openBefore) {
+    if (after != null && after.openAttempts.size() != openAttemptsBefore) {
       components.schedulingLoop.scheduleSoon();
     }
   }
 
-  /** An agent's heartbeat that another controller received, and that nobody waits for. */
-  void handedOver(Heartbeat heartbeat) {
+  /** Processes an agent's heartbeat to which no response is awaited. */
+  void handleWithoutReply(Heartbeat heartbeat) {
     if (!components.lifecycle.isStopped() && components.agents.processForwarded(heartbeat)) {
       components.schedulingLoop.scheduleSoon();
     }
--- a/src/main/java/io/embernotch/leader/LeaderComponents.java
+++ b/src/main/java/io/embernotch/leader/LeaderComponents.java
@@ -27,16 +27,16 @@
 import java.util.function.Consumer;
 
 /**
- * Assembles a leader: builds its components in the order in which they need each other, and
- * connects them. A component whose events concern others that are built later gets a handler that
- * looks those up when an event occurs; no event occurs during the assembly.
+ * Creates the components of a leader in the order of their dependencies, and connects them. A
+ * component whose events concern components that are created later gets a handler that looks those
+ * up when an event occurs. No event occurs during construction.
  */
 final class LeaderComponents {
-  /** The shard of this task also stores the job as a whole, its completion included. */
+  /** The task whose shard also stores the state of the job as a whole, including its completion. */
   static final int FIRST_TASK = 0;
 
-  /** Name of the time that agents' heartbeats take, in the log of the event loop's profile. */
-  private static final String HEARTBEAT_PROFILE = "Report";
+  /** Name under which the event loop's profile lists the time spent on agents' heartbeats. */
+  private static final String HEARTBEAT_PROFILE_NAME = "Report";
 
   final ControllerContext context;
   final LeaderContext leaderContext;
@@ -65,15 +65,15 @@
   final ImageInventoryPublisher imagePublisher;
   final StatusLogger statusLogger;
   final FailoverRecovery failoverRecovery;
-  final ContentsCheck contentsCheck;
+  final RollbackDetector rollbackDetector;
   final JobEventHandler jobEvents = new JobEventHandler(this);
 
   private final double acquiredAt;
-  private final Consumer<LeaderMessage> self;
+  private final Consumer<LeaderMessage> sendToLeader;
 
   /**
-   * @param acquiredAt when the term began, by the steady clock
-   * @param self sends a message to the leader that is assembled
+   * @param acquiredAt when the term began, in seconds of the monotonic clock
+   * @param sendToLeader sends a message to the leader that owns these components
    */
   LeaderComponents(
       ControllerContext context,
@@ -83,17 +83,17 @@
       double acquiredAt,
       Collection<MachineType> machineTypes,
       Set<String> controllersDelayingCancellations,
-      Consumer<LeaderMessage> self) {
+      Consumer<LeaderMessage> sendToLeader) {
     this.context = context;
     this.leaderContext = leaderContext;
     this.term = term;
     this.lifecycle = lifecycle;
     this.acquiredAt = acquiredAt;
-    this.self = self;
+    this.sendToLeader = sendToLeader;
     Settings settings = context.settings();
     machineTypes.forEach(type -> state.types.put(type.name(), type));
     demandForecast = new DemandForecast(spec -> Scheduler.mayWaitForCapacity(settings, spec));
-    contentsCheck = new ContentsCheck(context, state, this::contentsPutBack);
+    rollbackDetector = new RollbackDetector(context, state, this::storeRolledBack);
     shardLayout = createShardLayout();
     stateWriter = createStateWriter();
     dependencyGraph = new DependencyGraph(context, state, jobEvents);
@@ -136,7 +136,7 @@
         context.timers(),
         context.profile(),
         term.modRevision(),
-        () -> leaderContext.superseded("a transaction failed on the leader key"));
+        () -> leaderContext.superseded("a transaction failed its condition on the leader key"));
   }
 
   private JobCompletions createCompletions() {
@@ -164,7 +164,7 @@
         context.clock(),
         context.timers(),
         message ->
-            context.profile().run(HEARTBEAT_PROFILE, () -> heartbeatHandler.received(message)),
+            context.profile().run(HEARTBEAT_PROFILE_NAME, () -> heartbeatHandler.handle(message)),
         LeaderMessageDispatcher::refuse);
   }
 
@@ -182,7 +182,9 @@
         state,
         term,
         job -> stateWriter.writeLater(job, FIRST_TASK),
-        () -> leaderContext.superseded("a shared state transaction failed on the leader key"));
+        () ->
+            leaderContext.superseded(
+                "a shared state transaction failed its condition on the leader key"));
   }
 
   private SchedulingLoop createSchedulingLoop() {
@@ -192,12 +194,12 @@
         dependencyGraph,
         fleetManager,
         sharedState,
-        new SchedulingInputs(context, state, demandForecast, fleetManager, sharedState),
+        new SchedulingInputCollector(context, state, demandForecast, fleetManager, sharedState),
         new PlanExecutor(fleetManager, launcher, stopper),
         acquiredAt,
         this::isLeading,
         heartbeatQueue::isUnderPressure,
-        () -> self.accept(new LeaderMessage.RunScheduler()));
+        () -> sendToLeader.accept(new LeaderMessage.RunScheduler()));
   }
 
   private FailoverRecovery createFailoverRecovery() {
@@ -213,15 +215,22 @@
         term.baseSnapshot());
   }
 
-  /** The store had been put back to an earlier moment before this term began. */
-  void contentsPutBack(String why) {
+  /**
+   * Reports that the store was rolled back to an earlier revision before this term began.
+   *
+   * @param reason evidence of the rollback, for the log
+   */
+  void storeRolledBack(String reason) {
     if (!lifecycle.isStopped()) {
-      lifecycle.markContentsPutBack();
-      leaderContext.contentsPutBack(why);
+      lifecycle.markStoreRolledBack();
+      leaderContext.contentsPutBack(reason);
     }
   }
 
-  /** True while this leader may start anything: its term lasts, and its lease is proven. */
+  /**
+   * True while this leader may start tasks and rent machines: it is not stopped, and its lease is
+   * proven.
+   */
   boolean isLeading() {
     return !lifecycle.isStopped() && leaderContext.isLeaseValid();
   }
@@ -232,6 +241,6 @@
 
   private List<String> lastKnownImages(String machine) {
     List<String> images = leaderContext.lastKnownImages(machine);
-    return images.isEmpty() ? sharedState.images(machine) : images;
+    return images.isEmpty() ? sharedState.lastKnownImages(machine) : images;
   }
 }
--- a/src/main/java/io/embernotch/leader/SchedulingInputs.java
+++ b/src/main/java/io/embernotch/leader/SchedulingInputCollector.java
@@ -8,9 +8,9 @@
 import io.embernotch.state.DemandForecast;
 import java.util.List;
 
-/** Gathers the input of a scheduling run from the leader's components. */
-final class SchedulingInputs {
-  /** Headroom for live services is raised by this factor when a release is near. */
+/** Collects the input of a scheduling run from the leader's components. */
+final class SchedulingInputCollector {
+  /** Factor by which the headroom for live services is raised when a release is near. */
   private static final double NEAR_RELEASE_FACTOR = 1.5;
 
   private final ControllerContext context;
@@ -19,7 +19,7 @@
   private final FleetManager fleetManager;
   private final SharedStateServices sharedState;
 
-  SchedulingInputs(
+  SchedulingInputCollector(
       ControllerContext context,
       ClusterState state,
       DemandForecast demandForecast,
@@ -33,11 +33,11 @@
   }
 
   /**
-   * The input of a run; the release calendar is applied to the jobs first.
+   * Collects the input of a run, after applying the release calendar to the jobs.
    *
-   * @param now seconds of the steady clock
+   * @param now seconds of the monotonic clock
    */
-  SchedulingInput gather(double now) {
+  SchedulingInput collect(double now) {
     long wallMs = context.clock().wallMs();
     sharedState.calendar().apply(wallMs);
     List<FleetView.Headroom> headroom = headroom(now, wallMs);
--- a/src/test/java/io/embernotch/election/LeaderKeyTest.java
+++ b/src/test/java/io/embernotch/election/LeaderKeyTest.java
@@ -7,7 +7,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The stored form of the leader key, which controllers of other versions read. */
+/** The stored format of the leader key, which controllers of other versions read. */
 class LeaderKeyTest {
   private static final String STORED =
       "{\"node\":\"c1\",\"permit\":42,\"relay\":true,\"era\":\"c0-7\",\"floor\":16777216}";
@@ -26,13 +26,13 @@
   }
 
   @Test
-  void fieldsThatFormerVersionsDoNotWriteHaveDefaults() {
+  void fieldsMissingInFormerVersionsHaveDefaults() {
     assertThat(LeaderKey.read(entry("{\"node\":\"c1\",\"permit\":42}")))
         .contains(new LeaderKey("c1", 42, false, "", 0));
   }
 
   @Test
-  void anAbsentKeyNamesNobody() {
+  void absentKeyIsReadAsEmpty() {
     assertThat(LeaderKey.read(new VersionedEntry(LeaderKey.NAME, null, 0))).isEmpty();
   }
 
