--- a/src/main/java/io/embernotch/replication/JoinedKnowledge.java
+++ b/src/main/java/io/embernotch/replication/JoinedKnowledge.java
@@ -8,15 +8,16 @@
 import java.util.Optional;
 
 /**
- * What several controllers know of the contents that the store has lost, put together. A pure
- * function of what each of them tells.
+ * The merged knowledge of several controllers about contents that the store has lost. It depends
+ * only on the messages that are merged.
  *
- * @param state all jobs with their progress; not complete
- * @param highestEpoch highest epoch of a leader that any of them has seen or heard of
- * @param incarnations names of the store incarnations that the others knew: the next one is made of
- *     all of them
- * @param allAnswered whether every controller has told what it knows
- * @param ledElsewhere whether another controller may have led last and still have that state
+ * @param state all jobs with their progress; marked as incomplete
+ * @param highestEpoch highest leader epoch that any of the controllers has observed
+ * @param incarnations names of the store incarnations that the other controllers knew; the next
+ *     incarnation names all of them as its predecessors
+ * @param allAnswered whether every other controller has answered
+ * @param ledElsewhere whether another controller may have led the last term and still holds its
+ *     state
  */
 public record JoinedKnowledge(
     ClusterSnapshot state,
@@ -27,9 +28,10 @@
   private static final double MS_PER_S = 1000;
 
   /**
-   * Joins what this controller knows with what the others know.
+   * Merges what this controller knows with what the other controllers know.
    *
-   * @param others what the others know; one empty element for each that has not answered
+   * @param others the answers of the other controllers; an empty element for each that did not
+   *     answer
    */
   public static JoinedKnowledge of(Knowledge own, List<Optional<Knowledge>> others) {
     ClusterSnapshot state = ClusterSnapshot.newBuilder().setComplete(false).build();
@@ -59,19 +61,23 @@
   }
 
   /**
-   * A term that a controller has led.
+   * A term that has ended.
    *
-   * @param node the controller
+   * @param node name of the controller that led the term
    * @param epoch epoch of the term
-   * @param ageS seconds since it began
-   * @param unprovenS seconds since its lease could last be proven
+   * @param ageS seconds since the term began
+   * @param unprovenS seconds since that controller's lease was last known to be valid
    */
   public record EndedTerm(String node, long epoch, double ageS, double unprovenS) {}
 
   /**
-   * Whether the others prove that nobody has led after a term: each of them has been up since
-   * before that term could have been followed by another one, and has seen no later one. An epoch
-   * may come again after a loss: one that was seen before the term began is of another term.
+   * Whether the answers prove that no other term followed an ended one: each other controller has
+   * been up since before a later term could have begun, and has observed none. Epochs may repeat
+   * after a loss of data, so an equal epoch that was observed before the term began, or with
+   * another node, belongs to another term.
+   *
+   * @param others the answers of the other controllers; an empty element, for one that did not
+   *     answer, proves nothing
    */
   public static boolean provesLast(EndedTerm term, List<Optional<Knowledge>> others) {
     return others.stream().allMatch(other -> other.isPresent() && provesLast(term, other.get()));
@@ -86,7 +92,10 @@
     return sawNoOther && other.getUpMs() > atMostMs(term.unprovenS());
   }
 
-  /** At most so many milliseconds have gone by on another controller's clock. */
+  /**
+   * Upper bound, in milliseconds, of what another controller's steady clock measures while this
+   * controller's measures {@code seconds}.
+   */
   private static double atMostMs(double seconds) {
     return seconds * (1 + 2 * Settings.DRIFT) * MS_PER_S;
   }
--- a/src/main/java/io/embernotch/replication/KnowledgeCollector.java
+++ b/src/main/java/io/embernotch/replication/KnowledgeCollector.java
@@ -18,26 +18,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Asks other controllers what they know: all of them of contents that the store has lost, one of
- * present contents that can't be read. Whoever does not answer in time is left out. Owned by the
- * controller's event loop.
+ * Requests what other controllers know: from all of them about contents that the store has lost, or
+ * from a single one about current contents that this controller can't read. Controllers that do not
+ * answer in time are left out. Owned by the controller's event loop.
  */
 public final class KnowledgeCollector {
   private static final Logger LOG = LoggerFactory.getLogger(KnowledgeCollector.class);
 
-  /** In place of the epoch of a loss: none is told of, and the present contents are asked for. */
+  /** Loss epoch of a request for the current contents, which reports no loss. */
   static final long NO_LOSS = 0;
 
-  /** Status of an answer that holds a part. */
+  /** Status of a response that contains a part. */
   static final int OK = 200;
 
-  /** Status of an answer: a later incarnation has begun, as the other controller knows. */
+  /** Status of a response whose sender knows a later incarnation, which resolved the loss. */
   static final int LOSS_IS_OVER = 409;
 
-  /** Status of an answer: the part that was asked for does not exist, or not any more. */
+  /** Status of a response whose sender does not have the requested part, or no longer has it. */
   static final int NO_SUCH_PART = 404;
 
-  /** A part is waited for a heartbeat interval divided by this. */
+  /** The timeout of a request for a part is a heartbeat interval divided by this. */
   private static final double PART_TIMEOUTS_PER_HEARTBEAT = 4;
 
   private final ControllerContext context;
@@ -46,7 +46,11 @@
   private final LocalKnowledge local;
   private final double partTimeoutS;
 
-  /** A collector that asks nobody yet. */
+  /**
+   * Creates a collector; it sends nothing until it is called.
+   *
+   * @param local is notified when another controller reports that the loss is resolved
+   */
   public KnowledgeCollector(
       ControllerContext context,
       PendingRequests requests,
@@ -61,10 +65,10 @@
   }
 
   /**
-   * Asks everybody.
+   * Requests what every other controller knows about lost contents.
    *
-   * @param lossEpoch the epoch by which this controller tells of the loss
-   * @return what they know; one empty element for each that has not answered
+   * @param lossEpoch epoch that identifies the loss
+   * @return the answers; an empty element for each controller that did not answer in time
    */
   public Future<List<Optional<Knowledge>>> collect(long lossEpoch) {
     List<Future<Optional<Knowledge>>> answers = new ArrayList<>();
@@ -74,20 +78,20 @@
     return Future.all(answers).map(all -> answers.stream().map(Future::result).toList());
   }
 
-  /** Asks one controller what it knows of the present contents; empty if it does not tell. */
+  /** Requests what one controller knows of the current contents; empty if it sends none. */
   Future<Optional<Knowledge>> askForPresent(String node) {
     return ask(node, NO_LOSS);
   }
 
   private Future<Optional<Knowledge>> ask(String node, long lossEpoch) {
-    // Whoever has just ended is not waited for: the asker may end as soon.
+    // Don't wait for a controller that has just failed: this controller may fail as soon.
     if (!peerLiveness.liveReplicas().contains(node) || !requests.canSend(node)) {
       return Future.succeededFuture(Optional.empty());
     }
     return new Download(node, lossEpoch).next();
   }
 
-  /** The parts of what one controller knows. */
+  /** Requests the parts of one controller's knowledge, one after the other. */
   private final class Download {
     private final String node;
     private final long lossEpoch;
@@ -98,7 +102,7 @@
       this.lossEpoch = lossEpoch;
     }
 
-    /** Asks for the next part, and for those after it. */
+    /** Requests the next part, and then those after it; empty unless all parts arrive. */
     Future<Optional<Knowledge>> next() {
       String self = context.settings().node();
       return requests
@@ -124,7 +128,7 @@
             : Future.succeededFuture(
                 Optional.of(new PackedKnowledge(parts, part.getCrc()).unpack()));
       } catch (InvalidProtocolBufferException | MalformedInputException e) {
-        LOG.warn("what {} knows can't be read: {}", node, e.getMessage());
+        LOG.warn("ignoring the answer of {}, which can't be read: {}", node, e.getMessage());
         return Future.succeededFuture(Optional.empty());
       }
     }
--- a/src/main/java/io/embernotch/replication/KnowledgeServer.java
+++ b/src/main/java/io/embernotch/replication/KnowledgeServer.java
@@ -8,22 +8,26 @@
 import java.util.Map;
 
 /**
- * Answers other controllers that ask what is known here of the contents that the store has lost, or
- * that it holds and they can't read. A part is sent for each question, since a connection that is
- * congested drops frames. Owned by the controller's event loop.
+ * Answers requests of other controllers for what this controller knows about the store's contents:
+ * contents that the store has lost, or that the other controller can't read. Each request is
+ * answered with a single part, since a congested connection drops frames. Owned by the controller's
+ * event loop.
  */
 public final class KnowledgeServer {
   private final LocalKnowledge local;
 
-  /** What was last packed for each controller, by its name. */
+  /** The knowledge that is being sent to each controller, by the controller's name. */
   private final Map<String, PackedKnowledge> packed = new HashMap<>();
 
-  /** A server of what {@code local} knows. */
+  /** Creates a server that answers with what {@code local} knows. */
   public KnowledgeServer(LocalKnowledge local) {
     this.local = local;
   }
 
-  /** Answers a question for one part; that for the first one fixes what all parts are of. */
+  /**
+   * Answers a request for one part. A request for the first part takes a new copy of the knowledge;
+   * requests for later parts are answered from that copy.
+   */
   public void answer(Frame.KnowledgeRequest request, PeerLink.ReplyChannel replies) {
     if (request.lossEpoch() == KnowledgeCollector.NO_LOSS) {
       if (!local.holdsContents()) {
--- a/src/main/java/io/embernotch/replication/LocalKnowledge.java
+++ b/src/main/java/io/embernotch/replication/LocalKnowledge.java
@@ -2,22 +2,30 @@
 
 import io.embernotch.replication.proto.ReplicationProto.Knowledge;
 
-/** What this controller knows of the contents that the store holds, or has lost. */
+/** What this controller knows about the contents that the store holds or has lost. */
 public interface LocalKnowledge {
-  /** What it tells other controllers, and restores from. May take a while to put together. */
+  /**
+   * All that this controller knows, to be sent to other controllers or to restore the store from.
+   * Expensive: merges snapshots of all jobs.
+   */
   Knowledge knowledge();
 
-  /** Whether anything was read or told here that a controller without the store could use. */
+  /**
+   * Whether this controller has read contents of the store, or received them from another
+   * controller, so that a controller that cannot read the store can use them.
+   */
   boolean holdsContents();
 
   /**
-   * Another controller tells of a loss, by the epoch that names it. Nothing is done for the lost
-   * contents here from then on.
+   * Called when another controller reports that the store has lost data. From then on this
+   * controller makes no changes on behalf of the lost contents.
    *
-   * @return false if the loss is over, since a later incarnation is known here
+   * @param node name of the reporting controller
+   * @param lossEpoch epoch that identifies the loss
+   * @return false if this controller knows a later incarnation, so that the loss is resolved
    */
   boolean lossHeard(String node, long lossEpoch);
 
-  /** Another controller knows that the loss is over: the store holds a later incarnation. */
+  /** Called when another controller reports that a later incarnation has resolved the loss. */
   void lossIsOver();
 }
--- a/src/main/java/io/embernotch/replication/PackedKnowledge.java
+++ b/src/main/java/io/embernotch/replication/PackedKnowledge.java
@@ -7,12 +7,13 @@
 import java.util.List;
 
 /**
- * What a controller knows, compressed, in parts that each fit into a frame.
+ * A {@link Knowledge} message, compressed and split into parts that each fit into a frame.
  *
- * @param crc checksum over all parts
+ * @param parts the parts in order
+ * @param crc CRC-32 over the bytes of all parts in order
  */
 record PackedKnowledge(List<byte[]> parts, long crc) {
-  /** A connection takes at least so much without being congested. */
+  /** Maximum size of a part; a connection accepts at least this much without congestion. */
   private static final int PART_BYTES = 32 * 1024;
 
   static PackedKnowledge of(Knowledge knowledge) {
@@ -21,15 +22,15 @@
   }
 
   /**
-   * Unpacks the knowledge.
+   * Decompresses and parses the message.
    *
-   * @throws MalformedInputException if it is damaged
+   * @throws MalformedInputException if a part is missing or damaged
    */
   Knowledge unpack() {
     try {
       return Knowledge.parseFrom(new DeflatedParts(parts, crc).bytes());
     } catch (InvalidProtocolBufferException e) {
-      throw new MalformedInputException("unreadable knowledge: " + e.getMessage());
+      throw new MalformedInputException("malformed knowledge: " + e.getMessage());
     }
   }
 }
--- a/src/main/java/io/embernotch/replication/ReplicaBootstrap.java
+++ b/src/main/java/io/embernotch/replication/ReplicaBootstrap.java
@@ -16,62 +16,65 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What another controller has told of the store's contents, until this one has read them itself.
- * Without it, a process that is started while the store does not answer it would know nothing of
- * what users were told before, and be of no use once those that know have ended. Owned by the
- * controller's event loop.
+ * Holds what other controllers reported about the store's contents until this controller has read
+ * them itself. Without it, a process that starts while the store does not answer would know nothing
+ * of what users were told earlier, and could not replace the controllers that know it once they
+ * have failed. Owned by the controller's event loop.
  */
 public final class ReplicaBootstrap {
   private static final Logger LOG = LoggerFactory.getLogger(ReplicaBootstrap.class);
 
   private enum State {
-    /** Nobody has told anything yet. */
+    /** No controller has reported anything yet. */
     WANTED,
-    /** Another controller has told what it knows. */
+    /** At least one controller has reported what it knows. */
     TOLD,
-    /** All was read here. */
+    /** This controller has read the store or leads, so no report is needed. */
     NOT_NEEDED
   }
 
   private final KnowledgeCollector collector;
   private final Clock clock;
 
-  /** A controller is asked once in so many seconds at most. */
+  /** Minimum time between two requests to the same controller, in seconds. */
   private final double intervalS;
 
   private State state = State.WANTED;
   private Knowledge told = Knowledge.getDefaultInstance();
 
-  /** When each controller was last asked, by name. One may have ended, so all are asked. */
+  /** When each controller was last asked, by name. All are asked, since any may have failed. */
   private final Map<String, Double> askedAt = new HashMap<>();
 
-  /** How many controllers have not answered yet. */
+  /** Number of requests that are not answered yet. */
   private int unanswered;
 
-  /** What was committed while others were asked: it need not be in their answers. */
+  /** Commits of other controllers during a request; the answer need not contain them. */
   private final List<Frame.StateUpdate> updatesWhileAsking = new ArrayList<>();
 
-  /** Nothing was told yet. */
+  /** Creates a bootstrap without any report. */
   public ReplicaBootstrap(ControllerContext context, KnowledgeCollector collector) {
     this.collector = collector;
     this.clock = context.clock();
     this.intervalS = context.settings().workers().heartbeatIntervalS();
   }
 
-  /** Whether some controller is asked at present, and none has told anything yet. */
+  /** Whether a request is pending and no controller has reported anything yet. */
   public boolean isAsking() {
     return state == State.WANTED && unanswered > 0;
   }
 
-  /** Whether another controller has told what it knows, and nothing has replaced that yet. */
+  /** Whether another controller has reported what it knows, and that is still needed. */
   public boolean isTold() {
     return state == State.TOLD;
   }
 
   /**
-   * Asks a controller, unless it was asked a moment ago or all was read here.
+   * Asks a controller what it knows, unless it was asked within the last heartbeat interval or
+   * {@link #finish} was called.
    *
-   * @param listener receives all that was told so far, and what was committed while it was asked
+   * @param node name of the controller to ask
+   * @param listener receives all that was reported so far, and the updates that were committed
+   *     during the request
    */
   public void ask(String node, BiConsumer<Knowledge, List<Frame.StateUpdate>> listener) {
     double now = clock.now();
@@ -89,7 +92,8 @@
       BiConsumer<Knowledge, List<Frame.StateUpdate>> listener) {
     unanswered--;
     if (answer.isEmpty()) {
-      // It may have been about to end, or not to know anything yet.
+      // Ask again without a delay: it may not have known anything yet, or a restarted process may
+      // answer next.
       askedAt.remove(node);
     }
     if (answer.isEmpty() || state == State.NOT_NEEDED) {
@@ -97,7 +101,7 @@
     }
     Knowledge latest = answer.get();
     LOG.info(
-        "{} tells {} jobs and {} ends of incarnation {}, revision {}",
+        "{} reports {} jobs and {} ended jobs of incarnation {}, revision {}",
         node,
         latest.getState().getJobCount(),
         latest.getState().getEndedCount(),
@@ -115,22 +119,22 @@
     listener.accept(told, updates);
   }
 
-  /** Another controller has committed something while others are asked. */
+  /** Keeps an update that another controller committed during a request, for the listener. */
   public void hold(Frame.StateUpdate update) {
     updatesWhileAsking.add(update);
   }
 
-  /** Adds what was known here besides, before it is replaced. */
+  /** Merges what this controller knows otherwise, before the caller discards it. */
   public void add(ClusterSnapshot known) {
     told = told.toBuilder().setState(SnapshotMerge.of(told.getState(), known)).build();
   }
 
-  /** What was told; nothing once all was read here. */
+  /** All that was reported and added so far; an empty message after {@link #finish}. */
   public Knowledge told() {
     return told;
   }
 
-  /** All was read here: what others have told is not needed any more. */
+  /** Discards all reports: this controller has read the store, or leads. */
   public void finish() {
     state = State.NOT_NEEDED;
     told = Knowledge.getDefaultInstance();
--- a/src/main/java/io/embernotch/replication/ReplicaFeed.java
+++ b/src/main/java/io/embernotch/replication/ReplicaFeed.java
@@ -12,16 +12,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Fills the replica of this controller from the store and keeps it current: once it has read all,
- * it follows the store's changes. What other controllers send beside that only makes the replica
- * newer. Rests while this controller leads, since the leader's cluster state holds more, and while
- * data is lost, since what the store holds then is not what was lost. Owned by the controller's
- * event loop.
+ * Fills this controller's replica from the store and keeps it current by watching the store's
+ * changes. Updates that other controllers send only make the replica more current than the watch
+ * does. The feed is inactive while this controller leads, since the leader's cluster state holds
+ * more than the replica, and while data is lost, since the store's contents are not the replicated
+ * ones then. Owned by the controller's event loop.
  */
 public final class ReplicaFeed {
   private static final Logger LOG = LoggerFactory.getLogger(ReplicaFeed.class);
 
-  /** All keys: one watch costs less than one for each prefix. */
+  /** Prefix of all keys: a single watch costs less than one for each prefix. */
   private static final String ALL_KEYS = "";
 
   private static final List<String> PREFIXES =
@@ -31,25 +31,25 @@
           JobProgressCodec.REFINED_SHARD,
           JobProgressCodec.SHARED);
 
-  /** The watches of all controllers together take at most this share of the store's requests. */
+  /** Share of the store's request rate that the watches of all controllers together may use. */
   private static final double REQUEST_SHARE = 0.03;
 
-  /** A watch waits for so many heartbeat intervals at most before it is renewed. */
+  /** Longest wait of a watch request for a change, in heartbeat intervals. */
   private static final double LONG_POLL_HEARTBEATS = 3;
 
-  /** What failed is tried again after a heartbeat interval divided by this. */
+  /** A failed request is retried after a heartbeat interval divided by this. */
   private static final double RETRIES_PER_HEARTBEAT = 6;
 
   private static final int BYTES_PER_KIB = 1024;
 
   private enum State {
-    /** Nothing is read; what is held stays. */
+    /** Nothing is read; the replica stays as it is. */
     RESTING,
-    /** Nothing is read yet; what other controllers send is taken. */
+    /** The store can't be read yet; updates of other controllers are applied. */
     AWAITING_STORE,
-    /** All that the store holds is being read. */
+    /** The store's contents are being read. */
     FILLING,
-    /** All was read, and changes are followed. */
+    /** All contents have been read; the store's changes are watched. */
     FOLLOWING
   }
 
@@ -61,10 +61,13 @@
   private State state = State.RESTING;
   private boolean filled;
 
-  /** Of each beginning and end of the feed; answers to requests from before it are dropped. */
+  /**
+   * Incremented at each start and stop, so that responses to earlier requests are dropped. A loss
+   * does not change it, so that pages that were requested before the loss are still added.
+   */
   private int generation;
 
-  /** A feed that rests. */
+  /** Creates an inactive feed. */
   public ReplicaFeed(ControllerContext context, StoreReplica replica) {
     this.context = context;
     this.replica = replica;
@@ -75,22 +78,25 @@
     this.retryS = heartbeatIntervalS / RETRIES_PER_HEARTBEAT;
   }
 
-  /** Whether the replica holds all that the store did when it was last followed. */
+  /** Whether this feed has filled the replica since it was last started or cleared. */
   public boolean isFilled() {
     return filled;
   }
 
-  /** Whether all that the store held was read, and changes have been followed since. */
+  /** Whether the replica is filled and the store's changes are being watched. */
   public boolean isFollowing() {
     return state == State.FOLLOWING;
   }
 
-  /** Whether entries that other controllers send belong into the replica. */
+  /** Whether updates of other controllers are to be applied to the replica. */
   public boolean isActive() {
     return state != State.RESTING;
   }
 
-  /** Takes what other controllers send: this one can't read the store yet. */
+  /**
+   * Clears the replica and applies only updates of other controllers, since this controller can't
+   * read the store yet.
+   */
   public void awaitStore() {
     generation++;
     replica.reset(BaseSnapshot.EMPTY);
@@ -99,7 +105,11 @@
     filled = false;
   }
 
-  /** Reads the store anew: it holds an incarnation that began with this snapshot. */
+  /**
+   * Clears the replica and reads the store again.
+   *
+   * @param base snapshot that the store's incarnation began with
+   */
   public void begin(BaseSnapshot base) {
     replica.reset(base);
     replica.beginFilling();
@@ -108,21 +118,21 @@
     fill(++generation);
   }
 
-  /** Reads nothing any more; what is held stays. */
+  /** Stops reading the store; the replica stays as it is. */
   public void rest() {
     generation++;
     state = State.RESTING;
   }
 
   /**
-   * The contents that were read are lost: nothing else is read, and what is held stays. What was
-   * asked for before and is still on its way is added.
+   * Called when the store has lost the contents that were being read. Sends no further requests and
+   * keeps the replica. Pages that were requested before the loss and still arrive are added.
    */
   public void contentsLost() {
     state = State.RESTING;
   }
 
-  /** Reads nothing any more and forgets what is held: this controller leads. */
+  /** Stops reading the store and clears the replica: this controller leads. */
   public void clear() {
     rest();
     filled = false;
@@ -139,7 +149,11 @@
     }
   }
 
-  /** Reads the prefixes from this one on; changes after the first revision are followed. */
+  /**
+   * Reads the prefixes from an index on, and then watches changes.
+   *
+   * @param firstRevision lowest revision of the listings so far, from which to watch changes
+   */
   private void read(int begun, int prefix, long firstRevision) {
     context
         .store()
@@ -160,13 +174,13 @@
     filled = true;
     replica.filled();
     LOG.info(
-        "replica of the store: {} KiB, followed from revision {}",
+        "replica of the store is filled: {} KiB, watching changes from revision {}",
         replica.bytes() / BYTES_PER_KIB,
         firstRevision);
     follow(begun, firstRevision);
   }
 
-  /** Puts the pages of one reading into the replica. */
+  /** Adds the pages of one listing to the replica. */
   private final class ReplicaPages implements PageSink {
     private final int begun;
 
@@ -184,7 +198,7 @@
     @Override
     public void pageAskedForBeforeLoss(List<VersionedEntry> entries) {
       if (begun == generation) {
-        LOG.info("{} entries that were asked for before the loss arrive after it", entries.size());
+        LOG.info("received {} entries that were requested before the loss", entries.size());
         entries.forEach(replica::put);
       }
     }
@@ -215,7 +229,7 @@
     if (!isCurrent(begun)) {
       return;
     }
-    LOG.debug("following from revision {} failed: {}", revision, failure.getMessage());
+    LOG.debug("watch from revision {} failed: {}", revision, failure.getMessage());
     if (StoreException.kindOf(failure) == StoreException.Kind.TOO_OLD) {
       state = State.FILLING;
       fill(begun);
--- a/src/main/java/io/embernotch/replication/StateReplicator.java
+++ b/src/main/java/io/embernotch/replication/StateReplicator.java
@@ -20,17 +20,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends what this controller commits to the replicas of the others, and takes what they commit.
- * Whoever committed something, and so users and workers, learns of it only once another controller
- * holds it, as long as one that takes it is live and acknowledges within a bounded time. Owned by
+ * Sends this controller's commits to the replicas of the other controllers, and applies theirs to
+ * this controller's replica. A commit is reported to its caller, and so to users and workers, only
+ * after another controller has acknowledged it. Without a live replica, or when none acknowledges
+ * within a bounded time, the commit is reported all the same and counted as unreplicated. Owned by
  * the controller's event loop.
  */
 public final class StateReplicator implements StoreClient.CommitListener {
   private static final Logger LOG = LoggerFactory.getLogger(StateReplicator.class);
 
   /**
-   * An acknowledgement is waited for a heartbeat interval divided by this: several round trips, and
-   * little of the time that a user waits for an answer.
+   * The timeout of an acknowledgement is a heartbeat interval divided by this: several round trips,
+   * but a small part of the time that a user waits for a response.
    */
   private static final double ACK_TIMEOUTS_PER_HEARTBEAT = 40;
 
@@ -42,19 +43,19 @@
   private final Supplier<String> incarnation;
   private final double ackTimeoutS;
 
-  /** Updates that nobody has acknowledged yet, by number. */
+  /** Commits that await an acknowledgement, by the id of their update. */
   private final Map<Long, Promise<Void>> unacknowledged = new HashMap<>();
 
   private long lastId;
 
-  /** The last update that was waited for was not acknowledged in time, nor any since. */
+  /** Whether an acknowledgement has timed out and none has arrived since. */
   private boolean unresponsive;
 
   private int unreplicated;
 
   /**
-   * @param incarnation name of the store incarnation whose contents are intact as far as is known
-   *     or told; null while there is none
+   * @param incarnation supplies the name of the store incarnation whose contents are intact, as far
+   *     as this controller knows or another one has reported; null while there is none
    */
   public StateReplicator(
       ControllerContext context,
@@ -74,7 +75,7 @@
     this.lastId = ProcessIncarnation.begin(context.names());
   }
 
-  /** How many commits were told without another controller that is known to hold them. */
+  /** Number of commits that were reported without an acknowledgement of another controller. */
   public int unreplicated() {
     return unreplicated;
   }
@@ -114,12 +115,12 @@
     }
   }
 
-  /** Completes when another controller holds the update, or none is waited for any longer. */
+  /** Completes when another controller acknowledges the update, or on a timeout. */
   private Future<Void> acknowledgementOf(long id) {
     Promise<Void> acknowledged = Promise.promise();
     unacknowledged.put(id, acknowledged);
     if (unresponsive) {
-      // Commits follow one another, so none waits for a peer that did not answer the last one.
+      // Commits run one after the other, so don't delay each of them by a timeout.
       timedOut(id);
     } else {
       context.timers().after(ackTimeoutS, () -> timedOut(id));
@@ -135,12 +136,12 @@
     unreplicated++;
     if (!unresponsive) {
       unresponsive = true;
-      LOG.info("no other controller acknowledges what is committed here: not waited for");
+      LOG.info("no other controller acknowledges commits in time: commits no longer wait");
     }
     waiting.complete();
   }
 
-  /** Another controller holds an update, which may have been given up. */
+  /** Called when another controller acknowledges an update, which may have timed out before. */
   public void acknowledged(Frame.StateUpdateAck ack) {
     if (ProcessIncarnation.of(ack.id()) != ProcessIncarnation.of(lastId)) {
       return;
@@ -152,16 +153,18 @@
     }
   }
 
-  /** Puts what another controller has committed into the replica, and notes the revision. */
+  /** Applies an update of another controller to the replica, and records its revision. */
   public void take(Frame.StateUpdate update) {
     take(update.entries(), update.revision());
     for (Frame.StateEntry entry : update.entries()) {
-      // So contents that are put back to before it are noticed here too.
+      // Lets this controller detect a store that is rolled back to before this revision.
       context.store().noteRevision(entry.key(), update.revision());
     }
   }
 
-  /** Another controller has committed something; acknowledged if it is held here from now on. */
+  /**
+   * Applies and acknowledges an update, if it is of the current incarnation and the feed is active.
+   */
   public void received(Frame.StateUpdate update, PeerLink.ReplyChannel replies) {
     if (!feed.isActive() || !update.incarnation().equals(incarnation.get())) {
       return;
--- a/src/main/java/io/embernotch/replication/StoreReplica.java
+++ b/src/main/java/io/embernotch/replication/StoreReplica.java
@@ -22,57 +22,65 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The newest known entry of each key that the store holds of jobs and shared state, within one
- * store incarnation. Entries may come in any order and more than once: that of the highest
- * modification revision stays. Of a job that has ended, with no attempt open, only its end is kept.
- * Owned by the controller's event loop.
+ * An in-memory replica of the store's jobs and shared state within one store incarnation: the
+ * newest known entry of each key. Entries may arrive in any order and more than once; the one with
+ * the highest modification revision is kept. A job that has ended and has no open attempts is
+ * reduced to its end. Owned by the controller's event loop.
  */
 public final class StoreReplica {
   private static final Logger LOG = LoggerFactory.getLogger(StoreReplica.class);
 
-  /** Bytes that an entry takes besides its key and its value. */
+  /** Estimated memory of an entry besides its key and its value. */
   private static final int ENTRY_OVERHEAD = 120;
 
-  /** Bytes that the end of a job takes besides its reference. */
+  /** Estimated memory of a job's end besides the job's id. */
   private static final int END_OVERHEAD = 160;
 
-  /** A value as JSON: it is smaller than parsed, and seldom needed. */
+  /** An entry with its value as JSON text: smaller than if parsed, and rarely read. */
   @SuppressWarnings("ArrayRecordComponent") // The bytes are never compared.
   private record HeldEntry(byte[] value, long modRevision) {}
 
   private final long maxBytes;
 
-  /** By the id of the job, then by key. */
+  /** Entries of jobs, by the id of the job, then by key. */
   private final Map<String, Map<String, HeldEntry>> jobs = new LinkedHashMap<>();
 
-  /** By the id of the job, in the order in which they became known. */
+  /** Ends of jobs that are reduced to their end, by id, in the order of addition. */
   private final Map<String, EndedJob> ended = new LinkedHashMap<>();
 
+  /** Shared state entries, by key. */
   private final Map<String, HeldEntry> shared = new TreeMap<>();
 
-  /** Jobs of which an entry states the end, and that are held whole. */
+  /** Ids of jobs that an entry says have ended, and that are not yet reduced to their end. */
   private final Set<String> endsTold = new LinkedHashSet<>();
 
   private boolean filled = true;
   private BaseSnapshot base = BaseSnapshot.EMPTY;
 
-  /** Told by another controller, in place of what is not put yet; null if there is none. */
+  /**
+   * Contents that another controller reported, used in place of {@link #base} while the replica is
+   * being filled; null if there are none.
+   */
   private BaseSnapshot told;
 
   private long bytes;
   private boolean evicted;
 
   /**
-   * An empty replica.
+   * Creates an empty replica.
    *
-   * @param maxBytes about so many bytes are held at most; the oldest ends are given up first, then
-   *     the oldest jobs
+   * @param maxBytes approximate limit on the memory of the entries, in bytes; beyond it the oldest
+   *     ends are evicted first, then the oldest jobs
    */
   public StoreReplica(long maxBytes) {
     this.maxBytes = maxBytes;
   }
 
-  /** Forgets everything: entries of another incarnation follow, which began with this snapshot. */
+  /**
+   * Removes all entries, for the entries of another incarnation.
+   *
+   * @param newBase snapshot that the other incarnation began with
+   */
   public void reset(BaseSnapshot newBase) {
     jobs.clear();
     ended.clear();
@@ -85,14 +93,15 @@
     filled = true;
   }
 
-  /** All that the store holds is about to be put. */
+  /** Called before all entries of the store are put. */
   public void beginFilling() {
     filled = false;
   }
 
   /**
-   * What another controller has told of the store's contents: it lies beneath the entries until all
-   * is put, so that a shard is of use though its job was not put yet.
+   * Sets contents that another controller reported as the base of the entries until the replica is
+   * filled. With it, a shard can be used though the submission of its job was not put yet. Ignored
+   * if the replica is filled already.
    */
   public void putBeneath(BaseSnapshot toldContents) {
     if (!filled) {
@@ -101,8 +110,8 @@
   }
 
   /**
-   * All that the store held was put. Only from then on are jobs reduced to their ends: before, a
-   * shard with an open attempt may not have been read yet.
+   * Called after all entries of the store were put. Jobs are reduced to their ends only from then
+   * on: before, a shard with an open attempt may not have been read yet.
    */
   public void filled() {
     filled = true;
@@ -110,24 +119,29 @@
     List.copyOf(endsTold).forEach(this::keepOnlyEnd);
   }
 
-  /** About so many bytes are held. */
+  /** Approximate memory of the entries, in bytes. */
   public long bytes() {
     return bytes;
   }
 
-  /** Whether something had to be given up, to stay within the bound on memory. */
+  /** Whether anything was evicted since the last reset, to stay within the memory limit. */
   public boolean hasEvicted() {
     return evicted;
   }
 
-  /** Takes an entry, if its key is one of those that are held. */
+  /** Adds an entry of the store; ignored if it is absent or its key is not replicated. */
   public void put(VersionedEntry entry) {
     if (entry.present() && holds(entry.key())) {
       put(entry.key(), Json.bytes(entry.value()), entry.modRevision());
     }
   }
 
-  /** Takes the value of a key, as JSON, that was written at this modification revision. */
+  /**
+   * Adds an entry of the store; ignored if its key is not replicated.
+   *
+   * @param value JSON text of the value
+   * @param modRevision modification revision of the key
+   */
   public void put(String key, byte[] value, long modRevision) {
     if (key.startsWith(JobProgressCodec.SHARED)) {
       putNewer(shared, key, new HeldEntry(value, modRevision));
@@ -137,7 +151,7 @@
     evictBeyondLimit();
   }
 
-  /** Whether entries of this key belong into the replica. */
+  /** Whether a key is replicated: those of jobs, their progress and shared state are. */
   static boolean holds(String key) {
     return key.startsWith(JobProgressCodec.JOB)
         || key.startsWith(JobProgressCodec.SHARD)
@@ -163,7 +177,7 @@
     }
   }
 
-  /** The first shard, refined or not, holds the job's end too. */
+  /** Whether a key is that of the first shard, refined or not, which also holds the job's end. */
   private static boolean isFirstShard(String ref, String key) {
     return key.equals(JobProgressCodec.shardKey(ref, 0))
         || (key.startsWith(JobProgressCodec.REFINED_SHARD) && key.endsWith("/0"));
@@ -185,7 +199,7 @@
     }
   }
 
-  /** Of a job that has ended, and has no attempt open, nothing but its end is needed. */
+  /** Reduces a job to its end, if it has ended and has no open attempts. */
   private void keepOnlyEnd(String ref) {
     List<VersionedEntry> held = versioned(jobs.get(ref));
     StateSnapshot.endOf(
@@ -219,7 +233,7 @@
     while (bytes > maxBytes && !(ended.isEmpty() && jobs.isEmpty())) {
       if (!evicted) {
         evicted = true;
-        LOG.warn("the replica exceeds {} KiB: the oldest ends are given up", maxBytes >> 10);
+        LOG.warn("the replica exceeds {} KiB: evicting the oldest ended jobs", maxBytes >> 10);
       }
       if (ended.isEmpty()) {
         removeJob(jobs.keySet().iterator().next());
@@ -232,8 +246,9 @@
   }
 
   /**
-   * All that is held, laid over what another controller has told or else the snapshot that the
-   * incarnation began with. Starts that were sent may be missing from it, so it is not complete.
+   * A snapshot of all entries, overlaid on the contents that another controller reported, or else
+   * on the incarnation's base snapshot. It is marked as incomplete, since attempts may have been
+   * started that are not replicated yet.
    */
   public ClusterSnapshot snapshot() {
     List<VersionedEntry> held = new ArrayList<>();
@@ -259,7 +274,7 @@
     return held.stream().filter(entry -> entry.key().startsWith(prefix)).toList();
   }
 
-  /** Entries as the store would list them; one that can't be read must not keep the others back. */
+  /** Parses entries; leaves out unreadable ones, so that the others can still be restored. */
   private static List<VersionedEntry> versioned(Map<String, HeldEntry> entries) {
     List<VersionedEntry> versioned = new ArrayList<>();
     entries.forEach(
@@ -268,7 +283,7 @@
             ObjectNode value = Json.parseObject(entry.value);
             versioned.add(new VersionedEntry(key, value, entry.modRevision()));
           } catch (MalformedInputException e) {
-            LOG.warn("the replica's value of {} can't be read: {}", key, e.getMessage());
+            LOG.warn("ignoring the unreadable value of {} in the replica: {}", key, e.getMessage());
           }
         });
     return versioned;
--- a/src/main/java/io/embernotch/snapshot/BaseSnapshot.java
+++ b/src/main/java/io/embernotch/snapshot/BaseSnapshot.java
@@ -21,12 +21,13 @@
 import java.util.TreeMap;
 
 /**
- * The snapshot that an incarnation began with. It lies in the store as blocks, and the store's keys
- * are laid over it: a key that was written in this incarnation is newer than the snapshot, one that
- * was left from before is older. Of a job that the snapshot says has ended nothing else counts.
+ * The snapshot that a store incarnation began with. It is stored as blocks, and the store's keys
+ * are overlaid on it: a key that was written in this incarnation overrides the snapshot, and the
+ * snapshot overrides a key from before. If the snapshot has a job reduced to its end, all keys of
+ * that job are ignored.
  */
 public final class BaseSnapshot {
-  /** An incarnation that began with nothing. */
+  /** The base of an incarnation that began without any contents. */
   public static final BaseSnapshot EMPTY =
       new BaseSnapshot(ClusterSnapshot.newBuilder().setComplete(true).build(), 0);
 
@@ -35,18 +36,19 @@
   private final long madeMs;
   private final long since;
 
-  /** Serialized: jobs that nobody asks for are never parsed. */
+  /** Serialized jobs by id; each is parsed only when it is read. */
   private final Map<String, byte[]> jobs = new LinkedHashMap<>();
 
   private final Map<String, ClusterState.EndedJob> endedJobs = new HashMap<>();
 
-  /** Jobs that have ended, and have attempts whose end is not proven. */
+  /** Ids of jobs that have ended but have attempts not yet confirmed to have ended. */
   private final Set<String> endedWithAttempts = new HashSet<>();
 
   private final Map<String, ObjectNode> shared = new TreeMap<>();
 
   /**
-   * @param since keys with a higher modification revision are newer than the snapshot
+   * @param since modification revision; keys with a higher one are newer than the snapshot, the
+   *     others are older
    */
   public BaseSnapshot(ClusterSnapshot snapshot, long since) {
     this.complete = snapshot.getComplete();
@@ -68,53 +70,55 @@
             entry -> shared.put(entry.getName(), Json.parseObject(entry.getValue().toByteArray())));
   }
 
-  /** False if tasks may run that neither it nor the keys left in the store know of. */
+  /** False if tasks may be running that neither the snapshot nor the store's keys contain. */
   public boolean complete() {
     return complete;
   }
 
-  /** Whether jobs may have been accepted before that nothing of this incarnation holds. */
+  /** Whether jobs may have been accepted before this incarnation that it does not contain. */
   public boolean jobsMissing() {
     return jobsMissing;
   }
 
-  /** The time of day at which it was made, in milliseconds. */
+  /** Wall-clock time at which the snapshot was taken, in milliseconds since the Unix epoch. */
   public long madeMs() {
     return madeMs;
   }
 
   /**
-   * Keys of this modification revision or a lower one are older than the snapshot; 0 if there is
-   * none.
+   * Modification revision; keys with this one or a lower one are older than the snapshot. 0 if the
+   * incarnation began without a snapshot.
    */
   public long since() {
     return since;
   }
 
-  /** Whether it holds a job: that was accepted, and is not to be written as a new one. */
+  /** Whether it contains a job, which therefore must not be accepted again as a new one. */
   public boolean has(String ref) {
     return jobs.containsKey(ref) || endedJobs.containsKey(ref);
   }
 
-  /** Whether it tells how a job has ended. */
+  /** Whether it contains the end of a job, with or without open attempts. */
   public boolean tellsEnd(String ref) {
     return endedJobs.containsKey(ref) || endedWithAttempts.contains(ref);
   }
 
-  /** The end of a job of which nothing else is left; null if it holds no such job. */
+  /** The end of a job that is reduced to its end; null if the snapshot has no such job. */
   public ClusterState.EndedJob ended(String ref) {
     return endedJobs.get(ref);
   }
 
-  /** The ends of all jobs of which nothing else is left, by id. */
+  /** The ends of all jobs that are reduced to their end, by id. */
   public Map<String, ClusterState.EndedJob> allEnded() {
     return endedJobs;
   }
 
   /**
-   * The store's keys under a prefix, laid over this snapshot.
+   * Overlays the store's entries under a prefix on this snapshot.
    *
-   * @param stored all keys that the store holds under the prefix
+   * @param stored all entries that the store holds under the prefix
+   * @return the combined entries; those that only the snapshot contains have modification revision
+   *     0
    */
   public WatchEvents overlay(String prefix, WatchEvents stored) {
     if (jobs.isEmpty() && endedJobs.isEmpty()) {
@@ -129,8 +133,9 @@
   }
 
   /**
-   * The store's shared state entries, laid over this snapshot: of each the later value, with the
-   * modification revision that the store has.
+   * Overlays the store's shared state entries on those of this snapshot: of each, the value with
+   * the higher version is used, with the modification revision of the store's key; 0 if the store
+   * has no such key.
    */
   public List<VersionedEntry> overlayShared(WatchEvents stored) {
     Map<String, VersionedEntry> entries = new TreeMap<>();
@@ -154,9 +159,12 @@
   }
 
   /**
-   * The store's keys of one job under a prefix, laid over this snapshot.
+   * Overlays the store's entries of one job under a prefix on this snapshot.
    *
-   * @param stored all keys of the job that the store holds under the prefix
+   * @param ref id of the job
+   * @param stored all entries of the job that the store holds under the prefix
+   * @return the combined entries; those that only the snapshot contains have modification revision
+   *     0
    */
   public List<VersionedEntry> overlay(String ref, String prefix, List<VersionedEntry> stored) {
     Map<String, VersionedEntry> entries = new LinkedHashMap<>();
@@ -175,7 +183,7 @@
         }
       }
     } catch (InvalidProtocolBufferException e) {
-      throw new MalformedInputException("a job of the base: " + e.getMessage());
+      throw new MalformedInputException("base snapshot: unreadable job: " + e.getMessage());
     }
   }
 
@@ -187,7 +195,7 @@
     if (!jobs.containsKey(ref) || entry.modRevision() > since) {
       entries.put(entry.key(), entry);
     } else if (entries.containsKey(entry.key())) {
-      // Older than the snapshot, but the next write conditions on the key's modification revision.
+      // The snapshot's value is newer, but the next write conditions on the key's revision.
       entries.put(
           entry.key(),
           new VersionedEntry(entry.key(), entries.get(entry.key()).value(), entry.modRevision()));
--- a/src/main/java/io/embernotch/snapshot/DeflatedParts.java
+++ b/src/main/java/io/embernotch/snapshot/DeflatedParts.java
@@ -11,10 +11,10 @@
 import java.util.zip.Inflater;
 
 /**
- * Bytes, compressed and split into parts.
+ * Bytes that are compressed with DEFLATE and split into parts.
  *
- * @param parts the parts in their order
- * @param crc checksum over all parts in their order
+ * @param parts the parts in order
+ * @param crc CRC-32 over the bytes of all parts in order
  */
 public record DeflatedParts(List<byte[]> parts, long crc) {
   private static final int BUFFER_BYTES = 4096;
@@ -22,7 +22,7 @@
   /**
    * Compresses and splits bytes.
    *
-   * @param partBytes most bytes of a part
+   * @param partBytes maximum size of a part, in bytes
    */
   public static DeflatedParts of(byte[] bytes, int partBytes) {
     byte[] deflated = deflate(bytes);
@@ -33,7 +33,7 @@
     return new DeflatedParts(parts, sum(deflated));
   }
 
-  /** The checksum of bytes. */
+  /** The CRC-32 of bytes. */
   static long sum(byte[] bytes) {
     CRC32 crc = new CRC32();
     crc.update(bytes);
@@ -41,7 +41,7 @@
   }
 
   /**
-   * The bytes as they were before.
+   * Joins and decompresses the parts.
    *
    * @throws MalformedInputException if a part is missing or damaged
    */
--- a/src/main/java/io/embernotch/snapshot/JobSnapshots.java
+++ b/src/main/java/io/embernotch/snapshot/JobSnapshots.java
@@ -17,14 +17,14 @@
 import java.util.BitSet;
 import java.util.List;
 
-/** Converts jobs to snapshot messages, and these to the keys that the store would hold. */
+/** Converts jobs to snapshot messages, and snapshot messages to entries as the store holds them. */
 final class JobSnapshots {
   private JobSnapshots() {}
 
   /**
    * The snapshot of a job.
    *
-   * @param shardSize tasks in a shard of the job
+   * @param shardSize number of tasks in a shard of the job
    */
   static JobSnapshot write(Job job, int shardSize) {
     JobSnapshot.Builder snapshot =
@@ -44,7 +44,8 @@
               .setMachine(attempt.machine)
               .setZone(attempt.zone));
     }
-    // A preferred machine outlives the attempt that it is about, until the task is placed anew.
+    // A preferred machine may outlive its attempt, until the task is placed again: then it is left
+    // out.
     job.preferredMachines.forEach(
         (task, machine) -> {
           for (OpenAttemptSnapshot.Builder openAttempt : snapshot.getOpenBuilderList()) {
@@ -56,7 +57,7 @@
     return snapshot.build();
   }
 
-  /** The snapshot of a job of which only its end is left. */
+  /** The snapshot of a job that is reduced to its end. */
   static EndedJobSnapshot writeEnded(String ref, ClusterState.EndedJob endedJob) {
     return EndedJobSnapshot.newBuilder()
         .setRef(ref)
@@ -67,7 +68,7 @@
         .build();
   }
 
-  /** The end of a job of which nothing else is left. */
+  /** Reads the snapshot of a job that is reduced to its end. */
   static ClusterState.EndedJob readEnded(EndedJobSnapshot snapshot) {
     return new ClusterState.EndedJob(
         phase(snapshot.getEnd()), snapshot.getTasks(), snapshot.getDone(), snapshot.getAtMs());
@@ -82,10 +83,10 @@
   }
 
   /**
-   * The keys of a job as the store would hold them, with modification revision 0: its submission
-   * first, then its shards.
+   * The entries of a job as the store would hold them, with modification revision 0: the submission
+   * first, then the progress shards.
    *
-   * @throws io.embernotch.codec.MalformedInputException if its submission is malformed
+   * @throws io.embernotch.codec.MalformedInputException if the submission is malformed
    */
   static List<VersionedEntry> entries(JobSnapshot snapshot) {
     ObjectNode value = Json.parseObject(snapshot.getValue().toByteArray());
@@ -112,7 +113,7 @@
       job.endedMs = snapshot.getEndedMs();
     }
     job.done.or(BitSet.valueOf(snapshot.getDone().toByteArray()));
-    // Contents that contradict one another: tasks that the job does not have are left out.
+    // A snapshot of inconsistent contents may name tasks that the job does not have: ignore them.
     job.done.clear(tasks, Math.max(tasks, job.done.length()));
     for (OpenAttemptSnapshot open : snapshot.getOpenList()) {
       if (open.getTask() >= tasks) {
--- a/src/main/java/io/embernotch/snapshot/ProgressShard.java
+++ b/src/main/java/io/embernotch/snapshot/ProgressShard.java
@@ -8,21 +8,22 @@
 import java.util.List;
 
 /**
- * A refined shard of a job's progress, by its key.
+ * A refined shard: a part of a job's progress that replaces part of a larger shard.
  *
  * @param ref id of the job
- * @param size tasks in each refined shard of this size
- * @param index which of them, from 0
- * @param entry the key with its value
+ * @param size number of tasks in the shard
+ * @param index index of the shard among the job's shards of this size, from 0
+ * @param entry the shard's entry in the store
  */
 public record ProgressShard(String ref, int size, int index, VersionedEntry entry) {
-  /** Parts of a key after its prefix: the job's id, the size and the index. */
+  /** Number of parts of a key after its prefix: the job's id, the size and the index. */
   private static final int KEY_PARTS = 3;
 
   /**
-   * The shard that a key holds.
+   * Parses the key of a refined shard's entry; the value is not read.
    *
-   * @throws MalformedInputException if its size or index is no number, or none that a shard has
+   * @throws MalformedInputException if the key has another form, or its size or index is not a
+   *     number or out of range
    */
   public static ProgressShard of(VersionedEntry entry) {
     String[] names = entry.key().substring(JobProgressCodec.REFINED_SHARD.length()).split("/", -1);
@@ -34,7 +35,7 @@
           new ProgressShard(
               names[0], Integer.parseInt(names[1]), Integer.parseInt(names[2]), entry);
       if (shard.size < 1 || shard.index < 0) {
-        throw new MalformedInputException("no such shard");
+        throw new MalformedInputException("shard size or index out of range");
       }
       Math.multiplyExact(shard.size, shard.index + 1);
       return shard;
@@ -44,7 +45,7 @@
   }
 
   /**
-   * Applies refined shards to a job that its other shards were applied to.
+   * Applies refined shards to a job whose other shards have been applied before.
    *
    * @throws MalformedInputException if a value is malformed
    */
@@ -52,7 +53,7 @@
     largestFirst(shards).forEach(shard -> shard.applyTo(job));
   }
 
-  /** In the order to apply them: smaller shards are newer than larger ones. */
+  /** Sorts shards in the order to apply them: smaller shards are newer than larger ones. */
   public static List<ProgressShard> largestFirst(List<ProgressShard> shards) {
     return shards.stream()
         .sorted(Comparator.comparingInt((ProgressShard shard) -> -shard.size()))
@@ -60,7 +61,7 @@
   }
 
   /**
-   * Replaces what larger shards stated about this one's tasks.
+   * Replaces the progress of this shard's tasks in the job by that in this shard's value.
    *
    * @throws MalformedInputException if the value is malformed
    */
--- a/src/main/java/io/embernotch/snapshot/SnapshotBlocks.java
+++ b/src/main/java/io/embernotch/snapshot/SnapshotBlocks.java
@@ -8,38 +8,39 @@
 /**
  * A snapshot, compressed and split into blocks that fit the store's values.
  *
- * @param blocks the blocks in their order
- * @param crc checksum over all blocks in their order
+ * @param blocks the blocks in order
+ * @param crc CRC-32 over the bytes of all blocks in order
  */
 public record SnapshotBlocks(List<byte[]> blocks, long crc) {
   private static final int VERSION = 1;
 
-  /** Bytes that a block's value takes besides its base64: names, checksum, quotes. */
+  /** Bytes of a block's stored value besides its base64 text: field names, checksum, quotes. */
   private static final int VALUE_OVERHEAD = 64;
 
   private static final int MIN_BLOCK_BYTES = 48;
 
   /**
-   * Packs a snapshot.
+   * Compresses a snapshot and splits it into blocks.
    *
-   * @param valueBytes most bytes of a value in the store
+   * @param valueBytes maximum size of a value in the store, in bytes
    */
   public static SnapshotBlocks pack(ClusterSnapshot snapshot, int valueBytes) {
-    // Base64 makes four bytes of three.
+    // Base64 encodes three bytes as four.
     int blockBytes = Math.max(MIN_BLOCK_BYTES, (valueBytes - VALUE_OVERHEAD) / 4 * 3);
     DeflatedParts packed = DeflatedParts.of(snapshot.toByteArray(), blockBytes);
     return new SnapshotBlocks(packed.parts(), packed.crc());
   }
 
-  /** The checksum of bytes. */
+  /** The CRC-32 of bytes. */
   public static long sum(byte[] bytes) {
     return DeflatedParts.sum(bytes);
   }
 
   /**
-   * Unpacks the snapshot.
+   * Joins, decompresses and parses the blocks.
    *
-   * @throws MalformedInputException if it is damaged; it is never used in part
+   * @throws MalformedInputException if a block is missing or damaged, or the format is newer than
+   *     this version reads; a snapshot is never used in part
    */
   public ClusterSnapshot unpack() {
     byte[] bytes = new DeflatedParts(blocks, crc).bytes();
--- a/src/main/java/io/embernotch/snapshot/SnapshotMerge.java
+++ b/src/main/java/io/embernotch/snapshot/SnapshotMerge.java
@@ -21,13 +21,21 @@
 import java.util.function.BinaryOperator;
 
 /**
- * Merges two snapshots of the same cluster, of which neither need be the newer one in everything,
- * into one that loses nothing of either: ends are final, done marks are united, attempt numbers are
- * the highest, and of each task the open attempt of the highest number stays, since a later one is
- * only begun once those before it are proven gone. That an attempt is missing from one snapshot
- * proves nothing. A job of which only its end is left, since all its attempts were proven gone,
- * stays so. The merge is commutative, associative, idempotent and monotonic ({@code
- * SnapshotMergeTest}).
+ * Merges two snapshots of the same cluster, neither of which need be newer in every respect,
+ * without losing progress from either:
+ *
+ * <ul>
+ *   <li>The end of a job is final.
+ *   <li>A task is done if it is done in either snapshot.
+ *   <li>The number of a job's next attempt is the higher one.
+ *   <li>Of each task the open attempt with the highest number is kept, since an attempt is only
+ *       started once all earlier ones are confirmed to have ended. That an attempt is missing from
+ *       one snapshot does not confirm its end.
+ *   <li>A job that either snapshot has reduced to its end stays reduced, since all its attempts
+ *       were confirmed to have ended.
+ * </ul>
+ *
+ * <p>The merge is commutative, associative, idempotent and monotonic ({@code SnapshotMergeTest}).
  */
 public final class SnapshotMerge {
   private static final Comparator<OpenAttemptSnapshot> LATER =
@@ -39,7 +47,7 @@
 
   private SnapshotMerge() {}
 
-  /** The merge of two snapshots. */
+  /** Merges two snapshots. */
   public static ClusterSnapshot of(ClusterSnapshot a, ClusterSnapshot b) {
     List<ClusterSnapshot> both = List.of(a, b);
     Map<String, EndedJobSnapshot> ended = endedJobs(both);
@@ -58,8 +66,9 @@
   }
 
   /**
-   * A snapshot that is the newest in all that it holds, with what it lacks of another one: jobs
-   * that were accepted and not made known to whoever it is from, and ends, which are final.
+   * Adds what another snapshot contains to one that is newer for every job it contains: jobs that
+   * were accepted without the newer snapshot's leader learning of them, and ends of jobs, which are
+   * final.
    */
   public static ClusterSnapshot supplemented(ClusterSnapshot newest, ClusterSnapshot other) {
     Set<String> known = new HashSet<>();
@@ -75,7 +84,7 @@
     return withEnds(supplemented.build(), ends(other));
   }
 
-  /** The ends of all jobs that have ended, with and without open attempts. */
+  /** The ends of all jobs that have ended, with or without open attempts. */
   private static List<EndedJobSnapshot> ends(ClusterSnapshot snapshot) {
     List<EndedJobSnapshot> ends = new ArrayList<>(snapshot.getEndedList());
     snapshot.getJobList().stream()
@@ -92,8 +101,8 @@
   }
 
   /**
-   * A snapshot with further ends of jobs, that users may have been told. Of a job that it holds the
-   * open attempts stay, since nothing proves that they are gone.
+   * Adds ends of jobs, which users may have been told, to a snapshot. A job that the snapshot
+   * contains keeps its open attempts, since nothing confirms that they have ended.
    */
   public static ClusterSnapshot withEnds(ClusterSnapshot snapshot, List<EndedJobSnapshot> ends) {
     Map<String, EndedJobSnapshot> unknown = new TreeMap<>();
@@ -160,8 +169,8 @@
   }
 
   /**
-   * An end is decided once, so both are the same. Were they not, the choice does not depend on the
-   * order of the arguments.
+   * Chooses one of two ends of the same job. They are equal, since an end is decided once; if they
+   * are not, the choice does not depend on the order of the arguments.
    */
   private static End end(End a, End b) {
     return a.compareTo(b) >= 0 ? a : b;
@@ -188,7 +197,10 @@
     return merged.build();
   }
 
-  /** Submissions never change; only the size of the shards that progress is kept in may. */
+  /**
+   * Chooses one of two values of a job's submission key, whatever the order of the arguments. The
+   * submission never changes; only the shard size beside it may.
+   */
   private static ByteString submission(JobSnapshot a, JobSnapshot b) {
     return ByteString.unsignedLexicographicalComparator().compare(a.getValue(), b.getValue()) >= 0
         ? a.getValue()
--- a/src/main/java/io/embernotch/snapshot/StateSnapshot.java
+++ b/src/main/java/io/embernotch/snapshot/StateSnapshot.java
@@ -23,21 +23,21 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Makes snapshots of a leader's cluster state, or of what is left in the store. */
+/** Takes snapshots of a leader's cluster state, or of what is left in the store. */
 public final class StateSnapshot {
   private static final Logger LOG = LoggerFactory.getLogger(StateSnapshot.class);
 
   private StateSnapshot() {}
 
   /**
-   * The snapshot of a leader's cluster state, which is all that its store held and what it had not
-   * written yet. Every attempt that was sent is in it, since starts are committed before they are
-   * sent.
+   * Takes a snapshot of a leader's cluster state: all that the store held, and changes that the
+   * leader had not written yet. It is complete, since a leader commits the start of an attempt
+   * before it sends it to a machine.
    *
-   * @param shardSize tasks in a shard of the job with this id
+   * @param shardSize returns the number of tasks in a shard of the job with a given id
    * @param shared shared state entries by name
    * @param epoch epoch of the leader
-   * @param wallMs time of day in milliseconds
+   * @param wallMs current wall-clock time, in milliseconds since the Unix epoch
    */
   public static ClusterSnapshot of(
       ClusterState state,
@@ -56,8 +56,8 @@
   }
 
   /**
-   * The snapshot of what is left in the store, of whatever moment each key is. It is not complete:
-   * values that can't be read are left out, and shards without their job.
+   * Takes a snapshot of what is left in the store, where keys may stem from different times. It is
+   * marked as incomplete: unreadable values and shards without their job's submission are left out.
    */
   public static ClusterSnapshot of(
       WatchEvents jobs, WatchEvents shards, WatchEvents refinedShards, WatchEvents shared) {
@@ -79,8 +79,8 @@
   }
 
   /**
-   * The snapshot of what is left in the store of an incarnation, laid over the snapshot that it
-   * began with: what was not written since then stands only there. It is not complete.
+   * Takes a snapshot of what is left in the store of an incarnation, overlaid on the incarnation's
+   * base snapshot, which alone contains what was not written since. It is marked as incomplete.
    */
   public static ClusterSnapshot of(
       BaseSnapshot base,
@@ -100,14 +100,14 @@
     return snapshot.build();
   }
 
-  /** The snapshot of a job of which only its end is left. */
+  /** The snapshot of a job that is reduced to its end. */
   public static EndedJobSnapshot endedJob(String ref, ClusterState.EndedJob endedJob) {
     return JobSnapshots.writeEnded(ref, endedJob);
   }
 
   /**
-   * The end of one job, from all its entries in the store; empty if it has not ended, has open
-   * attempts, or its entries can't be read.
+   * Reads the end of one job from all its entries in the store; empty if the job has not ended, has
+   * open attempts, or its entries can't be read.
    */
   public static Optional<ClusterState.EndedJob> endOf(
       List<VersionedEntry> submissions,
@@ -139,18 +139,19 @@
     try {
       reader.accept(entry);
     } catch (RuntimeException bad) {
-      // Whatever is wrong with one entry must not keep the others from being restored.
-      LOG.warn("what is left of {} can't be read: {}", entry.key(), bad.toString());
+      // Catches everything: one bad entry must not prevent the others from being restored.
+      LOG.warn("ignoring the unreadable value of {}: {}", entry.key(), bad.toString());
     }
   }
 
-  /** Jobs put together from the store's keys. */
+  /** Jobs assembled from the store's entries. */
   private static final class StoredJobs {
     final Map<String, Job> jobs = new LinkedHashMap<>();
 
-    /** Tasks in a shard of each job; that of its smallest refined shards if it has any. */
+    /** Number of tasks in a shard by job id; of the smallest refined shards if the job has any. */
     final Map<String, Integer> shardSizes = new HashMap<>();
 
+    /** Refined shards by job id. */
     private final Map<String, List<ProgressShard>> refinedShards = new LinkedHashMap<>();
 
     void readJob(VersionedEntry entry) {
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotArchive.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotArchive.java
@@ -16,28 +16,28 @@
 import java.util.zip.ZipOutputStream;
 
 /**
- * One snapshot as a ZIP archive, which common tools can open too: {@code head} is a {@link
- * SnapshotHead}, each {@code part-K} a {@link ClusterSnapshot} of some of the jobs. ZIP has a
- * checksum for each of them; the head has the number of parts and one checksum over all, since an
- * archive that lacks its last parts would look whole.
+ * A snapshot as a ZIP archive, which common tools can open. The entry {@code head} is a {@link
+ * SnapshotHead}, each entry {@code part-K} a {@link ClusterSnapshot} with some of the jobs. ZIP
+ * protects each entry with a checksum. The head adds the number of parts and a checksum over all
+ * parts, which detect an archive that lacks its last parts.
  */
 public final class SnapshotArchive {
   private static final int VERSION = 1;
 
   private static final String HEAD = "head";
 
-  /** Jobs in a part; messages about damage name the part. */
+  /** Maximum number of jobs in a part; a message about damage names the part. */
   private static final int JOBS_PER_PART = 500;
 
-  /** Jobs of which only the end is left, in a part. */
+  /** Maximum number of jobs in a part that are reduced to their end. */
   private static final int ENDED_JOBS_PER_PART = 5000;
 
-  /** A file that is not a whole snapshot; the message names the place. */
+  /** Thrown for a file that is not a complete, undamaged snapshot. */
   public static final class DamagedSnapshotException extends IOException {
     private static final long serialVersionUID = 1L;
 
     /**
-     * @param message the place of the damage and what is wrong
+     * @param message the damaged entry and what is wrong with it
      */
     public DamagedSnapshotException(String message) {
       super(message);
@@ -57,16 +57,17 @@
     return head;
   }
 
-  /** The snapshot; marked as incomplete, since what followed it is not in it. */
+  /** The snapshot; marked as incomplete, since it lacks all later changes. */
   public ClusterSnapshot snapshot() {
     return snapshot;
   }
 
   /**
-   * Writes a snapshot.
+   * Writes a snapshot as an archive.
    *
-   * @param incarnation name of the store incarnation that it is of
-   * @param out takes the archive; it is left open
+   * @param incarnation name of the store incarnation that the snapshot was taken of
+   * @param out receives the archive; is left open
+   * @throws IOException if {@code out} fails
    */
   public static void write(ClusterSnapshot snapshot, String incarnation, OutputStream out)
       throws IOException {
@@ -93,9 +94,9 @@
   /**
    * Reads an archive.
    *
-   * @throws DamagedSnapshotException if it is not a whole snapshot; nothing of it is to be used
-   *     then
-   * @throws IOException if it cannot be read
+   * @throws DamagedSnapshotException if the archive is incomplete or damaged, or its format is
+   *     newer than this version reads
+   * @throws IOException if {@code input} fails
    */
   public static SnapshotArchive read(InputStream input) throws IOException {
     ZipInputStream zip = new ZipInputStream(input);
@@ -180,7 +181,7 @@
     zip.closeEntry();
   }
 
-  /** The bytes of the next entry. Reading an entry to its end checks its checksum. */
+  /** Reads the bytes of the next entry. Reading to the end of an entry verifies its checksum. */
   private static byte[] nextEntry(ZipInputStream zip, String name) throws IOException {
     ZipEntry entry = zip.getNextEntry();
     if (entry == null || !entry.getName().equals(name)) {
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotDiff.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotDiff.java
@@ -15,7 +15,9 @@
 import java.util.Objects;
 import java.util.TreeSet;
 
-/** Describes jobs of a snapshot, and the differences of two snapshots, as JSON: a line a job. */
+/**
+ * Describes jobs of a snapshot, or the differences of two snapshots, as one JSON object per job.
+ */
 public final class SnapshotDiff {
   private static final String REF = "ref";
   private static final String PHASE = "phase";
@@ -25,7 +27,7 @@
 
   private SnapshotDiff() {}
 
-  /** The line of a job of which more than its end is left. */
+  /** Describes a job that is not reduced to its end. */
   public static ObjectNode line(JobSnapshot job) {
     return Json.object()
         .put(REF, job.getRef())
@@ -39,7 +41,7 @@
         .put(NEXT_ATTEMPT, job.getNextAttempt());
   }
 
-  /** The line of a job of which only the end is left. */
+  /** Describes a job that is reduced to its end. */
   public static ObjectNode line(EndedJobSnapshot endedJob) {
     return Json.object()
         .put(REF, endedJob.getRef())
@@ -49,8 +51,8 @@
   }
 
   /**
-   * The lines of the jobs that differ, in the order of their ids, with a description of each side;
-   * empty if none do.
+   * Describes the jobs that differ between two snapshots, in the order of their ids, each with its
+   * state before and after; empty if none differ.
    */
   public static List<ObjectNode> of(ClusterSnapshot before, ClusterSnapshot after) {
     Map<String, Message> jobsBefore = byRef(before);
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotDirectory.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotDirectory.java
@@ -19,9 +19,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A directory of snapshots. A file is there whole or not at all: it is written under another name,
- * synced, and renamed. Its name holds the epoch and the time of day, so that names sort by age; the
- * epoch comes first, since clocks of controllers differ. All calls block.
+ * A directory of snapshot files. Files are created atomically: each is written under a temporary
+ * name, synced and renamed. A file's name holds the leader's epoch and the wall-clock time, so that
+ * names sort by age; the epoch comes first, since the clocks of controllers differ. All methods
+ * block.
  */
 public final class SnapshotDirectory {
   private static final Logger LOG = LoggerFactory.getLogger(SnapshotDirectory.class);
@@ -32,7 +33,7 @@
   private final int keep;
 
   /**
-   * @param keep how many are kept when another is written, at least one
+   * @param keep number of snapshots to keep after each write, at least one
    */
   public SnapshotDirectory(Path directory, int keep) {
     this.directory = directory;
@@ -40,10 +41,11 @@
   }
 
   /**
-   * Writes a snapshot, and deletes the oldest ones beyond those that are kept.
+   * Writes a snapshot, and deletes the oldest files beyond the number to keep.
    *
-   * @param incarnation name of the store incarnation that it is of
-   * @return its file
+   * @param incarnation name of the store incarnation that the snapshot was taken of
+   * @return the file of the snapshot
+   * @throws IOException if a file can't be written or deleted
    */
   public Path write(ClusterSnapshot snapshot, String incarnation) throws IOException {
     String name = String.format("%016d-%015d", snapshot.getEpoch(), snapshot.getWallMs());
@@ -74,14 +76,17 @@
     }
   }
 
-  /** Without this a file's new name may be gone after a power failure, though its contents stay. */
+  /**
+   * Syncs the directory. Without this a power failure may undo the rename of a file, though its
+   * contents are synced.
+   */
   private void syncDirectory() throws IOException {
     try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
       channel.force(true);
     }
   }
 
-  /** All snapshots, the newest first. */
+  /** All snapshot files, the newest first. */
   public List<Path> list() throws IOException {
     try (Stream<Path> files = Files.list(directory)) {
       return files
@@ -92,8 +97,10 @@
   }
 
   /**
-   * The newest snapshot that is whole; null if there is none. Damaged ones are named in the log,
+   * Reads the newest snapshot that is not damaged; null if there is none. Damaged files are logged
    * and kept.
+   *
+   * @throws IOException if the directory or a file can't be read
    */
   public SnapshotArchive newest() throws IOException {
     for (Path file : list()) {
@@ -107,10 +114,10 @@
   }
 
   /**
-   * Reads a snapshot.
+   * Reads a snapshot file.
    *
-   * @throws SnapshotArchive.DamagedSnapshotException if it is not whole
-   * @throws IOException if it cannot be read
+   * @throws SnapshotArchive.DamagedSnapshotException if the file is incomplete or damaged
+   * @throws IOException if the file can't be read
    */
   public static SnapshotArchive read(Path file) throws IOException {
     try (InputStream in = new BufferedInputStream(Files.newInputStream(file))) {
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotScheduler.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotScheduler.java
@@ -12,22 +12,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes snapshots at intervals while this node is leader, if the operators named a directory. Core
- * loop only.
+ * Writes snapshots at regular intervals while this controller leads, if a directory for them is
+ * configured. Owned by the controller's event loop.
  */
 public final class SnapshotScheduler {
   private static final Logger LOG = LoggerFactory.getLogger(SnapshotScheduler.class);
 
-  /** Intervals without a new snapshot after which the log says so. */
+  /** Number of intervals without a new snapshot after which that is logged. */
   private static final int OVERDUE_INTERVALS = 3;
 
-  /** Intervals between two tries after many failures; they double up to this. */
+  /** Maximum number of intervals between two attempts; each failure doubles it up to this. */
   private static final int MAX_RETRY_INTERVALS = 4;
 
   private final ControllerContext context;
   private final OperatorSettings.Snapshots settings;
 
-  /** Null if none is named. */
+  /** Null if no directory is configured. */
   private final SnapshotDirectory directory;
 
   private final LatencyRecorder latencies = new LatencyRecorder();
@@ -36,7 +36,7 @@
   private boolean writing;
   private int retryIntervals = 1;
 
-  /** A scheduler whose first interval begins now. */
+  /** Creates a scheduler; its first interval begins now. */
   public SnapshotScheduler(ControllerContext context) {
     this.context = context;
     this.settings = context.operator().snapshots();
@@ -49,10 +49,10 @@
   }
 
   /**
-   * Takes a snapshot if one is due; called on a leader only.
+   * Takes a snapshot if one is due. To be called repeatedly while this controller leads.
    *
-   * @param incarnation name of the present store incarnation
-   * @param snapshot makes the snapshot; null if the leader knows too little yet
+   * @param incarnation name of the current store incarnation
+   * @param snapshot takes the snapshot; returns null if the leader does not know the jobs yet
    */
   public void tick(String incarnation, Supplier<ClusterSnapshot> snapshot) {
     double now = context.clock().now();
@@ -73,13 +73,13 @@
     }
   }
 
-  /** On a thread for blocking work. */
+  /** Writes a snapshot; runs on a thread for blocking work. */
   private void write(ClusterSnapshot snapshot, String incarnation) {
     try {
       Path file = directory.write(snapshot, incarnation);
       context.loop().execute(() -> written(file, snapshot));
     } catch (IOException | RuntimeException e) {
-      // Whatever it is, the next one may succeed.
+      // Catches unchecked exceptions too: otherwise no snapshot would be taken any more.
       context.loop().execute(() -> failed(e));
     }
   }
@@ -89,7 +89,7 @@
     retryIntervals = 1;
     takenAt = context.clock().now();
     LOG.info(
-        "snapshot {}: {} jobs, {} ends; {}",
+        "wrote snapshot {}: {} jobs, {} ended jobs; {}",
         file.getFileName(),
         snapshot.getJobCount(),
         snapshot.getEndedCount(),
@@ -99,7 +99,7 @@
   private void failed(Exception failure) {
     writing = false;
     retryIntervals = Math.min(2 * retryIntervals, MAX_RETRY_INTERVALS);
-    LOG.error("no snapshot could be written: {}", failure.toString());
+    LOG.error("failed to write a snapshot: {}", failure.toString());
     double ageS = context.clock().now() - takenAt;
     if (ageS > OVERDUE_INTERVALS * settings.everyS()) {
       LOG.error("the newest snapshot is {} s old", Math.round(ageS));
@@ -107,8 +107,11 @@
   }
 
   /**
-   * The newest snapshot in the directory; null if there is none, or none may be used. Blocks: to be
-   * called only where nothing can be done without it.
+   * Reads the newest undamaged snapshot of the directory. Blocks the caller, so it is only for use
+   * in a restore, which can't proceed without the result.
+   *
+   * @return null if there is none, the directory can't be read, or the settings don't allow a
+   *     restore from snapshots
    */
   public ClusterSnapshot newest() {
     if (directory == null || !settings.restoreWhenEmpty()) {
--- a/src/main/java/io/embernotch/snapshot/package-info.java
+++ b/src/main/java/io/embernotch/snapshot/package-info.java
@@ -1,11 +1,11 @@
 /**
- * Snapshots of the cluster's state: what the store is to hold, made from a leader's cluster state
- * or from what is left in the store, merged, packed into blocks, and laid under the keys of an
- * incarnation.
+ * Snapshots of the cluster's jobs and shared state. They are taken from a leader's cluster state or
+ * from what is left in the store, merged, packed into blocks for the store, and overlaid with the
+ * keys that an incarnation has written since.
  *
- * <p>The package owns the meaning of the snapshot messages and the rules by which two snapshots, or
- * a snapshot and the store's keys, are combined. It does no input or output: reading and writing
- * the store is up to {@code incarnation}, files are in {@code snapshot.file}. Nothing here decides
- * whether data is lost.
+ * <p>The package owns the meaning of the snapshot messages and the rules for combining two
+ * snapshots, or a snapshot and the store's keys. It does no input or output: {@code incarnation}
+ * reads and writes the store, {@code snapshot.file} reads and writes files. The package does not
+ * decide whether data is lost.
  */
 package io.embernotch.snapshot;
--- a/src/test/java/io/embernotch/replication/JoinedKnowledgeTest.java
+++ b/src/test/java/io/embernotch/replication/JoinedKnowledgeTest.java
@@ -14,9 +14,9 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** What controllers know of lost contents, put together, and what it proves of the last leader. */
+/** Merging what controllers know about lost contents, and what it proves about the last term. */
 class JoinedKnowledgeTest {
-  /** Begun 20 s ago by c0; its lease could last be proven 5 s ago. */
+  /** A term of c0 that began 20 s ago; its lease was last known to be valid 5 s ago. */
   private static final EndedTerm TERM = new EndedTerm("c0", 7, 20, 5);
 
   private static final Optional<Knowledge> NO_ANSWER = Optional.empty();
@@ -25,7 +25,7 @@
     return Knowledge.newBuilder().setHighestEpoch(highestEpoch).setLedEpoch(ledEpoch).build();
   }
 
-  /** What a controller tells that saw the term begin. */
+  /** The answer of a controller that observed the beginning of the term. */
   private static Knowledge.Builder witness() {
     return Knowledge.newBuilder()
         .setUpMs(60_000)
@@ -54,7 +54,7 @@
     return Knowledge.newBuilder().setState(ClusterSnapshot.newBuilder().addJob(job)).build();
   }
 
-  /** Guards against an end that a user was told being taken back since another replica is older. */
+  /** Guards against revoking an end that a user was told, since another replica is older. */
   @Test
   void endsThatAnybodyHasToldWin() {
     Knowledge toldByOther =
@@ -71,7 +71,7 @@
     assertThat(joined.getComplete()).isFalse();
   }
 
-  /** Guards against a restore that goes on without a controller that has not answered. */
+  /** Guards against a restore that ignores a controller without an answer. */
   @Test
   void allHaveAnsweredOnlyIfNoneIsMissing() {
     Knowledge own = knowledge(7, 0);
@@ -81,7 +81,7 @@
     assertThat(JoinedKnowledge.of(own, List.of()).allAnswered()).isTrue();
   }
 
-  /** Guards against a restore from replicas while the last leader still has its state. */
+  /** Guards against a restore from replicas while the last leader still holds its state. */
   @Test
   void anotherHasLedLastIfItsTermIsTheHighestThatAnybodyHasSeen() {
     assertThat(ledElsewhere(knowledge(7, 0), knowledge(7, 7))).isTrue();
@@ -91,7 +91,7 @@
     assertThat(ledElsewhere(knowledge(0, 0), knowledge(0, 0))).isFalse();
   }
 
-  /** Guards against a former leader that a third controller knows to have been followed. */
+  /** Guards against waiting for a former leader when a third controller observed a later term. */
   @Test
   void aTermThatAThirdControllerHasSeenFollowedIsNotTheLast() {
     assertThat(ledElsewhere(knowledge(7, 0), knowledge(7, 7), knowledge(8, 0))).isFalse();
@@ -102,7 +102,7 @@
         .ledElsewhere();
   }
 
-  /** Guards against a leader that never restores from its state although it led last. */
+  /** Guards against the last leader never restoring the store from its own state. */
   @Test
   void aTermWasTheLastIfAllSawNoOther() {
     assertThat(proves(witness())).isTrue();
@@ -110,27 +110,27 @@
     assertThat(JoinedKnowledge.provesLast(TERM, List.of())).isTrue();
   }
 
-  /** Guards against a later leader that only a silent controller knows of. */
+  /** Guards against a later leader that only a controller without an answer knows of. */
   @Test
   void withoutEveryAnswerNothingIsProven() {
     assertThat(JoinedKnowledge.provesLast(TERM, List.of(Optional.of(witness().build()), NO_ANSWER)))
         .isFalse();
   }
 
-  /** Guards against a later leader whose process was restarted and knows of its term no more. */
+  /** Guards against a later leader whose process was restarted and no longer knows its term. */
   @Test
   void whoHasBeenUpForLessThanTheLeaseIsUnprovenProvesNothing() {
     assertThat(proves(witness().setUpMs(4_999))).isFalse();
     assertThat(proves(witness().setUpMs(5_000))).isFalse();
   }
 
-  /** Guards against a term that was followed by another one. */
+  /** Guards against restoring from a term that was followed by another one. */
   @Test
   void aLaterEpochShowsThatTheTermWasNotTheLast() {
     assertThat(proves(witness().setHighestEpoch(8))).isFalse();
   }
 
-  /** Guards against an epoch that came again after a loss. */
+  /** Guards against an epoch that was used again after a loss of data. */
   @Test
   void theSameEpochSeenBeforeTheTermBeganOrOfAnotherNodeIsAnotherTerm() {
     assertThat(proves(witness().setHighestSeenMs(21_000))).isFalse();
--- a/src/test/java/io/embernotch/replication/StateReplicatorTest.java
+++ b/src/test/java/io/embernotch/replication/StateReplicatorTest.java
@@ -25,11 +25,11 @@
 import java.util.function.BiConsumer;
 import org.junit.jupiter.api.Test;
 
-/** What is committed is told once another controller holds it, if one answers in time. */
+/** A commit is reported once another controller has acknowledged it, or after a timeout. */
 class StateReplicatorTest {
   private static final String INCARNATION = "c0-7";
 
-  /** Well over what an acknowledgement is waited for. */
+  /** Much longer than the timeout of an acknowledgement. */
   private static final double LONGER_THAN_THE_WAIT_S = 0.5;
 
   private final FakeTime time = new FakeTime();
@@ -43,7 +43,7 @@
   private final ReplicaFeed feed = new ReplicaFeed(context, replica);
   private final StateReplicator replicator = replicator(context);
 
-  /** With a store that never answers. */
+  /** A context whose store never answers. */
   private ControllerContext context(String processName) {
     return new ControllerContext(
         settings,
@@ -106,7 +106,7 @@
         9, ofIncarnation, 300, List.of(new Frame.StateEntry("shared/x", value)));
   }
 
-  /** Guards against an answer that only the controller that gives it knows. */
+  /** Guards against reporting a commit that only the controller that made it knows. */
   @Test
   void aCommitIsToldOnceOneOtherControllerHasAcknowledgedIt() {
     bothOthersAreLive();
@@ -119,7 +119,7 @@
     assertThat(replicator.unreplicated()).isZero();
   }
 
-  /** Guards against an acknowledgement that is taken for that of another commit. */
+  /** Guards against an acknowledgement that is counted for another commit. */
   @Test
   void anAcknowledgementCountsForItsOwnCommitOnly() {
     bothOthersAreLive();
@@ -133,7 +133,7 @@
     assertThat(first.succeeded()).isTrue();
   }
 
-  /** Guards against users who wait without end for a controller that has just failed. */
+  /** Guards against users who wait forever for a controller that has just failed. */
   @Test
   void withoutAnAcknowledgementACommitIsToldAfterABoundedTimeAndCounted() {
     bothOthersAreLive();
@@ -146,7 +146,7 @@
     assertThat(replicator.unreplicated()).isEqualTo(1);
   }
 
-  /** Guards against commits that each wait in vain, one after the other. */
+  /** Guards against successive commits that each wait for the full timeout. */
   @Test
   void afterOneInVainNoneWaitsUntilAnAcknowledgementArrives() {
     bothOthersAreLive();
@@ -162,7 +162,7 @@
     assertThat(replicator.unreplicated()).isEqualTo(2);
   }
 
-  /** Guards against a late acknowledgement that a process of the same address had waited for. */
+  /** Guards against late acknowledgements for an earlier process at the same address. */
   @Test
   void acknowledgementsToAFormerProcessCountForNothing() {
     bothOthersAreLive();
@@ -177,7 +177,7 @@
     assertThat(commit().isComplete()).isTrue();
   }
 
-  /** Guards against a wait for controllers that are down or of the former version. */
+  /** Guards against waiting for controllers that are down or run a version without replication. */
   @Test
   void withNoLiveReplicaNothingIsSentOrWaitedForAndItIsCounted() {
     assertThat(commit().succeeded()).isTrue();
@@ -202,7 +202,7 @@
     assertThat(replicator.unreplicated()).isZero();
   }
 
-  /** Guards against an acknowledgement of what is not held, or of other contents. */
+  /** Guards against acknowledging an update that was not applied to the replica. */
   @Test
   void onlyWhatIsHeldIsAcknowledged() {
     List<Frame> replies = new ArrayList<>();
--- a/src/test/java/io/embernotch/replication/StoreReplicaTest.java
+++ b/src/test/java/io/embernotch/replication/StoreReplicaTest.java
@@ -20,7 +20,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a replica keeps of the entries that it is given. */
+/** Which entries a replica keeps, and when it reduces a job to its end. */
 class StoreReplicaTest {
   private static final int TASKS = 4;
   private static final int SHARD_SIZE = 2;
@@ -72,7 +72,7 @@
     return of.snapshot().getEndedList().stream().map(EndedJobSnapshot::getRef).toList();
   }
 
-  /** Guards against an entry that is overwritten by an older one that arrives later. */
+  /** Guards against a newer entry that is overwritten by an older one that arrives later. */
   @Test
   void theEntryOfTheHighestRevisionStaysInWhateverOrderTheyCome() {
     Job older = job("j-1");
@@ -90,7 +90,7 @@
     assertThat(replica.snapshot().getComplete()).isFalse();
   }
 
-  /** Guards against memory that grows with all that entries of a key ever took. */
+  /** Guards against a size estimate that counts replaced values of a key. */
   @Test
   void aNewerEntryOfTheSameSizeTakesNoMoreMemory() {
     put("shared/x", "{\"n\":1}", 20);
@@ -99,7 +99,7 @@
     assertThat(replica.bytes()).isEqualTo(bytes).isPositive();
   }
 
-  /** Guards against a replica that holds all jobs that there ever were. */
+  /** Guards against a replica that grows with every job that was ever submitted. */
   @Test
   void ofAnEndedJobOnlyItsEndStays() {
     putJob(replica, job("j-1"), 10);
@@ -115,7 +115,7 @@
     assertThat(replica.bytes()).isPositive().isLessThan(bytesOfJob);
   }
 
-  /** Guards against an ended job that runs again, by an entry that is late or was put back. */
+  /** Guards against an ended job that runs again after a late or rolled back entry of it. */
   @Test
   void entriesOfAnEndedJobChangeNothing() {
     putEnded(replica, "j-1", 10);
@@ -128,7 +128,7 @@
     assertThat(replica.bytes()).isEqualTo(bytes);
   }
 
-  /** Guards against attempts that go on and that nobody knows of any more. */
+  /** Guards against attempts that keep running and that no controller knows of. */
   @Test
   void anEndedJobWithOpenAttemptsIsKeptWholeUntilTheyAreGone() {
     putJob(replica, job("j-1"), 10);
@@ -141,7 +141,7 @@
     assertThat(ends(replica)).containsExactly("j-1");
   }
 
-  /** Guards against an end that leaves out the attempts of a further shard. */
+  /** Guards against losing open attempts that are in a shard other than the first. */
   @Test
   void anOpenAttemptOfAFurtherShardKeepsTheEndedJobToo() {
     putJob(replica, job("j-1"), 10);
@@ -151,7 +151,7 @@
     assertThat(replica.snapshot().getJob(0).getOpen(0).getTask()).isEqualTo(2);
   }
 
-  /** Guards against jobs that were not written since the incarnation began and are forgotten. */
+  /** Guards against losing jobs that were not written since the incarnation began. */
   @Test
   void theBaseSnapshotLiesBeneath() {
     StoreReplica former = new StoreReplica(ENOUGH_BYTES);
@@ -166,7 +166,7 @@
     assertThat(ends(replica)).contains("j-2", "j-3").doesNotContain("j-1");
   }
 
-  /** Guards against entries of an incarnation that another one has followed. */
+  /** Guards against entries of an earlier incarnation in the replica of a later one. */
   @Test
   void aResetForgetsAllThatWasHeld() {
     putEnded(replica, "j-1", 10);
@@ -178,7 +178,7 @@
         .isEqualTo(ClusterSnapshot.newBuilder().setComplete(false).build());
   }
 
-  /** Guards against jobs that are given up while there are ends, and against a silent loss. */
+  /** Guards against evicting jobs before ended jobs, and against unreported evictions. */
   @Test
   void beyondTheBoundTheOldestEndsAreGivenUpFirstAndThenJobs() {
     putJob(replica, job("j-1"), 1);
@@ -204,7 +204,7 @@
     assertThat(bounded.hasEvicted()).isFalse();
   }
 
-  /** Guards against keys of the store that no restore needs. */
+  /** Guards against replicating keys that a restore does not need. */
   @Test
   void foreignKeysAndDeletionsAreIgnored() {
     put("steward", "{}", 10);
@@ -215,7 +215,7 @@
     assertThat(replica.snapshot().getJobList()).isEmpty();
   }
 
-  /** Guards against one malformed entry that keeps all others from being restored. */
+  /** Guards against one malformed entry that prevents the others from being restored. */
   @Test
   void valuesThatCannotBeReadHarmNothingElse() {
     put("job/j-0", "{}", 10);
@@ -229,9 +229,7 @@
     assertThat(ends(replica)).containsExactly("j-2");
   }
 
-  /**
-   * Guards against one damaged update of another controller that makes all knowledge unreadable.
-   */
+  /** Guards against one damaged update of another controller that makes the replica unreadable. */
   @Test
   void bytesThatAreNoJsonHarmNothingElse() {
     put("job/j-8", "not JSON", 15);
@@ -243,7 +241,7 @@
     assertThat(ends(replica)).containsExactly("j-2");
   }
 
-  /** Guards against ended jobs that are kept whole for ever, since the last attempt ended late. */
+  /** Guards against an ended job that is never reduced since its last attempt ended late. */
   @Test
   void onlyTheEndStaysOnceTheLastOpenAttemptOfAFurtherShardIsGone() {
     putJob(replica, job("j-1"), 10);
@@ -254,7 +252,7 @@
     assertThat(ends(replica)).containsExactly("j-1");
   }
 
-  /** Guards against ended jobs that are kept whole since their submission arrived last. */
+  /** Guards against an ended job that is never reduced since its submission arrived last. */
   @Test
   void onlyTheEndStaysInWhateverOrderTheEntriesCome() {
     putShard(replica, ended("j-1"), 0, 12);
--- a/src/test/java/io/embernotch/snapshot/SnapshotMergeSearch.java
+++ b/src/test/java/io/embernotch/snapshot/SnapshotMergeSearch.java
@@ -5,8 +5,8 @@
 import net.jqwik.api.Property;
 
 /**
- * The properties of {@link SnapshotMergeTest} with new seeds on every run. Not part of the build,
- * whose verdict has to be the same every time; CONTRIBUTING.md names the command.
+ * The properties of {@link SnapshotMergeTest} with new seeds on every run. Excluded from the build,
+ * which must be deterministic; CONTRIBUTING.md names the command.
  */
 class SnapshotMergeSearch extends SnapshotMergeTest {
   @Override
--- a/src/test/java/io/embernotch/snapshot/SnapshotMergeTest.java
+++ b/src/test/java/io/embernotch/snapshot/SnapshotMergeTest.java
@@ -20,7 +20,7 @@
 
 /** Algebraic properties of merging snapshots. */
 class SnapshotMergeTest {
-  /** Snapshots of a few jobs, each with some tasks done or open, ended, or reduced to its end. */
+  /** Snapshots of a few jobs: some running, some ended, some reduced to their end. */
   @Provide
   Arbitrary<ClusterSnapshot> snapshots() {
     return Arbitraries.longs().map(SnapshotMergeTest::snapshot);
--- a/src/test/java/io/embernotch/snapshot/file/SnapshotArchiveTest.java
+++ b/src/test/java/io/embernotch/snapshot/file/SnapshotArchiveTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Snapshot files and blocks: damage is found, and a cluster is restored from them. */
+/** Detecting damage in snapshot files and blocks, and restoring a cluster from a file. */
 class SnapshotArchiveTest {
   @TempDir private Path dir;
 
@@ -74,7 +74,7 @@
       byte[] damaged = whole.clone();
       damaged[i] ^= 0x20;
       try {
-        // A byte that does not belong to the contents may differ; then these are the same.
+        // The damaged byte may not be part of the contents, which are then unchanged.
         assertThat(SnapshotArchive.read(new ByteArrayInputStream(damaged)).snapshot())
             .isEqualTo(snapshot);
       } catch (IOException | IllegalArgumentException e) {
@@ -119,7 +119,7 @@
     Path newest = snapshots.list().get(0);
     byte[] bytes = Files.readAllBytes(newest);
     Files.write(newest, Arrays.copyOf(bytes, bytes.length / 2));
-    // A file that a crash left unfinished does not count.
+    // A file that was left unfinished by a crash is ignored.
     Files.write(dir.resolve("0000000000000009-000000000000009.unfinished"), bytes);
     assertThat(snapshots.newest().snapshot()).isEqualTo(snapshotOf(4, 4));
     assertThat(Main.run("snapshot", "list", dir.toString())).isEqualTo(1);
@@ -167,7 +167,7 @@
       assertThat(cluster.phase(node, "j-2")).isEqualTo("running");
       assertThat(cluster.submit(node, job("j-1", "array", 2)).status()).isEqualTo(200);
     }
-    // It kept running: its attempts were in the snapshot.
+    // No attempt was started again: the running ones were in the snapshot.
     assertThat(cluster.runningTasks("j-2")).hasSize(3);
     assertThat(cluster.workers.values())
         .allSatisfy(worker -> assertThat(worker.epoch).isEqualTo(1));
--- a/src/test/java/io/embernotch/snapshot/file/SnapshotSchedulerTest.java
+++ b/src/test/java/io/embernotch/snapshot/file/SnapshotSchedulerTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Snapshots go on after one that failed, by whatever. An unchecked exception while one was written
- * left it marked as being written, and none was taken any more until the next leader.
+ * Snapshots continue after one that failed in any way. Guards against an unchecked exception during
+ * a write that leaves the write marked as running, so that this leader takes no further snapshots.
  */
 class SnapshotSchedulerTest {
   private static final double EVERY_S = 10;
@@ -73,7 +73,7 @@
     assertThat(written()).isPositive();
   }
 
-  /** A disk that fails is not tried as often as one that works. */
+  /** Guards against retrying a failing disk at every interval. */
   @Test
   void failuresAreRetriedLessAndLessOften() {
     int[] tries = {0};
--- a/src/test/java/io/embernotch/storeddata/StoredDataCompatibilityTest.java
+++ b/src/test/java/io/embernotch/storeddata/StoredDataCompatibilityTest.java
@@ -30,9 +30,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Values, frames and a snapshot whose bytes were written by the version before the sources were
- * renamed. Names in the sources may change at any time; what is stored and sent may not, since
- * versions serve side by side and stored data outlives them.
+ * Values, frames and a snapshot file that an earlier version wrote are read, and written again with
+ * the same bytes. Guards against renames in the sources that change what is stored or sent:
+ * versions run side by side, and stored data outlives them.
  */
 class StoredDataCompatibilityTest {
   private static final String RESTORED = "restored-store.json";
@@ -67,7 +67,7 @@
     StoreIncarnation incarnation = IncarnationCodec.read(pointer, 7);
     ObjectNode expected = pointer.deepCopy();
     if (pointer.has("since")) {
-      // 0 stands for the key's own modification revision, which is written out from then on.
+      // A stored 0 means the key's own modification revision, which is written explicitly.
       expected.put("since", 7);
     }
     assertSameBytes(IncarnationCodec.write(incarnation), expected, "era");
@@ -87,7 +87,7 @@
       int shardSize = JobProgressCodec.readShardSize(submission);
       assertSameBytes(JobProgressCodec.writeJob(job, shardSize), submission, "job/" + ref);
       ObjectNode progress = values.get(JobProgressCodec.shardKey(ref, 0));
-      // The fifth waits for others, so nothing of its progress was ever written.
+      // The fifth job waits for its dependencies, so no progress of it was written.
       assertThat(progress == null).isEqualTo(number == 5);
       if (progress != null) {
         JobProgressCodec.readShard(progress, job, shardSize, 0);
@@ -127,7 +127,7 @@
     assertWrittenAlike(CalendarCodec.write(CalendarCodec.read(release)), release);
   }
 
-  /** A shared entry's version is added where it is stored. */
+  /** Compares values without the version, which is added when an entry is stored. */
   private static void assertWrittenAlike(ObjectNode written, ObjectNode stored) {
     ObjectNode withoutVersion = stored.deepCopy();
     withoutVersion.remove("n");
@@ -163,7 +163,7 @@
     assertThat(written.toByteArray()).isEqualTo(bytes);
   }
 
-  /** What users of the version that wrote this data were told at its last moment. */
+  /** The responses to polls, by job id, of the version that wrote this data. */
   private static final Map<String, String> ANSWERS =
       Map.of(
           "j-1", "{\"ref\":\"j-1\",\"phase\":\"running\",\"done\":2,\"running\":4}",
@@ -174,7 +174,7 @@
           "j-6", "{\"ref\":\"j-6\",\"phase\":\"cancelled\",\"done\":0,\"running\":0}",
           "j-7", "{\"ref\":\"j-7\",\"phase\":\"running\",\"done\":0,\"running\":40}");
 
-  /** A plain store, and one that was restored after a loss, with all jobs in a block. */
+  /** A store without losses, and one restored after a loss, with all jobs in a block. */
   @ParameterizedTest
   @ValueSource(strings = {STORE, RESTORED})
   void aLeaderTakesOverWhatIsStored(String name) throws IOException {
@@ -190,7 +190,7 @@
     assertThat(cluster.poll(0, "j-8").status()).isEqualTo(404);
   }
 
-  /** Puts values into a store in one transaction, but the leader's key, whose lease is gone. */
+  /** Writes all values except the leader's key, whose lease is gone, in one transaction. */
   private static void load(SimulatedCluster cluster, Map<String, ObjectNode> values) {
     ObjectNode transaction = Json.object();
     transaction.putArray("when");
