--- a/src/main/java/io/embernotch/replication/JoinedKnowledge.java
+++ b/src/main/java/io/embernotch/replication/JoinedKnowledge.java
@@ -66,9 +66,9 @@
    * @param node name of the controller that led the term
    * @param epoch epoch of the term
    * @param ageS seconds since the term began
-   * @param unprovenS seconds since that controller's lease was last known to be valid
+   * @param leaseUnprovenS seconds since that controller's lease was last known to be valid
    */
-  public record EndedTerm(String node, long epoch, double ageS, double unprovenS) {}
+  public record EndedTerm(String node, long epoch, double ageS, double leaseUnprovenS) {}
 
   /**
    * Whether the answers prove that no other term followed an ended one: each other controller has
@@ -80,23 +80,24 @@
    *     answer, proves nothing
    */
   public static boolean provesLast(EndedTerm term, List<Optional<Knowledge>> others) {
-    return others.stream().allMatch(other -> other.isPresent() && provesLast(term, other.get()));
+    return others.stream()
+        .allMatch(other -> other.isPresent() && confirmsLastTerm(term, other.get()));
   }
 
-  private static boolean provesLast(EndedTerm term, Knowledge other) {
-    boolean sawNoOther =
+  private static boolean confirmsLastTerm(EndedTerm term, Knowledge other) {
+    boolean observedNoLaterTerm =
         other.getHighestEpoch() < term.epoch()
             || (other.getHighestEpoch() == term.epoch()
                 && other.getHighestNode().equals(term.node())
-                && other.getHighestSeenMs() <= atMostMs(term.ageS()));
-    return sawNoOther && other.getUpMs() > atMostMs(term.unprovenS());
+                && other.getHighestSeenMs() <= peerClockUpperBoundMs(term.ageS()));
+    return observedNoLaterTerm && other.getUpMs() > peerClockUpperBoundMs(term.leaseUnprovenS());
   }
 
   /**
    * Upper bound, in milliseconds, of what another controller's steady clock measures while this
    * controller's measures {@code seconds}.
    */
-  private static double atMostMs(double seconds) {
+  private static double peerClockUpperBoundMs(double seconds) {
     return seconds * (1 + 2 * Settings.DRIFT) * MS_PER_S;
   }
 }
--- a/src/main/java/io/embernotch/replication/KnowledgeCollector.java
+++ b/src/main/java/io/embernotch/replication/KnowledgeCollector.java
@@ -32,7 +32,7 @@
   static final int OK = 200;
 
   /** Status of a response whose sender knows a later incarnation, which resolved the loss. */
-  static final int LOSS_IS_OVER = 409;
+  static final int LOSS_RESOLVED = 409;
 
   /** Status of a response whose sender does not have the requested part, or no longer has it. */
   static final int NO_SUCH_PART = 404;
@@ -73,22 +73,22 @@
   public Future<List<Optional<Knowledge>>> collect(long lossEpoch) {
     List<Future<Optional<Knowledge>>> answers = new ArrayList<>();
     for (Settings.Member member : context.settings().members()) {
-      answers.add(ask(member.node(), lossEpoch));
+      answers.add(request(member.node(), lossEpoch));
     }
     return Future.all(answers).map(all -> answers.stream().map(Future::result).toList());
   }
 
   /** Requests what one controller knows of the current contents; empty if it sends none. */
-  Future<Optional<Knowledge>> askForPresent(String node) {
-    return ask(node, NO_LOSS);
+  Future<Optional<Knowledge>> requestCurrentContents(String node) {
+    return request(node, NO_LOSS);
   }
 
-  private Future<Optional<Knowledge>> ask(String node, long lossEpoch) {
+  private Future<Optional<Knowledge>> request(String node, long lossEpoch) {
     // Don't wait for a controller that has just failed: this controller may fail as soon.
     if (!peerLiveness.liveReplicas().contains(node) || !requests.canSend(node)) {
       return Future.succeededFuture(Optional.empty());
     }
-    return new Download(node, lossEpoch).next();
+    return new Download(node, lossEpoch).requestNextPart();
   }
 
   /** Requests the parts of one controller's knowledge, one after the other. */
@@ -103,18 +103,18 @@
     }
 
     /** Requests the next part, and then those after it; empty unless all parts arrive. */
-    Future<Optional<Knowledge>> next() {
+    Future<Optional<Knowledge>> requestNextPart() {
       String self = context.settings().node();
       return requests
           .send(
               node,
               id -> new Frame.KnowledgeRequest(id, self, lossEpoch, parts.size()),
               partTimeoutS)
-          .compose(this::answered);
+          .compose(this::handleResponse);
     }
 
-    private Future<Optional<Knowledge>> answered(HttpResponse response) {
-      if (response.status() == LOSS_IS_OVER && lossEpoch != NO_LOSS) {
+    private Future<Optional<Knowledge>> handleResponse(HttpResponse response) {
+      if (response.status() == LOSS_RESOLVED && lossEpoch != NO_LOSS) {
         local.lossIsOver();
       }
       if (response.status() != OK) {
@@ -124,7 +124,7 @@
         KnowledgePart part = KnowledgePart.parseFrom(response.body());
         parts.add(part.getBytes().toByteArray());
         return parts.size() < part.getParts()
-            ? next()
+            ? requestNextPart()
             : Future.succeededFuture(
                 Optional.of(new PackedKnowledge(parts, part.getCrc()).unpack()));
       } catch (InvalidProtocolBufferException | MalformedInputException e) {
--- a/src/main/java/io/embernotch/replication/KnowledgeServer.java
+++ b/src/main/java/io/embernotch/replication/KnowledgeServer.java
@@ -17,7 +17,7 @@
   private final LocalKnowledge local;
 
   /** The knowledge that is being sent to each controller, by the controller's name. */
-  private final Map<String, PackedKnowledge> packed = new HashMap<>();
+  private final Map<String, PackedKnowledge> packedByNode = new HashMap<>();
 
   /** Creates a server that answers with what {@code local} knows. */
   public KnowledgeServer(LocalKnowledge local) {
@@ -35,28 +35,28 @@
         return;
       }
     } else if (!local.lossHeard(request.node(), request.lossEpoch())) {
-      refuse(request, KnowledgeCollector.LOSS_IS_OVER, replies);
+      refuse(request, KnowledgeCollector.LOSS_RESOLVED, replies);
       return;
     }
     if (request.part() == 0) {
-      packed.put(request.node(), PackedKnowledge.of(local.knowledge()));
+      packedByNode.put(request.node(), PackedKnowledge.of(local.knowledge()));
     }
-    PackedKnowledge all = packed.get(request.node());
-    if (all == null || request.part() < 0 || request.part() >= all.parts().size()) {
+    PackedKnowledge knowledge = packedByNode.get(request.node());
+    if (knowledge == null || request.part() < 0 || request.part() >= knowledge.parts().size()) {
       refuse(request, KnowledgeCollector.NO_SUCH_PART, replies);
       return;
     }
     KnowledgePart part =
         KnowledgePart.newBuilder()
-            .setParts(all.parts().size())
-            .setCrc(all.crc())
-            .setBytes(ByteString.copyFrom(all.parts().get(request.part())))
+            .setParts(knowledge.parts().size())
+            .setCrc(knowledge.crc())
+            .setBytes(ByteString.copyFrom(knowledge.parts().get(request.part())))
             .build();
     replies.send(new Frame.Response(request.id(), KnowledgeCollector.OK, 0, part.toByteArray()));
   }
 
   private void refuse(Frame.KnowledgeRequest request, int status, PeerLink.ReplyChannel replies) {
-    packed.remove(request.node());
+    packedByNode.remove(request.node());
     replies.send(new Frame.Response(request.id(), status, 0, new byte[0]));
   }
 }
--- a/src/main/java/io/embernotch/replication/ReplicaBootstrap.java
+++ b/src/main/java/io/embernotch/replication/ReplicaBootstrap.java
@@ -26,46 +26,46 @@
 
   private enum State {
     /** No controller has reported anything yet. */
-    WANTED,
+    NO_REPORT,
     /** At least one controller has reported what it knows. */
-    TOLD,
+    REPORTED,
     /** This controller has read the store or leads, so no report is needed. */
-    NOT_NEEDED
+    FINISHED
   }
 
   private final KnowledgeCollector collector;
   private final Clock clock;
 
   /** Minimum time between two requests to the same controller, in seconds. */
-  private final double intervalS;
+  private final double requestIntervalS;
 
-  private State state = State.WANTED;
-  private Knowledge told = Knowledge.getDefaultInstance();
+  private State state = State.NO_REPORT;
+  private Knowledge reported = Knowledge.getDefaultInstance();
 
   /** When each controller was last asked, by name. All are asked, since any may have failed. */
-  private final Map<String, Double> askedAt = new HashMap<>();
+  private final Map<String, Double> lastRequestAt = new HashMap<>();
 
   /** Number of requests that are not answered yet. */
-  private int unanswered;
+  private int pendingRequests;
 
   /** Commits of other controllers during a request; the answer need not contain them. */
-  private final List<Frame.StateUpdate> updatesWhileAsking = new ArrayList<>();
+  private final List<Frame.StateUpdate> bufferedUpdates = new ArrayList<>();
 
   /** Creates a bootstrap without any report. */
   public ReplicaBootstrap(ControllerContext context, KnowledgeCollector collector) {
     this.collector = collector;
     this.clock = context.clock();
-    this.intervalS = context.settings().workers().heartbeatIntervalS();
+    this.requestIntervalS = context.settings().workers().heartbeatIntervalS();
   }
 
   /** Whether a request is pending and no controller has reported anything yet. */
   public boolean isAsking() {
-    return state == State.WANTED && unanswered > 0;
+    return state == State.NO_REPORT && pendingRequests > 0;
   }
 
   /** Whether another controller has reported what it knows, and that is still needed. */
   public boolean isTold() {
-    return state == State.TOLD;
+    return state == State.REPORTED;
   }
 
   /**
@@ -78,66 +78,69 @@
    */
   public void ask(String node, BiConsumer<Knowledge, List<Frame.StateUpdate>> listener) {
     double now = clock.now();
-    boolean isDue = now - askedAt.getOrDefault(node, Double.NEGATIVE_INFINITY) >= intervalS;
-    if (state != State.NOT_NEEDED && isDue) {
-      askedAt.put(node, now);
-      unanswered++;
-      collector.askForPresent(node).onSuccess(answer -> answered(node, answer, listener));
+    boolean isDue =
+        now - lastRequestAt.getOrDefault(node, Double.NEGATIVE_INFINITY) >= requestIntervalS;
+    if (state != State.FINISHED && isDue) {
+      lastRequestAt.put(node, now);
+      pendingRequests++;
+      collector
+          .requestCurrentContents(node)
+          .onSuccess(answer -> handleAnswer(node, answer, listener));
     }
   }
 
-  private void answered(
+  private void handleAnswer(
       String node,
       Optional<Knowledge> answer,
       BiConsumer<Knowledge, List<Frame.StateUpdate>> listener) {
-    unanswered--;
+    pendingRequests--;
     if (answer.isEmpty()) {
       // Ask again without a delay: it may not have known anything yet, or a restarted process may
       // answer next.
-      askedAt.remove(node);
+      lastRequestAt.remove(node);
     }
-    if (answer.isEmpty() || state == State.NOT_NEEDED) {
+    if (answer.isEmpty() || state == State.FINISHED) {
       return;
     }
-    Knowledge latest = answer.get();
+    Knowledge report = answer.get();
     LOG.info(
         "{} reports {} jobs and {} ended jobs of incarnation {}, revision {}",
         node,
-        latest.getState().getJobCount(),
-        latest.getState().getEndedCount(),
-        latest.getIncarnation(),
-        latest.getRevision());
-    state = State.TOLD;
-    ClusterSnapshot joined = SnapshotMerge.of(told.getState(), latest.getState());
-    told =
-        latest.toBuilder()
-            .setState(SnapshotMerge.withEnds(joined, latest.getToldList()))
+        report.getState().getJobCount(),
+        report.getState().getEndedCount(),
+        report.getIncarnation(),
+        report.getRevision());
+    state = State.REPORTED;
+    ClusterSnapshot merged = SnapshotMerge.of(reported.getState(), report.getState());
+    reported =
+        report.toBuilder()
+            .setState(SnapshotMerge.withEnds(merged, report.getToldList()))
             .clearTold()
             .build();
-    List<Frame.StateUpdate> updates = List.copyOf(updatesWhileAsking);
-    updatesWhileAsking.clear();
-    listener.accept(told, updates);
+    List<Frame.StateUpdate> updates = List.copyOf(bufferedUpdates);
+    bufferedUpdates.clear();
+    listener.accept(reported, updates);
   }
 
   /** Keeps an update that another controller committed during a request, for the listener. */
   public void hold(Frame.StateUpdate update) {
-    updatesWhileAsking.add(update);
+    bufferedUpdates.add(update);
   }
 
   /** Merges what this controller knows otherwise, before the caller discards it. */
   public void add(ClusterSnapshot known) {
-    told = told.toBuilder().setState(SnapshotMerge.of(told.getState(), known)).build();
+    reported = reported.toBuilder().setState(SnapshotMerge.of(reported.getState(), known)).build();
   }
 
   /** All that was reported and added so far; an empty message after {@link #finish}. */
   public Knowledge told() {
-    return told;
+    return reported;
   }
 
   /** Discards all reports: this controller has read the store, or leads. */
   public void finish() {
-    state = State.NOT_NEEDED;
-    told = Knowledge.getDefaultInstance();
-    updatesWhileAsking.clear();
+    state = State.FINISHED;
+    reported = Knowledge.getDefaultInstance();
+    bufferedUpdates.clear();
   }
 }
--- a/src/main/java/io/embernotch/replication/ReplicaFeed.java
+++ b/src/main/java/io/embernotch/replication/ReplicaFeed.java
@@ -24,7 +24,7 @@
   /** Prefix of all keys: a single watch costs less than one for each prefix. */
   private static final String ALL_KEYS = "";
 
-  private static final List<String> PREFIXES =
+  private static final List<String> REPLICATED_PREFIXES =
       List.of(
           JobProgressCodec.JOB,
           JobProgressCodec.SHARD,
@@ -32,7 +32,7 @@
           JobProgressCodec.SHARED);
 
   /** Share of the store's request rate that the watches of all controllers together may use. */
-  private static final double REQUEST_SHARE = 0.03;
+  private static final double WATCH_REQUEST_SHARE = 0.03;
 
   /** Longest wait of a watch request for a change, in heartbeat intervals. */
   private static final double LONG_POLL_HEARTBEATS = 3;
@@ -44,7 +44,7 @@
 
   private enum State {
     /** Nothing is read; the replica stays as it is. */
-    RESTING,
+    STOPPED,
     /** The store can't be read yet; updates of other controllers are applied. */
     AWAITING_STORE,
     /** The store's contents are being read. */
@@ -55,10 +55,10 @@
 
   private final ControllerContext context;
   private final StoreReplica replica;
-  private final double pauseS;
+  private final double watchPauseS;
   private final double longPollS;
-  private final double retryS;
-  private State state = State.RESTING;
+  private final double retryDelayS;
+  private State state = State.STOPPED;
   private boolean filled;
 
   /**
@@ -73,9 +73,10 @@
     this.replica = replica;
     double heartbeatIntervalS = context.settings().workers().heartbeatIntervalS();
     int controllers = 1 + context.settings().members().size();
-    this.pauseS = controllers / (REQUEST_SHARE * context.settings().minStoreLimits().rps());
+    this.watchPauseS =
+        controllers / (WATCH_REQUEST_SHARE * context.settings().minStoreLimits().rps());
     this.longPollS = LONG_POLL_HEARTBEATS * heartbeatIntervalS;
-    this.retryS = heartbeatIntervalS / RETRIES_PER_HEARTBEAT;
+    this.retryDelayS = heartbeatIntervalS / RETRIES_PER_HEARTBEAT;
   }
 
   /** Whether this feed has filled the replica since it was last started or cleared. */
@@ -90,7 +91,7 @@
 
   /** Whether updates of other controllers are to be applied to the replica. */
   public boolean isActive() {
-    return state != State.RESTING;
+    return state != State.STOPPED;
   }
 
   /**
@@ -121,7 +122,7 @@
   /** Stops reading the store; the replica stays as it is. */
   public void rest() {
     generation++;
-    state = State.RESTING;
+    state = State.STOPPED;
   }
 
   /**
@@ -129,7 +130,7 @@
    * keeps the replica. Pages that were requested before the loss and still arrive are added.
    */
   public void contentsLost() {
-    state = State.RESTING;
+    state = State.STOPPED;
   }
 
   /** Stops reading the store and clears the replica: this controller leads. */
@@ -139,13 +140,13 @@
     replica.reset(BaseSnapshot.EMPTY);
   }
 
-  private boolean isCurrent(int begun) {
-    return begun == generation && state != State.RESTING;
+  private boolean isCurrent(int requestGeneration) {
+    return requestGeneration == generation && state != State.STOPPED;
   }
 
-  private void fill(int begun) {
-    if (isCurrent(begun)) {
-      read(begun, 0, Long.MAX_VALUE);
+  private void fill(int requestGeneration) {
+    if (isCurrent(requestGeneration)) {
+      readPrefixes(requestGeneration, 0, Long.MAX_VALUE);
     }
   }
 
@@ -154,87 +155,89 @@
    *
    * @param firstRevision lowest revision of the listings so far, from which to watch changes
    */
-  private void read(int begun, int prefix, long firstRevision) {
+  private void readPrefixes(int requestGeneration, int prefixIndex, long firstRevision) {
     context
         .store()
-        .forEachPage(PREFIXES.get(prefix), new ReplicaPages(begun))
-        .onSuccess(revision -> prefixRead(begun, prefix, Math.min(firstRevision, revision)))
-        .onFailure(failure -> context.timers().after(retryS, () -> fill(begun)));
+        .forEachPage(REPLICATED_PREFIXES.get(prefixIndex), new ReplicaPages(requestGeneration))
+        .onSuccess(
+            revision ->
+                handlePrefixRead(requestGeneration, prefixIndex, Math.min(firstRevision, revision)))
+        .onFailure(failure -> context.timers().after(retryDelayS, () -> fill(requestGeneration)));
   }
 
-  private void prefixRead(int begun, int prefix, long firstRevision) {
-    if (!isCurrent(begun)) {
+  private void handlePrefixRead(int requestGeneration, int prefixIndex, long firstRevision) {
+    if (!isCurrent(requestGeneration)) {
       return;
     }
-    if (prefix + 1 < PREFIXES.size()) {
-      read(begun, prefix + 1, firstRevision);
+    if (prefixIndex + 1 < REPLICATED_PREFIXES.size()) {
+      readPrefixes(requestGeneration, prefixIndex + 1, firstRevision);
       return;
     }
     state = State.FOLLOWING;
     filled = true;
-    replica.filled();
+    replica.finishFilling();
     LOG.info(
         "replica of the store is filled: {} KiB, watching changes from revision {}",
         replica.bytes() / BYTES_PER_KIB,
         firstRevision);
-    follow(begun, firstRevision);
+    follow(requestGeneration, firstRevision);
   }
 
   /** Adds the pages of one listing to the replica. */
   private final class ReplicaPages implements PageSink {
-    private final int begun;
+    private final int requestGeneration;
 
-    ReplicaPages(int begun) {
-      this.begun = begun;
+    ReplicaPages(int requestGeneration) {
+      this.requestGeneration = requestGeneration;
     }
 
     @Override
     public void page(List<VersionedEntry> entries) {
-      if (isCurrent(begun)) {
+      if (isCurrent(requestGeneration)) {
         entries.forEach(replica::put);
       }
     }
 
     @Override
     public void pageAskedForBeforeLoss(List<VersionedEntry> entries) {
-      if (begun == generation) {
+      if (requestGeneration == generation) {
         LOG.info("received {} entries that were requested before the loss", entries.size());
         entries.forEach(replica::put);
       }
     }
   }
 
-  private void follow(int begun, long revision) {
-    if (!isCurrent(begun)) {
+  private void follow(int requestGeneration, long revision) {
+    if (!isCurrent(requestGeneration)) {
       return;
     }
     context
         .store()
         .watch(ALL_KEYS, revision, longPollS)
-        .onSuccess(changes -> changed(begun, revision, changes))
-        .onFailure(failure -> watchFailed(begun, revision, failure));
+        .onSuccess(changes -> handleChanges(requestGeneration, revision, changes))
+        .onFailure(failure -> handleWatchFailure(requestGeneration, revision, failure));
   }
 
-  private void changed(int begun, long revision, WatchEvents changes) {
-    if (!isCurrent(begun)) {
+  private void handleChanges(int requestGeneration, long revision, WatchEvents changes) {
+    if (!isCurrent(requestGeneration)) {
       return;
     }
     LOG.debug("{} changes after revision {}", changes.events().size(), revision);
     changes.events().forEach(replica::put);
-    long reached = Math.max(revision, changes.revision());
-    context.timers().after(pauseS, () -> follow(begun, reached));
+    long seenRevision = Math.max(revision, changes.revision());
+    context.timers().after(watchPauseS, () -> follow(requestGeneration, seenRevision));
   }
 
-  private void watchFailed(int begun, long revision, Throwable failure) {
-    if (!isCurrent(begun)) {
+  private void handleWatchFailure(int requestGeneration, long revision, Throwable failure) {
+    if (!isCurrent(requestGeneration)) {
       return;
     }
     LOG.debug("watch from revision {} failed: {}", revision, failure.getMessage());
     if (StoreException.kindOf(failure) == StoreException.Kind.TOO_OLD) {
       state = State.FILLING;
-      fill(begun);
+      fill(requestGeneration);
     } else {
-      context.timers().after(retryS, () -> follow(begun, revision));
+      context.timers().after(retryDelayS, () -> follow(requestGeneration, revision));
     }
   }
 }
--- a/src/main/java/io/embernotch/replication/StateReplicator.java
+++ b/src/main/java/io/embernotch/replication/StateReplicator.java
@@ -46,12 +46,12 @@
   /** Commits that await an acknowledgement, by the id of their update. */
   private final Map<Long, Promise<Void>> unacknowledged = new HashMap<>();
 
-  private long lastId;
+  private long lastUpdateId;
 
   /** Whether an acknowledgement has timed out and none has arrived since. */
-  private boolean unresponsive;
+  private boolean peersUnresponsive;
 
-  private int unreplicated;
+  private int unreplicatedCommits;
 
   /**
    * @param incarnation supplies the name of the store incarnation whose contents are intact, as far
@@ -72,90 +72,90 @@
     this.incarnation = incarnation;
     this.ackTimeoutS =
         context.settings().workers().heartbeatIntervalS() / ACK_TIMEOUTS_PER_HEARTBEAT;
-    this.lastId = ProcessIncarnation.begin(context.names());
+    this.lastUpdateId = ProcessIncarnation.begin(context.names());
   }
 
   /** Number of commits that were reported without an acknowledgement of another controller. */
   public int unreplicated() {
-    return unreplicated;
+    return unreplicatedCommits;
   }
 
   @Override
   public Future<Void> committed(Transaction transaction, long revision) {
-    List<Frame.StateEntry> entries = entriesOf(transaction);
-    String name = incarnation.get();
-    if (entries.isEmpty() || name == null) {
+    List<Frame.StateEntry> entries = replicatedEntries(transaction);
+    String currentIncarnation = incarnation.get();
+    if (entries.isEmpty() || currentIncarnation == null) {
       return Future.succeededFuture();
     }
-    take(entries, revision);
+    applyToReplica(entries, revision);
     List<String> receivers = peerLiveness.liveReplicas();
     if (receivers.isEmpty()) {
-      unreplicated++;
+      unreplicatedCommits++;
       return Future.succeededFuture();
     }
-    long id = ++lastId;
-    Frame update = new Frame.StateUpdate(id, name, revision, entries);
+    long id = ++lastUpdateId;
+    Frame update = new Frame.StateUpdate(id, currentIncarnation, revision, entries);
     receivers.forEach(receiver -> peers.send(receiver, update));
-    return acknowledgementOf(id);
+    return awaitAcknowledgement(id);
   }
 
-  private static List<Frame.StateEntry> entriesOf(Transaction transaction) {
+  private static List<Frame.StateEntry> replicatedEntries(Transaction transaction) {
     List<Frame.StateEntry> entries = new ArrayList<>();
     for (Map.Entry<String, ObjectNode> write : transaction.writes().entrySet()) {
-      if (StoreReplica.holds(write.getKey())) {
+      if (StoreReplica.isReplicated(write.getKey())) {
         entries.add(new Frame.StateEntry(write.getKey(), Json.bytes(write.getValue())));
       }
     }
     return entries;
   }
 
-  private void take(List<Frame.StateEntry> entries, long revision) {
+  private void applyToReplica(List<Frame.StateEntry> entries, long revision) {
     if (feed.isActive()) {
       entries.forEach(entry -> replica.put(entry.key(), entry.value(), revision));
     }
   }
 
   /** Completes when another controller acknowledges the update, or on a timeout. */
-  private Future<Void> acknowledgementOf(long id) {
+  private Future<Void> awaitAcknowledgement(long id) {
     Promise<Void> acknowledged = Promise.promise();
     unacknowledged.put(id, acknowledged);
-    if (unresponsive) {
+    if (peersUnresponsive) {
       // Commits run one after the other, so don't delay each of them by a timeout.
-      timedOut(id);
+      handleTimeout(id);
     } else {
-      context.timers().after(ackTimeoutS, () -> timedOut(id));
+      context.timers().after(ackTimeoutS, () -> handleTimeout(id));
     }
     return acknowledged.future();
   }
 
-  private void timedOut(long id) {
-    Promise<Void> waiting = unacknowledged.remove(id);
-    if (waiting == null) {
+  private void handleTimeout(long id) {
+    Promise<Void> pending = unacknowledged.remove(id);
+    if (pending == null) {
       return;
     }
-    unreplicated++;
-    if (!unresponsive) {
-      unresponsive = true;
+    unreplicatedCommits++;
+    if (!peersUnresponsive) {
+      peersUnresponsive = true;
       LOG.info("no other controller acknowledges commits in time: commits no longer wait");
     }
-    waiting.complete();
+    pending.complete();
   }
 
   /** Called when another controller acknowledges an update, which may have timed out before. */
   public void acknowledged(Frame.StateUpdateAck ack) {
-    if (ProcessIncarnation.of(ack.id()) != ProcessIncarnation.of(lastId)) {
+    if (ProcessIncarnation.of(ack.id()) != ProcessIncarnation.of(lastUpdateId)) {
       return;
     }
-    unresponsive = false;
-    Promise<Void> waiting = unacknowledged.remove(ack.id());
-    if (waiting != null) {
-      waiting.complete();
+    peersUnresponsive = false;
+    Promise<Void> pending = unacknowledged.remove(ack.id());
+    if (pending != null) {
+      pending.complete();
     }
   }
 
   /** Applies an update of another controller to the replica, and records its revision. */
   public void take(Frame.StateUpdate update) {
-    take(update.entries(), update.revision());
+    applyToReplica(update.entries(), update.revision());
     for (Frame.StateEntry entry : update.entries()) {
       // Lets this controller detect a store that is rolled back to before this revision.
       context.store().noteRevision(entry.key(), update.revision());
--- a/src/main/java/io/embernotch/replication/StoreReplica.java
+++ b/src/main/java/io/embernotch/replication/StoreReplica.java
@@ -31,37 +31,37 @@
   private static final Logger LOG = LoggerFactory.getLogger(StoreReplica.class);
 
   /** Estimated memory of an entry besides its key and its value. */
-  private static final int ENTRY_OVERHEAD = 120;
+  private static final int ENTRY_OVERHEAD_BYTES = 120;
 
   /** Estimated memory of a job's end besides the job's id. */
-  private static final int END_OVERHEAD = 160;
+  private static final int END_OVERHEAD_BYTES = 160;
 
   /** An entry with its value as JSON text: smaller than if parsed, and rarely read. */
   @SuppressWarnings("ArrayRecordComponent") // The bytes are never compared.
-  private record HeldEntry(byte[] value, long modRevision) {}
+  private record SerializedEntry(byte[] value, long modRevision) {}
 
   private final long maxBytes;
 
   /** Entries of jobs, by the id of the job, then by key. */
-  private final Map<String, Map<String, HeldEntry>> jobs = new LinkedHashMap<>();
+  private final Map<String, Map<String, SerializedEntry>> jobs = new LinkedHashMap<>();
 
   /** Ends of jobs that are reduced to their end, by id, in the order of addition. */
-  private final Map<String, EndedJob> ended = new LinkedHashMap<>();
+  private final Map<String, EndedJob> endedJobs = new LinkedHashMap<>();
 
   /** Shared state entries, by key. */
-  private final Map<String, HeldEntry> shared = new TreeMap<>();
+  private final Map<String, SerializedEntry> shared = new TreeMap<>();
 
   /** Ids of jobs that an entry says have ended, and that are not yet reduced to their end. */
-  private final Set<String> endsTold = new LinkedHashSet<>();
+  private final Set<String> endedJobsWithEntries = new LinkedHashSet<>();
 
-  private boolean filled = true;
+  private boolean fillComplete = true;
   private BaseSnapshot base = BaseSnapshot.EMPTY;
 
   /**
    * Contents that another controller reported, used in place of {@link #base} while the replica is
    * being filled; null if there are none.
    */
-  private BaseSnapshot told;
+  private BaseSnapshot provisionalBase;
 
   private long bytes;
   private boolean evicted;
@@ -83,19 +83,19 @@
    */
   public void reset(BaseSnapshot newBase) {
     jobs.clear();
-    ended.clear();
+    endedJobs.clear();
     shared.clear();
     base = newBase;
-    told = null;
+    provisionalBase = null;
     bytes = 0;
     evicted = false;
-    endsTold.clear();
-    filled = true;
+    endedJobsWithEntries.clear();
+    fillComplete = true;
   }
 
   /** Called before all entries of the store are put. */
   public void beginFilling() {
-    filled = false;
+    fillComplete = false;
   }
 
   /**
@@ -103,9 +103,9 @@
    * filled. With it, a shard can be used though the submission of its job was not put yet. Ignored
    * if the replica is filled already.
    */
-  public void putBeneath(BaseSnapshot toldContents) {
-    if (!filled) {
-      told = toldContents;
+  public void putBeneath(BaseSnapshot reportedContents) {
+    if (!fillComplete) {
+      provisionalBase = reportedContents;
     }
   }
 
@@ -113,10 +113,10 @@
    * Called after all entries of the store were put. Jobs are reduced to their ends only from then
    * on: before, a shard with an open attempt may not have been read yet.
    */
-  public void filled() {
-    filled = true;
-    told = null;
-    List.copyOf(endsTold).forEach(this::keepOnlyEnd);
+  public void finishFilling() {
+    fillComplete = true;
+    provisionalBase = null;
+    List.copyOf(endedJobsWithEntries).forEach(this::compactIfEnded);
   }
 
   /** Approximate memory of the entries, in bytes. */
@@ -131,7 +131,7 @@
 
   /** Adds an entry of the store; ignored if it is absent or its key is not replicated. */
   public void put(VersionedEntry entry) {
-    if (entry.present() && holds(entry.key())) {
+    if (entry.present() && isReplicated(entry.key())) {
       put(entry.key(), Json.bytes(entry.value()), entry.modRevision());
     }
   }
@@ -144,15 +144,15 @@
    */
   public void put(String key, byte[] value, long modRevision) {
     if (key.startsWith(JobProgressCodec.SHARED)) {
-      putNewer(shared, key, new HeldEntry(value, modRevision));
-    } else if (holds(key)) {
-      putOfJob(refOf(key), key, new HeldEntry(value, modRevision));
+      putIfNewer(shared, key, new SerializedEntry(value, modRevision));
+    } else if (isReplicated(key)) {
+      putJobEntry(refOf(key), key, new SerializedEntry(value, modRevision));
     }
     evictBeyondLimit();
   }
 
   /** Whether a key is replicated: those of jobs, their progress and shared state are. */
-  static boolean holds(String key) {
+  static boolean isReplicated(String key) {
     return key.startsWith(JobProgressCodec.JOB)
         || key.startsWith(JobProgressCodec.SHARD)
         || key.startsWith(JobProgressCodec.REFINED_SHARD)
@@ -163,17 +163,17 @@
     return key.split("/", -1)[1];
   }
 
-  private void putOfJob(String ref, String key, HeldEntry entry) {
-    if (ended.containsKey(ref) || base.ended(ref) != null) {
+  private void putJobEntry(String ref, String key, SerializedEntry entry) {
+    if (endedJobs.containsKey(ref) || base.ended(ref) != null) {
       return;
     }
-    Map<String, HeldEntry> entries = jobs.computeIfAbsent(ref, unknown -> new TreeMap<>());
-    putNewer(entries, key, entry);
-    if (isFirstShard(ref, key) && tellsEnd(entry)) {
-      endsTold.add(ref);
+    Map<String, SerializedEntry> entries = jobs.computeIfAbsent(ref, unknown -> new TreeMap<>());
+    putIfNewer(entries, key, entry);
+    if (isFirstShard(ref, key) && recordsEnd(entry)) {
+      endedJobsWithEntries.add(ref);
     }
-    if (filled && endsTold.contains(ref)) {
-      keepOnlyEnd(ref);
+    if (fillComplete && endedJobsWithEntries.contains(ref)) {
+      compactIfEnded(ref);
     }
   }
 
@@ -183,7 +183,7 @@
         || (key.startsWith(JobProgressCodec.REFINED_SHARD) && key.endsWith("/0"));
   }
 
-  private static boolean tellsEnd(HeldEntry entry) {
+  private static boolean recordsEnd(SerializedEntry entry) {
     try {
       return JobProgressCodec.readEnd(Json.parseObject(entry.value)) != null;
     } catch (MalformedInputException e) {
@@ -191,54 +191,57 @@
     }
   }
 
-  private void putNewer(Map<String, HeldEntry> entries, String key, HeldEntry entry) {
-    HeldEntry held = entries.get(key);
-    if (held == null || held.modRevision < entry.modRevision) {
+  private void putIfNewer(Map<String, SerializedEntry> entries, String key, SerializedEntry entry) {
+    SerializedEntry current = entries.get(key);
+    if (current == null || current.modRevision < entry.modRevision) {
       entries.put(key, entry);
-      bytes += sizeOf(key, entry) - (held == null ? 0 : sizeOf(key, held));
+      bytes += sizeOf(key, entry) - (current == null ? 0 : sizeOf(key, current));
     }
   }
 
   /** Reduces a job to its end, if it has ended and has no open attempts. */
-  private void keepOnlyEnd(String ref) {
-    List<VersionedEntry> held = versioned(jobs.get(ref));
+  private void compactIfEnded(String ref) {
+    List<VersionedEntry> jobEntries = parseEntries(jobs.get(ref));
     StateSnapshot.endOf(
-            base.overlay(ref, JobProgressCodec.JOB, under(JobProgressCodec.JOB, held)),
-            base.overlay(ref, JobProgressCodec.SHARD, under(JobProgressCodec.SHARD, held)),
+            base.overlay(ref, JobProgressCodec.JOB, withPrefix(JobProgressCodec.JOB, jobEntries)),
             base.overlay(
-                ref, JobProgressCodec.REFINED_SHARD, under(JobProgressCodec.REFINED_SHARD, held)))
+                ref, JobProgressCodec.SHARD, withPrefix(JobProgressCodec.SHARD, jobEntries)),
+            base.overlay(
+                ref,
+                JobProgressCodec.REFINED_SHARD,
+                withPrefix(JobProgressCodec.REFINED_SHARD, jobEntries)))
         .ifPresent(
             end -> {
               removeJob(ref);
-              endsTold.remove(ref);
-              ended.put(ref, end);
+              endedJobsWithEntries.remove(ref);
+              endedJobs.put(ref, end);
               bytes += sizeOfEnd(ref);
             });
   }
 
   private void removeJob(String ref) {
-    endsTold.remove(ref);
+    endedJobsWithEntries.remove(ref);
     jobs.remove(ref).forEach((key, entry) -> bytes -= sizeOf(key, entry));
   }
 
-  private static long sizeOf(String key, HeldEntry entry) {
-    return ENTRY_OVERHEAD + (long) key.length() + entry.value.length;
+  private static long sizeOf(String key, SerializedEntry entry) {
+    return ENTRY_OVERHEAD_BYTES + (long) key.length() + entry.value.length;
   }
 
   private static long sizeOfEnd(String ref) {
-    return END_OVERHEAD + (long) ref.length();
+    return END_OVERHEAD_BYTES + (long) ref.length();
   }
 
   private void evictBeyondLimit() {
-    while (bytes > maxBytes && !(ended.isEmpty() && jobs.isEmpty())) {
+    while (bytes > maxBytes && !(endedJobs.isEmpty() && jobs.isEmpty())) {
       if (!evicted) {
         evicted = true;
         LOG.warn("the replica exceeds {} KiB: evicting the oldest ended jobs", maxBytes >> 10);
       }
-      if (ended.isEmpty()) {
+      if (endedJobs.isEmpty()) {
         removeJob(jobs.keySet().iterator().next());
       } else {
-        Iterator<String> oldest = ended.keySet().iterator();
+        Iterator<String> oldest = endedJobs.keySet().iterator();
         bytes -= sizeOfEnd(oldest.next());
         oldest.remove();
       }
@@ -251,41 +254,41 @@
    * started that are not replicated yet.
    */
   public ClusterSnapshot snapshot() {
-    List<VersionedEntry> held = new ArrayList<>();
-    jobs.values().forEach(entries -> held.addAll(versioned(entries)));
-    List<VersionedEntry> heldShared = versioned(shared);
+    List<VersionedEntry> jobEntries = new ArrayList<>();
+    jobs.values().forEach(entries -> jobEntries.addAll(parseEntries(entries)));
+    List<VersionedEntry> sharedEntries = parseEntries(shared);
     ClusterSnapshot.Builder snapshot =
         StateSnapshot.of(
-            told == null ? base : told,
-            events(JobProgressCodec.JOB, held),
-            events(JobProgressCodec.SHARD, held),
-            events(JobProgressCodec.REFINED_SHARD, held),
-            new WatchEvents(0, heldShared))
+            provisionalBase == null ? base : provisionalBase,
+            eventsWithPrefix(JobProgressCodec.JOB, jobEntries),
+            eventsWithPrefix(JobProgressCodec.SHARD, jobEntries),
+            eventsWithPrefix(JobProgressCodec.REFINED_SHARD, jobEntries),
+            new WatchEvents(0, sharedEntries))
             .toBuilder();
-    ended.forEach((ref, end) -> snapshot.addEnded(StateSnapshot.endedJob(ref, end)));
+    endedJobs.forEach((ref, end) -> snapshot.addEnded(StateSnapshot.endedJob(ref, end)));
     return snapshot.build();
   }
 
-  private static WatchEvents events(String prefix, List<VersionedEntry> held) {
-    return new WatchEvents(0, under(prefix, held));
+  private static WatchEvents eventsWithPrefix(String prefix, List<VersionedEntry> entries) {
+    return new WatchEvents(0, withPrefix(prefix, entries));
   }
 
-  private static List<VersionedEntry> under(String prefix, List<VersionedEntry> held) {
-    return held.stream().filter(entry -> entry.key().startsWith(prefix)).toList();
+  private static List<VersionedEntry> withPrefix(String prefix, List<VersionedEntry> entries) {
+    return entries.stream().filter(entry -> entry.key().startsWith(prefix)).toList();
   }
 
   /** Parses entries; leaves out unreadable ones, so that the others can still be restored. */
-  private static List<VersionedEntry> versioned(Map<String, HeldEntry> entries) {
-    List<VersionedEntry> versioned = new ArrayList<>();
+  private static List<VersionedEntry> parseEntries(Map<String, SerializedEntry> entries) {
+    List<VersionedEntry> parsed = new ArrayList<>();
     entries.forEach(
         (key, entry) -> {
           try {
             ObjectNode value = Json.parseObject(entry.value);
-            versioned.add(new VersionedEntry(key, value, entry.modRevision()));
+            parsed.add(new VersionedEntry(key, value, entry.modRevision()));
           } catch (MalformedInputException e) {
             LOG.warn("ignoring the unreadable value of {} in the replica: {}", key, e.getMessage());
           }
         });
-    return versioned;
+    return parsed;
   }
 }
