--- a/src/main/java/io/embernotch/snapshot/BaseSnapshot.java
+++ b/src/main/java/io/embernotch/snapshot/BaseSnapshot.java
@@ -33,7 +33,7 @@
 
   private final boolean complete;
   private final boolean jobsMissing;
-  private final long madeMs;
+  private final long takenAtMs;
   private final long since;
 
   /** Serialized jobs by id; each is parsed only when it is read. */
@@ -42,7 +42,7 @@
   private final Map<String, ClusterState.EndedJob> endedJobs = new HashMap<>();
 
   /** Ids of jobs that have ended but have attempts not yet confirmed to have ended. */
-  private final Set<String> endedWithAttempts = new HashSet<>();
+  private final Set<String> endedWithOpenAttempts = new HashSet<>();
 
   private final Map<String, ObjectNode> shared = new TreeMap<>();
 
@@ -53,12 +53,12 @@
   public BaseSnapshot(ClusterSnapshot snapshot, long since) {
     this.complete = snapshot.getComplete();
     this.jobsMissing = snapshot.getJobsMissing();
-    this.madeMs = snapshot.getWallMs();
+    this.takenAtMs = snapshot.getWallMs();
     this.since = since;
     for (JobSnapshot job : snapshot.getJobList()) {
       jobs.put(job.getRef(), job.toByteArray());
       if (job.hasEnd()) {
-        endedWithAttempts.add(job.getRef());
+        endedWithOpenAttempts.add(job.getRef());
       }
     }
     for (EndedJobSnapshot endedJob : snapshot.getEndedList()) {
@@ -82,7 +82,7 @@
 
   /** Wall-clock time at which the snapshot was taken, in milliseconds since the Unix epoch. */
   public long madeMs() {
-    return madeMs;
+    return takenAtMs;
   }
 
   /**
@@ -100,7 +100,7 @@
 
   /** Whether it contains the end of a job, with or without open attempts. */
   public boolean tellsEnd(String ref) {
-    return endedJobs.containsKey(ref) || endedWithAttempts.contains(ref);
+    return endedJobs.containsKey(ref) || endedWithOpenAttempts.contains(ref);
   }
 
   /** The end of a job that is reduced to its end; null if the snapshot has no such job. */
@@ -128,7 +128,7 @@
     for (byte[] job : jobs.values()) {
       addEntries(job, prefix, entries);
     }
-    stored.events().forEach(entry -> layOver(entry, entries));
+    stored.events().forEach(entry -> overlayEntry(entry, entries));
     return new WatchEvents(stored.revision(), List.copyOf(entries.values()));
   }
 
@@ -146,13 +146,15 @@
                 new VersionedEntry(JobProgressCodec.SHARED + name, value, 0)));
     for (VersionedEntry entry : stored.events()) {
       if (entry.present()) {
-        VersionedEntry base = entries.get(entry.key());
+        VersionedEntry snapshotEntry = entries.get(entry.key());
         entries.put(
             entry.key(),
-            base == null
+            snapshotEntry == null
                 ? entry
                 : new VersionedEntry(
-                    entry.key(), Versions.later(base.value(), entry.value()), entry.modRevision()));
+                    entry.key(),
+                    Versions.later(snapshotEntry.value(), entry.value()),
+                    entry.modRevision()));
       }
     }
     return List.copyOf(entries.values());
@@ -171,7 +173,7 @@
     if (jobs.containsKey(ref)) {
       addEntries(jobs.get(ref), prefix, entries);
     }
-    stored.forEach(entry -> layOver(entry, entries));
+    stored.forEach(entry -> overlayEntry(entry, entries));
     return List.copyOf(entries.values());
   }
 
@@ -187,7 +189,7 @@
     }
   }
 
-  private void layOver(VersionedEntry entry, Map<String, VersionedEntry> entries) {
+  private void overlayEntry(VersionedEntry entry, Map<String, VersionedEntry> entries) {
     String ref = entry.key().split("/", -1)[1];
     if (endedJobs.containsKey(ref)) {
       return;
--- a/src/main/java/io/embernotch/snapshot/DeflatedParts.java
+++ b/src/main/java/io/embernotch/snapshot/DeflatedParts.java
@@ -30,11 +30,11 @@
     for (int from = 0; from < deflated.length; from += partBytes) {
       parts.add(Arrays.copyOfRange(deflated, from, Math.min(deflated.length, from + partBytes)));
     }
-    return new DeflatedParts(parts, sum(deflated));
+    return new DeflatedParts(parts, crc32(deflated));
   }
 
   /** The CRC-32 of bytes. */
-  static long sum(byte[] bytes) {
+  static long crc32(byte[] bytes) {
     CRC32 crc = new CRC32();
     crc.update(bytes);
     return crc.getValue();
@@ -46,10 +46,10 @@
    * @throws MalformedInputException if a part is missing or damaged
    */
   public byte[] bytes() {
-    ByteArrayOutputStream all = new ByteArrayOutputStream();
-    parts.forEach(part -> all.write(part, 0, part.length));
-    byte[] deflated = all.toByteArray();
-    if (sum(deflated) != crc) {
+    ByteArrayOutputStream joined = new ByteArrayOutputStream();
+    parts.forEach(part -> joined.write(part, 0, part.length));
+    byte[] deflated = joined.toByteArray();
+    if (crc32(deflated) != crc) {
       throw new MalformedInputException(
           "the checksum over all " + parts.size() + " blocks is wrong");
     }
@@ -62,21 +62,21 @@
 
   private static byte[] deflate(byte[] bytes) {
     Deflater deflater = new Deflater(Deflater.BEST_SPEED);
-    ByteArrayOutputStream packed = new ByteArrayOutputStream();
+    ByteArrayOutputStream deflated = new ByteArrayOutputStream();
     byte[] buffer = new byte[BUFFER_BYTES];
     deflater.setInput(bytes);
     deflater.finish();
     while (!deflater.finished()) {
-      packed.write(buffer, 0, deflater.deflate(buffer));
+      deflated.write(buffer, 0, deflater.deflate(buffer));
     }
     deflater.end();
-    return packed.toByteArray();
+    return deflated.toByteArray();
   }
 
-  private static byte[] inflate(byte[] packed) throws DataFormatException {
+  private static byte[] inflate(byte[] deflated) throws DataFormatException {
     Inflater inflater = new Inflater();
     try {
-      inflater.setInput(packed);
+      inflater.setInput(deflated);
       ByteArrayOutputStream bytes = new ByteArrayOutputStream();
       byte[] buffer = new byte[BUFFER_BYTES];
       while (!inflater.finished()) {
--- a/src/main/java/io/embernotch/snapshot/ProgressShard.java
+++ b/src/main/java/io/embernotch/snapshot/ProgressShard.java
@@ -26,14 +26,15 @@
    *     number or out of range
    */
   public static ProgressShard of(VersionedEntry entry) {
-    String[] names = entry.key().substring(JobProgressCodec.REFINED_SHARD.length()).split("/", -1);
-    if (names.length != KEY_PARTS) {
+    String[] keyParts =
+        entry.key().substring(JobProgressCodec.REFINED_SHARD.length()).split("/", -1);
+    if (keyParts.length != KEY_PARTS) {
       throw new MalformedInputException("not JOB/SIZE/INDEX");
     }
     try {
       ProgressShard shard =
           new ProgressShard(
-              names[0], Integer.parseInt(names[1]), Integer.parseInt(names[2]), entry);
+              keyParts[0], Integer.parseInt(keyParts[1]), Integer.parseInt(keyParts[2]), entry);
       if (shard.size < 1 || shard.index < 0) {
         throw new MalformedInputException("shard size or index out of range");
       }
--- a/src/main/java/io/embernotch/snapshot/SnapshotBlocks.java
+++ b/src/main/java/io/embernotch/snapshot/SnapshotBlocks.java
@@ -15,7 +15,7 @@
   private static final int VERSION = 1;
 
   /** Bytes of a block's stored value besides its base64 text: field names, checksum, quotes. */
-  private static final int VALUE_OVERHEAD = 64;
+  private static final int VALUE_OVERHEAD_BYTES = 64;
 
   private static final int MIN_BLOCK_BYTES = 48;
 
@@ -26,14 +26,14 @@
    */
   public static SnapshotBlocks pack(ClusterSnapshot snapshot, int valueBytes) {
     // Base64 encodes three bytes as four.
-    int blockBytes = Math.max(MIN_BLOCK_BYTES, (valueBytes - VALUE_OVERHEAD) / 4 * 3);
+    int blockBytes = Math.max(MIN_BLOCK_BYTES, (valueBytes - VALUE_OVERHEAD_BYTES) / 4 * 3);
     DeflatedParts packed = DeflatedParts.of(snapshot.toByteArray(), blockBytes);
     return new SnapshotBlocks(packed.parts(), packed.crc());
   }
 
   /** The CRC-32 of bytes. */
   public static long sum(byte[] bytes) {
-    return DeflatedParts.sum(bytes);
+    return DeflatedParts.crc32(bytes);
   }
 
   /**
--- a/src/main/java/io/embernotch/snapshot/SnapshotMerge.java
+++ b/src/main/java/io/embernotch/snapshot/SnapshotMerge.java
@@ -38,7 +38,7 @@
  * <p>The merge is commutative, associative, idempotent and monotonic ({@code SnapshotMergeTest}).
  */
 public final class SnapshotMerge {
-  private static final Comparator<OpenAttemptSnapshot> LATER =
+  private static final Comparator<OpenAttemptSnapshot> BY_ATTEMPT_NUMBER =
       Comparator.comparingLong(OpenAttemptSnapshot::getNumber)
           .thenComparing(OpenAttemptSnapshot::getMachine)
           .thenComparing(OpenAttemptSnapshot::getZone)
@@ -71,15 +71,15 @@
    * final.
    */
   public static ClusterSnapshot supplemented(ClusterSnapshot newest, ClusterSnapshot other) {
-    Set<String> known = new HashSet<>();
-    newest.getJobList().forEach(job -> known.add(job.getRef()));
-    newest.getEndedList().forEach(job -> known.add(job.getRef()));
+    Set<String> knownRefs = new HashSet<>();
+    newest.getJobList().forEach(job -> knownRefs.add(job.getRef()));
+    newest.getEndedList().forEach(job -> knownRefs.add(job.getRef()));
     ClusterSnapshot.Builder supplemented = newest.toBuilder();
     other.getJobList().stream()
-        .filter(job -> !known.contains(job.getRef()))
+        .filter(job -> !knownRefs.contains(job.getRef()))
         .forEach(supplemented::addJob);
     other.getEndedList().stream()
-        .filter(job -> !known.contains(job.getRef()))
+        .filter(job -> !knownRefs.contains(job.getRef()))
         .forEach(supplemented::addEnded);
     return withEnds(supplemented.build(), ends(other));
   }
@@ -105,17 +105,17 @@
    * contains keeps its open attempts, since nothing confirms that they have ended.
    */
   public static ClusterSnapshot withEnds(ClusterSnapshot snapshot, List<EndedJobSnapshot> ends) {
-    Map<String, EndedJobSnapshot> unknown = new TreeMap<>();
-    ends.forEach(end -> unknown.put(end.getRef(), end));
-    snapshot.getEndedList().forEach(end -> unknown.remove(end.getRef()));
+    Map<String, EndedJobSnapshot> remainingEnds = new TreeMap<>();
+    ends.forEach(end -> remainingEnds.put(end.getRef(), end));
+    snapshot.getEndedList().forEach(end -> remainingEnds.remove(end.getRef()));
     ClusterSnapshot.Builder merged = snapshot.toBuilder();
     for (JobSnapshot.Builder job : merged.getJobBuilderList()) {
-      EndedJobSnapshot end = unknown.remove(job.getRef());
+      EndedJobSnapshot end = remainingEnds.remove(job.getRef());
       if (end != null && !job.hasEnd()) {
         job.setEnd(end.getEnd()).setEndedMs(end.getAtMs());
       }
     }
-    return merged.addAllEnded(unknown.values()).build();
+    return merged.addAllEnded(remainingEnds.values()).build();
   }
 
   private static Map<String, EndedJobSnapshot> endedJobs(List<ClusterSnapshot> snapshots) {
@@ -161,7 +161,7 @@
   private static EndedJobSnapshot mergeEnded(EndedJobSnapshot a, EndedJobSnapshot b) {
     return EndedJobSnapshot.newBuilder()
         .setRef(a.getRef())
-        .setEnd(end(a.getEnd(), b.getEnd()))
+        .setEnd(chooseEnd(a.getEnd(), b.getEnd()))
         .setTasks(Math.max(a.getTasks(), b.getTasks()))
         .setDone(Math.max(a.getDone(), b.getDone()))
         .setAtMs(Math.max(a.getAtMs(), b.getAtMs()))
@@ -172,7 +172,7 @@
    * Chooses one of two ends of the same job. They are equal, since an end is decided once; if they
    * are not, the choice does not depend on the order of the arguments.
    */
-  private static End end(End a, End b) {
+  private static End chooseEnd(End a, End b) {
     return a.compareTo(b) >= 0 ? a : b;
   }
 
@@ -182,17 +182,19 @@
     Map<Integer, OpenAttemptSnapshot> open = new TreeMap<>();
     for (JobSnapshot job : List.of(a, b)) {
       job.getOpenList()
-          .forEach(attempt -> open.merge(attempt.getTask(), attempt, BinaryOperator.maxBy(LATER)));
+          .forEach(
+              attempt ->
+                  open.merge(attempt.getTask(), attempt, BinaryOperator.maxBy(BY_ATTEMPT_NUMBER)));
     }
     JobSnapshot.Builder merged =
         JobSnapshot.newBuilder()
             .setRef(a.getRef())
-            .setValue(submission(a, b))
+            .setValue(chooseSubmission(a, b))
             .setNextAttempt(Math.max(a.getNextAttempt(), b.getNextAttempt()))
             .setDone(ByteString.copyFrom(done.toByteArray()))
             .addAllOpen(open.values());
     if (a.hasEnd() || b.hasEnd()) {
-      merged.setEnd(end(a, b)).setEndedMs(Math.max(a.getEndedMs(), b.getEndedMs()));
+      merged.setEnd(chooseEnd(a, b)).setEndedMs(Math.max(a.getEndedMs(), b.getEndedMs()));
     }
     return merged.build();
   }
@@ -201,16 +203,16 @@
    * Chooses one of two values of a job's submission key, whatever the order of the arguments. The
    * submission never changes; only the shard size beside it may.
    */
-  private static ByteString submission(JobSnapshot a, JobSnapshot b) {
+  private static ByteString chooseSubmission(JobSnapshot a, JobSnapshot b) {
     return ByteString.unsignedLexicographicalComparator().compare(a.getValue(), b.getValue()) >= 0
         ? a.getValue()
         : b.getValue();
   }
 
-  private static End end(JobSnapshot a, JobSnapshot b) {
+  private static End chooseEnd(JobSnapshot a, JobSnapshot b) {
     if (!a.hasEnd()) {
       return b.getEnd();
     }
-    return b.hasEnd() ? end(a.getEnd(), b.getEnd()) : a.getEnd();
+    return b.hasEnd() ? chooseEnd(a.getEnd(), b.getEnd()) : a.getEnd();
   }
 }
--- a/src/main/java/io/embernotch/snapshot/StateSnapshot.java
+++ b/src/main/java/io/embernotch/snapshot/StateSnapshot.java
@@ -138,9 +138,9 @@
   private static void read(VersionedEntry entry, Consumer<VersionedEntry> reader) {
     try {
       reader.accept(entry);
-    } catch (RuntimeException bad) {
+    } catch (RuntimeException failure) {
       // Catches everything: one bad entry must not prevent the others from being restored.
-      LOG.warn("ignoring the unreadable value of {}: {}", entry.key(), bad.toString());
+      LOG.warn("ignoring the unreadable value of {}: {}", entry.key(), failure.toString());
     }
   }
 
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotArchive.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotArchive.java
@@ -81,7 +81,7 @@
             .setJobs(snapshot.getJobCount())
             .setEnded(snapshot.getEndedCount())
             .setParts(parts.size())
-            .setCrc(sum(parts))
+            .setCrc(checksum(parts))
             .build();
     ZipOutputStream zip = new ZipOutputStream(out);
     putEntry(zip, HEAD, head.toByteArray());
@@ -102,24 +102,24 @@
     ZipInputStream zip = new ZipInputStream(input);
     SnapshotHead head;
     ClusterSnapshot.Builder snapshot = ClusterSnapshot.newBuilder();
-    String place = HEAD;
+    String entryName = HEAD;
     List<byte[]> parts = new ArrayList<>();
     try {
-      head = SnapshotHead.parseFrom(nextEntry(zip, place));
+      head = SnapshotHead.parseFrom(nextEntry(zip, entryName));
       if (head.getVersion() > VERSION) {
         throw new DamagedSnapshotException(
             "head: version " + head.getVersion() + " is newer than " + VERSION);
       }
       for (int index = 0; index < head.getParts(); index++) {
-        place = partName(index);
-        parts.add(nextEntry(zip, place));
+        entryName = partName(index);
+        parts.add(nextEntry(zip, entryName));
         snapshot.mergeFrom(ClusterSnapshot.parseFrom(parts.get(index)));
       }
     } catch (ZipException | EOFException | InvalidProtocolBufferException e) {
       throw new DamagedSnapshotException(
-          place + ": " + (e.getMessage() == null ? "the file ends too early" : e.getMessage()));
+          entryName + ": " + (e.getMessage() == null ? "the file ends too early" : e.getMessage()));
     }
-    if (sum(parts) != head.getCrc()
+    if (checksum(parts) != head.getCrc()
         || snapshot.getJobCount() != head.getJobs()
         || snapshot.getEndedCount() != head.getEnded()) {
       throw new DamagedSnapshotException(
@@ -131,9 +131,9 @@
   }
 
   private static List<byte[]> parts(ClusterSnapshot snapshot) {
-    List<byte[]> out = new ArrayList<>();
+    List<byte[]> parts = new ArrayList<>();
     for (int from = 0; from < snapshot.getJobCount(); from += JOBS_PER_PART) {
-      out.add(
+      parts.add(
           ClusterSnapshot.newBuilder()
               .addAllJob(
                   snapshot
@@ -143,14 +143,14 @@
               .toByteArray());
     }
     if (snapshot.getSharedCount() > 0) {
-      out.add(
+      parts.add(
           ClusterSnapshot.newBuilder()
               .addAllShared(snapshot.getSharedList())
               .build()
               .toByteArray());
     }
     for (int from = 0; from < snapshot.getEndedCount(); from += ENDED_JOBS_PER_PART) {
-      out.add(
+      parts.add(
           ClusterSnapshot.newBuilder()
               .addAllEnded(
                   snapshot
@@ -160,14 +160,14 @@
               .build()
               .toByteArray());
     }
-    return out;
+    return parts;
   }
 
   private static String partName(int index) {
     return String.format("part-%05d", index);
   }
 
-  private static long sum(List<byte[]> parts) {
+  private static long checksum(List<byte[]> parts) {
     CRC32 crc = new CRC32();
     parts.forEach(crc::update);
     return crc.getValue();
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotDirectory.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotDirectory.java
@@ -30,14 +30,14 @@
   private static final String UNFINISHED_SUFFIX = ".unfinished";
 
   private final Path directory;
-  private final int keep;
+  private final int snapshotsToKeep;
 
   /**
-   * @param keep number of snapshots to keep after each write, at least one
+   * @param snapshotsToKeep number of snapshots to keep after each write, at least one
    */
-  public SnapshotDirectory(Path directory, int keep) {
+  public SnapshotDirectory(Path directory, int snapshotsToKeep) {
     this.directory = directory;
-    this.keep = keep;
+    this.snapshotsToKeep = snapshotsToKeep;
   }
 
   /**
@@ -55,7 +55,7 @@
     Files.move(unfinished, file, StandardCopyOption.ATOMIC_MOVE);
     syncDirectory();
     List<Path> files = list();
-    for (Path old : files.subList(Math.min(keep, files.size()), files.size())) {
+    for (Path old : files.subList(Math.min(snapshotsToKeep, files.size()), files.size())) {
       Files.deleteIfExists(old);
     }
     return file;
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotScheduler.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotScheduler.java
@@ -31,8 +31,8 @@
   private final SnapshotDirectory directory;
 
   private final LatencyRecorder latencies = new LatencyRecorder();
-  private double takenAt;
-  private double triedAt;
+  private double lastWrittenAt;
+  private double lastAttemptAt;
   private boolean writing;
   private int retryIntervals = 1;
 
@@ -44,8 +44,8 @@
         settings.directory() == null
             ? null
             : new SnapshotDirectory(settings.directory(), settings.keep());
-    this.takenAt = context.clock().now();
-    this.triedAt = takenAt;
+    this.lastWrittenAt = context.clock().now();
+    this.lastAttemptAt = lastWrittenAt;
   }
 
   /**
@@ -56,10 +56,10 @@
    */
   public void tick(String incarnation, Supplier<ClusterSnapshot> snapshot) {
     double now = context.clock().now();
-    if (directory == null || writing || now - triedAt < retryIntervals * settings.everyS()) {
+    if (directory == null || writing || now - lastAttemptAt < retryIntervals * settings.everyS()) {
       return;
     }
-    triedAt = now;
+    lastAttemptAt = now;
     ClusterSnapshot taken = snapshot.get();
     if (taken == null) {
       return;
@@ -69,7 +69,7 @@
     try {
       context.blocking().execute(() -> write(taken, incarnation));
     } catch (RejectedExecutionException e) {
-      failed(e);
+      handleFailure(e);
     }
   }
 
@@ -77,17 +77,17 @@
   private void write(ClusterSnapshot snapshot, String incarnation) {
     try {
       Path file = directory.write(snapshot, incarnation);
-      context.loop().execute(() -> written(file, snapshot));
+      context.loop().execute(() -> handleWritten(file, snapshot));
     } catch (IOException | RuntimeException e) {
       // Catches unchecked exceptions too: otherwise no snapshot would be taken any more.
-      context.loop().execute(() -> failed(e));
+      context.loop().execute(() -> handleFailure(e));
     }
   }
 
-  private void written(Path file, ClusterSnapshot snapshot) {
+  private void handleWritten(Path file, ClusterSnapshot snapshot) {
     writing = false;
     retryIntervals = 1;
-    takenAt = context.clock().now();
+    lastWrittenAt = context.clock().now();
     LOG.info(
         "wrote snapshot {}: {} jobs, {} ended jobs; {}",
         file.getFileName(),
@@ -96,11 +96,11 @@
         latencies.line());
   }
 
-  private void failed(Exception failure) {
+  private void handleFailure(Exception failure) {
     writing = false;
     retryIntervals = Math.min(2 * retryIntervals, MAX_RETRY_INTERVALS);
     LOG.error("failed to write a snapshot: {}", failure.toString());
-    double ageS = context.clock().now() - takenAt;
+    double ageS = context.clock().now() - lastWrittenAt;
     if (ageS > OVERDUE_INTERVALS * settings.everyS()) {
       LOG.error("the newest snapshot is {} s old", Math.round(ageS));
     }
