--- a/src/test/java/io/embernotch/replication/JoinedKnowledgeTest.java
+++ b/src/test/java/io/embernotch/replication/JoinedKnowledgeTest.java
@@ -26,7 +26,7 @@
   }
 
   /** The answer of a controller that observed the beginning of the term. */
-  private static Knowledge.Builder witness() {
+  private static Knowledge.Builder observerOfTerm() {
     return Knowledge.newBuilder()
         .setUpMs(60_000)
         .setHighestEpoch(7)
@@ -34,7 +34,7 @@
         .setHighestSeenMs(19_000);
   }
 
-  private static boolean proves(Knowledge.Builder other) {
+  private static boolean provesTermLast(Knowledge.Builder other) {
     return JoinedKnowledge.provesLast(TERM, List.of(Optional.of(other.build())));
   }
 
@@ -50,19 +50,20 @@
         .build();
   }
 
-  private static Knowledge holding(JobSnapshot job) {
+  private static Knowledge knowledgeWith(JobSnapshot job) {
     return Knowledge.newBuilder().setState(ClusterSnapshot.newBuilder().addJob(job)).build();
   }
 
   /** Guards against revoking an end that a user was told, since another replica is older. */
   @Test
-  void endsThatAnybodyHasToldWin() {
-    Knowledge toldByOther =
+  void endReportedByAnyControllerIsKept() {
+    Knowledge reportedByOther =
         Knowledge.newBuilder().addTold(cancelled("j-1")).addTold(cancelled("j-3")).build();
-    Knowledge own = holding(running("j-1")).toBuilder().addTold(cancelled("j-2")).build();
+    Knowledge own = knowledgeWith(running("j-1")).toBuilder().addTold(cancelled("j-2")).build();
     ClusterSnapshot joined =
         JoinedKnowledge.of(
-                own, List.of(Optional.of(toldByOther), Optional.of(holding(running("j-2")))))
+                own,
+                List.of(Optional.of(reportedByOther), Optional.of(knowledgeWith(running("j-2")))))
             .state();
     assertThat(joined.getJobList()).extracting(JobSnapshot::getRef).containsExactly("j-1", "j-2");
     assertThat(joined.getJobList()).extracting(JobSnapshot::getEnd).containsOnly(End.CANCELLED);
@@ -73,7 +74,7 @@
 
   /** Guards against a restore that ignores a controller without an answer. */
   @Test
-  void allHaveAnsweredOnlyIfNoneIsMissing() {
+  void allAnsweredOnlyIfNoAnswerIsMissing() {
     Knowledge own = knowledge(7, 0);
     Optional<Knowledge> other = Optional.of(knowledge(7, 0));
     assertThat(JoinedKnowledge.of(own, List.of(other, other)).allAnswered()).isTrue();
@@ -83,7 +84,7 @@
 
   /** Guards against a restore from replicas while the last leader still holds its state. */
   @Test
-  void anotherHasLedLastIfItsTermIsTheHighestThatAnybodyHasSeen() {
+  void anotherControllerLedLastIfItsTermIsHighestObserved() {
     assertThat(ledElsewhere(knowledge(7, 0), knowledge(7, 7))).isTrue();
     assertThat(ledElsewhere(knowledge(6, 0), knowledge(6, 7))).isTrue();
     assertThat(ledElsewhere(knowledge(8, 0), knowledge(7, 7))).isFalse();
@@ -93,7 +94,7 @@
 
   /** Guards against waiting for a former leader when a third controller observed a later term. */
   @Test
-  void aTermThatAThirdControllerHasSeenFollowedIsNotTheLast() {
+  void termIsNotLastIfThirdControllerObservedLaterOne() {
     assertThat(ledElsewhere(knowledge(7, 0), knowledge(7, 7), knowledge(8, 0))).isFalse();
   }
 
@@ -104,36 +105,38 @@
 
   /** Guards against the last leader never restoring the store from its own state. */
   @Test
-  void aTermWasTheLastIfAllSawNoOther() {
-    assertThat(proves(witness())).isTrue();
-    assertThat(proves(witness().setHighestEpoch(6).setHighestNode("c2"))).isTrue();
+  void termIsProvenLastIfNobodyObservedLaterOne() {
+    assertThat(provesTermLast(observerOfTerm())).isTrue();
+    assertThat(provesTermLast(observerOfTerm().setHighestEpoch(6).setHighestNode("c2"))).isTrue();
     assertThat(JoinedKnowledge.provesLast(TERM, List.of())).isTrue();
   }
 
   /** Guards against a later leader that only a controller without an answer knows of. */
   @Test
-  void withoutEveryAnswerNothingIsProven() {
-    assertThat(JoinedKnowledge.provesLast(TERM, List.of(Optional.of(witness().build()), NO_ANSWER)))
+  void missingAnswerProvesNothing() {
+    assertThat(
+            JoinedKnowledge.provesLast(
+                TERM, List.of(Optional.of(observerOfTerm().build()), NO_ANSWER)))
         .isFalse();
   }
 
   /** Guards against a later leader whose process was restarted and no longer knows its term. */
   @Test
-  void whoHasBeenUpForLessThanTheLeaseIsUnprovenProvesNothing() {
-    assertThat(proves(witness().setUpMs(4_999))).isFalse();
-    assertThat(proves(witness().setUpMs(5_000))).isFalse();
+  void controllerStartedAfterLeaseWasLastValidProvesNothing() {
+    assertThat(provesTermLast(observerOfTerm().setUpMs(4_999))).isFalse();
+    assertThat(provesTermLast(observerOfTerm().setUpMs(5_000))).isFalse();
   }
 
   /** Guards against restoring from a term that was followed by another one. */
   @Test
-  void aLaterEpochShowsThatTheTermWasNotTheLast() {
-    assertThat(proves(witness().setHighestEpoch(8))).isFalse();
+  void laterEpochShowsThatTermWasNotLast() {
+    assertThat(provesTermLast(observerOfTerm().setHighestEpoch(8))).isFalse();
   }
 
   /** Guards against an epoch that was used again after a loss of data. */
   @Test
-  void theSameEpochSeenBeforeTheTermBeganOrOfAnotherNodeIsAnotherTerm() {
-    assertThat(proves(witness().setHighestSeenMs(21_000))).isFalse();
-    assertThat(proves(witness().setHighestNode("c2"))).isFalse();
+  void equalEpochObservedEarlierOrOfAnotherNodeIsAnotherTerm() {
+    assertThat(provesTermLast(observerOfTerm().setHighestSeenMs(21_000))).isFalse();
+    assertThat(provesTermLast(observerOfTerm().setHighestNode("c2"))).isFalse();
   }
 }
--- a/src/test/java/io/embernotch/replication/StateReplicatorTest.java
+++ b/src/test/java/io/embernotch/replication/StateReplicatorTest.java
@@ -30,7 +30,7 @@
   private static final String INCARNATION = "c0-7";
 
   /** Much longer than the timeout of an acknowledgement. */
-  private static final double LONGER_THAN_THE_WAIT_S = 0.5;
+  private static final double LONGER_THAN_ACK_TIMEOUT_S = 0.5;
 
   private final FakeTime time = new FakeTime();
   private final Settings settings = SettingsReader.parse(SimulatedCluster.settingsToml(0));
@@ -63,9 +63,9 @@
         Runnable::run);
   }
 
-  private StateReplicator replicator(ControllerContext of) {
+  private StateReplicator replicator(ControllerContext replicatorContext) {
     return new StateReplicator(
-        of, new RecordingLink(), peerLiveness, replica, feed, () -> incarnation);
+        replicatorContext, new RecordingLink(), peerLiveness, replica, feed, () -> incarnation);
   }
 
   /** Records what is sent, and delivers nothing. */
@@ -83,7 +83,7 @@
     public void renew(String node) {}
   }
 
-  private void bothOthersAreLive() {
+  private void recordHeartbeatsOfBothPeers() {
     peerLiveness.recordHeartbeat("c1", true, true);
     peerLiveness.recordHeartbeat("c2", true, true);
   }
@@ -100,29 +100,29 @@
     replicator.acknowledged(new Frame.StateUpdateAck(id));
   }
 
-  private static Frame.StateUpdate update(String ofIncarnation) {
+  private static Frame.StateUpdate update(String updateIncarnation) {
     byte[] value = "{}".getBytes(StandardCharsets.UTF_8);
     return new Frame.StateUpdate(
-        9, ofIncarnation, 300, List.of(new Frame.StateEntry("shared/x", value)));
+        9, updateIncarnation, 300, List.of(new Frame.StateEntry("shared/x", value)));
   }
 
   /** Guards against reporting a commit that only the controller that made it knows. */
   @Test
-  void aCommitIsToldOnceOneOtherControllerHasAcknowledgedIt() {
-    bothOthersAreLive();
-    Future<Void> told = commit();
+  void commitIsReportedOnceAnotherControllerAcknowledgesIt() {
+    recordHeartbeatsOfBothPeers();
+    Future<Void> reported = commit();
     assertThat(receivers).containsExactly("c1", "c2");
-    assertThat(told.isComplete()).isFalse();
+    assertThat(reported.isComplete()).isFalse();
     acknowledge(lastId());
-    assertThat(told.succeeded()).isTrue();
-    time.advance(LONGER_THAN_THE_WAIT_S);
+    assertThat(reported.succeeded()).isTrue();
+    time.advance(LONGER_THAN_ACK_TIMEOUT_S);
     assertThat(replicator.unreplicated()).isZero();
   }
 
   /** Guards against an acknowledgement that is counted for another commit. */
   @Test
   void anAcknowledgementCountsForItsOwnCommitOnly() {
-    bothOthersAreLive();
+    recordHeartbeatsOfBothPeers();
     Future<Void> first = commit();
     long firstId = lastId();
     Future<Void> second = commit();
@@ -135,23 +135,23 @@
 
   /** Guards against users who wait forever for a controller that has just failed. */
   @Test
-  void withoutAnAcknowledgementACommitIsToldAfterABoundedTimeAndCounted() {
-    bothOthersAreLive();
-    Future<Void> told = commit();
+  void unacknowledgedCommitIsReportedAfterTimeoutAndCounted() {
+    recordHeartbeatsOfBothPeers();
+    Future<Void> reported = commit();
     time.advance(settings.workers().heartbeatIntervalS() / 40 - 0.001);
-    assertThat(told.isComplete()).isFalse();
+    assertThat(reported.isComplete()).isFalse();
     assertThat(replicator.unreplicated()).isZero();
     time.advance(0.002);
-    assertThat(told.succeeded()).isTrue();
+    assertThat(reported.succeeded()).isTrue();
     assertThat(replicator.unreplicated()).isEqualTo(1);
   }
 
   /** Guards against successive commits that each wait for the full timeout. */
   @Test
-  void afterOneInVainNoneWaitsUntilAnAcknowledgementArrives() {
-    bothOthersAreLive();
+  void afterTimeoutCommitsDoNotWaitUntilNextAcknowledgement() {
+    recordHeartbeatsOfBothPeers();
     commit();
-    time.advance(LONGER_THAN_THE_WAIT_S);
+    time.advance(LONGER_THAN_ACK_TIMEOUT_S);
     assertThat(commit().succeeded()).isTrue();
     assertThat(replicator.unreplicated()).isEqualTo(2);
     acknowledge(lastId());
@@ -164,26 +164,26 @@
 
   /** Guards against late acknowledgements for an earlier process at the same address. */
   @Test
-  void acknowledgementsToAFormerProcessCountForNothing() {
-    bothOthersAreLive();
+  void acknowledgementsForEarlierProcessAreIgnored() {
+    recordHeartbeatsOfBothPeers();
     replicator(context("process-0"))
         .committed(new Transaction().write("run/j-1", Json.object()), 299);
-    long formerId = lastId();
-    Future<Void> told = commit();
-    acknowledge(formerId);
-    assertThat(told.isComplete()).isFalse();
-    time.advance(LONGER_THAN_THE_WAIT_S);
-    acknowledge(formerId);
+    long earlierId = lastId();
+    Future<Void> reported = commit();
+    acknowledge(earlierId);
+    assertThat(reported.isComplete()).isFalse();
+    time.advance(LONGER_THAN_ACK_TIMEOUT_S);
+    acknowledge(earlierId);
     assertThat(commit().isComplete()).isTrue();
   }
 
   /** Guards against waiting for controllers that are down or run a version without replication. */
   @Test
-  void withNoLiveReplicaNothingIsSentOrWaitedForAndItIsCounted() {
+  void withoutLiveReplicaCommitsAreNotSentButReportedAndCounted() {
     assertThat(commit().succeeded()).isTrue();
     peerLiveness.recordHeartbeat("c1", true, false);
     assertThat(commit().succeeded()).isTrue();
-    bothOthersAreLive();
+    recordHeartbeatsOfBothPeers();
     time.advance(settings.workers().heartbeatIntervalS());
     assertThat(commit().succeeded()).isTrue();
     assertThat(sent).isEmpty();
@@ -192,10 +192,10 @@
 
   /** Guards against the cost of sending keys that no replica holds, such as the leader's. */
   @Test
-  void aCommitOfOtherKeysAndOneWhileDataIsLostAreNotSent() {
-    bothOthersAreLive();
-    Transaction ofOtherKeys = new Transaction().write("steward", Json.object());
-    assertThat(replicator.committed(ofOtherKeys, 300).succeeded()).isTrue();
+  void commitsOfOtherKeysOrDuringDataLossAreNotSent() {
+    recordHeartbeatsOfBothPeers();
+    Transaction otherKeys = new Transaction().write("steward", Json.object());
+    assertThat(replicator.committed(otherKeys, 300).succeeded()).isTrue();
     incarnation = null;
     assertThat(commit().succeeded()).isTrue();
     assertThat(sent).isEmpty();
@@ -204,7 +204,7 @@
 
   /** Guards against acknowledging an update that was not applied to the replica. */
   @Test
-  void onlyWhatIsHeldIsAcknowledged() {
+  void onlyAppliedUpdatesAreAcknowledged() {
     List<Frame> replies = new ArrayList<>();
     replicator.received(update(INCARNATION), replies::add);
     assertThat(replies).isEmpty();
--- a/src/test/java/io/embernotch/replication/StoreReplicaTest.java
+++ b/src/test/java/io/embernotch/replication/StoreReplicaTest.java
@@ -45,36 +45,36 @@
     return job;
   }
 
-  private static void putJob(StoreReplica into, Job job, long revision) {
+  private static void putJob(StoreReplica target, Job job, long revision) {
     ObjectNode value = JobProgressCodec.writeJob(job, SHARD_SIZE);
-    into.put(JobProgressCodec.JOB + job.spec.ref(), Json.bytes(value), revision);
+    target.put(JobProgressCodec.JOB + job.spec.ref(), Json.bytes(value), revision);
   }
 
-  private static void putShard(StoreReplica into, Job job, int shard, long revision) {
+  private static void putShard(StoreReplica target, Job job, int shard, long revision) {
     ObjectNode value = JobProgressCodec.writeShard(job, SHARD_SIZE, shard);
-    into.put(JobProgressCodec.shardKey(job.spec.ref(), shard), Json.bytes(value), revision);
+    target.put(JobProgressCodec.shardKey(job.spec.ref(), shard), Json.bytes(value), revision);
   }
 
   private void put(String key, String json, long revision) {
     replica.put(key, json.getBytes(StandardCharsets.UTF_8), revision);
   }
 
-  private static void putEnded(StoreReplica into, String ref, long revision) {
-    putJob(into, job(ref), revision);
-    putShard(into, ended(ref), 0, revision + 1);
+  private static void putEnded(StoreReplica target, String ref, long revision) {
+    putJob(target, job(ref), revision);
+    putShard(target, ended(ref), 0, revision + 1);
   }
 
   private List<String> jobs() {
     return replica.snapshot().getJobList().stream().map(JobSnapshot::getRef).toList();
   }
 
-  private static List<String> ends(StoreReplica of) {
-    return of.snapshot().getEndedList().stream().map(EndedJobSnapshot::getRef).toList();
+  private static List<String> ends(StoreReplica source) {
+    return source.snapshot().getEndedList().stream().map(EndedJobSnapshot::getRef).toList();
   }
 
   /** Guards against a newer entry that is overwritten by an older one that arrives later. */
   @Test
-  void theEntryOfTheHighestRevisionStaysInWhateverOrderTheyCome() {
+  void entryWithHighestRevisionIsKeptInAnyOrder() {
     Job older = job("j-1");
     Job newer = job("j-1");
     newer.nextAttempt = 8;
@@ -92,7 +92,7 @@
 
   /** Guards against a size estimate that counts replaced values of a key. */
   @Test
-  void aNewerEntryOfTheSameSizeTakesNoMoreMemory() {
+  void replacementOfSameSizeTakesNoMoreMemory() {
     put("shared/x", "{\"n\":1}", 20);
     long bytes = replica.bytes();
     put("shared/x", "{\"n\":2}", 21);
@@ -101,7 +101,7 @@
 
   /** Guards against a replica that grows with every job that was ever submitted. */
   @Test
-  void ofAnEndedJobOnlyItsEndStays() {
+  void endedJobIsReducedToItsEnd() {
     putJob(replica, job("j-1"), 10);
     putShard(replica, job("j-1"), 1, 11);
     long bytesOfJob = replica.bytes();
@@ -117,7 +117,7 @@
 
   /** Guards against an ended job that runs again after a late or rolled back entry of it. */
   @Test
-  void entriesOfAnEndedJobChangeNothing() {
+  void furtherEntriesOfEndedJobAreIgnored() {
     putEnded(replica, "j-1", 10);
     ClusterSnapshot before = replica.snapshot();
     long bytes = replica.bytes();
@@ -130,7 +130,7 @@
 
   /** Guards against attempts that keep running and that no controller knows of. */
   @Test
-  void anEndedJobWithOpenAttemptsIsKeptWholeUntilTheyAreGone() {
+  void endedJobKeepsItsEntriesUntilItsOpenAttemptsEnd() {
     putJob(replica, job("j-1"), 10);
     putShard(replica, withOpenAttempt(ended("j-1"), 1), 0, 11);
     assertThat(jobs()).containsExactly("j-1");
@@ -143,7 +143,7 @@
 
   /** Guards against losing open attempts that are in a shard other than the first. */
   @Test
-  void anOpenAttemptOfAFurtherShardKeepsTheEndedJobToo() {
+  void openAttemptInAnotherShardKeepsEntriesOfEndedJob() {
     putJob(replica, job("j-1"), 10);
     putShard(replica, withOpenAttempt(job("j-1"), 2), 1, 11);
     putShard(replica, ended("j-1"), 0, 12);
@@ -153,12 +153,12 @@
 
   /** Guards against losing jobs that were not written since the incarnation began. */
   @Test
-  void theBaseSnapshotLiesBeneath() {
-    StoreReplica former = new StoreReplica(ENOUGH_BYTES);
-    putJob(former, job("j-1"), 10);
-    putJob(former, job("j-2"), 11);
-    putEnded(former, "j-3", 12);
-    replica.reset(new BaseSnapshot(former.snapshot(), 20));
+  void entriesAreOverlaidOnBaseSnapshot() {
+    StoreReplica earlierReplica = new StoreReplica(ENOUGH_BYTES);
+    putJob(earlierReplica, job("j-1"), 10);
+    putJob(earlierReplica, job("j-2"), 11);
+    putEnded(earlierReplica, "j-3", 12);
+    replica.reset(new BaseSnapshot(earlierReplica.snapshot(), 20));
     putShard(replica, ended("j-2"), 0, 30);
     putJob(replica, job("j-3"), 31);
     putJob(replica, job("j-4"), 32);
@@ -168,7 +168,7 @@
 
   /** Guards against entries of an earlier incarnation in the replica of a later one. */
   @Test
-  void aResetForgetsAllThatWasHeld() {
+  void resetRemovesAllEntries() {
     putEnded(replica, "j-1", 10);
     putJob(replica, job("j-2"), 20);
     put("shared/x", "{}", 21);
@@ -180,10 +180,10 @@
 
   /** Guards against evicting jobs before ended jobs, and against unreported evictions. */
   @Test
-  void beyondTheBoundTheOldestEndsAreGivenUpFirstAndThenJobs() {
+  void oldestEndedJobsAreEvictedBeforeOtherJobs() {
     putJob(replica, job("j-1"), 1);
-    long oneJob = replica.bytes();
-    StoreReplica bounded = new StoreReplica(2 * oneJob + 400);
+    long bytesOfOneJob = replica.bytes();
+    StoreReplica bounded = new StoreReplica(2 * bytesOfOneJob + 400);
     putEnded(bounded, "j-2", 10);
     putEnded(bounded, "j-3", 20);
     assertThat(bounded.hasEvicted()).isFalse();
@@ -199,14 +199,14 @@
     assertThat(bounded.snapshot().getJobList())
         .extracting(JobSnapshot::getRef)
         .containsExactly("j-5", "j-6");
-    assertThat(bounded.bytes()).isLessThanOrEqualTo(2 * oneJob + 400);
+    assertThat(bounded.bytes()).isLessThanOrEqualTo(2 * bytesOfOneJob + 400);
     bounded.reset(BaseSnapshot.EMPTY);
     assertThat(bounded.hasEvicted()).isFalse();
   }
 
   /** Guards against replicating keys that a restore does not need. */
   @Test
-  void foreignKeysAndDeletionsAreIgnored() {
+  void unreplicatedKeysAndDeletionsAreIgnored() {
     put("steward", "{}", 10);
     put("worker/n-1", "{}", 11);
     put("jobs/j-1", "{}", 12);
@@ -217,7 +217,7 @@
 
   /** Guards against one malformed entry that prevents the others from being restored. */
   @Test
-  void valuesThatCannotBeReadHarmNothingElse() {
+  void malformedValuesDoNotAffectOtherEntries() {
     put("job/j-0", "{}", 10);
     put("run/j-0", "{\"end\":\"perhaps\"}", 11);
     put("part/j-0/x/0", "{\"end\":\"done\"}", 12);
@@ -231,7 +231,7 @@
 
   /** Guards against one damaged update of another controller that makes the replica unreadable. */
   @Test
-  void bytesThatAreNoJsonHarmNothingElse() {
+  void invalidJsonDoesNotAffectOtherEntries() {
     put("job/j-8", "not JSON", 15);
     put("run/j-8", "not JSON", 16);
     put("shared/x", "not JSON", 17);
@@ -243,7 +243,7 @@
 
   /** Guards against an ended job that is never reduced since its last attempt ended late. */
   @Test
-  void onlyTheEndStaysOnceTheLastOpenAttemptOfAFurtherShardIsGone() {
+  void endedJobIsReducedOnceLastOpenAttemptOfAnotherShardEnds() {
     putJob(replica, job("j-1"), 10);
     putShard(replica, withOpenAttempt(job("j-1"), 2), 1, 11);
     putShard(replica, ended("j-1"), 0, 12);
@@ -254,7 +254,7 @@
 
   /** Guards against an ended job that is never reduced since its submission arrived last. */
   @Test
-  void onlyTheEndStaysInWhateverOrderTheEntriesCome() {
+  void endedJobIsReducedInAnyOrderOfEntries() {
     putShard(replica, ended("j-1"), 0, 12);
     putJob(replica, job("j-1"), 10);
     assertThat(jobs()).isEmpty();
--- a/src/test/java/io/embernotch/snapshot/SnapshotMergeTest.java
+++ b/src/test/java/io/embernotch/snapshot/SnapshotMergeTest.java
@@ -62,14 +62,14 @@
 
   private static JobSnapshot job(String ref, SplittableRandom random) {
     BitSet done = BitSet.valueOf(new long[] {random.nextInt(16)});
-    JobSnapshot.Builder b =
+    JobSnapshot.Builder job =
         JobSnapshot.newBuilder()
             .setRef(ref)
             .setValue(ByteString.copyFromUtf8("{\"piece\":" + random.nextInt(2) + "}"))
             .setNextAttempt(random.nextInt(9))
             .setDone(ByteString.copyFrom(done.toByteArray()));
     if (random.nextInt(3) == 0) {
-      b.setEnd(end(random)).setEndedMs(random.nextInt(9));
+      job.setEnd(end(random)).setEndedMs(random.nextInt(9));
     }
     for (int task = 0; task < 4; task++) {
       if (random.nextBoolean()) {
@@ -79,10 +79,10 @@
                 .setNumber(random.nextInt(4))
                 .setMachine("n-" + random.nextInt(3))
                 .setZone("z");
-        b.addOpen(random.nextBoolean() ? attempt.setWish("n-" + random.nextInt(2)) : attempt);
+        job.addOpen(random.nextBoolean() ? attempt.setWish("n-" + random.nextInt(2)) : attempt);
       }
     }
-    return b.build();
+    return job.build();
   }
 
   @Property(tries = 500, seed = "4711")
--- a/src/test/java/io/embernotch/snapshot/file/SnapshotArchiveTest.java
+++ b/src/test/java/io/embernotch/snapshot/file/SnapshotArchiveTest.java
@@ -64,35 +64,35 @@
   }
 
   @Test
-  void aDamagedByteIsNeverReadAsOtherContents() throws IOException {
+  void damagedByteNeverYieldsOtherContents() throws IOException {
     ClusterSnapshot snapshot = snapshotOf(12, 5);
-    byte[] whole = bytes(snapshot);
-    assertThat(SnapshotArchive.read(new ByteArrayInputStream(whole)).snapshot())
+    byte[] archive = bytes(snapshot);
+    assertThat(SnapshotArchive.read(new ByteArrayInputStream(archive)).snapshot())
         .isEqualTo(snapshot);
-    int found = 0;
-    for (int i = 0; i < whole.length; i++) {
-      byte[] damaged = whole.clone();
+    int detected = 0;
+    for (int i = 0; i < archive.length; i++) {
+      byte[] damaged = archive.clone();
       damaged[i] ^= 0x20;
       try {
         // The damaged byte may not be part of the contents, which are then unchanged.
         assertThat(SnapshotArchive.read(new ByteArrayInputStream(damaged)).snapshot())
             .isEqualTo(snapshot);
       } catch (IOException | IllegalArgumentException e) {
-        found++;
+        detected++;
       }
-      byte[] shorter = Arrays.copyOf(whole, i);
+      byte[] truncated = Arrays.copyOf(archive, i);
       try {
-        assertThat(SnapshotArchive.read(new ByteArrayInputStream(shorter)).snapshot())
+        assertThat(SnapshotArchive.read(new ByteArrayInputStream(truncated)).snapshot())
             .isEqualTo(snapshot);
       } catch (IOException | IllegalArgumentException e) {
-        found++;
+        detected++;
       }
     }
-    assertThat(found).isGreaterThan(whole.length);
+    assertThat(detected).isGreaterThan(archive.length);
   }
 
   @Test
-  void damagedBlocksAreRefused() {
+  void damagedBlocksAreRejected() {
     ClusterSnapshot snapshot = snapshotOf(300, 5);
     SnapshotBlocks packed = SnapshotBlocks.pack(snapshot, 1024);
     assertThat(packed.blocks())
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void theNewestWholeSnapshotIsReadAndOldOnesAreDeleted() throws IOException {
+  void newestUndamagedSnapshotIsReadAndOldOnesAreDeleted() throws IOException {
     SnapshotDirectory snapshots = new SnapshotDirectory(dir, 3);
     for (int i = 1; i <= 5; i++) {
       snapshots.write(snapshotOf(i, i), "e");
--- a/src/test/java/io/embernotch/snapshot/file/SnapshotSchedulerTest.java
+++ b/src/test/java/io/embernotch/snapshot/file/SnapshotSchedulerTest.java
@@ -36,7 +36,7 @@
             blocking));
   }
 
-  private int written() throws IOException {
+  private int writtenSnapshots() throws IOException {
     return new SnapshotDirectory(dir, 10).list().size();
   }
 
@@ -48,42 +48,42 @@
   }
 
   @Test
-  void anUncheckedFailureOfAWriteEndsNoSnapshots() throws Exception {
+  void snapshotsContinueAfterUncheckedWriteFailure() throws Exception {
     SnapshotScheduler scheduler = scheduler(Runnable::run);
     tickFor(scheduler, null, EVERY_S + 1);
-    assertThat(written()).isZero();
+    assertThat(writtenSnapshots()).isZero();
     tickFor(scheduler, "c0-7", 3 * EVERY_S);
-    assertThat(written()).isPositive();
+    assertThat(writtenSnapshots()).isPositive();
   }
 
   @Test
-  void aTaskThatIsNotTakenEndsNoSnapshots() throws Exception {
-    boolean[] full = {true};
+  void snapshotsContinueAfterRejectedTask() throws Exception {
+    boolean[] executorFull = {true};
     SnapshotScheduler scheduler =
         scheduler(
             task -> {
-              if (full[0]) {
+              if (executorFull[0]) {
                 throw new RejectedExecutionException("full");
               }
               task.run();
             });
     tickFor(scheduler, "c0-7", EVERY_S + 1);
-    full[0] = false;
+    executorFull[0] = false;
     tickFor(scheduler, "c0-7", 3 * EVERY_S);
-    assertThat(written()).isPositive();
+    assertThat(writtenSnapshots()).isPositive();
   }
 
   /** Guards against retrying a failing disk at every interval. */
   @Test
-  void failuresAreRetriedLessAndLessOften() {
-    int[] tries = {0};
+  void failedWritesAreRetriedWithBackoff() {
+    int[] attempts = {0};
     SnapshotScheduler scheduler =
         scheduler(
             task -> {
-              tries[0]++;
+              attempts[0]++;
               task.run();
             });
     tickFor(scheduler, null, 20 * EVERY_S);
-    assertThat(tries[0]).isBetween(4, 10);
+    assertThat(attempts[0]).isBetween(4, 10);
   }
 }
--- a/src/test/java/io/embernotch/storeddata/StoredDataCompatibilityTest.java
+++ b/src/test/java/io/embernotch/storeddata/StoredDataCompatibilityTest.java
@@ -61,7 +61,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {STORE, REFINED, RESTORED})
-  void incarnationAndMachineTypesAreReadAndWrittenToTheByte(String name) throws IOException {
+  void incarnationAndMachineTypesRoundTripByteForByte(String name) throws IOException {
     Map<String, ObjectNode> values = store(name);
     ObjectNode pointer = values.get("era");
     StoreIncarnation incarnation = IncarnationCodec.read(pointer, 7);
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void jobsAndTheirProgressAreReadAndWrittenToTheByte() throws IOException {
+  void jobsAndTheirProgressRoundTripByteForByte() throws IOException {
     Map<String, ObjectNode> values = store(STORE);
     for (int number = 1; number <= 7; number++) {
       String ref = "j-" + number;
@@ -112,30 +112,30 @@
   }
 
   @Test
-  void sharedStateIsReadAndWrittenToTheByte() throws IOException {
+  void sharedStateRoundTripsByteForByte() throws IOException {
     Map<String, ObjectNode> values = store(STORE);
     ObjectNode reservations = values.get("shared/reserve");
     ObjectNode calendar = values.get("shared/calendar");
-    assertWrittenAlike(
+    assertSameBytesWithoutVersion(
         ReservationCodec.writeTerms(3, ReservationCodec.readTerms(reservations)), reservations);
-    assertWrittenAlike(
+    assertSameBytesWithoutVersion(
         CalendarCodec.writeReleases(3, CalendarCodec.readReleases(calendar)), calendar);
     ObjectNode reserved = values.get("shared/held/live/0");
-    assertWrittenAlike(
+    assertSameBytesWithoutVersion(
         ReservationCodec.writeReserved(ReservationCodec.readReserved(reserved)), reserved);
     ObjectNode release = values.get("shared/release/late/1970-01-01");
-    assertWrittenAlike(CalendarCodec.write(CalendarCodec.read(release)), release);
+    assertSameBytesWithoutVersion(CalendarCodec.write(CalendarCodec.read(release)), release);
   }
 
   /** Compares values without the version, which is added when an entry is stored. */
-  private static void assertWrittenAlike(ObjectNode written, ObjectNode stored) {
+  private static void assertSameBytesWithoutVersion(ObjectNode written, ObjectNode stored) {
     ObjectNode withoutVersion = stored.deepCopy();
     withoutVersion.remove("n");
     assertSameBytes(written, withoutVersion, "shared entry");
   }
 
   @Test
-  void framesAreReadAndWrittenToTheByte() throws IOException {
+  void framesRoundTripByteForByte() throws IOException {
     String[] lines =
         new String(file("frames.txt"), StandardCharsets.US_ASCII).strip().split("\n", -1);
     assertThat(lines).hasSize(17);
@@ -148,7 +148,7 @@
   }
 
   @Test
-  void aSnapshotIsReadAndWrittenToTheByte() throws IOException {
+  void snapshotRoundTripsByteForByte() throws IOException {
     byte[] bytes = file("snapshot.zip");
     SnapshotArchive archive;
     try (InputStream in =
@@ -177,7 +177,7 @@
   /** A store without losses, and one restored after a loss, with all jobs in a block. */
   @ParameterizedTest
   @ValueSource(strings = {STORE, RESTORED})
-  void aLeaderTakesOverWhatIsStored(String name) throws IOException {
+  void newLeaderLoadsStoredJobs(String name) throws IOException {
     Map<String, ObjectNode> values = store(name);
     SimulatedCluster cluster = new SimulatedCluster(OperatorSettings.DEFAULTS);
     load(cluster, values);
