--- a/src/main/java/io/embernotch/replication/ReplicaFeed.java
+++ b/src/main/java/io/embernotch/replication/ReplicaFeed.java
@@ -12,85 +12,92 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Fills the replica of this controller from the store and keeps it current: once it has read all,
- * it follows the store's changes. What other controllers send beside that only makes the replica
- * newer. Rests while this controller leads, since the leader's cluster state holds more, and while
- * data is lost, since what the store holds then is not what was lost. Owned by the controller's
- * event loop.
+ * Fills this controller's replica from the store and keeps it current by watching the store's
+ * changes. Updates that other controllers send only make the replica more current than the watch
+ * does. The feed is inactive while this controller leads, since the leader's cluster state holds
+ * more than the replica, and while data is lost, since the store's contents are not the replicated
+ * ones then. Owned by the controller's event loop.
  */
 public final class ReplicaFeed {
   private static final Logger LOG = LoggerFactory.getLogger(ReplicaFeed.class);
 
-  /** All keys: one watch costs less than one for each prefix. */
+  /** Prefix of all keys: a single watch costs less than one for each prefix. */
   private static final String ALL_KEYS = "";
 
-  private static final List<String> PREFIXES =
+  private static final List<String> REPLICATED_PREFIXES =
       List.of(
           JobProgressCodec.JOB,
           JobProgressCodec.SHARD,
           JobProgressCodec.REFINED_SHARD,
           JobProgressCodec.SHARED);
 
-  /** The watches of all controllers together take at most this share of the store's requests. */
-  private static final double REQUEST_SHARE = 0.03;
+  /** Share of the store's request rate that the watches of all controllers together may use. */
+  private static final double WATCH_REQUEST_SHARE = 0.03;
 
-  /** A watch waits for so many heartbeat intervals at most before it is renewed. */
+  /** Longest wait of a watch request for a change, in heartbeat intervals. */
   private static final double LONG_POLL_HEARTBEATS = 3;
 
-  /** What failed is tried again after a heartbeat interval divided by this. */
+  /** A failed request is retried after a heartbeat interval divided by this. */
   private static final double RETRIES_PER_HEARTBEAT = 6;
 
   private static final int BYTES_PER_KIB = 1024;
 
   private enum State {
-    /** Nothing is read; what is held stays. */
-    RESTING,
-    /** Nothing is read yet; what other controllers send is taken. */
+    /** Nothing is read; the replica stays as it is. */
+    STOPPED,
+    /** The store can't be read yet; updates of other controllers are applied. */
     AWAITING_STORE,
-    /** All that the store holds is being read. */
+    /** The store's contents are being read. */
     FILLING,
-    /** All was read, and changes are followed. */
+    /** All contents have been read; the store's changes are watched. */
     FOLLOWING
   }
 
   private final ControllerContext context;
   private final StoreReplica replica;
-  private final double pauseS;
+  private final double watchPauseS;
   private final double longPollS;
-  private final double retryS;
-  private State state = State.RESTING;
+  private final double retryDelayS;
+  private State state = State.STOPPED;
   private boolean filled;
 
-  /** Of each beginning and end of the feed; answers to requests from before it are dropped. */
+  /**
+   * Incremented at each start and stop, so that responses to earlier requests are dropped. A loss
+   * does not change it, so that pages that were requested before the loss are still added.
+   */
   private int generation;
 
-  /** A feed that rests. */
+  /** Creates an inactive feed. */
   public ReplicaFeed(ControllerContext context, StoreReplica replica) {
     this.context = context;
     this.replica = replica;
     double heartbeatIntervalS = context.settings().workers().heartbeatIntervalS();
     int controllers = 1 + context.settings().members().size();
-    this.pauseS = controllers / (REQUEST_SHARE * context.settings().minStoreLimits().rps());
+    this.watchPauseS =
+        controllers / (WATCH_REQUEST_SHARE * context.settings().minStoreLimits().rps());
     this.longPollS = LONG_POLL_HEARTBEATS * heartbeatIntervalS;
-    this.retryS = heartbeatIntervalS / RETRIES_PER_HEARTBEAT;
+    this.retryDelayS = heartbeatIntervalS / RETRIES_PER_HEARTBEAT;
   }
 
-  /** Whether the replica holds all that the store did when it was last followed. */
+  /** Whether this feed has filled the replica since it was last started or cleared. */
   public boolean isFilled() {
     return filled;
   }
 
-  /** Whether all that the store held was read, and changes have been followed since. */
+  /** Whether the replica is filled and the store's changes are being watched. */
   public boolean isFollowing() {
     return state == State.FOLLOWING;
   }
 
-  /** Whether entries that other controllers send belong into the replica. */
+  /** Whether updates of other controllers are to be applied to the replica. */
   public boolean isActive() {
-    return state != State.RESTING;
+    return state != State.STOPPED;
   }
 
-  /** Takes what other controllers send: this one can't read the store yet. */
+  /**
+   * Clears the replica and applies only updates of other controllers, since this controller can't
+   * read the store yet.
+   */
   public void awaitStore() {
     generation++;
     replica.reset(BaseSnapshot.EMPTY);
@@ -99,7 +106,11 @@
     filled = false;
   }
 
-  /** Reads the store anew: it holds an incarnation that began with this snapshot. */
+  /**
+   * Clears the replica and reads the store again.
+   *
+   * @param base snapshot that the store's incarnation began with
+   */
   public void begin(BaseSnapshot base) {
     replica.reset(base);
     replica.beginFilling();
@@ -108,119 +119,125 @@
     fill(++generation);
   }
 
-  /** Reads nothing any more; what is held stays. */
+  /** Stops reading the store; the replica stays as it is. */
   public void rest() {
     generation++;
-    state = State.RESTING;
+    state = State.STOPPED;
   }
 
   /**
-   * The contents that were read are lost: nothing else is read, and what is held stays. What was
-   * asked for before and is still on its way is added.
+   * Called when the store has lost the contents that were being read. Sends no further requests and
+   * keeps the replica. Pages that were requested before the loss and still arrive are added.
    */
   public void contentsLost() {
-    state = State.RESTING;
+    state = State.STOPPED;
   }
 
-  /** Reads nothing any more and forgets what is held: this controller leads. */
+  /** Stops reading the store and clears the replica: this controller leads. */
   public void clear() {
     rest();
     filled = false;
     replica.reset(BaseSnapshot.EMPTY);
   }
 
-  private boolean isCurrent(int begun) {
-    return begun == generation && state != State.RESTING;
+  private boolean isCurrent(int requestGeneration) {
+    return requestGeneration == generation && state != State.STOPPED;
   }
 
-  private void fill(int begun) {
-    if (isCurrent(begun)) {
-      read(begun, 0, Long.MAX_VALUE);
+  private void fill(int requestGeneration) {
+    if (isCurrent(requestGeneration)) {
+      readPrefixes(requestGeneration, 0, Long.MAX_VALUE);
     }
   }
 
-  /** Reads the prefixes from this one on; changes after the first revision are followed. */
-  private void read(int begun, int prefix, long firstRevision) {
+  /**
+   * Reads the prefixes from an index on, and then watches changes.
+   *
+   * @param firstRevision lowest revision of the listings so far, from which to watch changes
+   */
+  private void readPrefixes(int requestGeneration, int prefixIndex, long firstRevision) {
     context
         .store()
-        .forEachPage(PREFIXES.get(prefix), new ReplicaPages(begun))
-        .onSuccess(revision -> prefixRead(begun, prefix, Math.min(firstRevision, revision)))
-        .onFailure(failure -> context.timers().after(retryS, () -> fill(begun)));
+        .forEachPage(REPLICATED_PREFIXES.get(prefixIndex), new ReplicaPages(requestGeneration))
+        .onSuccess(
+            revision ->
+                handlePrefixRead(requestGeneration, prefixIndex, Math.min(firstRevision, revision)))
+        .onFailure(failure -> context.timers().after(retryDelayS, () -> fill(requestGeneration)));
   }
 
-  private void prefixRead(int begun, int prefix, long firstRevision) {
-    if (!isCurrent(begun)) {
+  private void handlePrefixRead(int requestGeneration, int prefixIndex, long firstRevision) {
+    if (!isCurrent(requestGeneration)) {
       return;
     }
-    if (prefix + 1 < PREFIXES.size()) {
-      read(begun, prefix + 1, firstRevision);
+    if (prefixIndex + 1 < REPLICATED_PREFIXES.size()) {
+      readPrefixes(requestGeneration, prefixIndex + 1, firstRevision);
       return;
     }
     state = State.FOLLOWING;
     filled = true;
-    replica.filled();
+    replica.finishFilling();
     LOG.info(
-        "replica of the store: {} KiB, followed from revision {}",
+        "replica of the store is filled: {} KiB, watching changes from revision {}",
         replica.bytes() / BYTES_PER_KIB,
         firstRevision);
-    follow(begun, firstRevision);
+    follow(requestGeneration, firstRevision);
   }
 
-  /** Puts the pages of one reading into the replica. */
+  /** Adds the pages of one listing to the replica. */
   private final class ReplicaPages implements PageSink {
-    private final int begun;
+    private final int requestGeneration;
 
-    ReplicaPages(int begun) {
-      this.begun = begun;
+    ReplicaPages(int requestGeneration) {
+      this.requestGeneration = requestGeneration;
     }
 
     @Override
     public void page(List<VersionedEntry> entries) {
-      if (isCurrent(begun)) {
+      if (isCurrent(requestGeneration)) {
         entries.forEach(replica::put);
       }
     }
 
     @Override
     public void pageAskedForBeforeLoss(List<VersionedEntry> entries) {
-      if (begun == generation) {
-        LOG.info("{} entries that were asked for before the loss arrive after it", entries.size());
+      if (requestGeneration == generation) {
+        LOG.info("received {} entries that were requested before the loss", entries.size());
         entries.forEach(replica::put);
       }
     }
   }
 
-  private void follow(int begun, long revision) {
-    if (!isCurrent(begun)) {
+  private void follow(int requestGeneration, long revision) {
+    if (!isCurrent(requestGeneration)) {
       return;
     }
     context
         .store()
         .watch(ALL_KEYS, revision, longPollS)
-        .onSuccess(changes -> changed(begun, revision, changes))
-        .onFailure(failure -> watchFailed(begun, revision, failure));
+        .onSuccess(changes -> handleChanges(requestGeneration, revision, changes))
+        .onFailure(failure -> handleWatchFailure(requestGeneration, revision, failure));
   }
 
-  private void changed(int begun, long revision, WatchEvents changes) {
-    if (!isCurrent(begun)) {
+  private void handleChanges(int requestGeneration, long revision, WatchEvents changes) {
+    if (!isCurrent(requestGeneration)) {
       return;
     }
     LOG.debug("{} changes after revision {}", changes.events().size(), revision);
     changes.events().forEach(replica::put);
-    long reached = Math.max(revision, changes.revision());
-    context.timers().after(pauseS, () -> follow(begun, reached));
+    long seenRevision = Math.max(revision, changes.revision());
+    context.timers().after(watchPauseS, () -> follow(requestGeneration, seenRevision));
   }
 
-  private void watchFailed(int begun, long revision, Throwable failure) {
-    if (!isCurrent(begun)) {
+  private void handleWatchFailure(int requestGeneration, long revision, Throwable failure) {
+    if (!isCurrent(requestGeneration)) {
       return;
     }
-    LOG.debug("following from revision {} failed: {}", revision, failure.getMessage());
+    LOG.debug("watch from revision {} failed: {}", revision, failure.getMessage());
     if (StoreException.kindOf(failure) == StoreException.Kind.TOO_OLD) {
       state = State.FILLING;
-      fill(begun);
+      fill(requestGeneration);
     } else {
-      context.timers().after(retryS, () -> follow(begun, revision));
+      context.timers().after(retryDelayS, () -> follow(requestGeneration, revision));
     }
   }
 }
--- a/src/main/java/io/embernotch/snapshot/DeflatedParts.java
+++ b/src/main/java/io/embernotch/snapshot/DeflatedParts.java
@@ -11,10 +11,10 @@
 import java.util.zip.Inflater;
 
 /**
- * Bytes, compressed and split into parts.
+ * Bytes that are compressed with DEFLATE and split into parts.
  *
- * @param parts the parts in their order
- * @param crc checksum over all parts in their order
+ * @param parts the parts in order
+ * @param crc CRC-32 over the bytes of all parts in order
  */
 public record DeflatedParts(List<byte[]> parts, long crc) {
   private static final int BUFFER_BYTES = 4096;
@@ -22,7 +22,7 @@
   /**
    * Compresses and splits bytes.
    *
-   * @param partBytes most bytes of a part
+   * @param partBytes maximum size of a part, in bytes
    */
   public static DeflatedParts of(byte[] bytes, int partBytes) {
     byte[] deflated = deflate(bytes);
@@ -30,26 +30,26 @@
     for (int from = 0; from < deflated.length; from += partBytes) {
       parts.add(Arrays.copyOfRange(deflated, from, Math.min(deflated.length, from + partBytes)));
     }
-    return new DeflatedParts(parts, sum(deflated));
+    return new DeflatedParts(parts, crc32(deflated));
   }
 
-  /** The checksum of bytes. */
-  static long sum(byte[] bytes) {
+  /** The CRC-32 of bytes. */
+  static long crc32(byte[] bytes) {
     CRC32 crc = new CRC32();
     crc.update(bytes);
     return crc.getValue();
   }
 
   /**
-   * The bytes as they were before.
+   * Joins and decompresses the parts.
    *
    * @throws MalformedInputException if a part is missing or damaged
    */
   public byte[] bytes() {
-    ByteArrayOutputStream all = new ByteArrayOutputStream();
-    parts.forEach(part -> all.write(part, 0, part.length));
-    byte[] deflated = all.toByteArray();
-    if (sum(deflated) != crc) {
+    ByteArrayOutputStream joined = new ByteArrayOutputStream();
+    parts.forEach(part -> joined.write(part, 0, part.length));
+    byte[] deflated = joined.toByteArray();
+    if (crc32(deflated) != crc) {
       throw new MalformedInputException(
           "the checksum over all " + parts.size() + " blocks is wrong");
     }
@@ -62,21 +62,21 @@
 
   private static byte[] deflate(byte[] bytes) {
     Deflater deflater = new Deflater(Deflater.BEST_SPEED);
-    ByteArrayOutputStream packed = new ByteArrayOutputStream();
+    ByteArrayOutputStream deflated = new ByteArrayOutputStream();
     byte[] buffer = new byte[BUFFER_BYTES];
     deflater.setInput(bytes);
     deflater.finish();
     while (!deflater.finished()) {
-      packed.write(buffer, 0, deflater.deflate(buffer));
+      deflated.write(buffer, 0, deflater.deflate(buffer));
     }
     deflater.end();
-    return packed.toByteArray();
+    return deflated.toByteArray();
   }
 
-  private static byte[] inflate(byte[] packed) throws DataFormatException {
+  private static byte[] inflate(byte[] deflated) throws DataFormatException {
     Inflater inflater = new Inflater();
     try {
-      inflater.setInput(packed);
+      inflater.setInput(deflated);
       ByteArrayOutputStream bytes = new ByteArrayOutputStream();
       byte[] buffer = new byte[BUFFER_BYTES];
       while (!inflater.finished()) {
--- a/src/main/java/io/embernotch/snapshot/SnapshotMerge.java
+++ b/src/main/java/io/embernotch/snapshot/SnapshotMerge.java
@@ -21,16 +21,24 @@
 import java.util.function.BinaryOperator;
 
 /**
- * Merges two snapshots of the same cluster, of which neither need be the newer one in everything,
- * into one that loses nothing of either: ends are final, done marks are united, attempt numbers are
- * the highest, and of each task the open attempt of the highest number stays, since a later one is
- * only begun once those before it are proven gone. That an attempt is missing from one snapshot
- * proves nothing. A job of which only its end is left, since all its attempts were proven gone,
- * stays so. The merge is commutative, associative, idempotent and monotonic ({@code
- * SnapshotMergeTest}).
+ * Merges two snapshots of the same cluster, neither of which need be newer in every respect,
+ * without losing progress from either:
+ *
+ * <ul>
+ *   <li>The end of a job is final.
+ *   <li>A task is done if it is done in either snapshot.
+ *   <li>The number of a job's next attempt is the higher one.
+ *   <li>Of each task the open attempt with the highest number is kept, since an attempt is only
+ *       started once all earlier ones are confirmed to have ended. That an attempt is missing from
+ *       one snapshot does not confirm its end.
+ *   <li>A job that either snapshot has reduced to its end stays reduced, since all its attempts
+ *       were confirmed to have ended.
+ * </ul>
+ *
+ * <p>The merge is commutative, associative, idempotent and monotonic ({@code SnapshotMergeTest}).
  */
 public final class SnapshotMerge {
-  private static final Comparator<OpenAttemptSnapshot> LATER =
+  private static final Comparator<OpenAttemptSnapshot> BY_ATTEMPT_NUMBER =
       Comparator.comparingLong(OpenAttemptSnapshot::getNumber)
           .thenComparing(OpenAttemptSnapshot::getMachine)
           .thenComparing(OpenAttemptSnapshot::getZone)
@@ -39,7 +47,7 @@
 
   private SnapshotMerge() {}
 
-  /** The merge of two snapshots. */
+  /** Merges two snapshots. */
   public static ClusterSnapshot of(ClusterSnapshot a, ClusterSnapshot b) {
     List<ClusterSnapshot> both = List.of(a, b);
     Map<String, EndedJobSnapshot> ended = endedJobs(both);
@@ -58,24 +66,25 @@
   }
 
   /**
-   * A snapshot that is the newest in all that it holds, with what it lacks of another one: jobs
-   * that were accepted and not made known to whoever it is from, and ends, which are final.
+   * Adds what another snapshot contains to one that is newer for every job it contains: jobs that
+   * were accepted without the newer snapshot's leader learning of them, and ends of jobs, which are
+   * final.
    */
   public static ClusterSnapshot supplemented(ClusterSnapshot newest, ClusterSnapshot other) {
-    Set<String> known = new HashSet<>();
-    newest.getJobList().forEach(job -> known.add(job.getRef()));
-    newest.getEndedList().forEach(job -> known.add(job.getRef()));
+    Set<String> knownRefs = new HashSet<>();
+    newest.getJobList().forEach(job -> knownRefs.add(job.getRef()));
+    newest.getEndedList().forEach(job -> knownRefs.add(job.getRef()));
     ClusterSnapshot.Builder supplemented = newest.toBuilder();
     other.getJobList().stream()
-        .filter(job -> !known.contains(job.getRef()))
+        .filter(job -> !knownRefs.contains(job.getRef()))
         .forEach(supplemented::addJob);
     other.getEndedList().stream()
-        .filter(job -> !known.contains(job.getRef()))
+        .filter(job -> !knownRefs.contains(job.getRef()))
         .forEach(supplemented::addEnded);
     return withEnds(supplemented.build(), ends(other));
   }
 
-  /** The ends of all jobs that have ended, with and without open attempts. */
+  /** The ends of all jobs that have ended, with or without open attempts. */
   private static List<EndedJobSnapshot> ends(ClusterSnapshot snapshot) {
     List<EndedJobSnapshot> ends = new ArrayList<>(snapshot.getEndedList());
     snapshot.getJobList().stream()
@@ -92,21 +101,21 @@
   }
 
   /**
-   * A snapshot with further ends of jobs, that users may have been told. Of a job that it holds the
-   * open attempts stay, since nothing proves that they are gone.
+   * Adds ends of jobs, which users may have been told, to a snapshot. A job that the snapshot
+   * contains keeps its open attempts, since nothing confirms that they have ended.
    */
   public static ClusterSnapshot withEnds(ClusterSnapshot snapshot, List<EndedJobSnapshot> ends) {
-    Map<String, EndedJobSnapshot> unknown = new TreeMap<>();
-    ends.forEach(end -> unknown.put(end.getRef(), end));
-    snapshot.getEndedList().forEach(end -> unknown.remove(end.getRef()));
+    Map<String, EndedJobSnapshot> remainingEnds = new TreeMap<>();
+    ends.forEach(end -> remainingEnds.put(end.getRef(), end));
+    snapshot.getEndedList().forEach(end -> remainingEnds.remove(end.getRef()));
     ClusterSnapshot.Builder merged = snapshot.toBuilder();
     for (JobSnapshot.Builder job : merged.getJobBuilderList()) {
-      EndedJobSnapshot end = unknown.remove(job.getRef());
+      EndedJobSnapshot end = remainingEnds.remove(job.getRef());
       if (end != null && !job.hasEnd()) {
         job.setEnd(end.getEnd()).setEndedMs(end.getAtMs());
       }
     }
-    return merged.addAllEnded(unknown.values()).build();
+    return merged.addAllEnded(remainingEnds.values()).build();
   }
 
   private static Map<String, EndedJobSnapshot> endedJobs(List<ClusterSnapshot> snapshots) {
@@ -152,7 +161,7 @@
   private static EndedJobSnapshot mergeEnded(EndedJobSnapshot a, EndedJobSnapshot b) {
     return EndedJobSnapshot.newBuilder()
         .setRef(a.getRef())
-        .setEnd(end(a.getEnd(), b.getEnd()))
+        .setEnd(chooseEnd(a.getEnd(), b.getEnd()))
         .setTasks(Math.max(a.getTasks(), b.getTasks()))
         .setDone(Math.max(a.getDone(), b.getDone()))
         .setAtMs(Math.max(a.getAtMs(), b.getAtMs()))
@@ -160,10 +169,10 @@
   }
 
   /**
-   * An end is decided once, so both are the same. Were they not, the choice does not depend on the
-   * order of the arguments.
+   * Chooses one of two ends of the same job. They are equal, since an end is decided once; if they
+   * are not, the choice does not depend on the order of the arguments.
    */
-  private static End end(End a, End b) {
+  private static End chooseEnd(End a, End b) {
     return a.compareTo(b) >= 0 ? a : b;
   }
 
@@ -173,32 +182,37 @@
     Map<Integer, OpenAttemptSnapshot> open = new TreeMap<>();
     for (JobSnapshot job : List.of(a, b)) {
       job.getOpenList()
-          .forEach(attempt -> open.merge(attempt.getTask(), attempt, BinaryOperator.maxBy(LATER)));
+          .forEach(
+              attempt ->
+                  open.merge(attempt.getTask(), attempt, BinaryOperator.maxBy(BY_ATTEMPT_NUMBER)));
     }
     JobSnapshot.Builder merged =
         JobSnapshot.newBuilder()
             .setRef(a.getRef())
-            .setValue(submission(a, b))
+            .setValue(chooseSubmission(a, b))
             .setNextAttempt(Math.max(a.getNextAttempt(), b.getNextAttempt()))
             .setDone(ByteString.copyFrom(done.toByteArray()))
             .addAllOpen(open.values());
     if (a.hasEnd() || b.hasEnd()) {
-      merged.setEnd(end(a, b)).setEndedMs(Math.max(a.getEndedMs(), b.getEndedMs()));
+      merged.setEnd(chooseEnd(a, b)).setEndedMs(Math.max(a.getEndedMs(), b.getEndedMs()));
     }
     return merged.build();
   }
 
-  /** Submissions never change; only the size of the shards that progress is kept in may. */
-  private static ByteString submission(JobSnapshot a, JobSnapshot b) {
+  /**
+   * Chooses one of two values of a job's submission key, whatever the order of the arguments. The
+   * submission never changes; only the shard size beside it may.
+   */
+  private static ByteString chooseSubmission(JobSnapshot a, JobSnapshot b) {
     return ByteString.unsignedLexicographicalComparator().compare(a.getValue(), b.getValue()) >= 0
         ? a.getValue()
         : b.getValue();
   }
 
-  private static End end(JobSnapshot a, JobSnapshot b) {
+  private static End chooseEnd(JobSnapshot a, JobSnapshot b) {
     if (!a.hasEnd()) {
       return b.getEnd();
     }
-    return b.hasEnd() ? end(a.getEnd(), b.getEnd()) : a.getEnd();
+    return b.hasEnd() ? chooseEnd(a.getEnd(), b.getEnd()) : a.getEnd();
   }
 }
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotArchive.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotArchive.java
@@ -16,28 +16,28 @@
 import java.util.zip.ZipOutputStream;
 
 /**
- * One snapshot as a ZIP archive, which common tools can open too: {@code head} is a {@link
- * SnapshotHead}, each {@code part-K} a {@link ClusterSnapshot} of some of the jobs. ZIP has a
- * checksum for each of them; the head has the number of parts and one checksum over all, since an
- * archive that lacks its last parts would look whole.
+ * A snapshot as a ZIP archive, which common tools can open. The entry {@code head} is a {@link
+ * SnapshotHead}, each entry {@code part-K} a {@link ClusterSnapshot} with some of the jobs. ZIP
+ * protects each entry with a checksum. The head adds the number of parts and a checksum over all
+ * parts, which detect an archive that lacks its last parts.
  */
 public final class SnapshotArchive {
   private static final int VERSION = 1;
 
   private static final String HEAD = "head";
 
-  /** Jobs in a part; messages about damage name the part. */
+  /** Maximum number of jobs in a part; a message about damage names the part. */
   private static final int JOBS_PER_PART = 500;
 
-  /** Jobs of which only the end is left, in a part. */
+  /** Maximum number of jobs in a part that are reduced to their end. */
   private static final int ENDED_JOBS_PER_PART = 5000;
 
-  /** A file that is not a whole snapshot; the message names the place. */
+  /** Thrown for a file that is not a complete, undamaged snapshot. */
   public static final class DamagedSnapshotException extends IOException {
     private static final long serialVersionUID = 1L;
 
     /**
-     * @param message the place of the damage and what is wrong
+     * @param message the damaged entry and what is wrong with it
      */
     public DamagedSnapshotException(String message) {
       super(message);
@@ -57,16 +57,17 @@
     return head;
   }
 
-  /** The snapshot; marked as incomplete, since what followed it is not in it. */
+  /** The snapshot; marked as incomplete, since it lacks all later changes. */
   public ClusterSnapshot snapshot() {
     return snapshot;
   }
 
   /**
-   * Writes a snapshot.
+   * Writes a snapshot as an archive.
    *
-   * @param incarnation name of the store incarnation that it is of
-   * @param out takes the archive; it is left open
+   * @param incarnation name of the store incarnation that the snapshot was taken of
+   * @param out receives the archive; is left open
+   * @throws IOException if {@code out} fails
    */
   public static void write(ClusterSnapshot snapshot, String incarnation, OutputStream out)
       throws IOException {
@@ -80,7 +81,7 @@
             .setJobs(snapshot.getJobCount())
             .setEnded(snapshot.getEndedCount())
             .setParts(parts.size())
-            .setCrc(sum(parts))
+            .setCrc(checksum(parts))
             .build();
     ZipOutputStream zip = new ZipOutputStream(out);
     putEntry(zip, HEAD, head.toByteArray());
@@ -93,32 +94,32 @@
   /**
    * Reads an archive.
    *
-   * @throws DamagedSnapshotException if it is not a whole snapshot; nothing of it is to be used
-   *     then
-   * @throws IOException if it cannot be read
+   * @throws DamagedSnapshotException if the archive is incomplete or damaged, or its format is
+   *     newer than this version reads
+   * @throws IOException if {@code input} fails
    */
   public static SnapshotArchive read(InputStream input) throws IOException {
     ZipInputStream zip = new ZipInputStream(input);
     SnapshotHead head;
     ClusterSnapshot.Builder snapshot = ClusterSnapshot.newBuilder();
-    String place = HEAD;
+    String entryName = HEAD;
     List<byte[]> parts = new ArrayList<>();
     try {
-      head = SnapshotHead.parseFrom(nextEntry(zip, place));
+      head = SnapshotHead.parseFrom(nextEntry(zip, entryName));
       if (head.getVersion() > VERSION) {
         throw new DamagedSnapshotException(
             "head: version " + head.getVersion() + " is newer than " + VERSION);
       }
       for (int index = 0; index < head.getParts(); index++) {
-        place = partName(index);
-        parts.add(nextEntry(zip, place));
+        entryName = partName(index);
+        parts.add(nextEntry(zip, entryName));
         snapshot.mergeFrom(ClusterSnapshot.parseFrom(parts.get(index)));
       }
     } catch (ZipException | EOFException | InvalidProtocolBufferException e) {
       throw new DamagedSnapshotException(
-          place + ": " + (e.getMessage() == null ? "the file ends too early" : e.getMessage()));
+          entryName + ": " + (e.getMessage() == null ? "the file ends too early" : e.getMessage()));
     }
-    if (sum(parts) != head.getCrc()
+    if (checksum(parts) != head.getCrc()
         || snapshot.getJobCount() != head.getJobs()
         || snapshot.getEndedCount() != head.getEnded()) {
       throw new DamagedSnapshotException(
@@ -130,9 +131,9 @@
   }
 
   private static List<byte[]> parts(ClusterSnapshot snapshot) {
-    List<byte[]> out = new ArrayList<>();
+    List<byte[]> parts = new ArrayList<>();
     for (int from = 0; from < snapshot.getJobCount(); from += JOBS_PER_PART) {
-      out.add(
+      parts.add(
           ClusterSnapshot.newBuilder()
               .addAllJob(
                   snapshot
@@ -142,14 +143,14 @@
               .toByteArray());
     }
     if (snapshot.getSharedCount() > 0) {
-      out.add(
+      parts.add(
           ClusterSnapshot.newBuilder()
               .addAllShared(snapshot.getSharedList())
               .build()
               .toByteArray());
     }
     for (int from = 0; from < snapshot.getEndedCount(); from += ENDED_JOBS_PER_PART) {
-      out.add(
+      parts.add(
           ClusterSnapshot.newBuilder()
               .addAllEnded(
                   snapshot
@@ -159,14 +160,14 @@
               .build()
               .toByteArray());
     }
-    return out;
+    return parts;
   }
 
   private static String partName(int index) {
     return String.format("part-%05d", index);
   }
 
-  private static long sum(List<byte[]> parts) {
+  private static long checksum(List<byte[]> parts) {
     CRC32 crc = new CRC32();
     parts.forEach(crc::update);
     return crc.getValue();
@@ -180,7 +181,7 @@
     zip.closeEntry();
   }
 
-  /** The bytes of the next entry. Reading an entry to its end checks its checksum. */
+  /** Reads the bytes of the next entry. Reading to the end of an entry verifies its checksum. */
   private static byte[] nextEntry(ZipInputStream zip, String name) throws IOException {
     ZipEntry entry = zip.getNextEntry();
     if (entry == null || !entry.getName().equals(name)) {
--- a/src/test/java/io/embernotch/replication/JoinedKnowledgeTest.java
+++ b/src/test/java/io/embernotch/replication/JoinedKnowledgeTest.java
@@ -14,9 +14,9 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** What controllers know of lost contents, put together, and what it proves of the last leader. */
+/** Merging what controllers know about lost contents, and what it proves about the last term. */
 class JoinedKnowledgeTest {
-  /** Begun 20 s ago by c0; its lease could last be proven 5 s ago. */
+  /** A term of c0 that began 20 s ago; its lease was last known to be valid 5 s ago. */
   private static final EndedTerm TERM = new EndedTerm("c0", 7, 20, 5);
 
   private static final Optional<Knowledge> NO_ANSWER = Optional.empty();
@@ -25,8 +25,8 @@
     return Knowledge.newBuilder().setHighestEpoch(highestEpoch).setLedEpoch(ledEpoch).build();
   }
 
-  /** What a controller tells that saw the term begin. */
-  private static Knowledge.Builder witness() {
+  /** The answer of a controller that observed the beginning of the term. */
+  private static Knowledge.Builder observerOfTerm() {
     return Knowledge.newBuilder()
         .setUpMs(60_000)
         .setHighestEpoch(7)
@@ -34,7 +34,7 @@
         .setHighestSeenMs(19_000);
   }
 
-  private static boolean proves(Knowledge.Builder other) {
+  private static boolean provesTermLast(Knowledge.Builder other) {
     return JoinedKnowledge.provesLast(TERM, List.of(Optional.of(other.build())));
   }
 
@@ -50,19 +50,20 @@
         .build();
   }
 
-  private static Knowledge holding(JobSnapshot job) {
+  private static Knowledge knowledgeWith(JobSnapshot job) {
     return Knowledge.newBuilder().setState(ClusterSnapshot.newBuilder().addJob(job)).build();
   }
 
-  /** Guards against an end that a user was told being taken back since another replica is older. */
+  /** Guards against revoking an end that a user was told, since another replica is older. */
   @Test
-  void endsThatAnybodyHasToldWin() {
-    Knowledge toldByOther =
+  void endReportedByAnyControllerIsKept() {
+    Knowledge reportedByOther =
         Knowledge.newBuilder().addTold(cancelled("j-1")).addTold(cancelled("j-3")).build();
-    Knowledge own = holding(running("j-1")).toBuilder().addTold(cancelled("j-2")).build();
+    Knowledge own = knowledgeWith(running("j-1")).toBuilder().addTold(cancelled("j-2")).build();
     ClusterSnapshot joined =
         JoinedKnowledge.of(
-                own, List.of(Optional.of(toldByOther), Optional.of(holding(running("j-2")))))
+                own,
+                List.of(Optional.of(reportedByOther), Optional.of(knowledgeWith(running("j-2")))))
             .state();
     assertThat(joined.getJobList()).extracting(JobSnapshot::getRef).containsExactly("j-1", "j-2");
     assertThat(joined.getJobList()).extracting(JobSnapshot::getEnd).containsOnly(End.CANCELLED);
@@ -71,9 +72,9 @@
     assertThat(joined.getComplete()).isFalse();
   }
 
-  /** Guards against a restore that goes on without a controller that has not answered. */
+  /** Guards against a restore that ignores a controller without an answer. */
   @Test
-  void allHaveAnsweredOnlyIfNoneIsMissing() {
+  void allAnsweredOnlyIfNoAnswerIsMissing() {
     Knowledge own = knowledge(7, 0);
     Optional<Knowledge> other = Optional.of(knowledge(7, 0));
     assertThat(JoinedKnowledge.of(own, List.of(other, other)).allAnswered()).isTrue();
@@ -81,9 +82,9 @@
     assertThat(JoinedKnowledge.of(own, List.of()).allAnswered()).isTrue();
   }
 
-  /** Guards against a restore from replicas while the last leader still has its state. */
+  /** Guards against a restore from replicas while the last leader still holds its state. */
   @Test
-  void anotherHasLedLastIfItsTermIsTheHighestThatAnybodyHasSeen() {
+  void anotherControllerLedLastIfItsTermIsHighestObserved() {
     assertThat(ledElsewhere(knowledge(7, 0), knowledge(7, 7))).isTrue();
     assertThat(ledElsewhere(knowledge(6, 0), knowledge(6, 7))).isTrue();
     assertThat(ledElsewhere(knowledge(8, 0), knowledge(7, 7))).isFalse();
@@ -91,9 +92,9 @@
     assertThat(ledElsewhere(knowledge(0, 0), knowledge(0, 0))).isFalse();
   }
 
-  /** Guards against a former leader that a third controller knows to have been followed. */
+  /** Guards against waiting for a former leader when a third controller observed a later term. */
   @Test
-  void aTermThatAThirdControllerHasSeenFollowedIsNotTheLast() {
+  void termIsNotLastIfThirdControllerObservedLaterOne() {
     assertThat(ledElsewhere(knowledge(7, 0), knowledge(7, 7), knowledge(8, 0))).isFalse();
   }
 
@@ -102,38 +103,40 @@
         .ledElsewhere();
   }
 
-  /** Guards against a leader that never restores from its state although it led last. */
+  /** Guards against the last leader never restoring the store from its own state. */
   @Test
-  void aTermWasTheLastIfAllSawNoOther() {
-    assertThat(proves(witness())).isTrue();
-    assertThat(proves(witness().setHighestEpoch(6).setHighestNode("c2"))).isTrue();
+  void termIsProvenLastIfNobodyObservedLaterOne() {
+    assertThat(provesTermLast(observerOfTerm())).isTrue();
+    assertThat(provesTermLast(observerOfTerm().setHighestEpoch(6).setHighestNode("c2"))).isTrue();
     assertThat(JoinedKnowledge.provesLast(TERM, List.of())).isTrue();
   }
 
-  /** Guards against a later leader that only a silent controller knows of. */
+  /** Guards against a later leader that only a controller without an answer knows of. */
   @Test
-  void withoutEveryAnswerNothingIsProven() {
-    assertThat(JoinedKnowledge.provesLast(TERM, List.of(Optional.of(witness().build()), NO_ANSWER)))
+  void missingAnswerProvesNothing() {
+    assertThat(
+            JoinedKnowledge.provesLast(
+                TERM, List.of(Optional.of(observerOfTerm().build()), NO_ANSWER)))
         .isFalse();
   }
 
-  /** Guards against a later leader whose process was restarted and knows of its term no more. */
+  /** Guards against a later leader whose process was restarted and no longer knows its term. */
   @Test
-  void whoHasBeenUpForLessThanTheLeaseIsUnprovenProvesNothing() {
-    assertThat(proves(witness().setUpMs(4_999))).isFalse();
-    assertThat(proves(witness().setUpMs(5_000))).isFalse();
+  void controllerStartedAfterLeaseWasLastValidProvesNothing() {
+    assertThat(provesTermLast(observerOfTerm().setUpMs(4_999))).isFalse();
+    assertThat(provesTermLast(observerOfTerm().setUpMs(5_000))).isFalse();
   }
 
-  /** Guards against a term that was followed by another one. */
+  /** Guards against restoring from a term that was followed by another one. */
   @Test
-  void aLaterEpochShowsThatTheTermWasNotTheLast() {
-    assertThat(proves(witness().setHighestEpoch(8))).isFalse();
+  void laterEpochShowsThatTermWasNotLast() {
+    assertThat(provesTermLast(observerOfTerm().setHighestEpoch(8))).isFalse();
   }
 
-  /** Guards against an epoch that came again after a loss. */
+  /** Guards against an epoch that was used again after a loss of data. */
   @Test
-  void theSameEpochSeenBeforeTheTermBeganOrOfAnotherNodeIsAnotherTerm() {
-    assertThat(proves(witness().setHighestSeenMs(21_000))).isFalse();
-    assertThat(proves(witness().setHighestNode("c2"))).isFalse();
+  void equalEpochObservedEarlierOrOfAnotherNodeIsAnotherTerm() {
+    assertThat(provesTermLast(observerOfTerm().setHighestSeenMs(21_000))).isFalse();
+    assertThat(provesTermLast(observerOfTerm().setHighestNode("c2"))).isFalse();
   }
 }
--- a/src/test/java/io/embernotch/snapshot/file/SnapshotArchiveTest.java
+++ b/src/test/java/io/embernotch/snapshot/file/SnapshotArchiveTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Snapshot files and blocks: damage is found, and a cluster is restored from them. */
+/** Detecting damage in snapshot files and blocks, and restoring a cluster from a file. */
 class SnapshotArchiveTest {
   @TempDir private Path dir;
 
@@ -64,35 +64,35 @@
   }
 
   @Test
-  void aDamagedByteIsNeverReadAsOtherContents() throws IOException {
+  void damagedByteNeverYieldsOtherContents() throws IOException {
     ClusterSnapshot snapshot = snapshotOf(12, 5);
-    byte[] whole = bytes(snapshot);
-    assertThat(SnapshotArchive.read(new ByteArrayInputStream(whole)).snapshot())
+    byte[] archive = bytes(snapshot);
+    assertThat(SnapshotArchive.read(new ByteArrayInputStream(archive)).snapshot())
         .isEqualTo(snapshot);
-    int found = 0;
-    for (int i = 0; i < whole.length; i++) {
-      byte[] damaged = whole.clone();
+    int detected = 0;
+    for (int i = 0; i < archive.length; i++) {
+      byte[] damaged = archive.clone();
       damaged[i] ^= 0x20;
       try {
-        // A byte that does not belong to the contents may differ; then these are the same.
+        // The damaged byte may not be part of the contents, which are then unchanged.
         assertThat(SnapshotArchive.read(new ByteArrayInputStream(damaged)).snapshot())
             .isEqualTo(snapshot);
       } catch (IOException | IllegalArgumentException e) {
-        found++;
+        detected++;
       }
-      byte[] shorter = Arrays.copyOf(whole, i);
+      byte[] truncated = Arrays.copyOf(archive, i);
       try {
-        assertThat(SnapshotArchive.read(new ByteArrayInputStream(shorter)).snapshot())
+        assertThat(SnapshotArchive.read(new ByteArrayInputStream(truncated)).snapshot())
             .isEqualTo(snapshot);
       } catch (IOException | IllegalArgumentException e) {
-        found++;
+        detected++;
       }
     }
-    assertThat(found).isGreaterThan(whole.length);
+    assertThat(detected).isGreaterThan(archive.length);
   }
 
   @Test
-  void damagedBlocksAreRefused() {
+  void damagedBlocksAreRejected() {
     ClusterSnapshot snapshot = snapshotOf(300, 5);
     SnapshotBlocks packed = SnapshotBlocks.pack(snapshot, 1024);
     assertThat(packed.blocks())
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void theNewestWholeSnapshotIsReadAndOldOnesAreDeleted() throws IOException {
+  void newestUndamagedSnapshotIsReadAndOldOnesAreDeleted() throws IOException {
     SnapshotDirectory snapshots = new SnapshotDirectory(dir, 3);
     for (int i = 1; i <= 5; i++) {
       snapshots.write(snapshotOf(i, i), "e");
@@ -119,7 +119,7 @@
     Path newest = snapshots.list().get(0);
     byte[] bytes = Files.readAllBytes(newest);
     Files.write(newest, Arrays.copyOf(bytes, bytes.length / 2));
-    // A file that a crash left unfinished does not count.
+    // A file that was left unfinished by a crash is ignored.
     Files.write(dir.resolve("0000000000000009-000000000000009.unfinished"), bytes);
     assertThat(snapshots.newest().snapshot()).isEqualTo(snapshotOf(4, 4));
     assertThat(Main.run("snapshot", "list", dir.toString())).isEqualTo(1);
@@ -167,7 +167,7 @@
       assertThat(cluster.phase(node, "j-2")).isEqualTo("running");
       assertThat(cluster.submit(node, job("j-1", "array", 2)).status()).isEqualTo(200);
     }
-    // It kept running: its attempts were in the snapshot.
+    // No attempt was started again: the running ones were in the snapshot.
     assertThat(cluster.runningTasks("j-2")).hasSize(3);
     assertThat(cluster.workers.values())
         .allSatisfy(worker -> assertThat(worker.epoch).isEqualTo(1));
