--- a/src/main/java/io/embernotch/agents/AgentReconciler.java
+++ b/src/main/java/io/embernotch/agents/AgentReconciler.java
@@ -8,52 +8,58 @@
 import io.embernotch.state.ClusterState;
 
 /**
- * Keeps the leader's attempts in agreement with what the agents run: processes their heartbeats,
- * sends them commands, and works out which attempts exist and which are proven gone. The
- * consequences for jobs are the {@link Listener}'s business.
+ * Reconciles the leader's open attempts with the tasks that agents report. It processes heartbeats,
+ * sends commands, and determines which attempts exist and which have provably ended. The {@link
+ * Listener} applies the consequences to jobs.
  *
- * <p>This class is the entry point of the package and assembles its parts. It belongs to one term
- * of one leader, and is confined to that leader's event loop.
+ * <p>This class is the entry point of the package and creates its components. An instance belongs
+ * to one leadership term and is confined to the leader's event loop.
  */
 public final class AgentReconciler {
 
-  /** Receives what the agents' messages prove; called on the leader's event loop. */
+  /** Receives the conclusions drawn from agents' messages. Called on the leader's event loop. */
   public interface Listener {
-    /** A task has been seen running for the first time in this attempt. */
+    /** Called when the machine's agent first reports the task of this attempt as running. */
     void taskRunning(Attempt attempt, Machine machine);
 
     /**
-     * The attempt has exited on its machine; it is still open.
+     * Called when the machine's agent reports that the attempt has exited. It is still open.
      *
      * @param saved whether the task saved a checkpoint before it exited
      */
     void taskExited(Attempt attempt, Machine machine, ExitCause cause, boolean saved);
 
     /**
-     * The attempt is proven gone without an exit.
+     * Called when an attempt whose exit was not reported has provably ended, or can no longer
+     * start.
      *
      * @param why the proof, for the log
      */
     void attemptGone(Attempt attempt, Machine machine, String why);
 
-    /** An agent has seen a fencing token of a later term. */
+    /** Called when an agent reports a fencing token of a later term. */
     void superseded(long token);
 
     /**
-     * An agent has seen a fencing token of this term's epoch that this term has not issued to it.
+     * Called when an agent reports a fencing token of this term's epoch that this term has not
+     * issued to it: another term has had the same epoch, so the store was rolled back in between.
      */
     void unissuedTokenSeen(Machine machine, long token);
 
-    /** The machine reports a task of this job, exited or not, of which no attempt is open there. */
+    /**
+     * Called when a machine reports a task, exited or not, for which no attempt is open on it.
+     *
+     * @param ref id of the task's job
+     */
     void unexpectedTaskReported(Machine machine, String ref);
 
-    /** Something changed that the scheduler may use. */
+    /** Called when a machine has become available or is about to be reclaimed. */
     void clusterChanged();
 
-    /** True while the leader's lease is proven: only then is anything started. */
+    /** Returns whether the leader's lease is proven. Only then may a task be started. */
     boolean isLeading();
 
-    /** True once all consequences of an exited attempt of this task are in the store. */
+    /** Returns whether all consequences of the task's exited attempts are in the store. */
     boolean isOutcomePersisted(String ref, int task);
   }
 
@@ -64,7 +70,7 @@
   private final CommandSender commands;
 
   /**
-   * Creates the agents' side of a term that begins now.
+   * Creates the reconciler of a term that begins now.
    *
    * @param state the cluster state of this term, which this class updates
    * @param epoch the epoch of this term
@@ -78,7 +84,7 @@
       Listener listener) {
     this.tokenBase = FencingTokens.base(epoch);
     double heartbeatIntervalS = context.settings().workers().heartbeatIntervalS();
-    // A call ends before the next heartbeat is due.
+    // A call times out before the next heartbeat is due.
     double callTimeoutS = heartbeatIntervalS * 2 / 3;
     this.workerLeases =
         new WorkerLeases(context.settings(), context.clock(), delegations, tokenBase);
@@ -120,14 +126,14 @@
   }
 
   /**
-   * True for machines that were deleted in this term: the cloud's lists lag behind, and packets may
-   * be late.
+   * Returns whether the machine was deleted in this term. The cloud may still list it, since its
+   * lists lag behind, and delayed heartbeats of it may still arrive.
    */
   public boolean wasDeleted(String name) {
     return heartbeats.wasDeleted(name);
   }
 
-  /** The machine of this name was deleted; nothing that still arrives from it counts. */
+  /** Records that a machine was deleted. Its heartbeats are ignored from now on. */
   public void markDeleted(String name) {
     heartbeats.markDeleted(name);
   }
@@ -135,43 +141,54 @@
   /**
    * Processes a heartbeat whose agent waits for the response.
    *
-   * @param leaseProven whether the leader's lease is proven, so that the response may do more than
-   *     stop attempts
-   * @param forwarder the process incarnation of the controller that it was sent to; 0 for this one
-   * @return the body of the 200 response; null if the agent must not get one
+   * @param leaseProven whether the leader's lease is proven; otherwise the response carries no
+   *     commands but stops
+   * @param forwarder the process incarnation of the controller that forwarded the heartbeat; 0 if
+   *     the agent sent it to this controller
+   * @return the body of the response with status 200; null if this leader must not answer the agent
    */
   public byte[] processHeartbeat(Heartbeat heartbeat, boolean leaseProven, long forwarder) {
     return heartbeats.process(heartbeat, leaseProven, forwarder);
   }
 
   /**
-   * Learns from a heartbeat that another controller handed over and nobody waits for.
+   * Processes a heartbeat whose agent does not wait for a response: one that this or another
+   * controller received before this term.
    *
-   * @return false if it proves nothing
+   * @return false if the machine was deleted in this term, or if the heartbeat proves that this
+   *     leader is superseded
    */
   public boolean processForwarded(Heartbeat heartbeat) {
     return heartbeats.processForwarded(heartbeat);
   }
 
-  /** Sends due commands directly to the machine, unless one is already in flight. */
+  /**
+   * Sends due commands directly to the machine, unless a command to it is in flight or has just
+   * failed.
+   */
   public void sendDueCommands(Machine machine) {
     commands.sendDue(machine);
   }
 
-  /** True once the lease of the machine's agent has expired, whoever renewed it last. */
+  /**
+   * Returns whether the lease of the machine's agent must have expired, whichever controller
+   * renewed it last.
+   */
   public boolean leaseExpired(Machine machine) {
     return workerLeases.expired(machine);
   }
 
   /**
-   * The instant, in steady seconds, by which all tasks have ended on a machine that is never
-   * reached again, whoever else renews its lease; {@link Double#MAX_VALUE} if that is not known.
+   * Returns the time by which all tasks on the machine have ended if this leader never reaches it
+   * again, even if other controllers renew its lease for as long as they may.
+   *
+   * @return seconds of the steady clock; {@link Double#MAX_VALUE} if the machine's zone is unknown
    */
   public double leaseExpiresBy(Machine machine) {
     return workerLeases.leaseExpiresBy(machine);
   }
 
-  /** Requests the status of an unresponsive machine, unless such a request is in flight. */
+  /** Requests the status of an unresponsive machine, unless a request to it is in flight. */
   public void probe(Machine machine) {
     prober.probe(machine);
   }
--- a/src/main/java/io/embernotch/agents/AttemptCommands.java
+++ b/src/main/java/io/embernotch/agents/AttemptCommands.java
@@ -4,16 +4,19 @@
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Attempt.LaunchState;
 
-/** The commands that start and stop an attempt, and when each of them may be sent. */
+/** Creates the commands that start and stop an attempt, and decides when each of them is due. */
 final class AttemptCommands {
   private AttemptCommands() {}
 
-  /** True if the attempt is committed and no copy of its start is in flight. */
+  /**
+   * Returns whether the attempt is committed, is not to be stopped, and no copy of its start
+   * command is in flight.
+   */
   static boolean isStartDue(Attempt attempt) {
     return attempt.launchState == LaunchState.READY && !attempt.stopping;
   }
 
-  /** True if the attempt is to end and may be on its machine. */
+  /** Returns whether the attempt is to be stopped and may exist on its machine. */
   static boolean isStopDue(Attempt attempt) {
     return attempt.stopping
         && (attempt.launchState == LaunchState.CONFIRMED
--- a/src/main/java/io/embernotch/agents/AttemptReconciler.java
+++ b/src/main/java/io/embernotch/agents/AttemptReconciler.java
@@ -12,9 +12,9 @@
 import java.util.Set;
 
 /**
- * Compares a machine's open attempts with the tasks that its newest heartbeat lists: what is listed
- * exists or has exited, and what is missing is gone only if no copy of its start can still be
- * executed.
+ * Compares a machine's open attempts with the tasks that its newest heartbeat lists. A listed
+ * attempt exists or has exited. A missing one has ended for good only if the agent cannot execute a
+ * delayed copy of its start command any more.
  */
 final class AttemptReconciler {
   private final long tokenBase;
@@ -30,9 +30,9 @@
   /**
    * Reconciles all open attempts of a machine with its newest heartbeat.
    *
-   * @param newAgentEpoch whether the agent has begun a new epoch since its previous heartbeat: all
-   *     that it ran before has ended
-   * @param now steady seconds
+   * @param newAgentEpoch whether the agent has begun a new epoch since its previous heartbeat, so
+   *     that everything it ran before has ended
+   * @param now seconds of the steady clock
    */
   void reconcile(Heartbeat heartbeat, Machine machine, boolean newAgentEpoch, double now) {
     Set<String> listed = new HashSet<>();
@@ -85,33 +85,34 @@
           listener.attemptGone(
               attempt, machine, newAgentEpoch ? "new agent epoch" : "no longer in heartbeats");
         } else {
-          // A machine that is back without its tasks would execute a copy of the start that
-          // arrives only now.
+          // The agent may have restarted without its tasks. It would still execute a delayed copy
+          // of the start command, so the attempt stays open until the agent reports a higher token.
           attempt.launchState = LaunchState.UNCONFIRMED;
           fenceOff(machine, attempt.startToken);
         }
       }
-        // A response is executed before the next heartbeat or dropped, so this start never
-        // happened.
+        // An agent executes a heartbeat response before its next heartbeat or not at all, so this
+        // start was not executed.
       case IN_HEARTBEAT_RESPONSE -> launchNeverSent(attempt, machine);
       case UNCONFIRMED -> {
-        // The late command carries at most startToken: an agent past it refuses the command. In an
-        // agent epoch later than the one that the command names it is refused as well.
+        // A delayed start command carries at most startToken, so an agent that has seen a higher
+        // token refuses it. So does an agent in a later epoch than the command names, which is
+        // known only for commands of this term.
         if (heartbeat.token() > attempt.startToken
             || (newAgentEpoch && attempt.startToken >= tokenBase)) {
           listener.attemptGone(attempt, machine, "never started");
         }
       }
       case UNCOMMITTED, READY, SENDING -> {
-        // Nothing has been sent, or the response to the direct command decides.
+        // Nothing has been sent, or the response to the direct command will decide.
       }
     }
   }
 
   /**
-   * No copy of the attempt's start is in flight any more, so it can be sent anew. An attempt that
-   * is to end has ended with that: left open, it would never be closed, and would keep its gang
-   * from starting again.
+   * Records that the attempt's start command was not executed and no copy of it is in flight, so it
+   * can be sent again. An attempt that is to be stopped has thereby ended. If it stayed open, it
+   * would never be closed, and its gang could not start again.
    */
   void launchNeverSent(Attempt attempt, Machine machine) {
     attempt.launchState = LaunchState.READY;
@@ -121,8 +122,8 @@
   }
 
   /**
-   * A command under this token may yet arrive, even minutes late. Raises the machine's token above
-   * it: once the agent has seen the higher one, it refuses the command.
+   * Raises the machine's token above that of a command which may still arrive, even minutes late.
+   * Once the agent has seen the higher token, it refuses the command.
    */
   static void fenceOff(Machine machine, long token) {
     machine.unconfirmedToken = Math.max(machine.unconfirmedToken, token);
--- a/src/main/java/io/embernotch/agents/CallConcurrencyLimiter.java
+++ b/src/main/java/io/embernotch/agents/CallConcurrencyLimiter.java
@@ -6,18 +6,18 @@
 import java.util.Map;
 
 /**
- * Limits the calls to machines that are in flight, and queues the others by class: production
- * services first, unresponsive machines last, so that a failed half of the fleet takes no capacity
- * from the other. Without a limit a thousand probes and commands leave at once after a failover;
- * those that find no connection are given up for most of a heartbeat interval, and production
- * services are started behind all others.
+ * Limits how many calls to machines are in flight, and queues the others by class. Production
+ * services come first and unresponsive machines last, so that a failed half of the fleet takes no
+ * capacity from the other half. Without a limit, a new leader would send a thousand probes and
+ * commands at once. Those without a free connection would fail and not be retried for most of a
+ * heartbeat interval, and production services would be started after all others.
  *
  * <p>Confined to the leader's event loop.
  */
 final class CallConcurrencyLimiter {
   /**
-   * What a call is for, from the first class to be served to the last. A call may begin while the
-   * share of all calls in flight is below that of its class.
+   * The purpose of a call, in order of precedence. A call may begin while the calls of all classes
+   * in flight are fewer than its class's share of the limit, and whenever none is in flight.
    */
   enum CallClass {
     /** Commands that start production services. */
@@ -26,7 +26,7 @@
     NORMAL(0.5),
     /** Commands to and probes of machines whose heartbeats are overdue. */
     UNRESPONSIVE(0.25),
-    /** Probes of machines that will most likely send a heartbeat by themselves. */
+    /** Probes of machines that will most likely send a heartbeat on their own. */
     DISCOVERY(0.0625);
 
     final double share;
@@ -44,7 +44,7 @@
   /**
    * Creates a limiter with no call in flight.
    *
-   * @param maxInFlight calls in flight at a time
+   * @param maxInFlight most calls in flight at a time
    */
   CallConcurrencyLimiter(int maxInFlight) {
     this.maxInFlight = maxInFlight;
@@ -54,8 +54,9 @@
   }
 
   /**
-   * True if a call may begin now; it ends with {@link #release}. Otherwise {@code retry} is run
-   * once there is capacity, unless one is queued for this machine and class already.
+   * Returns whether a call may begin now; the caller must {@link #release} it when it has ended.
+   * Otherwise queues {@code retry}, which is run once there is capacity, unless a retry is already
+   * queued for this machine and class.
    */
   boolean tryAcquire(Machine machine, CallClass callClass, Runnable retry) {
     if (hasCapacity(callClass) && (draining || queues.get(callClass).isEmpty())) {
@@ -66,7 +67,7 @@
     return false;
   }
 
-  /** A call has ended; runs what is queued for as long as there is capacity. */
+  /** Records that a call has ended, and runs queued retries while there is capacity. */
   void release() {
     inFlight--;
     if (draining) {
@@ -85,13 +86,13 @@
       Map<Machine, Runnable> queue = queues.get(callClass);
       while (hasCapacity(callClass) && !queue.isEmpty()) {
         Machine machine = queue.keySet().iterator().next();
-        // It acquires by itself, or has nothing left to send.
+        // The retry calls tryAcquire again, or has nothing left to send.
         queue.remove(machine).run();
       }
     }
   }
 
-  /** True while a command to the responsive machine is queued. */
+  /** Returns whether a command is queued for the machine while it counts as responsive. */
   boolean isCommandQueued(Machine machine) {
     return queues.get(CallClass.PRODUCTION).containsKey(machine)
         || queues.get(CallClass.NORMAL).containsKey(machine);
--- a/src/main/java/io/embernotch/agents/CommandSender.java
+++ b/src/main/java/io/embernotch/agents/CommandSender.java
@@ -21,15 +21,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends starts and stops directly to agents, at most one call at a time to each machine, and works
- * out from the response, or from its absence, where each start is.
+ * Sends start and stop commands directly to agents, with at most one call in flight to each
+ * machine. Derives the launch state of each start from the response, or from its absence.
  */
 final class CommandSender {
   private static final Logger LOG = LoggerFactory.getLogger(CommandSender.class);
 
   private static final int HTTP_OK = 200;
 
-  /** A machine that has sent no heartbeat for so many intervals is unresponsive. */
+  /** Intervals without a heartbeat after which a machine counts as unresponsive. */
   private static final int UNRESPONSIVE_INTERVALS = 2;
 
   /** The agent's path for direct commands. */
@@ -55,7 +55,9 @@
   /**
    * Creates a sender with nothing in flight.
    *
-   * @param reconcile takes the heartbeat in a response; false if that shows a later term
+   * @param reconcile processes the heartbeat in a response; returns false if it proves that this
+   *     leader is superseded
+   * @param callTimeoutS seconds to wait for a response
    */
   CommandSender(
       ControllerContext context,
@@ -78,8 +80,8 @@
   }
 
   /**
-   * Sends due commands to the machine, unless a call to it is in flight or has just failed. Where
-   * the call limit is reached it is done again once there is capacity.
+   * Sends due commands to the machine, unless a call to it is in flight or has just failed. If the
+   * call limit is reached, retries once there is capacity.
    */
   void sendDue(Machine machine) {
     double now = context.clock().now();
@@ -106,8 +108,7 @@
 
   private Batch dueCommands(Machine machine, double now) {
     Batch batch = new Batch();
-    // The call may have been queued, or have waited for the response to another, while leadership
-    // was lost.
+    // Leadership may have been lost while this call was queued or waited for a previous response.
     boolean mayStart = listener.isLeading();
     for (Attempt attempt : machine.openAttempts.values()) {
       if (AttemptCommands.isStartDue(attempt) && mayStart) {
@@ -169,7 +170,11 @@
     try {
       heartbeat = WorkerCodec.read(reply.body());
     } catch (MalformedInputException e) {
-      LOG.info("unreadable answer {} of {}: {}", reply.status(), machine.name, e.getMessage());
+      LOG.info(
+          "invalid command response (status {}) from machine {}: {}",
+          reply.status(),
+          machine.name,
+          e.getMessage());
       commandFailed(machine, token, starting, new CallFailedException(executed, e.getMessage()));
       return;
     }
@@ -180,8 +185,8 @@
     if (executed
         && !heartbeat.newerThan(machine.agentEpoch, machine.heartbeatSeq)
         && heartbeat.agentEpoch() == machine.agentEpoch) {
-      // A newer heartbeat overtook this response, and was reconciled before the starts in it were
-      // known to be executed.
+      // A newer heartbeat overtook this response. It was reconciled while these starts still
+      // counted as in flight.
       return;
     }
     if (reconcile.test(heartbeat, machine) && executed) {
@@ -192,7 +197,8 @@
   private void settleStarts(Machine machine, List<Attempt> starting, boolean executed) {
     for (Attempt attempt : starting) {
       if (attempt.launchState == LaunchState.SENDING) {
-        // Executed: it is listed, or was and has ended since. Refused: nothing of it is left.
+        // If the agent executed the call, it has started the task, which may have ended since. If
+        // it refused the call, no copy of the start command is left.
         if (executed) {
           attempt.launchState = LaunchState.CONFIRMED;
         } else {
@@ -206,7 +212,11 @@
     machine.commandInFlight = false;
     machine.commandFailedAt = context.clock().now();
     boolean sent = !(cause instanceof CallFailedException failure) || failure.sent();
-    LOG.info("command to {} failed, sent {}: {}", machine.name, sent, cause.getMessage());
+    LOG.info(
+        "command to machine {} failed (possibly sent: {}): {}",
+        machine.name,
+        sent,
+        cause.getMessage());
     if (sent) {
       AttemptReconciler.fenceOff(machine, token);
     }
--- a/src/main/java/io/embernotch/agents/FencingTokens.java
+++ b/src/main/java/io/embernotch/agents/FencingTokens.java
@@ -1,8 +1,8 @@
 package io.embernotch.agents;
 
 /**
- * The layout of fencing tokens: the epoch of a term in the upper bits, and below it a counter that
- * is raised machine by machine. An agent that has seen a token refuses commands with a lower one.
+ * Defines the layout of fencing tokens: the epoch of a term in the upper bits, and a counter for
+ * each machine in the lower ones. An agent that has seen a token refuses commands with a lower one.
  */
 public final class FencingTokens {
   private static final int EPOCH_SHIFT_BITS = 20;
--- a/src/main/java/io/embernotch/agents/HeartbeatProcessor.java
+++ b/src/main/java/io/embernotch/agents/HeartbeatProcessor.java
@@ -14,15 +14,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Works out what a heartbeat proves of its machine, given that it may be late, a copy, or of
- * another incarnation of the machine, and answers those whose agents wait for a response.
+ * Determines what a heartbeat proves about its machine, and creates the response if the agent waits
+ * for one. A heartbeat may be delayed, duplicated, or from another incarnation of the machine.
  */
 final class HeartbeatProcessor {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatProcessor.class);
 
   /**
-   * Seconds after its heartbeat from which an agent drops the response ("Workers" in the protocol),
-   * whatever its clock's drift.
+   * Seconds after the sending of a heartbeat from which its agent drops the response ("Workers" in
+   * the protocol), clock drift included.
    */
   private static final double RESPONSE_ACCEPTED_S = 4 * (1 + 2 * Settings.DRIFT);
 
@@ -79,10 +79,10 @@
     }
     double now = context.clock().now();
     if (!newer && !ofOtherIncarnation && now - machine.lastHeartbeatAt > RESPONSE_ACCEPTED_S) {
-      // A copy, or another incarnation that counts anew. Nobody accepts a response to it: its agent
-      // gave up on it before the newest heartbeat was made. So it must renew nothing; copies of a
-      // dead machine's heartbeats would keep its lease assumed, and its services down, for as long
-      // as they arrive.
+      // This is a copy, or another incarnation has restarted its sequence numbers. No agent accepts
+      // a response to a copy this late: it gave up waiting before it sent the newest heartbeat. So
+      // the copy must not count as a renewal. Otherwise the leader would assume that the lease of a
+      // dead machine lasts, and keep its services down, for as long as copies arrive.
       prober.probeAtMostOncePerInterval(machine);
       return WorkerCodec.emptyResponse();
     }
@@ -105,9 +105,11 @@
   }
 
   /**
-   * Reconciles with a heartbeat. If the machine has begun another incarnation, only heartbeats that
-   * are certainly of that one count: a copy of the former incarnation's, with a later agent epoch,
-   * would prove gone what has just been started.
+   * Reconciles with a heartbeat unless it may be from a former incarnation of the machine. A
+   * delayed copy from a former incarnation in a later agent epoch would seem to prove that attempts
+   * which have just been started have ended.
+   *
+   * @return false if the heartbeat proves that this leader is superseded
    */
   private boolean reconcileCurrentIncarnation(Heartbeat heartbeat, Machine machine) {
     return mayBeOfFormerIncarnation(heartbeat, machine) || reconcile(heartbeat, machine);
@@ -122,9 +124,10 @@
   }
 
   /**
-   * Learns from a heartbeat, whichever way it came.
+   * Reconciles with a heartbeat, whether an agent sent it on its own or in response to a call.
    *
-   * @return false if it shows a fencing token of a later term, or of one whose epoch came again
+   * @return false if the agent has seen a fencing token of a later term, or of another term with
+   *     this term's epoch
    */
   boolean reconcile(Heartbeat heartbeat, Machine machine) {
     if (FencingTokens.epochOf(heartbeat.token()) > FencingTokens.epochOf(tokenBase)) {
@@ -139,10 +142,9 @@
     if (newer && heartbeat.token() >= machine.highestReportedToken) {
       reconcileNewer(heartbeat, machine);
     } else if (newer || heartbeat.token() != machine.highestReportedToken) {
-      // Tokens that an agent has seen only rise, so where they contradict the order of messages the
-      // heartbeat is late, or of another incarnation of the machine, which counts anew. The
-      // response
-      // to a probe that is sent now decides.
+      // The highest token that an agent has seen never falls. If it contradicts the sequence
+      // number, the heartbeat is late, or another incarnation has restarted its sequence numbers.
+      // The response to a probe decides which.
       prober.probeAtMostOncePerInterval(machine);
     }
     return true;
@@ -163,7 +165,7 @@
     machine.lastHeartbeatAt = now;
     machine.highestReportedToken = heartbeat.token();
     if (heartbeat.token() >= tokenBase && machine.confirmedAliveAt < 0) {
-      // Made after this term began: no copy from before it.
+      // The agent has seen a token of this term, so this is no copy from before the term.
       machine.confirmedAliveAt = now;
     }
     recordReclaimNotice(heartbeat, machine, now);
@@ -191,7 +193,10 @@
 
   private void recordReclaimNotice(Heartbeat heartbeat, Machine machine, double now) {
     if (heartbeat.reclaimInS() != null && machine.reclaimAt < 0) {
-      LOG.info("machine {} reclaimed by the cloud in {} s", machine.name, heartbeat.reclaimInS());
+      LOG.info(
+          "machine {} will be reclaimed by the cloud in {} s",
+          machine.name,
+          heartbeat.reclaimInS());
       machine.reclaimAt = now + heartbeat.reclaimInS();
       listener.clusterChanged();
     }
--- a/src/main/java/io/embernotch/agents/HeartbeatResponder.java
+++ b/src/main/java/io/embernotch/agents/HeartbeatResponder.java
@@ -13,11 +13,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Chooses the commands that go out with the response to an agent's heartbeat. */
+/** Selects the commands for the response to an agent's heartbeat. */
 final class HeartbeatResponder {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatResponder.class);
 
-  /** For so many heartbeat intervals after a direct call failed, starts take the other way. */
+  /** Heartbeat intervals after a failed direct call in which starts are sent in responses. */
   private static final int RECENT_FAILURE_INTERVALS = 2;
 
   private final ControllerContext context;
@@ -37,17 +37,17 @@
   }
 
   /**
-   * The commands for the response to a heartbeat that has been reconciled.
+   * Returns the commands for the response to a heartbeat that has been reconciled.
    *
-   * @param leaseProven whether the leader's lease is proven: otherwise nothing but stops is sent
+   * @param leaseProven whether the leader's lease is proven; otherwise only stops are sent
    */
   List<AgentCommand> commandsFor(Machine machine, Heartbeat heartbeat, boolean leaseProven) {
     List<AgentCommand> commands = new ArrayList<>();
     if (heartbeat.agentEpoch() == machine.agentEpoch) {
       addStops(machine, commands);
     }
-    // A heartbeat that a newer one, or a response, has overtaken lists as running what has exited
-    // since.
+    // A newer heartbeat, or the response to a call, may have overtaken this heartbeat, which then
+    // lists tasks as running that have exited since.
     if (leaseProven
         && heartbeat.agentEpoch() == machine.agentEpoch
         && heartbeat.seq() == machine.heartbeatSeq) {
@@ -66,7 +66,7 @@
     }
   }
 
-  /** Where a direct call has just failed, or is queued, starts go out with the response instead. */
+  /** Adds due starts if a direct call to the machine has recently failed or is still queued. */
   private void addStarts(Machine machine, List<AgentCommand> commands) {
     boolean commandFailed =
         context.clock().now() - machine.commandFailedAt
@@ -84,12 +84,12 @@
   }
 
   /**
-   * Has the agent forget exited attempts, once their outcome is in the store and no copy of their
-   * start can be executed any more: the agent would run a forgotten attempt once more. Even a
-   * command that was answered may be repeated on its way, so the response that forgets carries a
-   * token above all under which starts were sent; the agent takes the token first.
+   * Makes the agent forget exited attempts once their outcome is in the store and no copy of their
+   * start command can be executed any more: the agent would run a forgotten attempt again. The
+   * network may duplicate even a command that was answered, so the response carries a token above
+   * all those under which starts were sent. The agent applies the token before the commands.
    *
-   * <p>An attempt that runs and is not open is stopped.
+   * <p>A task that runs without an open attempt is stopped.
    */
   private void addForgets(Machine machine, Heartbeat heartbeat, List<AgentCommand> commands) {
     boolean noLateStart =
@@ -103,9 +103,9 @@
         continue;
       }
       if (status.state() != TaskState.EXITED) {
-        // The cluster state lacks nothing that was started and may go on, so this must not run.
+        // The cluster state contains every started attempt that may continue, so this one may not.
         LOG.warn(
-            "machine {} runs {}/{}#{}, which should be gone",
+            "machine {} runs {}/{}#{}, for which no attempt is open: stopping it",
             machine.name,
             status.ref(),
             status.task(),
--- a/src/main/java/io/embernotch/agents/ImageCache.java
+++ b/src/main/java/io/embernotch/agents/ImageCache.java
@@ -5,11 +5,11 @@
 import io.embernotch.state.ClusterState;
 
 /**
- * The leader's model of the image cache of each machine, kept in {@link Machine#images}: it is
- * evicted by the same rule as the agent's own, least recently used first.
+ * Models the image cache of each machine in {@link Machine#images}. Images are evicted by the
+ * agent's own rule, least recently used first.
  */
 final class ImageCache {
-  /** Images of a machine that are remembered, whatever their size. */
+  /** Most images that are kept for a machine, whatever their size. */
   private static final int MAX_IMAGES = 32;
 
   private final ClusterState state;
@@ -19,7 +19,8 @@
   }
 
   /**
-   * The machine has the job's image; the least recently used ones that no longer fit are evicted.
+   * Records that the machine has the job's image, and evicts the least recently used images that no
+   * longer fit.
    */
   void recordUse(Machine machine, JobSpec spec) {
     machine.images.remove(spec.image());
@@ -33,7 +34,10 @@
     }
   }
 
-  /** The type is null until the first heartbeat; a type without a cache size is not limited. */
+  /**
+   * Returns whether an image must be evicted. The machine type is null until the first heartbeat; a
+   * cache size of 0 or less is unlimited.
+   */
   private static boolean isOverLimit(Machine machine, double usedGb) {
     return machine.images.size() > MAX_IMAGES
         || (machine.type != null && machine.type.cacheGb() > 0 && usedGb > machine.type.cacheGb());
--- a/src/main/java/io/embernotch/agents/ReachabilityTracker.java
+++ b/src/main/java/io/embernotch/agents/ReachabilityTracker.java
@@ -9,38 +9,45 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Detects machines behind a one-way partition: their heartbeats arrive while neither responses nor
- * commands reach them. No failure detector finds such a machine unresponsive, so it would be given
- * starts by each scheduling pass, each of which costs commits, and a gang with a task there would
- * never begin.
+ * Detects machines behind a one-way partition: their heartbeats arrive, but neither responses nor
+ * commands reach them. Failure detection by heartbeats does not find such a machine. Each
+ * scheduling pass would place tasks on it again, which costs commits, and a gang with a task on it
+ * would never start.
  *
- * <p>A machine is proven reachable by a fencing token of this term that it has not reported before,
- * or by the response to a call. Signs of the contrary: a heartbeat that still shows a lower token
- * than the one that the previous heartbeat was answered with; one that comes by another controller
- * right after the previous one did, since an agent changes controllers only if it gets no response;
- * a lease that expired although its heartbeats were answered; a call that was tried and not
- * answered. Where the machine had no new token to report, the next response carries a token raised
- * by one, and the heartbeat after it decides.
+ * <p>A machine is reachable if it reports a fencing token of this term for the first time, or
+ * answers a call. These are signs that it is unreachable:
+ *
+ * <ul>
+ *   <li>a heartbeat reports a lower token than the response to an earlier heartbeat carried;
+ *   <li>the forwarding controller changes twice in a row: an agent changes controllers only if it
+ *       gets no response;
+ *   <li>the agent begins a new epoch, so its lease has expired, although its heartbeats were
+ *       answered;
+ *   <li>a call was tried and not answered.
+ * </ul>
+ *
+ * <p>If the machine had no new token to report, the next response carries a higher token, and the
+ * heartbeat after it decides.
  */
 final class ReachabilityTracker {
   private static final Logger LOG = LoggerFactory.getLogger(ReachabilityTracker.class);
 
   /**
-   * So many signs in a row, and a machine is taken for unreachable: a single response may be late,
-   * and a controller may have failed.
+   * Signs in a row after which a machine counts as unreachable. One is not enough: a response may
+   * be late, or a controller may have failed.
    */
   private static final int SIGNS_REQUIRED = 2;
 
   /**
-   * So many machines with unanswered calls in a row while none is answered, and it is rather this
-   * leader that reaches nobody.
+   * Machines with unanswered calls, and no answered call to any machine in between, from which on
+   * this leader is suspected to reach no agent.
    */
   private static final int MACHINES_TO_SUSPECT_LEADER = 3;
 
   private final long tokenBase;
   private final double heartbeatIntervalS;
 
-  /** Machines whose calls were not answered since the last call that was. */
+  /** Machines with an unanswered call since the last answered call to any machine. */
   private final Set<Machine> unansweredMachines = new LinkedHashSet<>();
 
   /** When a call to any machine was last answered. */
@@ -52,10 +59,11 @@
   }
 
   /**
-   * A newer heartbeat has arrived; {@code machine} is still in the state from before it.
+   * Processes a newer heartbeat; {@code machine} still has the state from before it.
    *
-   * @param forwarder the process incarnation of the controller that it was sent to
-   * @param now steady seconds
+   * @param forwarder the process incarnation of the controller that forwarded the heartbeat; 0 if
+   *     the agent sent it to this controller
+   * @param now seconds of the steady clock
    */
   void heartbeatReceived(Machine machine, Heartbeat heartbeat, long forwarder, double now) {
     boolean forwarderChanged =
@@ -67,7 +75,7 @@
     } else if (heartbeat.token() > machine.acknowledgedToken && heartbeat.token() >= tokenBase) {
       confirmReachable(machine, now);
     } else if (forwarderChanged) {
-      // The first change may be because a controller has failed; the next one decides.
+      // A single change may be due to a failed controller, so the next heartbeat decides.
       machine.forwarderChanges++;
       if (machine.forwarderChanges >= SIGNS_REQUIRED) {
         acknowledgementMissed(machine, now);
@@ -78,26 +86,26 @@
     }
     boolean agentRestarted = heartbeat.agentEpoch() > machine.agentEpoch && machine.agentEpoch > 0;
     if (answered && agentRestarted) {
-      // Its lease expired although its heartbeats were answered.
+      // The agent's lease expired although its heartbeats were answered.
       acknowledgementMissed(machine, now);
       probeWithNextToken(machine);
     }
     machine.acknowledgedToken = Math.max(machine.acknowledgedToken, heartbeat.token());
   }
 
-  /** The next response carries a token that the machine has not reported yet. */
+  /** Raises the machine's token, so that it has not yet reported that of the next response. */
   private static void probeWithNextToken(Machine machine) {
     machine.token =
         Math.max(machine.token, Math.max(machine.acknowledgedToken, machine.lastAnsweredToken) + 1);
   }
 
-  /** A heartbeat is being answered with the machine's token. */
+  /** Records that a heartbeat is answered with the machine's current token. */
   void answering(Machine machine) {
     machine.lastAnsweredToken = machine.token;
     machine.highestIssuedToken = Math.max(machine.highestIssuedToken, machine.token);
   }
 
-  /** The machine has answered a call. */
+  /** Records that the machine has answered a call. */
   void callAnswered(Machine machine, double now) {
     lastCallAnsweredAt = now;
     unansweredMachines.clear();
@@ -119,9 +127,9 @@
   }
 
   /**
-   * A call that was tried got no response. A leader that reaches no agent at all, and receives
-   * heartbeats through the other controllers, must not take every machine for unreachable: then the
-   * responses to heartbeats decide.
+   * Records that a call was tried and got no response. If this leader reaches no agent at all and
+   * receives heartbeats only through other controllers, unanswered calls must not make every
+   * machine count as unreachable. Then the responses to heartbeats decide.
    */
   void callUnanswered(Machine machine, double now) {
     probeWithNextToken(machine);
@@ -140,7 +148,7 @@
     if (machine.missedAcknowledgements >= SIGNS_REQUIRED && machine.unreachableSince < 0) {
       machine.unreachableSince = now;
       LOG.info(
-          "machine {} is unreachable (one-way partition), with {} tasks",
+          "machine {} is unreachable (one-way partition), with {} open attempts",
           machine.name,
           machine.openAttempts.size());
     }
--- a/src/main/java/io/embernotch/agents/RenewalDelegations.java
+++ b/src/main/java/io/embernotch/agents/RenewalDelegations.java
@@ -11,42 +11,49 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The leader's side of delegated lease renewal. A controller to which the leader has delegated it
- * may renew the leases of agents in its own zone while it is partitioned together with them; this
- * class knows until when each controller may have done so.
+ * The leader's side of delegated lease renewal. The leader may delegate to a controller the renewal
+ * of the leases of agents in that controller's zone, for the time in which it and these agents are
+ * partitioned from the leader. This class computes until when each controller may have renewed
+ * leases.
  *
- * <p>A controller renews nothing before {@link Settings#contactTimeoutS} after the sending of a
- * message that the leader has answered. Say its message n acknowledges the answer to k, and k
- * acknowledged the answer to j. Then k was sent after j was answered, so up to the contact timeout
- * after that answer it renewed nothing by itself but what n reports. All instants are of this
- * leader's steady clock; delayed messages only make them earlier.
+ * <p>A controller renews no lease until {@link Settings#contactTimeoutS} seconds have passed since
+ * it sent the latest message that the leader has answered. Let its message n acknowledge the answer
+ * to message k, and k acknowledge the answer to message j. Then the controller sent k after the
+ * leader answered j. Until the contact timeout after the answer to j, it has therefore made no
+ * renewals but those that n reports. All times are of this leader's steady clock; delayed messages
+ * only make this bound earlier.
  *
- * <p>Sequence numbers are never those of another incarnation of the process ({@link
- * ProcessIncarnation}), so a late message of a former one proves the same: the incarnation that
- * followed had not begun when k was sent, and renews nothing for the contact timeout from its
- * beginning.
+ * <p>Two incarnations of a process never use the same sequence number ({@link ProcessIncarnation}),
+ * so a late message of a former incarnation proves the same. The next incarnation had not begun
+ * when k was sent, and renews no lease until the contact timeout after its beginning.
  *
  * <p>Confined to the leader's event loop.
  */
 public final class RenewalDelegations {
-  /** Messages of a controller whose acknowledgements and answers are remembered. */
+  /** Most messages of each controller whose acknowledgements and answer times are kept. */
   private static final int REMEMBERED_MESSAGES = 64;
 
-  /** What is known of one controller. */
+  /** The state of the delegation to one controller. */
   private static final class Delegation {
+    /** When this leader answered each message, by the message's sequence number. */
     final Map<Long, Double> answeredAt = new LeastRecentlyUsed<>(REMEMBERED_MESSAGES);
+
+    /** The sequence number that each message acknowledged, by its own sequence number. */
     final Map<Long, Long> acknowledgements = new LeastRecentlyUsed<>(REMEMBERED_MESSAGES);
 
-    /** The latest renewal that it has reported, or that it cannot know of and may have made. */
+    /**
+     * The latest renewal that the controller has reported, or that a former process of it may have
+     * made.
+     */
     double renewedAt = Clock.NEVER;
 
-    /** Up to then it has renewed nothing that it has not reported. */
+    /** The time until which the controller has reported all renewals that it has made. */
     double noUnreportedRenewalUntil = Clock.NEVER;
 
-    /** When the delegation that it was last granted ends; 0 if none was granted. */
+    /** When the last granted delegation ends; 0 if none was granted. */
     double grantEndsAt;
 
-    /** The process incarnation that sent the latest message; see {@link ProcessIncarnation}. */
+    /** The process incarnation that sent the latest message; below 0 before the first. */
     long processIncarnation = -1;
   }
 
@@ -58,10 +65,11 @@
   /**
    * Creates the delegations of a term, none of them granted.
    *
-   * @param acquiredAt when the term began, in steady seconds
-   * @param controllersDelayingCancellations controllers that are known to delay cancellations,
-   *     whoever leads; those that send a message are added. A controller is only ever replaced by
-   *     one of its version or a later one
+   * @param acquiredAt when the term began, in seconds of the steady clock
+   * @param controllersDelayingCancellations names of the controllers whose version is known to
+   *     confirm a cancellation only once all tasks must end in time; this class adds each
+   *     controller that sends a message. The set outlives the term, since a controller is never
+   *     downgraded
    */
   public RenewalDelegations(
       Settings settings, double acquiredAt, Set<String> controllersDelayingCancellations) {
@@ -71,36 +79,38 @@
   }
 
   /**
-   * Seconds of this leader's clock for which anybody can go on renewing without a proven lease,
-   * whatever the drift of their clock.
+   * Returns the seconds of this leader's clock for which any controller may go on renewing agents'
+   * leases without a proven leader lease, clock drift included.
    */
   static double longestGracePeriodS(Settings settings) {
     return settings.gracePeriodS() * (1 + Settings.DRIFT);
   }
 
-  /** Renewals that began before this term, by anybody, end by this instant. */
+  /** Returns the time by which all renewals that began before this term end. */
   private double formerRenewalsEndAt() {
     return acquiredAt + longestGracePeriodS(settings);
   }
 
   /**
-   * True if every controller is known to be of a version that delays cancellations. While one may
-   * not be, nobody renews for longer than the former version assumes. A leader that was partitioned
-   * alone sends nothing to its successor; that it answered as a leader proves its version as well.
-   * If only those that send messages counted, a store outage after such a partition would end all
-   * tasks.
+   * Returns whether the version of every other controller is known to delay the confirmation of
+   * cancellations. Otherwise no controller renews leases for longer than the former version
+   * assumes.
+   *
+   * <p>A controller proves its version by a message to this leader, or by an answer that it gave as
+   * a leader. A former leader that is partitioned sends no messages to its successor. If its
+   * answers did not count, a store outage after such a partition would end all tasks.
    */
   private boolean allDelayCancellations() {
     return settings.members().stream()
         .allMatch(member -> controllersDelayingCancellations.contains(member.node()));
   }
 
-  /** How long this leader renews leases of agents without a proven lease of its own, in seconds. */
+  /** Seconds for which this leader renews agents' leases while its own lease is not proven. */
   public double ownGracePeriodS() {
     return allDelayCancellations() ? settings.gracePeriodS() : settings.legacyGracePeriodS();
   }
 
-  /** The zone of a controller; null if the settings do not know it. */
+  /** The zone of another controller; null if the settings do not list it. */
   public String zoneOf(String node) {
     return settings.members().stream()
         .filter(member -> member.node().equals(node))
@@ -110,8 +120,8 @@
   }
 
   /**
-   * True if the message is of another incarnation of its process than the one before, or the first
-   * message of the controller in this term.
+   * Returns whether the message is the controller's first in this term, or comes from another
+   * incarnation of its process than the previous message.
    */
   public boolean isNewProcess(Frame.DelegateHeartbeat message) {
     Delegation delegation = delegations.get(message.node());
@@ -120,12 +130,12 @@
   }
 
   /**
-   * A controller has sent its heartbeat.
+   * Processes a controller's heartbeat.
    *
    * @param mayGrant whether the delegation may be granted: the leader's lease is proven, and no job
    *     whose cancellation was confirmed to a user has tasks left in the controller's zone
-   * @param now steady seconds
-   * @return the answer to send at once
+   * @param now seconds of the steady clock
+   * @return the answer, which the caller must send at once
    */
   public Frame.DelegateHeartbeatAck heartbeatReceived(
       Frame.DelegateHeartbeat message, long epoch, boolean mayGrant, double now) {
@@ -145,7 +155,8 @@
 
   private void recordRenewals(Delegation delegation, Frame.DelegateHeartbeat message, double now) {
     if (message.ack() == 0 || delegation.answeredAt.isEmpty()) {
-      // Nobody reports what its former process, or it under a former leader, has renewed.
+      // Renewals by a former process of the controller, or under a former leader, are not
+      // reported, so the latest possible one is assumed.
       delegation.renewedAt =
           Math.max(
               delegation.renewedAt,
@@ -156,7 +167,10 @@
     }
   }
 
-  /** Draws the conclusion from n to j that the class comment explains. */
+  /**
+   * Derives {@link Delegation#noUnreportedRenewalUntil} as the class comment explains; {@code
+   * message} is n there.
+   */
   private void recordContact(Delegation delegation, Frame.DelegateHeartbeat message) {
     Long acknowledgedBefore = delegation.acknowledgements.get(message.ack());
     Double answeredAt =
@@ -168,14 +182,17 @@
   }
 
   /**
-   * No controller has by itself renewed the lease of an agent in this zone later than at this
-   * instant, as far as is known at {@code now}; far in the past if no controller is in the zone.
+   * Returns the latest time at which another controller may have renewed the lease of an agent in
+   * this zone, as known at {@code now}; {@link Clock#NEVER} if no other controller is in the zone.
    */
   public double renewedUntil(String zone, double now) {
     return latestOfZone(zone, delegation -> renewedUntil(delegation, now));
   }
 
-  /** Renewals of this zone's agents that nobody else can stop end by this instant. */
+  /**
+   * Returns the time by which other controllers' renewals in this zone end if no further delegation
+   * is granted; {@link Clock#NEVER} if no other controller is in the zone.
+   */
   public double renewalsEndBy(String zone) {
     return latestOfZone(
         zone,
@@ -183,7 +200,10 @@
             Math.max(formerRenewalsEndAt(), delegation == null ? 0 : delegation.grantEndsAt));
   }
 
-  /** The bound takes null for a controller that has sent nothing in this term. */
+  /**
+   * Returns the latest of the bounds for the controllers in a zone. {@code bound} is passed null
+   * for a controller that has sent nothing in this term.
+   */
   private double latestOfZone(String zone, ToDoubleFunction<Delegation> bound) {
     double latest = Clock.NEVER;
     for (Settings.Member member : settings.members()) {
--- a/src/main/java/io/embernotch/agents/StatusProber.java
+++ b/src/main/java/io/embernotch/agents/StatusProber.java
@@ -14,12 +14,12 @@
 
 /**
  * Requests the status of machines that are unresponsive, have not sent a heartbeat yet, or have
- * sent one that may be old.
+ * sent one that may be outdated.
  */
 final class StatusProber {
   private static final Logger LOG = LoggerFactory.getLogger(StatusProber.class);
 
-  /** The agent's path for its status, which reads like a heartbeat. */
+  /** The agent's path for its status, which has the format of a heartbeat. */
   private static final String STATUS_PATH = "/status";
 
   private final ControllerContext context;
@@ -31,7 +31,8 @@
   /**
    * Creates a prober with no request in flight.
    *
-   * @param reconcile takes the status that a machine responds with
+   * @param callTimeoutS seconds to wait for a response
+   * @param reconcile processes the status in a response
    */
   StatusProber(
       ControllerContext context,
@@ -47,8 +48,8 @@
   }
 
   /**
-   * Probes because of a heartbeat that proves nothing: copies may come by the hundred, so this is
-   * done once in a heartbeat interval.
+   * Probes a machine after a heartbeat that proves nothing, at most once in a heartbeat interval,
+   * since hundreds of copies may arrive.
    */
   void probeAtMostOncePerInterval(Machine machine) {
     double now = context.clock().now();
@@ -59,8 +60,8 @@
   }
 
   /**
-   * Requests the status of an unresponsive machine. The response counts as a newer heartbeat, but
-   * renews no lease.
+   * Requests the status of an unresponsive machine, unless a request to it is in flight. The
+   * response counts as a newer heartbeat, but renews no lease.
    */
   void probe(Machine machine) {
     if (!machine.probing
@@ -71,8 +72,8 @@
   }
 
   /**
-   * Looks for a machine that has sent no heartbeat yet; does nothing once it has, or if it is being
-   * deleted.
+   * Requests the status of a machine that has sent no heartbeat yet. Does nothing once it has sent
+   * one, or if it is being deleted.
    */
   void find(Machine machine) {
     if (!machine.up()
@@ -91,7 +92,10 @@
           machine.agentEpoch, machine.heartbeatSeq, machine.highestReportedToken);
     }
 
-    /** True if the response counts from before it: only another incarnation does. */
+    /**
+     * Returns whether a response, though sent later, is older by its numbers or token: then it is
+     * from another incarnation of the machine.
+     */
     boolean isContradictedBy(Heartbeat heartbeat) {
       return !heartbeat.newerThan(agentEpoch, heartbeatSeq) || heartbeat.token() < reportedToken;
     }
@@ -117,7 +121,7 @@
       }
       reconcile.accept(heartbeat, machine);
     } catch (MalformedInputException e) {
-      LOG.info("unreadable status of {}: {}", machine.name, e.getMessage());
+      LOG.info("invalid status response from machine {}: {}", machine.name, e.getMessage());
     }
   }
 
@@ -134,9 +138,9 @@
   }
 
   /**
-   * The status of a machine counts from before its heartbeats: another incarnation has begun under
-   * its name, which has seen no token, and runs just what it lists. Without the reset all its
-   * heartbeats would be taken for late.
+   * Resets the heartbeat state of a machine after another incarnation has begun under its name.
+   * That one has seen no token, and runs only the tasks that it lists. Without the reset all its
+   * heartbeats would count as late.
    */
   private static void resetForNewIncarnation(Machine machine) {
     LOG.info("machine {} restarted its heartbeat sequence: new incarnation", machine.name);
@@ -145,8 +149,8 @@
     machine.highestReportedToken = 0;
     machine.lastAnsweredToken = 0;
     machine.acknowledgedToken = 0;
-    // No former incarnation has seen this token, so a heartbeat with a lower one is of theirs, or
-    // proves nothing yet.
+    // No former incarnation has seen this token. A heartbeat with a lower one may be from any
+    // incarnation, so it proves nothing.
     machine.token++;
     machine.incarnationToken = machine.token;
     machine.images.clear();
--- a/src/main/java/io/embernotch/agents/TaskLauncher.java
+++ b/src/main/java/io/embernotch/agents/TaskLauncher.java
@@ -17,8 +17,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Starts what the scheduler has placed: opens attempts, has them committed, and only then sends
- * them. Confined to the leader's event loop.
+ * Starts the tasks that the scheduler has placed. Opens an attempt for each, writes it to the
+ * store, and sends its start command once the write is committed. Confined to the leader's event
+ * loop.
  */
 public final class TaskLauncher {
   private static final Logger LOG = LoggerFactory.getLogger(TaskLauncher.class);
@@ -37,7 +38,7 @@
   /**
    * Creates the launcher of a term.
    *
-   * @param acquiredAt when the term began, in steady seconds
+   * @param acquiredAt when the term began, in seconds of the steady clock
    * @param isLeading whether the leader's lease is proven
    */
   public TaskLauncher(
@@ -56,9 +57,10 @@
   }
 
   /**
-   * Opens an attempt for each placement of the start; their commands are sent once committed.
+   * Opens an attempt for each placement of the start. Each start command is sent once its attempt
+   * is committed.
    *
-   * @param now when the start was scheduled, in steady seconds
+   * @param now when the start was scheduled, in seconds of the steady clock
    */
   public void launch(SchedulingPlan.Start start, double now) {
     Job job = start.job();
@@ -71,7 +73,7 @@
       Machine machine = placement.machine();
       Attempt attempt = state.openAttempt(job, placement.task(), number, machine, now);
       job.preferredMachines.remove(placement.task());
-      LOG.debug("{} is opened: planned on {}, no other attempt is open", attempt, machine.name);
+      LOG.debug("{} opened on machine {}: no other attempt is open", attempt, machine.name);
       stateWriter.writeNow(
           job, placement.task(), priority, () -> attemptCommitted(attempt, machine, now));
     }
@@ -88,19 +90,19 @@
       return;
     }
     attempt.launchState = Attempt.LaunchState.READY;
-    LOG.debug("{} may start: its attempt is committed", attempt);
+    LOG.debug("{} committed: its start command may be sent", attempt);
     sendSoon(machine);
     if (isService(attempt.job) && !serviceStarted) {
       serviceStarted = true;
       double at = context.clock().now();
       LOG.info(
-          "first service start {} ms after the failover, {} ms after it was scheduled",
+          "first start of a production job {} ms after the term began, {} ms after scheduling",
           Math.round((at - acquiredAt) * MS_PER_S),
           Math.round((at - scheduledAt) * MS_PER_S));
     }
   }
 
-  /** Collects the starts of one commit, so that each machine gets one command. */
+  /** Collects the starts of one commit, so that each machine gets them in one call. */
   private void sendSoon(Machine machine) {
     if (machinesToSend.isEmpty()) {
       context.loop().execute(this::sendCollected);
@@ -109,7 +111,7 @@
   }
 
   private void sendCollected() {
-    // In the order of their commits, so that a simulated run repeats by its seed.
+    // In commit order, so that a simulation with the same seed takes the same course.
     Set<Machine> machines = new LinkedHashSet<>(machinesToSend);
     machinesToSend.clear();
     if (isLeading.getAsBoolean()) {
--- a/src/main/java/io/embernotch/agents/TaskStopper.java
+++ b/src/main/java/io/embernotch/agents/TaskStopper.java
@@ -14,7 +14,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Has attempts end: one, a whole gang, or all on a machine. Confined to the leader's event loop.
+ * Stops attempts: a single one, a whole gang, or all on a machine. Confined to the leader's event
+ * loop.
  */
 public final class TaskStopper {
   private static final Logger LOG = LoggerFactory.getLogger(TaskStopper.class);
@@ -28,8 +29,8 @@
   /**
    * Creates the stopper of a term.
    *
-   * @param close closes an attempt of which nothing was sent
-   * @param isLoaded whether the store has been read: before that, commands wait
+   * @param close closes an attempt whose start command has not been sent
+   * @param isLoaded whether the store has been loaded; no command is sent before
    */
   public TaskStopper(
       ControllerContext context,
@@ -45,9 +46,9 @@
   }
 
   /**
-   * Has an attempt end. One whose start has not been sent is closed at once.
+   * Requests that an attempt stop. One whose start command has not been sent is closed at once.
    *
-   * @param graceS seconds that the task is given to save; the shortest one requested counts
+   * @param graceS seconds that the task has to save a checkpoint; the shortest requested one counts
    */
   public void requestStop(Attempt attempt, double graceS) {
     if (attempt.launchState == Attempt.LaunchState.UNCOMMITTED
@@ -56,7 +57,7 @@
       return;
     }
     if (!attempt.stopping || graceS < attempt.stopGraceS) {
-      LOG.debug("{} is to stop, with {} s to save; {}", attempt, graceS, reason(attempt.job));
+      LOG.debug("stopping {} with {} s to save: {}", attempt, graceS, reason(attempt.job));
       attempt.stopping = true;
       attempt.stopGraceS = graceS;
       attempt.stopRequestedAt = context.clock().now();
@@ -73,12 +74,11 @@
     if (job.finalPhase != null) {
       return "the job has ended";
     }
-    return job.cancelRequested ? "its user cancels the job" : "its place is needed or lost";
+    return job.cancelRequested ? "a user cancelled the job" : "preempted, displaced or restarted";
   }
 
   /**
-   * Stops the attempts of a gang that are still open; the next attempt starts when all of them have
-   * ended.
+   * Stops the open attempts of a gang. The gang's next attempt starts when all of them have ended.
    */
   public void stopGang(Job job, double graceS) {
     for (Attempt attempt : List.copyOf(job.openAttempts.values())) {
@@ -88,7 +88,7 @@
     }
   }
 
-  /** Stops an attempt, and with it the rest of its gang. */
+  /** Stops an attempt and, if it belongs to a gang, the gang's other attempts. */
   public void stopWithGang(Attempt attempt, double graceS) {
     if (attempt.job.spec.shape() == JobShape.GANG) {
       stopGang(attempt.job, graceS);
@@ -98,9 +98,10 @@
   }
 
   /**
-   * Stops all attempts on a machine that the cloud reclaims.
+   * Stops all attempts on a machine if the cloud is about to reclaim it.
    *
-   * @return true once a machine that is to run nothing more is empty
+   * @return whether the machine is up and has no open attempts, and is either about to be reclaimed
+   *     or cordoned
    */
   public boolean drained(Machine machine) {
     if (machine.reclaimAt >= 0) {
--- a/src/main/java/io/embernotch/agents/WorkerCalls.java
+++ b/src/main/java/io/embernotch/agents/WorkerCalls.java
@@ -8,14 +8,19 @@
 import io.vertx.core.Future;
 
 /**
- * Calls to machines. What keeps one from being made, such as an address that can't be read, fails
- * its future like anything else that happens to it, so that whoever holds a slot or a mark for the
- * call has one place to give it back.
+ * Makes HTTP calls to agents. If a call can't be made, for example because the address is
+ * malformed, the returned future fails, as it does for any other failure. Callers therefore release
+ * what they hold for a call in one place.
  */
 final class WorkerCalls {
   private WorkerCalls() {}
 
-  /** Makes a call; {@code body} may be null. It never throws. */
+  /**
+   * Makes a call. Never throws.
+   *
+   * @param body the JSON body; null for none
+   * @return the response, whatever its status; fails with {@link CallFailedException}
+   */
   static Future<HttpReply> call(
       ControllerContext context,
       Machine machine,
--- a/src/main/java/io/embernotch/agents/WorkerLeases.java
+++ b/src/main/java/io/embernotch/agents/WorkerLeases.java
@@ -5,8 +5,8 @@
 import io.embernotch.settings.Settings;
 
 /**
- * Until when an agent may go on running its tasks: its lease, counted from the latest instant at
- * which anybody can have renewed it. All instants are seconds of the leader's steady clock.
+ * Computes until when an agent may go on running its tasks: for one lease from the latest time at
+ * which any controller can have renewed it. All times are seconds of the leader's steady clock.
  */
 public final class WorkerLeases {
   /** Added to a lease for the time that an agent needs to kill its tasks. */
@@ -28,22 +28,25 @@
   }
 
   /**
-   * Seconds after its last renewal at which an agent has killed all its tasks, clock drift
-   * included.
+   * Seconds after the last renewal of its lease by which an agent has killed all its tasks, clock
+   * drift included.
    */
   private static double leaseTtlS(Settings settings) {
     return settings.workers().leaseS() * (1 + 2 * Settings.DRIFT) + KILL_MARGIN_S;
   }
 
   /**
-   * Seconds from the beginning of a term after which nothing runs any more whose lease was renewed
-   * before the term, whoever renewed it.
+   * Seconds from the beginning of a term after which no task runs any more under a lease that only
+   * a former leader, or a controller under its delegation, has renewed.
    */
   public static double longestLeaseS(Settings settings) {
     return RenewalDelegations.longestGracePeriodS(settings) + leaseTtlS(settings);
   }
 
-  /** A former leader may have renewed until then an agent that has seen no token of this term. */
+  /**
+   * Returns the time until which a former leader may have renewed the lease; {@link Clock#NEVER}
+   * once the agent has reported a token of this term.
+   */
   private double formerLeaderRenewalsUntil(Machine machine) {
     return machine.highestReportedToken >= tokenBase
         ? Clock.NEVER
@@ -51,21 +54,22 @@
   }
 
   /**
-   * True once the machine's agent must have killed all its tasks: nobody can have renewed its lease
-   * for longer than it lasts, neither a former leader nor a controller that is partitioned together
-   * with the machine's zone.
+   * Returns whether the machine's agent must have killed all its tasks: for longer than a lease
+   * lasts, no controller can have renewed it. This includes former leaders, and controllers that
+   * are partitioned together with the machine's zone.
    */
   boolean expired(Machine machine) {
     double now = clock.now();
-    // While its zone is unknown, any controller may have renewed it.
+    // While the machine's zone is unknown, any controller may have renewed the lease.
     double delegatedUntil =
         machine.zone == null ? now : delegations.renewedUntil(machine.zone, now);
     return now > lastRenewalAt(machine, delegatedUntil) + leaseTtlS(settings);
   }
 
   /**
-   * The instant by which all tasks have ended on a machine that is never reached again, whoever
-   * else renews its lease; {@link Double#MAX_VALUE} if its zone is unknown.
+   * Returns the time by which all tasks on the machine have ended if this leader never reaches it
+   * again, even if other controllers renew its lease for as long as they may; {@link
+   * Double#MAX_VALUE} if the machine's zone is unknown.
    */
   double leaseExpiresBy(Machine machine) {
     if (machine.zone == null) {
@@ -74,7 +78,7 @@
     return lastRenewalAt(machine, delegations.renewalsEndBy(machine.zone)) + leaseTtlS(settings);
   }
 
-  /** The latest instant at which anybody can have renewed the machine's lease. */
+  /** Returns the latest time at which any controller can have renewed the machine's lease. */
   private double lastRenewalAt(Machine machine, double delegatedUntil) {
     return Math.max(
         machine.leaseRenewedAt, Math.max(formerLeaderRenewalsUntil(machine), delegatedUntil));
--- a/src/main/java/io/embernotch/forwarding/DelegatedRenewal.java
+++ b/src/main/java/io/embernotch/forwarding/DelegatedRenewal.java
@@ -12,42 +12,52 @@
 import java.util.Optional;
 
 /**
- * A controller's side of delegated lease renewal: it may renew the leases of agents in its own zone
- * while it is partitioned together with them. Otherwise all tasks behind a network partition would
- * end with their leases, though nothing is wrong there.
+ * A controller's side of delegated lease renewal. The controller may renew the leases of agents in
+ * its own zone while it and these agents are partitioned from the leader. Otherwise all tasks in a
+ * partitioned zone would end with their leases, although their machines are healthy.
  *
- * <p>The delegation is granted by a live leader with each {@link Frame.DelegateHeartbeatAck},
- * counts from the sending of the heartbeat that this answers, and is used only once the leader has
- * not answered for {@link Settings#contactTimeoutS}. The leader's side, {@link
- * io.embernotch.agents.RenewalDelegations}, knows until when such renewals may have gone on.
+ * <p>The leader grants the delegation with a {@link Frame.DelegateHeartbeatAck}. Its period counts
+ * from the sending of the acknowledged heartbeat, and the controller uses it only once the leader
+ * has not answered for {@link Settings#contactTimeoutS} seconds. On the leader's side, {@link
+ * io.embernotch.agents.RenewalDelegations} computes until when such renewals may have been made.
  *
  * <p>Confined to the controller's event loop.
  */
 public final class DelegatedRenewal {
-  /** Heartbeats of which the instant of sending is remembered. */
+  /** Most heartbeats to the leader whose send times are kept. */
   private static final int REMEMBERED_HEARTBEATS = 64;
 
-  /** What {@link Frame.DelegateHeartbeat} carries, and this class starts with, for no renewal. */
+  /**
+   * Value of {@link #renewedAt}, and of the age sent in {@link Frame.DelegateHeartbeat}, before the
+   * first renewal.
+   */
   private static final double NOT_RENEWED = -1;
 
   private final ControllerContext context;
   private final Settings settings;
+
+  /** When each heartbeat was sent to the leader, by sequence number. */
   private final Map<Long, Double> sentAt = new LeastRecentlyUsed<>(REMEMBERED_HEARTBEATS);
+
   private long lastSeq;
   private long highestAcknowledged;
 
-  /** When the latest heartbeat was sent that a leader has answered. */
+  /** When the latest heartbeat that a leader has answered was sent. */
   private double contactAt;
 
-  /** When the latest heartbeat was sent whose answer granted the delegation. */
+  /** When the latest heartbeat whose answer granted the delegation was sent. */
   private double grantedAt = Clock.NEVER;
 
+  /** When this controller last renewed a lease by delegation. */
   private double renewedAt = NOT_RENEWED;
 
-  /** When each machine's agent was last sent away to find the leader itself. */
+  /**
+   * When each machine's agent was last redirected, by machine name. For an agent that has not been
+   * redirected in this partition, it is set so that its second heartbeat is redirected.
+   */
   private final Map<String, Double> sentAwayAt;
 
-  /** Creates a controller's side with nothing granted; the contact timeout counts from now. */
+  /** Creates a controller's side with nothing delegated; the contact timeout counts from now. */
   public DelegatedRenewal(ControllerContext context) {
     this.context = context;
     this.settings = context.settings();
@@ -56,7 +66,7 @@
     this.lastSeq = ProcessIncarnation.begin(context.names());
   }
 
-  /** This controller's next heartbeat, which the caller sends to the leader at once. */
+  /** Returns this controller's next heartbeat; the caller must send it to the leader at once. */
   public Frame.DelegateHeartbeat nextHeartbeat() {
     double now = context.clock().now();
     sentAt.put(++lastSeq, now);
@@ -67,7 +77,10 @@
         renewedAt < 0 ? NOT_RENEWED : now - renewedAt);
   }
 
-  /** The leader has answered one of these heartbeats; answers to forgotten ones are dropped. */
+  /**
+   * Processes the leader's answer to one of this controller's heartbeats. An answer to a heartbeat
+   * whose send time is no longer kept is ignored.
+   */
   public void acknowledged(Frame.DelegateHeartbeatAck acknowledgement) {
     Double sent = sentAt.get(acknowledgement.seq());
     if (sent == null) {
@@ -75,8 +88,8 @@
     }
     highestAcknowledged = Math.max(highestAcknowledged, acknowledgement.seq());
     if (context.clock().now() - contactAt > settings.contactTimeoutS()) {
-      // The next partition is another one: an agent that is sent away in it before its lease has
-      // been renewed here may lose the lease.
+      // A partition has ended. In the next one, an agent that is redirected before its lease has
+      // been renewed once could lose the lease.
       sentAwayAt.clear();
     }
     contactAt = Math.max(contactAt, sent);
@@ -86,13 +99,13 @@
   }
 
   /**
-   * Answers a heartbeat under the delegation. The response renews the agent's lease under the
-   * fencing token that it has. Now and then, while its lease is fresh, an agent is sent away to
-   * find the leader itself instead: perhaps only this controller is partitioned, and the agent
-   * would get no commands here.
+   * Answers a heartbeat under the delegation. The response renews the agent's lease with the
+   * fencing token that the agent already has. Every half lease an agent is redirected instead, so
+   * that it looks for the leader itself: if only this controller is partitioned, the agent gets no
+   * commands through it.
    *
-   * @param leader the node that an agent is sent to; null if none is known
-   * @return empty if this controller may not renew the lease
+   * @param leader the node to which an agent is redirected; null if none is known
+   * @return the response; empty if this controller may not renew the lease
    */
   public Optional<HttpResponse> renew(Heartbeat heartbeat, String leader) {
     double now = context.clock().now();
@@ -106,7 +119,10 @@
     return Optional.of(HeartbeatResponses.renewed(heartbeat));
   }
 
-  /** An agent without a token has no lease that could be renewed. */
+  /**
+   * Returns whether the delegation covers the agent that sent the heartbeat. An agent without a
+   * token has no lease to renew.
+   */
   private boolean mayRenew(Heartbeat heartbeat, double now) {
     boolean outOfContact = now - contactAt > settings.contactTimeoutS() * (1 + Settings.DRIFT);
     boolean granted = now - grantedAt < settings.gracePeriodS() * (1 - Settings.DRIFT);
@@ -117,9 +133,9 @@
   }
 
   /**
-   * Records that an agent is sent away, every half lease. The first heartbeat in a partition is
-   * always answered with a renewal; one that follows more than a quarter of a heartbeat interval
-   * later sends the agent away.
+   * Returns whether to redirect an agent, every half lease, and records the redirect. An agent's
+   * first heartbeat in a partition is always answered with a renewal. The next one is redirected if
+   * it arrives more than a quarter of a heartbeat interval later.
    */
   private boolean sendAwayIfDue(Heartbeat heartbeat, double now) {
     double halfLeaseS = settings.workers().leaseS() / 2;
--- a/src/main/java/io/embernotch/forwarding/HeartbeatForwarder.java
+++ b/src/main/java/io/embernotch/forwarding/HeartbeatForwarder.java
@@ -15,50 +15,54 @@
 import java.util.function.LongFunction;
 
 /**
- * Handles the heartbeats that agents send to a controller which does not lead: it forwards them to
- * the leader, and the answers back. So agents stay where they are when the leader changes. If they
- * sent their heartbeats to the leader itself, a thousand would connect to its successor at once,
- * which keeps a fifth of a core busy for up to 30 s.
+ * Handles the heartbeats that agents send to a controller that is not the leader. It forwards them
+ * to the leader and returns the leader's responses, so agents keep their controller when the leader
+ * changes. If agents sent heartbeats to the leader directly, a thousand of them would connect to
+ * its successor at once, which keeps a fifth of a core busy for up to 30 s.
  *
- * <p>While no leader is known, agents are told to stay. The next leader is handed their most recent
+ * <p>While no leader is known, heartbeats are parked. A parked heartbeat that times out is answered
+ * without a renewal, and its agent keeps this controller. The next leader is sent the most recent
  * heartbeats, so that it knows its machines before they send the next ones.
  *
  * <p>Confined to the controller's event loop.
  */
 public final class HeartbeatForwarder {
-  /** Seconds to wait for an answer to a heartbeat: its agent gives up after four. */
+  /** Seconds to wait for a response to a heartbeat. The agent gives up after 4 s. */
   public static final double RESPONSE_TIMEOUT_S = 3;
 
   private static final int SERVICE_UNAVAILABLE = 503;
 
-  /** Heartbeats handed to a new leader at once: more would not fit the connection's queue. */
+  /** Recent heartbeats sent to a new leader at once; more exceed the connection's queue. */
   private static final int HANDOVER_BATCH = 48;
 
-  /** Batches that are handed over in a heartbeat interval at most. */
+  /** Most batches of recent heartbeats that are sent in one heartbeat interval. */
   private static final int HANDOVER_BATCHES_PER_INTERVAL = 200;
 
-  /** What the forwarder needs of its controller. */
+  /** What the forwarder requires of its controller. */
   public interface Host {
     /**
      * Sends a request to another controller.
      *
      * @param node the controller's name
      * @param question makes the frame that carries the given request number
-     * @return its answer; 503 if none comes within {@code withinS} seconds
+     * @return the response; 503 if none arrives within {@code withinS} seconds
      */
     Future<HttpResponse> ask(String node, LongFunction<Frame> question, double withinS);
 
-    /** Sends a frame to another controller, without an answer. */
+    /** Sends a frame to another controller, without waiting for a response. */
     void send(String node, Frame frame);
 
-    /** True if the store answers another controller, and not this one. */
+    /**
+     * Returns whether the store fails to answer this controller, while it answers another one or no
+     * other controller is live.
+     */
     boolean isPartitionedFromStore();
   }
 
   private final ControllerContext context;
   private final Host host;
 
-  /** Seconds without a leader, or without its answers, after which agents are sent away. */
+  /** Seconds without a leader, or without its responses, after which agents are redirected. */
   private final double contactTimeoutS;
 
   private final RecentHeartbeats recentHeartbeats;
@@ -70,15 +74,16 @@
   /** The leader's node; null while none is known. */
   private String leader;
 
+  /** The epoch of the known leader's term; 0 while none is known. */
   private long epoch;
 
-  /** The latest epoch that was ever known here. */
+  /** The highest epoch that this controller has known. */
   private long newestEpoch;
 
   private boolean leaderAcceptsForwarded;
   private double leaderChangedAt;
 
-  /** Creates the forwarder of a controller that knows of no leader yet. */
+  /** Creates the forwarder of a controller that knows no leader yet. */
   public HeartbeatForwarder(ControllerContext context, Host host) {
     this.context = context;
     this.host = host;
@@ -94,7 +99,7 @@
   }
 
   /**
-   * The known leader may have changed.
+   * Updates the known leader. Does nothing if it has not changed.
    *
    * @param node its node, which may be this one; null if none is known
    * @param newEpoch the epoch of its term; 0 if none is known
@@ -125,14 +130,20 @@
     return leader != null && !leader.equals(context.settings().node());
   }
 
-  /** Sends this controller's own heartbeat to the leader; called a few times in an interval. */
+  /**
+   * Sends this controller's own heartbeat to the leader, unless this controller leads or the leader
+   * does not accept it. Called a few times in a heartbeat interval.
+   */
   public void sendDelegateHeartbeat() {
     if (leaderAcceptsForwarded && anotherLeads()) {
       host.send(leader, delegatedRenewal.nextHeartbeat());
     }
   }
 
-  /** The leader has answered this controller's heartbeat; an answer of another term is dropped. */
+  /**
+   * Processes the leader's answer to this controller's own heartbeat. An answer from another term
+   * is ignored.
+   */
   public void delegateHeartbeatAcknowledged(Frame.DelegateHeartbeatAck acknowledgement) {
     if (acknowledgement.epoch() == epoch && leader != null) {
       controllersDelayingCancellations.add(leader);
@@ -141,19 +152,26 @@
   }
 
   /**
-   * Controllers that are known to be of a version that delays cancellations; a live set, which the
-   * leader of this process adds to. See {@link io.embernotch.agents.RenewalDelegations}.
+   * Names of the controllers whose version is known to delay the confirmation of cancellations. The
+   * set is not a copy: the leader of this process adds to it. See {@link
+   * io.embernotch.agents.RenewalDelegations}.
    */
   public Set<String> controllersDelayingCancellations() {
     return controllersDelayingCancellations;
   }
 
-  /** The heartbeats that arrived here within about one heartbeat interval. */
+  /**
+   * The newest heartbeat of each machine that this controller received within about one heartbeat
+   * interval.
+   */
   public List<Heartbeat> recentHeartbeats() {
     return recentHeartbeats.recent(context.clock().now());
   }
 
-  /** Parked heartbeats are left out, since the leader is to answer them. */
+  /**
+   * Sends the recent heartbeats to a new leader. Parked ones are left out: they are forwarded so
+   * that the leader answers them.
+   */
   private void handOverRecentHeartbeats() {
     Set<String> parkedMachines = parkedHeartbeats.machines();
     List<Heartbeat> heartbeats =
@@ -183,7 +201,7 @@
     double now = context.clock().now();
     recentHeartbeats.record(heartbeat, now);
     if (FencingTokens.epochOf(heartbeat.token()) > newestEpoch && host.isPartitionedFromStore()) {
-      // A leader that is not known here has reached this agent, and serves it elsewhere.
+      // A later leader, unknown to this controller, serves this agent through another controller.
       return Future.succeededFuture(misdirected(null));
     }
     Optional<HttpResponse> renewal = delegatedRenewal.renew(heartbeat, leader);
@@ -193,7 +211,10 @@
     return leader == null ? parkOrSendAway(heartbeat, now) : forwardOrSendAway(heartbeat, now);
   }
 
-  /** A leader may be known elsewhere: a node that is partitioned must not keep its agents. */
+  /**
+   * Parks a heartbeat while no leader is known. After the contact timeout a controller that is
+   * partitioned from the store redirects its agents instead, since others may know a leader.
+   */
   private Future<HttpResponse> parkOrSendAway(Heartbeat heartbeat, double now) {
     boolean sendAway = now - leaderChangedAt > contactTimeoutS && host.isPartitionedFromStore();
     return sendAway ? Future.succeededFuture(misdirected(null)) : parkedHeartbeats.park(heartbeat);
@@ -217,15 +238,15 @@
             });
   }
 
-  /** A leader is known, here or elsewhere: has it answer the heartbeats that wait for one. */
+  /** Answers all parked heartbeats with {@code handler}; called once a leader is known. */
   public void releaseParked(Function<Heartbeat, Future<HttpResponse>> handler) {
     parkedHeartbeats.release(handler);
   }
 
   /**
-   * The response that sends an agent to another controller.
+   * Returns the response that redirects an agent to another controller.
    *
-   * @param leader the node to go to; null if this one knows of no leader
+   * @param leader the leader's node; null if this controller knows none
    */
   public static HttpResponse misdirected(String leader) {
     return HeartbeatResponses.misdirected(leader);
--- a/src/main/java/io/embernotch/forwarding/HeartbeatResponses.java
+++ b/src/main/java/io/embernotch/forwarding/HeartbeatResponses.java
@@ -7,30 +7,36 @@
 import io.embernotch.model.Heartbeat;
 import java.util.List;
 
-/** The responses to a heartbeat that a controller gives by itself, without the leader. */
+/** Creates the responses to heartbeats that a controller gives without the leader. */
 final class HeartbeatResponses {
   private static final int OK = 200;
   private static final int MISDIRECTED_REQUEST = 421;
 
-  /** The wire's name for the leader. */
+  /** JSON field with the leader's node. */
   private static final String LEADER_FIELD = "steward";
 
   private HeartbeatResponses() {}
 
-  /** Renews nothing; the agent stays with this controller and sends its next heartbeat here. */
+  /**
+   * Returns a response that renews no lease. The agent keeps this controller and sends its next
+   * heartbeat to it.
+   */
   static HttpResponse stay() {
     return HttpResponse.of(OK, WorkerCodec.emptyResponse());
   }
 
-  /** Renews the agent's lease under the fencing token that it has, and commands nothing. */
+  /**
+   * Returns a response without commands that renews the agent's lease with the fencing token that
+   * the agent already has.
+   */
   static HttpResponse renewed(Heartbeat heartbeat) {
     return HttpResponse.of(OK, WorkerCodec.response(heartbeat.token(), List.of()));
   }
 
   /**
-   * Sends the agent to another controller.
+   * Returns a response that redirects the agent to another controller.
    *
-   * @param leader the node to go to; null if this one knows of no leader
+   * @param leader the leader's node; null if this controller knows none
    */
   static HttpResponse misdirected(String leader) {
     ObjectNode body = Json.object();
--- a/src/main/java/io/embernotch/forwarding/LeaderResponsiveness.java
+++ b/src/main/java/io/embernotch/forwarding/LeaderResponsiveness.java
@@ -1,37 +1,40 @@
 package io.embernotch.forwarding;
 
 /**
- * Whether the leader answers the heartbeats that are forwarded to it. Once it has not for the
- * timeout, heartbeats are forwarded only now and then, to see whether it answers again.
+ * Tracks whether the leader answers the heartbeats that are forwarded to it. Once it has not
+ * answered for the timeout, one heartbeat is forwarded per half timeout, to detect when it answers
+ * again.
  */
 final class LeaderResponsiveness {
+  /** Value of {@link #unansweredSince} while no heartbeat is unanswered. */
   private static final double ALL_ANSWERED = -1;
 
   private final double timeoutS;
 
-  /** The first heartbeat forwarded since the leader last answered one. */
+  /** When the first heartbeat after the leader's last response was forwarded. */
   private double unansweredSince = ALL_ANSWERED;
 
+  /** When the next heartbeat may be forwarded to an unresponsive leader. */
   private double retryAt;
 
   /**
-   * Creates the state of a leader that answers.
+   * Creates the state of a responsive leader.
    *
-   * @param timeoutS seconds for which an answer is waited for
+   * @param timeoutS seconds without a response after which the leader counts as unresponsive
    */
   LeaderResponsiveness(double timeoutS) {
     this.timeoutS = timeoutS;
   }
 
-  /** The leader has answered, or another one is known. */
+  /** Records that the leader has answered, or that another leader is known. */
   void reset() {
     unansweredSince = ALL_ANSWERED;
   }
 
   /**
-   * True if a heartbeat may be forwarded; the caller then does so.
+   * Returns whether a heartbeat may be forwarded. If so, the caller must forward it.
    *
-   * @param now steady seconds
+   * @param now seconds of the steady clock
    */
   boolean tryForward(double now) {
     boolean unresponsive = unansweredSince >= 0 && now - unansweredSince > timeoutS;
--- a/src/main/java/io/embernotch/forwarding/ParkedHeartbeats.java
+++ b/src/main/java/io/embernotch/forwarding/ParkedHeartbeats.java
@@ -12,11 +12,12 @@
 import java.util.stream.Collectors;
 
 /**
- * Heartbeats whose agents wait for a leader to be known, so that their leases count from these
- * heartbeats. After a timeout an agent is told to stay, which renews nothing.
+ * Holds heartbeats, with their agents waiting for the response, until a leader is known. The
+ * leader's response then renews the lease from the sending of the parked heartbeat. After a timeout
+ * an agent gets a response that renews no lease, and keeps this controller.
  */
 final class ParkedHeartbeats {
-  /** Compared by identity: a heartbeat can be long. */
+  /** A parked heartbeat. Compared by identity, since comparing a long heartbeat is costly. */
   private static final class Parked {
     final Heartbeat heartbeat;
     final Promise<HttpResponse> response = Promise.promise();
@@ -35,7 +36,11 @@
     this.timeoutS = timeoutS;
   }
 
-  /** The response to the heartbeat, once it is released or the timeout has passed. */
+  /**
+   * Parks a heartbeat.
+   *
+   * @return the response, which completes after the heartbeat is released or the timeout has passed
+   */
   Future<HttpResponse> park(Heartbeat heartbeat) {
     Parked entry = new Parked(heartbeat);
     parked.add(entry);
@@ -54,7 +59,7 @@
     return parked.stream().map(entry -> entry.heartbeat.machine()).collect(Collectors.toSet());
   }
 
-  /** Has all parked heartbeats answered by {@code handler}; none is parked any more. */
+  /** Answers all parked heartbeats with {@code handler}, and removes them. */
   void release(Function<Heartbeat, Future<HttpResponse>> handler) {
     List<Parked> released = List.copyOf(parked);
     parked.clear();
--- a/src/main/java/io/embernotch/forwarding/PendingRequests.java
+++ b/src/main/java/io/embernotch/forwarding/PendingRequests.java
@@ -13,8 +13,8 @@
 import java.util.function.Supplier;
 
 /**
- * Requests to other controllers, each pending until its answer or its timeout. Confined to the
- * controller's event loop.
+ * Sends requests to other controllers. Each is pending until its response or its timeout. Confined
+ * to the controller's event loop.
  */
 public final class PendingRequests {
   private final Timers timers;
@@ -23,10 +23,10 @@
   private long lastId;
 
   /**
-   * Creates the requests of this process, none pending.
+   * Creates an instance with no request pending.
    *
-   * @param names makes names that nobody else ever has: an answer to a former incarnation of the
-   *     process must not pass for one to this
+   * @param names makes globally unique names, from which request numbers derive: a response to a
+   *     former incarnation of this process must not complete a request of the present one
    */
   public PendingRequests(Timers timers, PeerLink peers, Supplier<String> names) {
     this.lastId = ProcessIncarnation.begin(names);
@@ -39,7 +39,7 @@
    *
    * @param node the controller's name
    * @param request makes the frame that carries the given request number
-   * @return its answer; 503 if none has come after {@code withinS} seconds
+   * @return the response; 503 if none arrives within {@code withinS} seconds
    */
   public Future<HttpResponse> send(String node, LongFunction<Frame> request, double withinS) {
     Promise<HttpResponse> response = Promise.promise();
@@ -50,7 +50,9 @@
     return response.future();
   }
 
-  /** Whether a request would be sent at all: there is a connection to the controller. */
+  /**
+   * Returns whether there is a connection to the controller, without which a request is dropped.
+   */
   public boolean canSend(String node) {
     return peers.isConnected(node);
   }
@@ -62,7 +64,10 @@
     }
   }
 
-  /** A controller has answered; an answer to a request that is not pending any more is dropped. */
+  /**
+   * Completes the request that a controller has answered. An answer to a request that is no longer
+   * pending is ignored.
+   */
   public void complete(Frame.Response answer) {
     Promise<HttpResponse> response = pending.remove(answer.id());
     if (response != null) {
--- a/src/main/java/io/embernotch/forwarding/RecentHeartbeats.java
+++ b/src/main/java/io/embernotch/forwarding/RecentHeartbeats.java
@@ -6,9 +6,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** The newest heartbeat of each machine that this controller received while it did not lead. */
+/**
+ * Keeps the newest heartbeat of each machine that this controller received while it was not the
+ * leader.
+ */
 final class RecentHeartbeats {
-  /** A heartbeat that is older than so many heartbeat intervals is not recent. */
+  /** Heartbeat intervals for which a heartbeat counts as recent after it was received. */
   private static final double RECENT_INTERVALS = 1.5;
 
   private record Received(Heartbeat heartbeat, double at) {}
@@ -19,7 +22,7 @@
   /**
    * Creates an empty record.
    *
-   * @param maxMachines machines that are remembered; those used least recently are dropped
+   * @param maxMachines most machines that are kept; the least recently used ones are evicted
    */
   RecentHeartbeats(double heartbeatIntervalS, int maxMachines) {
     this.heartbeatIntervalS = heartbeatIntervalS;
@@ -27,8 +30,8 @@
   }
 
   /**
-   * Remembers a heartbeat that was received now. A copy of an older one is no sign of life, and
-   * must not be handed to the next leader as one.
+   * Records a heartbeat received at {@code now}. A copy of an older heartbeat is ignored: it does
+   * not prove that the machine is alive, and must not reach the next leader as proof.
    */
   void record(Heartbeat heartbeat, double now) {
     Received before = newest.get(heartbeat.machine());
--- a/src/test/java/io/embernotch/agents/AgentReconcilerTest.java
+++ b/src/test/java/io/embernotch/agents/AgentReconcilerTest.java
@@ -28,7 +28,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Commands that are queued for the call limit, and attempts whose start is not in flight. */
+/** Tests commands queued by the call limit, and attempts whose start command was lost. */
 class AgentReconcilerTest implements AgentReconciler.Listener {
   private static final long EPOCH = 7;
 
@@ -91,7 +91,7 @@
     for (int i = 0; i < 5; i++) {
       agents.sendDueCommands(machineWithStart(i));
     }
-    // Half of the eight calls that may be in flight.
+    // Commands may use half of the eight calls that may be in flight.
     assertThat(called).hasSize(4).doesNotContain("10.0.1.4/do");
     assertThat(
             new String(agents.processHeartbeat(heartbeat(4, 2), true, 0), StandardCharsets.UTF_8))
@@ -114,7 +114,8 @@
   }
 
   /**
-   * A queued call, or one that follows a response, must not start anything once leadership is lost.
+   * Once leadership is lost, neither a queued call nor one that follows a response may start a
+   * task.
    */
   @Test
   void nothingQueuedIsStartedOnceLeadershipIsLost() {
@@ -141,8 +142,8 @@
   }
 
   /**
-   * Stopping a gang while a start is in a heartbeat response that gets lost must not leave the
-   * attempt open for good.
+   * If a gang is stopped while a start command is in a heartbeat response that is lost, the attempt
+   * must not stay open forever.
    */
   @Test
   void stoppingAttemptIsGoneOnceNoCopyOfItsStartIsInFlight() {
--- a/src/test/java/io/embernotch/agents/CallConcurrencyLimiterTest.java
+++ b/src/test/java/io/embernotch/agents/CallConcurrencyLimiterTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The order in which calls of different classes are admitted. */
+/** Tests the order in which calls of different classes are admitted. */
 class CallConcurrencyLimiterTest {
   private final CallConcurrencyLimiter callLimiter = new CallConcurrencyLimiter(8);
   private final List<String> begun = new ArrayList<>();
@@ -24,8 +24,8 @@
   }
 
   /**
-   * After a failover a thousand calls are due at once; starts of production services must still
-   * find a connection.
+   * After a failover a thousand calls are due at once. Starts of production services must still get
+   * a connection.
    */
   @Test
   void productionGoesBeforeQueuedCallsAndUnresponsiveMachinesTakeAQuarterAtMost() {
@@ -53,7 +53,7 @@
 
   @Test
   void queuedCallWithNothingLeftToSendMakesWayForTheNext() {
-    Machine machine = new Machine("gone");
+    Machine machine = new Machine("idle");
     callLimiter.tryAcquire(new Machine("a"), CallConcurrencyLimiter.CallClass.DISCOVERY, () -> {});
     assertThat(
             callLimiter.tryAcquire(
--- a/src/test/java/io/embernotch/agents/CallSlotsTest.java
+++ b/src/test/java/io/embernotch/agents/CallSlotsTest.java
@@ -23,15 +23,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Whatever becomes of a call to a machine, its slot is given back: without slots no machine is
- * commanded or probed any more under this leader.
+ * Tests that a call to a machine releases its capacity however it ends. If capacity leaks, this
+ * leader eventually sends no more commands and probes.
  *
- * <p>What happened: found by reading, shown by this test. Two machines of eight slots for probes
- * whose address could not be read, and no machine was probed again; the machine itself stayed
- * marked as being probed.
- *
- * <p>Why: the slot was taken and the mark set before the address was read, which throws; and where
- * what a call's answer leads to throws, the slot was not given back either.
+ * <p>Capacity leaked when the machine's address was malformed, since parsing it threw an exception
+ * after the capacity was acquired and the machine was marked as being probed, and when the handler
+ * of the response threw. With a limit of eight calls, two malformed addresses stopped all probes.
  */
 class CallSlotsTest {
   private static final String STATUS =
@@ -50,7 +47,7 @@
 
   private Future<HttpReply> call() {
     if (callerFails) {
-      throw new IllegalStateException("a mistake");
+      throw new IllegalStateException("simulated failure");
     }
     Promise<HttpReply> reply = Promise.promise();
     replies.add(reply);
@@ -106,7 +103,7 @@
     StatusProber prober =
         prober(
             (heartbeat, machine) -> {
-              throw new IllegalStateException("a mistake");
+              throw new IllegalStateException("simulated failure");
             });
     for (int i = 0; i < 20; i++) {
       prober.probe(machine(i, "10.0.1.1:9000"));
@@ -116,7 +113,7 @@
     assertProbesGoOn(prober);
   }
 
-  /** What is queued for a slot may throw too, and must not stop the queue for good. */
+  /** A queued call that throws must not stop the queue. */
   @Test
   void aQueuedCallThatThrowsStopsNoOther() {
     List<String> run = new ArrayList<>();
@@ -129,9 +126,9 @@
         machine(100, null),
         CallConcurrencyLimiter.CallClass.PRODUCTION,
         () -> {
-          throw new IllegalStateException("a mistake");
+          throw new IllegalStateException("simulated failure");
         });
-    assertThatThrownBy(limiter::release).hasMessage("a mistake");
+    assertThatThrownBy(limiter::release).hasMessage("simulated failure");
     assertThat(
             limiter.tryAcquire(
                 machine(101, null), CallConcurrencyLimiter.CallClass.PRODUCTION, () -> {}))
--- a/src/test/java/io/embernotch/agents/LateHeartbeatCopiesTest.java
+++ b/src/test/java/io/embernotch/agents/LateHeartbeatCopiesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Copies of heartbeats that arrive from seconds to well over a lease late. */
+/** Tests copies of heartbeats that arrive late, from seconds to well over a lease. */
 class LateHeartbeatCopiesTest {
   private final SimulatedCluster cluster = new SimulatedCluster(3, 100);
   private FakeWorker dead;
@@ -28,8 +28,8 @@
   }
 
   /**
-   * Seconds until all replicas are up again, while copies of the dead machine's heartbeats arrive
-   * that many seconds late; no copies arrive if it is 0.
+   * Returns the seconds until all replicas run again, while copies of the dead machine's heartbeats
+   * arrive {@code copiesLateS} seconds late; no copies arrive if it is 0.
    */
   private double recoveryS(double copiesLateS, ControllerNode to) {
     List<byte[]> heartbeats = List.copyOf(cluster.heartbeatsOf(dead.name));
@@ -61,8 +61,8 @@
   }
 
   /**
-   * Copies must not renew the lease that the leader assumes: services of a dead machine would stay
-   * down for as long as copies arrive.
+   * Copies must not renew the lease that the leader assumes. Otherwise the services of a dead
+   * machine stay down for as long as copies arrive.
    */
   @Test
   void copiesOfADeadMachinesHeartbeatsDelayNoRecovery() {
@@ -84,7 +84,7 @@
     return recoveryS(copiesLateS, cluster.otherNode(leader));
   }
 
-  /** A new leader first learns of a machine by a copy from 40 s ago, and then by others. */
+  /** A new leader first discovers a machine by a copy that is 40 s old, followed by others. */
   @Test
   void newLeaderTakesNoCopyForASignOfLife() {
     double without = recoveryAfterFailover(0);
@@ -96,7 +96,7 @@
             without + cluster.nodes.get(0).settings.workers().heartbeatIntervalS());
   }
 
-  /** The next leader learns, by a copy, of a machine that the former one had scaled in. */
+  /** The next leader discovers, by a copy, a machine that the former leader had scaled in. */
   @Test
   void copyOfAScaledInMachineGetsNoTasksForLong() {
     service();
@@ -117,7 +117,8 @@
   /**
    * Begins another incarnation of the only machine.
    *
-   * @param laterSeq how far the new incarnation counts on above the former one; 0 if it counts anew
+   * @param laterSeq by how much the new incarnation's sequence numbers start above the former
+   *     one's; 0 if they restart
    * @return a heartbeat that the former incarnation would have sent in a later agent epoch
    */
   private byte[] replaceIncarnation(int laterSeq) {
@@ -136,8 +137,8 @@
   }
 
   /**
-   * Has the delayed start executed, with its answer lost, then the copy arrive, and boots another
-   * machine where the task could start a second time.
+   * Delivers the delayed start command, whose response is lost, then the copy. Boots another
+   * machine on which the task could start a second time.
    */
   private void executeStartThenDeliver(byte[] former) {
     for (int i = 0; i < 400 && cluster.delayedCount() == 0; i++) {
@@ -152,7 +153,7 @@
     cluster.advance(20);
   }
 
-  /** Before the present incarnation has reported any token that only it can have seen. */
+  /** The new incarnation has not yet reported a token that only it can have seen. */
   @Test
   void copyProvesNothingBeforeThePresentIncarnationHasReportedAToken() {
     byte[] former = replaceIncarnation(0);
@@ -161,8 +162,8 @@
   }
 
   /**
-   * Where nobody has noticed that there is another incarnation, since it counts on from above the
-   * former one.
+   * The leader has not detected the new incarnation, since its sequence numbers start above the
+   * former one's.
    */
   @Test
   void copyProvesNothingWhereTheNewIncarnationWentUnnoticed() {
@@ -173,9 +174,9 @@
   }
 
   /**
-   * A copy of a machine's former incarnation, with a later agent epoch than it has now, must not
-   * prove gone what has just been sent to it and not been answered: that would be started
-   * elsewhere, and then here too.
+   * A copy from a machine's former incarnation, in a later agent epoch than the present one, must
+   * not prove that attempts have ended whose start commands were just sent and not answered. Their
+   * tasks would start on another machine as well.
    */
   @Test
   void copyOfAFormerIncarnationWithALaterAgentEpochProvesNothing() {
@@ -195,7 +196,7 @@
     cluster.submit(0, job("j-3", "array", 4));
     cluster.advance(4);
     cluster.faults.commandDelivery = Delivery.DELIVERED;
-    // Executed now; its answer is lost.
+    // The command is executed now; its response is lost.
     cluster.deliverDelayed();
     cluster.nodes.forEach(node -> cluster.deliverHeartbeat(node, former));
     cluster.advance(0.3);
--- a/src/test/java/io/embernotch/agents/ReachabilityTrackerTest.java
+++ b/src/test/java/io/embernotch/agents/ReachabilityTrackerTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * One-way partitions: machines whose heartbeats arrive while neither responses nor commands reach
- * them.
+ * Tests one-way partitions: machines whose heartbeats arrive while neither responses nor commands
+ * reach them.
  */
 class ReachabilityTrackerTest {
   private final SimulatedCluster cluster = new SimulatedCluster(3, 1000);
@@ -67,7 +67,7 @@
     unreachable.inboundPartitioned = true;
     long replicas = before.values().stream().filter(worker -> worker == unreachable).count();
     cluster.advance(10);
-    // Its tasks run until its lease has expired.
+    // The unreachable machine's tasks run until its lease has expired.
     assertThat(
             cluster.runningTasks("j-1").values().stream()
                 .filter(worker -> worker == unreachable)
@@ -96,8 +96,8 @@
   }
 
   /**
-   * Where many agents change controllers at once, as after crashes, no machine is taken for
-   * unreachable and scaled in.
+   * If many agents change controllers at once, for example after crashes, no machine is scaled in
+   * as unreachable.
    */
   @Test
   void manyUnreachableAtOnceAreNotScaledIn() {
@@ -110,7 +110,7 @@
     all.forEach(worker -> worker.inboundPartitioned = false);
     cluster.advance(15);
     assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
-    // Even once their tasks have ended with their leases, it may be the leader that cannot send.
+    // Even after the leases have expired, the leader's own sending may be at fault.
     all.subList(0, 15).forEach(worker -> worker.inboundPartitioned = true);
     cluster.advance(50);
     assertThat(cluster.workers.values()).containsAll(all);
--- a/src/test/java/io/embernotch/forwarding/DelegatedRenewalTest.java
+++ b/src/test/java/io/embernotch/forwarding/DelegatedRenewalTest.java
@@ -22,8 +22,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A partitioned zone: its tasks keep running, and all invariants hold. Node 2 is in zone z2, so
- * that it is partitioned together with the agents of that zone.
+ * Tests that the tasks of a partitioned zone keep running and all invariants hold. Node 2 is in
+ * zone z2, so it is partitioned together with the agents of that zone.
  */
 class DelegatedRenewalTest {
   private static final double PARTITION_S = 56;
@@ -31,7 +31,7 @@
   private final SimulatedCluster cluster = new SimulatedCluster(3, 4);
   private final Settings settings = cluster.nodes.get(0).settings;
 
-  /** A leader outside of z2, and a service with replicas in both zones. */
+  /** Ensures a leader outside z2, and starts a service with three replicas in each zone. */
   private Map<String, FakeWorker> spreadService(String ref) {
     cluster.advance(2);
     if (cluster.leader() == cluster.nodes.get(2)) {
@@ -74,8 +74,8 @@
   }
 
   /**
-   * What is remembered of an earlier partition must not have an agent sent away in the next one
-   * before its lease has been renewed once.
+   * State from an earlier partition must not cause an agent to be redirected in the next one before
+   * its lease has been renewed once.
    */
   @Test
   void eachPartitionRenewsLeasesBeforeAgentsAreSentAway() {
@@ -115,7 +115,7 @@
     assertThat(cluster.runningTasks("j-2")).hasSize(4);
     cluster.faults.partitionedZone = "z2";
     cluster.cloud.down = true;
-    // The renewals end, and then the leases; the invariant checker fails if anything starts before.
+    // The renewals end, then the leases. The invariant checker fails if a task restarts before.
     cluster.advance(settings.gracePeriodS() + settings.workers().leaseS() + 5);
     assertThat(anyInZ2("j-1")).isFalse();
     cluster.faults.partitionedZone = null;
@@ -133,7 +133,7 @@
     cluster.advance(12);
     assertThat(cluster.cancel(0, "j-1").status()).isEqualTo(503);
     assertThat(cluster.phase(0, "j-1")).isNotEqualTo("cancelled");
-    // Tasks that can be reached end at once, and nothing starts again.
+    // Tasks outside the partition end at once, and no task starts again.
     assertThat(cluster.runningTasks("j-1").values()).allMatch(worker -> worker.zone.equals("z2"));
     double waitedS = 12;
     while (cluster.cancel(1, "j-1").status() != 200) {
@@ -157,7 +157,7 @@
   @Test
   void nothingIsDelegatedWhileAControllerMayBeOfTheFormerVersion() {
     spreadService("j-1");
-    // It sends nothing to the leader that follows, as the former version would not.
+    // This controller sends nothing to the next leader, like one of the former version.
     ControllerNode muted =
         cluster.leader() == cluster.nodes.get(0) ? cluster.nodes.get(1) : cluster.nodes.get(0);
     muted.peersUnreachable = true;
@@ -171,8 +171,8 @@
   }
 
   /**
-   * Numbers that began at the time of day, which may be set back, would have a former incarnation's
-   * acknowledgements count for the next.
+   * If sequence numbers began at the time of day, which may be set back, acknowledgements of a
+   * former incarnation could count for the next one.
    */
   @Test
   void noTwoIncarnationsUseTheSameNumbers() {
--- a/src/test/java/io/embernotch/forwarding/IsolatedControllerTest.java
+++ b/src/test/java/io/embernotch/forwarding/IsolatedControllerTest.java
@@ -14,7 +14,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A controller that is partitioned from the store and the other controllers, not from its agents.
+ * Tests a controller that is partitioned from the store and the other controllers, but not from its
+ * agents.
  */
 class IsolatedControllerTest {
   private final SimulatedCluster cluster = new SimulatedCluster(3, 100);
@@ -25,7 +26,7 @@
       cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
     cluster.advance(8);
-    // Agents are spread over the controllers.
+    // Spread the agents over the controllers.
     int next = 0;
     for (FakeWorker worker : cluster.workers.values()) {
       worker.controllerIndex = next++ % 3;
@@ -58,7 +59,7 @@
       cluster.advance(5);
       assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
       if (s >= 5) {
-        // A poll is refused at once, and the load balancer is told to send nobody.
+        // Polls are refused at once, and the readiness check fails for the load balancer.
         double askedAt = cluster.time.now();
         int status = cluster.poll(node.index, "j-1").status();
         longestPollS = Math.max(longestPollS, cluster.time.now() - askedAt);
@@ -71,14 +72,14 @@
     isolate(node, false);
     cluster.advance(40);
     assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
-    // The least share of a lease, last renewed here, that was left when another controller renewed
-    // it.
+    // The least share of a lease that was left when it was renewed, here by the controller to which
+    // an agent had moved.
     assertThat(cluster.minRemainingLeaseShare()).isGreaterThan(0.4);
   }
 
   /**
-   * The next leader must not renew leases only for as long as the former version assumes because
-   * the partitioned one has sent nothing to it.
+   * The partitioned leader sends nothing to the next one. The next leader must nevertheless not
+   * take it for one of the former version and shorten the grace period.
    */
   @ParameterizedTest
   @CsvSource({"true", "false"})
@@ -104,8 +105,8 @@
   }
 
   /**
-   * Where the next leader has reached an agent it serves it too: an agent that reports its fencing
-   * token is sent away at once.
+   * An agent that reports a later leader's fencing token is redirected at once, since that leader
+   * has reached it and serves it.
    */
   @ParameterizedTest
   @CsvSource({"true", "false"})
@@ -121,7 +122,7 @@
       other.start();
     }
     cluster.awaitLeader(4);
-    // The new leader reaches all machines directly.
+    // The new leader sends commands to all machines directly.
     assertThat(cluster.submit(cluster.leader().index, job("j-2", "array", 150)).status())
         .isEqualTo(201);
     cluster.advance(6);
--- a/src/test/java/io/embernotch/forwarding/PendingRequestsTest.java
+++ b/src/test/java/io/embernotch/forwarding/PendingRequestsTest.java
@@ -11,7 +11,7 @@
 import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
 
-/** Answers are matched to requests across incarnations of a process. */
+/** Tests that responses are matched to requests across incarnations of a process. */
 class PendingRequestsTest implements PeerLink {
   private final FakeTime time = new FakeTime();
   private long lastId;
@@ -22,8 +22,8 @@
   }
 
   /**
-   * If numbers began at 1 in each incarnation, the answer to one user's poll would be taken for
-   * that to another's.
+   * If request numbers began at 1 in each incarnation, the response to one user's poll would
+   * complete another user's.
    */
   @Test
   void answerToAFormerIncarnationCompletesNothingOfThisOne() {
