--- a/src/main/java/io/embernotch/agents/AgentReconciler.java
+++ b/src/main/java/io/embernotch/agents/AgentReconciler.java
@@ -33,9 +33,9 @@
      * Called when an attempt whose exit was not reported has provably ended, or can no longer
      * start.
      *
-     * @param why the proof, for the log
+     * @param reason the proof, for the log
      */
-    void attemptGone(Attempt attempt, Machine machine, String why);
+    void attemptGone(Attempt attempt, Machine machine, String reason);
 
     /** Called when an agent reports a fencing token of a later term. */
     void superseded(long token);
@@ -159,7 +159,7 @@
    *     leader is superseded
    */
   public boolean processForwarded(Heartbeat heartbeat) {
-    return heartbeats.processForwarded(heartbeat);
+    return heartbeats.processWithoutResponse(heartbeat);
   }
 
   /**
@@ -175,7 +175,7 @@
    * renewed it last.
    */
   public boolean leaseExpired(Machine machine) {
-    return workerLeases.expired(machine);
+    return workerLeases.isExpired(machine);
   }
 
   /**
@@ -195,6 +195,6 @@
 
   /** Requests the status of a machine that has sent no heartbeat yet; otherwise does nothing. */
   public void find(Machine machine) {
-    prober.find(machine);
+    prober.discover(machine);
   }
 }
--- a/src/main/java/io/embernotch/agents/AttemptCommands.java
+++ b/src/main/java/io/embernotch/agents/AttemptCommands.java
@@ -24,12 +24,12 @@
             || attempt.launchState == LaunchState.IN_HEARTBEAT_RESPONSE);
   }
 
-  static AgentCommand start(Attempt attempt) {
+  static AgentCommand startCommand(Attempt attempt) {
     return new AgentCommand(
         AgentCommand.Verb.START, attempt.job.spec.ref(), attempt.task, attempt.number, 0);
   }
 
-  static AgentCommand stop(Attempt attempt) {
+  static AgentCommand stopCommand(Attempt attempt) {
     return new AgentCommand(
         AgentCommand.Verb.STOP,
         attempt.job.spec.ref(),
--- a/src/main/java/io/embernotch/agents/AttemptReconciler.java
+++ b/src/main/java/io/embernotch/agents/AttemptReconciler.java
@@ -55,16 +55,16 @@
 
   private void reconcilePresent(Attempt attempt, Machine machine, TaskStatus status, double now) {
     attempt.launchState = LaunchState.CONFIRMED;
-    TaskState before = attempt.state;
+    TaskState previousState = attempt.state;
     if (status.state() == TaskState.EXITED) {
-      boolean hadImage = before != null && before != TaskState.FETCHING;
+      boolean hadImage = previousState != null && previousState != TaskState.FETCHING;
       if (hadImage || status.cause() == ExitCause.DONE) {
         imageCache.recordUse(machine, attempt.job.spec);
       }
       listener.taskExited(attempt, machine, status.cause(), status.saved());
       return;
     }
-    if (before != status.state()) {
+    if (previousState != status.state()) {
       attempt.state = status.state();
       machine.attemptsChanged();
       if (status.state() != TaskState.FETCHING) {
@@ -93,7 +93,7 @@
       }
         // An agent executes a heartbeat response before its next heartbeat or not at all, so this
         // start was not executed.
-      case IN_HEARTBEAT_RESPONSE -> launchNeverSent(attempt, machine);
+      case IN_HEARTBEAT_RESPONSE -> startNotExecuted(attempt, machine);
       case UNCONFIRMED -> {
         // A delayed start command carries at most startToken, so an agent that has seen a higher
         // token refuses it. So does an agent in a later epoch than the command names, which is
@@ -114,7 +114,7 @@
    * can be sent again. An attempt that is to be stopped has thereby ended. If it stayed open, it
    * would never be closed, and its gang could not start again.
    */
-  void launchNeverSent(Attempt attempt, Machine machine) {
+  void startNotExecuted(Attempt attempt, Machine machine) {
     attempt.launchState = LaunchState.READY;
     if (attempt.stopping) {
       listener.attemptGone(attempt, machine, "never started");
--- a/src/main/java/io/embernotch/agents/CommandSender.java
+++ b/src/main/java/io/embernotch/agents/CommandSender.java
@@ -112,11 +112,11 @@
     boolean mayStart = listener.isLeading();
     for (Attempt attempt : machine.openAttempts.values()) {
       if (AttemptCommands.isStartDue(attempt) && mayStart) {
-        batch.commands.add(AttemptCommands.start(attempt));
+        batch.commands.add(AttemptCommands.startCommand(attempt));
         batch.starting.add(attempt);
       } else if (AttemptCommands.isStopDue(attempt)
           && now - attempt.stopSentAt > heartbeatIntervalS) {
-        batch.commands.add(AttemptCommands.stop(attempt));
+        batch.commands.add(AttemptCommands.stopCommand(attempt));
         batch.stopping.add(attempt);
       }
     }
@@ -178,7 +178,7 @@
       commandFailed(machine, token, starting, new CallFailedException(executed, e.getMessage()));
       return;
     }
-    settleStarts(machine, starting, executed);
+    updateLaunchStates(machine, starting, executed);
     if (!executed) {
       machine.commandFailedAt = context.clock().now();
     }
@@ -194,7 +194,7 @@
     }
   }
 
-  private void settleStarts(Machine machine, List<Attempt> starting, boolean executed) {
+  private void updateLaunchStates(Machine machine, List<Attempt> starting, boolean executed) {
     for (Attempt attempt : starting) {
       if (attempt.launchState == LaunchState.SENDING) {
         // If the agent executed the call, it has started the task, which may have ended since. If
@@ -202,7 +202,7 @@
         if (executed) {
           attempt.launchState = LaunchState.CONFIRMED;
         } else {
-          attempts.launchNeverSent(attempt, machine);
+          attempts.startNotExecuted(attempt, machine);
         }
       }
     }
@@ -228,7 +228,7 @@
         if (sent) {
           attempt.launchState = LaunchState.UNCONFIRMED;
         } else {
-          attempts.launchNeverSent(attempt, machine);
+          attempts.startNotExecuted(attempt, machine);
         }
       }
     }
--- a/src/main/java/io/embernotch/agents/HeartbeatProcessor.java
+++ b/src/main/java/io/embernotch/agents/HeartbeatProcessor.java
@@ -69,16 +69,18 @@
       return null;
     }
     Machine machine = state.machine(heartbeat.machine(), tokenBase);
-    boolean ofOtherIncarnation = mayBeOfFormerIncarnation(heartbeat, machine);
+    boolean maybeFromFormerIncarnation = mayBeFromFormerIncarnation(heartbeat, machine);
     boolean newer =
-        !ofOtherIncarnation
+        !maybeFromFormerIncarnation
             && isNewer(heartbeat, machine)
             && heartbeat.token() >= machine.highestReportedToken;
     if (machine.deleting && !newer) {
       return null;
     }
     double now = context.clock().now();
-    if (!newer && !ofOtherIncarnation && now - machine.lastHeartbeatAt > RESPONSE_ACCEPTED_S) {
+    if (!newer
+        && !maybeFromFormerIncarnation
+        && now - machine.lastHeartbeatAt > RESPONSE_ACCEPTED_S) {
       // This is a copy, or another incarnation has restarted its sequence numbers. No agent accepts
       // a response to a copy this late: it gave up waiting before it sent the newest heartbeat. So
       // the copy must not count as a renewal. Otherwise the leader would assume that the lease of a
@@ -94,12 +96,12 @@
     }
     machine.leaseRenewedAt = now;
     List<AgentCommand> commands = responder.commandsFor(machine, heartbeat, leaseProven);
-    reachability.answering(machine);
+    reachability.heartbeatAnswered(machine);
     return WorkerCodec.response(machine.token, commands);
   }
 
   /** See {@link AgentReconciler#processForwarded}. */
-  boolean processForwarded(Heartbeat heartbeat) {
+  boolean processWithoutResponse(Heartbeat heartbeat) {
     return !wasDeleted(heartbeat.machine())
         && reconcileCurrentIncarnation(heartbeat, state.machine(heartbeat.machine(), tokenBase));
   }
@@ -112,10 +114,10 @@
    * @return false if the heartbeat proves that this leader is superseded
    */
   private boolean reconcileCurrentIncarnation(Heartbeat heartbeat, Machine machine) {
-    return mayBeOfFormerIncarnation(heartbeat, machine) || reconcile(heartbeat, machine);
+    return mayBeFromFormerIncarnation(heartbeat, machine) || reconcile(heartbeat, machine);
   }
 
-  private static boolean mayBeOfFormerIncarnation(Heartbeat heartbeat, Machine machine) {
+  private static boolean mayBeFromFormerIncarnation(Heartbeat heartbeat, Machine machine) {
     return heartbeat.token() < machine.incarnationToken;
   }
 
@@ -152,8 +154,8 @@
 
   private void reconcileNewer(Heartbeat heartbeat, Machine machine) {
     double now = context.clock().now();
-    boolean first = !machine.up();
-    if (first) {
+    boolean firstHeartbeat = !machine.up();
+    if (firstHeartbeat) {
       markUp(machine, now);
     }
     updateDescription(heartbeat, machine);
@@ -172,7 +174,7 @@
     machine.agentEpoch = heartbeat.agentEpoch();
     machine.heartbeatSeq = heartbeat.seq();
     attempts.reconcile(heartbeat, machine, agentRestarted, now);
-    if (first || newAgentEpoch) {
+    if (firstHeartbeat || newAgentEpoch) {
       listener.clusterChanged();
     }
   }
--- a/src/main/java/io/embernotch/agents/HeartbeatResponder.java
+++ b/src/main/java/io/embernotch/agents/HeartbeatResponder.java
@@ -52,7 +52,7 @@
         && heartbeat.agentEpoch() == machine.agentEpoch
         && heartbeat.seq() == machine.heartbeatSeq) {
       addStarts(machine, commands);
-      addForgets(machine, heartbeat, commands);
+      addCommandsForClosedAttempts(machine, heartbeat, commands);
     }
     return commands;
   }
@@ -60,7 +60,7 @@
   private void addStops(Machine machine, List<AgentCommand> commands) {
     for (Attempt attempt : machine.openAttempts.values()) {
       if (AttemptCommands.isStopDue(attempt)) {
-        commands.add(AttemptCommands.stop(attempt));
+        commands.add(AttemptCommands.stopCommand(attempt));
         attempt.stopSentAt = context.clock().now();
       }
     }
@@ -68,15 +68,16 @@
 
   /** Adds due starts if a direct call to the machine has recently failed or is still queued. */
   private void addStarts(Machine machine, List<AgentCommand> commands) {
-    boolean commandFailed =
+    boolean commandFailedRecently =
         context.clock().now() - machine.commandFailedAt
             <= RECENT_FAILURE_INTERVALS * context.settings().workers().heartbeatIntervalS();
-    if (machine.commandInFlight || !(commandFailed || callLimiter.isCommandQueued(machine))) {
+    if (machine.commandInFlight
+        || !(commandFailedRecently || callLimiter.isCommandQueued(machine))) {
       return;
     }
     for (Attempt attempt : machine.openAttempts.values()) {
       if (AttemptCommands.isStartDue(attempt)) {
-        commands.add(AttemptCommands.start(attempt));
+        commands.add(AttemptCommands.startCommand(attempt));
         attempt.launchState = LaunchState.IN_HEARTBEAT_RESPONSE;
         attempt.startToken = machine.token;
       }
@@ -91,8 +92,9 @@
    *
    * <p>A task that runs without an open attempt is stopped.
    */
-  private void addForgets(Machine machine, Heartbeat heartbeat, List<AgentCommand> commands) {
-    boolean noLateStart =
+  private void addCommandsForClosedAttempts(
+      Machine machine, Heartbeat heartbeat, List<AgentCommand> commands) {
+    boolean noDelayedStart =
         !machine.commandInFlight
             && heartbeat.token() > machine.unconfirmedToken
             && heartbeat.token() >= tokenBase;
@@ -111,7 +113,7 @@
             status.task(),
             status.attempt());
         commands.add(command(AgentCommand.Verb.STOP, status));
-      } else if (noLateStart && listener.isOutcomePersisted(status.ref(), status.task())) {
+      } else if (noDelayedStart && listener.isOutcomePersisted(status.ref(), status.task())) {
         machine.token = Math.max(machine.token, machine.highestSentToken + 1);
         commands.add(command(AgentCommand.Verb.FORGET, status));
       }
--- a/src/main/java/io/embernotch/agents/ImageCache.java
+++ b/src/main/java/io/embernotch/agents/ImageCache.java
@@ -28,9 +28,9 @@
     state.imageGb.put(spec.image(), spec.imageGb());
     double usedGb = machine.images.stream().mapToDouble(this::sizeGb).sum();
     while (machine.images.size() > 1 && isOverLimit(machine, usedGb)) {
-      String oldest = machine.images.iterator().next();
-      machine.images.remove(oldest);
-      usedGb -= sizeGb(oldest);
+      String leastRecentlyUsed = machine.images.iterator().next();
+      machine.images.remove(leastRecentlyUsed);
+      usedGb -= sizeGb(leastRecentlyUsed);
     }
   }
 
--- a/src/main/java/io/embernotch/agents/ReachabilityTracker.java
+++ b/src/main/java/io/embernotch/agents/ReachabilityTracker.java
@@ -42,7 +42,7 @@
    * Machines with unanswered calls, and no answered call to any machine in between, from which on
    * this leader is suspected to reach no agent.
    */
-  private static final int MACHINES_TO_SUSPECT_LEADER = 3;
+  private static final int MIN_MACHINES_TO_SUSPECT_LEADER = 3;
 
   private final long tokenBase;
   private final double heartbeatIntervalS;
@@ -68,39 +68,39 @@
   void heartbeatReceived(Machine machine, Heartbeat heartbeat, long forwarder, double now) {
     boolean forwarderChanged =
         machine.lastForwarder != Machine.NO_FORWARDER && machine.lastForwarder != forwarder;
-    boolean answered = machine.lastAnsweredToken > 0;
+    boolean heartbeatsAnswered = machine.lastAnsweredToken > 0;
     machine.lastForwarder = forwarder;
-    if (answered && heartbeat.token() < machine.lastAnsweredToken) {
-      acknowledgementMissed(machine, now);
+    if (heartbeatsAnswered && heartbeat.token() < machine.lastAnsweredToken) {
+      recordUnreachableSign(machine, now);
     } else if (heartbeat.token() > machine.acknowledgedToken && heartbeat.token() >= tokenBase) {
       confirmReachable(machine, now);
     } else if (forwarderChanged) {
       // A single change may be due to a failed controller, so the next heartbeat decides.
       machine.forwarderChanges++;
       if (machine.forwarderChanges >= SIGNS_REQUIRED) {
-        acknowledgementMissed(machine, now);
-        probeWithNextToken(machine);
+        recordUnreachableSign(machine, now);
+        raiseTokenForAcknowledgement(machine);
       }
     } else {
       machine.forwarderChanges = 0;
     }
     boolean agentRestarted = heartbeat.agentEpoch() > machine.agentEpoch && machine.agentEpoch > 0;
-    if (answered && agentRestarted) {
+    if (heartbeatsAnswered && agentRestarted) {
       // The agent's lease expired although its heartbeats were answered.
-      acknowledgementMissed(machine, now);
-      probeWithNextToken(machine);
+      recordUnreachableSign(machine, now);
+      raiseTokenForAcknowledgement(machine);
     }
     machine.acknowledgedToken = Math.max(machine.acknowledgedToken, heartbeat.token());
   }
 
   /** Raises the machine's token, so that it has not yet reported that of the next response. */
-  private static void probeWithNextToken(Machine machine) {
+  private static void raiseTokenForAcknowledgement(Machine machine) {
     machine.token =
         Math.max(machine.token, Math.max(machine.acknowledgedToken, machine.lastAnsweredToken) + 1);
   }
 
   /** Records that a heartbeat is answered with the machine's current token. */
-  void answering(Machine machine) {
+  void heartbeatAnswered(Machine machine) {
     machine.lastAnsweredToken = machine.token;
     machine.highestIssuedToken = Math.max(machine.highestIssuedToken, machine.token);
   }
@@ -132,18 +132,18 @@
    * machine count as unreachable. Then the responses to heartbeats decide.
    */
   void callUnanswered(Machine machine, double now) {
-    probeWithNextToken(machine);
+    raiseTokenForAcknowledgement(machine);
     unansweredMachines.add(machine);
-    if (unansweredMachines.size() >= MACHINES_TO_SUSPECT_LEADER
+    if (unansweredMachines.size() >= MIN_MACHINES_TO_SUSPECT_LEADER
         && now - lastCallAnsweredAt > heartbeatIntervalS) {
-      unansweredMachines.forEach(unanswered -> unanswered.callUnanswered = false);
+      unansweredMachines.forEach(suspect -> suspect.callUnanswered = false);
       return;
     }
     machine.callUnanswered = true;
-    acknowledgementMissed(machine, now);
+    recordUnreachableSign(machine, now);
   }
 
-  private static void acknowledgementMissed(Machine machine, double now) {
+  private static void recordUnreachableSign(Machine machine, double now) {
     machine.missedAcknowledgements++;
     if (machine.missedAcknowledgements >= SIGNS_REQUIRED && machine.unreachableSince < 0) {
       machine.unreachableSince = now;
--- a/src/main/java/io/embernotch/agents/RenewalDelegations.java
+++ b/src/main/java/io/embernotch/agents/RenewalDelegations.java
@@ -31,15 +31,15 @@
  */
 public final class RenewalDelegations {
   /** Most messages of each controller whose acknowledgements and answer times are kept. */
-  private static final int REMEMBERED_MESSAGES = 64;
+  private static final int MAX_MESSAGES = 64;
 
   /** The state of the delegation to one controller. */
   private static final class Delegation {
     /** When this leader answered each message, by the message's sequence number. */
-    final Map<Long, Double> answeredAt = new LeastRecentlyUsed<>(REMEMBERED_MESSAGES);
+    final Map<Long, Double> answeredAt = new LeastRecentlyUsed<>(MAX_MESSAGES);
 
     /** The sequence number that each message acknowledged, by its own sequence number. */
-    final Map<Long, Long> acknowledgements = new LeastRecentlyUsed<>(REMEMBERED_MESSAGES);
+    final Map<Long, Long> acknowledgements = new LeastRecentlyUsed<>(MAX_MESSAGES);
 
     /**
      * The latest renewal that the controller has reported, or that a former process of it may have
@@ -143,7 +143,7 @@
     Delegation delegation = delegations.computeIfAbsent(message.node(), node -> new Delegation());
     delegation.processIncarnation = ProcessIncarnation.of(message.seq());
     recordRenewals(delegation, message, now);
-    recordContact(delegation, message);
+    updateUnreportedRenewalBound(delegation, message);
     delegation.acknowledgements.put(message.seq(), message.ack());
     delegation.answeredAt.put(message.seq(), now);
     boolean granted = mayGrant && allDelayCancellations();
@@ -171,10 +171,11 @@
    * Derives {@link Delegation#noUnreportedRenewalUntil} as the class comment explains; {@code
    * message} is n there.
    */
-  private void recordContact(Delegation delegation, Frame.DelegateHeartbeat message) {
-    Long acknowledgedBefore = delegation.acknowledgements.get(message.ack());
+  private void updateUnreportedRenewalBound(
+      Delegation delegation, Frame.DelegateHeartbeat message) {
+    Long previouslyAcknowledged = delegation.acknowledgements.get(message.ack());
     Double answeredAt =
-        acknowledgedBefore == null ? null : delegation.answeredAt.get(acknowledgedBefore);
+        previouslyAcknowledged == null ? null : delegation.answeredAt.get(previouslyAcknowledged);
     if (answeredAt != null) {
       delegation.noUnreportedRenewalUntil =
           Math.max(delegation.noUnreportedRenewalUntil, answeredAt + settings.contactTimeoutS());
@@ -185,8 +186,8 @@
    * Returns the latest time at which another controller may have renewed the lease of an agent in
    * this zone, as known at {@code now}; {@link Clock#NEVER} if no other controller is in the zone.
    */
-  public double renewedUntil(String zone, double now) {
-    return latestOfZone(zone, delegation -> renewedUntil(delegation, now));
+  public double latestPossibleRenewalAt(String zone, double now) {
+    return latestInZone(zone, delegation -> latestPossibleRenewalAt(delegation, now));
   }
 
   /**
@@ -194,7 +195,7 @@
    * is granted; {@link Clock#NEVER} if no other controller is in the zone.
    */
   public double renewalsEndBy(String zone) {
-    return latestOfZone(
+    return latestInZone(
         zone,
         delegation ->
             Math.max(formerRenewalsEndAt(), delegation == null ? 0 : delegation.grantEndsAt));
@@ -204,7 +205,7 @@
    * Returns the latest of the bounds for the controllers in a zone. {@code bound} is passed null
    * for a controller that has sent nothing in this term.
    */
-  private double latestOfZone(String zone, ToDoubleFunction<Delegation> bound) {
+  private double latestInZone(String zone, ToDoubleFunction<Delegation> bound) {
     double latest = Clock.NEVER;
     for (Settings.Member member : settings.members()) {
       if (member.location().equals(zone)) {
@@ -214,7 +215,7 @@
     return latest;
   }
 
-  private double renewedUntil(Delegation delegation, double now) {
+  private double latestPossibleRenewalAt(Delegation delegation, double now) {
     if (delegation == null) {
       return Math.min(now, formerRenewalsEndAt());
     }
--- a/src/main/java/io/embernotch/agents/StatusProber.java
+++ b/src/main/java/io/embernotch/agents/StatusProber.java
@@ -75,12 +75,12 @@
    * Requests the status of a machine that has sent no heartbeat yet. Does nothing once it has sent
    * one, or if it is being deleted.
    */
-  void find(Machine machine) {
+  void discover(Machine machine) {
     if (!machine.up()
         && !machine.deleting
         && !machine.probing
         && machine.address != null
-        && callLimiter.tryAcquire(machine, CallClass.DISCOVERY, () -> find(machine))) {
+        && callLimiter.tryAcquire(machine, CallClass.DISCOVERY, () -> discover(machine))) {
       requestStatus(machine);
     }
   }
--- a/src/main/java/io/embernotch/agents/TaskLauncher.java
+++ b/src/main/java/io/embernotch/agents/TaskLauncher.java
@@ -32,8 +32,8 @@
   private final AgentReconciler agents;
   private final double acquiredAt;
   private final BooleanSupplier isLeading;
-  private final ArrayDeque<Machine> machinesToSend = new ArrayDeque<>();
-  private boolean serviceStarted;
+  private final ArrayDeque<Machine> machinesWithDueStarts = new ArrayDeque<>();
+  private boolean productionStarted;
 
   /**
    * Creates the launcher of a term.
@@ -68,7 +68,7 @@
       state.largestJobWaits.recordStart(job, context.clock().wallMs());
     }
     long number = job.nextAttempt++;
-    RequestPriority priority = isService(job) ? RequestPriority.HIGH : RequestPriority.NORMAL;
+    RequestPriority priority = isProduction(job) ? RequestPriority.HIGH : RequestPriority.NORMAL;
     for (SchedulingPlan.Placement placement : start.placements()) {
       Machine machine = placement.machine();
       Attempt attempt = state.openAttempt(job, placement.task(), number, machine, now);
@@ -79,7 +79,7 @@
     }
   }
 
-  private static boolean isService(Job job) {
+  private static boolean isProduction(Job job) {
     return job.spec.priority() == Priority.PRODUCTION;
   }
 
@@ -92,28 +92,28 @@
     attempt.launchState = Attempt.LaunchState.READY;
     LOG.debug("{} committed: its start command may be sent", attempt);
     sendSoon(machine);
-    if (isService(attempt.job) && !serviceStarted) {
-      serviceStarted = true;
-      double at = context.clock().now();
+    if (isProduction(attempt.job) && !productionStarted) {
+      productionStarted = true;
+      double now = context.clock().now();
       LOG.info(
           "first start of a production job {} ms after the term began, {} ms after scheduling",
-          Math.round((at - acquiredAt) * MS_PER_S),
-          Math.round((at - scheduledAt) * MS_PER_S));
+          Math.round((now - acquiredAt) * MS_PER_S),
+          Math.round((now - scheduledAt) * MS_PER_S));
     }
   }
 
   /** Collects the starts of one commit, so that each machine gets them in one call. */
   private void sendSoon(Machine machine) {
-    if (machinesToSend.isEmpty()) {
+    if (machinesWithDueStarts.isEmpty()) {
       context.loop().execute(this::sendCollected);
     }
-    machinesToSend.add(machine);
+    machinesWithDueStarts.add(machine);
   }
 
   private void sendCollected() {
     // In commit order, so that a simulation with the same seed takes the same course.
-    Set<Machine> machines = new LinkedHashSet<>(machinesToSend);
-    machinesToSend.clear();
+    Set<Machine> machines = new LinkedHashSet<>(machinesWithDueStarts);
+    machinesWithDueStarts.clear();
     if (isLeading.getAsBoolean()) {
       machines.forEach(agents::sendDueCommands);
     }
--- a/src/main/java/io/embernotch/agents/WorkerLeases.java
+++ b/src/main/java/io/embernotch/agents/WorkerLeases.java
@@ -58,12 +58,12 @@
    * lasts, no controller can have renewed it. This includes former leaders, and controllers that
    * are partitioned together with the machine's zone.
    */
-  boolean expired(Machine machine) {
+  boolean isExpired(Machine machine) {
     double now = clock.now();
     // While the machine's zone is unknown, any controller may have renewed the lease.
     double delegatedUntil =
-        machine.zone == null ? now : delegations.renewedUntil(machine.zone, now);
-    return now > lastRenewalAt(machine, delegatedUntil) + leaseTtlS(settings);
+        machine.zone == null ? now : delegations.latestPossibleRenewalAt(machine.zone, now);
+    return now > latestPossibleRenewalAt(machine, delegatedUntil) + leaseTtlS(settings);
   }
 
   /**
@@ -75,11 +75,12 @@
     if (machine.zone == null) {
       return Double.MAX_VALUE;
     }
-    return lastRenewalAt(machine, delegations.renewalsEndBy(machine.zone)) + leaseTtlS(settings);
+    return latestPossibleRenewalAt(machine, delegations.renewalsEndBy(machine.zone))
+        + leaseTtlS(settings);
   }
 
   /** Returns the latest time at which any controller can have renewed the machine's lease. */
-  private double lastRenewalAt(Machine machine, double delegatedUntil) {
+  private double latestPossibleRenewalAt(Machine machine, double delegatedUntil) {
     return Math.max(
         machine.leaseRenewedAt, Math.max(formerLeaderRenewalsUntil(machine), delegatedUntil));
   }
--- a/src/main/java/io/embernotch/forwarding/DelegatedRenewal.java
+++ b/src/main/java/io/embernotch/forwarding/DelegatedRenewal.java
@@ -25,7 +25,7 @@
  */
 public final class DelegatedRenewal {
   /** Most heartbeats to the leader whose send times are kept. */
-  private static final int REMEMBERED_HEARTBEATS = 64;
+  private static final int MAX_HEARTBEATS = 64;
 
   /**
    * Value of {@link #renewedAt}, and of the age sent in {@link Frame.DelegateHeartbeat}, before the
@@ -37,10 +37,10 @@
   private final Settings settings;
 
   /** When each heartbeat was sent to the leader, by sequence number. */
-  private final Map<Long, Double> sentAt = new LeastRecentlyUsed<>(REMEMBERED_HEARTBEATS);
+  private final Map<Long, Double> sentAt = new LeastRecentlyUsed<>(MAX_HEARTBEATS);
 
   private long lastSeq;
-  private long highestAcknowledged;
+  private long highestAcknowledgedSeq;
 
   /** When the latest heartbeat that a leader has answered was sent. */
   private double contactAt;
@@ -55,14 +55,14 @@
    * When each machine's agent was last redirected, by machine name. For an agent that has not been
    * redirected in this partition, it is set so that its second heartbeat is redirected.
    */
-  private final Map<String, Double> sentAwayAt;
+  private final Map<String, Double> redirectedAt;
 
   /** Creates a controller's side with nothing delegated; the contact timeout counts from now. */
   public DelegatedRenewal(ControllerContext context) {
     this.context = context;
     this.settings = context.settings();
     this.contactAt = context.clock().now();
-    this.sentAwayAt = new LeastRecentlyUsed<>(settings.quota().maxConnections());
+    this.redirectedAt = new LeastRecentlyUsed<>(settings.quota().maxConnections());
     this.lastSeq = ProcessIncarnation.begin(context.names());
   }
 
@@ -73,7 +73,7 @@
     return new Frame.DelegateHeartbeat(
         settings.node(),
         lastSeq,
-        highestAcknowledged,
+        highestAcknowledgedSeq,
         renewedAt < 0 ? NOT_RENEWED : now - renewedAt);
   }
 
@@ -82,19 +82,19 @@
    * whose send time is no longer kept is ignored.
    */
   public void acknowledged(Frame.DelegateHeartbeatAck acknowledgement) {
-    Double sent = sentAt.get(acknowledgement.seq());
-    if (sent == null) {
+    Double heartbeatSentAt = sentAt.get(acknowledgement.seq());
+    if (heartbeatSentAt == null) {
       return;
     }
-    highestAcknowledged = Math.max(highestAcknowledged, acknowledgement.seq());
+    highestAcknowledgedSeq = Math.max(highestAcknowledgedSeq, acknowledgement.seq());
     if (context.clock().now() - contactAt > settings.contactTimeoutS()) {
       // A partition has ended. In the next one, an agent that is redirected before its lease has
       // been renewed once could lose the lease.
-      sentAwayAt.clear();
+      redirectedAt.clear();
     }
-    contactAt = Math.max(contactAt, sent);
+    contactAt = Math.max(contactAt, heartbeatSentAt);
     if (acknowledgement.granted()) {
-      grantedAt = Math.max(grantedAt, sent);
+      grantedAt = Math.max(grantedAt, heartbeatSentAt);
     }
   }
 
@@ -112,11 +112,11 @@
     if (!mayRenew(heartbeat, now)) {
       return Optional.empty();
     }
-    if (sendAwayIfDue(heartbeat, now)) {
+    if (recordRedirectIfDue(heartbeat, now)) {
       return Optional.of(HeartbeatResponses.misdirected(leader));
     }
     renewedAt = now;
-    return Optional.of(HeartbeatResponses.renewed(heartbeat));
+    return Optional.of(HeartbeatResponses.renewal(heartbeat));
   }
 
   /**
@@ -137,13 +137,13 @@
    * first heartbeat in a partition is always answered with a renewal. The next one is redirected if
    * it arrives more than a quarter of a heartbeat interval later.
    */
-  private boolean sendAwayIfDue(Heartbeat heartbeat, double now) {
+  private boolean recordRedirectIfDue(Heartbeat heartbeat, double now) {
     double halfLeaseS = settings.workers().leaseS() / 2;
-    double assumedAt = now - halfLeaseS + settings.workers().heartbeatIntervalS() / 4;
-    Double sentAway = sentAwayAt.putIfAbsent(heartbeat.machine(), assumedAt);
-    boolean due = sentAway != null && now - sentAway > halfLeaseS;
+    double initialRedirectAt = now - halfLeaseS + settings.workers().heartbeatIntervalS() / 4;
+    Double lastRedirectAt = redirectedAt.putIfAbsent(heartbeat.machine(), initialRedirectAt);
+    boolean due = lastRedirectAt != null && now - lastRedirectAt > halfLeaseS;
     if (due) {
-      sentAwayAt.put(heartbeat.machine(), now);
+      redirectedAt.put(heartbeat.machine(), now);
     }
     return due;
   }
--- a/src/main/java/io/embernotch/forwarding/HeartbeatForwarder.java
+++ b/src/main/java/io/embernotch/forwarding/HeartbeatForwarder.java
@@ -33,10 +33,10 @@
   private static final int SERVICE_UNAVAILABLE = 503;
 
   /** Recent heartbeats sent to a new leader at once; more exceed the connection's queue. */
-  private static final int HANDOVER_BATCH = 48;
+  private static final int RECENT_BATCH_SIZE = 48;
 
   /** Most batches of recent heartbeats that are sent in one heartbeat interval. */
-  private static final int HANDOVER_BATCHES_PER_INTERVAL = 200;
+  private static final int RECENT_BATCHES_PER_INTERVAL = 200;
 
   /** What the forwarder requires of its controller. */
   public interface Host {
@@ -44,10 +44,10 @@
      * Sends a request to another controller.
      *
      * @param node the controller's name
-     * @param question makes the frame that carries the given request number
+     * @param request makes the frame that carries the given request number
      * @return the response; 503 if none arrives within {@code withinS} seconds
      */
-    Future<HttpResponse> ask(String node, LongFunction<Frame> question, double withinS);
+    Future<HttpResponse> ask(String node, LongFunction<Frame> request, double withinS);
 
     /** Sends a frame to another controller, without waiting for a response. */
     void send(String node, Frame frame);
@@ -78,9 +78,9 @@
   private long epoch;
 
   /** The highest epoch that this controller has known. */
-  private long newestEpoch;
+  private long highestEpoch;
 
-  private boolean leaderAcceptsForwarded;
+  private boolean leaderAcceptsForwardedHeartbeats;
   private double leaderChangedAt;
 
   /** Creates the forwarder of a controller that knows no leader yet. */
@@ -103,11 +103,12 @@
    *
    * @param node its node, which may be this one; null if none is known
    * @param newEpoch the epoch of its term; 0 if none is known
-   * @param acceptsForwarded whether the leader is of a version that accepts forwarded heartbeats
+   * @param acceptsForwardedHeartbeats whether the leader is of a version that accepts forwarded
+   *     heartbeats
    */
-  public void leaderChanged(String node, long newEpoch, boolean acceptsForwarded) {
+  public void leaderChanged(String node, long newEpoch, boolean acceptsForwardedHeartbeats) {
     boolean sameLeader = Objects.equals(node, leader) && newEpoch == epoch;
-    if (sameLeader && acceptsForwarded == leaderAcceptsForwarded) {
+    if (sameLeader && acceptsForwardedHeartbeats == leaderAcceptsForwardedHeartbeats) {
       return;
     }
     if (!sameLeader) {
@@ -116,17 +117,17 @@
     }
     leader = node;
     epoch = newEpoch;
-    newestEpoch = Math.max(newestEpoch, newEpoch);
-    leaderAcceptsForwarded = acceptsForwarded;
-    if (anotherLeads()) {
-      if (acceptsForwarded) {
-        handOverRecentHeartbeats();
+    highestEpoch = Math.max(highestEpoch, newEpoch);
+    leaderAcceptsForwardedHeartbeats = acceptsForwardedHeartbeats;
+    if (isRemoteLeaderKnown()) {
+      if (acceptsForwardedHeartbeats) {
+        sendRecentHeartbeats();
       }
       releaseParked(this::handleHeartbeat);
     }
   }
 
-  private boolean anotherLeads() {
+  private boolean isRemoteLeaderKnown() {
     return leader != null && !leader.equals(context.settings().node());
   }
 
@@ -135,7 +136,7 @@
    * does not accept it. Called a few times in a heartbeat interval.
    */
   public void sendDelegateHeartbeat() {
-    if (leaderAcceptsForwarded && anotherLeads()) {
+    if (leaderAcceptsForwardedHeartbeats && isRemoteLeaderKnown()) {
       host.send(leader, delegatedRenewal.nextHeartbeat());
     }
   }
@@ -172,27 +173,27 @@
    * Sends the recent heartbeats to a new leader. Parked ones are left out: they are forwarded so
    * that the leader answers them.
    */
-  private void handOverRecentHeartbeats() {
+  private void sendRecentHeartbeats() {
     Set<String> parkedMachines = parkedHeartbeats.machines();
     List<Heartbeat> heartbeats =
         recentHeartbeats().stream()
             .filter(heartbeat -> !parkedMachines.contains(heartbeat.machine()))
             .toList();
-    handOver(heartbeats, 0, epoch);
+    sendInBatches(heartbeats, 0, epoch);
   }
 
-  private void handOver(List<Heartbeat> heartbeats, int from, long toEpoch) {
+  private void sendInBatches(List<Heartbeat> heartbeats, int from, long toEpoch) {
     if (epoch != toEpoch) {
       return;
     }
-    int end = Math.min(heartbeats.size(), from + HANDOVER_BATCH);
+    int end = Math.min(heartbeats.size(), from + RECENT_BATCH_SIZE);
     for (Heartbeat heartbeat : heartbeats.subList(from, end)) {
       host.send(leader, new Frame.ForwardedHeartbeat(0, heartbeat));
     }
     if (end < heartbeats.size()) {
       double delayS =
-          context.settings().workers().heartbeatIntervalS() / HANDOVER_BATCHES_PER_INTERVAL;
-      context.timers().after(delayS, () -> handOver(heartbeats, end, toEpoch));
+          context.settings().workers().heartbeatIntervalS() / RECENT_BATCHES_PER_INTERVAL;
+      context.timers().after(delayS, () -> sendInBatches(heartbeats, end, toEpoch));
     }
   }
 
@@ -200,7 +201,7 @@
   public Future<HttpResponse> handleHeartbeat(Heartbeat heartbeat) {
     double now = context.clock().now();
     recentHeartbeats.record(heartbeat, now);
-    if (FencingTokens.epochOf(heartbeat.token()) > newestEpoch && host.isPartitionedFromStore()) {
+    if (FencingTokens.epochOf(heartbeat.token()) > highestEpoch && host.isPartitionedFromStore()) {
       // A later leader, unknown to this controller, serves this agent through another controller.
       return Future.succeededFuture(misdirected(null));
     }
@@ -208,20 +209,20 @@
     if (renewal.isPresent()) {
       return Future.succeededFuture(renewal.get());
     }
-    return leader == null ? parkOrSendAway(heartbeat, now) : forwardOrSendAway(heartbeat, now);
+    return leader == null ? parkOrRedirect(heartbeat, now) : forwardOrRedirect(heartbeat, now);
   }
 
   /**
    * Parks a heartbeat while no leader is known. After the contact timeout a controller that is
    * partitioned from the store redirects its agents instead, since others may know a leader.
    */
-  private Future<HttpResponse> parkOrSendAway(Heartbeat heartbeat, double now) {
-    boolean sendAway = now - leaderChangedAt > contactTimeoutS && host.isPartitionedFromStore();
-    return sendAway ? Future.succeededFuture(misdirected(null)) : parkedHeartbeats.park(heartbeat);
+  private Future<HttpResponse> parkOrRedirect(Heartbeat heartbeat, double now) {
+    boolean redirect = now - leaderChangedAt > contactTimeoutS && host.isPartitionedFromStore();
+    return redirect ? Future.succeededFuture(misdirected(null)) : parkedHeartbeats.park(heartbeat);
   }
 
-  private Future<HttpResponse> forwardOrSendAway(Heartbeat heartbeat, double now) {
-    if (!leaderAcceptsForwarded || !leaderResponsiveness.tryForward(now)) {
+  private Future<HttpResponse> forwardOrRedirect(Heartbeat heartbeat, double now) {
+    if (!leaderAcceptsForwardedHeartbeats || !leaderResponsiveness.tryForward(now)) {
       return Future.succeededFuture(misdirected(leader));
     }
     long toEpoch = epoch;
@@ -229,7 +230,7 @@
         .map(
             response -> {
               if (response.status() == SERVICE_UNAVAILABLE) {
-                return HeartbeatResponses.stay();
+                return HeartbeatResponses.withoutRenewal();
               }
               if (toEpoch == epoch) {
                 leaderResponsiveness.reset();
--- a/src/main/java/io/embernotch/forwarding/HeartbeatResponses.java
+++ b/src/main/java/io/embernotch/forwarding/HeartbeatResponses.java
@@ -21,7 +21,7 @@
    * Returns a response that renews no lease. The agent keeps this controller and sends its next
    * heartbeat to it.
    */
-  static HttpResponse stay() {
+  static HttpResponse withoutRenewal() {
     return HttpResponse.of(OK, WorkerCodec.emptyResponse());
   }
 
@@ -29,7 +29,7 @@
    * Returns a response without commands that renews the agent's lease with the fencing token that
    * the agent already has.
    */
-  static HttpResponse renewed(Heartbeat heartbeat) {
+  static HttpResponse renewal(Heartbeat heartbeat) {
     return HttpResponse.of(OK, WorkerCodec.response(heartbeat.token(), List.of()));
   }
 
--- a/src/main/java/io/embernotch/forwarding/ParkedHeartbeats.java
+++ b/src/main/java/io/embernotch/forwarding/ParkedHeartbeats.java
@@ -18,18 +18,18 @@
  */
 final class ParkedHeartbeats {
   /** A parked heartbeat. Compared by identity, since comparing a long heartbeat is costly. */
-  private static final class Parked {
+  private static final class ParkedHeartbeat {
     final Heartbeat heartbeat;
     final Promise<HttpResponse> response = Promise.promise();
 
-    Parked(Heartbeat heartbeat) {
+    ParkedHeartbeat(Heartbeat heartbeat) {
       this.heartbeat = heartbeat;
     }
   }
 
   private final Timers timers;
   private final double timeoutS;
-  private final Set<Parked> parked = new LinkedHashSet<>();
+  private final Set<ParkedHeartbeat> parked = new LinkedHashSet<>();
 
   ParkedHeartbeats(Timers timers, double timeoutS) {
     this.timers = timers;
@@ -42,13 +42,13 @@
    * @return the response, which completes after the heartbeat is released or the timeout has passed
    */
   Future<HttpResponse> park(Heartbeat heartbeat) {
-    Parked entry = new Parked(heartbeat);
+    ParkedHeartbeat entry = new ParkedHeartbeat(heartbeat);
     parked.add(entry);
     timers.after(
         timeoutS,
         () -> {
           if (parked.remove(entry)) {
-            entry.response.complete(HeartbeatResponses.stay());
+            entry.response.complete(HeartbeatResponses.withoutRenewal());
           }
         });
     return entry.response.future();
@@ -61,7 +61,7 @@
 
   /** Answers all parked heartbeats with {@code handler}, and removes them. */
   void release(Function<Heartbeat, Future<HttpResponse>> handler) {
-    List<Parked> released = List.copyOf(parked);
+    List<ParkedHeartbeat> released = List.copyOf(parked);
     parked.clear();
     released.forEach(entry -> handler.apply(entry.heartbeat).onSuccess(entry.response::complete));
   }
--- a/src/main/java/io/embernotch/forwarding/RecentHeartbeats.java
+++ b/src/main/java/io/embernotch/forwarding/RecentHeartbeats.java
@@ -14,7 +14,7 @@
   /** Heartbeat intervals for which a heartbeat counts as recent after it was received. */
   private static final double RECENT_INTERVALS = 1.5;
 
-  private record Received(Heartbeat heartbeat, double at) {}
+  private record Received(Heartbeat heartbeat, double receivedAt) {}
 
   private final double heartbeatIntervalS;
   private final Map<String, Received> newest;
@@ -34,9 +34,9 @@
    * not prove that the machine is alive, and must not reach the next leader as proof.
    */
   void record(Heartbeat heartbeat, double now) {
-    Received before = newest.get(heartbeat.machine());
-    if (before == null
-        || heartbeat.newerThan(before.heartbeat.agentEpoch(), before.heartbeat.seq())) {
+    Received previous = newest.get(heartbeat.machine());
+    if (previous == null
+        || heartbeat.newerThan(previous.heartbeat.agentEpoch(), previous.heartbeat.seq())) {
       newest.put(heartbeat.machine(), new Received(heartbeat, now));
     }
   }
@@ -46,7 +46,7 @@
     List<Heartbeat> heartbeats = new ArrayList<>();
     double since = now - RECENT_INTERVALS * heartbeatIntervalS;
     for (Received received : newest.values()) {
-      if (received.at >= since) {
+      if (received.receivedAt >= since) {
         heartbeats.add(received.heartbeat);
       }
     }
--- a/src/test/java/io/embernotch/agents/AgentReconcilerTest.java
+++ b/src/test/java/io/embernotch/agents/AgentReconcilerTest.java
@@ -37,12 +37,12 @@
       SettingsReader.parse(
           SimulatedCluster.settingsToml(0)
               .replace("max_connections = 1000", "max_connections = 40"));
-  private final List<String> called = new ArrayList<>();
+  private final List<String> calls = new ArrayList<>();
   private final List<Promise<HttpReply>> replies = new ArrayList<>();
   private final HttpCaller caller =
       (method, to, path, body, timeoutS) -> {
         Promise<HttpReply> reply = Promise.promise();
-        called.add(to.host() + path);
+        calls.add(to.host() + path);
         replies.add(reply);
         return reply.future();
       };
@@ -71,10 +71,10 @@
               Json.parseObject(TestJobs.job("j-1", "array", 16).getBytes(StandardCharsets.UTF_8))),
           0);
   private boolean leading = true;
-  private final List<Attempt> gone = new ArrayList<>();
+  private final List<Attempt> endedAttempts = new ArrayList<>();
 
   /** A machine whose first heartbeat has just arrived, with a committed start. */
-  private Machine machineWithStart(int index) {
+  private Machine machineWithDueStart(int index) {
     Machine machine = state.machine("n-" + index, agents.tokenBase());
     agents.processForwarded(heartbeat(index, 1));
     state.openAttempt(job, index, 1, machine, time.now()).launchState = Attempt.LaunchState.READY;
@@ -89,16 +89,16 @@
   @Test
   void queuedStartIsSentWithAHeartbeatResponseAndOnlyOnce() {
     for (int i = 0; i < 5; i++) {
-      agents.sendDueCommands(machineWithStart(i));
+      agents.sendDueCommands(machineWithDueStart(i));
     }
     // Commands may use half of the eight calls that may be in flight.
-    assertThat(called).hasSize(4).doesNotContain("10.0.1.4/do");
+    assertThat(calls).hasSize(4).doesNotContain("10.0.1.4/do");
     assertThat(
             new String(agents.processHeartbeat(heartbeat(4, 2), true, 0), StandardCharsets.UTF_8))
         .contains("\"run\"")
         .contains("j-1/4");
     replies.get(0).fail(new CallFailedException(true, "no answer in time"));
-    assertThat(called).hasSize(4);
+    assertThat(calls).hasSize(4);
     assertThat(
             new String(agents.processHeartbeat(heartbeat(3, 2), true, 0), StandardCharsets.UTF_8))
         .doesNotContain("\"run\"");
@@ -107,10 +107,10 @@
   @Test
   void queuedStartIsSentOnceACallHasEnded() {
     for (int i = 0; i < 5; i++) {
-      agents.sendDueCommands(machineWithStart(i));
+      agents.sendDueCommands(machineWithDueStart(i));
     }
     replies.get(0).fail(new CallFailedException(true, "no answer in time"));
-    assertThat(called).hasSize(5).endsWith("10.0.1.4/do");
+    assertThat(calls).hasSize(5).endsWith("10.0.1.4/do");
   }
 
   /**
@@ -118,15 +118,15 @@
    * task.
    */
   @Test
-  void nothingQueuedIsStartedOnceLeadershipIsLost() {
+  void queuedStartIsNotSentOnceLeadershipIsLost() {
     for (int i = 0; i < 5; i++) {
-      agents.sendDueCommands(machineWithStart(i));
+      agents.sendDueCommands(machineWithDueStart(i));
     }
     leading = false;
     replies.get(0).fail(new CallFailedException(true, "no answer in time"));
-    assertThat(called).hasSize(4);
-    agents.sendDueCommands(machineWithStart(5));
-    assertThat(called).hasSize(4);
+    assertThat(calls).hasSize(4);
+    agents.sendDueCommands(machineWithDueStart(5));
+    assertThat(calls).hasSize(4);
   }
 
   @Test
@@ -135,10 +135,10 @@
       state.machine("n-" + i, agents.tokenBase()).address = "10.0.1." + i + ":9000";
       agents.find(state.machines.get("n-" + i));
     }
-    assertThat(called).containsExactly("10.0.1.0/status");
+    assertThat(calls).containsExactly("10.0.1.0/status");
     agents.processForwarded(heartbeat(1, 1));
     replies.get(0).fail(new CallFailedException(true, "no answer in time"));
-    assertThat(called).containsExactly("10.0.1.0/status", "10.0.1.2/status");
+    assertThat(calls).containsExactly("10.0.1.0/status", "10.0.1.2/status");
   }
 
   /**
@@ -146,8 +146,8 @@
    * must not stay open forever.
    */
   @Test
-  void stoppingAttemptIsGoneOnceNoCopyOfItsStartIsInFlight() {
-    Machine machine = machineWithStart(1);
+  void stoppingAttemptEndsOnceNoCopyOfItsStartIsInFlight() {
+    Machine machine = machineWithDueStart(1);
     machine.commandFailedAt = time.now();
     Attempt attempt = machine.openAttempts.values().iterator().next();
     assertThat(
@@ -155,7 +155,7 @@
         .contains("\"run\"");
     attempt.stopping = true;
     agents.processHeartbeat(heartbeat(1, 3), true, 0);
-    assertThat(gone).containsExactly(attempt);
+    assertThat(endedAttempts).containsExactly(attempt);
   }
 
   @Override
@@ -166,7 +166,7 @@
 
   @Override
   public void attemptGone(Attempt attempt, Machine machine, String why) {
-    gone.add(attempt);
+    endedAttempts.add(attempt);
   }
 
   @Override
--- a/src/test/java/io/embernotch/agents/CallSlotsTest.java
+++ b/src/test/java/io/embernotch/agents/CallCapacityReleaseTest.java
@@ -30,7 +30,7 @@
  * after the capacity was acquired and the machine was marked as being probed, and when the handler
  * of the response threw. With a limit of eight calls, two malformed addresses stopped all probes.
  */
-class CallSlotsTest {
+class CallCapacityReleaseTest {
   private static final String STATUS =
       "{\"hearth\":\"n-1\",\"address\":\"10.0.1.1:9000\",\"flavor\":\"g8\",\"room\":\"z1\",\"loaner\":false,"
           + "\"tenure\":1,\"tick\":1,\"baton\":0,\"recall_s\":null,\"shards\":[]}";
@@ -41,12 +41,12 @@
           SimulatedCluster.settingsToml(0)
               .replace("max_connections = 1000", "max_connections = 40"));
   private final List<Promise<HttpReply>> replies = new ArrayList<>();
-  private boolean callerFails;
-  private final CallConcurrencyLimiter limiter =
+  private boolean callThrows;
+  private final CallConcurrencyLimiter callLimiter =
       new CallConcurrencyLimiter(settings.quota().directCalls());
 
   private Future<HttpReply> call() {
-    if (callerFails) {
+    if (callThrows) {
       throw new IllegalStateException("simulated failure");
     }
     Promise<HttpReply> reply = Promise.promise();
@@ -57,7 +57,7 @@
   private StatusProber prober(BiConsumer<Heartbeat, Machine> reconcile) {
     ControllerContext context =
         TestContexts.withWorkers(settings, time, (method, to, path, body, timeoutS) -> call());
-    return new StatusProber(context, limiter, new ReachabilityTracker(1, 3), 2, reconcile);
+    return new StatusProber(context, callLimiter, new ReachabilityTracker(1, 3), 2, reconcile);
   }
 
   private static Machine machine(int index, String address) {
@@ -66,40 +66,40 @@
     return machine;
   }
 
-  private void assertProbesGoOn(StatusProber prober) {
+  private void assertNextProbeIsSent(StatusProber prober) {
     int before = replies.size();
-    callerFails = false;
+    callThrows = false;
     prober.probe(machine(99, "10.0.1.99:9000"));
     assertThat(replies).hasSize(before + 1);
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"nowhere", "", ":9000", "10.0.1.1:x", "10.0.1.1:99999"})
-  void anAddressThatCannotBeReadTakesNoSlot(String address) {
+  void malformedAddressLeaksNoCapacity(String address) {
     StatusProber prober = prober((heartbeat, machine) -> {});
     for (int i = 0; i < 20; i++) {
       Machine machine = machine(i, address);
       prober.probe(machine);
-      prober.find(machine);
+      prober.discover(machine);
       assertThat(machine.probing).isFalse();
     }
-    assertProbesGoOn(prober);
+    assertNextProbeIsSent(prober);
   }
 
   @Test
-  void aCallThatCannotBeMadeTakesNoSlot() {
+  void callThatThrowsLeaksNoCapacity() {
     StatusProber prober = prober((heartbeat, machine) -> {});
-    callerFails = true;
+    callThrows = true;
     for (int i = 0; i < 20; i++) {
       Machine machine = machine(i, "10.0.1.1:9000");
       prober.probe(machine);
       assertThat(machine.probing).isFalse();
     }
-    assertProbesGoOn(prober);
+    assertNextProbeIsSent(prober);
   }
 
   @Test
-  void aFailureOfWhatFollowsTakesNoSlot() {
+  void responseHandlerThatThrowsLeaksNoCapacity() {
     StatusProber prober =
         prober(
             (heartbeat, machine) -> {
@@ -110,32 +110,32 @@
       Promise<HttpReply> reply = replies.get(replies.size() - 1);
       reply.tryComplete(new HttpReply(200, STATUS.getBytes(StandardCharsets.UTF_8)));
     }
-    assertProbesGoOn(prober);
+    assertNextProbeIsSent(prober);
   }
 
   /** A queued call that throws must not stop the queue. */
   @Test
-  void aQueuedCallThatThrowsStopsNoOther() {
+  void queuedCallThatThrowsDoesNotStopTheQueue() {
     List<String> run = new ArrayList<>();
-    int taken = 0;
-    while (limiter.tryAcquire(
-        machine(taken, null), CallConcurrencyLimiter.CallClass.PRODUCTION, () -> {})) {
-      taken++;
+    int acquired = 0;
+    while (callLimiter.tryAcquire(
+        machine(acquired, null), CallConcurrencyLimiter.CallClass.PRODUCTION, () -> {})) {
+      acquired++;
     }
-    limiter.tryAcquire(
+    callLimiter.tryAcquire(
         machine(100, null),
         CallConcurrencyLimiter.CallClass.PRODUCTION,
         () -> {
           throw new IllegalStateException("simulated failure");
         });
-    assertThatThrownBy(limiter::release).hasMessage("simulated failure");
+    assertThatThrownBy(callLimiter::release).hasMessage("simulated failure");
     assertThat(
-            limiter.tryAcquire(
+            callLimiter.tryAcquire(
                 machine(101, null), CallConcurrencyLimiter.CallClass.PRODUCTION, () -> {}))
         .isTrue();
-    limiter.tryAcquire(
+    callLimiter.tryAcquire(
         machine(102, null), CallConcurrencyLimiter.CallClass.PRODUCTION, () -> run.add("next"));
-    limiter.release();
+    callLimiter.release();
     assertThat(run).containsExactly("next");
   }
 }
--- a/src/test/java/io/embernotch/agents/CallConcurrencyLimiterTest.java
+++ b/src/test/java/io/embernotch/agents/CallConcurrencyLimiterTest.java
@@ -10,7 +10,7 @@
 /** Tests the order in which calls of different classes are admitted. */
 class CallConcurrencyLimiterTest {
   private final CallConcurrencyLimiter callLimiter = new CallConcurrencyLimiter(8);
-  private final List<String> begun = new ArrayList<>();
+  private final List<String> begunCalls = new ArrayList<>();
 
   private void call(String name, CallConcurrencyLimiter.CallClass callClass) {
     Machine machine = new Machine(name);
@@ -19,7 +19,7 @@
 
   private void call(Machine machine, CallConcurrencyLimiter.CallClass callClass) {
     if (callLimiter.tryAcquire(machine, callClass, () -> call(machine, callClass))) {
-      begun.add(machine.name);
+      begunCalls.add(machine.name);
     }
   }
 
@@ -28,44 +28,46 @@
    * a connection.
    */
   @Test
-  void productionGoesBeforeQueuedCallsAndUnresponsiveMachinesTakeAQuarterAtMost() {
+  void productionCallsComeFirstAndUnresponsiveMachinesUseAtMostAQuarter() {
     for (int i = 0; i < 5; i++) {
       call("unresponsive-" + i, CallConcurrencyLimiter.CallClass.UNRESPONSIVE);
     }
-    assertThat(begun).containsExactly("unresponsive-0", "unresponsive-1");
+    assertThat(begunCalls).containsExactly("unresponsive-0", "unresponsive-1");
     for (int i = 0; i < 5; i++) {
       call("normal-" + i, CallConcurrencyLimiter.CallClass.NORMAL);
     }
-    assertThat(begun).endsWith("normal-0", "normal-1").hasSize(4);
+    assertThat(begunCalls).endsWith("normal-0", "normal-1").hasSize(4);
     for (int i = 0; i < 5; i++) {
       call("production-" + i, CallConcurrencyLimiter.CallClass.PRODUCTION);
     }
-    assertThat(begun).endsWith("production-2", "production-3").hasSize(8);
+    assertThat(begunCalls).endsWith("production-2", "production-3").hasSize(8);
     callLimiter.release();
-    assertThat(begun).endsWith("production-4").hasSize(9);
+    assertThat(begunCalls).endsWith("production-4").hasSize(9);
     for (int i = 0; i < 4; i++) {
       callLimiter.release();
     }
-    assertThat(begun).hasSize(9);
+    assertThat(begunCalls).hasSize(9);
     callLimiter.release();
-    assertThat(begun).endsWith("normal-2").hasSize(10);
+    assertThat(begunCalls).endsWith("normal-2").hasSize(10);
   }
 
   @Test
-  void queuedCallWithNothingLeftToSendMakesWayForTheNext() {
+  void queuedCallWithNothingToSendLetsTheNextBegin() {
     Machine machine = new Machine("idle");
     callLimiter.tryAcquire(new Machine("a"), CallConcurrencyLimiter.CallClass.DISCOVERY, () -> {});
     assertThat(
             callLimiter.tryAcquire(
-                machine, CallConcurrencyLimiter.CallClass.DISCOVERY, () -> begun.add("nothing")))
+                machine,
+                CallConcurrencyLimiter.CallClass.DISCOVERY,
+                () -> begunCalls.add("nothing")))
         .isFalse();
     call("next", CallConcurrencyLimiter.CallClass.DISCOVERY);
     callLimiter.release();
-    assertThat(begun).containsExactly("nothing", "next");
+    assertThat(begunCalls).containsExactly("nothing", "next");
   }
 
   @Test
-  void knowsWhichCommandsAreQueued() {
+  void reportsWhetherACommandIsQueued() {
     Machine machine = new Machine("n-1");
     for (int i = 0; i < 4; i++) {
       call("normal-" + i, CallConcurrencyLimiter.CallClass.NORMAL);
--- a/src/test/java/io/embernotch/agents/LateHeartbeatCopiesTest.java
+++ b/src/test/java/io/embernotch/agents/LateHeartbeatCopiesTest.java
@@ -16,7 +16,7 @@
   private final SimulatedCluster cluster = new SimulatedCluster(3, 100);
   private FakeWorker dead;
 
-  private void service() {
+  private void startService() {
     cluster.awaitLeader(3);
     for (int i = 0; i < 4; i++) {
       cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
@@ -55,7 +55,7 @@
   }
 
   private double recoveryAfterMachineFailure(double copiesLateS) {
-    service();
+    startService();
     dead.partitioned = true;
     return recoveryS(copiesLateS, cluster.otherNode(cluster.leader()));
   }
@@ -65,18 +65,19 @@
    * machine stay down for as long as copies arrive.
    */
   @Test
-  void copiesOfADeadMachinesHeartbeatsDelayNoRecovery() {
-    double without = recoveryAfterMachineFailure(0);
-    LateHeartbeatCopiesTest other = new LateHeartbeatCopiesTest();
-    double with = other.recoveryAfterMachineFailure(40);
-    assertThat(other.cluster.violations()).isEmpty();
-    assertThat(with)
+  void copiesFromADeadMachineDoNotDelayRecovery() {
+    double withoutCopiesS = recoveryAfterMachineFailure(0);
+    LateHeartbeatCopiesTest runWithCopies = new LateHeartbeatCopiesTest();
+    double withCopiesS = runWithCopies.recoveryAfterMachineFailure(40);
+    assertThat(runWithCopies.cluster.violations()).isEmpty();
+    assertThat(withCopiesS)
         .isLessThanOrEqualTo(
-            without + other.cluster.nodes.get(0).settings.workers().heartbeatIntervalS());
+            withoutCopiesS
+                + runWithCopies.cluster.nodes.get(0).settings.workers().heartbeatIntervalS());
   }
 
   private double recoveryAfterFailover(double copiesLateS) {
-    service();
+    startService();
     cluster.advance(40);
     dead.partitioned = true;
     ControllerNode leader = cluster.leader();
@@ -86,20 +87,20 @@
 
   /** A new leader first discovers a machine by a copy that is 40 s old, followed by others. */
   @Test
-  void newLeaderTakesNoCopyForASignOfLife() {
-    double without = recoveryAfterFailover(0);
-    LateHeartbeatCopiesTest other = new LateHeartbeatCopiesTest();
-    double with = other.recoveryAfterFailover(40);
-    assertThat(other.cluster.violations()).isEmpty();
-    assertThat(with)
+  void newLeaderDoesNotTakeACopyAsASignOfLife() {
+    double withoutCopiesS = recoveryAfterFailover(0);
+    LateHeartbeatCopiesTest runWithCopies = new LateHeartbeatCopiesTest();
+    double withCopiesS = runWithCopies.recoveryAfterFailover(40);
+    assertThat(runWithCopies.cluster.violations()).isEmpty();
+    assertThat(withCopiesS)
         .isLessThanOrEqualTo(
-            without + cluster.nodes.get(0).settings.workers().heartbeatIntervalS());
+            withoutCopiesS + cluster.nodes.get(0).settings.workers().heartbeatIntervalS());
   }
 
   /** The next leader discovers, by a copy, a machine that the former leader had scaled in. */
   @Test
-  void copyOfAScaledInMachineGetsNoTasksForLong() {
-    service();
+  void copyFromAScaledInMachineDoesNotHoldTasksForLong() {
+    startService();
     List<byte[]> heartbeats = List.copyOf(cluster.heartbeatsOf(dead.name));
     cluster.workers.remove(dead.name);
     cluster.cloud.deleted.add(dead.name);
@@ -155,7 +156,7 @@
 
   /** The new incarnation has not yet reported a token that only it can have seen. */
   @Test
-  void copyProvesNothingBeforeThePresentIncarnationHasReportedAToken() {
+  void copyProvesNothingBeforeTheNewIncarnationHasReportedAToken() {
     byte[] former = replaceIncarnation(0);
     cluster.submit(0, job("j-4", "array", 1));
     executeStartThenDeliver(former);
@@ -166,7 +167,7 @@
    * former one's.
    */
   @Test
-  void copyProvesNothingWhereTheNewIncarnationWentUnnoticed() {
+  void copyProvesNothingIfTheNewIncarnationIsUndetected() {
     byte[] former = replaceIncarnation(40);
     cluster.advance(3);
     cluster.submit(0, job("j-5", "array", 1));
@@ -179,7 +180,7 @@
    * tasks would start on another machine as well.
    */
   @Test
-  void copyOfAFormerIncarnationWithALaterAgentEpochProvesNothing() {
+  void copyFromAFormerIncarnationInALaterAgentEpochProvesNothing() {
     cluster.awaitLeader(3);
     String name = cluster.boot("g8", "z1", true);
     cluster.advance(7);
--- a/src/test/java/io/embernotch/agents/ReachabilityTrackerTest.java
+++ b/src/test/java/io/embernotch/agents/ReachabilityTrackerTest.java
@@ -17,7 +17,7 @@
 class ReachabilityTrackerTest {
   private final SimulatedCluster cluster = new SimulatedCluster(3, 1000);
 
-  private List<FakeWorker> machines(int count) {
+  private List<FakeWorker> bootMachines(int count) {
     for (int i = 0; i < count; i++) {
       cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
@@ -25,7 +25,7 @@
     return List.copyOf(cluster.workers.values());
   }
 
-  private Map<String, FakeWorker> service(int replicas) {
+  private Map<String, FakeWorker> startService(int replicas) {
     assertThat(cluster.submit(0, job("j-1", "standing", replicas)).status()).isEqualTo(201);
     cluster.advance(10);
     assertThat(cluster.runningTasks("j-1")).hasSize(replicas);
@@ -45,9 +45,9 @@
   }
 
   @Test
-  void gangWithATaskOnAnUnreachableMachineBeginsElsewhere() {
+  void gangWithATaskOnAnUnreachableMachineStartsElsewhere() {
     cluster.awaitLeader(3);
-    List<FakeWorker> all = machines(4);
+    List<FakeWorker> all = bootMachines(4);
     all.get(0).inboundPartitioned = true;
     String gang =
         job("j-2", "group", 4)
@@ -59,10 +59,10 @@
   }
 
   @Test
-  void servicesFailOverOnceTheirOldReplicasAreProvenGone() {
+  void servicesFailOverOnceTheirOldReplicasHaveProvablyEnded() {
     cluster.awaitLeader(3);
-    machines(8);
-    Map<String, FakeWorker> before = service(40);
+    bootMachines(8);
+    Map<String, FakeWorker> before = startService(40);
     FakeWorker unreachable = before.get("j-1/0");
     unreachable.inboundPartitioned = true;
     long replicas = before.values().stream().filter(worker -> worker == unreachable).count();
@@ -79,10 +79,10 @@
   }
 
   @Test
-  void machineThatIsReachableAgainIsUsedAgainAndLosesNothing() {
+  void machineThatIsReachableAgainKeepsItsTasksAndGetsNewOnes() {
     cluster.awaitLeader(3);
-    machines(2);
-    Map<String, FakeWorker> before = service(12);
+    bootMachines(2);
+    Map<String, FakeWorker> before = startService(12);
     FakeWorker unreachable = before.get("j-1/0");
     unreachable.inboundPartitioned = true;
     cluster.advance(18);
@@ -100,10 +100,10 @@
    * as unreachable.
    */
   @Test
-  void manyUnreachableAtOnceAreNotScaledIn() {
+  void manyUnreachableMachinesAtOnceAreNotScaledIn() {
     cluster.awaitLeader(3);
-    List<FakeWorker> all = machines(30);
-    Map<String, FakeWorker> before = service(240);
+    List<FakeWorker> all = bootMachines(30);
+    Map<String, FakeWorker> before = startService(240);
     cluster.cloud.outOfCapacity = true;
     all.subList(0, 15).forEach(worker -> worker.inboundPartitioned = true);
     cluster.advance(15);
--- a/src/test/java/io/embernotch/forwarding/DelegatedRenewalTest.java
+++ b/src/test/java/io/embernotch/forwarding/DelegatedRenewalTest.java
@@ -32,7 +32,7 @@
   private final Settings settings = cluster.nodes.get(0).settings;
 
   /** Ensures a leader outside z2, and starts a service with three replicas in each zone. */
-  private Map<String, FakeWorker> spreadService(String ref) {
+  private Map<String, FakeWorker> startSpreadService(String ref) {
     cluster.advance(2);
     if (cluster.leader() == cluster.nodes.get(2)) {
       cluster.nodes.get(2).kill();
@@ -51,7 +51,7 @@
     return running;
   }
 
-  private boolean anyInZ2(String ref) {
+  private boolean anyTaskRunsInZ2(String ref) {
     return cluster.runningTasks(ref).values().stream().anyMatch(worker -> worker.zone.equals("z2"));
   }
 
@@ -61,8 +61,8 @@
   }
 
   @Test
-  void replicasBehindAPartitionKeepRunningUntilItHeals() {
-    Map<String, FakeWorker> before = spreadService("j-1");
+  void replicasInAPartitionedZoneKeepRunningUntilThePartitionHeals() {
+    Map<String, FakeWorker> before = startSpreadService("j-1");
     cluster.faults.partitionedZone = "z2";
     for (int i = 0; i < PARTITION_S; i++) {
       cluster.advance(1);
@@ -78,26 +78,26 @@
    * its lease has been renewed once.
    */
   @Test
-  void eachPartitionRenewsLeasesBeforeAgentsAreSentAway() {
+  void leasesAreRenewedBeforeAgentsAreRedirectedInEachPartition() {
     FakeTime time = new FakeTime();
-    Settings far = cluster.nodes.get(2).settings;
-    DelegatedRenewal delegatedRenewal = new DelegatedRenewal(context(far, time, "x"));
+    Settings zoneSettings = cluster.nodes.get(2).settings;
+    DelegatedRenewal delegatedRenewal = new DelegatedRenewal(context(zoneSettings, time, "x"));
     Heartbeat heartbeat =
         new Heartbeat("n-1", "10.0.0.9:9", "g8", "z2", false, 1, 1, 5, null, List.of());
     for (int partition = 0; partition < 2; partition++) {
       delegatedRenewal.acknowledged(
           new Frame.DelegateHeartbeatAck(1, delegatedRenewal.nextHeartbeat().seq(), true));
-      time.advance(far.contactTimeoutS() * 1.1);
+      time.advance(zoneSettings.contactTimeoutS() * 1.1);
       assertThat(delegatedRenewal.renew(heartbeat, "c0").orElseThrow().status()).isEqualTo(200);
-      time.advance(far.workers().leaseS() / 2);
+      time.advance(zoneSettings.workers().leaseS() / 2);
       assertThat(delegatedRenewal.renew(heartbeat, "c0").orElseThrow().status()).isEqualTo(421);
-      time.advance(far.workers().leaseS() / 2);
+      time.advance(zoneSettings.workers().leaseS() / 2);
     }
   }
 
   @Test
-  void replicasKeepRunningThoughTheLeaderFailsDuringThePartition() {
-    Map<String, FakeWorker> before = spreadService("j-1");
+  void replicasKeepRunningIfTheLeaderFailsDuringThePartition() {
+    Map<String, FakeWorker> before = startSpreadService("j-1");
     cluster.faults.partitionedZone = "z2";
     cluster.advance(10);
     cluster.leader().kill();
@@ -108,8 +108,8 @@
   }
 
   @Test
-  void longerPartitionEndsReplicasAndOnlyThenTheyStartElsewhere() {
-    spreadService("j-1");
+  void replicasStartElsewhereOnlyAfterALongPartitionHasEndedThem() {
+    startSpreadService("j-1");
     cluster.submit(0, job("j-2", "standing", 4).replace("\"room\":null", "\"room\":\"z2\""));
     cluster.advance(15);
     assertThat(cluster.runningTasks("j-2")).hasSize(4);
@@ -117,7 +117,7 @@
     cluster.cloud.down = true;
     // The renewals end, then the leases. The invariant checker fails if a task restarts before.
     cluster.advance(settings.gracePeriodS() + settings.workers().leaseS() + 5);
-    assertThat(anyInZ2("j-1")).isFalse();
+    assertThat(anyTaskRunsInZ2("j-1")).isFalse();
     cluster.faults.partitionedZone = null;
     cluster.cloud.down = false;
     cluster.advance(25);
@@ -126,8 +126,8 @@
   }
 
   @Test
-  void cancellationIsConfirmedOnlyOnceTasksBehindThePartitionMustEndInTime() {
-    spreadService("j-1");
+  void cancellationIsConfirmedOnlyOnceTasksInThePartitionedZoneMustEndInTime() {
+    startSpreadService("j-1");
     cluster.faults.partitionedZone = "z2";
     cluster.cloud.down = true;
     cluster.advance(12);
@@ -141,33 +141,33 @@
       waitedS += 1;
       assertThat(waitedS).isLessThan(settings.gracePeriodS());
     }
-    assertThat(anyInZ2("j-1")).isTrue();
+    assertThat(anyTaskRunsInZ2("j-1")).isTrue();
     cluster.advance(settings.workers().cancelS() - 1);
     assertThat(cluster.runningTasks("j-1")).isEmpty();
   }
 
   @Test
-  void cancellationConfirmedBeforeAPartitionLeavesNothingBehindIt() {
-    spreadService("j-1");
+  void cancellationConfirmedBeforeAPartitionLeavesNoTaskRunning() {
+    startSpreadService("j-1");
     assertThat(cluster.cancel(0, "j-1").status()).isEqualTo(200);
     cluster.faults.partitionedZone = "z2";
     assertThat(cluster.runningTasks("j-1")).isEmpty();
   }
 
   @Test
-  void nothingIsDelegatedWhileAControllerMayBeOfTheFormerVersion() {
-    spreadService("j-1");
+  void renewalIsNotDelegatedWhileAControllerMayBeOfTheFormerVersion() {
+    startSpreadService("j-1");
     // This controller sends nothing to the next leader, like one of the former version.
-    ControllerNode muted =
+    ControllerNode silentController =
         cluster.leader() == cluster.nodes.get(0) ? cluster.nodes.get(1) : cluster.nodes.get(0);
-    muted.peersUnreachable = true;
+    silentController.peersUnreachable = true;
     cluster.leader().kill();
     cluster.advance(10);
     cluster.nodes.stream().filter(node -> node.down).forEach(ControllerNode::start);
     cluster.advance(settings.gracePeriodS() + 10);
     cluster.faults.partitionedZone = "z2";
     cluster.advance(settings.workers().leaseS() + 4);
-    assertThat(anyInZ2("j-1")).isFalse();
+    assertThat(anyTaskRunsInZ2("j-1")).isFalse();
   }
 
   /**
@@ -175,16 +175,16 @@
    * former incarnation could count for the next one.
    */
   @Test
-  void noTwoIncarnationsUseTheSameNumbers() {
+  void incarnationsUseDistinctSequenceNumbers() {
     FakeTime time = new FakeTime();
-    Settings far = cluster.nodes.get(2).settings;
+    Settings zoneSettings = cluster.nodes.get(2).settings;
     List<Frame.DelegateHeartbeat> first =
         Stream.of("one", "two")
-            .map(name -> new DelegatedRenewal(context(far, time, name)))
+            .map(name -> new DelegatedRenewal(context(zoneSettings, time, name)))
             .map(DelegatedRenewal::nextHeartbeat)
             .toList();
     assertThat(first.get(0).seq()).isNotEqualTo(first.get(1).seq());
-    RenewalDelegations delegations = new RenewalDelegations(far, 100, new HashSet<>());
+    RenewalDelegations delegations = new RenewalDelegations(zoneSettings, 100, new HashSet<>());
     delegations.heartbeatReceived(first.get(0), 7, true, 200);
     assertThat(delegations.isNewProcess(first.get(0))).isFalse();
     assertThat(delegations.isNewProcess(first.get(1))).isTrue();
--- a/src/test/java/io/embernotch/forwarding/IsolatedControllerTest.java
+++ b/src/test/java/io/embernotch/forwarding/IsolatedControllerTest.java
@@ -20,7 +20,7 @@
 class IsolatedControllerTest {
   private final SimulatedCluster cluster = new SimulatedCluster(3, 100);
 
-  private Map<String, FakeWorker> service() {
+  private Map<String, FakeWorker> startService() {
     cluster.awaitLeader(3);
     for (int i = 0; i < 30; i++) {
       cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
@@ -38,7 +38,7 @@
     return cluster.runningTasks("j-1");
   }
 
-  private void isolate(ControllerNode node, boolean isolated) {
+  private void setIsolated(ControllerNode node, boolean isolated) {
     node.storeUnavailable = isolated;
     node.peersUnreachable = isolated;
   }
@@ -50,10 +50,10 @@
 
   @ParameterizedTest
   @CsvSource({"true,30", "true,60", "true,150", "false,30", "false,60", "false,150"})
-  void keepsNoAgentUntilItsLeaseExpires(boolean leader, int seconds) {
-    Map<String, FakeWorker> before = service();
+  void redirectsAgentsBeforeTheirLeasesExpire(boolean leader, int seconds) {
+    Map<String, FakeWorker> before = startService();
     ControllerNode node = leader ? cluster.leader() : cluster.otherNode(cluster.leader());
-    isolate(node, true);
+    setIsolated(node, true);
     double longestPollS = 0;
     for (int s = 0; s < seconds; s += 5) {
       cluster.advance(5);
@@ -69,7 +69,7 @@
     }
     assertThat(longestPollS).isLessThan(1);
     assertThat(cluster.leader()).isNotNull().isNotEqualTo(node);
-    isolate(node, false);
+    setIsolated(node, false);
     cluster.advance(40);
     assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
     // The least share of a lease that was left when it was renewed, here by the controller to which
@@ -83,20 +83,20 @@
    */
   @ParameterizedTest
   @CsvSource({"true", "false"})
-  void storeOutageAfterALeaderWasPartitionedEndsNothing(boolean leaderFails) {
-    Map<String, FakeWorker> before = service();
+  void storeOutageAfterALeaderWasPartitionedEndsNoTask(boolean leaderFails) {
+    Map<String, FakeWorker> before = startService();
     ControllerNode node = cluster.leader();
     if (leaderFails) {
       node.kill();
     }
-    isolate(node, true);
+    setIsolated(node, true);
     cluster.advance(8);
     assertThat(cluster.leader()).isNotNull().isNotEqualTo(node);
     cluster.store.outage = true;
     cluster.advance(node.settings.gracePeriodS() + 0.6 * node.settings.workers().leaseS());
     assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
     cluster.store.endOutage();
-    isolate(node, false);
+    setIsolated(node, false);
     if (leaderFails) {
       node.start();
     }
@@ -110,10 +110,10 @@
    */
   @ParameterizedTest
   @CsvSource({"true", "false"})
-  void sendsAwayAgentsThatHaveSeenALaterLeader(boolean leader) {
-    Map<String, FakeWorker> before = service();
+  void redirectsAgentsThatHaveSeenALaterLeader(boolean leader) {
+    Map<String, FakeWorker> before = startService();
     ControllerNode node = leader ? cluster.leader() : cluster.otherNode(cluster.leader());
-    isolate(node, true);
+    setIsolated(node, true);
     cluster.advance(10);
     if (!leader) {
       ControllerNode other = cluster.leader();
--- a/src/test/java/io/embernotch/forwarding/PendingRequestsTest.java
+++ b/src/test/java/io/embernotch/forwarding/PendingRequestsTest.java
@@ -26,7 +26,7 @@
    * complete another user's.
    */
   @Test
-  void answerToAFormerIncarnationCompletesNothingOfThisOne() {
+  void responseToAFormerIncarnationCompletesNoRequestOfTheNextOne() {
     incarnation("one")
         .send(
             "c1", id -> new Frame.ForwardedRequest(id, Frame.ForwardedRequest.Kind.POLL, "j-1"), 2);
