--- a/src/main/java/io/embernotch/agents/AgentReconciler.java
+++ b/src/main/java/io/embernotch/agents/AgentReconciler.java
@@ -152,8 +152,8 @@
   }
 
   /**
-   * Processes a heartbeat whose agent does not wait for a response: one that this or another
-   * controller received before this term.
+   * Processes a heartbeat whose agent does not wait, or no longer waits, for a response. Other
+   * controllers forward such heartbeats to a new leader.
    *
    * @return false if the machine was deleted in this term, or if the heartbeat proves that this
    *     leader is superseded
--- a/src/main/java/io/embernotch/agents/HeartbeatResponder.java
+++ b/src/main/java/io/embernotch/agents/HeartbeatResponder.java
@@ -17,7 +17,7 @@
 final class HeartbeatResponder {
   private static final Logger LOG = LoggerFactory.getLogger(HeartbeatResponder.class);
 
-  /** Heartbeat intervals after a failed direct call in which starts are sent in responses. */
+  /** Heartbeat intervals after a failed direct call during which responses carry the starts. */
   private static final int RECENT_FAILURE_INTERVALS = 2;
 
   private final ControllerContext context;
--- a/src/main/java/io/embernotch/agents/ReachabilityTracker.java
+++ b/src/main/java/io/embernotch/agents/ReachabilityTracker.java
@@ -39,8 +39,8 @@
   private static final int SIGNS_REQUIRED = 2;
 
   /**
-   * Machines with unanswered calls, and no answered call to any machine in between, from which on
-   * this leader is suspected to reach no agent.
+   * If calls to this many machines stay unanswered and no call is answered in between, this leader
+   * is suspected to reach no agent at all.
    */
   private static final int MIN_MACHINES_TO_SUSPECT_LEADER = 3;
 
--- a/src/main/java/io/embernotch/agents/StatusProber.java
+++ b/src/main/java/io/embernotch/agents/StatusProber.java
@@ -93,8 +93,8 @@
     }
 
     /**
-     * Returns whether a response, though sent later, is older by its numbers or token: then it is
-     * from another incarnation of the machine.
+     * Returns whether a response, although sent later, has no newer sequence number or a lower
+     * token. Then it is from another incarnation of the machine.
      */
     boolean isContradictedBy(Heartbeat heartbeat) {
       return !heartbeat.newerThan(agentEpoch, heartbeatSeq) || heartbeat.token() < reportedToken;
