--- a/src/test/java/io/embernotch/agents/LateHeartbeatCopiesTest.java
+++ b/src/test/java/io/embernotch/agents/LateHeartbeatCopiesTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Copies of heartbeats that arrive from seconds to well over a lease late. */
+/** Tests copies of heartbeats that arrive late, from seconds to well over a lease. */
 class LateHeartbeatCopiesTest {
   private final SimulatedCluster cluster = new SimulatedCluster(3, 100);
   private FakeWorker dead;
 
-  private void service() {
+  private void startService() {
     cluster.awaitLeader(3);
     for (int i = 0; i < 4; i++) {
       cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
@@ -28,8 +28,8 @@
   }
 
   /**
-   * Seconds until all replicas are up again, while copies of the dead machine's heartbeats arrive
-   * that many seconds late; no copies arrive if it is 0.
+   * Returns the seconds until all replicas run again, while copies of the dead machine's heartbeats
+   * arrive {@code copiesLateS} seconds late; no copies arrive if it is 0.
    */
   private double recoveryS(double copiesLateS, ControllerNode to) {
     List<byte[]> heartbeats = List.copyOf(cluster.heartbeatsOf(dead.name));
@@ -55,28 +55,29 @@
   }
 
   private double recoveryAfterMachineFailure(double copiesLateS) {
-    service();
+    startService();
     dead.partitioned = true;
     return recoveryS(copiesLateS, cluster.otherNode(cluster.leader()));
   }
 
   /**
-   * Copies must not renew the lease that the leader assumes: services of a dead machine would stay
-   * down for as long as copies arrive.
+   * Copies must not renew the lease that the leader assumes. Otherwise the services of a dead
+   * machine stay down for as long as copies arrive.
    */
   @Test
-  void copiesOfADeadMachinesHeartbeatsDelayNoRecovery() {
-    double without = recoveryAfterMachineFailure(0);
-    LateHeartbeatCopiesTest other = new LateHeartbeatCopiesTest();
-    double with = other.recoveryAfterMachineFailure(40);
-    assertThat(other.cluster.violations()).isEmpty();
-    assertThat(with)
+  void copiesFromADeadMachineDoNotDelayRecovery() {
+    double withoutCopiesS = recoveryAfterMachineFailure(0);
+    LateHeartbeatCopiesTest runWithCopies = new LateHeartbeatCopiesTest();
+    double withCopiesS = runWithCopies.recoveryAfterMachineFailure(40);
+    assertThat(runWithCopies.cluster.violations()).isEmpty();
+    assertThat(withCopiesS)
         .isLessThanOrEqualTo(
-            without + other.cluster.nodes.get(0).settings.workers().heartbeatIntervalS());
+            withoutCopiesS
+                + runWithCopies.cluster.nodes.get(0).settings.workers().heartbeatIntervalS());
   }
 
   private double recoveryAfterFailover(double copiesLateS) {
-    service();
+    startService();
     cluster.advance(40);
     dead.partitioned = true;
     ControllerNode leader = cluster.leader();
@@ -84,22 +85,22 @@
     return recoveryS(copiesLateS, cluster.otherNode(leader));
   }
 
-  /** A new leader first learns of a machine by a copy from 40 s ago, and then by others. */
+  /** A new leader first discovers a machine by a copy that is 40 s old, followed by others. */
   @Test
-  void newLeaderTakesNoCopyForASignOfLife() {
-    double without = recoveryAfterFailover(0);
-    LateHeartbeatCopiesTest other = new LateHeartbeatCopiesTest();
-    double with = other.recoveryAfterFailover(40);
-    assertThat(other.cluster.violations()).isEmpty();
-    assertThat(with)
+  void newLeaderDoesNotTakeACopyAsASignOfLife() {
+    double withoutCopiesS = recoveryAfterFailover(0);
+    LateHeartbeatCopiesTest runWithCopies = new LateHeartbeatCopiesTest();
+    double withCopiesS = runWithCopies.recoveryAfterFailover(40);
+    assertThat(runWithCopies.cluster.violations()).isEmpty();
+    assertThat(withCopiesS)
         .isLessThanOrEqualTo(
-            without + cluster.nodes.get(0).settings.workers().heartbeatIntervalS());
+            withoutCopiesS + cluster.nodes.get(0).settings.workers().heartbeatIntervalS());
   }
 
-  /** The next leader learns, by a copy, of a machine that the former one had scaled in. */
+  /** The next leader discovers, by a copy, a machine that the former leader had scaled in. */
   @Test
-  void copyOfAScaledInMachineGetsNoTasksForLong() {
-    service();
+  void copyFromAScaledInMachineDoesNotHoldTasksForLong() {
+    startService();
     List<byte[]> heartbeats = List.copyOf(cluster.heartbeatsOf(dead.name));
     cluster.workers.remove(dead.name);
     cluster.cloud.deleted.add(dead.name);
@@ -117,7 +118,8 @@
   /**
    * Begins another incarnation of the only machine.
    *
-   * @param laterSeq how far the new incarnation counts on above the former one; 0 if it counts anew
+   * @param laterSeq by how much the new incarnation's sequence numbers start above the former
+   *     one's; 0 if they restart
    * @return a heartbeat that the former incarnation would have sent in a later agent epoch
    */
   private byte[] replaceIncarnation(int laterSeq) {
@@ -136,8 +138,8 @@
   }
 
   /**
-   * Has the delayed start executed, with its answer lost, then the copy arrive, and boots another
-   * machine where the task could start a second time.
+   * Delivers the delayed start command, whose response is lost, then the copy. Boots another
+   * machine on which the task could start a second time.
    */
   private void executeStartThenDeliver(byte[] former) {
     for (int i = 0; i < 400 && cluster.delayedCount() == 0; i++) {
@@ -152,20 +154,20 @@
     cluster.advance(20);
   }
 
-  /** Before the present incarnation has reported any token that only it can have seen. */
+  /** The new incarnation has not yet reported a token that only it can have seen. */
   @Test
-  void copyProvesNothingBeforeThePresentIncarnationHasReportedAToken() {
+  void copyProvesNothingBeforeTheNewIncarnationHasReportedAToken() {
     byte[] former = replaceIncarnation(0);
     cluster.submit(0, job("j-4", "array", 1));
     executeStartThenDeliver(former);
   }
 
   /**
-   * Where nobody has noticed that there is another incarnation, since it counts on from above the
-   * former one.
+   * The leader has not detected the new incarnation, since its sequence numbers start above the
+   * former one's.
    */
   @Test
-  void copyProvesNothingWhereTheNewIncarnationWentUnnoticed() {
+  void copyProvesNothingIfTheNewIncarnationIsUndetected() {
     byte[] former = replaceIncarnation(40);
     cluster.advance(3);
     cluster.submit(0, job("j-5", "array", 1));
@@ -173,12 +175,12 @@
   }
 
   /**
-   * A copy of a machine's former incarnation, with a later agent epoch than it has now, must not
-   * prove gone what has just been sent to it and not been answered: that would be started
-   * elsewhere, and then here too.
+   * A copy from a machine's former incarnation, in a later agent epoch than the present one, must
+   * not prove that attempts have ended whose start commands were just sent and not answered. Their
+   * tasks would start on another machine as well.
    */
   @Test
-  void copyOfAFormerIncarnationWithALaterAgentEpochProvesNothing() {
+  void copyFromAFormerIncarnationInALaterAgentEpochProvesNothing() {
     cluster.awaitLeader(3);
     String name = cluster.boot("g8", "z1", true);
     cluster.advance(7);
@@ -195,7 +197,7 @@
     cluster.submit(0, job("j-3", "array", 4));
     cluster.advance(4);
     cluster.faults.commandDelivery = Delivery.DELIVERED;
-    // Executed now; its answer is lost.
+    // The command is executed now; its response is lost.
     cluster.deliverDelayed();
     cluster.nodes.forEach(node -> cluster.deliverHeartbeat(node, former));
     cluster.advance(0.3);
