--- a/src/main/java/io/embernotch/controller/Controller.java
+++ b/src/main/java/io/embernotch/controller/Controller.java
@@ -28,16 +28,16 @@
 import io.vertx.core.Future;
 
 /**
- * One controller: it accepts what users and agents send, and leads whenever its node holds the
- * leader key. All its methods are called on the core loop.
+ * A controller node. It serves requests from users and heartbeats from agents, and runs the leader
+ * while its node holds the leader key. Confined to the controller's event loop.
  */
 public final class Controller implements RequestHandler {
-  /** Straggler rounds after which a machine view that was not renewed is dropped. */
+  /** Number of straggler rounds after which a machine view that was not renewed expires. */
   private static final int MACHINE_VIEW_ROUNDS = 6;
 
   private static final int TICKS_PER_HEARTBEAT_INTERVAL = 3;
 
-  /** The replica takes at most this share of the process's memory. */
+  /** Share of the process's memory limit that the replica may use. */
   private static final double REPLICA_SHARE = 0.1;
 
   private static final int BYTES_PER_MB = 1 << 20;
@@ -72,7 +72,7 @@
   private final NodeStatus nodeStatus;
 
   /**
-   * Assembles a controller, which does nothing before {@link #start}.
+   * Creates a controller, which is inactive until {@link #start} is called.
    *
    * @param peers connections to the other controllers
    * @param leaseRenewer renews the lease of the leader key while this node holds the key
@@ -265,7 +265,7 @@
         election);
   }
 
-  /** Begins to accept frames, to contend for leadership, and to send heartbeats; called once. */
+  /** Starts receiving frames, contending for leadership and sending heartbeats. Call only once. */
   public void start() {
     peers.onFrame(createFrameDispatcher()::dispatch);
     peers.onConnected(peerHeartbeats::greet);
@@ -302,7 +302,7 @@
     localLeader.current().ifPresent(leader -> leader.addMachineTypes(machineTypes.types()));
   }
 
-  // ---- requests of users, operators and agents
+  // ---- requests from users, operators and agents
 
   @Override
   public Future<HttpResponse> submit(byte[] body) {
@@ -339,7 +339,7 @@
         .map(nodeStatus::overview);
   }
 
-  /** How many answers contradicted an end that was known here, and were not given. */
+  /** Number of answers withheld because they contradicted a job's known final phase. */
   public int answerContradictions() {
     return answers.contradictions();
   }
--- a/src/main/java/io/embernotch/controller/ControllerLeaderContext.java
+++ b/src/main/java/io/embernotch/controller/ControllerLeaderContext.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** What the leader needs of the controller that it runs in. */
+/** Gives the leader access to the controller that it runs in. */
 final class ControllerLeaderContext implements LeaderContext {
   private final Settings settings;
   private final PeerLink peers;
--- a/src/main/java/io/embernotch/controller/ForwardingContext.java
+++ b/src/main/java/io/embernotch/controller/ForwardingContext.java
@@ -10,7 +10,10 @@
 import io.vertx.core.Future;
 import java.util.function.LongFunction;
 
-/** What forwarding heartbeats needs of the controller: its peers, and whether it is partitioned. */
+/**
+ * Gives the heartbeat forwarder access to the other controllers, and shows it whether this
+ * controller is partitioned from the store.
+ */
 final class ForwardingContext implements HeartbeatForwarder.Host {
   private final StoreClient store;
   private final PeerLink peers;
--- a/src/main/java/io/embernotch/controller/IncarnationEvents.java
+++ b/src/main/java/io/embernotch/controller/IncarnationEvents.java
@@ -9,7 +9,7 @@
 import io.embernotch.snapshot.BaseSnapshot;
 import java.util.function.Supplier;
 
-/** What a controller does when the store's contents are lost, or another incarnation begins. */
+/** Handles losses of the store's data and changes of the store incarnation for this controller. */
 final class IncarnationEvents implements IncarnationHost {
   private final String node;
   private final PeerLiveness peerLiveness;
@@ -23,7 +23,7 @@
   private MachineTypeCatalog machineTypes;
   private PeerHeartbeats peerHeartbeats;
 
-  /** {@link #connect} is to be called before anything can happen. */
+  /** Creates the handler; {@link #connect} must be called before the first event. */
   IncarnationEvents(
       String node,
       PeerLiveness peerLiveness,
@@ -39,7 +39,10 @@
     this.incarnations = incarnations;
   }
 
-  /** Sets what is assembled after the tracker of the incarnation, which needs this object. */
+  /**
+   * Sets the components that are created after the incarnation tracker, which in turn needs this
+   * handler.
+   */
   void connect(
       LeaderElection newElection,
       Replication newReplication,
@@ -56,8 +59,8 @@
   @Override
   public void incarnationSettled(BaseSnapshot baseSnapshot) {
     if (localLeader.isPresent()) {
-      // One that this node began is settled before its term begins, so another node began this
-      // one.
+      // An incarnation that this node begins settles before this node's term starts, so another
+      // node has begun this one.
       election.stepDown("another store incarnation has begun");
     }
     boolean lacksKnown = !election.holdsKey() && restoreSource.isMissingFrom(baseSnapshot);
--- a/src/main/java/io/embernotch/controller/JobAnnouncements.java
+++ b/src/main/java/io/embernotch/controller/JobAnnouncements.java
@@ -16,7 +16,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Announcements to the leader of jobs that a controller has accepted and written to the store. */
+/** Announces jobs to the leader that a controller has accepted and written to the store. */
 final class JobAnnouncements {
   private static final Logger LOG = LoggerFactory.getLogger(JobAnnouncements.class);
 
@@ -28,7 +28,7 @@
   private final int shardSize;
 
   /**
-   * @param shardSize number of tasks of a job that this node keeps in one shard
+   * @param shardSize number of tasks per shard in the jobs that this controller accepts
    */
   JobAnnouncements(
       StoreClient store,
@@ -46,9 +46,9 @@
   }
 
   /**
-   * Announces a job that this controller has accepted, if a leader is known.
+   * Announces a job that this controller has accepted to the leader, if one is known.
    *
-   * @param value what was written to the job's key
+   * @param value the value written to the job's key
    * @param revision store revision of the write
    */
   void announce(Job job, ObjectNode value, long revision) {
@@ -60,9 +60,10 @@
   }
 
   /**
-   * Passes jobs that another controller has committed to the leader, which is here.
+   * Delivers jobs that another controller has committed to the local leader.
    *
-   * @return whether the leader knows of all that the update holds, and so acknowledges it
+   * @return true if the local leader received every entry of the update, so that the update can be
+   *     acknowledged; false also if an entry is not a job or is malformed
    */
   boolean committed(Frame.StateUpdate update) {
     boolean allPassedOn = true;
@@ -84,7 +85,7 @@
     }
   }
 
-  /** Passes another controller's announcement to the leader, if that is here. */
+  /** Delivers another controller's announcement to the local leader, if this node leads. */
   void received(Frame.JobAccepted frame) {
     if (!localLeader.isPresent()) {
       return;
@@ -97,7 +98,7 @@
       String incarnation = incarnations.name();
       if (!incarnation.isEmpty()
           && incarnation.equals(IncarnationCodec.announcedIncarnation(value))) {
-        // Without it, contents restored to a state just before the write would pass for current.
+        // Otherwise a rollback of the store to a state just before this write would go undetected.
         store.noteRevision(
             JobProgressCodec.JOB + accepted.job().spec.ref(),
             IncarnationCodec.announcedEpoch(value));
--- a/src/main/java/io/embernotch/controller/JobQueries.java
+++ b/src/main/java/io/embernotch/controller/JobQueries.java
@@ -13,12 +13,20 @@
 import java.util.function.Predicate;
 
 /**
- * Answers users' polls and aborts of jobs at any controller: a completion that is known here is
- * answered at once, anything else by the leader, and polls by the store while there is no leader.
+ * Answers users' polls and cancellations of jobs on any controller. Final phases that this
+ * controller has cached are returned directly; other requests go to the leader. While no leader
+ * answers, polls are answered from the store.
  */
 final class JobQueries {
-  /** Forwards a request to the leader, wherever it is; 503 if there is no answer in time. */
+  /** Sends requests to the leader, in this process or on another node. */
   interface LeaderRequests {
+    /**
+     * Sends a request to the leader.
+     *
+     * @param ref id of the job
+     * @param withinS seconds to wait for an answer from another node
+     * @return the leader's answer, or 503 if there is none in time
+     */
     Future<HttpResponse> request(Frame.ForwardedRequest.Kind kind, String ref, double withinS);
   }
 
@@ -34,20 +42,23 @@
   private final LeaderRequests leader;
   private final double heartbeatIntervalS;
 
-  /** Seconds for which a poll waits for the leader. */
+  /** Seconds to wait for the leader's answer to a poll. */
   private final double pollTimeoutS;
 
-  /** Seconds of failing requests after which the store is not asked. */
+  /** The store is not read once its requests have failed for more than this many seconds. */
   private final double maxStoreFailureS;
 
-  /** Seconds of the wait for a read of the store from which on it is not asked. */
+  /** The store is not read while a read would be queued for more than this many seconds. */
   private final double maxReadWaitS;
 
-  /** A flood of polls costs other nodes and the store nothing, and agents little. */
+  /**
+   * Refuses excess polls before they reach other nodes or the store, and before they delay the
+   * heartbeats of agents.
+   */
   private final PollRateLimiter rateLimiter;
 
   /**
-   * @param acceptedHere whether the job with the given reference was accepted by this process
+   * @param acceptedHere tests whether this process has accepted the job with the given id
    */
   JobQueries(
       ControllerContext context,
@@ -70,7 +81,10 @@
     this.rateLimiter = new PollRateLimiter(context.clock(), context.timers(), context.settings());
   }
 
-  /** The state of a job: 200, 404 if it was never accepted, or 503. */
+  /**
+   * Returns the status of a job: 200, 404 if the job was never accepted, or 503 if that cannot be
+   * determined now or too many polls arrive.
+   */
   Future<HttpResponse> poll(String ref) {
     if (!JobCodec.isRef(ref)) {
       return answer(HttpResponse.error(NOT_FOUND, "no such job"));
@@ -103,7 +117,10 @@
                     : answer(question.answer(JobAnswers.Source.LEADER, response)));
   }
 
-  /** What the store holds, if it answers in time: users wait two seconds at most. */
+  /**
+   * Returns the status that the store holds, or 503 if the store is failing or overloaded: users
+   * wait for two seconds at most.
+   */
   private Future<HttpResponse> statusFromStore(String ref) {
     if (!incarnations.answerPolicy().mayTellEnds()) {
       return answer(contentsUnknown());
@@ -112,7 +129,8 @@
       return answer(HttpResponse.later("the state service does not answer"));
     }
     if (context.store().readWaitS() > maxReadWaitS) {
-      // A read that is queued for so long is answered after its user has gone, as are the next.
+      // The user would time out before a read that is queued for this long is answered, and so
+      // would the users of the reads queued behind it.
       return answer(HttpResponse.later("more is asked than the state service takes"));
     }
     boolean acceptedBefore = acceptedHere.test(ref);
@@ -120,8 +138,10 @@
   }
 
   /**
-   * An end that the store holds is told as it is. Anything else may have been overtaken by what a
-   * store that was put back has lost.
+   * Returns a final phase as stored, since it never changes. Any other status may be outdated if
+   * the store was rolled back, so it is returned only once a rollback has been ruled out; else 503.
+   *
+   * @param acceptedBefore whether this process had accepted the job before the read began
    */
   private Future<HttpResponse> verify(String ref, HttpResponse response, boolean acceptedBefore) {
     if (completedJobs.status(ref) != null) {
@@ -137,7 +157,10 @@
             .map(proven -> proven ? verified : contentsUnknown());
   }
 
-  /** Cancels a job: the leader's answer, or 503. */
+  /**
+   * Cancels a job. Returns the cached final phase if there is one, else the leader's answer, or 503
+   * if there is none in time.
+   */
   Future<HttpResponse> abort(String ref) {
     if (!JobCodec.isRef(ref)) {
       return answer(HttpResponse.error(NOT_FOUND, "no such job"));
@@ -152,9 +175,10 @@
   }
 
   /**
-   * A job that was accepted here is not answered as unknown: that the store lacks it shows that
-   * data is lost. One that was accepted while the read was under way shows nothing: taking such a
-   * read for a loss would have an older snapshot restored.
+   * Checks the store's answer that a job does not exist. A job that this process has accepted is
+   * never answered with 404. If it was accepted before the read began, its absence proves a loss of
+   * data, which is reported. If it was accepted during the read, its absence proves nothing, and
+   * reporting a loss would restore an older snapshot.
    */
   private HttpResponse verifyAbsence(String ref, HttpResponse notFound, boolean acceptedBefore) {
     if (!acceptedHere.test(ref)) {
--- a/src/main/java/io/embernotch/controller/LeaderClient.java
+++ b/src/main/java/io/embernotch/controller/LeaderClient.java
@@ -16,9 +16,12 @@
 import io.vertx.core.Promise;
 import java.util.List;
 
-/** Sends requests and proposals to the leader, in this process or on another node. */
+/** Sends requests, heartbeats and restart proposals to the leader, local or on another node. */
 final class LeaderClient {
-  /** In place of a process incarnation: an agent sent its heartbeat to this controller itself. */
+  /**
+   * Used in place of a forwarding controller's process incarnation for a heartbeat that the agent
+   * sent to this controller directly.
+   */
   static final long RECEIVED_DIRECTLY = 0;
 
   private final String node;
@@ -49,8 +52,8 @@
   /**
    * Forwards a user's request to the leader.
    *
-   * @param ref the job's reference; "" for an overview
-   * @param withinS seconds to wait for an answer of another node
+   * @param ref id of the job; "" for an overview
+   * @param withinS seconds to wait for an answer from another node; a local leader has no timeout
    * @return the leader's answer, or 503 if there is none in time
    */
   Future<HttpResponse> request(Frame.ForwardedRequest.Kind kind, String ref, double withinS) {
@@ -66,11 +69,12 @@
   }
 
   /**
-   * Hands an agent's heartbeat to the leader of this process.
+   * Delivers an agent's heartbeat to the local leader.
    *
-   * @param via process incarnation of the controller that forwarded it, or {@link
+   * @param via process incarnation of the controller that forwarded the heartbeat, or {@link
    *     #RECEIVED_DIRECTLY}
-   * @return the leader's answer; 503 unless it leads and its lease, or grace period, lasts
+   * @return the leader's answer; 503 if this node does not lead, or if its lease and the grace
+   *     period after it have expired
    */
   Future<HttpResponse> deliverHeartbeat(Heartbeat heartbeat, long via) {
     Leader leader = localLeader.current().orElse(null);
@@ -86,7 +90,12 @@
                 body == null ? HeartbeatForwarder.misdirected(null) : HttpResponse.of(200, body));
   }
 
-  /** Proposes restarts from machine views of the given epoch to the leader of that epoch. */
+  /**
+   * Proposes restarts to the leader; dropped if no leader is known.
+   *
+   * @param epoch epoch of the leader whose machine views the proposals are based on; other leaders
+   *     ignore them
+   */
   void proposeRestarts(long epoch, List<Restart> restarts) {
     Leader leader = localLeader.current().orElse(null);
     if (leader != null && leader.epoch() == epoch) {
--- a/src/main/java/io/embernotch/controller/LocalLeader.java
+++ b/src/main/java/io/embernotch/controller/LocalLeader.java
@@ -5,16 +5,16 @@
 import java.util.Optional;
 
 /**
- * The leader of this process: present from the moment its node acquires leadership until it loses
- * it. The last one is kept for the sake of its snapshot.
+ * Holds the leader of this process while this node leads. Also keeps the stopped leader of the last
+ * term, whose snapshot may be needed to restore the store.
  */
 final class LocalLeader {
   /**
-   * A term that has ended.
+   * A term of this node that has ended.
    *
-   * @param leader its leader, which is stopped
-   * @param claimedAt when this node began to claim it, by the steady clock
-   * @param provenUntil until when nobody else can have led, by the steady clock
+   * @param leader the leader of that term, which is stopped
+   * @param claimedAt when this node began to claim the leader key, in seconds of the steady clock
+   * @param provenUntil until when no other node can have led, in seconds of the steady clock
    */
   record FormerTerm(Leader leader, double claimedAt, double provenUntil) {}
 
@@ -22,17 +22,17 @@
   private double claimedAt;
   private FormerTerm former;
 
-  /** The leader, or empty while this node is a follower or a candidate. */
+  /** Returns the leader; empty while this node is a follower or a candidate. */
   Optional<Leader> current() {
     return Optional.ofNullable(current);
   }
 
-  /** True while this node leads. */
+  /** Returns true while this node leads. */
   boolean isPresent() {
     return current != null;
   }
 
-  /** Passes the message to the leader; false, and nothing done, if there is none here. */
+  /** Sends a message to the local leader; returns false if this node does not lead. */
   boolean tell(LeaderMessage message) {
     if (current == null) {
       return false;
@@ -42,9 +42,9 @@
   }
 
   /**
-   * A term begins here.
+   * Begins a term of this node.
    *
-   * @param claimed when this node began to claim it, by the steady clock
+   * @param claimed when this node began to claim the leader key, in seconds of the steady clock
    */
   void begin(Leader leader, double claimed) {
     claimedAt = claimed;
@@ -52,9 +52,10 @@
   }
 
   /**
-   * The term that is led here ends; nothing happens if none is.
+   * Ends the current term and stops its leader; does nothing if this node does not lead. The ended
+   * term becomes the former one, unless it has no snapshot and an earlier term is still held.
    *
-   * @param provenUntil until when nobody else can have led, by the steady clock
+   * @param provenUntil until when no other node can have led, in seconds of the steady clock
    */
   void end(double provenUntil) {
     if (current != null) {
@@ -66,12 +67,12 @@
     }
   }
 
-  /** The last term that was led here, unless one is led now or it was forgotten. */
+  /** Returns the former term; empty if there was none, or after {@link #forgetFormer}. */
   Optional<FormerTerm> former() {
     return Optional.ofNullable(former);
   }
 
-  /** What the last term knew is not needed any more. */
+  /** Discards the former term, whose state is no longer needed. */
   void forgetFormer() {
     former = null;
   }
--- a/src/main/java/io/embernotch/controller/MachineTypeCatalog.java
+++ b/src/main/java/io/embernotch/controller/MachineTypeCatalog.java
@@ -13,11 +13,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Machine types: from the store if another node has learned them, else from the cloud. */
+/** Machine types, loaded from the store if a node has written them there, else from the cloud. */
 final class MachineTypeCatalog {
   private static final Logger LOG = LoggerFactory.getLogger(MachineTypeCatalog.class);
 
-  /** The store's key of the machine types. */
+  /** Store key of the machine types. */
   private static final String KEY = "types";
 
   private static final int BYTES_PER_KB = 1024;
@@ -27,19 +27,19 @@
   private final Map<String, MachineType> types = new LinkedHashMap<>();
 
   /**
-   * @param onLearned called each time that types have been learned
+   * @param onLearned called each time machine types have been loaded
    */
   MachineTypeCatalog(ControllerContext context, Runnable onLearned) {
     this.context = context;
     this.onLearned = onLearned;
   }
 
-  /** The known types by name, a view that follows the catalog; empty until they are known. */
+  /** Returns a read-only, live view of the types by name; empty until they are loaded. */
   Map<String, MachineType> types() {
     return Collections.unmodifiableMap(types);
   }
 
-  /** Reads the types, and tries again until they are known. */
+  /** Loads the types, and retries until that succeeds. */
   void load() {
     context
         .store()
@@ -54,7 +54,7 @@
             });
   }
 
-  /** Writes the known types to a store that has lost them. */
+  /** Writes the loaded types to the store after the store has lost them. */
   void store() {
     if (!types.isEmpty()) {
       write(List.copyOf(types.values()));
--- a/src/main/java/io/embernotch/controller/NodeStatus.java
+++ b/src/main/java/io/embernotch/controller/NodeStatus.java
@@ -13,7 +13,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** What a controller answers of itself: whether it is ready, and the overview for operators. */
+/** Reports the readiness of this controller, and an overview for operators. */
 final class NodeStatus {
   private static final byte[] EMPTY_OBJECT = "{}".getBytes(StandardCharsets.UTF_8);
 
@@ -51,14 +51,15 @@
     this.replication = replication;
   }
 
-  /** 200 if a load balancer is to send requests here, else 503. */
+  /** Returns 200 if load balancers should send requests to this controller, else 503. */
   HttpResponse ready() {
     if (machineTypes.types().isEmpty()) {
       return HttpResponse.later("machine types are not known yet");
     }
     double storeFailingForS = context.store().failingForS();
     double toleratedFailureS = context.settings().workers().heartbeatIntervalS() / 2;
-    // In an outage all nodes are alike, and leaving the balancer would only delay the return.
+    // A store outage affects all nodes alike. Leaving the load balancer then would only delay
+    // recovery.
     boolean onlyThisNodeFails =
         storeFailingForS > toleratedFailureS && peerLiveness.anyReachesStore();
     boolean isolated =
@@ -71,9 +72,9 @@
   }
 
   /**
-   * The overview of this node, with that of the cluster if there is one.
+   * Returns the overview of this node, and that of the cluster if the leader has answered.
    *
-   * @param cluster the leader's answer
+   * @param cluster the leader's response to a request for the cluster's overview
    */
   HttpResponse overview(HttpResponse cluster) {
     ObjectNode overview = Json.object();
--- a/src/main/java/io/embernotch/controller/PeerFrameDispatcher.java
+++ b/src/main/java/io/embernotch/controller/PeerFrameDispatcher.java
@@ -14,9 +14,9 @@
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 
-/** Passes each frame that another controller sends to whoever handles frames of its type. */
+/** Dispatches frames from other controllers to the components that handle their types. */
 final class PeerFrameDispatcher {
-  /** In place of a request id: the sender waits for no response. */
+  /** Request id of a frame whose sender expects no response. */
   private static final long NO_RESPONSE = 0;
 
   private final PeerHeartbeats peerHeartbeats;
@@ -56,7 +56,7 @@
     this.replication = replication;
   }
 
-  /** Handles a frame; what it asks for is answered over {@code replies}. */
+  /** Dispatches a frame. Responses to it, if any, are sent over {@code replies}. */
   void dispatch(Frame frame, PeerLink.ReplyChannel replies) {
     if (frame instanceof Frame.PeerHeartbeat heartbeat) {
       peerHeartbeats.received(heartbeat);
@@ -101,7 +101,7 @@
     }
   }
 
-  /** Answers about jobs pass {@link JobAnswers}; an overview is about none. */
+  /** Checks and records answers about jobs in {@link JobAnswers}; an overview passes unchecked. */
   private Future<HttpResponse> checked(
       Frame.ForwardedRequest request, Future<HttpResponse> decided) {
     if (request.kind() == Frame.ForwardedRequest.Kind.OVERVIEW) {
--- a/src/main/java/io/embernotch/controller/PeerHeartbeats.java
+++ b/src/main/java/io/embernotch/controller/PeerHeartbeats.java
@@ -11,8 +11,9 @@
 import io.embernotch.settings.Settings;
 
 /**
- * Heartbeats between controllers: sent a few times in a heartbeat interval and whenever the role
- * changes. They carry the known leader, its epoch, and whether the store answers the sender.
+ * Sends and handles heartbeats between controllers. This controller sends them several times per
+ * heartbeat interval, when it becomes leader, and when it detects a loss of data. They state the
+ * known leader, its epoch, and whether the store answers the sender.
  */
 final class PeerHeartbeats {
   private final ControllerContext context;
@@ -50,7 +51,10 @@
     settings.members().forEach(member -> peers.send(member.node(), heartbeat));
   }
 
-  /** Another controller has connected, perhaps just started: it learns at once who is here. */
+  /**
+   * Sends this node's heartbeat to a controller that has just connected and may have just started,
+   * so that it need not wait for the next heartbeat.
+   */
   void greet(PeerLink.ReplyChannel replies) {
     replies.send(current(context.settings().node()));
   }
@@ -58,7 +62,7 @@
   private Frame.PeerHeartbeat current(String node) {
     boolean storeReachable = context.store().failingForS() == 0;
     if (incarnations.lossNews().isTold()) {
-      // While data is lost, the heartbeat names no leader and an epoch that the store can't reach.
+      // A heartbeat without a leader, with an epoch that the store cannot reach, reports the loss.
       return new Frame.PeerHeartbeat(
           node, null, incarnations.lossNews().lossEpoch(), storeReachable, true);
     }
@@ -69,7 +73,7 @@
         node, leaderObserver.node(), leaderObserver.epoch(), storeReachable, true);
   }
 
-  /** Processes the heartbeat of another controller. */
+  /** Handles a heartbeat from another controller. */
   void received(Frame.PeerHeartbeat heartbeat) {
     String sender = heartbeat.node();
     peerLiveness.recordHeartbeat(sender, heartbeat.storeReachable(), heartbeat.replicates());
@@ -89,8 +93,8 @@
     if (!leaderObserver.observeClaim(claimant, claimedEpoch)) {
       return;
     }
-    // Whether the claimant accepts forwarded heartbeats is written in its key, which will be read
-    // if the store answers. Without the store, agents are sent to the claimant itself.
+    // The leader key states whether the claimant accepts forwarded heartbeats; it will be read if
+    // the store answers. While the store does not answer, agents are redirected to the claimant.
     if (context.store().failingForS() == 0) {
       heartbeatForwarder.leaderChanged(null, 0, false);
     } else {
--- a/src/main/java/io/embernotch/controller/Replication.java
+++ b/src/main/java/io/embernotch/controller/Replication.java
@@ -25,9 +25,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The replica of this controller through its roles: told by another controller until the store was
- * read, fed while it follows, at rest while data is lost, and empty while it leads, since the
- * leader's cluster state holds more.
+ * Manages this controller's replica of the store as the controller changes roles.
+ *
+ * <ul>
+ *   <li>Until the store has been read, the replica holds what other controllers report.
+ *   <li>While this controller follows, the replica is updated from the store and by other
+ *       controllers.
+ *   <li>While data is lost, the replica keeps its contents and is not updated.
+ *   <li>While this controller leads, the replica is empty, since the leader's cluster state holds
+ *       more.
+ * </ul>
  */
 final class Replication {
   private static final Logger LOG = LoggerFactory.getLogger(Replication.class);
@@ -70,25 +77,29 @@
     context.store().setCommitListener(replicator);
   }
 
-  /** The name of the incarnation whose contents are intact; null while there is none. */
+  /** Returns the name of the current incarnation; null unless its contents are intact. */
   private String intactIncarnation() {
     return incarnations.isIntact() ? incarnations.name() : null;
   }
 
-  /** The name of the incarnation whose commits are taken here; null while there is none. */
+  /**
+   * Returns the name of the incarnation whose updates this controller applies: the intact one, or
+   * before the store was read the one that another controller reported. Null if there is none.
+   */
   private String followedIncarnation() {
     boolean told = incarnations.toldIncarnation().isOnlyTold();
     return told ? incarnations.name() : intactIncarnation();
   }
 
-  /** Whether the replica holds all that the store did when it was last followed. */
+  /** Returns whether the replica holds all that the store held when it was last followed. */
   boolean isFilled() {
     return feed.isFilled();
   }
 
   /**
-   * Another controller is heard: it is asked for what the store has not told here yet, now and
-   * then. By that it learns, too, that what it commits is taken here.
+   * Handles the arrival of another controller's heartbeat. While this controller holds no contents
+   * of the store, it requests them from the sender once per heartbeat interval. The request also
+   * shows the sender that this controller accepts updates.
    */
   void peerHeard(String node) {
     boolean filled = feed.isFollowing() || election.holdsKey() || localLeader.former().isPresent();
@@ -98,7 +109,12 @@
     }
   }
 
-  /** Another controller has told what it knows, and what was committed meanwhile. */
+  /**
+   * Applies the contents that other controllers have reported to the replica.
+   *
+   * @param knowledge all that was reported so far
+   * @param updates updates that arrived while the answer was pending
+   */
   private void told(Knowledge knowledge, List<Frame.StateUpdate> updates) {
     if (feed.isFollowing() || election.holdsKey()) {
       bootstrap.finish();
@@ -136,17 +152,17 @@
               knowledge.getPointerModRevision());
       incarnations.toldIncarnation().observe(incarnation, knowledge.getRevision());
     } catch (MalformedInputException e) {
-      LOG.warn("the incarnation that another controller tells can't be read: {}", e.getMessage());
+      LOG.warn("malformed incarnation from a controller: {}", e.getMessage());
     }
   }
 
-  /** The store holds an incarnation that began with this snapshot. */
+  /** Restarts the replica: the store holds an incarnation that began with this snapshot. */
   void incarnationSettled(BaseSnapshot base) {
     if (bootstrap.isTold()) {
       bootstrap.add(replica.snapshot());
     }
     if (election.holdsKey()) {
-      // This node is about to lead, and reads the store for that.
+      // This node is about to lead, and its leader reads the store by itself.
       feed.rest();
       replica.reset(base);
     } else {
@@ -155,19 +171,22 @@
     }
   }
 
-  /** Data is lost: what is held of it stays as it is. */
+  /** Stops updating the replica, which keeps its contents while data is lost. */
   void dataLost() {
     feed.contentsLost();
   }
 
-  /** This node leads no more. */
+  /** Starts to fill the replica again once this node no longer leads. */
   void leadershipLost() {
     if (intactIncarnation() != null) {
       feed.begin(incarnations.base());
     }
   }
 
-  /** Called a few times in a heartbeat interval: forgets what something else holds as well. */
+  /**
+   * Discards contents that another component holds as well. Called several times per heartbeat
+   * interval.
+   */
   void tick() {
     boolean leads = localLeader.current().map(Leader::isLoaded).orElse(false);
     if (leads) {
@@ -189,7 +208,7 @@
     }
   }
 
-  /** Another controller has committed something. */
+  /** Handles an update that another controller has committed. */
   void received(Frame.StateUpdate update, PeerLink.ReplyChannel replies) {
     if (feed.isActive()) {
       replicator.received(update, replies);
@@ -200,25 +219,27 @@
         localLeader.isPresent()
             && update.incarnation().equals(intactIncarnation())
             && jobAnnouncements.committed(update);
-    // A leader that has not read the store yet may end without having taken the job over.
+    // A leader that has not loaded the store yet may stop before the job is part of its state, so
+    // it does not acknowledge the update.
     if (passedOn && !feed.isActive() && localLeader.current().map(Leader::isLoaded).orElse(false)) {
       replies.send(new Frame.StateUpdateAck(update.id()));
     }
   }
 
-  /** Another controller holds what was committed here. */
+  /** Handles another controller's acknowledgement of an update from this controller. */
   void acknowledged(Frame.StateUpdateAck acknowledgement) {
     replicator.acknowledged(acknowledgement);
   }
 
-  /** Another controller asks what is known here of contents that are lost. */
+  /** Answers another controller that requests this controller's knowledge of the contents. */
   void asked(Frame.KnowledgeRequest request, PeerLink.ReplyChannel replies) {
-    // Heartbeats of a controller that the store does not answer leave that open.
+    // The heartbeats of a controller that the store does not answer do not state whether it
+    // replicates; its request does.
     peerLiveness.recordReplicates(request.node());
     knowledgeServer.answer(request, replies);
   }
 
-  /** Adds how current the replica is to an overview. */
+  /** Adds the state of the replica to an overview. */
   void describe(ObjectNode into) {
     into.put("following", feed.isFollowing());
     into.put("bytes", replica.bytes());
--- a/src/main/java/io/embernotch/controller/RestoreSource.java
+++ b/src/main/java/io/embernotch/controller/RestoreSource.java
@@ -35,13 +35,14 @@
 import java.util.function.Supplier;
 
 /**
- * What a store that has lost data can be restored from: the last term that was led here, the
- * replica, what was told of jobs, the same of all controllers that answer, and snapshot files.
+ * Provides what the store is restored from after a loss of data: the state of this node's last
+ * term, the replica, the final phases reported to users, the same knowledge of all other
+ * controllers that answer, and snapshot files.
  */
 final class RestoreSource implements StoreRestorer.Source, LocalKnowledge {
   private static final double MS_PER_S = 1000;
 
-  /** So often in a row an incarnation is replaced since it lacks what is known here. */
+  /** Maximum number of consecutive incarnations that are replaced because they lack known jobs. */
   private static final int MAX_MERGES = 3;
 
   private final ControllerContext context;
@@ -56,12 +57,18 @@
   private final ReplicaBootstrap bootstrap;
   private final double startedAt;
 
-  /** What other controllers have told since the loss: they may have ended since. */
+  /**
+   * Knowledge received from other controllers since the loss. It is kept because those controllers
+   * may have stopped meanwhile.
+   */
   private Knowledge learned = Knowledge.getDefaultInstance();
 
   private int mergesLeft = MAX_MERGES;
 
-  /** Suppliers are of what is assembled later; they are asked only after that. */
+  /**
+   * Creates a source. The suppliers provide components that are created after it, and are called
+   * only once those exist.
+   */
   RestoreSource(
       ControllerContext context,
       LocalLeader localLeader,
@@ -86,7 +93,7 @@
     this.startedAt = context.clock().now();
   }
 
-  /** What another controller has told of contents that were not read here yet. */
+  /** Returns the contents reported by other controllers until this one has read the store. */
   ReplicaBootstrap bootstrap() {
     return bootstrap;
   }
@@ -137,7 +144,7 @@
     learned = union(learned, other);
   }
 
-  /** The jobs and ends that either of two controllers knows. */
+  /** Merges the jobs and final phases that two controllers know. */
   private static Knowledge union(Knowledge a, Knowledge b) {
     return Knowledge.newBuilder()
         .setState(SnapshotMerge.of(a.getState(), b.getState()))
@@ -145,7 +152,7 @@
         .build();
   }
 
-  /** Of each job the end that either of two controllers has told. */
+  /** Returns the final phase of each job that either of two controllers has reported to users. */
   private static Collection<EndedJobSnapshot> ends(Knowledge a, Knowledge b) {
     Map<String, EndedJobSnapshot> ends = new TreeMap<>();
     a.getToldList().forEach(end -> ends.put(end.getRef(), end));
@@ -154,10 +161,13 @@
   }
 
   /**
-   * An incarnation has begun with this snapshot, perhaps without what is known here: then that is
-   * kept, to be merged with it.
+   * Compares the snapshot that a new incarnation began with to what this controller knows. If the
+   * snapshot lacks a known job or final phase, the knowledge is kept, to be merged into the next
+   * incarnation.
    *
-   * @return whether it lacks a job, or the end of one, that is known here
+   * @return whether the snapshot lacks something; false also if it is known to hold all jobs, if
+   *     another controller has reported this very incarnation, or after {@link #MAX_MERGES}
+   *     consecutive incarnations that lacked something
    */
   boolean isMissingFrom(BaseSnapshot base) {
     Knowledge known = knowledge();
@@ -201,7 +211,10 @@
     return knowledge.build();
   }
 
-  /** The state of the term that is led here or was led last; empty if it had not read the store. */
+  /**
+   * Returns the state of this node's current term, or that of the former term until the current
+   * leader has loaded the store; empty if neither leader had loaded it.
+   */
   private Optional<ClusterSnapshot> ledState() {
     return localLeader
         .current()
@@ -210,7 +223,7 @@
         .or(() -> localLeader.former().flatMap(RestoreSource::stateOf));
   }
 
-  /** What this controller has led, replicated and told itself. */
+  /** Returns what this controller knows from its own terms, replica and answers to users. */
   private Knowledge ownKnowledge(Optional<ClusterSnapshot> led) {
     ClusterSnapshot replicated = replica.snapshot();
     Knowledge.Builder own =
@@ -254,7 +267,7 @@
     incarnations.get().lossNews().lossIsOver();
   }
 
-  /** The last term that was led here, unless a later one is known or must have been. */
+  /** Returns this node's former term, unless a later term is known or may have existed. */
   private Optional<FormerTerm> notSuperseded() {
     return localLeader
         .former()
@@ -271,7 +284,7 @@
         now - former.provenUntil());
   }
 
-  /** What the leader of a term knew; empty if it had not read the store yet. */
+  /** Returns the state of the leader of a term; empty if it had not loaded the store. */
   private static Optional<ClusterSnapshot> stateOf(FormerTerm former) {
     return Optional.ofNullable(former.leader().snapshot());
   }
--- a/src/main/java/io/embernotch/controller/RoleTransitions.java
+++ b/src/main/java/io/embernotch/controller/RoleTransitions.java
@@ -13,7 +13,8 @@
 import io.embernotch.leader.LeaderTerm;
 
 /**
- * What a controller does when the election makes it leader or follower, or finds another leader.
+ * Starts and stops the leader of this controller and redirects heartbeats as the election reports
+ * changes of leadership.
  */
 final class RoleTransitions implements LeadershipListener {
   private final ControllerContext context;
--- a/src/main/java/io/embernotch/controller/SubmissionContext.java
+++ b/src/main/java/io/embernotch/controller/SubmissionContext.java
@@ -12,7 +12,7 @@
 import io.vertx.core.Future;
 import java.util.function.Function;
 
-/** What handling submissions needs of the controller that received them. */
+/** Gives the submission handler access to the controller that it runs in. */
 final class SubmissionContext implements SubmissionHandler.Host {
   private final StoreIncarnationTracker incarnations;
   private final PeerLiveness peerLiveness;
@@ -21,7 +21,7 @@
   private final Function<String, Future<HttpResponse>> poll;
 
   /**
-   * @param poll answers a poll for the job with the given reference
+   * @param poll answers a poll for the job with the given id
    */
   SubmissionContext(
       StoreIncarnationTracker incarnations,
--- a/src/test/java/io/embernotch/controller/AnswerLogTest.java
+++ b/src/test/java/io/embernotch/controller/AnswerLogTest.java
@@ -19,14 +19,14 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.LoggerFactory;
 
-/** The logs of three controllers show every answer about one job, and what it rests on. */
+/** The logs of three controllers contain every answer about a job and the state it is based on. */
 class AnswerLogTest {
   private static final Logger LOGGER = (Logger) LoggerFactory.getLogger(JobAnswers.class);
 
   private final ListAppender<ILoggingEvent> appender = new ListAppender<>();
   private final SimulatedCluster cluster = new SimulatedCluster(3);
 
-  /** What users were told, as NODE answers KIND of REF: STATUS PHASE. */
+  /** Answers that users received, as logged: NODE answers KIND of REF: STATUS PHASE. */
   private final List<String> told = new ArrayList<>();
 
   @BeforeEach
@@ -56,7 +56,7 @@
     }
   }
 
-  /** Lines of answers to users; those between controllers are beside them. */
+  /** Log lines about answers to users, without those about answers between controllers. */
   private List<String> answerLines() {
     return lines().stream().filter(line -> !line.contains("answers forwarded")).toList();
   }
@@ -108,7 +108,7 @@
     ControllerNode leader = cluster.awaitLeader(4);
     cluster.submit(leader.index, job("j-1", "array", 2));
     cluster.poll(leader.index, "j-1");
-    // An overview that another controller asks for is no answer about a job.
+    // An overview requested by another controller is not counted as an answer about a job.
     cluster.await(cluster.otherNode(leader).controller.overview());
     var overview = Json.parseObject(cluster.await(leader.controller.overview()).body());
     assertThat(overview.path("answers").path("submission").asInt()).isEqualTo(1);
--- a/src/test/java/io/embernotch/controller/ClusterTest.java
+++ b/src/test/java/io/embernotch/controller/ClusterTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.AfterEach;
 
-/** A test on a simulated cluster, in which no invariant may be violated. */
+/** Base class of tests on a simulated cluster; each test fails if an invariant was violated. */
 abstract class ClusterTest {
   final SimulatedCluster cluster;
 
@@ -15,7 +15,7 @@
     this.cluster = cluster;
   }
 
-  /** Submits a job, waits until all of its tasks run, and returns the machine of each. */
+  /** Submits a job, waits until all of its tasks run, and returns the machine of each task. */
   final Map<String, FakeWorker> runJob(String json, String ref, int tasks) {
     assertThat(cluster.submit(0, json).status()).isEqualTo(201);
     cluster.advance(15);
--- a/src/test/java/io/embernotch/controller/FaultSequencesTest.java
+++ b/src/test/java/io/embernotch/controller/FaultSequencesTest.java
@@ -11,14 +11,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Three hundred machines with faults that are hard to detect, alone and all together. */
+/** Faults that are hard to detect, alone and combined, in a cluster of 300 machines. */
 class FaultSequencesTest {
   private static final int MACHINES = 300;
   private static final int UNREACHABLE = 10;
   private static final int SERVICES = 12;
   private static final int REPLICAS = 1200;
 
-  /** Over how many seconds the running replicas are averaged. */
+  /** Length of the window over which the number of running replicas is averaged, in seconds. */
   private static final int WINDOW_S = 30;
 
   private final SimulatedCluster cluster = new SimulatedCluster(3, 1000);
@@ -46,7 +46,7 @@
         cluster.runningTasks("j-0").values().stream().distinct().limit(UNREACHABLE).toList();
   }
 
-  /** Replicas on machines that are not partitioned. */
+  /** Number of running replicas on machines that are not partitioned. */
   private int runningReplicas() {
     return cluster.workers.values().stream()
         .filter(worker -> !worker.partitioned)
@@ -54,7 +54,11 @@
         .sum();
   }
 
-  /** The least share of the replicas that ran over any 30 s; {@code task} runs each second. */
+  /**
+   * Returns the lowest share of the replicas that ran, averaged over {@link #WINDOW_S}.
+   *
+   * @param task run at the beginning of each second
+   */
   private double minRunningShare(double seconds, Runnable task) {
     List<Integer> running = new ArrayList<>();
     for (double at = 0; at < seconds; at += 1) {
@@ -87,8 +91,8 @@
   }
 
   /**
-   * Inbound-partitioned machines, copies of all heartbeats of 40 s ago, the leader isolated with
-   * its workers, and restarts of all controllers.
+   * Combines inbound-partitioned machines, copies of all heartbeats from 40 s earlier, a leader
+   * that only its workers can reach, and restarts of all controllers.
    */
   @Test
   void combinedFaultsCostNoMoreThanInboundPartitions() {
--- a/src/test/java/io/embernotch/controller/GangBeyondQuotaTest.java
+++ b/src/test/java/io/embernotch/controller/GangBeyondQuotaTest.java
@@ -7,15 +7,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A gang of production priority for which its team's limit leaves too little, under a new leader.
+ * A gang of production priority that exceeds what is left of its team's limit, under a new leader.
  *
- * <p>What happened: found by reading, shown by this test. "Leader failed on RunScheduler:
+ * <p>Guards against a failure of every scheduling run: "Leader failed on RunScheduler:
  * java.lang.NullPointerException: Cannot invoke GangAccumulation.aged(Job) because gangAccumulation
- * is null" with every plan: no job was started any more, of no team.
- *
- * <p>Why: whether a gang has waited long enough was asked of an object that a whole plan makes
- * after it has placed production jobs. The first plan of a leader had none there, and as it failed,
- * so had all that followed.
+ * is null". No job of any team was started any more. A run called that object before it had created
+ * it, which a complete run does only after placing production jobs. The first run of a new leader
+ * failed for that reason, and so did all later ones.
  */
 class GangBeyondQuotaTest {
   private final SimulatedCluster cluster = new SimulatedCluster(3);
--- a/src/test/java/io/embernotch/controller/HeartbeatForwardingTest.java
+++ b/src/test/java/io/embernotch/controller/HeartbeatForwardingTest.java
@@ -23,13 +23,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Heartbeats that a controller forwards to the leader, or keeps until there is one. */
+/** Heartbeats that a controller forwards to the leader, or parks until a leader is known. */
 class HeartbeatForwardingTest extends ClusterTest {
   HeartbeatForwardingTest() {
     super(new SimulatedCluster(3, 10));
   }
 
-  /** Boots machines that send heartbeats to a controller, with room for eight tasks each. */
+  /** Boots machines with capacity for eight tasks each, which send heartbeats to a controller. */
   private void bootMachines(int count, ControllerNode sentAt) {
     for (int i = 0; i < count; i++) {
       cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
@@ -40,7 +40,7 @@
     cluster.workers.values().forEach(worker -> worker.controllerChanges = 0);
   }
 
-  /** The same, each full of replicas, so that none is scaled in for being idle. */
+  /** Boots machines and fills each with replicas, so that none is scaled in as idle. */
   private void bootBusyMachines(int count, ControllerNode sentAt) {
     bootMachines(count, sentAt);
     for (int i = 0; i < count; i++) {
@@ -72,7 +72,8 @@
     assertThat(cluster.runningTasks("j-1")).hasSize(8);
     var before = cluster.runningTasks("j-1");
     leader.kill();
-    // Its key expires after three seconds; the next leader need not wait for heartbeats then.
+    // The leader's key expires after three seconds. The next leader need not wait for heartbeats
+    // then, since the other controllers forward the recent ones to it.
     cluster.advance(4);
     ControllerNode successor = cluster.leader();
     assertThat(successor).isNotNull().isNotSameAs(leader);
@@ -108,7 +109,7 @@
     refused.storeUnavailable = true;
     refused.peersUnreachable = true;
     cluster.advance(12);
-    // It can neither forward anything nor learn who is leader.
+    // The isolated node can neither forward heartbeats nor learn which node is leader.
     assertThat(cluster.workers.values())
         .allMatch(worker -> worker.controllerIndex != refused.index);
     assertThat(cluster.cloud.deleted).isEmpty();
@@ -140,7 +141,7 @@
     cluster.advance(6);
     cluster.submit(0, job("j-3", "standing", 8));
     cluster.advance(35);
-    // Direct commands fail, so the starts go out with the responses to heartbeats.
+    // Direct commands fail, so starts are sent with the responses to heartbeats.
     assertThat(cluster.leader()).isSameAs(leader);
     assertThat(cluster.runningTasks("j-3")).hasSize(8);
     assertThat(cluster.cloud.deleted).isEmpty();
@@ -153,14 +154,14 @@
     cluster.nodes.forEach(node -> node.workersUnreachable = true);
     cluster.advance(18);
     assertThat(cluster.leader()).isNotSameAs(leader);
-    // Machines with replicas are waited for; those that were scaled in had none.
+    // The next leader waits for machines with replicas; only machines without any are scaled in.
     assertThat(cluster.runningTasks("j-100")).hasSize(8);
   }
 
   @Test
   void leaderStaysWhenMoreThanHalfOfTheMachinesArePartitioned() {
-    // A zone can have more than half of the machines: its loss must not make each leader in turn
-    // take itself for the partitioned one.
+    // One zone can contain more than half of the machines. When it is lost, each leader in turn
+    // must not conclude that it is partitioned itself.
     ControllerNode leader = cluster.awaitLeader(2);
     bootBusyMachines(10, leader);
     cluster.workers.values().stream().limit(6).forEach(worker -> worker.partitioned = true);
@@ -192,7 +193,7 @@
     cluster.store.listsUnanswered = false;
     cluster.advance(8);
     assertThat(cluster.leader()).isNotNull();
-    // Pages that were read are not requested again, and heartbeats that came meanwhile count.
+    // Pages that were read are not requested again, and heartbeats received meanwhile are used.
     assertThat(Json.parseObject(heartbeat(successor, worker).body()).has("baton")).isTrue();
   }
 
@@ -209,7 +210,7 @@
     time.advance(0.1);
     assertThat(order).hasSize(101);
     assertThat(order.indexOf("commit")).isBetween(1, 20);
-    // An idle queue passes a heartbeat on at once.
+    // An idle queue handles a heartbeat immediately.
     queue.add(heartbeatReceived(0, 2));
     assertThat(order).hasSize(102);
   }
@@ -223,8 +224,8 @@
   }
 
   /**
-   * More heartbeats come than can be processed. In their order of arrival, all would be answered
-   * after their workers had timed out.
+   * Under overload, heartbeats handled in order of arrival would all be answered after their
+   * workers had timed out.
    */
   @Test
   void overloadedQueueTakesOnlyHeartbeatsThatAreAwaited() {
@@ -240,8 +241,8 @@
               ages.add(time.now() - sentAt[machine]);
             },
             message -> {});
-    // A thousand workers, each sending again after a timeout of four seconds and one more; some 80
-    // heartbeats a second can be processed.
+    // Each of 1000 workers sends twice in a round of five seconds: a timeout of four seconds and
+    // one more. About 80 heartbeats per second can be processed.
     for (int round = 1; round <= 8; round++) {
       for (int i = 0; i < 1000; i++) {
         sentAt[i] = time.now();
@@ -256,7 +257,7 @@
     assertThat(ages.stream().sorted().toList().get(ages.size() / 2)).isLessThan(1);
   }
 
-  /** Else a lost machine would look alive to the next leader. */
+  /** A forwarded copy would make a lost machine appear live to the next leader. */
   @Test
   void staleCopyOfAHeartbeatIsNotForwarded() {
     FakeTime time = new FakeTime();
--- a/src/test/java/io/embernotch/controller/JobDependenciesTest.java
+++ b/src/test/java/io/embernotch/controller/JobDependenciesTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Jobs that depend on others: none starts too early, or waits for one that was cancelled. */
+/**
+ * Jobs that depend on other jobs: none starts before its dependencies are done, and none keeps
+ * waiting for a cancelled one.
+ */
 class JobDependenciesTest extends ClusterTest {
   JobDependenciesTest() {
     super(new SimulatedCluster(3));
@@ -55,7 +58,7 @@
     complete("j-3");
     cluster.advance(5);
     complete("j-4");
-    // The last is submitted when its dependencies have long ended.
+    // The last job is submitted long after its dependencies have completed.
     accept(2, dependentJob("j-5", 1, "j-4", "j-1"));
     cluster.advance(5);
     complete("j-5");
@@ -70,7 +73,7 @@
     accept(0, dependentJob("j-2", 24, "j-1"));
     accept(0, job("j-3", "array", 23).replace("\"loaner\":true", "\"loaner\":true"));
     cluster.advance(20);
-    // All but one of the team's 24 GPUs are for the job without dependencies.
+    // The job without dependencies gets all but one of the team's 24 GPUs.
     assertThat(cluster.runningTasks("j-3")).hasSize(23);
     assertThat(cluster.runningTasks("j-2")).isEmpty();
     assertThat(
@@ -110,7 +113,7 @@
     assertThat(cluster.runningTasks("j-1")).hasSize(1);
     assertThat(cluster.runningTasks("j-2")).isEmpty();
     cluster.completeTasks("j-1");
-    // The next leader ends right after the job's end is committed.
+    // Stop the next leader right after it has committed the job's completion.
     for (int i = 0; i < 200 && cluster.store.finalPhase("j-1") == null; i++) {
       cluster.advance(0.05);
     }
@@ -141,7 +144,7 @@
         assertThat(cluster.phase(node, ref)).isEqualTo("cancelled");
       }
     }
-    // A dependent job that is submitted afterwards is accepted all the same, and cancelled.
+    // A dependent job that is submitted afterwards is still accepted, and then cancelled.
     accept(2, dependentJob("j-5", 1, "j-4"));
     cluster.advance(3);
     assertThat(cluster.phase(0, "j-5")).isEqualTo("cancelled");
@@ -171,10 +174,11 @@
     }
     cluster.advance(10);
     assertThat(cluster.cancel(leader.index, "j-0").status()).isEqualTo(200);
-    // Only the first end is sure to be in the store when the leader ends.
+    // Only the first cancellation is certain to be in the store when the leader stops.
     leader.kill();
     ControllerNode left = cluster.otherNode(leader);
-    // Without a leader the answer comes from the store, as far as it is read; it is never queued.
+    // Without a leader the store is read, with a limit on the dependencies followed. No job may be
+    // reported as queued.
     for (String ref : new String[] {"j-1", "j-5", "j-39"}) {
       assertThat(cluster.phase(left.index, ref)).isIn("cancelled", "status 503");
     }
@@ -186,7 +190,10 @@
     }
   }
 
-  /** The end of the first job is in the store in any case; how many of the others are varies. */
+  /**
+   * The delay determines how many of the cancellations are in the store when the leader stops; the
+   * first one always is.
+   */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.01, 0.05, 0.2, 1})
   void noStepOfACascadeIsLostInAFailover(double afterS) {
@@ -199,7 +206,7 @@
     assertThat(cluster.cancel(leader.index, "j-0").status()).isEqualTo(200);
     cluster.time.advance(afterS);
     leader.kill();
-    // A dependent job is submitted while there is no leader.
+    // Submit a dependent job while there is no leader.
     ControllerNode left = cluster.otherNode(leader);
     assertThat(cluster.submit(left.index, dependentJob("j-99", 1, "j-60")).status()).isIn(200, 201);
     cluster.advance(30);
@@ -251,7 +258,7 @@
                 .status())
         .isEqualTo(400);
     accept(node.index, job("j-4", "array", 1).replace("}", ",\"awaits\":[]}"));
-    // A store that does not answer proves nothing.
+    // While the store does not answer, nothing proves that the dependency was never accepted.
     cluster.store.outage = true;
     HttpResponse later = cluster.submit(leader.index, dependentJob("j-5", 1, "j-66"));
     assertThat(later.status()).isEqualTo(503);
@@ -266,7 +273,8 @@
   void leaderWaitsForADependencyItDoesNotKnowYet() {
     ControllerNode leader = cluster.awaitLeader(4);
     accept(leader.index, job("j-9", "array", 1));
-    // Both were written by a node whose frames do not arrive, before the watch has reported either.
+    // Both jobs are written by a node whose frames do not arrive, and the watch has not reported
+    // them yet.
     ControllerNode node = cluster.otherNode(leader);
     node.peersUnreachable = true;
     accept(node.index, job("j-1", "array", 1));
@@ -285,7 +293,7 @@
     accept(0, job("j-1", "array", 1));
     cluster.advance(15);
     for (ControllerNode node : cluster.nodes) {
-      // Limits, teams and checks may have changed since it was accepted.
+      // Limits, teams and checks may have changed since the job was accepted.
       String other = ofTeam(job("j-1", "array", 1), "gone");
       assertThat(cluster.submit(node.index, other).status()).isEqualTo(200);
       assertThat(cluster.submit(node.index, "{\"ref\":\"j-1\"}").status()).isEqualTo(200);
--- a/src/test/java/io/embernotch/controller/JobStateTest.java
+++ b/src/test/java/io/embernotch/controller/JobStateTest.java
@@ -9,7 +9,7 @@
 import io.embernotch.testkit.SimulatedCluster;
 import org.junit.jupiter.api.Test;
 
-/** Jobs keep the state that was reported to users, whatever becomes of commands and commits. */
+/** Jobs keep the state reported to users even if commands or commits are lost or delayed. */
 class JobStateTest extends ClusterTest {
   JobStateTest() {
     super(new SimulatedCluster(3));
@@ -32,7 +32,7 @@
       assertThat(cluster.phase(node, "j-1")).isEqualTo("done");
       assertThat(cluster.submit(node, job("j-1", "array", 3)).status()).isEqualTo(200);
     }
-    // Only after the end is stored may the worker get the command to reap the tasks.
+    // Workers may receive the command to reap the tasks only after the completion is stored.
     assertThat(cluster.store.value("run/j-1").get("end").asText()).isEqualTo("done");
     cluster.advance(3);
     assertThat(
@@ -73,7 +73,7 @@
     assertThat(cluster.runningTasks("j-7")).hasSize(1);
     cluster.completeTasks("j-7");
     cluster.advance(6);
-    // The late start must not bring the finished task back, though the worker has reaped it.
+    // The delayed start must not run the completed task again, though the worker has reaped it.
     cluster.deliverDelayed();
     cluster.advance(1);
     assertThat(cluster.runningTasks("j-7")).isEmpty();
@@ -103,7 +103,7 @@
     cluster.faults.commandDelivery = Delivery.DELAYED;
     cluster.submit(0, job("j-9", "standing", 2));
     cluster.advance(0.3);
-    // The start may still arrive: the cancellation can't be confirmed yet.
+    // The start may still arrive, so the cancellation cannot be confirmed yet.
     assertThat(cluster.cancel(1, "j-9").status()).isEqualTo(503);
     cluster.faults.commandDelivery = Delivery.DELIVERED;
     cluster.advance(2);
@@ -117,7 +117,7 @@
 
   @Test
   void cancelledJobStaysCancelledWhileItsTasksEnd() {
-    // Closing the attempts makes the job's shard dirty, which must not make it running again.
+    // Closing the attempts marks the job's shard as dirty, which must not set the job to running.
     cluster.awaitLeader(2);
     runJob(job("j-10", "standing", 4), "j-10", 4);
     assertThat(cluster.cancel(0, "j-10").status()).isEqualTo(200);
@@ -146,7 +146,7 @@
     cluster.advance(3);
     cluster.deliverDelayed();
     assertThat(cluster.store.finalPhase("j-18")).isEqualTo("done");
-    // The leader doesn't know the outcome of its commit, so the store is read.
+    // The leader does not know the outcome of its commit, so the store is read.
     assertThat(cluster.phase(leader.index, "j-18")).isEqualTo("done");
   }
 }
--- a/src/test/java/io/embernotch/controller/LeaderFailureTest.java
+++ b/src/test/java/io/embernotch/controller/LeaderFailureTest.java
@@ -7,7 +7,7 @@
 import io.embernotch.testkit.SimulatedCluster;
 import org.junit.jupiter.api.Test;
 
-/** Failures of the leader, of all controllers and of the store. */
+/** Failures of the leader, of all controllers, and of the store. */
 class LeaderFailureTest extends ClusterTest {
   LeaderFailureTest() {
     super(new SimulatedCluster(3));
--- a/src/test/java/io/embernotch/controller/MachineFailureTest.java
+++ b/src/test/java/io/embernotch/controller/MachineFailureTest.java
@@ -11,7 +11,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Machines fail, hang or are partitioned: tasks restart elsewhere once they are proven gone. */
+/**
+ * Machines fail, hang or are partitioned: their tasks restart elsewhere once they are proven to
+ * have ended.
+ */
 class MachineFailureTest extends ClusterTest {
   MachineFailureTest() {
     super(new SimulatedCluster(3));
@@ -27,7 +30,7 @@
     cluster.cloud.down = true;
     cluster.submit(0, job("j-4", "array", 8));
     cluster.advance(25);
-    // Neither deletion nor lease has proven anything yet.
+    // Neither a deletion of the machine nor the expiry of its lease proves that the tasks ended.
     assertThat(cluster.runningTasks("j-4")).isEmpty();
     assertThat(worker.runningTasks()).hasSize(tasksOnIt);
     cluster.cloud.down = false;
@@ -69,7 +72,7 @@
     cluster.submit(0, job("j-22", "array", 4));
     cluster.advance(25);
     assertThat(cluster.runningTasks("j-22")).hasSize(4);
-    // The failures of one job are evidence enough once the job has succeeded elsewhere.
+    // The failures of one job are sufficient evidence only once the job has succeeded elsewhere.
     assertThat(cluster.cloud.deleted).doesNotContain(failing);
     cluster.completeTasks("j-22");
     cluster.advance(6);
@@ -89,8 +92,8 @@
 
   @Test
   void hungMachineIsReplacedSoonerThanAPartitionedOne() {
-    // Behind a partition a service runs on; on a machine that takes connections and never answers
-    // it does not.
+    // A service continues to run on a partitioned machine, but not on one that accepts connections
+    // and never answers.
     cluster.awaitLeader(2);
     runJob(job("j-28", "standing", 8), "j-28", 8);
     FakeWorker hung = cluster.runningTasks("j-28").get("j-28/0");
@@ -107,7 +110,7 @@
 
   @Test
   void machinePartitionedDuringFailoverIsReplacedSoon() {
-    // Without a heartbeat to the new leader it must not be taken for a machine that still boots.
+    // A machine that has sent no heartbeat to the new leader must not be treated as still booting.
     ControllerNode leader = cluster.awaitLeader(2);
     runJob(job("j-25", "standing", 8), "j-25", 8);
     runJob(job("j-26", "standing", 8), "j-26", 8);
@@ -122,8 +125,8 @@
 
   @Test
   void serviceSurvivesAPartitionShorterThanItsLease() {
-    // Such machines must not be scaled in after a few missing heartbeats, nor their services be
-    // started anew elsewhere.
+    // After a few missing heartbeats, the machine must not be scaled in and its service must not be
+    // started elsewhere.
     cluster.awaitLeader(2);
     String service = withoutSpot(withPriority(job("j-70", "standing", 1), "production"));
     FakeWorker worker = runJob(service, "j-70", 1).get("j-70/0");
--- a/src/test/java/io/embernotch/controller/ProcessIncarnationsRandomizedTest.java
+++ b/src/test/java/io/embernotch/controller/ProcessIncarnationsRandomizedTest.java
@@ -13,15 +13,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Processes and machines restart at any moment, with stale copies of earlier heartbeats and repeats
- * of commands that were carried out, drawn by a seed. {@code -Dincarnations.seeds=N} runs more,
- * {@code -Dincarnations.from=N} others.
+ * Random restarts of processes and machines, combined with stale copies of heartbeats and repeated
+ * commands. {@code -Dincarnations.seeds=N} sets the number of seeds, {@code -Dincarnations.from=N}
+ * the first one.
  */
 class ProcessIncarnationsRandomizedTest {
   private static final SeedRange SEEDS = SeedRange.fromProperties("incarnations", 200);
   private static final int STEPS = 40;
 
-  /** One run: a cluster, its users and what is drawn for it. */
+  /** One run with a cluster, the answers to its users and its random choices. */
   private static final class Run {
     private final SplittableRandom random;
     private final SimulatedCluster cluster = new SimulatedCluster(3, 10);
@@ -75,7 +75,7 @@
       }
     }
 
-    /** A job that was accepted; none if there is none yet. */
+    /** Draws one of the accepted jobs; empty if there is none yet. */
     private List<String> drawJob() {
       return answers.accepted.isEmpty()
           ? List.of()
@@ -89,7 +89,7 @@
       }
     }
 
-    /** One controller loses the store and its peers, but not its workers; or none does. */
+    /** Isolates one controller from the store and its peers, but not from its workers, or none. */
     private void isolateOneOrNone() {
       int isolated = random.nextInt(6);
       for (ControllerNode node : cluster.nodes) {
@@ -104,7 +104,7 @@
       }
     }
 
-    /** Heartbeats of any age of some machine reach any controller. */
+    /** Delivers up to five earlier heartbeats of a random machine to random controllers. */
     private void deliverStaleHeartbeats() {
       List<String> names = List.copyOf(cluster.workers.keySet());
       if (!names.isEmpty()) {
@@ -117,7 +117,7 @@
       }
     }
 
-    /** One controller, or all of them, end and are started again after up to half a second. */
+    /** Stops one controller or all of them, and starts them again within half a second. */
     private void restartOneOrAll() {
       int drawn = random.nextInt(5);
       List<ControllerNode> nodes = drawn < 3 ? List.of(cluster.nodes.get(drawn)) : cluster.nodes;
--- a/src/test/java/io/embernotch/controller/ProcessIncarnationsTest.java
+++ b/src/test/java/io/embernotch/controller/ProcessIncarnationsTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Processes and machines that restart within a fraction of a second, and messages of their former
- * incarnations that arrive afterwards.
+ * Processes and machines that restart within a fraction of a second, and delayed messages from
+ * their former incarnations.
  */
 class ProcessIncarnationsTest extends ClusterTest {
   private static final double RESTART_S = 0.2;
@@ -21,7 +21,7 @@
     super(new SimulatedCluster(3, 10));
   }
 
-  /** Starts a service with eight replicas, and returns the machine of each. */
+  /** Starts a service with eight replicas and returns the machine of each replica. */
   private Map<String, FakeWorker> startService() {
     ControllerNode node = cluster.awaitLeader(2);
     assertThat(cluster.submit(node.index, job("j-1", "standing", 8)).status()).isEqualTo(201);
@@ -43,7 +43,8 @@
     restart(leader);
     cluster.advance(0.5);
     restart(leader);
-    // The key of its former incarnation neither lets it lead nor makes it wait.
+    // The leader key of its former incarnation neither makes the restarted node leader nor delays
+    // the election.
     cluster.awaitLeader(2);
     cluster.advance(60);
     assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
@@ -53,7 +54,7 @@
   void restartOfAllControllersDuringElectionStopsNoTask() {
     Map<String, FakeWorker> before = startService();
     cluster.leader().kill();
-    // The key is about to expire, and the others to claim it.
+    // Restart all controllers while the leader key expires and the others claim it.
     for (int i = 0; i < 12; i++) {
       cluster.advance(0.3);
       cluster.nodes.forEach(ControllerNode::kill);
@@ -83,8 +84,8 @@
   }
 
   /**
-   * A late heartbeat of a former leader must not make it the leader again for a controller that has
-   * seen its key deleted.
+   * A controller that has seen the leader key deleted must not accept its former owner as leader
+   * again because of a delayed heartbeat.
    */
   @Test
   void peerHeartbeatOfAnEndedTermIsIgnored() {
@@ -98,7 +99,7 @@
     assertThat(leaderObserver.observeClaim("c1", 8)).isFalse();
   }
 
-  /** After the worker has reaped an attempt, a repeated start must not run it again. */
+  /** A repeated start must not run an attempt again that the worker has reaped. */
   @Test
   void repeatedCommandsDoNotStartReapedAttempts() {
     ControllerNode node = cluster.awaitLeader(2);
@@ -128,8 +129,8 @@
   }
 
   /**
-   * A machine that numbers its heartbeats anew must not be taken for sending stale ones, or its
-   * tasks would stay down for good.
+   * Heartbeats of a machine that lost its state are numbered from the beginning again. If they were
+   * treated as stale, the tasks of the machine would never run again.
    */
   @Test
   void machineThatLostItsStateIsAcceptedOnceItAnswers() {
--- a/src/test/java/io/embernotch/controller/RollingUpgradeTest.java
+++ b/src/test/java/io/embernotch/controller/RollingUpgradeTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Data of the version before job dependencies, and a store that lowers its limits. That version
- * made shards as large as the limits of its time, 85 tasks in 8 KiB.
+ * Upgrades from the previous version, which has no job dependencies, and a store that lowers its
+ * limits. Shards of the previous version are sized for the earlier limits: 85 tasks in 8 KiB.
  */
 class RollingUpgradeTest extends ClusterTest {
   private static final int FORMER_SHARD_TASKS = 85;
@@ -25,7 +25,11 @@
     super(SimulatedCluster.withDecreasingStoreLimits());
   }
 
-  /** A job as the former version left it: its description, and its progress where it has any. */
+  /**
+   * Stores a job as the previous version writes it.
+   *
+   * @param run JSON of the job's progress; null if it has none
+   */
   private void putFormerJob(String ref, int tasks, String run) {
     cluster.store.put(
         "job/" + ref,
@@ -43,7 +47,7 @@
     cluster.store.lowerLimits(1024, 4, 30);
   }
 
-  /** One such value must not keep each new leader reading the store again, and all jobs waiting. */
+  /** Such a value must not make each new leader read the store again while all jobs wait. */
   @Test
   void unreadableValueDelaysNoOtherJobAndItsJobStaysKnown() {
     putFormerJob("j-1", 3, null);
@@ -55,11 +59,11 @@
     assertThat(cluster.runningTasks("j-1")).hasSize(3);
     assertThat(cluster.phase(0, "j-3")).isEqualTo("queued");
     assertThat(cluster.phase(1, "j-2")).isEqualTo("queued");
-    // What may run of it has ended once no worker can have its lease renewed for it.
+    // Tasks of it may still run, so it starts again only once all leases for them have expired.
     assertThat(cluster.runningTasks("j-2")).isEmpty();
     cluster.advance(120);
     assertThat(cluster.runningTasks("j-2")).hasSize(3);
-    // The watch for new jobs continues after it.
+    // The watch for new jobs continues after an unreadable value.
     cluster.store.put("job/j-4", "{\"at\":900000,\"piece\":85,\"job\":[]}");
     putFormerJob("j-5", 2, null);
     cluster.advance(20);
@@ -68,7 +72,7 @@
 
   @Test
   void valuesOfTheFormerVersionAreRead() {
-    // 40 tasks, of which 0, 1 and 9 are done; and two that have ended, one before ends had a time.
+    // A job of 40 tasks, of which 0, 1 and 9 are done, and two ended jobs without an end time.
     String marks = Base64.getEncoder().encodeToString(new byte[] {3, 2});
     putFormerJob("j-1", 40, "{\"next\":7,\"done\":\"" + marks + "\",\"open\":[]}");
     putFormerJob("j-2", 3, "{\"next\":2,\"end\":\"done\"}");
@@ -80,7 +84,7 @@
         .doesNotContainKeys("j-1/0", "j-1/1", "j-1/9");
     assertThat(cluster.phase(1, "j-2")).isEqualTo("done");
     assertThat(cluster.phase(2, "j-3")).isEqualTo("cancelled");
-    // Other jobs may depend on them.
+    // New jobs may depend on these jobs.
     assertThat(cluster.submit(0, dependentJob("j-4", 1, "j-2")).status()).isEqualTo(201);
     assertThat(cluster.submit(0, dependentJob("j-5", 1, "j-3")).status()).isEqualTo(201);
     cluster.advance(6);
@@ -92,8 +96,8 @@
   void leaderOfTheFormerVersionEndsInTheMiddleOfStarts() {
     String name = cluster.boot("g8", "z1", true);
     cluster.advance(6);
-    // Three starts are written: two whose commands were not sent or did not arrive, and one on a
-    // machine that is gone.
+    // Three starts are stored: two whose commands were not sent or did not arrive, and one on a
+    // machine that no longer exists.
     putFormerJob(
         "j-1",
         3,
@@ -106,12 +110,12 @@
     leader.kill();
     cluster.advance(12);
     assertThat(cluster.runningTasks("j-1")).containsOnlyKeys("j-1/0", "j-1/1");
-    // The task of the machine that is gone starts elsewhere only when its lease must have expired.
+    // The third task starts elsewhere only when the lease of its machine must have expired.
     cluster.advance(45);
     assertThat(cluster.runningTasks("j-1")).hasSize(3);
   }
 
-  /** The former version's reader fails on a key or a value that it cannot read. */
+  /** The previous version's reader fails on any key or value that it cannot read. */
   @Test
   void formerVersionReadsWhatIsWrittenUnderItsLimits() {
     putFormerJob("j-1", 40, null);
@@ -124,7 +128,7 @@
     assertJobsAreReadable();
     assertThat(cluster.store.keys("run/")).containsExactly("run/j-1", "run/j-2");
     assertProgressIsReadable();
-    // A large shard of the former version stays one while it fits.
+    // A large shard of the previous version is not split while it fits the limits.
     assertThat(cluster.store.value("run/j-1").get("open")).hasSize(40);
     assertThat(Json.bytes(cluster.store.value("run/j-1")).length).isGreaterThan(1024);
   }
@@ -221,7 +225,7 @@
         .hasSize(47)
         .doesNotContainKey("j-1/5")
         .containsKey("j-1/20");
-    // One refusal is enough; nothing is tried at the former size again.
+    // After one refusal, no write of the previous size is attempted again.
     assertThat(cluster.store.malformedCount).isEqualTo(1);
     assertThat(cluster.submit(0, dependentJob("j-2", 2, "j-1")).status()).isEqualTo(201);
     cluster.completeTasks("j-1");
@@ -248,7 +252,7 @@
     assertThat(cluster.runningTasks("j-1")).isEmpty();
     assertThat(cluster.store.finalPhase("j-1")).isEqualTo("cancelled");
     ControllerNode second = cluster.leader();
-    // The end stands in a new shard, which is also read by controllers that answer from the store.
+    // The job's end is in a new shard, which controllers also read to answer from the store.
     assertThat(cluster.store.value("run/j-1").has("end")).isFalse();
     leader.start();
     second.kill();
@@ -272,7 +276,7 @@
     lowerLimits();
     cluster.faults.commitDelivery = Delivery.DELIVERED;
     cluster.advance(8);
-    // The large shard may arrive only now: the shards written since take precedence.
+    // The large shard is written only now; the smaller shards written before take precedence.
     cluster.store.lowerLimits(8 * 1024, 12, 100);
     cluster.deliverDelayed();
     lowerLimits();
@@ -291,7 +295,7 @@
     cluster.awaitLeader(4);
     assertThat(cluster.submit(0, job("j-1", "array", 1)).status()).isEqualTo(201);
     cluster.advance(12);
-    // Not even one task fits; the ends of other jobs are still written.
+    // Not even one task fits into a value, but completions of other jobs must still be written.
     assertThat(cluster.submit(0, job("j-2", "array", 30)).status()).isEqualTo(201);
     cluster.advance(12);
     cluster.store.lowerLimits(60, 4, 30);
--- a/src/test/java/io/embernotch/controller/ScaleTest.java
+++ b/src/test/java/io/embernotch/controller/ScaleTest.java
@@ -8,7 +8,10 @@
 import io.embernotch.testkit.SimulatedCluster;
 import org.junit.jupiter.api.Test;
 
-/** A thousand machines: the cost of a heartbeat is bounded in counts, never in time. */
+/**
+ * Bounds the cost of heartbeats from 1000 machines by counting transactions, commands, plans and
+ * frames rather than by measuring time.
+ */
 class ScaleTest {
   private static final int MACHINES = 1000;
   private static final int PER_JOB = 200;
@@ -49,15 +52,15 @@
     int frames = clusterOverview.frameCount();
     long plans = clusterOverview().get("plans").asLong();
     double passed = 30;
-    // Thirty thousand heartbeats, each of eight tasks that keep running.
+    // 30,000 heartbeats, each reporting eight tasks that continue to run.
     clusterOverview.advance(passed);
     assertThat(clusterOverview.store.commitCount - commits).isZero();
     assertThat(clusterOverview.commandCount() - directs).isZero();
-    // Plans go by time: one in each third of a heartbeat interval at most when nothing changes.
+    // Scheduling runs are periodic: without changes, at most one per third of a heartbeat interval.
     assertThat(clusterOverview().get("plans").asLong() - plans)
         .isLessThanOrEqualTo((long) passed + 2);
-    // Views are repeated every fourth round; peer heartbeats come every third of a heartbeat
-    // interval.
+    // Machine views are repeated every fourth straggler round, and peer heartbeats are sent every
+    // third of a heartbeat interval.
     long views = (long) Math.ceil(passed / 20 + 1) * MACHINES;
     assertThat(clusterOverview.frameCount() - frames)
         .isLessThanOrEqualTo((int) views + 6 * (int) (passed + 2) + 100);
@@ -72,7 +75,7 @@
     clusterOverview.completeTasks("j-0");
     clusterOverview.advance(10);
     assertThat(clusterOverview.phase(0, "j-0")).isEqualTo("done");
-    // Two hundred ends: the job's end, its further shards, and no commit for each task.
+    // 200 completions: the job's end and its further shards are written, with no commit per task.
     assertThat(clusterOverview.store.commitCount - commits).isLessThanOrEqualTo(6);
     assertThat(clusterOverview.commandCount() - directs).isZero();
   }
--- a/src/test/java/io/embernotch/controller/TaskPlacementTest.java
+++ b/src/test/java/io/embernotch/controller/TaskPlacementTest.java
@@ -10,7 +10,7 @@
 import io.embernotch.testkit.SimulatedCluster;
 import org.junit.jupiter.api.Test;
 
-/** Tasks run only where quota, zones and the shape of their jobs allow. */
+/** Tasks run only where the quota of their team and the zones and shape of their job allow. */
 class TaskPlacementTest extends ClusterTest {
   TaskPlacementTest() {
     super(new SimulatedCluster(3));
@@ -87,7 +87,7 @@
     cluster.advance(200);
     cluster.completeTasks("j-30");
     cluster.advance(4);
-    // The other machine has proven slow: 200 s for tasks that took the fast one about ten.
+    // The other machine has proven slow: it took 200 s for tasks that the fast one ran in about 10.
     runTwelve("j-31");
     completeAll(fastWorker, "j-31");
     cluster.advance(40);
@@ -102,7 +102,7 @@
         .forEach(task -> worker.exitTask(task, "done"));
   }
 
-  /** Twelve tasks: seven fill the fast machine, the rest go to another. */
+  /** Runs a job of twelve tasks: seven fill the fast machine, the others run on another machine. */
   private void runTwelve(String ref) {
     assertThat(cluster.submit(0, job(ref, "array", 12)).status()).isEqualTo(201);
     cluster.advance(10);
--- a/src/test/java/io/embernotch/controller/TeamLimitTest.java
+++ b/src/test/java/io/embernotch/controller/TeamLimitTest.java
@@ -7,13 +7,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A team that has more work than its limit, of 24 GPUs, lets it run: gangs and arrays of one
- * priority.
+ * A team with more work, gangs and arrays of one priority, than its limit of 24 GPUs allows to run.
  *
- * <p>What happened: on the day limits-norte (seed 57) 89 jobs are counted as left waiting beside
- * free machines with their team under its limit, and 5 of 20 of the largest gangs begin within four
- * minutes. Suspected was that each gang that waits keeps its whole need of the limit, so that it is
- * never used. The log says otherwise:
+ * <p>Guards against two failures, seen on the day limits-norte (seed 57): 89 jobs waited although
+ * machines were free and their team was under its limit, and only 5 of the 20 largest gangs began
+ * within four minutes. The cause is not that each waiting gang reserves all GPUs that it needs and
+ * leaves them unused, as the log shows:
  *
  * <pre>
  * 499.7 waiting: quota 2 jobs, 6 tasks; quota kept for gang 204 jobs, 3336 tasks (first j-855900 behind j-003782)
@@ -22,10 +21,10 @@
  * 549.3 GPUs of teams: docs-ml=1799 open, 1 claimed, 1232 kept of 1800
  * </pre>
  *
- * <p>Why: of the limit 1,680 to 1,800 are used from the first minute on; only what the first gang
- * waits for is lost. But there is work for some 720 s, and it is taken by its age, so the largest
- * wait as long as all others; and while the first gang waits for its 128, the last few GPUs are no
- * small job's, each time anew.
+ * <p>From the first minute on, 1,680 to 1,800 GPUs of the limit are used; only what the first gang
+ * waits for stays unused. The queue holds work for about 720 s and is ordered by age, so the
+ * largest gangs wait as long as all other jobs. While the first gang accumulates its 128 GPUs,
+ * small jobs cannot use the last few free ones, and the same happens with each following gang.
  */
 class TeamLimitTest {
   private static final int LARGEST_BEGIN_WITHIN_S = 240;
@@ -35,7 +34,9 @@
   private final SimulatedCluster cluster = new SimulatedCluster(3);
 
   /**
-   * Tasks run for {@link #TASK_S}; gives the seconds until the job runs, or as many as it may take.
+   * Completes all tasks of the other jobs every {@link #TASK_S} seconds until the given job runs.
+   *
+   * @return seconds until the job runs; {@code limitS} if it does not run by then
    */
   private int secondsUntilRunning(String ref, int limitS) {
     for (int second = 0; second < limitS; second++) {
@@ -55,7 +56,7 @@
   @Test
   void theLargestBeginWithinFourMinutes() {
     cluster.awaitLeader(4);
-    // Work for 360 s, at 24 GPUs, before the gang.
+    // The jobs submitted before the gang have work for 360 s on 24 GPUs.
     for (int index = 0; index < 24; index++) {
       cluster.submit(0, job("j-" + index, "array", 12));
     }
@@ -71,7 +72,7 @@
     cluster.advance(25);
     assertThat(cluster.runningTasks("j-0")).hasSize(23);
     cluster.submit(0, job("j-98", "group", 16));
-    // Quota is kept for a gang that has waited for a worker's lease.
+    // Quota is reserved for a gang once it has waited for as long as a worker's lease.
     cluster.advance(35);
     cluster.submit(0, job("j-99", "array", 1));
     cluster.advance(WAIT_BESIDE_ROOM_S);
