--- a/src/main/java/io/embernotch/controller/Controller.java
+++ b/src/main/java/io/embernotch/controller/Controller.java
@@ -33,12 +33,12 @@
  */
 public final class Controller implements RequestHandler {
   /** Number of straggler rounds after which a machine view that was not renewed expires. */
-  private static final int MACHINE_VIEW_ROUNDS = 6;
+  private static final int MACHINE_VIEW_EXPIRY_ROUNDS = 6;
 
   private static final int TICKS_PER_HEARTBEAT_INTERVAL = 3;
 
   /** Share of the process's memory limit that the replica may use. */
-  private static final double REPLICA_SHARE = 0.1;
+  private static final double REPLICA_MEMORY_SHARE = 0.1;
 
   private static final int BYTES_PER_MB = 1 << 20;
 
@@ -49,7 +49,7 @@
   private final ImageInventory imageInventory;
   private final MachineTypeCatalog machineTypes;
   private final PeerLiveness peerLiveness;
-  private final SnapshotScheduler snapshots;
+  private final SnapshotScheduler snapshotScheduler;
   private final StoreReplica replica;
   private final RestoreSource restoreSource;
   private final StoreIncarnationTracker incarnations;
@@ -67,7 +67,7 @@
   private final JobQueries jobQueries;
   private final HeartbeatForwarder heartbeatForwarder;
   private final PeerHeartbeats peerHeartbeats;
-  private final StoreHeartbeatWriter storeHeartbeats;
+  private final StoreHeartbeatWriter storeHeartbeatWriter;
   private final Replication replication;
   private final NodeStatus nodeStatus;
 
@@ -84,28 +84,31 @@
     Settings settings = context.settings();
     pendingRequests = new PendingRequests(context.timers(), peers, context.names());
     imageInventory = new ImageInventory(settings.quota().rememberedMachines());
-    machineTypes = new MachineTypeCatalog(context, this::machineTypesLearned);
+    machineTypes = new MachineTypeCatalog(context, this::onMachineTypesLoaded);
     peerLiveness = new PeerLiveness(settings, context.clock());
     leaderObserver = new LeaderObserver(context.clock());
-    snapshots = new SnapshotScheduler(context);
-    replica = new StoreReplica((long) (REPLICA_SHARE * BYTES_PER_MB * settings.quota().memoryMb()));
+    snapshotScheduler = new SnapshotScheduler(context);
+    replica =
+        new StoreReplica(
+            (long) (REPLICA_MEMORY_SHARE * BYTES_PER_MB * settings.quota().memoryMb()));
     restoreSource = createRestoreSource();
     IncarnationEvents incarnationEvents = createIncarnationEvents();
     incarnations = createIncarnationTracker(incarnationEvents);
     election = new LeaderElection(context, leaseRenewer, incarnations, peerLiveness);
     localPartition =
-        new LocalPartition(context.clock(), MACHINE_VIEW_ROUNDS * context.operator().roundS());
+        new LocalPartition(
+            context.clock(), MACHINE_VIEW_EXPIRY_ROUNDS * context.operator().roundS());
     leaderClient = createLeaderClient();
     shardSize = ShardLayout.defaultSize(settings);
     jobAnnouncements = createJobAnnouncements();
-    answers = new JobAnswers(context, completedJobs, this::knowledge);
+    answers = new JobAnswers(context, completedJobs, this::currentKnowledge);
     submissions = createSubmissionHandler();
     jobQueries = createJobQueries();
     heartbeatForwarder =
         new HeartbeatForwarder(
             context, new ForwardingContext(context.store(), peers, pendingRequests, peerLiveness));
     peerHeartbeats = createPeerHeartbeats();
-    storeHeartbeats = createStoreHeartbeats();
+    storeHeartbeatWriter = createStoreHeartbeatWriter();
     replication = createReplication();
     incarnationEvents.connect(election, replication, submissions, machineTypes, peerHeartbeats);
     nodeStatus = createNodeStatus();
@@ -135,7 +138,7 @@
         context,
         localLeader,
         leaderObserver,
-        snapshots,
+        snapshotScheduler,
         replica,
         pendingRequests,
         peerLiveness,
@@ -182,7 +185,7 @@
         context, machineTypes.types(), shardSize, submissionContext, answers);
   }
 
-  private JobAnswers.Knowledge knowledge() {
+  private JobAnswers.Knowledge currentKnowledge() {
     return new JobAnswers.Knowledge(
         leaderObserver.node(),
         leaderObserver.epoch(),
@@ -202,7 +205,7 @@
         localLeader);
   }
 
-  private StoreHeartbeatWriter createStoreHeartbeats() {
+  private StoreHeartbeatWriter createStoreHeartbeatWriter() {
     return new StoreHeartbeatWriter(
         context,
         () -> localLeader.current().map(leader -> leader.modRevision()),
@@ -268,11 +271,11 @@
   /** Starts receiving frames, contending for leadership and sending heartbeats. Call only once. */
   public void start() {
     peers.onFrame(createFrameDispatcher()::dispatch);
-    peers.onConnected(peerHeartbeats::greet);
+    peers.onConnected(peerHeartbeats::sendOnConnect);
     incarnations.start();
     machineTypes.load();
     election.start(createRoleTransitions());
-    storeHeartbeats.start();
+    storeHeartbeatWriter.start();
     tick();
     new StragglerRounds(
             context,
@@ -290,7 +293,7 @@
         .ifPresent(
             leader -> {
               incarnations.probe(leader.modRevision());
-              snapshots.tick(incarnations.name(), leader::snapshot);
+              snapshotScheduler.tick(incarnations.name(), leader::snapshot);
             });
     replication.tick();
     peerLiveness.takeNewlyUnresponsive().forEach(peers::renew);
@@ -298,7 +301,7 @@
     context.timers().after(heartbeatIntervalS / TICKS_PER_HEARTBEAT_INTERVAL, this::tick);
   }
 
-  private void machineTypesLearned() {
+  private void onMachineTypesLoaded() {
     localLeader.current().ifPresent(leader -> leader.addMachineTypes(machineTypes.types()));
   }
 
--- a/src/main/java/io/embernotch/controller/ControllerLeaderContext.java
+++ b/src/main/java/io/embernotch/controller/ControllerLeaderContext.java
@@ -63,13 +63,13 @@
   }
 
   @Override
-  public void superseded(String why) {
-    election.stepDown(why);
+  public void superseded(String reason) {
+    election.stepDown(reason);
   }
 
   @Override
-  public void contentsPutBack(String why) {
-    incarnations.lossSigns().contentsPutBack(why);
+  public void contentsPutBack(String reason) {
+    incarnations.lossSigns().contentsPutBack(reason);
   }
 
   @Override
@@ -88,10 +88,10 @@
   }
 
   @Override
-  public void resign(String why) {
+  public void resign(String reason) {
     if (!peerLiveness.live().isEmpty()) {
-      double avoidS = settings.workers().leaseS() / 2;
-      election.resign(why, avoidS);
+      double backoffS = settings.workers().leaseS() / 2;
+      election.resign(reason, backoffS);
     }
   }
 
--- a/src/main/java/io/embernotch/controller/ForwardingContext.java
+++ b/src/main/java/io/embernotch/controller/ForwardingContext.java
@@ -32,8 +32,8 @@
   }
 
   @Override
-  public Future<HttpResponse> ask(String node, LongFunction<Frame> question, double withinS) {
-    return pendingRequests.send(node, question, withinS);
+  public Future<HttpResponse> ask(String node, LongFunction<Frame> request, double timeoutS) {
+    return pendingRequests.send(node, request, timeoutS);
   }
 
   @Override
--- a/src/main/java/io/embernotch/controller/IncarnationEvents.java
+++ b/src/main/java/io/embernotch/controller/IncarnationEvents.java
@@ -63,13 +63,14 @@
       // node has begun this one.
       election.stepDown("another store incarnation has begun");
     }
-    boolean lacksKnown = !election.holdsKey() && restoreSource.isMissingFrom(baseSnapshot);
+    boolean lacksKnownJobs =
+        !election.holdsKey() && restoreSource.retainIfMissingFrom(baseSnapshot);
     replication.incarnationSettled(baseSnapshot);
     submissions.storeIncarnationChanged();
     if (baseSnapshot.since() > 0) {
-      machineTypes.store();
+      machineTypes.writeToStore();
     }
-    if (lacksKnown) {
+    if (lacksKnownJobs) {
       incarnations.get().lossSigns().contentsLackKnown();
     }
   }
@@ -82,13 +83,13 @@
   @Override
   public boolean wouldHearOfLoss() {
     String leader = leaderObserver.node();
-    boolean leaderIsElsewhere = leader != null && !leader.equals(node);
-    return leaderIsElsewhere ? peerLiveness.isLive(leader) : peerLiveness.hearsAny();
+    boolean anotherNodeLeads = leader != null && !leader.equals(node);
+    return anotherNodeLeads ? peerLiveness.isLive(leader) : peerLiveness.hearsAny();
   }
 
   @Override
-  public void dataLost(String why) {
-    replication.dataLost();
+  public void dataLost(String reason) {
+    replication.stopUpdating();
     election.stepDownAfterLoss();
     peerHeartbeats.send();
   }
--- a/src/main/java/io/embernotch/controller/JobAnnouncements.java
+++ b/src/main/java/io/embernotch/controller/JobAnnouncements.java
@@ -52,8 +52,8 @@
    * @param revision store revision of the write
    */
   void announce(Job job, ObjectNode value, long revision) {
-    boolean leaderIsHere = localLeader.tell(new LeaderMessage.JobAccepted(job, shardSize));
-    if (!leaderIsHere && leaderObserver.node() != null) {
+    boolean deliveredLocally = localLeader.send(new LeaderMessage.JobAccepted(job, shardSize));
+    if (!deliveredLocally && leaderObserver.node() != null) {
       ObjectNode announcement = IncarnationCodec.announcement(value, incarnations.name(), revision);
       peers.send(leaderObserver.node(), new Frame.JobAccepted(Json.bytes(announcement)));
     }
@@ -65,20 +65,20 @@
    * @return true if the local leader received every entry of the update, so that the update can be
    *     acknowledged; false also if an entry is not a job or is malformed
    */
-  boolean committed(Frame.StateUpdate update) {
-    boolean allPassedOn = true;
+  boolean deliverCommitted(Frame.StateUpdate update) {
+    boolean allDelivered = true;
     for (Frame.StateEntry entry : update.entries()) {
-      allPassedOn &= entry.key().startsWith(JobProgressCodec.JOB) && passOn(entry, update);
+      allDelivered &= entry.key().startsWith(JobProgressCodec.JOB) && deliver(entry, update);
     }
-    return allPassedOn;
+    return allDelivered;
   }
 
-  private boolean passOn(Frame.StateEntry entry, Frame.StateUpdate update) {
+  private boolean deliver(Frame.StateEntry entry, Frame.StateUpdate update) {
     try {
-      StoredSubmission committed = StoredSubmission.read(Json.parseObject(entry.value()));
+      StoredSubmission submission = StoredSubmission.read(Json.parseObject(entry.value()));
       store.noteRevision(entry.key(), update.revision());
-      return localLeader.tell(
-          new LeaderMessage.JobAccepted(committed.job(), committed.shardSize()));
+      return localLeader.send(
+          new LeaderMessage.JobAccepted(submission.job(), submission.shardSize()));
     } catch (MalformedInputException e) {
       LOG.info("malformed job from a controller: {}", e.getMessage());
       return false;
@@ -86,15 +86,15 @@
   }
 
   /** Delivers another controller's announcement to the local leader, if this node leads. */
-  void received(Frame.JobAccepted frame) {
+  void handleAnnouncement(Frame.JobAccepted frame) {
     if (!localLeader.isPresent()) {
       return;
     }
     try {
       ObjectNode value = Json.parseObject(frame.value());
-      StoredSubmission announced = StoredSubmission.read(value);
+      StoredSubmission submission = StoredSubmission.read(value);
       LeaderMessage.JobAccepted accepted =
-          new LeaderMessage.JobAccepted(announced.job(), announced.shardSize());
+          new LeaderMessage.JobAccepted(submission.job(), submission.shardSize());
       String incarnation = incarnations.name();
       if (!incarnation.isEmpty()
           && incarnation.equals(IncarnationCodec.announcedIncarnation(value))) {
@@ -103,7 +103,7 @@
             JobProgressCodec.JOB + accepted.job().spec.ref(),
             IncarnationCodec.announcedEpoch(value));
       }
-      localLeader.tell(accepted);
+      localLeader.send(accepted);
     } catch (MalformedInputException e) {
       LOG.info("malformed job from a controller: {}", e.getMessage());
     }
--- a/src/main/java/io/embernotch/controller/JobQueries.java
+++ b/src/main/java/io/embernotch/controller/JobQueries.java
@@ -24,10 +24,10 @@
      * Sends a request to the leader.
      *
      * @param ref id of the job
-     * @param withinS seconds to wait for an answer from another node
+     * @param timeoutS seconds to wait for an answer from another node
      * @return the leader's answer, or 503 if there is none in time
      */
-    Future<HttpResponse> request(Frame.ForwardedRequest.Kind kind, String ref, double withinS);
+    Future<HttpResponse> request(Frame.ForwardedRequest.Kind kind, String ref, double timeoutS);
   }
 
   private static final int NOT_FOUND = 404;
@@ -38,8 +38,8 @@
   private final CompletedJobCache completedJobs;
   private final StoreIncarnationTracker incarnations;
   private final PersistedStatus persistedStatus;
-  private final Predicate<String> acceptedHere;
-  private final LeaderRequests leader;
+  private final Predicate<String> acceptedLocally;
+  private final LeaderRequests leaderRequests;
   private final double heartbeatIntervalS;
 
   /** Seconds to wait for the leader's answer to a poll. */
@@ -58,22 +58,22 @@
   private final PollRateLimiter rateLimiter;
 
   /**
-   * @param acceptedHere tests whether this process has accepted the job with the given id
+   * @param acceptedLocally tests whether this process has accepted the job with the given id
    */
   JobQueries(
       ControllerContext context,
       JobAnswers answers,
       CompletedJobCache completedJobs,
       StoreIncarnationTracker incarnations,
-      Predicate<String> acceptedHere,
-      LeaderRequests leader) {
+      Predicate<String> acceptedLocally,
+      LeaderRequests leaderRequests) {
     this.context = context;
     this.answers = answers;
     this.completedJobs = completedJobs;
     this.incarnations = incarnations;
     this.persistedStatus = new PersistedStatus(context, completedJobs, incarnations::base);
-    this.acceptedHere = acceptedHere;
-    this.leader = leader;
+    this.acceptedLocally = acceptedLocally;
+    this.leaderRequests = leaderRequests;
     this.heartbeatIntervalS = context.settings().workers().heartbeatIntervalS();
     this.pollTimeoutS = heartbeatIntervalS / 6;
     this.maxStoreFailureS = heartbeatIntervalS / 6;
@@ -87,17 +87,17 @@
    */
   Future<HttpResponse> poll(String ref) {
     if (!JobCodec.isRef(ref)) {
-      return answer(HttpResponse.error(NOT_FOUND, "no such job"));
+      return futureOf(HttpResponse.error(NOT_FOUND, "no such job"));
     }
     JobAnswers.Question question = answers.asked(JobAnswers.Kind.POLL, ref);
-    HttpResponse known = completedJobs.status(ref);
-    if (known != null) {
-      return answer(question.answer(JobAnswers.Source.CACHE, known));
+    HttpResponse cached = completedJobs.status(ref);
+    if (cached != null) {
+      return futureOf(question.answer(JobAnswers.Source.CACHE, cached));
     }
     if (!rateLimiter.admit(ref)) {
-      return answer(HttpResponse.later("too many polls"));
+      return futureOf(HttpResponse.later("too many polls"));
     }
-    return status(question, ref)
+    return statusFromLeaderOrStore(question, ref)
         .onSuccess(
             response -> {
               if (response.status() != UNAVAILABLE) {
@@ -106,15 +106,15 @@
             });
   }
 
-  private Future<HttpResponse> status(JobAnswers.Question question, String ref) {
-    return leader
+  private Future<HttpResponse> statusFromLeaderOrStore(JobAnswers.Question question, String ref) {
+    return leaderRequests
         .request(Frame.ForwardedRequest.Kind.POLL, ref, pollTimeoutS)
         .compose(
             response ->
                 response.status() == UNAVAILABLE
                     ? statusFromStore(ref)
                         .map(stored -> question.answer(JobAnswers.Source.STORE, stored))
-                    : answer(question.answer(JobAnswers.Source.LEADER, response)));
+                    : futureOf(question.answer(JobAnswers.Source.LEADER, response)));
   }
 
   /**
@@ -123,18 +123,18 @@
    */
   private Future<HttpResponse> statusFromStore(String ref) {
     if (!incarnations.answerPolicy().mayTellEnds()) {
-      return answer(contentsUnknown());
+      return futureOf(storeContentsUnknown());
     }
     if (context.store().failingForS() > maxStoreFailureS) {
-      return answer(HttpResponse.later("the state service does not answer"));
+      return futureOf(HttpResponse.later("the state service does not answer"));
     }
     if (context.store().readWaitS() > maxReadWaitS) {
       // The user would time out before a read that is queued for this long is answered, and so
       // would the users of the reads queued behind it.
-      return answer(HttpResponse.later("more is asked than the state service takes"));
+      return futureOf(HttpResponse.later("more is asked than the state service takes"));
     }
-    boolean acceptedBefore = acceptedHere.test(ref);
-    return persistedStatus.of(ref).compose(response -> verify(ref, response, acceptedBefore));
+    boolean acceptedBefore = acceptedLocally.test(ref);
+    return persistedStatus.of(ref).compose(response -> verifyStatus(ref, response, acceptedBefore));
   }
 
   /**
@@ -143,18 +143,19 @@
    *
    * @param acceptedBefore whether this process had accepted the job before the read began
    */
-  private Future<HttpResponse> verify(String ref, HttpResponse response, boolean acceptedBefore) {
+  private Future<HttpResponse> verifyStatus(
+      String ref, HttpResponse response, boolean acceptedBefore) {
     if (completedJobs.status(ref) != null) {
-      return answer(response);
+      return futureOf(response);
     }
     HttpResponse verified =
         response.status() == NOT_FOUND ? verifyAbsence(ref, response, acceptedBefore) : response;
     return verified.status() == UNAVAILABLE
-        ? answer(verified)
+        ? futureOf(verified)
         : incarnations
             .answerPolicy()
             .mayTellUnended()
-            .map(proven -> proven ? verified : contentsUnknown());
+            .map(proven -> proven ? verified : storeContentsUnknown());
   }
 
   /**
@@ -163,13 +164,13 @@
    */
   Future<HttpResponse> abort(String ref) {
     if (!JobCodec.isRef(ref)) {
-      return answer(HttpResponse.error(NOT_FOUND, "no such job"));
+      return futureOf(HttpResponse.error(NOT_FOUND, "no such job"));
     }
     JobAnswers.Question question = answers.asked(JobAnswers.Kind.ABORT, ref);
-    HttpResponse known = completedJobs.brief(ref);
-    return known != null
-        ? answer(question.answer(JobAnswers.Source.CACHE, known))
-        : leader
+    HttpResponse cached = completedJobs.brief(ref);
+    return cached != null
+        ? futureOf(question.answer(JobAnswers.Source.CACHE, cached))
+        : leaderRequests
             .request(Frame.ForwardedRequest.Kind.ABORT, ref, heartbeatIntervalS)
             .map(response -> question.answer(JobAnswers.Source.LEADER, response));
   }
@@ -181,20 +182,20 @@
    * reporting a loss would restore an older snapshot.
    */
   private HttpResponse verifyAbsence(String ref, HttpResponse notFound, boolean acceptedBefore) {
-    if (!acceptedHere.test(ref)) {
-      return incarnations.answerPolicy().mayDenyJobs() ? notFound : contentsUnknown();
+    if (!acceptedLocally.test(ref)) {
+      return incarnations.answerPolicy().mayDenyJobs() ? notFound : storeContentsUnknown();
     }
     if (acceptedBefore) {
       incarnations.lossSigns().acceptedJobMissing(ref);
     }
-    return contentsUnknown();
+    return storeContentsUnknown();
   }
 
-  private static HttpResponse contentsUnknown() {
+  private static HttpResponse storeContentsUnknown() {
     return HttpResponse.later("what the state service holds is not known yet");
   }
 
-  private static Future<HttpResponse> answer(HttpResponse response) {
+  private static Future<HttpResponse> futureOf(HttpResponse response) {
     return Future.succeededFuture(response);
   }
 }
--- a/src/main/java/io/embernotch/controller/LeaderClient.java
+++ b/src/main/java/io/embernotch/controller/LeaderClient.java
@@ -53,36 +53,36 @@
    * Forwards a user's request to the leader.
    *
    * @param ref id of the job; "" for an overview
-   * @param withinS seconds to wait for an answer from another node; a local leader has no timeout
+   * @param timeoutS seconds to wait for an answer from another node; a local leader has no timeout
    * @return the leader's answer, or 503 if there is none in time
    */
-  Future<HttpResponse> request(Frame.ForwardedRequest.Kind kind, String ref, double withinS) {
+  Future<HttpResponse> request(Frame.ForwardedRequest.Kind kind, String ref, double timeoutS) {
     Promise<HttpResponse> reply = Promise.promise();
-    if (localLeader.tell(new LeaderMessage.UserRequest(kind, ref, reply))) {
+    if (localLeader.send(new LeaderMessage.UserRequest(kind, ref, reply))) {
       return reply.future();
     }
     String leader = leaderObserver.node();
     if (leader == null || !peerLiveness.isLive(leader)) {
       return Future.succeededFuture(HttpResponse.later("no steward is known"));
     }
-    return pendingRequests.send(leader, id -> new Frame.ForwardedRequest(id, kind, ref), withinS);
+    return pendingRequests.send(leader, id -> new Frame.ForwardedRequest(id, kind, ref), timeoutS);
   }
 
   /**
    * Delivers an agent's heartbeat to the local leader.
    *
-   * @param via process incarnation of the controller that forwarded the heartbeat, or {@link
-   *     #RECEIVED_DIRECTLY}
+   * @param forwarderIncarnation process incarnation of the controller that forwarded the heartbeat,
+   *     or {@link #RECEIVED_DIRECTLY}
    * @return the leader's answer; 503 if this node does not lead, or if its lease and the grace
    *     period after it have expired
    */
-  Future<HttpResponse> deliverHeartbeat(Heartbeat heartbeat, long via) {
+  Future<HttpResponse> deliverHeartbeat(Heartbeat heartbeat, long forwarderIncarnation) {
     Leader leader = localLeader.current().orElse(null);
     if (leader == null || election.leaseUnprovenForS() > leader.gracePeriodS()) {
       return Future.succeededFuture(HttpResponse.later("leadership is not proven"));
     }
     Promise<byte[]> reply = Promise.promise();
-    leader.tell(new LeaderMessage.HeartbeatReceived(heartbeat, via, reply));
+    leader.tell(new LeaderMessage.HeartbeatReceived(heartbeat, forwarderIncarnation, reply));
     return reply
         .future()
         .map(
--- a/src/main/java/io/embernotch/controller/LocalLeader.java
+++ b/src/main/java/io/embernotch/controller/LocalLeader.java
@@ -33,7 +33,7 @@
   }
 
   /** Sends a message to the local leader; returns false if this node does not lead. */
-  boolean tell(LeaderMessage message) {
+  boolean send(LeaderMessage message) {
     if (current == null) {
       return false;
     }
@@ -44,10 +44,11 @@
   /**
    * Begins a term of this node.
    *
-   * @param claimed when this node began to claim the leader key, in seconds of the steady clock
+   * @param termClaimedAt when this node began to claim the leader key, in seconds of the steady
+   *     clock
    */
-  void begin(Leader leader, double claimed) {
-    claimedAt = claimed;
+  void begin(Leader leader, double termClaimedAt) {
+    claimedAt = termClaimedAt;
     current = leader;
   }
 
--- a/src/main/java/io/embernotch/controller/MachineTypeCatalog.java
+++ b/src/main/java/io/embernotch/controller/MachineTypeCatalog.java
@@ -23,15 +23,15 @@
   private static final int BYTES_PER_KB = 1024;
 
   private final ControllerContext context;
-  private final Runnable onLearned;
+  private final Runnable onLoaded;
   private final Map<String, MachineType> types = new LinkedHashMap<>();
 
   /**
-   * @param onLearned called each time machine types have been loaded
+   * @param onLoaded called each time machine types have been loaded
    */
-  MachineTypeCatalog(ControllerContext context, Runnable onLearned) {
+  MachineTypeCatalog(ControllerContext context, Runnable onLoaded) {
     this.context = context;
-    this.onLearned = onLearned;
+    this.onLoaded = onLoaded;
   }
 
   /** Returns a read-only, live view of the types by name; empty until they are loaded. */
@@ -47,7 +47,7 @@
         .onComplete(
             read -> {
               if (read.succeeded() && read.result().present()) {
-                learn(CloudCodec.readTypes(read.result().value()));
+                addAll(CloudCodec.readTypes(read.result().value()));
               } else {
                 loadFromCloud();
               }
@@ -55,14 +55,14 @@
   }
 
   /** Writes the loaded types to the store after the store has lost them. */
-  void store() {
+  void writeToStore() {
     if (!types.isEmpty()) {
       write(List.copyOf(types.values()));
     }
   }
 
-  private void write(List<MachineType> list) {
-    ObjectNode value = CloudCodec.writeTypes(list);
+  private void write(List<MachineType> loadedTypes) {
+    ObjectNode value = CloudCodec.writeTypes(loadedTypes);
     double limitKb = context.settings().minStoreLimits().valueKb();
     if (Json.bytes(value).length <= limitKb * BYTES_PER_KB) {
       context.store().commit(new Transaction().when(KEY, 0).write(KEY, value));
@@ -75,16 +75,16 @@
         .cloud()
         .types()
         .onSuccess(
-            list -> {
-              learn(list);
-              write(list);
+            loadedTypes -> {
+              addAll(loadedTypes);
+              write(loadedTypes);
             })
         .onFailure(failure -> context.timers().after(retryS, this::load));
   }
 
-  private void learn(List<MachineType> list) {
-    list.forEach(type -> types.put(type.name(), type));
+  private void addAll(List<MachineType> loadedTypes) {
+    loadedTypes.forEach(type -> types.put(type.name(), type));
     LOG.info("machine types: {}", types.keySet());
-    onLearned.run();
+    onLoaded.run();
   }
 }
--- a/src/main/java/io/embernotch/controller/NodeStatus.java
+++ b/src/main/java/io/embernotch/controller/NodeStatus.java
@@ -74,9 +74,9 @@
   /**
    * Returns the overview of this node, and that of the cluster if the leader has answered.
    *
-   * @param cluster the leader's response to a request for the cluster's overview
+   * @param clusterResponse the leader's response to a request for the cluster's overview
    */
-  HttpResponse overview(HttpResponse cluster) {
+  HttpResponse overview(HttpResponse clusterResponse) {
     ObjectNode overview = Json.object();
     overview.put("node", context.settings().node());
     overview.put("steward", leaderObserver.node());
@@ -89,20 +89,20 @@
     overview.put("term_epoch", election.epoch());
     overview.put("lease_left_s", Math.max(0, -election.leaseUnprovenForS()));
     replication.describe(overview.putObject("replica"));
-    writeAnswers(overview.putObject("answers"));
+    writeAnswerCounts(overview.putObject("answers"));
     overview.put("answers_overtaken", answers.overtaken());
     overview.put("answer_contradictions", answers.contradictions());
     var peers = overview.putArray("peers");
     peerLiveness.live().forEach(peers::add);
-    if (cluster.status() == 200) {
-      overview.set("cluster", Json.parseObject(cluster.body()));
+    if (clusterResponse.status() == 200) {
+      overview.set("cluster", Json.parseObject(clusterResponse.body()));
     }
     return HttpResponse.of(200, Json.bytes(overview));
   }
 
-  private void writeAnswers(ObjectNode into) {
+  private void writeAnswerCounts(ObjectNode target) {
     answers
         .counts()
-        .forEach((source, count) -> into.put(source.name().toLowerCase(Locale.ROOT), count));
+        .forEach((source, count) -> target.put(source.name().toLowerCase(Locale.ROOT), count));
   }
 }
--- a/src/main/java/io/embernotch/controller/PeerFrameDispatcher.java
+++ b/src/main/java/io/embernotch/controller/PeerFrameDispatcher.java
@@ -59,20 +59,20 @@
   /** Dispatches a frame. Responses to it, if any, are sent over {@code replies}. */
   void dispatch(Frame frame, PeerLink.ReplyChannel replies) {
     if (frame instanceof Frame.PeerHeartbeat heartbeat) {
-      peerHeartbeats.received(heartbeat);
-      replication.peerHeard(heartbeat.node());
+      peerHeartbeats.handleHeartbeat(heartbeat);
+      replication.handlePeerHeartbeat(heartbeat.node());
     } else if (frame instanceof Frame.JobAccepted accepted) {
-      jobAnnouncements.received(accepted);
+      jobAnnouncements.handleAnnouncement(accepted);
     } else if (frame instanceof Frame.ForwardedRequest request) {
-      forwardedRequest(request, replies);
+      handleForwardedRequest(request, replies);
     } else if (frame instanceof Frame.ForwardedHeartbeat heartbeat) {
-      forwardedHeartbeat(heartbeat, replies);
+      handleForwardedHeartbeat(heartbeat, replies);
     } else if (frame instanceof Frame.DelegateHeartbeat heartbeat) {
-      delegateHeartbeat(heartbeat, replies);
+      handleDelegateHeartbeat(heartbeat, replies);
     } else if (frame instanceof Frame.DelegateHeartbeatAck acknowledgement) {
       heartbeatForwarder.delegateHeartbeatAcknowledged(acknowledgement);
     } else if (frame instanceof Frame.ForwardedSubmission submission) {
-      forwardedSubmission(submission, replies);
+      handleForwardedSubmission(submission, replies);
     } else if (frame instanceof Frame.Response response) {
       pendingRequests.complete(response);
     } else if (frame instanceof Frame.MachineViewUpdate update) {
@@ -82,60 +82,62 @@
     } else if (frame instanceof Frame.MachineViewRemoval removal) {
       localPartition.remove(removal.epoch(), removal.machine());
     } else if (frame instanceof Frame.RestartProposals proposals) {
-      restartsProposed(proposals);
+      handleRestartProposals(proposals);
     } else if (frame instanceof Frame.StateUpdate update) {
-      replication.received(update, replies);
+      replication.handleUpdate(update, replies);
     } else if (frame instanceof Frame.StateUpdateAck acknowledgement) {
-      replication.acknowledged(acknowledgement);
+      replication.handleAck(acknowledgement);
     } else if (frame instanceof Frame.KnowledgeRequest request) {
-      replication.asked(request, replies);
+      replication.handleKnowledgeRequest(request, replies);
     }
   }
 
-  private void forwardedRequest(Frame.ForwardedRequest request, PeerLink.ReplyChannel replies) {
+  private void handleForwardedRequest(
+      Frame.ForwardedRequest request, PeerLink.ReplyChannel replies) {
     Promise<HttpResponse> reply = Promise.promise();
-    checked(request, reply.future())
-        .onSuccess(response -> replies.send(frameOf(request.id(), response)));
-    if (!localLeader.tell(new LeaderMessage.UserRequest(request.kind(), request.ref(), reply))) {
+    checkAnswer(request, reply.future())
+        .onSuccess(response -> replies.send(responseFrame(request.id(), response)));
+    if (!localLeader.send(new LeaderMessage.UserRequest(request.kind(), request.ref(), reply))) {
       reply.complete(HttpResponse.later("not the steward"));
     }
   }
 
   /** Checks and records answers about jobs in {@link JobAnswers}; an overview passes unchecked. */
-  private Future<HttpResponse> checked(
-      Frame.ForwardedRequest request, Future<HttpResponse> decided) {
+  private Future<HttpResponse> checkAnswer(
+      Frame.ForwardedRequest request, Future<HttpResponse> leaderResponse) {
     if (request.kind() == Frame.ForwardedRequest.Kind.OVERVIEW) {
-      return decided;
+      return leaderResponse;
     }
     JobAnswers.Question question = answers.asked(JobAnswers.Kind.FORWARDED, request.ref());
-    return decided.map(response -> question.answer(JobAnswers.Source.LEADER, response));
+    return leaderResponse.map(response -> question.answer(JobAnswers.Source.LEADER, response));
   }
 
-  private void forwardedHeartbeat(
+  private void handleForwardedHeartbeat(
       Frame.ForwardedHeartbeat forwarded, PeerLink.ReplyChannel replies) {
     if (forwarded.id() == NO_RESPONSE) {
-      localLeader.tell(new LeaderMessage.HeartbeatHandedOver(forwarded.heartbeat()));
+      localLeader.send(new LeaderMessage.HeartbeatHandedOver(forwarded.heartbeat()));
       return;
     }
     leaderClient
         .deliverHeartbeat(forwarded.heartbeat(), ProcessIncarnation.of(forwarded.id()))
-        .onSuccess(response -> replies.send(frameOf(forwarded.id(), response)));
+        .onSuccess(response -> replies.send(responseFrame(forwarded.id(), response)));
   }
 
-  private void delegateHeartbeat(Frame.DelegateHeartbeat heartbeat, PeerLink.ReplyChannel replies) {
+  private void handleDelegateHeartbeat(
+      Frame.DelegateHeartbeat heartbeat, PeerLink.ReplyChannel replies) {
     localLeader
         .current()
         .ifPresent(leader -> replies.send(leader.delegateHeartbeatReceived(heartbeat)));
   }
 
-  private void forwardedSubmission(
+  private void handleForwardedSubmission(
       Frame.ForwardedSubmission submission, PeerLink.ReplyChannel replies) {
     submissions
         .handleForwarded(submission.body())
-        .onSuccess(response -> replies.send(frameOf(submission.id(), response)));
+        .onSuccess(response -> replies.send(responseFrame(submission.id(), response)));
   }
 
-  private void restartsProposed(Frame.RestartProposals proposals) {
+  private void handleRestartProposals(Frame.RestartProposals proposals) {
     localLeader
         .current()
         .filter(leader -> leader.epoch() == proposals.epoch())
@@ -145,7 +147,7 @@
                     new LeaderMessage.RestartsProposed(proposals.from(), proposals.restarts())));
   }
 
-  private static Frame.Response frameOf(long id, HttpResponse response) {
+  private static Frame.Response responseFrame(long id, HttpResponse response) {
     return new Frame.Response(id, response.status(), response.retryAfterS(), response.body());
   }
 }
--- a/src/main/java/io/embernotch/controller/PeerHeartbeats.java
+++ b/src/main/java/io/embernotch/controller/PeerHeartbeats.java
@@ -47,7 +47,7 @@
   /** Sends this node's heartbeat to all other controllers. */
   void send() {
     Settings settings = context.settings();
-    Frame.PeerHeartbeat heartbeat = current(settings.node());
+    Frame.PeerHeartbeat heartbeat = currentHeartbeat(settings.node());
     settings.members().forEach(member -> peers.send(member.node(), heartbeat));
   }
 
@@ -55,11 +55,11 @@
    * Sends this node's heartbeat to a controller that has just connected and may have just started,
    * so that it need not wait for the next heartbeat.
    */
-  void greet(PeerLink.ReplyChannel replies) {
-    replies.send(current(context.settings().node()));
+  void sendOnConnect(PeerLink.ReplyChannel replies) {
+    replies.send(currentHeartbeat(context.settings().node()));
   }
 
-  private Frame.PeerHeartbeat current(String node) {
+  private Frame.PeerHeartbeat currentHeartbeat(String node) {
     boolean storeReachable = context.store().failingForS() == 0;
     if (incarnations.lossNews().isTold()) {
       // A heartbeat without a leader, with an epoch that the store cannot reach, reports the loss.
@@ -74,7 +74,7 @@
   }
 
   /** Handles a heartbeat from another controller. */
-  void received(Frame.PeerHeartbeat heartbeat) {
+  void handleHeartbeat(Frame.PeerHeartbeat heartbeat) {
     String sender = heartbeat.node();
     peerLiveness.recordHeartbeat(sender, heartbeat.storeReachable(), heartbeat.replicates());
     incarnations.lossNews().heartbeatReceived(sender, heartbeat.leader(), heartbeat.leaderEpoch());
@@ -82,11 +82,11 @@
       leaderObserver.observeEpoch(heartbeat.leader(), heartbeat.leaderEpoch());
     }
     if (sender.equals(heartbeat.leader())) {
-      leadershipClaimed(sender, heartbeat.leaderEpoch());
+      handleLeadershipClaim(sender, heartbeat.leaderEpoch());
     }
   }
 
-  private void leadershipClaimed(String claimant, long claimedEpoch) {
+  private void handleLeadershipClaim(String claimant, long claimedEpoch) {
     if (election.holdsKey() && claimedEpoch > election.epoch()) {
       election.stepDown(claimant + " is leader since epoch " + claimedEpoch);
     }
--- a/src/main/java/io/embernotch/controller/Replication.java
+++ b/src/main/java/io/embernotch/controller/Replication.java
@@ -56,7 +56,7 @@
       PeerLink peers,
       PeerLiveness peerLiveness,
       StoreReplica replica,
-      RestoreSource knowledge,
+      RestoreSource restoreSource,
       StoreIncarnationTracker incarnations,
       LeaderElection election,
       LeaderObserver leaderObserver,
@@ -67,8 +67,8 @@
     this.replicator =
         new StateReplicator(context, peers, peerLiveness, replica, feed, this::followedIncarnation);
     this.peerLiveness = peerLiveness;
-    this.bootstrap = knowledge.bootstrap();
-    this.knowledgeServer = new KnowledgeServer(knowledge);
+    this.bootstrap = restoreSource.bootstrap();
+    this.knowledgeServer = new KnowledgeServer(restoreSource);
     this.incarnations = incarnations;
     this.election = election;
     this.leaderObserver = leaderObserver;
@@ -87,8 +87,8 @@
    * before the store was read the one that another controller reported. Null if there is none.
    */
   private String followedIncarnation() {
-    boolean told = incarnations.toldIncarnation().isOnlyTold();
-    return told ? incarnations.name() : intactIncarnation();
+    boolean onlyReported = incarnations.toldIncarnation().isOnlyTold();
+    return onlyReported ? incarnations.name() : intactIncarnation();
   }
 
   /** Returns whether the replica holds all that the store held when it was last followed. */
@@ -97,15 +97,16 @@
   }
 
   /**
-   * Handles the arrival of another controller's heartbeat. While this controller holds no contents
-   * of the store, it requests them from the sender once per heartbeat interval. The request also
-   * shows the sender that this controller accepts updates.
+   * Handles the arrival of another controller's heartbeat. Until this controller has read the store
+   * itself, it requests the contents from the sender, at most once per heartbeat interval. The
+   * request also shows the sender that this controller accepts updates.
    */
-  void peerHeard(String node) {
-    boolean filled = feed.isFollowing() || election.holdsKey() || localLeader.former().isPresent();
-    boolean lost = incarnations.lossNews().isTold();
-    if (!filled && !lost && peerLiveness.replicates(node)) {
-      bootstrap.ask(node, this::told);
+  void handlePeerHeartbeat(String node) {
+    boolean hasOwnContents =
+        feed.isFollowing() || election.holdsKey() || localLeader.former().isPresent();
+    boolean reportsLoss = incarnations.lossNews().isTold();
+    if (!hasOwnContents && !reportsLoss && peerLiveness.replicates(node)) {
+      bootstrap.ask(node, this::applyReportedContents);
     }
   }
 
@@ -115,33 +116,33 @@
    * @param knowledge all that was reported so far
    * @param updates updates that arrived while the answer was pending
    */
-  private void told(Knowledge knowledge, List<Frame.StateUpdate> updates) {
+  private void applyReportedContents(Knowledge knowledge, List<Frame.StateUpdate> updates) {
     if (feed.isFollowing() || election.holdsKey()) {
       bootstrap.finish();
       return;
     }
     String followedBefore = followedIncarnation();
-    incarnationTold(knowledge);
+    observeReportedIncarnation(knowledge);
     String followed = followedIncarnation();
-    boolean isUnread = incarnations.toldIncarnation().isOnlyTold();
-    if (isUnread && !followed.equals(followedBefore)) {
+    boolean isStoreUnread = incarnations.toldIncarnation().isOnlyTold();
+    if (isStoreUnread && !followed.equals(followedBefore)) {
       bootstrap.add(replica.snapshot());
       feed.awaitStore();
     }
-    putToldBeneath();
+    setReportedBase();
     updates.stream()
         .filter(update -> update.incarnation().equals(followed))
         .forEach(replicator::take);
   }
 
-  private void putToldBeneath() {
+  private void setReportedBase() {
     if (bootstrap.isTold()) {
       long since = incarnations.toldIncarnation().since();
       replica.putBeneath(new BaseSnapshot(bootstrap.told().getState(), since));
     }
   }
 
-  private void incarnationTold(Knowledge knowledge) {
+  private void observeReportedIncarnation(Knowledge knowledge) {
     if (!knowledge.hasPointer()) {
       return;
     }
@@ -157,22 +158,22 @@
   }
 
   /** Restarts the replica: the store holds an incarnation that began with this snapshot. */
-  void incarnationSettled(BaseSnapshot base) {
+  void incarnationSettled(BaseSnapshot baseSnapshot) {
     if (bootstrap.isTold()) {
       bootstrap.add(replica.snapshot());
     }
     if (election.holdsKey()) {
       // This node is about to lead, and its leader reads the store by itself.
       feed.rest();
-      replica.reset(base);
+      replica.reset(baseSnapshot);
     } else {
-      feed.begin(base);
-      putToldBeneath();
+      feed.begin(baseSnapshot);
+      setReportedBase();
     }
   }
 
   /** Stops updating the replica, which keeps its contents while data is lost. */
-  void dataLost() {
+  void stopUpdating() {
     feed.contentsLost();
   }
 
@@ -188,51 +189,53 @@
    * interval.
    */
   void tick() {
-    boolean leads = localLeader.current().map(Leader::isLoaded).orElse(false);
-    if (leads) {
+    boolean isLeaderLoaded = localLeader.current().map(Leader::isLoaded).orElse(false);
+    if (isLeaderLoaded) {
       localLeader.forgetFormer();
     }
-    if (leads || feed.isFollowing()) {
+    if (isLeaderLoaded || feed.isFollowing()) {
       bootstrap.finish();
     }
-    if (leads && feed.isActive()) {
+    if (isLeaderLoaded && feed.isActive()) {
       feed.clear();
     }
-    boolean superseded =
+    boolean isFormerTermSuperseded =
         localLeader
             .former()
             .map(former -> former.leader().epoch() < leaderObserver.highestEpoch())
             .orElse(false);
-    if (superseded && feed.isFollowing()) {
+    if (isFormerTermSuperseded && feed.isFollowing()) {
       localLeader.forgetFormer();
     }
   }
 
   /** Handles an update that another controller has committed. */
-  void received(Frame.StateUpdate update, PeerLink.ReplyChannel replies) {
+  void handleUpdate(Frame.StateUpdate update, PeerLink.ReplyChannel replies) {
     if (feed.isActive()) {
       replicator.received(update, replies);
     } else if (bootstrap.isAsking()) {
       bootstrap.hold(update);
     }
-    boolean passedOn =
+    boolean deliveredToLeader =
         localLeader.isPresent()
             && update.incarnation().equals(intactIncarnation())
-            && jobAnnouncements.committed(update);
+            && jobAnnouncements.deliverCommitted(update);
     // A leader that has not loaded the store yet may stop before the job is part of its state, so
     // it does not acknowledge the update.
-    if (passedOn && !feed.isActive() && localLeader.current().map(Leader::isLoaded).orElse(false)) {
+    if (deliveredToLeader
+        && !feed.isActive()
+        && localLeader.current().map(Leader::isLoaded).orElse(false)) {
       replies.send(new Frame.StateUpdateAck(update.id()));
     }
   }
 
   /** Handles another controller's acknowledgement of an update from this controller. */
-  void acknowledged(Frame.StateUpdateAck acknowledgement) {
+  void handleAck(Frame.StateUpdateAck acknowledgement) {
     replicator.acknowledged(acknowledgement);
   }
 
   /** Answers another controller that requests this controller's knowledge of the contents. */
-  void asked(Frame.KnowledgeRequest request, PeerLink.ReplyChannel replies) {
+  void handleKnowledgeRequest(Frame.KnowledgeRequest request, PeerLink.ReplyChannel replies) {
     // The heartbeats of a controller that the store does not answer do not state whether it
     // replicates; its request does.
     peerLiveness.recordReplicates(request.node());
@@ -240,10 +243,10 @@
   }
 
   /** Adds the state of the replica to an overview. */
-  void describe(ObjectNode into) {
-    into.put("following", feed.isFollowing());
-    into.put("bytes", replica.bytes());
-    into.put("evicted", replica.hasEvicted());
-    into.put("unreplicated", replicator.unreplicated());
+  void describe(ObjectNode target) {
+    target.put("following", feed.isFollowing());
+    target.put("bytes", replica.bytes());
+    target.put("evicted", replica.hasEvicted());
+    target.put("unreplicated", replicator.unreplicated());
   }
 }
--- a/src/main/java/io/embernotch/controller/RestoreSource.java
+++ b/src/main/java/io/embernotch/controller/RestoreSource.java
@@ -48,11 +48,11 @@
   private final ControllerContext context;
   private final LocalLeader localLeader;
   private final LeaderObserver leaderObserver;
-  private final SnapshotScheduler snapshots;
+  private final SnapshotScheduler snapshotScheduler;
   private final StoreReplica replica;
   private final Supplier<JobAnswers> answers;
   private final Supplier<StoreIncarnationTracker> incarnations;
-  private final BooleanSupplier replicaFilled;
+  private final BooleanSupplier isReplicaFilled;
   private final KnowledgeCollector collector;
   private final ReplicaBootstrap bootstrap;
   private final double startedAt;
@@ -61,7 +61,7 @@
    * Knowledge received from other controllers since the loss. It is kept because those controllers
    * may have stopped meanwhile.
    */
-  private Knowledge learned = Knowledge.getDefaultInstance();
+  private Knowledge receivedKnowledge = Knowledge.getDefaultInstance();
 
   private int mergesLeft = MAX_MERGES;
 
@@ -73,23 +73,23 @@
       ControllerContext context,
       LocalLeader localLeader,
       LeaderObserver leaderObserver,
-      SnapshotScheduler snapshots,
+      SnapshotScheduler snapshotScheduler,
       StoreReplica replica,
       PendingRequests pendingRequests,
       PeerLiveness peerLiveness,
       Supplier<JobAnswers> answers,
       Supplier<StoreIncarnationTracker> incarnations,
-      BooleanSupplier replicaFilled) {
+      BooleanSupplier isReplicaFilled) {
     this.context = context;
     this.localLeader = localLeader;
     this.leaderObserver = leaderObserver;
-    this.snapshots = snapshots;
+    this.snapshotScheduler = snapshotScheduler;
     this.replica = replica;
     this.answers = answers;
     this.incarnations = incarnations;
     this.collector = new KnowledgeCollector(context, pendingRequests, peerLiveness, this);
     this.bootstrap = new ReplicaBootstrap(context, collector);
-    this.replicaFilled = replicaFilled;
+    this.isReplicaFilled = isReplicaFilled;
     this.startedAt = context.clock().now();
   }
 
@@ -100,7 +100,7 @@
 
   @Override
   public Optional<ClusterSnapshot> lastLeaderState(double noticedAt) {
-    return notSuperseded()
+    return formerTermIfNotSuperseded()
         .filter(former -> former.provenUntil() >= noticedAt)
         .flatMap(RestoreSource::stateOf);
   }
@@ -111,17 +111,17 @@
         .collect(lossEpoch)
         .map(
             others -> {
-              others.stream().flatMap(Optional::stream).forEach(this::learn);
+              others.stream().flatMap(Optional::stream).forEach(this::addReceived);
               JoinedKnowledge joined = JoinedKnowledge.of(knowledge(), others);
-              return notSuperseded()
-                  .filter(former -> JoinedKnowledge.provesLast(termOf(former), others))
+              return formerTermIfNotSuperseded()
+                  .filter(former -> JoinedKnowledge.provesLast(endedTermOf(former), others))
                   .flatMap(RestoreSource::stateOf)
-                  .map(state -> lastLeader(state, joined))
-                  .orElseGet(() -> withoutLastLeader(joined));
+                  .map(state -> stateOfLastLeader(state, joined))
+                  .orElseGet(() -> stateWithoutLastLeader(joined));
             });
   }
 
-  private static StoreRestorer.RestorableState lastLeader(
+  private static StoreRestorer.RestorableState stateOfLastLeader(
       ClusterSnapshot state, JoinedKnowledge joined) {
     return new StoreRestorer.RestorableState(
         SnapshotMerge.supplemented(state, joined.state()),
@@ -131,7 +131,7 @@
         false);
   }
 
-  private static StoreRestorer.RestorableState withoutLastLeader(JoinedKnowledge joined) {
+  private static StoreRestorer.RestorableState stateWithoutLastLeader(JoinedKnowledge joined) {
     return new StoreRestorer.RestorableState(
         joined.state(),
         false,
@@ -140,20 +140,20 @@
         !joined.allAnswered() || joined.ledElsewhere());
   }
 
-  private void learn(Knowledge other) {
-    learned = union(learned, other);
+  private void addReceived(Knowledge other) {
+    receivedKnowledge = merge(receivedKnowledge, other);
   }
 
   /** Merges the jobs and final phases that two controllers know. */
-  private static Knowledge union(Knowledge a, Knowledge b) {
+  private static Knowledge merge(Knowledge a, Knowledge b) {
     return Knowledge.newBuilder()
         .setState(SnapshotMerge.of(a.getState(), b.getState()))
-        .addAllTold(ends(a, b))
+        .addAllTold(mergeReportedEnds(a, b))
         .build();
   }
 
   /** Returns the final phase of each job that either of two controllers has reported to users. */
-  private static Collection<EndedJobSnapshot> ends(Knowledge a, Knowledge b) {
+  private static Collection<EndedJobSnapshot> mergeReportedEnds(Knowledge a, Knowledge b) {
     Map<String, EndedJobSnapshot> ends = new TreeMap<>();
     a.getToldList().forEach(end -> ends.put(end.getRef(), end));
     b.getToldList().forEach(end -> ends.putIfAbsent(end.getRef(), end));
@@ -169,41 +169,43 @@
    *     another controller has reported this very incarnation, or after {@link #MAX_MERGES}
    *     consecutive incarnations that lacked something
    */
-  boolean isMissingFrom(BaseSnapshot base) {
+  boolean retainIfMissingFrom(BaseSnapshot baseSnapshot) {
     Knowledge known = knowledge();
-    learned = Knowledge.getDefaultInstance();
-    boolean isTold = bootstrap.told().getIncarnation().equals(incarnations.get().name());
-    if (!base.jobsMissing() || mergesLeft == 0 || isTold) {
+    receivedKnowledge = Knowledge.getDefaultInstance();
+    boolean isReportedIncarnation =
+        bootstrap.told().getIncarnation().equals(incarnations.get().name());
+    if (!baseSnapshot.jobsMissing() || mergesLeft == 0 || isReportedIncarnation) {
       mergesLeft = MAX_MERGES;
       return false;
     }
     boolean missing =
-        known.getToldList().stream().anyMatch(end -> !base.tellsEnd(end.getRef()))
+        known.getToldList().stream().anyMatch(end -> !baseSnapshot.tellsEnd(end.getRef()))
             || known.getState().getEndedList().stream()
-                .anyMatch(end -> !base.tellsEnd(end.getRef()))
-            || known.getState().getJobList().stream().anyMatch(job -> !base.has(job.getRef()));
+                .anyMatch(end -> !baseSnapshot.tellsEnd(end.getRef()))
+            || known.getState().getJobList().stream()
+                .anyMatch(job -> !baseSnapshot.has(job.getRef()));
     if (missing) {
       mergesLeft--;
-      learn(known);
+      addReceived(known);
     }
     return missing;
   }
 
   @Override
   public ClusterSnapshot newestStoredSnapshot() {
-    return snapshots.newest();
+    return snapshotScheduler.newest();
   }
 
   @Override
   public Knowledge knowledge() {
-    Optional<ClusterSnapshot> led = ledState();
+    Optional<ClusterSnapshot> termState = currentOrFormerTermState();
     Knowledge.Builder knowledge =
-        union(ownKnowledge(led), union(learned, bootstrap.told())).toBuilder()
+        merge(ownKnowledge(termState), merge(receivedKnowledge, bootstrap.told())).toBuilder()
             .setUpMs((long) ((context.clock().now() - startedAt) * MS_PER_S))
             .setIncarnation(incarnations.get().name())
             .setHighestEpoch(leaderObserver.highestEpoch())
             .setHighestSeenMs((long) (leaderObserver.highestSeenForS() * MS_PER_S))
-            .setLedEpoch(led.map(ClusterSnapshot::getEpoch).orElse(0L));
+            .setLedEpoch(termState.map(ClusterSnapshot::getEpoch).orElse(0L));
     if (leaderObserver.highestNode() != null) {
       knowledge.setHighestNode(leaderObserver.highestNode());
     }
@@ -215,7 +217,7 @@
    * Returns the state of this node's current term, or that of the former term until the current
    * leader has loaded the store; empty if neither leader had loaded it.
    */
-  private Optional<ClusterSnapshot> ledState() {
+  private Optional<ClusterSnapshot> currentOrFormerTermState() {
     return localLeader
         .current()
         .filter(Leader::isLoaded)
@@ -224,11 +226,12 @@
   }
 
   /** Returns what this controller knows from its own terms, replica and answers to users. */
-  private Knowledge ownKnowledge(Optional<ClusterSnapshot> led) {
+  private Knowledge ownKnowledge(Optional<ClusterSnapshot> termState) {
     ClusterSnapshot replicated = replica.snapshot();
     Knowledge.Builder own =
         Knowledge.newBuilder()
-            .setState(led.map(state -> SnapshotMerge.of(state, replicated)).orElse(replicated));
+            .setState(
+                termState.map(state -> SnapshotMerge.of(state, replicated)).orElse(replicated));
     answers
         .get()
         .ends()
@@ -238,9 +241,10 @@
   }
 
   private void addIncarnation(Knowledge.Builder knowledge) {
-    ToldIncarnation told = incarnations.get().toldIncarnation();
-    knowledge.setRevision(told.highestRevision());
-    told.known()
+    ToldIncarnation reported = incarnations.get().toldIncarnation();
+    knowledge.setRevision(reported.highestRevision());
+    reported
+        .known()
         .ifPresent(
             incarnation ->
                 knowledge
@@ -251,7 +255,7 @@
 
   @Override
   public boolean holdsContents() {
-    return replicaFilled.getAsBoolean()
+    return isReplicaFilled.getAsBoolean()
         || bootstrap.isTold()
         || localLeader.current().map(Leader::isLoaded).orElse(false)
         || localLeader.former().map(former -> former.leader().isLoaded()).orElse(false);
@@ -268,14 +272,14 @@
   }
 
   /** Returns this node's former term, unless a later term is known or may have existed. */
-  private Optional<FormerTerm> notSuperseded() {
+  private Optional<FormerTerm> formerTermIfNotSuperseded() {
     return localLeader
         .former()
         .filter(former -> former.leader().epoch() >= leaderObserver.highestEpoch())
         .filter(former -> !former.leader().hasLedPutBackContents());
   }
 
-  private JoinedKnowledge.EndedTerm termOf(FormerTerm former) {
+  private JoinedKnowledge.EndedTerm endedTermOf(FormerTerm former) {
     double now = context.clock().now();
     return new JoinedKnowledge.EndedTerm(
         context.settings().node(),
--- a/src/main/java/io/embernotch/controller/RoleTransitions.java
+++ b/src/main/java/io/embernotch/controller/RoleTransitions.java
@@ -79,7 +79,7 @@
   }
 
   @Override
-  public void leadershipLost(String why, double provenUntil) {
+  public void leadershipLost(String reason, double provenUntil) {
     context.store().setLeading(false);
     localLeader.end(provenUntil);
     leaderAbsent();
--- a/src/main/java/io/embernotch/controller/SubmissionContext.java
+++ b/src/main/java/io/embernotch/controller/SubmissionContext.java
@@ -37,8 +37,8 @@
   }
 
   @Override
-  public void submissionAccepted(Job job, ObjectNode value, long epoch) {
-    jobAnnouncements.announce(job, value, epoch);
+  public void submissionAccepted(Job job, ObjectNode value, long revision) {
+    jobAnnouncements.announce(job, value, revision);
   }
 
   @Override
@@ -67,12 +67,12 @@
   }
 
   @Override
-  public Future<HttpResponse> submitElsewhere(byte[] body, double withinS) {
+  public Future<HttpResponse> submitElsewhere(byte[] body, double timeoutS) {
     return peerLiveness
         .nextWithStore()
         .map(
             node ->
-                pendingRequests.send(node, id -> new Frame.ForwardedSubmission(id, body), withinS))
+                pendingRequests.send(node, id -> new Frame.ForwardedSubmission(id, body), timeoutS))
         .orElse(null);
   }
 }
