--- a/src/test/java/io/embernotch/controller/AnswerLogTest.java
+++ b/src/test/java/io/embernotch/controller/AnswerLogTest.java
@@ -27,41 +27,41 @@
   private final SimulatedCluster cluster = new SimulatedCluster(3);
 
   /** Answers that users received, as logged: NODE answers KIND of REF: STATUS PHASE. */
-  private final List<String> told = new ArrayList<>();
+  private final List<String> expectedAnswers = new ArrayList<>();
 
   @BeforeEach
-  void capture() {
+  void attachAppender() {
     appender.start();
     LOGGER.addAppender(appender);
     LOGGER.setLevel(Level.DEBUG);
   }
 
   @AfterEach
-  void release() {
+  void detachAppender() {
     LOGGER.detachAppender(appender);
     LOGGER.setLevel(null);
   }
 
-  private void record(ControllerNode node, String kind, HttpResponse response) {
+  private void recordAnswer(ControllerNode node, String kind, HttpResponse response) {
     String phase =
         response.status() / 100 == 2 ? Json.parseObject(response.body()).get("phase").asText() : "";
-    told.add(
+    expectedAnswers.add(
         "%s answers %s of j-1: %d %s"
             .formatted(node.settings.node(), kind, response.status(), phase));
   }
 
   private void pollEverywhere() {
     for (ControllerNode node : cluster.nodes) {
-      record(node, "poll", cluster.poll(node.index, "j-1"));
+      recordAnswer(node, "poll", cluster.poll(node.index, "j-1"));
     }
   }
 
   /** Log lines about answers to users, without those about answers between controllers. */
-  private List<String> answerLines() {
-    return lines().stream().filter(line -> !line.contains("answers forwarded")).toList();
+  private List<String> userAnswerLines() {
+    return allAnswerLines().stream().filter(line -> !line.contains("answers forwarded")).toList();
   }
 
-  private List<String> lines() {
+  private List<String> allAnswerLines() {
     return appender.list.stream()
         .map(ILoggingEvent::getFormattedMessage)
         .filter(line -> line.contains(" of j-1: "))
@@ -69,42 +69,42 @@
   }
 
   @Test
-  void everyAnswerAboutAJobCanBeLinedUp() {
+  void everyAnswerAboutAJobIsLoggedInOrder() {
     ControllerNode leader = cluster.awaitLeader(4);
     ControllerNode follower = cluster.otherNode(leader);
     String json = job("j-1", "array", 2);
-    record(follower, "submission", cluster.submit(follower.index, json));
+    recordAnswer(follower, "submission", cluster.submit(follower.index, json));
     pollEverywhere();
     cluster.advance(12);
     pollEverywhere();
-    record(follower, "abort", cluster.cancel(follower.index, "j-1"));
+    recordAnswer(follower, "abort", cluster.cancel(follower.index, "j-1"));
     cluster.advance(3);
     pollEverywhere();
     leader.kill();
     cluster.advance(1);
-    record(follower, "poll", cluster.poll(follower.index, "j-1"));
+    recordAnswer(follower, "poll", cluster.poll(follower.index, "j-1"));
 
-    assertThat(told).contains("c0 answers poll of j-1: 200 running");
-    List<String> logged = answerLines();
-    assertThat(logged).hasSameSizeAs(told);
-    for (int i = 0; i < told.size(); i++) {
+    assertThat(expectedAnswers).contains("c0 answers poll of j-1: 200 running");
+    List<String> logged = userAnswerLines();
+    assertThat(logged).hasSameSizeAs(expectedAnswers);
+    for (int i = 0; i < expectedAnswers.size(); i++) {
       assertThat(logged.get(i))
-          .startsWith(told.get(i) + ", decided by ")
+          .startsWith(expectedAnswers.get(i) + ", decided by ")
           .containsPattern("leader (c\\d of epoch \\d+|null of epoch 0), revision [1-9]")
           .containsPattern("incarnation [^ ,]+, asked \\d+ ms ago$");
     }
-    long byLeaderElsewhere =
+    long forwardedToLeader =
         logged.stream()
             .filter(line -> line.contains("decided by leader"))
             .filter(line -> !line.startsWith(leader.settings.node() + " "))
             .count();
-    assertThat(lines().stream().filter(line -> line.contains("answers forwarded of")))
-        .hasSize((int) byLeaderElsewhere)
+    assertThat(allAnswerLines().stream().filter(line -> line.contains("answers forwarded of")))
+        .hasSize((int) forwardedToLeader)
         .allMatch(line -> line.startsWith(leader.settings.node() + " "));
   }
 
   @Test
-  void theOverviewCountsAnswersAndTellsTheTerm() {
+  void overviewContainsAnswerCountsAndTheTerm() {
     ControllerNode leader = cluster.awaitLeader(4);
     cluster.submit(leader.index, job("j-1", "array", 2));
     cluster.poll(leader.index, "j-1");
--- a/src/test/java/io/embernotch/controller/FaultSequencesTest.java
+++ b/src/test/java/io/embernotch/controller/FaultSequencesTest.java
@@ -14,7 +14,7 @@
 /** Faults that are hard to detect, alone and combined, in a cluster of 300 machines. */
 class FaultSequencesTest {
   private static final int MACHINES = 300;
-  private static final int UNREACHABLE = 10;
+  private static final int UNREACHABLE_MACHINES = 10;
   private static final int SERVICES = 12;
   private static final int REPLICAS = 1200;
 
@@ -23,7 +23,7 @@
 
   private final SimulatedCluster cluster = new SimulatedCluster(3, 1000);
   private final RecordedAnswers answers = new RecordedAnswers(cluster);
-  private List<FakeWorker> unreachable = List.of();
+  private List<FakeWorker> unreachableMachines = List.of();
 
   private void startServices() {
     cluster.awaitLeader(3);
@@ -31,9 +31,9 @@
       cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
     cluster.advance(8);
-    int next = 0;
+    int nextController = 0;
     for (FakeWorker worker : cluster.workers.values()) {
-      worker.controllerIndex = next++ % 3;
+      worker.controllerIndex = nextController++ % 3;
     }
     for (int i = 0; i < SERVICES; i++) {
       String json = job("j-" + i, "standing", REPLICAS / SERVICES);
@@ -42,8 +42,11 @@
     }
     cluster.advance(20);
     assertThat(runningReplicas()).isEqualTo(REPLICAS);
-    unreachable =
-        cluster.runningTasks("j-0").values().stream().distinct().limit(UNREACHABLE).toList();
+    unreachableMachines =
+        cluster.runningTasks("j-0").values().stream()
+            .distinct()
+            .limit(UNREACHABLE_MACHINES)
+            .toList();
   }
 
   /** Number of running replicas on machines that are not partitioned. */
@@ -57,37 +60,37 @@
   /**
    * Returns the lowest share of the replicas that ran, averaged over {@link #WINDOW_S}.
    *
-   * @param task run at the beginning of each second
+   * @param eachSecond run at the beginning of each second
    */
-  private double minRunningShare(double seconds, Runnable task) {
+  private double minRunningShare(double durationS, Runnable eachSecond) {
     List<Integer> running = new ArrayList<>();
-    for (double at = 0; at < seconds; at += 1) {
-      task.run();
+    for (double elapsedS = 0; elapsedS < durationS; elapsedS += 1) {
+      eachSecond.run();
       cluster.advance(1);
       running.add(Math.min(REPLICAS, runningReplicas()));
     }
-    double least = 1;
+    double lowestShare = 1;
     for (int from = 0; from + WINDOW_S <= running.size(); from++) {
       List<Integer> window = running.subList(from, from + WINDOW_S);
       double mean = window.stream().mapToInt(count -> count).average().orElse(0);
-      least = Math.min(least, mean / REPLICAS);
+      lowestShare = Math.min(lowestShare, mean / REPLICAS);
     }
-    return least;
+    return lowestShare;
   }
 
   @Test
-  void inboundPartitionedMachinesCostServicesNoMoreThanLostOnes() {
+  void inboundPartitionsStopNoMoreReplicasThanLostMachines() {
     startServices();
-    unreachable.forEach(worker -> worker.inboundPartitioned = true);
+    unreachableMachines.forEach(worker -> worker.inboundPartitioned = true);
     double shareWithInboundPartitions = minRunningShare(120, () -> {});
     assertThat(cluster.violations()).isEmpty();
-    FaultSequencesTest other = new FaultSequencesTest();
-    other.startServices();
-    other.unreachable.forEach(worker -> worker.partitioned = true);
-    double shareWithLostMachines = other.minRunningShare(120, () -> {});
+    FaultSequencesTest lostMachinesTest = new FaultSequencesTest();
+    lostMachinesTest.startServices();
+    lostMachinesTest.unreachableMachines.forEach(worker -> worker.partitioned = true);
+    double shareWithLostMachines = lostMachinesTest.minRunningShare(120, () -> {});
     assertThat(shareWithInboundPartitions).isGreaterThanOrEqualTo(shareWithLostMachines - 0.001);
-    assertThat(unreachable.stream().mapToInt(worker -> worker.lostStartCount).sum())
-        .isLessThanOrEqualTo(8 * UNREACHABLE);
+    assertThat(unreachableMachines.stream().mapToInt(worker -> worker.lostStartCount).sum())
+        .isLessThanOrEqualTo(8 * UNREACHABLE_MACHINES);
   }
 
   /**
@@ -95,10 +98,10 @@
    * that only its workers can reach, and restarts of all controllers.
    */
   @Test
-  void combinedFaultsCostNoMoreThanInboundPartitions() {
+  void combinedFaultsStopFewReplicasAndExpireNoLease() {
     startServices();
     cluster.advance(45);
-    unreachable.forEach(worker -> worker.inboundPartitioned = true);
+    unreachableMachines.forEach(worker -> worker.inboundPartitioned = true);
     List<FakeWorker> healthy =
         cluster.workers.values().stream().filter(worker -> !worker.inboundPartitioned).toList();
     List<Long> epochs = healthy.stream().map(worker -> worker.epoch).toList();
@@ -106,17 +109,17 @@
     isolated.storeUnavailable = true;
     isolated.peersUnreachable = true;
     int[] second = new int[1];
-    assertThat(minRunningShare(90, () -> combinedFaults(second[0]++, isolated)))
+    assertThat(minRunningShare(90, () -> injectCombinedFaults(second[0]++, isolated)))
         .isGreaterThan(0.95);
     cluster.advance(60);
-    List<FakeWorker> left = healthy.stream().filter(cluster.workers::containsValue).toList();
-    assertThat(left.stream().map(worker -> worker.epoch).toList())
-        .isEqualTo(epochs.subList(0, left.size()));
+    List<FakeWorker> remaining = healthy.stream().filter(cluster.workers::containsValue).toList();
+    assertThat(remaining.stream().map(worker -> worker.epoch).toList())
+        .isEqualTo(epochs.subList(0, remaining.size()));
     answers.verifyFinalState();
     assertThat(answers.violations).isEmpty();
   }
 
-  private void combinedFaults(int second, ControllerNode isolated) {
+  private void injectCombinedFaults(int second, ControllerNode isolated) {
     for (FakeWorker worker : List.copyOf(cluster.workers.values())) {
       List<byte[]> heartbeats = cluster.heartbeatsOf(worker.name);
       if (heartbeats.size() > 45) {
--- a/src/test/java/io/embernotch/controller/HeartbeatForwardingTest.java
+++ b/src/test/java/io/embernotch/controller/HeartbeatForwardingTest.java
@@ -30,19 +30,19 @@
   }
 
   /** Boots machines with capacity for eight tasks each, which send heartbeats to a controller. */
-  private void bootMachines(int count, ControllerNode sentAt) {
+  private void bootMachines(int count, ControllerNode controller) {
     for (int i = 0; i < count; i++) {
       cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
     cluster.advance(cluster.cloud.bootS + 0.5);
-    cluster.workers.values().forEach(worker -> worker.controllerIndex = sentAt.index);
+    cluster.workers.values().forEach(worker -> worker.controllerIndex = controller.index);
     cluster.advance(2);
     cluster.workers.values().forEach(worker -> worker.controllerChanges = 0);
   }
 
   /** Boots machines and fills each with replicas, so that none is scaled in as idle. */
-  private void bootBusyMachines(int count, ControllerNode sentAt) {
-    bootMachines(count, sentAt);
+  private void bootBusyMachines(int count, ControllerNode controller) {
+    bootMachines(count, controller);
     for (int i = 0; i < count; i++) {
       cluster.submit(0, job("j-10" + i, "standing", 8));
     }
@@ -104,19 +104,19 @@
   @Test
   void nodeWithoutStoreRedirectsItsWorkers() {
     ControllerNode leader = cluster.awaitLeader(2);
-    ControllerNode refused = cluster.otherNode(leader);
-    bootBusyMachines(2, refused);
-    refused.storeUnavailable = true;
-    refused.peersUnreachable = true;
+    ControllerNode isolated = cluster.otherNode(leader);
+    bootBusyMachines(2, isolated);
+    isolated.storeUnavailable = true;
+    isolated.peersUnreachable = true;
     cluster.advance(12);
     // The isolated node can neither forward heartbeats nor learn which node is leader.
     assertThat(cluster.workers.values())
-        .allMatch(worker -> worker.controllerIndex != refused.index);
+        .allMatch(worker -> worker.controllerIndex != isolated.index);
     assertThat(cluster.cloud.deleted).isEmpty();
   }
 
   @Test
-  void heartbeatsAreNotForwardedToALeaderOfTheFormerVersion() {
+  void heartbeatsAreNotForwardedToALeaderOfThePreviousVersion() {
     ControllerNode leader = cluster.awaitLeader(2);
     cluster.nodes.forEach(ControllerNode::kill);
     cluster.advance(5);
@@ -228,7 +228,7 @@
    * workers had timed out.
    */
   @Test
-  void overloadedQueueTakesOnlyHeartbeatsThatAreAwaited() {
+  void overloadedQueueHandlesOnlyHeartbeatsWhoseWorkersStillWait() {
     FakeTime time = new FakeTime();
     double[] sentAt = new double[1000];
     List<Double> ages = new ArrayList<>();
@@ -253,7 +253,7 @@
     }
     time.advance(10);
     assertThat(ages).hasSizeGreaterThan(2500);
-    assertThat(ages).allMatch(response -> response <= 4);
+    assertThat(ages).allMatch(age -> age <= 4);
     assertThat(ages.stream().sorted().toList().get(ages.size() / 2)).isLessThan(1);
   }
 
@@ -285,19 +285,20 @@
   }
 
   @Test
-  void overtakenHeartbeatCausesNoStopAndNoReap() {
+  void staleHeartbeatCausesNoStopAndNoReap() {
     ControllerNode node = cluster.awaitLeader(2);
     bootMachines(1, node);
     FakeWorker worker = cluster.workers.firstEntry().getValue();
     cluster.submit(0, job("j-4", "array", 2));
     cluster.advance(3);
     assertThat(worker.runningTasks()).hasSize(2);
-    Heartbeat leader = WorkerCodec.read(worker.heartbeat());
+    Heartbeat staleHeartbeat = WorkerCodec.read(worker.heartbeat());
     cluster.completeTasks("j-4");
     cluster.advance(3);
-    String answer =
+    String body =
         new String(
-            cluster.await(node.controller.handleHeartbeat(leader)).body(), StandardCharsets.UTF_8);
-    assertThat(answer).contains("\"orders\":[]");
+            cluster.await(node.controller.handleHeartbeat(staleHeartbeat)).body(),
+            StandardCharsets.UTF_8);
+    assertThat(body).contains("\"orders\":[]");
   }
 }
--- a/src/test/java/io/embernotch/controller/JobDependenciesTest.java
+++ b/src/test/java/io/embernotch/controller/JobDependenciesTest.java
@@ -117,10 +117,10 @@
     for (int i = 0; i < 200 && cluster.store.finalPhase("j-1") == null; i++) {
       cluster.advance(0.05);
     }
-    ControllerNode second = cluster.leader();
-    if (second != null) {
+    ControllerNode secondLeader = cluster.leader();
+    if (secondLeader != null) {
       leader.start();
-      second.kill();
+      secondLeader.kill();
     }
     cluster.advance(30);
     cluster.completeTasks("j-2");
@@ -176,16 +176,16 @@
     assertThat(cluster.cancel(leader.index, "j-0").status()).isEqualTo(200);
     // Only the first cancellation is certain to be in the store when the leader stops.
     leader.kill();
-    ControllerNode left = cluster.otherNode(leader);
+    ControllerNode remaining = cluster.otherNode(leader);
     // Without a leader the store is read, with a limit on the dependencies followed. No job may be
     // reported as queued.
     for (String ref : new String[] {"j-1", "j-5", "j-39"}) {
-      assertThat(cluster.phase(left.index, ref)).isIn("cancelled", "status 503");
+      assertThat(cluster.phase(remaining.index, ref)).isIn("cancelled", "status 503");
     }
-    assertThat(cluster.phase(left.index, "j-1")).isEqualTo("cancelled");
+    assertThat(cluster.phase(remaining.index, "j-1")).isEqualTo("cancelled");
     cluster.advance(30);
     for (int i = 0; i < 40; i++) {
-      assertThat(cluster.phase(left.index, "j-" + i)).isEqualTo("cancelled");
+      assertThat(cluster.phase(remaining.index, "j-" + i)).isEqualTo("cancelled");
       assertThat(cluster.store.finalPhase("j-" + i)).isEqualTo("cancelled");
     }
   }
@@ -207,13 +207,14 @@
     cluster.time.advance(afterS);
     leader.kill();
     // Submit a dependent job while there is no leader.
-    ControllerNode left = cluster.otherNode(leader);
-    assertThat(cluster.submit(left.index, dependentJob("j-99", 1, "j-60")).status()).isIn(200, 201);
+    ControllerNode remaining = cluster.otherNode(leader);
+    assertThat(cluster.submit(remaining.index, dependentJob("j-99", 1, "j-60")).status())
+        .isIn(200, 201);
     cluster.advance(30);
     for (int i = 1; i <= 60; i++) {
-      assertThat(cluster.phase(left.index, "j-" + i)).isEqualTo("cancelled");
+      assertThat(cluster.phase(remaining.index, "j-" + i)).isEqualTo("cancelled");
     }
-    assertThat(cluster.phase(left.index, "j-99")).isEqualTo("cancelled");
+    assertThat(cluster.phase(remaining.index, "j-99")).isEqualTo("cancelled");
   }
 
   @Test
@@ -222,8 +223,8 @@
     cluster.advance(4);
     cluster.submit(0, job("j-0", "array", 1));
     for (int i = 1; i <= 300; i++) {
-      int before = i % 3 == 0 ? i - 1 : 0;
-      HttpResponse response = cluster.submit(i % 3, dependentJob("j-" + i, 1, "j-" + before));
+      int dependency = i % 3 == 0 ? i - 1 : 0;
+      HttpResponse response = cluster.submit(i % 3, dependentJob("j-" + i, 1, "j-" + dependency));
       assertThat(response.status()).isIn(201, 503);
       if (response.status() == 503) {
         cluster.advance(1);
@@ -247,9 +248,10 @@
     ControllerNode node = cluster.otherNode(leader);
     accept(node.index, job("j-1", "standing", 1));
     accept(node.index, job("j-2", "array", 1));
-    HttpResponse never = cluster.submit(node.index, dependentJob("j-3", 1, "j-2", "j-77"));
-    assertThat(never.status()).isEqualTo(422);
-    assertThat(new String(never.body(), StandardCharsets.UTF_8)).contains("j-77");
+    HttpResponse unknownDependency =
+        cluster.submit(node.index, dependentJob("j-3", 1, "j-2", "j-77"));
+    assertThat(unknownDependency.status()).isEqualTo(422);
+    assertThat(new String(unknownDependency.body(), StandardCharsets.UTF_8)).contains("j-77");
     assertThat(cluster.submit(node.index, dependentJob("j-3", 1, "j-3")).status()).isEqualTo(422);
     assertThat(cluster.submit(node.index, dependentJob("j-3", 1, "j-1")).status()).isEqualTo(422);
     assertThat(
@@ -260,9 +262,9 @@
     accept(node.index, job("j-4", "array", 1).replace("}", ",\"awaits\":[]}"));
     // While the store does not answer, nothing proves that the dependency was never accepted.
     cluster.store.outage = true;
-    HttpResponse later = cluster.submit(leader.index, dependentJob("j-5", 1, "j-66"));
-    assertThat(later.status()).isEqualTo(503);
-    assertThat(later.retryAfterS()).isPositive();
+    HttpResponse duringOutage = cluster.submit(leader.index, dependentJob("j-5", 1, "j-66"));
+    assertThat(duringOutage.status()).isEqualTo(503);
+    assertThat(duringOutage.retryAfterS()).isPositive();
     cluster.store.endOutage();
     cluster.advance(3);
     assertThat(cluster.submit(leader.index, dependentJob("j-5", 1, "j-66")).status())
@@ -288,17 +290,18 @@
   }
 
   @Test
-  void repeatedSubmissionGetsItsStateWhateverItHoldsNow() {
+  void repeatedSubmissionGetsTheJobsStateWhateverItDescribes() {
     ControllerNode leader = cluster.awaitLeader(4);
     accept(0, job("j-1", "array", 1));
     cluster.advance(15);
     for (ControllerNode node : cluster.nodes) {
       // Limits, teams and checks may have changed since the job was accepted.
-      String other = ofTeam(job("j-1", "array", 1), "gone");
-      assertThat(cluster.submit(node.index, other).status()).isEqualTo(200);
+      String changed = ofTeam(job("j-1", "array", 1), "gone");
+      assertThat(cluster.submit(node.index, changed).status()).isEqualTo(200);
       assertThat(cluster.submit(node.index, "{\"ref\":\"j-1\"}").status()).isEqualTo(200);
-      String names = "j-" + "9".repeat(60);
-      assertThat(cluster.submit(node.index, dependentJob("j-1", 1, names)).status()).isEqualTo(200);
+      String longRef = "j-" + "9".repeat(60);
+      assertThat(cluster.submit(node.index, dependentJob("j-1", 1, longRef)).status())
+          .isEqualTo(200);
     }
     assertThat(cluster.submit(leader.index, "{\"ref\":\"j-8\"}").status()).isEqualTo(400);
   }
--- a/src/test/java/io/embernotch/controller/JobStateTest.java
+++ b/src/test/java/io/embernotch/controller/JobStateTest.java
@@ -44,7 +44,7 @@
 
   @Test
   void delayedCommandOfADeposedLeaderStartsNothing() {
-    ControllerNode former = cluster.awaitLeader(2);
+    ControllerNode deposed = cluster.awaitLeader(2);
     String name = cluster.boot("g8", "z1", true);
     cluster.advance(8);
     FakeWorker worker = cluster.workers.get(name);
@@ -52,7 +52,7 @@
     cluster.submit(0, job("j-6", "array", 1));
     cluster.advance(0.5);
     assertThat(cluster.delayedCount()).isPositive();
-    former.kill();
+    deposed.kill();
     cluster.faults.commandDelivery = Delivery.DELIVERED;
     cluster.advance(20);
     assertThat(cluster.runningTasks("j-6")).hasSize(1);
@@ -129,7 +129,7 @@
   }
 
   @Test
-  void unknownJobsGet404AndAreNotInvented() {
+  void unknownJobsGet404() {
     cluster.awaitLeader(2);
     assertThat(cluster.poll(0, "j-999").status()).isEqualTo(404);
     assertThat(cluster.poll(1, "j-999").status()).isEqualTo(404);
@@ -138,7 +138,7 @@
   }
 
   @Test
-  void leaderWithoutCommitResponseDoesNotDenyAnEnd() {
+  void leaderWithoutCommitResponseReportsTheStoredCompletion() {
     ControllerNode leader = cluster.awaitLeader(8);
     runJob(job("j-18", "array", 1), "j-18", 1);
     cluster.faults.commitDelivery = Delivery.DELAYED;
--- a/src/test/java/io/embernotch/controller/LeaderFailureTest.java
+++ b/src/test/java/io/embernotch/controller/LeaderFailureTest.java
@@ -15,13 +15,13 @@
 
   @Test
   void leaderPartitionedFromTheStoreIsReplaced() {
-    ControllerNode former = cluster.awaitLeader(2);
+    ControllerNode formerLeader = cluster.awaitLeader(2);
     runJob(job("j-11", "array", 2), "j-11", 2);
-    former.storeUnavailable = true;
+    formerLeader.storeUnavailable = true;
     cluster.advance(8);
-    ControllerNode next = cluster.leader();
-    assertThat(next).isNotNull().isNotSameAs(former);
-    assertThat(cluster.submit(next.index, job("j-12", "array", 2)).status()).isEqualTo(201);
+    ControllerNode nextLeader = cluster.leader();
+    assertThat(nextLeader).isNotNull().isNotSameAs(formerLeader);
+    assertThat(cluster.submit(nextLeader.index, job("j-12", "array", 2)).status()).isEqualTo(201);
     cluster.advance(10);
     assertThat(cluster.runningTasks("j-12")).hasSize(2);
     assertThat(cluster.runningTasks("j-11")).hasSize(2);
@@ -29,12 +29,12 @@
 
   @Test
   void leaderPartitionedFromStoreAndPeersIsReplaced() {
-    ControllerNode former = cluster.awaitLeader(2);
+    ControllerNode formerLeader = cluster.awaitLeader(2);
     runJob(job("j-13", "array", 2), "j-13", 2);
-    former.storeUnavailable = true;
-    former.peersUnreachable = true;
+    formerLeader.storeUnavailable = true;
+    formerLeader.peersUnreachable = true;
     cluster.advance(60);
-    assertThat(cluster.leader()).isNotNull().isNotSameAs(former);
+    assertThat(cluster.leader()).isNotNull().isNotSameAs(formerLeader);
     assertThat(cluster.runningTasks("j-13")).hasSize(2);
   }
 
@@ -74,10 +74,10 @@
 
   @Test
   void acceptedJobIsKnownWithoutALeader() {
-    ControllerNode former = cluster.awaitLeader(8);
-    ControllerNode follower = cluster.otherNode(former);
+    ControllerNode formerLeader = cluster.awaitLeader(8);
+    ControllerNode follower = cluster.otherNode(formerLeader);
     assertThat(cluster.submit(follower.index, job("j-19", "array", 1)).status()).isEqualTo(201);
-    former.kill();
+    formerLeader.kill();
     assertThat(cluster.phase(follower.index, "j-19")).isEqualTo("queued");
   }
 }
--- a/src/test/java/io/embernotch/controller/MachineFailureTest.java
+++ b/src/test/java/io/embernotch/controller/MachineFailureTest.java
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void lostMachineUsesQuotaUntilItsTasksAreProvenGone() {
+  void lostMachineUsesQuotaUntilItsTasksAreProvenToHaveEnded() {
     cluster.awaitLeader(2);
     runJob(job("j-3", "array", 24), "j-3", 24);
     FakeWorker worker = cluster.runningTasks("j-3").get("j-3/0");
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void leaseExpiryProvesTheEndWithoutTheCloud() {
+  void leaseExpiryProvesThatTasksEndedWithoutTheCloud() {
     cluster.awaitLeader(2);
     runJob(job("j-5", "array", 1), "j-5", 1);
     FakeWorker worker = cluster.runningTasks("j-5").get("j-5/0");
@@ -80,14 +80,14 @@
   }
 
   @Test
-  void spotReclaimNoticeEmptiesAMachine() {
+  void spotReclaimNoticeMovesTasksToAnotherMachine() {
     cluster.awaitLeader(2);
     Map<String, FakeWorker> machines = runJob(job("j-23", "array", 2), "j-23", 2);
     FakeWorker reclaimed = machines.get("j-23/0");
     reclaimed.reclaimNoticeS = 12.0;
     cluster.advance(12);
     assertThat(cluster.runningTasks("j-23")).hasSize(2);
-    assertThat(cluster.runningTasks("j-23").values()).noneMatch(on -> on == reclaimed);
+    assertThat(cluster.runningTasks("j-23").values()).noneMatch(machine -> machine == reclaimed);
   }
 
   @Test
--- a/src/test/java/io/embernotch/controller/ProcessIncarnationsRandomizedTest.java
+++ b/src/test/java/io/embernotch/controller/ProcessIncarnationsRandomizedTest.java
@@ -35,7 +35,7 @@
     List<String> violations() {
       cluster.awaitLeader(3);
       for (int step = 0; step < STEPS; step++) {
-        act(random.nextInt(3));
+        performRandomAction(random.nextInt(3));
         cluster.advance(random.nextDouble(4));
         for (String ref : answers.accepted) {
           answers.poll(random.nextInt(3), ref);
@@ -50,7 +50,7 @@
       return answers.violations;
     }
 
-    private void act(int node) {
+    private void performRandomAction(int node) {
       switch (random.nextInt(15)) {
         case 0, 1, 2 ->
             answers.submit(
@@ -69,7 +69,7 @@
         }
         case 9 -> restartMachine();
         case 10 -> isolateOneOrNone();
-        case 11 -> partitionInbound();
+        case 11 -> drawInboundPartitions();
         case 12 -> deliverStaleHeartbeats();
         default -> restartOneOrAll();
       }
@@ -98,7 +98,7 @@
       }
     }
 
-    private void partitionInbound() {
+    private void drawInboundPartitions() {
       for (FakeWorker worker : cluster.workers.values()) {
         worker.inboundPartitioned = random.nextInt(4) == 0;
       }
--- a/src/test/java/io/embernotch/controller/ProcessIncarnationsTest.java
+++ b/src/test/java/io/embernotch/controller/ProcessIncarnationsTest.java
@@ -69,14 +69,14 @@
   @Test
   void delayedFramesOfFormerIncarnationsChangeNothing() {
     Map<String, FakeWorker> before = startService();
-    for (double lateS : new double[] {1, 10, 70}) {
+    for (double delayS : new double[] {1, 10, 70}) {
       cluster.faults.delayFrames = true;
       cluster.advance(1);
       ControllerNode leader = cluster.leader();
       restart(leader);
       restart(cluster.otherNode(leader));
       cluster.faults.delayFrames = false;
-      cluster.advance(lateS);
+      cluster.advance(delayS);
       cluster.deliverDelayed();
       cluster.awaitLeader(8);
       assertThat(cluster.runningTasks("j-1")).isEqualTo(before);
--- a/src/test/java/io/embernotch/controller/RollingUpgradeTest.java
+++ b/src/test/java/io/embernotch/controller/RollingUpgradeTest.java
@@ -19,7 +19,7 @@
  * limits. Shards of the previous version are sized for the earlier limits: 85 tasks in 8 KiB.
  */
 class RollingUpgradeTest extends ClusterTest {
-  private static final int FORMER_SHARD_TASKS = 85;
+  private static final int PREVIOUS_VERSION_SHARD_TASKS = 85;
 
   RollingUpgradeTest() {
     super(SimulatedCluster.withDecreasingStoreLimits());
@@ -28,18 +28,18 @@
   /**
    * Stores a job as the previous version writes it.
    *
-   * @param run JSON of the job's progress; null if it has none
+   * @param progress JSON of the job's progress; null if it has none
    */
-  private void putFormerJob(String ref, int tasks, String run) {
+  private void putPreviousVersionJob(String ref, int tasks, String progress) {
     cluster.store.put(
         "job/" + ref,
         "{\"at\":900000,\"piece\":"
-            + FORMER_SHARD_TASKS
+            + PREVIOUS_VERSION_SHARD_TASKS
             + ",\"job\":"
             + job(ref, "array", tasks)
             + "}");
-    if (run != null) {
-      cluster.store.put("run/" + ref, run);
+    if (progress != null) {
+      cluster.store.put("run/" + ref, progress);
     }
   }
 
@@ -50,8 +50,8 @@
   /** Such a value must not make each new leader read the store again while all jobs wait. */
   @Test
   void unreadableValueDelaysNoOtherJobAndItsJobStaysKnown() {
-    putFormerJob("j-1", 3, null);
-    putFormerJob("j-2", 3, "{\"next\":\"x\",\"open\":7}");
+    putPreviousVersionJob("j-1", 3, null);
+    putPreviousVersionJob("j-2", 3, "{\"next\":\"x\",\"open\":7}");
     cluster.store.put(
         "job/j-3", "{\"at\":900000,\"piece\":85,\"job\":{\"ref\":\"j-3\",\"shards\":\"many\"}}");
     cluster.awaitLeader(4);
@@ -65,18 +65,18 @@
     assertThat(cluster.runningTasks("j-2")).hasSize(3);
     // The watch for new jobs continues after an unreadable value.
     cluster.store.put("job/j-4", "{\"at\":900000,\"piece\":85,\"job\":[]}");
-    putFormerJob("j-5", 2, null);
+    putPreviousVersionJob("j-5", 2, null);
     cluster.advance(20);
     assertThat(cluster.runningTasks("j-5")).hasSize(2);
   }
 
   @Test
-  void valuesOfTheFormerVersionAreRead() {
+  void valuesOfThePreviousVersionAreRead() {
     // A job of 40 tasks, of which 0, 1 and 9 are done, and two ended jobs without an end time.
-    String marks = Base64.getEncoder().encodeToString(new byte[] {3, 2});
-    putFormerJob("j-1", 40, "{\"next\":7,\"done\":\"" + marks + "\",\"open\":[]}");
-    putFormerJob("j-2", 3, "{\"next\":2,\"end\":\"done\"}");
-    putFormerJob("j-3", 3, "{\"next\":2,\"end\":\"cancelled\"}");
+    String doneBits = Base64.getEncoder().encodeToString(new byte[] {3, 2});
+    putPreviousVersionJob("j-1", 40, "{\"next\":7,\"done\":\"" + doneBits + "\",\"open\":[]}");
+    putPreviousVersionJob("j-2", 3, "{\"next\":2,\"end\":\"done\"}");
+    putPreviousVersionJob("j-3", 3, "{\"next\":2,\"end\":\"cancelled\"}");
     cluster.awaitLeader(4);
     cluster.advance(12);
     assertThat(cluster.runningTasks("j-1"))
@@ -93,12 +93,12 @@
   }
 
   @Test
-  void leaderOfTheFormerVersionEndsInTheMiddleOfStarts() {
+  void leaderOfThePreviousVersionStopsWhileStartingTasks() {
     String name = cluster.boot("g8", "z1", true);
     cluster.advance(6);
     // Three starts are stored: two whose commands were not sent or did not arrive, and one on a
     // machine that no longer exists.
-    putFormerJob(
+    putPreviousVersionJob(
         "j-1",
         3,
         "{\"next\":6,\"open\":[[0,5,\""
@@ -117,8 +117,8 @@
 
   /** The previous version's reader fails on any key or value that it cannot read. */
   @Test
-  void formerVersionReadsWhatIsWrittenUnderItsLimits() {
-    putFormerJob("j-1", 40, null);
+  void previousVersionReadsWhatIsWrittenUnderItsLimits() {
+    putPreviousVersionJob("j-1", 40, null);
     cluster.awaitLeader(4);
     assertThat(cluster.submit(0, job("j-2", "array", 8)).status()).isEqualTo(201);
     cluster.advance(12);
@@ -182,7 +182,8 @@
             .replace("\"img\"", "\"" + "i".repeat(450) + "\"")
             .replace("\"c\"", "\"" + "c".repeat(450) + "\"");
     cluster.store.put(
-        "job/j-1", "{\"at\":900000,\"piece\":" + FORMER_SHARD_TASKS + ",\"job\":" + large + "}");
+        "job/j-1",
+        "{\"at\":900000,\"piece\":" + PREVIOUS_VERSION_SHARD_TASKS + ",\"job\":" + large + "}");
     cluster.awaitLeader(4);
     lowerLimits();
     for (int node = 0; node < 3; node++) {
@@ -209,8 +210,8 @@
   }
 
   @Test
-  void formerShardsAreSplitOnceTheyExceedTheLimits() {
-    putFormerJob("j-1", 48, null);
+  void oldShardsAreSplitOnceTheyExceedTheLimits() {
+    putPreviousVersionJob("j-1", 48, null);
     cluster.awaitLeader(4);
     cluster.advance(12);
     assertThat(cluster.runningTasks("j-1")).hasSize(48);
@@ -236,8 +237,8 @@
   }
 
   @Test
-  void nextLeaderReadsNewShardsOverFormerOnes() {
-    putFormerJob("j-1", 48, null);
+  void nextLeaderPrefersNewShardsToOldOnes() {
+    putPreviousVersionJob("j-1", 48, null);
     ControllerNode leader = cluster.awaitLeader(4);
     cluster.advance(12);
     lowerLimits();
@@ -251,13 +252,13 @@
     cluster.advance(6);
     assertThat(cluster.runningTasks("j-1")).isEmpty();
     assertThat(cluster.store.finalPhase("j-1")).isEqualTo("cancelled");
-    ControllerNode second = cluster.leader();
+    ControllerNode secondLeader = cluster.leader();
     // The job's end is in a new shard, which controllers also read to answer from the store.
     assertThat(cluster.store.value("run/j-1").has("end")).isFalse();
     leader.start();
-    second.kill();
+    secondLeader.kill();
     for (ControllerNode node :
-        List.of(leader, cluster.nodes.get(3 - leader.index - second.index))) {
+        List.of(leader, cluster.nodes.get(3 - leader.index - secondLeader.index))) {
       assertThat(cluster.phase(node.index, "j-1")).isIn("cancelled", "status 503");
     }
     cluster.advance(20);
@@ -265,8 +266,8 @@
   }
 
   @Test
-  void limitsLoweredDuringAnUnknownCommitLoseNothing() {
-    putFormerJob("j-1", 48, null);
+  void loweringLimitsDuringAnUnknownCommitLosesNothing() {
+    putPreviousVersionJob("j-1", 48, null);
     cluster.awaitLeader(4);
     cluster.advance(12);
     cluster.faults.commitDelivery = Delivery.DELAYED;
@@ -291,7 +292,7 @@
   }
 
   @Test
-  void unwritableValueDelaysNoOther() {
+  void unwritableValueDelaysNoOtherJob() {
     cluster.awaitLeader(4);
     assertThat(cluster.submit(0, job("j-1", "array", 1)).status()).isEqualTo(201);
     cluster.advance(12);
--- a/src/test/java/io/embernotch/controller/ScaleTest.java
+++ b/src/test/java/io/embernotch/controller/ScaleTest.java
@@ -14,69 +14,68 @@
  */
 class ScaleTest {
   private static final int MACHINES = 1000;
-  private static final int PER_JOB = 200;
+  private static final int TASKS_PER_JOB = 200;
 
-  private final SimulatedCluster clusterOverview = new SimulatedCluster(3, 1000);
+  private final SimulatedCluster cluster = new SimulatedCluster(3, 1000);
 
   private JsonNode clusterOverview() {
-    return Json.parseObject(
-            clusterOverview.await(clusterOverview.leader().controller.overview()).body())
+    return Json.parseObject(cluster.await(cluster.leader().controller.overview()).body())
         .get("cluster");
   }
 
   private void runOnAllMachines() {
-    clusterOverview.cloud.bootDisabled = false;
+    cluster.cloud.bootDisabled = false;
     for (int i = 0; i < MACHINES; i++) {
-      clusterOverview.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
+      cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
-    clusterOverview.advance(8);
-    for (int job = 0; job < MACHINES * 8 / PER_JOB; job++) {
-      assertThat(clusterOverview.submit(job % 3, job("j-" + job, "array", PER_JOB)).status())
+    cluster.advance(8);
+    for (int job = 0; job < MACHINES * 8 / TASKS_PER_JOB; job++) {
+      assertThat(cluster.submit(job % 3, job("j-" + job, "array", TASKS_PER_JOB)).status())
           .isEqualTo(201);
     }
-    clusterOverview.advance(20);
-    assertThat(clusterOverview.runningTasks("j-0")).hasSize(PER_JOB);
+    cluster.advance(20);
+    assertThat(cluster.runningTasks("j-0")).hasSize(TASKS_PER_JOB);
     assertThat(
-            clusterOverview.workers.values().stream()
+            cluster.workers.values().stream()
                 .mapToInt(worker -> worker.runningTasks().size())
                 .sum())
         .isEqualTo(MACHINES * 8);
   }
 
   @Test
-  void unchangedHeartbeatsCostNoTransactionNoCommandAndNoPlan() {
+  void unchangedHeartbeatsCauseNoTransactionNoCommandAndNoExtraPlan() {
     runOnAllMachines();
-    clusterOverview.advance(10);
-    int commits = clusterOverview.store.commitCount;
-    int directs = clusterOverview.commandCount();
-    int frames = clusterOverview.frameCount();
+    cluster.advance(10);
+    int commits = cluster.store.commitCount;
+    int commands = cluster.commandCount();
+    int frames = cluster.frameCount();
     long plans = clusterOverview().get("plans").asLong();
-    double passed = 30;
+    double durationS = 30;
     // 30,000 heartbeats, each reporting eight tasks that continue to run.
-    clusterOverview.advance(passed);
-    assertThat(clusterOverview.store.commitCount - commits).isZero();
-    assertThat(clusterOverview.commandCount() - directs).isZero();
+    cluster.advance(durationS);
+    assertThat(cluster.store.commitCount - commits).isZero();
+    assertThat(cluster.commandCount() - commands).isZero();
     // Scheduling runs are periodic: without changes, at most one per third of a heartbeat interval.
     assertThat(clusterOverview().get("plans").asLong() - plans)
-        .isLessThanOrEqualTo((long) passed + 2);
+        .isLessThanOrEqualTo((long) durationS + 2);
     // Machine views are repeated every fourth straggler round, and peer heartbeats are sent every
     // third of a heartbeat interval.
-    long views = (long) Math.ceil(passed / 20 + 1) * MACHINES;
-    assertThat(clusterOverview.frameCount() - frames)
-        .isLessThanOrEqualTo((int) views + 6 * (int) (passed + 2) + 100);
+    long views = (long) Math.ceil(durationS / 20 + 1) * MACHINES;
+    assertThat(cluster.frameCount() - frames)
+        .isLessThanOrEqualTo((int) views + 6 * (int) (durationS + 2) + 100);
   }
 
   @Test
   void completionsAreWrittenInBatches() {
     runOnAllMachines();
-    clusterOverview.advance(10);
-    int commits = clusterOverview.store.commitCount;
-    int directs = clusterOverview.commandCount();
-    clusterOverview.completeTasks("j-0");
-    clusterOverview.advance(10);
-    assertThat(clusterOverview.phase(0, "j-0")).isEqualTo("done");
+    cluster.advance(10);
+    int commits = cluster.store.commitCount;
+    int commands = cluster.commandCount();
+    cluster.completeTasks("j-0");
+    cluster.advance(10);
+    assertThat(cluster.phase(0, "j-0")).isEqualTo("done");
     // 200 completions: the job's end and its further shards are written, with no commit per task.
-    assertThat(clusterOverview.store.commitCount - commits).isLessThanOrEqualTo(6);
-    assertThat(clusterOverview.commandCount() - directs).isZero();
+    assertThat(cluster.store.commitCount - commits).isLessThanOrEqualTo(6);
+    assertThat(cluster.commandCount() - commands).isZero();
   }
 }
--- a/src/test/java/io/embernotch/controller/TaskPlacementTest.java
+++ b/src/test/java/io/embernotch/controller/TaskPlacementTest.java
@@ -74,28 +74,28 @@
   }
 
   @Test
-  void slowTasksAreRestartedOnTheMachineThatThePaperChooses() {
+  void slowTasksAreRestartedOnTheFastMachine() {
     cluster.nodes.get(1).kill();
     cluster.nodes.get(2).kill();
     cluster.advance(8);
     String fast = cluster.boot("g8", "z1", true);
     cluster.advance(6);
     runJob(job("j-29", "standing", 1), "j-29", 1);
-    runTwelve("j-30");
+    runTwelveTasks("j-30");
     FakeWorker fastWorker = cluster.workers.get(fast);
-    completeAll(fastWorker, "j-30");
+    completeTasksOn(fastWorker, "j-30");
     cluster.advance(200);
     cluster.completeTasks("j-30");
     cluster.advance(4);
     // The other machine has proven slow: it took 200 s for tasks that the fast one ran in about 10.
-    runTwelve("j-31");
-    completeAll(fastWorker, "j-31");
+    runTwelveTasks("j-31");
+    completeTasksOn(fastWorker, "j-31");
     cluster.advance(40);
     assertThat(cluster.runningTasks("j-31")).hasSize(5);
     assertThat(cluster.runningTasks("j-31").values()).allMatch(worker -> worker == fastWorker);
   }
 
-  private static void completeAll(FakeWorker worker, String ref) {
+  private static void completeTasksOn(FakeWorker worker, String ref) {
     assertThat(worker.runningTasks()).hasSize(8);
     worker.runningTasks().stream()
         .filter(task -> task.startsWith(ref))
@@ -103,7 +103,7 @@
   }
 
   /** Runs a job of twelve tasks: seven fill the fast machine, the others run on another machine. */
-  private void runTwelve(String ref) {
+  private void runTwelveTasks(String ref) {
     assertThat(cluster.submit(0, job(ref, "array", 12)).status()).isEqualTo(201);
     cluster.advance(10);
     assertThat(cluster.runningTasks(ref)).hasSize(12);
--- a/src/test/java/io/embernotch/controller/TeamLimitTest.java
+++ b/src/test/java/io/embernotch/controller/TeamLimitTest.java
@@ -27,30 +27,31 @@
  * small jobs cannot use the last few free ones, and the same happens with each following gang.
  */
 class TeamLimitTest {
-  private static final int LARGEST_BEGIN_WITHIN_S = 240;
-  private static final int WAIT_BESIDE_ROOM_S = 90;
-  private static final int TASK_S = 30;
+  private static final int LARGEST_GANG_MAX_WAIT_S = 240;
+  private static final int SMALL_JOB_MAX_WAIT_S = 90;
+  private static final int TASK_DURATION_S = 30;
 
   private final SimulatedCluster cluster = new SimulatedCluster(3);
 
   /**
-   * Completes all tasks of the other jobs every {@link #TASK_S} seconds until the given job runs.
+   * Completes all tasks of the other jobs every {@link #TASK_DURATION_S} seconds until the given
+   * job runs.
    *
-   * @return seconds until the job runs; {@code limitS} if it does not run by then
+   * @return seconds until the job runs; {@code timeoutS} if it does not run by then
    */
-  private int secondsUntilRunning(String ref, int limitS) {
-    for (int second = 0; second < limitS; second++) {
+  private int secondsUntilRunning(String ref, int timeoutS) {
+    for (int second = 0; second < timeoutS; second++) {
       if (!cluster.runningTasks(ref).isEmpty()) {
         return second;
       }
-      if (second % TASK_S == 0) {
+      if (second % TASK_DURATION_S == 0) {
         for (int index = 0; index < 30; index++) {
           cluster.completeTasks("j-" + index);
         }
       }
       cluster.advance(1);
     }
-    return limitS;
+    return timeoutS;
   }
 
   @Test
@@ -61,8 +62,8 @@
       cluster.submit(0, job("j-" + index, "array", 12));
     }
     cluster.submit(0, job("j-99", "group", 16));
-    assertThat(secondsUntilRunning("j-99", LARGEST_BEGIN_WITHIN_S))
-        .isLessThan(LARGEST_BEGIN_WITHIN_S);
+    assertThat(secondsUntilRunning("j-99", LARGEST_GANG_MAX_WAIT_S))
+        .isLessThan(LARGEST_GANG_MAX_WAIT_S);
   }
 
   @Test
@@ -75,7 +76,7 @@
     // Quota is reserved for a gang once it has waited for as long as a worker's lease.
     cluster.advance(35);
     cluster.submit(0, job("j-99", "array", 1));
-    cluster.advance(WAIT_BESIDE_ROOM_S);
+    cluster.advance(SMALL_JOB_MAX_WAIT_S);
     assertThat(cluster.runningTasks("j-99")).hasSize(1);
   }
 }
