--- a/src/main/java/io/embernotch/controller/Controller.java
+++ b/src/main/java/io/embernotch/controller/Controller.java
@@ -28,17 +28,17 @@
 import io.vertx.core.Future;
 
 /**
- * One controller: it accepts what users and agents send, and leads whenever its node holds the
- * leader key. All its methods are called on the core loop.
+ * A controller node. It serves requests from users and heartbeats from agents, and runs the leader
+ * while its node holds the leader key. Confined to the controller's event loop.
  */
 public final class Controller implements RequestHandler {
-  /** Straggler rounds after which a machine view that was not renewed is dropped. */
-  private static final int MACHINE_VIEW_ROUNDS = 6;
+  /** Number of straggler rounds after which a machine view that was not renewed expires. */
+  private static final int MACHINE_VIEW_EXPIRY_ROUNDS = 6;
 
   private static final int TICKS_PER_HEARTBEAT_INTERVAL = 3;
 
-  /** The replica takes at most this share of the process's memory. */
-  private static final double REPLICA_SHARE = 0.1;
+  /** Share of the process's memory limit that the replica may use. */
+  private static final double REPLICA_MEMORY_SHARE = 0.1;
 
   private static final int BYTES_PER_MB = 1 << 20;
 
@@ -49,7 +49,7 @@
   private final ImageInventory imageInventory;
   private final MachineTypeCatalog machineTypes;
   private final PeerLiveness peerLiveness;
-  private final SnapshotScheduler snapshots;
+  private final SnapshotScheduler snapshotScheduler;
   private final StoreReplica replica;
   private final RestoreSource restoreSource;
   private final StoreIncarnationTracker incarnations;
@@ -67,12 +67,12 @@
   private final JobQueries jobQueries;
   private final HeartbeatForwarder heartbeatForwarder;
   private final PeerHeartbeats peerHeartbeats;
-  private final StoreHeartbeatWriter storeHeartbeats;
+  private final StoreHeartbeatWriter storeHeartbeatWriter;
   private final Replication replication;
   private final NodeStatus nodeStatus;
 
   /**
-   * Assembles a controller, which does nothing before {@link #start}.
+   * Creates a controller, which is inactive until {@link #start} is called.
    *
    * @param peers connections to the other controllers
    * @param leaseRenewer renews the lease of the leader key while this node holds the key
@@ -84,28 +84,31 @@
     Settings settings = context.settings();
     pendingRequests = new PendingRequests(context.timers(), peers, context.names());
     imageInventory = new ImageInventory(settings.quota().rememberedMachines());
-    machineTypes = new MachineTypeCatalog(context, this::machineTypesLearned);
+    machineTypes = new MachineTypeCatalog(context, this::onMachineTypesLoaded);
     peerLiveness = new PeerLiveness(settings, context.clock());
     leaderObserver = new LeaderObserver(context.clock());
-    snapshots = new SnapshotScheduler(context);
-    replica = new StoreReplica((long) (REPLICA_SHARE * BYTES_PER_MB * settings.quota().memoryMb()));
+    snapshotScheduler = new SnapshotScheduler(context);
+    replica =
+        new StoreReplica(
+            (long) (REPLICA_MEMORY_SHARE * BYTES_PER_MB * settings.quota().memoryMb()));
     restoreSource = createRestoreSource();
     IncarnationEvents incarnationEvents = createIncarnationEvents();
     incarnations = createIncarnationTracker(incarnationEvents);
     election = new LeaderElection(context, leaseRenewer, incarnations, peerLiveness);
     localPartition =
-        new LocalPartition(context.clock(), MACHINE_VIEW_ROUNDS * context.operator().roundS());
+        new LocalPartition(
+            context.clock(), MACHINE_VIEW_EXPIRY_ROUNDS * context.operator().roundS());
     leaderClient = createLeaderClient();
     shardSize = ShardLayout.defaultSize(settings);
     jobAnnouncements = createJobAnnouncements();
-    answers = new JobAnswers(context, completedJobs, this::knowledge);
+    answers = new JobAnswers(context, completedJobs, this::currentKnowledge);
     submissions = createSubmissionHandler();
     jobQueries = createJobQueries();
     heartbeatForwarder =
         new HeartbeatForwarder(
             context, new ForwardingContext(context.store(), peers, pendingRequests, peerLiveness));
     peerHeartbeats = createPeerHeartbeats();
-    storeHeartbeats = createStoreHeartbeats();
+    storeHeartbeatWriter = createStoreHeartbeatWriter();
     replication = createReplication();
     incarnationEvents.connect(election, replication, submissions, machineTypes, peerHeartbeats);
     nodeStatus = createNodeStatus();
@@ -135,7 +138,7 @@
         context,
         localLeader,
         leaderObserver,
-        snapshots,
+        snapshotScheduler,
         replica,
         pendingRequests,
         peerLiveness,
@@ -182,7 +185,7 @@
         context, machineTypes.types(), shardSize, submissionContext, answers);
   }
 
-  private JobAnswers.Knowledge knowledge() {
+  private JobAnswers.Knowledge currentKnowledge() {
     return new JobAnswers.Knowledge(
         leaderObserver.node(),
         leaderObserver.epoch(),
@@ -202,7 +205,7 @@
         localLeader);
   }
 
-  private StoreHeartbeatWriter createStoreHeartbeats() {
+  private StoreHeartbeatWriter createStoreHeartbeatWriter() {
     return new StoreHeartbeatWriter(
         context,
         () -> localLeader.current().map(leader -> leader.modRevision()),
@@ -265,14 +268,14 @@
         election);
   }
 
-  /** Begins to accept frames, to contend for leadership, and to send heartbeats; called once. */
+  /** Starts receiving frames, contending for leadership and sending heartbeats. Call only once. */
   public void start() {
     peers.onFrame(createFrameDispatcher()::dispatch);
-    peers.onConnected(peerHeartbeats::greet);
+    peers.onConnected(peerHeartbeats::sendOnConnect);
     incarnations.start();
     machineTypes.load();
     election.start(createRoleTransitions());
-    storeHeartbeats.start();
+    storeHeartbeatWriter.start();
     tick();
     new StragglerRounds(
             context,
@@ -290,7 +293,7 @@
         .ifPresent(
             leader -> {
               incarnations.probe(leader.modRevision());
-              snapshots.tick(incarnations.name(), leader::snapshot);
+              snapshotScheduler.tick(incarnations.name(), leader::snapshot);
             });
     replication.tick();
     peerLiveness.takeNewlyUnresponsive().forEach(peers::renew);
@@ -298,11 +301,11 @@
     context.timers().after(heartbeatIntervalS / TICKS_PER_HEARTBEAT_INTERVAL, this::tick);
   }
 
-  private void machineTypesLearned() {
+  private void onMachineTypesLoaded() {
     localLeader.current().ifPresent(leader -> leader.addMachineTypes(machineTypes.types()));
   }
 
-  // ---- requests of users, operators and agents
+  // ---- requests from users, operators and agents
 
   @Override
   public Future<HttpResponse> submit(byte[] body) {
@@ -339,7 +342,7 @@
         .map(nodeStatus::overview);
   }
 
-  /** How many answers contradicted an end that was known here, and were not given. */
+  /** Number of answers withheld because they contradicted a job's known final phase. */
   public int answerContradictions() {
     return answers.contradictions();
   }
--- a/src/main/java/io/embernotch/controller/JobAnnouncements.java
+++ b/src/main/java/io/embernotch/controller/JobAnnouncements.java
@@ -16,7 +16,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Announcements to the leader of jobs that a controller has accepted and written to the store. */
+/** Announces jobs to the leader that a controller has accepted and written to the store. */
 final class JobAnnouncements {
   private static final Logger LOG = LoggerFactory.getLogger(JobAnnouncements.class);
 
@@ -28,7 +28,7 @@
   private final int shardSize;
 
   /**
-   * @param shardSize number of tasks of a job that this node keeps in one shard
+   * @param shardSize number of tasks per shard in the jobs that this controller accepts
    */
   JobAnnouncements(
       StoreClient store,
@@ -46,63 +46,64 @@
   }
 
   /**
-   * Announces a job that this controller has accepted, if a leader is known.
+   * Announces a job that this controller has accepted to the leader, if one is known.
    *
-   * @param value what was written to the job's key
+   * @param value the value written to the job's key
    * @param revision store revision of the write
    */
   void announce(Job job, ObjectNode value, long revision) {
-    boolean leaderIsHere = localLeader.tell(new LeaderMessage.JobAccepted(job, shardSize));
-    if (!leaderIsHere && leaderObserver.node() != null) {
+    boolean deliveredLocally = localLeader.send(new LeaderMessage.JobAccepted(job, shardSize));
+    if (!deliveredLocally && leaderObserver.node() != null) {
       ObjectNode announcement = IncarnationCodec.announcement(value, incarnations.name(), revision);
       peers.send(leaderObserver.node(), new Frame.JobAccepted(Json.bytes(announcement)));
     }
   }
 
   /**
-   * Passes jobs that another controller has committed to the leader, which is here.
+   * Delivers jobs that another controller has committed to the local leader.
    *
-   * @return whether the leader knows of all that the update holds, and so acknowledges it
+   * @return true if the local leader received every entry of the update, so that the update can be
+   *     acknowledged; false also if an entry is not a job or is malformed
    */
-  boolean committed(Frame.StateUpdate update) {
-    boolean allPassedOn = true;
+  boolean deliverCommitted(Frame.StateUpdate update) {
+    boolean allDelivered = true;
     for (Frame.StateEntry entry : update.entries()) {
-      allPassedOn &= entry.key().startsWith(JobProgressCodec.JOB) && passOn(entry, update);
+      allDelivered &= entry.key().startsWith(JobProgressCodec.JOB) && deliver(entry, update);
     }
-    return allPassedOn;
+    return allDelivered;
   }
 
-  private boolean passOn(Frame.StateEntry entry, Frame.StateUpdate update) {
+  private boolean deliver(Frame.StateEntry entry, Frame.StateUpdate update) {
     try {
-      StoredSubmission committed = StoredSubmission.read(Json.parseObject(entry.value()));
+      StoredSubmission submission = StoredSubmission.read(Json.parseObject(entry.value()));
       store.noteRevision(entry.key(), update.revision());
-      return localLeader.tell(
-          new LeaderMessage.JobAccepted(committed.job(), committed.shardSize()));
+      return localLeader.send(
+          new LeaderMessage.JobAccepted(submission.job(), submission.shardSize()));
     } catch (MalformedInputException e) {
       LOG.info("malformed job from a controller: {}", e.getMessage());
       return false;
     }
   }
 
-  /** Passes another controller's announcement to the leader, if that is here. */
-  void received(Frame.JobAccepted frame) {
+  /** Delivers another controller's announcement to the local leader, if this node leads. */
+  void handleAnnouncement(Frame.JobAccepted frame) {
     if (!localLeader.isPresent()) {
       return;
     }
     try {
       ObjectNode value = Json.parseObject(frame.value());
-      StoredSubmission announced = StoredSubmission.read(value);
+      StoredSubmission submission = StoredSubmission.read(value);
       LeaderMessage.JobAccepted accepted =
-          new LeaderMessage.JobAccepted(announced.job(), announced.shardSize());
+          new LeaderMessage.JobAccepted(submission.job(), submission.shardSize());
       String incarnation = incarnations.name();
       if (!incarnation.isEmpty()
           && incarnation.equals(IncarnationCodec.announcedIncarnation(value))) {
-        // Without it, contents restored to a state just before the write would pass for current.
+        // Otherwise a rollback of the store to a state just before this write would go undetected.
         store.noteRevision(
             JobProgressCodec.JOB + accepted.job().spec.ref(),
             IncarnationCodec.announcedEpoch(value));
       }
-      localLeader.tell(accepted);
+      localLeader.send(accepted);
     } catch (MalformedInputException e) {
       LOG.info("malformed job from a controller: {}", e.getMessage());
     }
--- a/src/main/java/io/embernotch/controller/JobQueries.java
+++ b/src/main/java/io/embernotch/controller/JobQueries.java
@@ -13,13 +13,21 @@
 import java.util.function.Predicate;
 
 /**
- * Answers users' polls and aborts of jobs at any controller: a completion that is known here is
- * answered at once, anything else by the leader, and polls by the store while there is no leader.
+ * Answers users' polls and cancellations of jobs on any controller. Final phases that this
+ * controller has cached are returned directly; other requests go to the leader. While no leader
+ * answers, polls are answered from the store.
  */
 final class JobQueries {
-  /** Forwards a request to the leader, wherever it is; 503 if there is no answer in time. */
+  /** Sends requests to the leader, in this process or on another node. */
   interface LeaderRequests {
-    Future<HttpResponse> request(Frame.ForwardedRequest.Kind kind, String ref, double withinS);
+    /**
+     * Sends a request to the leader.
+     *
+     * @param ref id of the job
+     * @param timeoutS seconds to wait for an answer from another node
+     * @return the leader's answer, or 503 if there is none in time
+     */
+    Future<HttpResponse> request(Frame.ForwardedRequest.Kind kind, String ref, double timeoutS);
   }
 
   private static final int NOT_FOUND = 404;
@@ -30,39 +38,42 @@
   private final CompletedJobCache completedJobs;
   private final StoreIncarnationTracker incarnations;
   private final PersistedStatus persistedStatus;
-  private final Predicate<String> acceptedHere;
-  private final LeaderRequests leader;
+  private final Predicate<String> acceptedLocally;
+  private final LeaderRequests leaderRequests;
   private final double heartbeatIntervalS;
 
-  /** Seconds for which a poll waits for the leader. */
+  /** Seconds to wait for the leader's answer to a poll. */
   private final double pollTimeoutS;
 
-  /** Seconds of failing requests after which the store is not asked. */
+  /** The store is not read once its requests have failed for more than this many seconds. */
   private final double maxStoreFailureS;
 
-  /** Seconds of the wait for a read of the store from which on it is not asked. */
+  /** The store is not read while a read would be queued for more than this many seconds. */
   private final double maxReadWaitS;
 
-  /** A flood of polls costs other nodes and the store nothing, and agents little. */
+  /**
+   * Refuses excess polls before they reach other nodes or the store, and before they delay the
+   * heartbeats of agents.
+   */
   private final PollRateLimiter rateLimiter;
 
   /**
-   * @param acceptedHere whether the job with the given reference was accepted by this process
+   * @param acceptedLocally tests whether this process has accepted the job with the given id
    */
   JobQueries(
       ControllerContext context,
       JobAnswers answers,
       CompletedJobCache completedJobs,
       StoreIncarnationTracker incarnations,
-      Predicate<String> acceptedHere,
-      LeaderRequests leader) {
+      Predicate<String> acceptedLocally,
+      LeaderRequests leaderRequests) {
     this.context = context;
     this.answers = answers;
     this.completedJobs = completedJobs;
     this.incarnations = incarnations;
     this.persistedStatus = new PersistedStatus(context, completedJobs, incarnations::base);
-    this.acceptedHere = acceptedHere;
-    this.leader = leader;
+    this.acceptedLocally = acceptedLocally;
+    this.leaderRequests = leaderRequests;
     this.heartbeatIntervalS = context.settings().workers().heartbeatIntervalS();
     this.pollTimeoutS = heartbeatIntervalS / 6;
     this.maxStoreFailureS = heartbeatIntervalS / 6;
@@ -70,20 +81,23 @@
     this.rateLimiter = new PollRateLimiter(context.clock(), context.timers(), context.settings());
   }
 
-  /** The state of a job: 200, 404 if it was never accepted, or 503. */
+  /**
+   * Returns the status of a job: 200, 404 if the job was never accepted, or 503 if that cannot be
+   * determined now or too many polls arrive.
+   */
   Future<HttpResponse> poll(String ref) {
     if (!JobCodec.isRef(ref)) {
-      return answer(HttpResponse.error(NOT_FOUND, "no such job"));
+      return futureOf(HttpResponse.error(NOT_FOUND, "no such job"));
     }
     JobAnswers.Question question = answers.asked(JobAnswers.Kind.POLL, ref);
-    HttpResponse known = completedJobs.status(ref);
-    if (known != null) {
-      return answer(question.answer(JobAnswers.Source.CACHE, known));
+    HttpResponse cached = completedJobs.status(ref);
+    if (cached != null) {
+      return futureOf(question.answer(JobAnswers.Source.CACHE, cached));
     }
     if (!rateLimiter.admit(ref)) {
-      return answer(HttpResponse.later("too many polls"));
+      return futureOf(HttpResponse.later("too many polls"));
     }
-    return status(question, ref)
+    return statusFromLeaderOrStore(question, ref)
         .onSuccess(
             response -> {
               if (response.status() != UNAVAILABLE) {
@@ -92,85 +106,96 @@
             });
   }
 
-  private Future<HttpResponse> status(JobAnswers.Question question, String ref) {
-    return leader
+  private Future<HttpResponse> statusFromLeaderOrStore(JobAnswers.Question question, String ref) {
+    return leaderRequests
         .request(Frame.ForwardedRequest.Kind.POLL, ref, pollTimeoutS)
         .compose(
             response ->
                 response.status() == UNAVAILABLE
                     ? statusFromStore(ref)
                         .map(stored -> question.answer(JobAnswers.Source.STORE, stored))
-                    : answer(question.answer(JobAnswers.Source.LEADER, response)));
+                    : futureOf(question.answer(JobAnswers.Source.LEADER, response)));
   }
 
-  /** What the store holds, if it answers in time: users wait two seconds at most. */
+  /**
+   * Returns the status that the store holds, or 503 if the store is failing or overloaded: users
+   * wait for two seconds at most.
+   */
   private Future<HttpResponse> statusFromStore(String ref) {
     if (!incarnations.answerPolicy().mayTellEnds()) {
-      return answer(contentsUnknown());
+      return futureOf(storeContentsUnknown());
     }
     if (context.store().failingForS() > maxStoreFailureS) {
-      return answer(HttpResponse.later("the state service does not answer"));
+      return futureOf(HttpResponse.later("the state service does not answer"));
     }
     if (context.store().readWaitS() > maxReadWaitS) {
-      // A read that is queued for so long is answered after its user has gone, as are the next.
-      return answer(HttpResponse.later("more is asked than the state service takes"));
+      // The user would time out before a read that is queued for this long is answered, and so
+      // would the users of the reads queued behind it.
+      return futureOf(HttpResponse.later("more is asked than the state service takes"));
     }
-    boolean acceptedBefore = acceptedHere.test(ref);
-    return persistedStatus.of(ref).compose(response -> verify(ref, response, acceptedBefore));
+    boolean acceptedBefore = acceptedLocally.test(ref);
+    return persistedStatus.of(ref).compose(response -> verifyStatus(ref, response, acceptedBefore));
   }
 
   /**
-   * An end that the store holds is told as it is. Anything else may have been overtaken by what a
-   * store that was put back has lost.
+   * Returns a final phase as stored, since it never changes. Any other status may be outdated if
+   * the store was rolled back, so it is returned only once a rollback has been ruled out; else 503.
+   *
+   * @param acceptedBefore whether this process had accepted the job before the read began
    */
-  private Future<HttpResponse> verify(String ref, HttpResponse response, boolean acceptedBefore) {
+  private Future<HttpResponse> verifyStatus(
+      String ref, HttpResponse response, boolean acceptedBefore) {
     if (completedJobs.status(ref) != null) {
-      return answer(response);
+      return futureOf(response);
     }
     HttpResponse verified =
         response.status() == NOT_FOUND ? verifyAbsence(ref, response, acceptedBefore) : response;
     return verified.status() == UNAVAILABLE
-        ? answer(verified)
+        ? futureOf(verified)
         : incarnations
             .answerPolicy()
             .mayTellUnended()
-            .map(proven -> proven ? verified : contentsUnknown());
+            .map(proven -> proven ? verified : storeContentsUnknown());
   }
 
-  /** Cancels a job: the leader's answer, or 503. */
+  /**
+   * Cancels a job. Returns the cached final phase if there is one, else the leader's answer, or 503
+   * if there is none in time.
+   */
   Future<HttpResponse> abort(String ref) {
     if (!JobCodec.isRef(ref)) {
-      return answer(HttpResponse.error(NOT_FOUND, "no such job"));
+      return futureOf(HttpResponse.error(NOT_FOUND, "no such job"));
     }
     JobAnswers.Question question = answers.asked(JobAnswers.Kind.ABORT, ref);
-    HttpResponse known = completedJobs.brief(ref);
-    return known != null
-        ? answer(question.answer(JobAnswers.Source.CACHE, known))
-        : leader
+    HttpResponse cached = completedJobs.brief(ref);
+    return cached != null
+        ? futureOf(question.answer(JobAnswers.Source.CACHE, cached))
+        : leaderRequests
             .request(Frame.ForwardedRequest.Kind.ABORT, ref, heartbeatIntervalS)
             .map(response -> question.answer(JobAnswers.Source.LEADER, response));
   }
 
   /**
-   * A job that was accepted here is not answered as unknown: that the store lacks it shows that
-   * data is lost. One that was accepted while the read was under way shows nothing: taking such a
-   * read for a loss would have an older snapshot restored.
+   * Checks the store's answer that a job does not exist. A job that this process has accepted is
+   * never answered with 404. If it was accepted before the read began, its absence proves a loss of
+   * data, which is reported. If it was accepted during the read, its absence proves nothing, and
+   * reporting a loss would restore an older snapshot.
    */
   private HttpResponse verifyAbsence(String ref, HttpResponse notFound, boolean acceptedBefore) {
-    if (!acceptedHere.test(ref)) {
-      return incarnations.answerPolicy().mayDenyJobs() ? notFound : contentsUnknown();
+    if (!acceptedLocally.test(ref)) {
+      return incarnations.answerPolicy().mayDenyJobs() ? notFound : storeContentsUnknown();
     }
     if (acceptedBefore) {
       incarnations.lossSigns().acceptedJobMissing(ref);
     }
-    return contentsUnknown();
+    return storeContentsUnknown();
   }
 
-  private static HttpResponse contentsUnknown() {
+  private static HttpResponse storeContentsUnknown() {
     return HttpResponse.later("what the state service holds is not known yet");
   }
 
-  private static Future<HttpResponse> answer(HttpResponse response) {
+  private static Future<HttpResponse> futureOf(HttpResponse response) {
     return Future.succeededFuture(response);
   }
 }
--- a/src/main/java/io/embernotch/controller/NodeStatus.java
+++ b/src/main/java/io/embernotch/controller/NodeStatus.java
@@ -13,7 +13,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** What a controller answers of itself: whether it is ready, and the overview for operators. */
+/** Reports the readiness of this controller, and an overview for operators. */
 final class NodeStatus {
   private static final byte[] EMPTY_OBJECT = "{}".getBytes(StandardCharsets.UTF_8);
 
@@ -51,14 +51,15 @@
     this.replication = replication;
   }
 
-  /** 200 if a load balancer is to send requests here, else 503. */
+  /** Returns 200 if load balancers should send requests to this controller, else 503. */
   HttpResponse ready() {
     if (machineTypes.types().isEmpty()) {
       return HttpResponse.later("machine types are not known yet");
     }
     double storeFailingForS = context.store().failingForS();
     double toleratedFailureS = context.settings().workers().heartbeatIntervalS() / 2;
-    // In an outage all nodes are alike, and leaving the balancer would only delay the return.
+    // A store outage affects all nodes alike. Leaving the load balancer then would only delay
+    // recovery.
     boolean onlyThisNodeFails =
         storeFailingForS > toleratedFailureS && peerLiveness.anyReachesStore();
     boolean isolated =
@@ -71,11 +72,11 @@
   }
 
   /**
-   * The overview of this node, with that of the cluster if there is one.
+   * Returns the overview of this node, and that of the cluster if the leader has answered.
    *
-   * @param cluster the leader's answer
+   * @param clusterResponse the leader's response to a request for the cluster's overview
    */
-  HttpResponse overview(HttpResponse cluster) {
+  HttpResponse overview(HttpResponse clusterResponse) {
     ObjectNode overview = Json.object();
     overview.put("node", context.settings().node());
     overview.put("steward", leaderObserver.node());
@@ -88,20 +89,20 @@
     overview.put("term_epoch", election.epoch());
     overview.put("lease_left_s", Math.max(0, -election.leaseUnprovenForS()));
     replication.describe(overview.putObject("replica"));
-    writeAnswers(overview.putObject("answers"));
+    writeAnswerCounts(overview.putObject("answers"));
     overview.put("answers_overtaken", answers.overtaken());
     overview.put("answer_contradictions", answers.contradictions());
     var peers = overview.putArray("peers");
     peerLiveness.live().forEach(peers::add);
-    if (cluster.status() == 200) {
-      overview.set("cluster", Json.parseObject(cluster.body()));
+    if (clusterResponse.status() == 200) {
+      overview.set("cluster", Json.parseObject(clusterResponse.body()));
     }
     return HttpResponse.of(200, Json.bytes(overview));
   }
 
-  private void writeAnswers(ObjectNode into) {
+  private void writeAnswerCounts(ObjectNode target) {
     answers
         .counts()
-        .forEach((source, count) -> into.put(source.name().toLowerCase(Locale.ROOT), count));
+        .forEach((source, count) -> target.put(source.name().toLowerCase(Locale.ROOT), count));
   }
 }
--- a/src/main/java/io/embernotch/controller/RestoreSource.java
+++ b/src/main/java/io/embernotch/controller/RestoreSource.java
@@ -35,65 +35,72 @@
 import java.util.function.Supplier;
 
 /**
- * What a store that has lost data can be restored from: the last term that was led here, the
- * replica, what was told of jobs, the same of all controllers that answer, and snapshot files.
+ * Provides what the store is restored from after a loss of data: the state of this node's last
+ * term, the replica, the final phases reported to users, the same knowledge of all other
+ * controllers that answer, and snapshot files.
  */
 final class RestoreSource implements StoreRestorer.Source, LocalKnowledge {
   private static final double MS_PER_S = 1000;
 
-  /** So often in a row an incarnation is replaced since it lacks what is known here. */
+  /** Maximum number of consecutive incarnations that are replaced because they lack known jobs. */
   private static final int MAX_MERGES = 3;
 
   private final ControllerContext context;
   private final LocalLeader localLeader;
   private final LeaderObserver leaderObserver;
-  private final SnapshotScheduler snapshots;
+  private final SnapshotScheduler snapshotScheduler;
   private final StoreReplica replica;
   private final Supplier<JobAnswers> answers;
   private final Supplier<StoreIncarnationTracker> incarnations;
-  private final BooleanSupplier replicaFilled;
+  private final BooleanSupplier isReplicaFilled;
   private final KnowledgeCollector collector;
   private final ReplicaBootstrap bootstrap;
   private final double startedAt;
 
-  /** What other controllers have told since the loss: they may have ended since. */
-  private Knowledge learned = Knowledge.getDefaultInstance();
+  /**
+   * Knowledge received from other controllers since the loss. It is kept because those controllers
+   * may have stopped meanwhile.
+   */
+  private Knowledge receivedKnowledge = Knowledge.getDefaultInstance();
 
   private int mergesLeft = MAX_MERGES;
 
-  /** Suppliers are of what is assembled later; they are asked only after that. */
+  /**
+   * Creates a source. The suppliers provide components that are created after it, and are called
+   * only once those exist.
+   */
   RestoreSource(
       ControllerContext context,
       LocalLeader localLeader,
       LeaderObserver leaderObserver,
-      SnapshotScheduler snapshots,
+      SnapshotScheduler snapshotScheduler,
       StoreReplica replica,
       PendingRequests pendingRequests,
       PeerLiveness peerLiveness,
       Supplier<JobAnswers> answers,
       Supplier<StoreIncarnationTracker> incarnations,
-      BooleanSupplier replicaFilled) {
+      BooleanSupplier isReplicaFilled) {
     this.context = context;
     this.localLeader = localLeader;
     this.leaderObserver = leaderObserver;
-    this.snapshots = snapshots;
+    this.snapshotScheduler = snapshotScheduler;
     this.replica = replica;
     this.answers = answers;
     this.incarnations = incarnations;
     this.collector = new KnowledgeCollector(context, pendingRequests, peerLiveness, this);
     this.bootstrap = new ReplicaBootstrap(context, collector);
-    this.replicaFilled = replicaFilled;
+    this.isReplicaFilled = isReplicaFilled;
     this.startedAt = context.clock().now();
   }
 
-  /** What another controller has told of contents that were not read here yet. */
+  /** Returns the contents reported by other controllers until this one has read the store. */
   ReplicaBootstrap bootstrap() {
     return bootstrap;
   }
 
   @Override
   public Optional<ClusterSnapshot> lastLeaderState(double noticedAt) {
-    return notSuperseded()
+    return formerTermIfNotSuperseded()
         .filter(former -> former.provenUntil() >= noticedAt)
         .flatMap(RestoreSource::stateOf);
   }
@@ -104,17 +111,17 @@
         .collect(lossEpoch)
         .map(
             others -> {
-              others.stream().flatMap(Optional::stream).forEach(this::learn);
+              others.stream().flatMap(Optional::stream).forEach(this::addReceived);
               JoinedKnowledge joined = JoinedKnowledge.of(knowledge(), others);
-              return notSuperseded()
-                  .filter(former -> JoinedKnowledge.provesLast(termOf(former), others))
+              return formerTermIfNotSuperseded()
+                  .filter(former -> JoinedKnowledge.provesLast(endedTermOf(former), others))
                   .flatMap(RestoreSource::stateOf)
-                  .map(state -> lastLeader(state, joined))
-                  .orElseGet(() -> withoutLastLeader(joined));
+                  .map(state -> stateOfLastLeader(state, joined))
+                  .orElseGet(() -> stateWithoutLastLeader(joined));
             });
   }
 
-  private static StoreRestorer.RestorableState lastLeader(
+  private static StoreRestorer.RestorableState stateOfLastLeader(
       ClusterSnapshot state, JoinedKnowledge joined) {
     return new StoreRestorer.RestorableState(
         SnapshotMerge.supplemented(state, joined.state()),
@@ -124,7 +131,7 @@
         false);
   }
 
-  private static StoreRestorer.RestorableState withoutLastLeader(JoinedKnowledge joined) {
+  private static StoreRestorer.RestorableState stateWithoutLastLeader(JoinedKnowledge joined) {
     return new StoreRestorer.RestorableState(
         joined.state(),
         false,
@@ -133,20 +140,20 @@
         !joined.allAnswered() || joined.ledElsewhere());
   }
 
-  private void learn(Knowledge other) {
-    learned = union(learned, other);
+  private void addReceived(Knowledge other) {
+    receivedKnowledge = merge(receivedKnowledge, other);
   }
 
-  /** The jobs and ends that either of two controllers knows. */
-  private static Knowledge union(Knowledge a, Knowledge b) {
+  /** Merges the jobs and final phases that two controllers know. */
+  private static Knowledge merge(Knowledge a, Knowledge b) {
     return Knowledge.newBuilder()
         .setState(SnapshotMerge.of(a.getState(), b.getState()))
-        .addAllTold(ends(a, b))
+        .addAllTold(mergeReportedEnds(a, b))
         .build();
   }
 
-  /** Of each job the end that either of two controllers has told. */
-  private static Collection<EndedJobSnapshot> ends(Knowledge a, Knowledge b) {
+  /** Returns the final phase of each job that either of two controllers has reported to users. */
+  private static Collection<EndedJobSnapshot> mergeReportedEnds(Knowledge a, Knowledge b) {
     Map<String, EndedJobSnapshot> ends = new TreeMap<>();
     a.getToldList().forEach(end -> ends.put(end.getRef(), end));
     b.getToldList().forEach(end -> ends.putIfAbsent(end.getRef(), end));
@@ -154,46 +161,51 @@
   }
 
   /**
-   * An incarnation has begun with this snapshot, perhaps without what is known here: then that is
-   * kept, to be merged with it.
+   * Compares the snapshot that a new incarnation began with to what this controller knows. If the
+   * snapshot lacks a known job or final phase, the knowledge is kept, to be merged into the next
+   * incarnation.
    *
-   * @return whether it lacks a job, or the end of one, that is known here
+   * @return whether the snapshot lacks something; false also if it is known to hold all jobs, if
+   *     another controller has reported this very incarnation, or after {@link #MAX_MERGES}
+   *     consecutive incarnations that lacked something
    */
-  boolean isMissingFrom(BaseSnapshot base) {
+  boolean retainIfMissingFrom(BaseSnapshot baseSnapshot) {
     Knowledge known = knowledge();
-    learned = Knowledge.getDefaultInstance();
-    boolean isTold = bootstrap.told().getIncarnation().equals(incarnations.get().name());
-    if (!base.jobsMissing() || mergesLeft == 0 || isTold) {
+    receivedKnowledge = Knowledge.getDefaultInstance();
+    boolean isReportedIncarnation =
+        bootstrap.told().getIncarnation().equals(incarnations.get().name());
+    if (!baseSnapshot.jobsMissing() || mergesLeft == 0 || isReportedIncarnation) {
       mergesLeft = MAX_MERGES;
       return false;
     }
     boolean missing =
-        known.getToldList().stream().anyMatch(end -> !base.tellsEnd(end.getRef()))
+        known.getToldList().stream().anyMatch(end -> !baseSnapshot.tellsEnd(end.getRef()))
             || known.getState().getEndedList().stream()
-                .anyMatch(end -> !base.tellsEnd(end.getRef()))
-            || known.getState().getJobList().stream().anyMatch(job -> !base.has(job.getRef()));
+                .anyMatch(end -> !baseSnapshot.tellsEnd(end.getRef()))
+            || known.getState().getJobList().stream()
+                .anyMatch(job -> !baseSnapshot.has(job.getRef()));
     if (missing) {
       mergesLeft--;
-      learn(known);
+      addReceived(known);
     }
     return missing;
   }
 
   @Override
   public ClusterSnapshot newestStoredSnapshot() {
-    return snapshots.newest();
+    return snapshotScheduler.newest();
   }
 
   @Override
   public Knowledge knowledge() {
-    Optional<ClusterSnapshot> led = ledState();
+    Optional<ClusterSnapshot> termState = currentOrFormerTermState();
     Knowledge.Builder knowledge =
-        union(ownKnowledge(led), union(learned, bootstrap.told())).toBuilder()
+        merge(ownKnowledge(termState), merge(receivedKnowledge, bootstrap.told())).toBuilder()
             .setUpMs((long) ((context.clock().now() - startedAt) * MS_PER_S))
             .setIncarnation(incarnations.get().name())
             .setHighestEpoch(leaderObserver.highestEpoch())
             .setHighestSeenMs((long) (leaderObserver.highestSeenForS() * MS_PER_S))
-            .setLedEpoch(led.map(ClusterSnapshot::getEpoch).orElse(0L));
+            .setLedEpoch(termState.map(ClusterSnapshot::getEpoch).orElse(0L));
     if (leaderObserver.highestNode() != null) {
       knowledge.setHighestNode(leaderObserver.highestNode());
     }
@@ -201,8 +213,11 @@
     return knowledge.build();
   }
 
-  /** The state of the term that is led here or was led last; empty if it had not read the store. */
-  private Optional<ClusterSnapshot> ledState() {
+  /**
+   * Returns the state of this node's current term, or that of the former term until the current
+   * leader has loaded the store; empty if neither leader had loaded it.
+   */
+  private Optional<ClusterSnapshot> currentOrFormerTermState() {
     return localLeader
         .current()
         .filter(Leader::isLoaded)
@@ -210,12 +225,13 @@
         .or(() -> localLeader.former().flatMap(RestoreSource::stateOf));
   }
 
-  /** What this controller has led, replicated and told itself. */
-  private Knowledge ownKnowledge(Optional<ClusterSnapshot> led) {
+  /** Returns what this controller knows from its own terms, replica and answers to users. */
+  private Knowledge ownKnowledge(Optional<ClusterSnapshot> termState) {
     ClusterSnapshot replicated = replica.snapshot();
     Knowledge.Builder own =
         Knowledge.newBuilder()
-            .setState(led.map(state -> SnapshotMerge.of(state, replicated)).orElse(replicated));
+            .setState(
+                termState.map(state -> SnapshotMerge.of(state, replicated)).orElse(replicated));
     answers
         .get()
         .ends()
@@ -225,9 +241,10 @@
   }
 
   private void addIncarnation(Knowledge.Builder knowledge) {
-    ToldIncarnation told = incarnations.get().toldIncarnation();
-    knowledge.setRevision(told.highestRevision());
-    told.known()
+    ToldIncarnation reported = incarnations.get().toldIncarnation();
+    knowledge.setRevision(reported.highestRevision());
+    reported
+        .known()
         .ifPresent(
             incarnation ->
                 knowledge
@@ -238,7 +255,7 @@
 
   @Override
   public boolean holdsContents() {
-    return replicaFilled.getAsBoolean()
+    return isReplicaFilled.getAsBoolean()
         || bootstrap.isTold()
         || localLeader.current().map(Leader::isLoaded).orElse(false)
         || localLeader.former().map(former -> former.leader().isLoaded()).orElse(false);
@@ -254,15 +271,15 @@
     incarnations.get().lossNews().lossIsOver();
   }
 
-  /** The last term that was led here, unless a later one is known or must have been. */
-  private Optional<FormerTerm> notSuperseded() {
+  /** Returns this node's former term, unless a later term is known or may have existed. */
+  private Optional<FormerTerm> formerTermIfNotSuperseded() {
     return localLeader
         .former()
         .filter(former -> former.leader().epoch() >= leaderObserver.highestEpoch())
         .filter(former -> !former.leader().hasLedPutBackContents());
   }
 
-  private JoinedKnowledge.EndedTerm termOf(FormerTerm former) {
+  private JoinedKnowledge.EndedTerm endedTermOf(FormerTerm former) {
     double now = context.clock().now();
     return new JoinedKnowledge.EndedTerm(
         context.settings().node(),
@@ -271,7 +288,7 @@
         now - former.provenUntil());
   }
 
-  /** What the leader of a term knew; empty if it had not read the store yet. */
+  /** Returns the state of the leader of a term; empty if it had not loaded the store. */
   private static Optional<ClusterSnapshot> stateOf(FormerTerm former) {
     return Optional.ofNullable(former.leader().snapshot());
   }
--- a/src/main/java/io/embernotch/controller/SubmissionContext.java
+++ b/src/main/java/io/embernotch/controller/SubmissionContext.java
@@ -12,7 +12,7 @@
 import io.vertx.core.Future;
 import java.util.function.Function;
 
-/** What handling submissions needs of the controller that received them. */
+/** Gives the submission handler access to the controller that it runs in. */
 final class SubmissionContext implements SubmissionHandler.Host {
   private final StoreIncarnationTracker incarnations;
   private final PeerLiveness peerLiveness;
@@ -21,7 +21,7 @@
   private final Function<String, Future<HttpResponse>> poll;
 
   /**
-   * @param poll answers a poll for the job with the given reference
+   * @param poll answers a poll for the job with the given id
    */
   SubmissionContext(
       StoreIncarnationTracker incarnations,
@@ -37,8 +37,8 @@
   }
 
   @Override
-  public void submissionAccepted(Job job, ObjectNode value, long epoch) {
-    jobAnnouncements.announce(job, value, epoch);
+  public void submissionAccepted(Job job, ObjectNode value, long revision) {
+    jobAnnouncements.announce(job, value, revision);
   }
 
   @Override
@@ -67,12 +67,12 @@
   }
 
   @Override
-  public Future<HttpResponse> submitElsewhere(byte[] body, double withinS) {
+  public Future<HttpResponse> submitElsewhere(byte[] body, double timeoutS) {
     return peerLiveness
         .nextWithStore()
         .map(
             node ->
-                pendingRequests.send(node, id -> new Frame.ForwardedSubmission(id, body), withinS))
+                pendingRequests.send(node, id -> new Frame.ForwardedSubmission(id, body), timeoutS))
         .orElse(null);
   }
 }
--- a/src/test/java/io/embernotch/controller/ProcessIncarnationsRandomizedTest.java
+++ b/src/test/java/io/embernotch/controller/ProcessIncarnationsRandomizedTest.java
@@ -13,15 +13,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Processes and machines restart at any moment, with stale copies of earlier heartbeats and repeats
- * of commands that were carried out, drawn by a seed. {@code -Dincarnations.seeds=N} runs more,
- * {@code -Dincarnations.from=N} others.
+ * Random restarts of processes and machines, combined with stale copies of heartbeats and repeated
+ * commands. {@code -Dincarnations.seeds=N} sets the number of seeds, {@code -Dincarnations.from=N}
+ * the first one.
  */
 class ProcessIncarnationsRandomizedTest {
   private static final SeedRange SEEDS = SeedRange.fromProperties("incarnations", 200);
   private static final int STEPS = 40;
 
-  /** One run: a cluster, its users and what is drawn for it. */
+  /** One run with a cluster, the answers to its users and its random choices. */
   private static final class Run {
     private final SplittableRandom random;
     private final SimulatedCluster cluster = new SimulatedCluster(3, 10);
@@ -35,7 +35,7 @@
     List<String> violations() {
       cluster.awaitLeader(3);
       for (int step = 0; step < STEPS; step++) {
-        act(random.nextInt(3));
+        performRandomAction(random.nextInt(3));
         cluster.advance(random.nextDouble(4));
         for (String ref : answers.accepted) {
           answers.poll(random.nextInt(3), ref);
@@ -50,7 +50,7 @@
       return answers.violations;
     }
 
-    private void act(int node) {
+    private void performRandomAction(int node) {
       switch (random.nextInt(15)) {
         case 0, 1, 2 ->
             answers.submit(
@@ -69,13 +69,13 @@
         }
         case 9 -> restartMachine();
         case 10 -> isolateOneOrNone();
-        case 11 -> partitionInbound();
+        case 11 -> drawInboundPartitions();
         case 12 -> deliverStaleHeartbeats();
         default -> restartOneOrAll();
       }
     }
 
-    /** A job that was accepted; none if there is none yet. */
+    /** Draws one of the accepted jobs; empty if there is none yet. */
     private List<String> drawJob() {
       return answers.accepted.isEmpty()
           ? List.of()
@@ -89,7 +89,7 @@
       }
     }
 
-    /** One controller loses the store and its peers, but not its workers; or none does. */
+    /** Isolates one controller from the store and its peers, but not from its workers, or none. */
     private void isolateOneOrNone() {
       int isolated = random.nextInt(6);
       for (ControllerNode node : cluster.nodes) {
@@ -98,13 +98,13 @@
       }
     }
 
-    private void partitionInbound() {
+    private void drawInboundPartitions() {
       for (FakeWorker worker : cluster.workers.values()) {
         worker.inboundPartitioned = random.nextInt(4) == 0;
       }
     }
 
-    /** Heartbeats of any age of some machine reach any controller. */
+    /** Delivers up to five earlier heartbeats of a random machine to random controllers. */
     private void deliverStaleHeartbeats() {
       List<String> names = List.copyOf(cluster.workers.keySet());
       if (!names.isEmpty()) {
@@ -117,7 +117,7 @@
       }
     }
 
-    /** One controller, or all of them, end and are started again after up to half a second. */
+    /** Stops one controller or all of them, and starts them again within half a second. */
     private void restartOneOrAll() {
       int drawn = random.nextInt(5);
       List<ControllerNode> nodes = drawn < 3 ? List.of(cluster.nodes.get(drawn)) : cluster.nodes;
--- a/src/test/java/io/embernotch/controller/RollingUpgradeTest.java
+++ b/src/test/java/io/embernotch/controller/RollingUpgradeTest.java
@@ -15,27 +15,31 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Data of the version before job dependencies, and a store that lowers its limits. That version
- * made shards as large as the limits of its time, 85 tasks in 8 KiB.
+ * Upgrades from the previous version, which has no job dependencies, and a store that lowers its
+ * limits. Shards of the previous version are sized for the earlier limits: 85 tasks in 8 KiB.
  */
 class RollingUpgradeTest extends ClusterTest {
-  private static final int FORMER_SHARD_TASKS = 85;
+  private static final int PREVIOUS_VERSION_SHARD_TASKS = 85;
 
   RollingUpgradeTest() {
     super(SimulatedCluster.withDecreasingStoreLimits());
   }
 
-  /** A job as the former version left it: its description, and its progress where it has any. */
-  private void putFormerJob(String ref, int tasks, String run) {
+  /**
+   * Stores a job as the previous version writes it.
+   *
+   * @param progress JSON of the job's progress; null if it has none
+   */
+  private void putPreviousVersionJob(String ref, int tasks, String progress) {
     cluster.store.put(
         "job/" + ref,
         "{\"at\":900000,\"piece\":"
-            + FORMER_SHARD_TASKS
+            + PREVIOUS_VERSION_SHARD_TASKS
             + ",\"job\":"
             + job(ref, "array", tasks)
             + "}");
-    if (run != null) {
-      cluster.store.put("run/" + ref, run);
+    if (progress != null) {
+      cluster.store.put("run/" + ref, progress);
     }
   }
 
@@ -43,11 +47,11 @@
     cluster.store.lowerLimits(1024, 4, 30);
   }
 
-  /** One such value must not keep each new leader reading the store again, and all jobs waiting. */
+  /** Such a value must not make each new leader read the store again while all jobs wait. */
   @Test
   void unreadableValueDelaysNoOtherJobAndItsJobStaysKnown() {
-    putFormerJob("j-1", 3, null);
-    putFormerJob("j-2", 3, "{\"next\":\"x\",\"open\":7}");
+    putPreviousVersionJob("j-1", 3, null);
+    putPreviousVersionJob("j-2", 3, "{\"next\":\"x\",\"open\":7}");
     cluster.store.put(
         "job/j-3", "{\"at\":900000,\"piece\":85,\"job\":{\"ref\":\"j-3\",\"shards\":\"many\"}}");
     cluster.awaitLeader(4);
@@ -55,24 +59,24 @@
     assertThat(cluster.runningTasks("j-1")).hasSize(3);
     assertThat(cluster.phase(0, "j-3")).isEqualTo("queued");
     assertThat(cluster.phase(1, "j-2")).isEqualTo("queued");
-    // What may run of it has ended once no worker can have its lease renewed for it.
+    // Tasks of it may still run, so it starts again only once all leases for them have expired.
     assertThat(cluster.runningTasks("j-2")).isEmpty();
     cluster.advance(120);
     assertThat(cluster.runningTasks("j-2")).hasSize(3);
-    // The watch for new jobs continues after it.
+    // The watch for new jobs continues after an unreadable value.
     cluster.store.put("job/j-4", "{\"at\":900000,\"piece\":85,\"job\":[]}");
-    putFormerJob("j-5", 2, null);
+    putPreviousVersionJob("j-5", 2, null);
     cluster.advance(20);
     assertThat(cluster.runningTasks("j-5")).hasSize(2);
   }
 
   @Test
-  void valuesOfTheFormerVersionAreRead() {
-    // 40 tasks, of which 0, 1 and 9 are done; and two that have ended, one before ends had a time.
-    String marks = Base64.getEncoder().encodeToString(new byte[] {3, 2});
-    putFormerJob("j-1", 40, "{\"next\":7,\"done\":\"" + marks + "\",\"open\":[]}");
-    putFormerJob("j-2", 3, "{\"next\":2,\"end\":\"done\"}");
-    putFormerJob("j-3", 3, "{\"next\":2,\"end\":\"cancelled\"}");
+  void valuesOfThePreviousVersionAreRead() {
+    // A job of 40 tasks, of which 0, 1 and 9 are done, and two ended jobs without an end time.
+    String doneBits = Base64.getEncoder().encodeToString(new byte[] {3, 2});
+    putPreviousVersionJob("j-1", 40, "{\"next\":7,\"done\":\"" + doneBits + "\",\"open\":[]}");
+    putPreviousVersionJob("j-2", 3, "{\"next\":2,\"end\":\"done\"}");
+    putPreviousVersionJob("j-3", 3, "{\"next\":2,\"end\":\"cancelled\"}");
     cluster.awaitLeader(4);
     cluster.advance(12);
     assertThat(cluster.runningTasks("j-1"))
@@ -80,7 +84,7 @@
         .doesNotContainKeys("j-1/0", "j-1/1", "j-1/9");
     assertThat(cluster.phase(1, "j-2")).isEqualTo("done");
     assertThat(cluster.phase(2, "j-3")).isEqualTo("cancelled");
-    // Other jobs may depend on them.
+    // New jobs may depend on these jobs.
     assertThat(cluster.submit(0, dependentJob("j-4", 1, "j-2")).status()).isEqualTo(201);
     assertThat(cluster.submit(0, dependentJob("j-5", 1, "j-3")).status()).isEqualTo(201);
     cluster.advance(6);
@@ -89,12 +93,12 @@
   }
 
   @Test
-  void leaderOfTheFormerVersionEndsInTheMiddleOfStarts() {
+  void leaderOfThePreviousVersionStopsWhileStartingTasks() {
     String name = cluster.boot("g8", "z1", true);
     cluster.advance(6);
-    // Three starts are written: two whose commands were not sent or did not arrive, and one on a
-    // machine that is gone.
-    putFormerJob(
+    // Three starts are stored: two whose commands were not sent or did not arrive, and one on a
+    // machine that no longer exists.
+    putPreviousVersionJob(
         "j-1",
         3,
         "{\"next\":6,\"open\":[[0,5,\""
@@ -106,15 +110,15 @@
     leader.kill();
     cluster.advance(12);
     assertThat(cluster.runningTasks("j-1")).containsOnlyKeys("j-1/0", "j-1/1");
-    // The task of the machine that is gone starts elsewhere only when its lease must have expired.
+    // The third task starts elsewhere only when the lease of its machine must have expired.
     cluster.advance(45);
     assertThat(cluster.runningTasks("j-1")).hasSize(3);
   }
 
-  /** The former version's reader fails on a key or a value that it cannot read. */
+  /** The previous version's reader fails on any key or value that it cannot read. */
   @Test
-  void formerVersionReadsWhatIsWrittenUnderItsLimits() {
-    putFormerJob("j-1", 40, null);
+  void previousVersionReadsWhatIsWrittenUnderItsLimits() {
+    putPreviousVersionJob("j-1", 40, null);
     cluster.awaitLeader(4);
     assertThat(cluster.submit(0, job("j-2", "array", 8)).status()).isEqualTo(201);
     cluster.advance(12);
@@ -124,7 +128,7 @@
     assertJobsAreReadable();
     assertThat(cluster.store.keys("run/")).containsExactly("run/j-1", "run/j-2");
     assertProgressIsReadable();
-    // A large shard of the former version stays one while it fits.
+    // A large shard of the previous version is not split while it fits the limits.
     assertThat(cluster.store.value("run/j-1").get("open")).hasSize(40);
     assertThat(Json.bytes(cluster.store.value("run/j-1")).length).isGreaterThan(1024);
   }
@@ -178,7 +182,8 @@
             .replace("\"img\"", "\"" + "i".repeat(450) + "\"")
             .replace("\"c\"", "\"" + "c".repeat(450) + "\"");
     cluster.store.put(
-        "job/j-1", "{\"at\":900000,\"piece\":" + FORMER_SHARD_TASKS + ",\"job\":" + large + "}");
+        "job/j-1",
+        "{\"at\":900000,\"piece\":" + PREVIOUS_VERSION_SHARD_TASKS + ",\"job\":" + large + "}");
     cluster.awaitLeader(4);
     lowerLimits();
     for (int node = 0; node < 3; node++) {
@@ -205,8 +210,8 @@
   }
 
   @Test
-  void formerShardsAreSplitOnceTheyExceedTheLimits() {
-    putFormerJob("j-1", 48, null);
+  void oldShardsAreSplitOnceTheyExceedTheLimits() {
+    putPreviousVersionJob("j-1", 48, null);
     cluster.awaitLeader(4);
     cluster.advance(12);
     assertThat(cluster.runningTasks("j-1")).hasSize(48);
@@ -221,7 +226,7 @@
         .hasSize(47)
         .doesNotContainKey("j-1/5")
         .containsKey("j-1/20");
-    // One refusal is enough; nothing is tried at the former size again.
+    // After one refusal, no write of the previous size is attempted again.
     assertThat(cluster.store.malformedCount).isEqualTo(1);
     assertThat(cluster.submit(0, dependentJob("j-2", 2, "j-1")).status()).isEqualTo(201);
     cluster.completeTasks("j-1");
@@ -232,8 +237,8 @@
   }
 
   @Test
-  void nextLeaderReadsNewShardsOverFormerOnes() {
-    putFormerJob("j-1", 48, null);
+  void nextLeaderPrefersNewShardsToOldOnes() {
+    putPreviousVersionJob("j-1", 48, null);
     ControllerNode leader = cluster.awaitLeader(4);
     cluster.advance(12);
     lowerLimits();
@@ -247,13 +252,13 @@
     cluster.advance(6);
     assertThat(cluster.runningTasks("j-1")).isEmpty();
     assertThat(cluster.store.finalPhase("j-1")).isEqualTo("cancelled");
-    ControllerNode second = cluster.leader();
-    // The end stands in a new shard, which is also read by controllers that answer from the store.
+    ControllerNode secondLeader = cluster.leader();
+    // The job's end is in a new shard, which controllers also read to answer from the store.
     assertThat(cluster.store.value("run/j-1").has("end")).isFalse();
     leader.start();
-    second.kill();
+    secondLeader.kill();
     for (ControllerNode node :
-        List.of(leader, cluster.nodes.get(3 - leader.index - second.index))) {
+        List.of(leader, cluster.nodes.get(3 - leader.index - secondLeader.index))) {
       assertThat(cluster.phase(node.index, "j-1")).isIn("cancelled", "status 503");
     }
     cluster.advance(20);
@@ -261,8 +266,8 @@
   }
 
   @Test
-  void limitsLoweredDuringAnUnknownCommitLoseNothing() {
-    putFormerJob("j-1", 48, null);
+  void loweringLimitsDuringAnUnknownCommitLosesNothing() {
+    putPreviousVersionJob("j-1", 48, null);
     cluster.awaitLeader(4);
     cluster.advance(12);
     cluster.faults.commitDelivery = Delivery.DELAYED;
@@ -272,7 +277,7 @@
     lowerLimits();
     cluster.faults.commitDelivery = Delivery.DELIVERED;
     cluster.advance(8);
-    // The large shard may arrive only now: the shards written since take precedence.
+    // The large shard is written only now; the smaller shards written before take precedence.
     cluster.store.lowerLimits(8 * 1024, 12, 100);
     cluster.deliverDelayed();
     lowerLimits();
@@ -287,11 +292,11 @@
   }
 
   @Test
-  void unwritableValueDelaysNoOther() {
+  void unwritableValueDelaysNoOtherJob() {
     cluster.awaitLeader(4);
     assertThat(cluster.submit(0, job("j-1", "array", 1)).status()).isEqualTo(201);
     cluster.advance(12);
-    // Not even one task fits; the ends of other jobs are still written.
+    // Not even one task fits into a value, but completions of other jobs must still be written.
     assertThat(cluster.submit(0, job("j-2", "array", 30)).status()).isEqualTo(201);
     cluster.advance(12);
     cluster.store.lowerLimits(60, 4, 30);
--- a/src/test/java/io/embernotch/controller/TaskPlacementTest.java
+++ b/src/test/java/io/embernotch/controller/TaskPlacementTest.java
@@ -10,7 +10,7 @@
 import io.embernotch.testkit.SimulatedCluster;
 import org.junit.jupiter.api.Test;
 
-/** Tasks run only where quota, zones and the shape of their jobs allow. */
+/** Tasks run only where the quota of their team and the zones and shape of their job allow. */
 class TaskPlacementTest extends ClusterTest {
   TaskPlacementTest() {
     super(new SimulatedCluster(3));
@@ -74,36 +74,36 @@
   }
 
   @Test
-  void slowTasksAreRestartedOnTheMachineThatThePaperChooses() {
+  void slowTasksAreRestartedOnTheFastMachine() {
     cluster.nodes.get(1).kill();
     cluster.nodes.get(2).kill();
     cluster.advance(8);
     String fast = cluster.boot("g8", "z1", true);
     cluster.advance(6);
     runJob(job("j-29", "standing", 1), "j-29", 1);
-    runTwelve("j-30");
+    runTwelveTasks("j-30");
     FakeWorker fastWorker = cluster.workers.get(fast);
-    completeAll(fastWorker, "j-30");
+    completeTasksOn(fastWorker, "j-30");
     cluster.advance(200);
     cluster.completeTasks("j-30");
     cluster.advance(4);
-    // The other machine has proven slow: 200 s for tasks that took the fast one about ten.
-    runTwelve("j-31");
-    completeAll(fastWorker, "j-31");
+    // The other machine has proven slow: it took 200 s for tasks that the fast one ran in about 10.
+    runTwelveTasks("j-31");
+    completeTasksOn(fastWorker, "j-31");
     cluster.advance(40);
     assertThat(cluster.runningTasks("j-31")).hasSize(5);
     assertThat(cluster.runningTasks("j-31").values()).allMatch(worker -> worker == fastWorker);
   }
 
-  private static void completeAll(FakeWorker worker, String ref) {
+  private static void completeTasksOn(FakeWorker worker, String ref) {
     assertThat(worker.runningTasks()).hasSize(8);
     worker.runningTasks().stream()
         .filter(task -> task.startsWith(ref))
         .forEach(task -> worker.exitTask(task, "done"));
   }
 
-  /** Twelve tasks: seven fill the fast machine, the rest go to another. */
-  private void runTwelve(String ref) {
+  /** Runs a job of twelve tasks: seven fill the fast machine, the others run on another machine. */
+  private void runTwelveTasks(String ref) {
     assertThat(cluster.submit(0, job(ref, "array", 12)).status()).isEqualTo(201);
     cluster.advance(10);
     assertThat(cluster.runningTasks(ref)).hasSize(12);
