--- a/src/main/java/io/embernotch/incarnation/BaseSnapshotReader.java
+++ b/src/main/java/io/embernotch/incarnation/BaseSnapshotReader.java
@@ -9,16 +9,16 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Puts the snapshot that an incarnation began with together from its blocks in the store. */
+/** Reassembles the snapshot that an incarnation began with from its blocks in the store. */
 public final class BaseSnapshotReader {
   private BaseSnapshotReader() {}
 
   /**
-   * Reads the snapshot of an incarnation.
+   * Reads the base snapshot of an incarnation.
    *
-   * @param stored the entries under the prefix of the incarnation's blocks
-   * @throws MalformedInputException if a block is missing or damaged: a snapshot is never used in
-   *     part
+   * @param stored all entries under the key prefix of the incarnation's blocks, sorted by key
+   * @throws MalformedInputException if a block is missing or damaged; a partial snapshot is never
+   *     used
    */
   public static BaseSnapshot read(StoreIncarnation incarnation, List<VersionedEntry> stored) {
     List<byte[]> blocks = new ArrayList<>();
@@ -27,7 +27,7 @@
     }
     if (blocks.size() != incarnation.blockCount()) {
       throw new MalformedInputException(
-          "it has " + blocks.size() + " of " + incarnation.blockCount() + " blocks");
+          "the snapshot has " + blocks.size() + " of " + incarnation.blockCount() + " blocks");
     }
     SnapshotBlocks packed = new SnapshotBlocks(blocks, incarnation.crc());
     return new BaseSnapshot(packed.unpack(), incarnation.since());
--- a/src/main/java/io/embernotch/incarnation/ClaimEligibility.java
+++ b/src/main/java/io/embernotch/incarnation/ClaimEligibility.java
@@ -6,9 +6,9 @@
 import java.util.function.Consumer;
 
 /**
- * Whether this node may claim leadership on the store's contents as it knows them. Contents that
- * have not reached the epoch of a leader that another controller has heard of were put back: they
- * are lost, whatever incarnation they name.
+ * Decides whether this node may claim leadership while it considers the store's contents intact. If
+ * the contents have not reached an epoch that another controller reports for a leader, the store
+ * was rolled back and data is lost, whichever incarnation the store names.
  */
 final class ClaimEligibility {
   private final ControllerContext context;
@@ -19,8 +19,8 @@
   private boolean verifying;
 
   /**
-   * @param allPeersHeard whether every other controller has been heard from since the start
-   * @param dataLost receives why the contents are found to be lost
+   * @param allPeersHeard whether every other controller has sent a heartbeat since the start
+   * @param dataLost receives the reason when data loss is detected
    */
   ClaimEligibility(
       ControllerContext context,
@@ -34,12 +34,12 @@
     this.startedAt = context.clock().now();
   }
 
-  /** Seconds since this process has started. */
+  /** Seconds since this process was started. */
   double upS() {
     return context.clock().now() - startedAt;
   }
 
-  /** Whether the contents, which are believed to be intact, may be led on. */
+  /** Whether this node may claim leadership of contents that it considers intact. */
   boolean mayClaimIntact() {
     if (!knowledge.hasIncarnation()) {
       return mayBeginFirstIncarnation();
@@ -52,8 +52,8 @@
   }
 
   /**
-   * Whether every other controller has been heard from, or could have been: whoever was up before
-   * this process tells whether the contents are lost.
+   * Whether every other controller has sent a heartbeat or has had the time to send one. A
+   * controller that was running before this process reports a data loss in its heartbeats.
    */
   private boolean othersHadTimeToTell() {
     return allPeersHeard.getAsBoolean()
@@ -61,22 +61,26 @@
   }
 
   /**
-   * Whoever was up before knows whether contents without an incarnation are new or emptied, and has
-   * restored emptied ones by the time that is waited for here. A process that was started into
-   * emptied contents must not begin a first incarnation there while another still holds all that
-   * was lost.
+   * Whether this node may begin the first incarnation. A store without an incarnation is either new
+   * or has lost everything. Controllers that were running before know which, and restore a store
+   * that has lost everything within half a worker lease. Until then a process that was started
+   * after the loss must not begin an incarnation: another controller may still hold the lost data.
+   * If the contents are still behind an observed epoch after that time, data is lost.
    */
   private boolean mayBeginFirstIncarnation() {
     if (knowledge.isBehind()) {
       if (upS() > context.settings().workers().leaseS() / 2) {
-        dataLost.accept("it holds no era, and a later epoch was heard of");
+        dataLost.accept("it has no incarnation, but a later epoch was observed");
       }
       return false;
     }
     return othersHadTimeToTell();
   }
 
-  /** Whether the contents have reached the epoch is proven by a request that is sent after. */
+  /**
+   * Sends a request whose answer shows the store's present revision, and reports data loss if the
+   * contents have still not reached the epoch of the leader.
+   */
   private void verifyReached() {
     if (verifying) {
       return;
@@ -91,7 +95,7 @@
               verifying = false;
               if (compared.succeeded() && knowledge.isIntact() && knowledge.isBefore(named)) {
                 dataLost.accept(
-                    "it has not reached epoch " + named + ", of which a leader was heard");
+                    "it has not reached epoch " + named + " of a leader that was reported");
               }
             });
   }
--- a/src/main/java/io/embernotch/incarnation/ContentsConfirmation.java
+++ b/src/main/java/io/embernotch/incarnation/ContentsConfirmation.java
@@ -3,15 +3,15 @@
 import io.embernotch.context.ControllerContext;
 
 /**
- * Whether the store's contents can have been put back to an earlier moment just before this process
- * read them, unnoticed by all controllers that are up. Workers show that by what former leaders had
- * sent them, so what the contents lack is denied only once the leader has heard those of all
- * machines, or once their leases have expired.
+ * Knows whether the store may have been rolled back just before this process read it, without any
+ * running controller having noticed. Workers reveal a rollback by tasks and tokens that former
+ * leaders sent them. So a user is told that a job was never accepted only once the leader has
+ * received reports from the workers of all machines, or once the workers' leases have expired.
  */
 public final class ContentsConfirmation {
   private final ControllerContext context;
 
-  /** When this process found an incarnation in the store; negative before. */
+  /** When this process first read an incarnation, in seconds of the steady clock; -1 before. */
   private double foundAt = -1;
 
   private boolean confirmed;
@@ -20,23 +20,23 @@
     this.context = context;
   }
 
-  /** The contents are known; what they held as this process first read them decides. */
+  /** Records whether the store held an incarnation; only the first call after the start counts. */
   void contentsKnown(boolean holdIncarnation) {
     boolean first = foundAt < 0 && !confirmed;
     if (first && holdIncarnation) {
       foundAt = context.clock().now();
     } else if (first) {
-      // Whatever they hold from now on comes after this process has started.
+      // Everything that is written from now on is written after the start of this process.
       confirmed = true;
     }
   }
 
-  /** The leader has heard the workers of all machines, and none contradicts the contents. */
+  /** Records that the workers of all machines have reported and none contradicts the contents. */
   public void confirm() {
     confirmed = true;
   }
 
-  /** Whether the contents were not put back before this process read them. */
+  /** Whether it is confirmed that the store was not rolled back before this process read it. */
   public boolean isConfirmed() {
     return confirmed
         || (foundAt >= 0
--- a/src/main/java/io/embernotch/incarnation/IncarnationAdopter.java
+++ b/src/main/java/io/embernotch/incarnation/IncarnationAdopter.java
@@ -8,9 +8,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes over the incarnation that the store holds, along with the snapshot that it began with. */
+/** Adopts the incarnation that the store holds, together with its base snapshot. */
 final class IncarnationAdopter {
-  /** Logs under the name of the tracker, of which this class is a part. */
+  /** Uses the name of the tracker, which this class is a part of. */
   private static final Logger LOG = LoggerFactory.getLogger(StoreIncarnationTracker.class);
 
   private final StoreClient store;
@@ -33,10 +33,11 @@
   }
 
   /**
-   * After a loss an incarnation that was begun since is taken over if it was made from ours, or if
-   * we know none, and so nothing that could be put in its place. The one that we knew, or one
-   * before it, is what was restored from an earlier moment; one that was begun without what we know
-   * is replaced by one with both.
+   * Whether an incarnation that the store holds after a data loss may be adopted. A successor of
+   * the known incarnation may. The known incarnation or a predecessor of it shows a rollback. Any
+   * other one began without what this controller knows, and is to be replaced by one that holds
+   * both. If no incarnation is known, this controller has nothing to replace the stored one with,
+   * and adopts it unless another controller has reported that it is lost.
    */
   boolean mayAdoptAfterLoss(StoreIncarnation stored) {
     StoreIncarnation known = knowledge.incarnation();
@@ -47,12 +48,12 @@
   }
 
   /**
-   * Takes over an incarnation, once its snapshot has been read.
+   * Adopts an incarnation after reading its base snapshot.
    *
-   * @param stored null if the store holds none
+   * @param stored the incarnation in the store; null if it holds none
    */
   void adopt(StoreIncarnation stored) {
-    // The snapshot of an incarnation that another controller has told of is not known here yet.
+    // The base snapshot of an incarnation that another controller has reported is not read yet.
     if (stored == null || (knowledge.isSame(stored) && !knowledge.isTold())) {
       settle(stored, knowledge.baseSnapshot());
       return;
@@ -68,7 +69,7 @@
             found -> {
               boolean heardToBeLost = knowledge.isUnread() && knowledge.isHeardToBeLost(stored);
               if (knowledge.losses() != lossesBefore || heardToBeLost) {
-                // What was read may be of contents that were lost meanwhile.
+                // The blocks may belong to contents that were lost meanwhile.
                 pointer.readLater();
                 return;
               }
@@ -81,7 +82,7 @@
         .onFailure(failure -> pointer.readLater());
   }
 
-  /** Missing blocks are an error, unless the contents were replaced after the pointer was read. */
+  /** Logs damaged blocks as an error, unless another incarnation has replaced them meanwhile. */
   private void reportUnusable(StoreIncarnation stored, String why) {
     store
         .get(IncarnationCodec.POINTER)
@@ -98,9 +99,10 @@
   }
 
   /**
-   * The store's contents are ours from now on, and every transaction conditions on the fence.
+   * Adopts an incarnation whose base snapshot is known; from now on every transaction conditions on
+   * its fence key.
    *
-   * @param incarnation null if the store holds none
+   * @param incarnation the incarnation; null if the store holds none
    */
   void settle(StoreIncarnation incarnation, BaseSnapshot baseSnapshot) {
     if (incarnation != null) {
--- a/src/main/java/io/embernotch/incarnation/IncarnationClaimer.java
+++ b/src/main/java/io/embernotch/incarnation/IncarnationClaimer.java
@@ -10,15 +10,15 @@
 import java.util.function.Supplier;
 
 /**
- * Adds to a claim to leadership what begins an incarnation, where one is to begin with it: when
- * there is none yet, after a loss of data, and when others have seen epochs that the present one
- * has not reached.
+ * Adds the operations that begin an incarnation to a claim to leadership. A claim begins an
+ * incarnation if there is none yet, after a data loss, and if an epoch was observed that the
+ * current incarnation has not reached.
  */
 final class IncarnationClaimer {
   /** Modification revision of an incarnation whose pointer is not written yet. */
   private static final long UNWRITTEN = 0;
 
-  /** Value of {@code since} for a snapshot that is as old as the incarnation itself. */
+  /** Value of {@code since} for a snapshot that was made when the incarnation began. */
   private static final long SINCE_BEGIN = 0;
 
   private final IncarnationKnowledge knowledge;
@@ -26,11 +26,11 @@
   private final StoreRestorer restorer;
   private final Supplier<String> names;
 
-  /** The incarnation that a claim under way begins; null if it goes on with the present one. */
+  /** The incarnation that the pending claim begins; null if it keeps the current one. */
   private StoreIncarnation claimed;
 
   /**
-   * @param names makes names that no other incarnation has
+   * @param names generates globally unique names
    */
   IncarnationClaimer(
       IncarnationKnowledge knowledge,
@@ -52,8 +52,8 @@
     StoredPointer replaced = pointer.latest();
     transaction.unfenced().when(IncarnationCodec.POINTER, replaced.modRevision());
     if (knowledge.isLost()) {
-      // If data was lost again since they were written, the blocks are missing: contents that hold
-      // the last one hold all.
+      // If data was lost again after the blocks were written, they are missing. The last block was
+      // written last, so a store that holds it holds all blocks.
       PreparedSnapshot prepared = restorer.prepared();
       transaction.when(
           IncarnationCodec.block(prepared.name(), prepared.blocks() - 1),
@@ -69,7 +69,11 @@
     return new Claim(claimed.name(), claimed.epochFloor(), graceS);
   }
 
-  /** The claim under way was made; the incarnation that it has begun, if it was to begin one. */
+  /**
+   * Records that the pending claim has succeeded, at this modification revision.
+   *
+   * @return the incarnation that the claim has begun; empty if it kept the current one
+   */
   Optional<StoreIncarnation> succeeded(long modRevision) {
     Optional<StoreIncarnation> begun =
         Optional.ofNullable(claimed).map(incarnation -> incarnation.at(modRevision));
@@ -77,19 +81,19 @@
     return begun;
   }
 
-  /** Whether a claim is under way that is to begin an incarnation. */
+  /** Whether a claim that begins an incarnation is pending. */
   boolean isClaiming() {
     return claimed != null;
   }
 
-  /** The claim under way is void; true if it was to begin an incarnation. */
+  /** Discards the pending claim; returns true if it was to begin an incarnation. */
   boolean discard() {
     boolean wasClaimed = claimed != null;
     claimed = null;
     return wasClaimed;
   }
 
-  /** The incarnation that is to begin; null if the present one goes on. */
+  /** The incarnation that the next claim begins; null if it keeps the current one. */
   private StoreIncarnation nextIncarnation() {
     if (knowledge.isLost()) {
       return restoredIncarnation(restorer.prepared());
@@ -125,7 +129,7 @@
         List.of());
   }
 
-  /** The same contents under another name, with epochs above all that anybody has seen. */
+  /** The same contents under another name, with epochs above every epoch that was observed. */
   private StoreIncarnation raisedIncarnation(StoreIncarnation present) {
     return new StoreIncarnation(
         names.get(),
@@ -139,8 +143,8 @@
   }
 
   /**
-   * The names that come before an incarnation that is begun after a loss: those that we knew, and
-   * whatever others knew and the store names besides.
+   * The predecessors of an incarnation that begins after a data loss: the lineage that this
+   * controller knows, the incarnations that other controllers knew, and the lineage in the store.
    */
   private List<String> predecessors(PreparedSnapshot prepared) {
     List<String> names =
--- a/src/main/java/io/embernotch/incarnation/IncarnationHost.java
+++ b/src/main/java/io/embernotch/incarnation/IncarnationHost.java
@@ -2,24 +2,31 @@
 
 import io.embernotch.snapshot.BaseSnapshot;
 
-/** Receives what becomes of the store incarnation, and tells what other controllers are heard. */
+/**
+ * The controller that a tracker runs in: receives events of the store incarnation and knows which
+ * other controllers are live.
+ */
 public interface IncarnationHost {
   /**
-   * The store holds our data.
+   * The tracker has adopted an incarnation: the store's contents are known to be intact.
    *
-   * @param baseSnapshot what the present incarnation began with
+   * @param baseSnapshot the snapshot that the incarnation began with
    */
   void incarnationSettled(BaseSnapshot baseSnapshot);
 
-  /** Whether every other controller has been heard from since this process started. */
+  /** Whether every other controller has sent a heartbeat since this process started. */
   boolean allPeersHeard();
 
   /**
-   * Whether this controller would have heard of a loss that others have noticed: it hears the
-   * leader or, while none is known, any other controller.
+   * Whether this controller would receive a report of a data loss that other controllers have
+   * detected: the leader is live or, while no leader is known, some other controller is.
    */
   boolean wouldHearOfLoss();
 
-  /** Data is lost: whoever is leader here stops. */
+  /**
+   * The store has lost data: this controller must stop leading.
+   *
+   * @param why the reason, for the log
+   */
   void dataLost(String why);
 }
--- a/src/main/java/io/embernotch/incarnation/IncarnationKnowledge.java
+++ b/src/main/java/io/embernotch/incarnation/IncarnationKnowledge.java
@@ -4,46 +4,47 @@
 import io.embernotch.snapshot.BaseSnapshot;
 import io.embernotch.store.StoreClient;
 
-/** What this controller knows of the store's incarnation, of its epochs and of losses of data. */
+/** What this controller knows of the store's incarnation, its epochs and data losses. */
 final class IncarnationKnowledge {
   /**
-   * Epochs are raised by so much over the highest that we know: others may have seen higher ones
-   * than we.
+   * Added to the highest known epoch when epochs are raised, since other controllers may have seen
+   * higher ones.
    */
   private static final long EPOCH_LEAP = 1L << 24;
 
   private enum State {
-    /** The pointer has not been read yet. */
+    /** This process has not read the incarnation from the store yet. */
     UNREAD,
-    /** The store's contents are the ones that we know. */
+    /** The store holds the known incarnation. */
     INTACT,
-    /** Data is lost, and no incarnation has begun since. */
+    /** Data is lost, and this controller has adopted no incarnation since. */
     LOST
   }
 
   private final StoreClient store;
   private State state = State.UNREAD;
 
-  /** The incarnation that we know; null if there was none yet. */
+  /** The known incarnation; null if none is known yet. */
   private StoreIncarnation incarnation;
 
   private BaseSnapshot baseSnapshot = BaseSnapshot.EMPTY;
 
-  /** The highest epoch that anybody here has seen. */
+  /** The highest epoch that this process has observed, the epochs of losses included. */
   private long highestEpoch;
 
-  /** The highest epoch of a leader that another controller has named. */
+  /** The highest epoch that another controller has reported for a leader. */
   private long highestLeaderEpoch;
 
-  /** The highest epoch by which another controller has told of a loss. */
+  /** The highest epoch that another controller has sent without naming a leader. */
   private long heardLossEpoch;
 
+  /** The epoch that identifies the last data loss. */
   private long lossEpoch;
 
-  /** Whether contents that this controller has seen itself are gone, by its own observation. */
+  /** Whether contents that this controller itself has read or written are lost. */
   private boolean lossSeen;
 
-  /** The highest revision that was seen before the loss. */
+  /** The highest revision that this process had seen before the last data loss. */
   private long revisionBeforeLoss;
 
   private int losses;
@@ -64,15 +65,16 @@
     return state == State.LOST;
   }
 
-  /** Whether the incarnation is known from another controller alone: nothing was read here yet. */
+  /** Whether the incarnation is known from other controllers only, not read from the store yet. */
   boolean isTold() {
     return isUnread() && hasIncarnation();
   }
 
   /**
-   * Another controller, which has read the store, tells which incarnation it held.
+   * Records the incarnation that another controller has read from the store, unless this controller
+   * has read the store itself.
    *
-   * @return whether that one has followed another which was told before
+   * @return whether that incarnation is a successor of one that was reported before
    */
   boolean observeTold(StoreIncarnation told) {
     boolean follows = isTold() && told.follows(incarnation);
@@ -82,12 +84,12 @@
     return follows;
   }
 
-  /** The highest revision seen of the incarnation that we know, which may be lost. */
+  /** The highest revision that was seen of the known incarnation, which may be lost. */
   long highestRevision() {
     return isLost() ? revisionBeforeLoss : store.highestRevisionSeen();
   }
 
-  /** The incarnation that we know; null if there was none yet. */
+  /** The known incarnation; null if none is known yet. */
   StoreIncarnation incarnation() {
     return incarnation;
   }
@@ -96,111 +98,112 @@
     return incarnation != null;
   }
 
-  /** The name of the incarnation that we know; "" if there was none yet. */
+  /** The name of the known incarnation; "" if none is known yet. */
   String name() {
     return incarnation == null ? "" : incarnation.name();
   }
 
-  /** What the incarnation began with. */
+  /** The snapshot that the known incarnation began with. */
   BaseSnapshot baseSnapshot() {
     return baseSnapshot;
   }
 
-  /** Added to a modification revision of the leader's key to get an epoch. */
+  /** The number that is added to the leader key's modification revision to get its epoch. */
   long epochFloor() {
     return incarnation == null ? 0 : incarnation.epochFloor();
   }
 
-  /** The highest epoch that these contents have reached, as far as we have seen them. */
+  /** The highest epoch that the contents have reached, as far as this process has seen them. */
   private long reachedEpoch() {
     return epochFloor() + store.highestRevisionSeen();
   }
 
-  /** Whether somebody has seen an epoch that these contents have not reached. */
+  /** Whether an epoch was observed that the contents have not reached. */
   boolean isBehind() {
     return highestEpoch > reachedEpoch();
   }
 
-  /** Whether an epoch is so high that only a controller that found data lost can name it. */
+  /** Whether an epoch is so high that only a controller that has detected data loss sends it. */
   boolean isLossEpoch(long epoch) {
     return epoch > reachedEpoch() + EPOCH_LEAP / 2;
   }
 
+  /** Records an epoch that some process has seen. */
   void observeEpoch(long epoch) {
     highestEpoch = Math.max(highestEpoch, epoch);
   }
 
-  /** Another controller names a leader of this epoch. */
+  /** Records the epoch that another controller reports for a leader. */
   void observeLeaderEpoch(long epoch) {
     observeEpoch(epoch);
     highestLeaderEpoch = Math.max(highestLeaderEpoch, epoch);
   }
 
-  /** The highest epoch of a leader that another controller has named. */
+  /** The highest epoch that another controller has reported for a leader. */
   long highestLeaderEpoch() {
     return highestLeaderEpoch;
   }
 
   /**
-   * Whether a leader has been named that led after the loss: another controller has begun the next
-   * incarnation, so the loss is not to be told any more and nothing is to be restored.
+   * Whether data is lost and a leader of a later incarnation was reported. Another controller has
+   * restored the store then, so this controller neither reports the loss nor restores anything.
    */
   boolean isLossOver() {
     return isLost() && highestLeaderEpoch > lossEpoch;
   }
 
-  /** Whether a leader has been named whose epoch these contents have not reached. */
+  /** Whether a leader was reported whose epoch the contents have not reached. */
   boolean isBehindLeader() {
     return highestLeaderEpoch > reachedEpoch();
   }
 
-  /** Whether these contents have not reached an epoch, as far as we have seen them. */
+  /** Whether the contents have not reached an epoch, as far as this process has seen them. */
   boolean isBefore(long epoch) {
     return epoch > reachedEpoch();
   }
 
-  /** Another controller names no leader; a high epoch tells of a loss. */
+  /** Records the epoch of a heartbeat that names no leader; a high epoch reports a data loss. */
   void observeLossEpoch(long epoch) {
     observeEpoch(epoch);
     heardLossEpoch = Math.max(heardLossEpoch, epoch);
   }
 
-  /** The highest epoch by which another controller has told of a loss. */
+  /** The highest epoch that another controller has sent without naming a leader. */
   long heardLossEpoch() {
     return heardLossEpoch;
   }
 
   /**
-   * Whether another controller has told that the contents with this incarnation are lost.
+   * Whether another controller has reported that the contents of this incarnation are lost.
    *
-   * @param other null if the store holds none
+   * @param other the incarnation in the store; null if there is none
    */
   boolean isHeardToBeLost(StoreIncarnation other) {
     return heardLossEpoch > (other == null ? 0 : other.epochFloor()) + EPOCH_LEAP / 2;
   }
 
-  /** An epoch floor above all epochs that anybody may have seen. */
+  /** An epoch floor above all epochs that any controller or worker may have seen. */
   long raisedEpochFloor() {
     return highestEpoch + EPOCH_LEAP;
   }
 
-  /** The epoch that tells others of the last loss. */
+  /** The epoch that identifies the last data loss. */
   long lossEpoch() {
     return lossEpoch;
   }
 
-  /** How often data was seen to be lost. */
+  /** Number of data losses that this process has recorded. */
   int losses() {
     return losses;
   }
 
   /**
-   * Data is lost. Returns false if it was lost already, and no incarnation has begun since.
+   * Records a data loss.
    *
-   * @param namedBy the epoch by which another controller tells of the loss; 0 if it was noticed
-   *     here, and gets a new one
-   * @param seen whether contents that this controller has seen itself are gone, by its own
-   *     observation
+   * @param namedBy the loss epoch that another controller has reported; 0 if this controller has
+   *     detected the loss, which then gets a new one
+   * @param seen whether contents that this controller itself has read or written are lost
+   * @return false if data was lost already and this controller has adopted no incarnation since
    */
   boolean recordLoss(long namedBy, boolean seen) {
     long reached = Math.max(reachedEpoch(), isLossOver() ? highestLeaderEpoch : 0);
@@ -213,8 +216,8 @@
     losses++;
     state = State.LOST;
     if (isAnother) {
-      // Named by what these contents have reached, not by what has been heard of later ones: else
-      // late news of this loss would pass for news of the next one.
+      // Derived from what the lost contents have reached, not from reported epochs of later ones.
+      // Otherwise a delayed report of this loss could be mistaken for a report of the next one.
       lossEpoch = namedBy > 0 ? namedBy : reached + EPOCH_LEAP;
       observeEpoch(lossEpoch);
     }
@@ -222,16 +225,16 @@
   }
 
   /**
-   * Whether contents that this controller has seen itself are gone, by its own observation. Else
-   * the loss may have come before all that it has seen, and so before a term that it has led.
+   * Whether contents that this controller itself has read or written are lost. If not, the loss may
+   * have happened before it first read the store, and so before a term that it has led.
    */
   boolean isLossSeen() {
     return lossSeen;
   }
 
   /**
-   * The store has reached this revision since the loss. Returns true if that shows for the first
-   * time that contents which this controller has seen are gone.
+   * Records the store's revision after a data loss. Returns true if it is the first proof that
+   * contents that this controller itself has read or written are lost.
    */
   boolean observeRevisionAfterLoss(long revision) {
     boolean shown = isLost() && !lossSeen && revision < revisionBeforeLoss;
@@ -240,10 +243,11 @@
   }
 
   /**
-   * The store's contents are known to be ours, of this incarnation.
+   * Records that the store holds this incarnation, and that its contents are intact.
    *
-   * @param settled null if there is none yet
-   * @return whether that was not known before
+   * @param settled the incarnation; null if the store holds none yet
+   * @param itsBaseSnapshot the snapshot that it began with
+   * @return whether the contents were not intact before, or the incarnation is another one
    */
   boolean settle(StoreIncarnation settled, BaseSnapshot itsBaseSnapshot) {
     boolean wasIntact = isIntact();
@@ -254,7 +258,7 @@
     return !wasIntact || changed;
   }
 
-  /** Whether this is the very incarnation that we know, at the same modification revision. */
+  /** Whether this is the known incarnation, at the same modification revision. */
   boolean isSame(StoreIncarnation other) {
     return incarnation != null
         && other != null
@@ -262,7 +266,11 @@
         && other.modRevision() == incarnation.modRevision();
   }
 
-  /** Whether the store with this incarnation, or null, is one that we know, or one made of it. */
+  /**
+   * Whether this is the known incarnation or a successor of it, or none is known yet.
+   *
+   * @param other the incarnation in the store; null if there is none
+   */
   boolean isOurs(StoreIncarnation other) {
     return incarnation == null || isSame(other) || (other != null && other.follows(incarnation));
   }
--- a/src/main/java/io/embernotch/incarnation/LossNews.java
+++ b/src/main/java/io/embernotch/incarnation/LossNews.java
@@ -1,15 +1,21 @@
 package io.embernotch.incarnation;
 
 /**
- * What controllers tell each other of losses of data. A loss is named by an epoch that no contents
- * from before the next incarnation can reach, and that the next one is above: so late news of a
- * loss that is over is told from news of another one.
+ * Exchanges reports of data loss with other controllers. Each data loss is identified by a loss
+ * epoch. The lost contents cannot reach the loss epoch, and all epochs of the next incarnation are
+ * above it. So a delayed report of a loss that is already restored is not mistaken for a report of
+ * a new one.
  */
 public final class LossNews {
-  /** Receives a loss that another controller tells of. */
+  /** Receives each data loss that another controller reports. */
   @FunctionalInterface
   interface Listener {
-    /** Data is lost; {@code lossEpoch} names the loss. */
+    /**
+     * Data is lost.
+     *
+     * @param why the reason, for the log
+     * @param lossEpoch the epoch that identifies the loss
+     */
     void dataLost(String why, long lossEpoch);
   }
 
@@ -18,7 +24,7 @@
   private final Runnable readPointer;
 
   /**
-   * @param readPointer reads which incarnation the store holds
+   * @param readPointer starts a read of the store's current incarnation
    */
   LossNews(IncarnationKnowledge knowledge, Listener listener, Runnable readPointer) {
     this.knowledge = knowledge;
@@ -26,28 +32,30 @@
     this.readPointer = readPointer;
   }
 
-  /** Whether data is lost, and no incarnation is known to have begun since: others are told. */
+  /** Whether data is lost and no later incarnation is known; the loss is reported until then. */
   public boolean isTold() {
     return knowledge.isLost() && !knowledge.isLossOver();
   }
 
   /**
-   * The epoch by which heartbeats tell other controllers of a loss: no contents from before the
-   * next incarnation can ever reach it, whatever is still written to them, and the next incarnation
-   * is above it. Fixed at the loss, so that controllers which hear of each other's do not drive it
-   * up.
+   * The epoch that identifies the loss in heartbeats to other controllers. The lost contents can
+   * never reach it, whatever is still written to them, and the epochs of the next incarnation are
+   * above it. It is fixed when the loss is detected; otherwise controllers would keep raising it
+   * above each other's.
    */
   public long lossEpoch() {
     return knowledge.lossEpoch();
   }
 
   /**
-   * A controller names a leader and its epoch. Without a leader, an epoch far above what these
-   * contents can have reached tells that it has found data lost. A leader must not go on then: only
-   * that follower may have seen the one change that is gone, and it would begin an incarnation
+   * Processes the heartbeat of another controller. A heartbeat that names no leader, with an epoch
+   * far above what the contents can have reached, reports a data loss. A leader must stop then: the
+   * sender may be the only controller that has seen the lost change, and would begin an incarnation
    * without what the leader knows.
    *
-   * @param leader null if that controller knows of none
+   * @param node the sender
+   * @param leader the leader that the sender knows; null if it knows none
+   * @param epoch the leader's epoch; without a leader, the loss epoch if the sender reports a loss
    */
   public void heartbeatReceived(String node, String leader, long epoch) {
     if (leader != null) {
@@ -56,22 +64,24 @@
     }
     boolean mightBeLost = knowledge.isIntact() && knowledge.hasIncarnation();
     if (mightBeLost && knowledge.isLossEpoch(epoch)) {
-      listener.dataLost(node + " says so", epoch);
+      listener.dataLost("reported by " + node, epoch);
     }
     knowledge.observeLossEpoch(epoch);
   }
 
   /**
-   * Another controller asks what is known here of contents that it has found lost.
+   * Processes a request of another controller for what this controller knows of lost contents.
    *
-   * @return false if that loss is over, as far as this controller knows
+   * @param node the requesting controller
+   * @param lossEpochThere the epoch that identifies the loss there
+   * @return false if this controller knows a later incarnation, so there is nothing to restore
    */
   public boolean lossHeard(String node, long lossEpochThere) {
     heartbeatReceived(node, null, lossEpochThere);
     return knowledge.isUnread() || isTold();
   }
 
-  /** Another controller knows of a later incarnation. */
+  /** Another controller knows a later incarnation: reads it from the store. */
   public void lossIsOver() {
     readPointer.run();
   }
--- a/src/main/java/io/embernotch/incarnation/LossSigns.java
+++ b/src/main/java/io/embernotch/incarnation/LossSigns.java
@@ -1,16 +1,16 @@
 package io.embernotch.incarnation;
 
-/** Signs of a loss of data that other parts of the controller come upon. */
+/** Accepts evidence of data loss that other parts of the controller find. */
 public final class LossSigns {
-  /** Receives a loss that a sign shows. */
+  /** Receives each detected data loss. */
   @FunctionalInterface
   interface Listener {
     /**
      * Data is lost.
      *
-     * @param why what shows it, for the log
-     * @param seen whether contents that this controller has seen itself are gone; else the loss may
-     *     have come before all that it has seen
+     * @param why the evidence, for the log
+     * @param seen whether contents that this controller itself has read or written are lost; if
+     *     not, the loss may have happened before it first read the store
      */
     void dataLost(String why, boolean seen);
   }
@@ -23,25 +23,25 @@
     this.listener = listener;
   }
 
-  /** A job that is known to have been accepted is not there. */
+  /** Reports that the store does not hold a job that is known to have been accepted. */
   public void acceptedJobMissing(String ref) {
     if (knowledge.isIntact()) {
-      listener.dataLost("job " + ref + ", which was accepted, is not there", true);
+      listener.dataLost("job " + ref + " was accepted but is missing", true);
     }
   }
 
   /**
-   * The present incarnation began without something that users were told: it is taken for lost too,
-   * so that the next one begins with all that is known.
+   * Reports that the current incarnation began without jobs or ends of jobs that this controller
+   * knows. That counts as another data loss, so that the next incarnation begins with all of them.
    */
   public void contentsLackKnown() {
-    listener.dataLost("it began without what was told here", true);
+    listener.dataLost("it lacks jobs or ends of jobs that this controller knows", true);
   }
 
   /**
-   * The contents had been put back to an earlier moment before this controller read them.
+   * Reports that the store was rolled back before this controller first read it.
    *
-   * @param why what shows it, for the log
+   * @param why the evidence, for the log
    */
   public void contentsPutBack(String why) {
     if (knowledge.isIntact()) {
--- a/src/main/java/io/embernotch/incarnation/PointerReader.java
+++ b/src/main/java/io/embernotch/incarnation/PointerReader.java
@@ -13,9 +13,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reads the pointer to the present incarnation, one read at a time, and again if that fails. */
+/** Reads the pointer to the current incarnation, one read at a time, and retries failed reads. */
 final class PointerReader {
-  /** Logs under the name of the tracker, of which this class is a part. */
+  /** Uses the name of the tracker, which this class is a part of. */
   private static final Logger LOG = LoggerFactory.getLogger(StoreIncarnationTracker.class);
 
   private final StoreClient store;
@@ -29,12 +29,16 @@
   private boolean reading;
   private boolean retryScheduled;
 
-  /** When the store began to answer these reads again; never if the last one failed. */
+  /**
+   * When the store began to answer all reads, in seconds of the steady clock; infinite if the last
+   * read failed.
+   */
   private double answersSince = Double.POSITIVE_INFINITY;
 
   /**
-   * @param lost whether data is lost; the pointer is then read again and again
-   * @param listener receives what each read found
+   * @param retryS seconds between a failed read and the next one
+   * @param lost whether data is lost; the pointer is then polled
+   * @param listener receives the pointer after each successful read
    */
   PointerReader(
       StoreClient store,
@@ -51,32 +55,32 @@
     this.listener = listener;
   }
 
-  /** What was last read or written. */
+  /** The pointer as it was last read or written. */
   StoredPointer latest() {
     return latest;
   }
 
-  /** This node has written the pointer. */
+  /** Records that this node has written the pointer. */
   void written(StoreIncarnation incarnation) {
     latest = new StoredPointer(incarnation.modRevision(), incarnation);
   }
 
-  /** Whether the pointer has been read since data was last seen to be lost. */
+  /** Whether the pointer has been read since the last data loss was detected. */
   boolean hasReadSinceLoss() {
     return readSinceLoss;
   }
 
-  /** Seconds for which the store has answered all reads; not above 0 if the last one failed. */
+  /** Seconds for which the store has answered all reads; 0 or less if the last read failed. */
   double answersForS() {
     return clock.now() - answersSince;
   }
 
-  /** Data was seen to be lost: what was read before does not count. */
+  /** Records that data is lost: earlier reads are out of date. */
   void invalidate() {
     readSinceLoss = false;
   }
 
-  /** Reads the pointer, unless a read is under way. */
+  /** Reads the pointer, unless a read is in progress. */
   void read() {
     if (reading) {
       return;
@@ -85,7 +89,7 @@
     store.get(IncarnationCodec.POINTER).onComplete(this::readCompleted);
   }
 
-  /** Reads the pointer after the time for a retry. */
+  /** Schedules a read after the retry delay, unless one is scheduled. */
   void readLater() {
     if (retryScheduled) {
       return;
@@ -114,7 +118,7 @@
     }
   }
 
-  /** The pointer that an entry holds; without an incarnation if it can't be read. */
+  /** Parses the pointer's entry; the result has no incarnation if the value is malformed. */
   static StoredPointer parse(VersionedEntry entry) {
     StoreIncarnation incarnation = null;
     try {
--- a/src/main/java/io/embernotch/incarnation/PreparedSnapshot.java
+++ b/src/main/java/io/embernotch/incarnation/PreparedSnapshot.java
@@ -4,13 +4,14 @@
 import java.util.List;
 
 /**
- * A snapshot that lies in the store as blocks, ready for an incarnation to begin with it.
+ * A snapshot whose blocks are in the store, ready for an incarnation to begin with it.
  *
- * @param name the incarnation's name to be, under which the blocks lie
+ * @param name name of the blocks, and of the incarnation that is to begin
+ * @param snapshot the contents
  * @param incarnations names of incarnations that other controllers knew, whose contents it holds
  * @param blocks number of blocks
  * @param crc checksum over all blocks
- * @param lastModRevision modification revision of the last block
+ * @param lastModRevision modification revision of the last block; 0 while none is written
  */
 record PreparedSnapshot(
     String name,
--- a/src/main/java/io/embernotch/incarnation/RemainsReader.java
+++ b/src/main/java/io/embernotch/incarnation/RemainsReader.java
@@ -12,15 +12,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads what a store that has lost data still holds: the keys of whichever incarnation is left, and
- * the snapshot that it began with, beneath them.
+ * Reads the remaining contents of a store that has lost data: the keys of the incarnation that it
+ * holds now, and that incarnation's base snapshot.
  */
 final class RemainsReader {
   private static final Logger LOG = LoggerFactory.getLogger(RemainsReader.class);
 
   private RemainsReader() {}
 
-  /** What is left, as a snapshot that is not complete; fails as the first read that fails does. */
+  /** Reads the remaining contents as a snapshot; the future fails if any read of a key fails. */
   static Future<ClusterSnapshot> read(StoreClient store) {
     return store
         .get(IncarnationCodec.POINTER)
@@ -50,7 +50,8 @@
               try {
                 return BaseSnapshotReader.read(pointer.incarnation(), found.events());
               } catch (MalformedInputException e) {
-                LOG.warn("the snapshot beneath what is left can't be read: {}", e.getMessage());
+                LOG.warn(
+                    "cannot read the base snapshot of the remaining contents: {}", e.getMessage());
                 return BaseSnapshot.EMPTY;
               }
             });
--- a/src/main/java/io/embernotch/incarnation/StoreAnswerPolicy.java
+++ b/src/main/java/io/embernotch/incarnation/StoreAnswerPolicy.java
@@ -3,7 +3,10 @@
 import io.embernotch.context.ControllerContext;
 import io.vertx.core.Future;
 
-/** What may be told to users from the store alone, which may have lost data unnoticed. */
+/**
+ * Decides which answers to users may be based on the store alone. The store may have lost data
+ * without this controller having noticed.
+ */
 public final class StoreAnswerPolicy {
   private final ControllerContext context;
   private final IncarnationHost host;
@@ -15,7 +18,7 @@
   private final double silentS;
 
   /**
-   * @param silentS seconds after the start for which nothing is told from the store alone
+   * @param silentS seconds after the start in which no answer may be based on the store alone
    */
   StoreAnswerPolicy(
       ControllerContext context,
@@ -35,10 +38,10 @@
   }
 
   /**
-   * Whether an end that the store holds may be told: ends are final, so also one in contents that
-   * were put back is true. A process that was just started can't tell contents that were restored
-   * from an earlier moment from present ones; after two leases whoever was up before has found that
-   * out.
+   * Whether the end of a job that the store holds may be reported. Ends are final, so one in a
+   * store that was rolled back is still correct. A process that was just started cannot detect that
+   * the store was rolled back; controllers that were running before detect it within two leader
+   * leases.
    */
   public boolean mayTellEnds() {
     return incarnations.isIntact()
@@ -47,9 +50,10 @@
   }
 
   /**
-   * Whether it may be told that a job has not ended, or was never accepted, as the store alone said
-   * it before this call. This controller may have seen no later revision than contents that were
-   * put back show; the leader has, and is heard, or shows by its next heartbeat in the store.
+   * Whether a user may be told that a job has not ended or was never accepted, if that was read
+   * from the store before this call. This controller may not have seen a later revision than a
+   * store that was rolled back shows. The leader has: either this controller receives its
+   * heartbeats, or the leader's next heartbeat in the store proves that nothing was lost.
    */
   public Future<Boolean> mayTellUnended() {
     Future<Boolean> proven =
@@ -60,9 +64,9 @@
   }
 
   /**
-   * Whether a job that neither the store nor the snapshot of its incarnation holds was never
-   * accepted. False if it may have been accepted before a loss of which nobody knew all, or nobody
-   * may know yet.
+   * Whether a job that is neither in the store nor in the base snapshot of its incarnation was
+   * never accepted. False if the job may have been accepted before a data loss that was restored
+   * incompletely or that no controller has detected yet.
    */
   public boolean mayDenyJobs() {
     return !knowledge.baseSnapshot().jobsMissing() && confirmation.isConfirmed();
--- a/src/main/java/io/embernotch/incarnation/StoreHeartbeatReader.java
+++ b/src/main/java/io/embernotch/incarnation/StoreHeartbeatReader.java
@@ -10,20 +10,20 @@
 import java.util.List;
 
 /**
- * Waits for heartbeats of the leader in the store, on behalf of answers that need a proof that the
- * contents are present ones. All that wait share the reads. Owned by the controller's event loop.
+ * Waits for the leader's next heartbeat in the store, which proves that the store was not rolled
+ * back. All waiters share the reads. Owned by the controller's event loop.
  */
 final class StoreHeartbeatReader {
-  /** So often the heartbeat is read in a heartbeat interval, while somebody waits for one. */
+  /** Reads of the heartbeat in a heartbeat interval while there are waiters. */
   private static final double READS_PER_HEARTBEAT = 24;
 
-  /** A heartbeat is waited for during a heartbeat interval divided by this: users wait 2 s. */
+  /** The heartbeat interval divided by this is the timeout; a user's request waits 2 s at most. */
   private static final double WAITS_PER_HEARTBEAT = 4;
 
-  /** The modification revision of a heartbeat that was not read yet. */
+  /** In place of a modification revision: the heartbeat has not been read yet. */
   private static final long UNREAD = -1;
 
-  /** Somebody who waits for a heartbeat that is written after the first one that is read. */
+  /** Waits for a heartbeat that is written after the first one that it reads. */
   private static final class Waiter {
     final Promise<Boolean> proven = Promise.promise();
     final String incarnation;
@@ -46,10 +46,11 @@
   }
 
   /**
-   * Whether the leader has written a heartbeat after this call, to contents that hold all that it
-   * has seen; false if none comes in time.
+   * Waits for a heartbeat that the leader writes after this call. The result is true if that
+   * heartbeat proves that the store holds everything that the leader has seen. It is false if it
+   * does not, or if no heartbeat appears before the timeout. The future does not fail.
    *
-   * @param incarnation name of the store incarnation that was read
+   * @param incarnation name of the store incarnation that the caller has read
    */
   Future<Boolean> next(String incarnation) {
     double deadline = context.clock().now() + heartbeatIntervalS / WAITS_PER_HEARTBEAT;
@@ -79,8 +80,8 @@
   }
 
   /**
-   * Whether the contents that a heartbeat was written to hold all that its writer had seen. In
-   * another incarnation it says nothing of what was read in this one.
+   * Whether the store held everything that the leader had seen when the heartbeat was written. A
+   * heartbeat of another incarnation proves nothing about what was read in this one.
    */
   private static boolean provesCurrent(VersionedEntry heartbeat, String incarnation) {
     try {
--- a/src/main/java/io/embernotch/incarnation/StoreHeartbeatWriter.java
+++ b/src/main/java/io/embernotch/incarnation/StoreHeartbeatWriter.java
@@ -10,12 +10,13 @@
 import java.util.function.Supplier;
 
 /**
- * The leader's heartbeat in the store, for controllers that do not hear the leader. It holds the
- * highest revision that the leader has seen, which no contents from before that revision can match.
- * Owned by the controller's event loop.
+ * Writes the leader's heartbeat to the store, for controllers that receive no heartbeats from the
+ * leader over the network. The heartbeat holds the highest revision that the leader has seen. If
+ * the store was rolled back to before that revision, the heartbeat's own modification revision is
+ * not above it. Owned by the controller's event loop.
  */
 public final class StoreHeartbeatWriter {
-  /** So many are written in a heartbeat interval, while some controller is not heard. */
+  /** Heartbeats written in a heartbeat interval while some other controller is not live. */
   private static final double WRITES_PER_HEARTBEAT = 6;
 
   private final ControllerContext context;
@@ -25,11 +26,11 @@
   private final double periodS;
 
   /**
-   * A writer that writes nothing before {@link #start}.
+   * Creates a writer that is idle until {@link #start}.
    *
-   * @param leaderKey modification revision of the leader key while this node leads
-   * @param incarnation name of the present store incarnation
-   * @param needed whether some other controller may not hear this one
+   * @param leaderKey modification revision of the leader key; empty while this node does not lead
+   * @param incarnation name of the current store incarnation
+   * @param needed whether some other controller may not receive this controller's heartbeats
    */
   public StoreHeartbeatWriter(
       ControllerContext context,
@@ -43,7 +44,7 @@
     this.periodS = context.settings().workers().heartbeatIntervalS() / WRITES_PER_HEARTBEAT;
   }
 
-  /** Begins; called once. */
+  /** Starts the periodic writes; call it once. */
   public void start() {
     if (needed.getAsBoolean()) {
       leaderKey.get().ifPresent(this::write);
--- a/src/main/java/io/embernotch/incarnation/StoreIncarnationTracker.java
+++ b/src/main/java/io/embernotch/incarnation/StoreIncarnationTracker.java
@@ -13,21 +13,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Tracks which incarnation of the store's contents this controller knows, and whether what is there
- * now is that one. Nothing is written but on condition of the incarnation's key, nobody leads while
- * the contents are not ours, and what they lack is not denied.
+ * Tracks which incarnation of the store's contents this controller knows, and whether the store
+ * still holds it. Every write conditions on the incarnation's fence key. While the contents are not
+ * intact, this node does not lead, and no user is told that a job was never accepted.
  *
- * <p>A loss is noticed by a revision that falls, by the incarnation's key that is not there, or by
- * another incarnation in its place that was not made from ours. An incarnation that was made from
- * ours is taken over.
+ * <p>Data is lost if the store's revision falls, if the incarnation's key is missing, or if the
+ * store holds another incarnation that is not a successor. A successor is adopted instead.
  */
 public final class StoreIncarnationTracker implements StoreClient.LossListener, Candidacy {
   private static final Logger LOG = LoggerFactory.getLogger(StoreIncarnationTracker.class);
 
-  /** The pointer is read again after the leader's lease divided by this. */
+  /** The pointer is reread after the leader's lease divided by this. */
   private static final double READS_PER_LEASE = 4;
 
-  /** In place of an epoch: a loss that is noticed here, and that nobody has told of. */
+  /** In place of a loss epoch: this controller has detected the loss, no other has reported it. */
   private static final long UNNAMED = 0;
 
   private final ControllerContext context;
@@ -45,22 +44,19 @@
   private final ToldIncarnation toldIncarnation;
   private final ContentsConfirmation confirmation;
 
-  /**
-   * The snapshot that the present incarnation was begun with, if this node's next term is its first
-   * one; else null.
-   */
+  /** The snapshot of the incarnation that this node's next term begins; null if it begins none. */
   private ClusterSnapshot initialSnapshot;
 
-  /** As the pointer was read last, after a loss that is over: the highest epoch heard of then. */
+  /** Highest reported leader epoch when the pointer was last read, after another node's restore. */
   private long overAtLastRead;
 
-  /** The leader is of a version that knows no incarnations. */
+  /** Whether the leader runs a version without support for incarnations. */
   private boolean legacyLeaderPresent;
 
   /**
-   * A tracker that becomes the store's loss listener, and reads nothing before {@link #start}.
+   * Creates a tracker and registers it as the store's loss listener; idle until {@link #start}.
    *
-   * @param leaseTtlS time to live of a leader's lease in seconds
+   * @param leaseTtlS time to live of a leader's lease, in seconds
    */
   public StoreIncarnationTracker(
       ControllerContext context,
@@ -95,65 +91,64 @@
     context.store().setLossListener(this);
   }
 
-  /** Begins to find out which incarnation the store holds. */
+  /** Starts to read which incarnation the store holds. */
   public void start() {
     pointer.read();
   }
 
   /**
-   * Whether the contents are known to be ours, so that what they lack was never there. A process
-   * that is started into contents without an incarnation knows nothing of them, unless a version
-   * before incarnations leads.
+   * Whether the store's contents are known to be intact. Without an incarnation, a process that was
+   * just started cannot know that, unless a leader without support for incarnations leads.
    */
   public boolean isIntact() {
     return knowledge.isIntact()
         && (knowledge.hasIncarnation() || (legacyLeaderPresent && !knowledge.isBehind()));
   }
 
-  /** What controllers tell each other of losses. */
+  /** Exchanges reports of data loss with other controllers. */
   public LossNews lossNews() {
     return lossNews;
   }
 
-  /** What controllers tell each other of the incarnation that the store holds. */
+  /** Exchanges the store's incarnation with other controllers. */
   public ToldIncarnation toldIncarnation() {
     return toldIncarnation;
   }
 
-  /** Whether the contents can have been put back just before this process read them. */
+  /** Knows whether the store may have been rolled back just before this process read it. */
   public ContentsConfirmation confirmation() {
     return confirmation;
   }
 
-  /** What may be told from the store alone. */
+  /** Decides which answers to users may be based on the store alone. */
   public StoreAnswerPolicy answerPolicy() {
     return answerPolicy;
   }
 
-  /** Receives signs of a loss that other parts of the controller come upon. */
+  /** Accepts evidence of data loss that other parts of the controller find. */
   public LossSigns lossSigns() {
     return lossSigns;
   }
 
-  /** How often data was seen to be lost by this process. */
+  /** Number of data losses that this process has recorded. */
   public int losses() {
     return knowledge.losses();
   }
 
-  /** The name of the present incarnation; "" if there is none. */
+  /** The name of the known incarnation; "" if none is known yet. */
   public String name() {
     return knowledge.name();
   }
 
-  /** What the present incarnation began with. */
+  /** The snapshot that the known incarnation began with. */
   public BaseSnapshot base() {
     return knowledge.baseSnapshot();
   }
 
   /**
-   * What the store held when the term that follows began, if that began the incarnation: for as
-   * long as the leader has not read the store it knows no more than this. Given once; null if
-   * others may have written since.
+   * Returns and clears the snapshot of the incarnation that this node's next term begins. Until the
+   * leader has read the store it knows nothing else of the contents. Null if the term begins none,
+   * so that other controllers may have written before it.
    */
   public ClusterSnapshot takeInitialSnapshot() {
     ClusterSnapshot taken = initialSnapshot;
@@ -161,7 +156,7 @@
     return taken;
   }
 
-  /** Another has seen so high an epoch; the next leader's is to be above it. */
+  /** Records an epoch that another process has seen; the next leader's epoch will be above it. */
   public void observeEpoch(long epoch) {
     knowledge.observeEpoch(epoch);
   }
@@ -175,9 +170,9 @@
   }
 
   /**
-   * A leader verifies now and then that the contents are still ours.
+   * Checks that the store still holds the known contents; a leader calls this periodically.
    *
-   * @param leaderModRevision modification revision of its key
+   * @param leaderModRevision modification revision of the leader key
    */
   public void probe(long leaderModRevision) {
     if (isProbed()) {
@@ -192,7 +187,7 @@
     }
   }
 
-  /** Whether there is an incarnation that is believed to be intact, and might be lost. */
+  /** Whether an incarnation is known and considered intact, so that a check may detect its loss. */
   private boolean isProbed() {
     return knowledge.isIntact() && knowledge.hasIncarnation();
   }
@@ -212,16 +207,16 @@
   @Override
   public void leaderKeyOrphaned(String holder) {
     if (knowledge.isIntact()) {
-      dataLost("the leader key names " + holder + ", and its lease is gone", UNNAMED);
+      dataLost("the leader key names " + holder + ", but its lease has ended", UNNAMED);
     }
   }
 
-  /** {@code namedBy}: the epoch by which another controller tells of the loss, or unnamed. */
+  /** {@code namedBy}: the loss epoch that another controller has reported, or none. */
   private void dataLost(String why, long namedBy) {
     dataLost(why, namedBy, namedBy == UNNAMED);
   }
 
-  /** {@code seen}: whether contents that this controller has seen itself are gone. */
+  /** {@code seen}: whether contents that this controller has seen are lost. */
   private void dataLost(String why, long namedBy, boolean seen) {
     double noticedAt = context.clock().now();
     boolean first = knowledge.recordLoss(namedBy, seen);
@@ -240,7 +235,7 @@
     pointer.read();
   }
 
-  /** A lower revision than was seen before shows that what this node may have led is lost. */
+  /** Checks whether the store's revision proves that contents that this node has seen are lost. */
   private void observeRevision(double noticedAt) {
     context
         .store()
@@ -258,44 +253,45 @@
     ClusterSnapshot kept =
         knowledge.isUnread() && stored == null ? source.newestStoredSnapshot() : null;
     if (kept != null) {
-      dataLost("it holds no era, and there is a snapshot of epoch " + kept.getEpoch(), UNNAMED);
+      dataLost(
+          "it has no incarnation, but there is a snapshot of epoch " + kept.getEpoch(), UNNAMED);
     } else if (knowledge.isLost()) {
       pointerReadAfterLoss(stored);
     } else if (knowledge.isUnread() && knowledge.isHeardToBeLost(stored)) {
-      dataLost("another controller says so", knowledge.heardLossEpoch());
+      dataLost("reported by another controller", knowledge.heardLossEpoch());
     } else if (knowledge.isOurs(stored)) {
       adopter.adopt(stored);
     } else {
       dataLost(
           stored == null
-              ? "era " + name() + " is not there"
-              : "era " + stored.name() + " is there, not " + name(),
+              ? "incarnation " + name() + " is missing"
+              : "it holds incarnation " + stored.name() + " instead of " + name(),
           UNNAMED);
     }
   }
 
-  /** Whether another controller has begun the next incarnation; {@code stored} may be null. */
+  /** Whether {@code stored}, which may be null, is an incarnation that began after the loss. */
   private boolean isNextIncarnation(StoreIncarnation stored) {
     return stored != null && adopter.mayAdoptAfterLoss(stored);
   }
 
   /**
-   * Takes the next incarnation over; if that has been heard of and is not there, it is lost too.
+   * Adopts the next incarnation. If a leader of it was reported and it is missing, it is lost too.
    */
   private void pointerReadAfterLoss(StoreIncarnation stored) {
     if (isNextIncarnation(stored)) {
       adopter.adopt(stored);
     } else if (knowledge.isLossOver()) {
-      // A read that was sent before the incarnation was heard of proves nothing, so it takes two.
+      // A read that was sent before the report of the leader proves nothing, so two are needed.
       if (overAtLastRead == knowledge.highestLeaderEpoch()) {
-        dataLost("an era after the loss was heard of, and is not there", UNNAMED);
+        dataLost("the incarnation of a reported later leader is missing", UNNAMED);
       } else {
         overAtLastRead = knowledge.highestLeaderEpoch();
       }
     }
   }
 
-  // ---- the terms of a claim to leadership
+  // ---- claims to leadership
 
   @Override
   public boolean mayClaim() {
@@ -342,7 +338,7 @@
     }
     pointer.read();
     if (knowledge.isLost()) {
-      // The blocks are lost too, or somebody has begun an incarnation, which needs none of ours.
+      // Either the blocks are lost too, or another controller has begun an incarnation.
       restorer.begin(context.clock().now());
     }
   }
--- a/src/main/java/io/embernotch/incarnation/StoreRestorer.java
+++ b/src/main/java/io/embernotch/incarnation/StoreRestorer.java
@@ -16,61 +16,62 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes a snapshot of what was lost into the store, as blocks under a name that no incarnation has
- * had, so that nothing there can be taken for part of another snapshot. It counts only once an
- * incarnation is begun with it.
+ * Writes a snapshot of the lost contents to the store. The snapshot is split into blocks under a
+ * new unique name, so that no block can be mistaken for part of another snapshot. It takes effect
+ * only when an incarnation begins with it.
  */
 public final class StoreRestorer {
   private static final Logger LOG = LoggerFactory.getLogger(StoreRestorer.class);
 
-  /** Others than the former leader wait for a worker's lease divided by this. */
+  /** Controllers that did not lead last wait for a worker's lease divided by this. */
   private static final double FORMER_LEADER_ADVANTAGE_DIVISOR = 3;
 
-  /** A read that failed is tried again after the leader's lease divided by this. */
+  /** Reads are retried after the leader's lease divided by this. */
   private static final double READ_RETRIES_PER_LEASE = 4;
 
-  /** A write that failed is tried again after the leader's lease divided by this. */
+  /** Failed writes are retried after the leader's lease divided by this. */
   private static final double WRITE_RETRIES_PER_LEASE = 16;
 
-  /** A block takes so many bytes of a transaction besides its base64. */
+  /** Bytes that a block takes in a transaction in addition to its base64. */
   private static final int BYTES_PER_BLOCK = 200;
 
   private static final int BYTES_PER_KB = 1024;
 
   private static final long MS_PER_S = 1000;
 
-  /** Where the snapshot comes from. */
+  /** Provides the lost contents. */
   public interface Source {
     /**
-     * The state of the term that this node has led, if it is proven without asking anybody that
-     * nobody has led since: the lease of the term could be proven when the loss was noticed.
+     * The state at the end of the term that this node led last, if that is provably the last term
+     * of all controllers: its lease was still valid when the data loss was detected. Asks no other
+     * controller. Empty if there is no such proof.
      *
-     * @param noticedAt when that was, by the steady clock
+     * @param noticedAt when the data loss was detected, in seconds of the steady clock
      */
     Optional<ClusterSnapshot> lastLeaderState(double noticedAt);
 
     /**
-     * Puts together what this node and all others that answer know; completes within a bounded time
-     * and does not fail.
+     * Merges what this controller knows with what all controllers that answer know. Completes
+     * within a bounded time and does not fail.
      *
-     * @param lossEpoch the epoch that names the loss
+     * @param lossEpoch the epoch that identifies the data loss
      */
     Future<RestorableState> gather(long lossEpoch);
 
-    /** The newest snapshot file that may be used; null if there is none. Blocks. */
+    /** The newest usable snapshot file; null if there is none. Blocks the calling thread. */
     ClusterSnapshot newestStoredSnapshot();
   }
 
   /**
-   * What is known of the contents that were lost.
+   * What the controllers know of the lost contents.
    *
    * @param state all jobs with their progress
-   * @param fromLastLeader whether it is of the leader that led last, by proof, so that no start is
-   *     missing from it
-   * @param highestEpoch highest epoch of a leader that anybody who answered has seen or heard of
-   * @param incarnations names of the store incarnations that the others knew
-   * @param mayImprove whether others may soon know more, or put back more themselves: somebody has
-   *     not answered, or may have led last
+   * @param fromLastLeader whether the state is provably that of the last leader, so that no start
+   *     of a task is missing from it
+   * @param highestEpoch highest epoch of a leader that any controller that answered has observed
+   * @param incarnations names of the store incarnations that other controllers knew
+   * @param mayImprove whether a later attempt may yield more, or another controller may restore
+   *     more itself: some controller has not answered, or may have led last
    */
   public record RestorableState(
       ClusterSnapshot state,
@@ -85,18 +86,18 @@
   private final IncarnationKnowledge knowledge;
   private final DoubleSupplier storeAnswersForS;
 
-  /** Null while no snapshot lies in the store. */
+  /** The snapshot in the store that an incarnation may begin with; null while there is none. */
   private PreparedSnapshot prepared;
 
-  /** The snapshot is of the leader that led last, and that was this node. */
+  /** Whether this node led last, so that the snapshot is of its own term. */
   private boolean wasLeader;
 
-  /** Attempts are numbered: a later one ends those before it. */
+  /** Number of the latest attempt to restore; a new attempt cancels all earlier ones. */
   private int latestAttempt;
 
   /**
-   * @param leaseTtlS time to live of a leader's lease in seconds
-   * @param knowledge tells whether data is still lost
+   * @param leaseTtlS time to live of a leader's lease, in seconds
+   * @param knowledge knows whether data is still lost
    * @param storeAnswersForS seconds for which the store has answered without a failure
    */
   StoreRestorer(
@@ -112,21 +113,25 @@
     this.storeAnswersForS = storeAnswersForS;
   }
 
-  /** The snapshot that an incarnation may be begun with; null while none is there. */
+  /** The snapshot that an incarnation may begin with; null while there is none. */
   PreparedSnapshot prepared() {
     return prepared;
   }
 
-  /** Seconds for which a leader from before the loss may count itself leader after a claim. */
+  /**
+   * Seconds after a claim for which a leader from before the data loss may still consider its lease
+   * valid.
+   */
   double formerLeaderGraceS() {
     return wasLeader ? 0 : leaseTtlS * (1 + 2 * Settings.DRIFT);
   }
 
   /**
-   * Data was lost. Whoever is proven to have led last goes first: it knows of every start. Anybody
-   * else asks all others, and goes on with what is known together.
+   * Starts an attempt to restore the lost contents, and cancels earlier attempts. If this node
+   * provably led last, it restores its own state at once, since that includes every start of a
+   * task. Otherwise it asks all other controllers and restores the merged state.
    *
-   * @param noticedAt when the loss was noticed, by the steady clock
+   * @param noticedAt when the data loss was detected, in seconds of the steady clock
    */
   void begin(double noticedAt) {
     prepared = null;
@@ -141,7 +146,7 @@
     }
   }
 
-  /** Ends the present attempt, if there is one: an incarnation has begun. */
+  /** Ends the current attempt, if there is one, since an incarnation has begun. */
   void finish() {
     latestAttempt++;
     prepared = null;
@@ -151,9 +156,12 @@
     return attempt == latestAttempt && knowledge.isLost() && !knowledge.isLossOver();
   }
 
-  /** The others may have accepted jobs that they could not make known to the leader in time. */
+  /**
+   * Restores the state that this node had as the last leader. Adds jobs that other controllers
+   * accepted and could not announce to the leader before the data loss.
+   */
   private void restoreLastLeader(int attempt, ClusterSnapshot state) {
-    LOG.info("the state that this node had as leader of epoch {} is restored", state.getEpoch());
+    LOG.info("restoring the state that this node had as leader of epoch {}", state.getEpoch());
     source
         .gather(knowledge.lossEpoch())
         .onSuccess(
@@ -170,12 +178,12 @@
             })
         .onFailure(
             failure -> {
-              LOG.error("what the others know can't be used: {}", failure.toString());
+              LOG.error("cannot use what the other controllers know: {}", failure.toString());
               prepare(attempt, state, List.of());
             });
   }
 
-  /** Asks all others, again and again until nothing can be gained by it or {@code until}. */
+  /** Asks all other controllers repeatedly, until their state is complete or {@code until}. */
   private void gather(int attempt, double until) {
     if (isCurrent(attempt)) {
       source
@@ -186,19 +194,19 @@
   }
 
   /**
-   * A controller that was cut off or paused through all the time for which it waits for others is
-   * to hear first what has become of them meanwhile.
+   * Whether the store has only just begun to answer again. A controller that was isolated or paused
+   * while it was to wait for the others must first find out whether they have restored the store.
    */
   private boolean isBackTooShortly() {
     return storeAnswersForS.getAsDouble() < context.settings().workers().heartbeatIntervalS();
   }
 
   private void gatherAgain(int attempt, double until, Throwable failure) {
-    LOG.error("what is known can't be put together: {}", failure.toString());
+    LOG.error("cannot merge what the controllers know: {}", failure.toString());
     context.timers().after(leaseTtlS / READ_RETRIES_PER_LEASE, () -> gather(attempt, until));
   }
 
-  /** Until when others may still answer, or restore the store themselves. */
+  /** When to stop waiting for other controllers to answer or to restore the store themselves. */
   private double patientUntil() {
     double patienceS = context.settings().workers().leaseS() / FORMER_LEADER_ADVANTAGE_DIVISOR;
     return context.clock().now() + patienceS;
@@ -211,7 +219,8 @@
     if (gathered.fromLastLeader()) {
       wasLeader = true;
       LOG.info(
-          "all others confirm that nobody has led since epoch {}", gathered.state().getEpoch());
+          "all other controllers confirm that nobody has led since epoch {}",
+          gathered.state().getEpoch());
       prepare(attempt, gathered.state(), gathered.incarnations());
     } else if (gathered.mayImprove() && (context.clock().now() < until || isBackTooShortly())) {
       context.timers().after(leaseTtlS / READ_RETRIES_PER_LEASE, () -> gather(attempt, until));
@@ -224,8 +233,8 @@
       int attempt, ClusterSnapshot known, List<String> incarnations) {
     ClusterSnapshot stored = source.newestStoredSnapshot();
     LOG.warn(
-        "no former leader has restored the store: continuing with what is left there, {} jobs and"
-            + " {} ends that controllers know, and {}",
+        "no former leader has restored the store: merging its remaining contents, {} jobs and"
+            + " {} ended jobs that controllers know, and {}",
         known.getJobCount(),
         known.getEndedCount(),
         describe(stored));
@@ -242,8 +251,9 @@
   }
 
   /**
-   * Neither what is known nor what is left in the store need be the newer one: both count. Tasks
-   * may run of which nobody here knows, and jobs may have been accepted.
+   * Merges what the controllers know with the remaining contents of the store, since neither is
+   * necessarily newer. The result is marked incomplete: there may be running tasks and accepted
+   * jobs that no controller knows.
    */
   private void prepareWithRemains(int attempt, ClusterSnapshot known, List<String> incarnations) {
     if (!isCurrent(attempt)) {
@@ -269,14 +279,14 @@
         .build();
   }
 
-  /** {@code incarnations}: those that others knew, whose contents the snapshot holds too. */
+  /** {@code incarnations}: those that other controllers knew, whose contents the snapshot holds. */
   private void prepare(int attempt, ClusterSnapshot snapshot, List<String> incarnations) {
     String name = context.names().get();
     int valueBytes = (int) (context.settings().minStoreLimits().valueKb() * BYTES_PER_KB);
     SnapshotBlocks packed = SnapshotBlocks.pack(snapshot, valueBytes);
     int blocks = packed.blocks().size();
     LOG.info(
-        "restoring {} jobs and {} ends in {} blocks",
+        "restoring {} jobs and {} ended jobs in {} blocks",
         snapshot.getJobCount(),
         snapshot.getEndedCount(),
         blocks);
@@ -285,7 +295,7 @@
     writeBlocks(attempt, unwritten, packed.blocks(), 0);
   }
 
-  /** Writes the blocks from this one on, as many as fit into each transaction. */
+  /** Writes the blocks from this index on, as many as fit into each transaction. */
   private void writeBlocks(int attempt, PreparedSnapshot snapshot, List<byte[]> blocks, int from) {
     if (!isCurrent(attempt)) {
       return;
@@ -296,7 +306,7 @@
     }
     Transaction transaction = new Transaction().unfenced();
     int next = addBlocks(transaction, snapshot.name(), blocks, from);
-    // A transaction that is sent again after an answer that did not come writes the same.
+    // Retries are idempotent: if an answer is lost, the next transaction writes the same blocks.
     context
         .store()
         .commit(transaction, RequestPriority.HIGH)
@@ -311,14 +321,14 @@
                         () -> writeBlocks(attempt, snapshot, blocks, from)));
   }
 
-  /** Adds blocks from this one on to a transaction; returns the first that is not in it. */
+  /** Adds blocks from this index on to a transaction; returns the index of the first left out. */
   private int addBlocks(Transaction transaction, String name, List<byte[]> blocks, int from) {
     int maxChanges = context.settings().minStoreLimits().txnOps();
     int bytes = 0;
     int index = from;
     while (index < blocks.size() && index - from < maxChanges) {
       byte[] block = blocks.get(index);
-      // Base64 makes four bytes of three.
+      // Base64 encodes three bytes as four.
       bytes += block.length * 4 / 3 + BYTES_PER_BLOCK;
       if (index > from && bytes > Transaction.MAX_BYTES) {
         break;
--- a/src/main/java/io/embernotch/incarnation/StoredPointer.java
+++ b/src/main/java/io/embernotch/incarnation/StoredPointer.java
@@ -3,10 +3,10 @@
 import io.embernotch.model.StoreIncarnation;
 
 /**
- * The pointer to the present incarnation, as it was last read or written.
+ * The key that points to the current incarnation, as it was last read or written.
  *
- * @param modRevision its key's modification revision; 0 if the key was absent
- * @param incarnation what it names; null if the key was absent or could not be read
+ * @param modRevision modification revision of the key; 0 if the key was absent
+ * @param incarnation the current incarnation; null if the key was absent or its value malformed
  */
 record StoredPointer(long modRevision, StoreIncarnation incarnation) {
   static final StoredPointer ABSENT = new StoredPointer(0, null);
--- a/src/main/java/io/embernotch/incarnation/ToldIncarnation.java
+++ b/src/main/java/io/embernotch/incarnation/ToldIncarnation.java
@@ -5,9 +5,9 @@
 import java.util.Optional;
 
 /**
- * What controllers tell each other of the incarnation that the store holds, for one that was
- * started while the store does not answer it. Such a controller can follow what the others commit,
- * and tells contents that were put back from present ones once it can read them.
+ * Exchanges the store's incarnation with other controllers, for a controller that was started while
+ * the store does not answer it. Such a controller can replicate what the others commit, and detects
+ * a rollback once it can read the store.
  */
 public final class ToldIncarnation {
   private final StoreClient store;
@@ -18,17 +18,20 @@
     this.knowledge = knowledge;
   }
 
-  /** The last incarnation that is known here, to be told to others; empty if there is none. */
+  /** The incarnation that this controller knows and sends to others; empty if it knows none. */
   public Optional<StoreIncarnation> known() {
     return Optional.ofNullable(knowledge.incarnation());
   }
 
-  /** The highest revision of that incarnation that was seen here. */
+  /** The highest revision of that incarnation that this controller has seen. */
   public long highestRevision() {
     return knowledge.highestRevision();
   }
 
-  /** Keys of this modification revision or a lower one are older than that incarnation. */
+  /**
+   * Keys of this modification revision or a lower one are older than that incarnation's base
+   * snapshot; 0 if there is none.
+   */
   public long since() {
     return known()
         .filter(incarnation -> incarnation.snapshotName() != null)
@@ -36,16 +39,18 @@
         .orElse(0L);
   }
 
-  /** Whether this controller knows its incarnation from another one alone. */
+  /** Whether the incarnation is known from other controllers only, not read from the store yet. */
   public boolean isOnlyTold() {
     return knowledge.isTold();
   }
 
   /**
-   * Another controller tells of the store. What was read here counts for more. Revisions of an
-   * incarnation that was told before may be higher than any of the one that has followed it.
+   * Records the incarnation that another controller knows. What this controller has read from the
+   * store takes precedence. If the incarnation succeeds one that was reported before, the revisions
+   * of the earlier one are discarded, since they may be higher.
    *
-   * @param revision the highest revision of that incarnation that it has seen
+   * @param incarnation the incarnation that the other controller knows
+   * @param revision the highest revision of that incarnation that the other controller has seen
    */
   public void observe(StoreIncarnation incarnation, long revision) {
     if (knowledge.observeTold(incarnation)) {
--- a/src/main/java/io/embernotch/incarnation/package-info.java
+++ b/src/main/java/io/embernotch/incarnation/package-info.java
@@ -1,15 +1,18 @@
 /**
- * Tracks which incarnation of the store's contents this controller knows, and begins a new one
- * after a loss of data.
+ * Detects data loss in the store and restores what was lost.
  *
- * <p>Owns the incarnation's pointer and fence keys and the blocks of its base snapshot in the
- * store, the decision that data is lost, and what a claim to leadership must add to begin an
- * incarnation ({@link io.embernotch.incarnation.StoreIncarnationTracker}), along with the writing
- * of the snapshot that it begins with ({@link io.embernotch.incarnation.StoreRestorer}).
+ * <p>An incarnation is one continuous lifetime of the store's contents. The first one begins when
+ * the first leader finds an empty store, another one after each data loss.
  *
- * <p>It must not elect leaders or change the cluster's state: it tells its host what it has found,
- * and the election asks it for the terms of a claim.
+ * <p>{@link io.embernotch.incarnation.StoreIncarnationTracker} tracks the incarnation, detects data
+ * loss and adds the operations that begin an incarnation to a claim to leadership. {@link
+ * io.embernotch.incarnation.StoreRestorer} writes the snapshot that a new incarnation begins with.
+ * This package owns these keys of the store: the pointer to the current incarnation, the fence key
+ * that every transaction conditions on, and the blocks of the base snapshot.
  *
- * <p>Everything here is owned by the process's event loop.
+ * <p>This package neither elects leaders nor changes the cluster's state. It reports data loss to
+ * its host, and the election asks it for the conditions of a claim.
+ *
+ * <p>All classes of this package run on the process's event loop.
  */
 package io.embernotch.incarnation;
--- a/src/test/java/io/embernotch/incarnation/ConcurrentRestoreTest.java
+++ b/src/test/java/io/embernotch/incarnation/ConcurrentRestoreTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Several controllers restore the store at once: one of them begins an incarnation, and the others
- * take it over. Epochs rise from each leader to the next.
+ * Several controllers restore the store concurrently: exactly one of them begins an incarnation,
+ * and the others adopt it. Epochs increase from each leader to the next.
  */
 class ConcurrentRestoreTest {
   private static final double STEP_S = 0.002;
@@ -42,7 +42,7 @@
     cluster.advance(5);
   }
 
-  /** Records every incarnation and every leader's epoch that the store shows. */
+  /** Records every incarnation and every leader's epoch that appear in the store. */
   private void observe(double seconds) {
     for (double leftS = seconds; leftS > 0; leftS -= STEP_S) {
       cluster.time.advance(STEP_S);
@@ -61,7 +61,7 @@
     }
   }
 
-  /** A controller finds the loss by itself. */
+  /** Makes a controller detect the data loss itself, by reads of the store. */
   private void notice(ControllerNode node) {
     cluster.pollAsync(node.index, "j-1");
     cluster.pollAsync(node.index, "j-9");
@@ -69,12 +69,12 @@
 
   private void verifyOneIncarnationBegan() {
     observe(OBSERVED_S);
-    assertThat(incarnations).as("the one from before, and one more").hasSize(2);
+    assertThat(incarnations).as("the former incarnation and one new one").hasSize(2);
     assertThat(epochs).isSorted();
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a claim that replaces an incarnation which has just begun. */
+  /** Guards against a claim that replaces an incarnation that has just begun. */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.002, 0.004, 0.006, 0.008, 0.01, 0.012, 0.014, 0.016, 0.02, 0.05})
   void ofTwoSurvivorsThatNoticeShortlyAfterOneAnotherOneBeginsAnIncarnation(double laterS) {
@@ -90,7 +90,7 @@
     verifyOneIncarnationBegan();
   }
 
-  /** Guards against the same among three, of which one was started after the loss. */
+  /** Guards against the same with a third controller that is started after the loss. */
   @ParameterizedTest
   @ValueSource(doubles = {0.001, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5})
   void withAProcessThatIsStartedAfterTheLossOneIncarnationBegins(double startedAfterS) {
@@ -103,7 +103,7 @@
     verifyOneIncarnationBegan();
   }
 
-  /** Guards against a restore without the leader that meets the leader's own. */
+  /** Guards against a restore by the others that coincides with the leader's own. */
   @ParameterizedTest
   @ValueSource(doubles = {9.8, 9.9, 9.95, 10, 10.01, 10.02, 10.03, 10.05, 10.1, 10.3})
   void aLeaderThatTheStoreAnswersLateDoesNotReplaceWhatTheOthersHaveBegun(double lateS) {
--- a/src/test/java/io/embernotch/incarnation/DataLossAtScaleTest.java
+++ b/src/test/java/io/embernotch/incarnation/DataLossAtScaleTest.java
@@ -40,27 +40,27 @@
   }
 
   /**
-   * A live service that is submitted after the loss runs within seconds, and nothing else was
-   * touched.
+   * Checks that a service that is submitted after the loss runs within seconds, and that nothing
+   * else has changed.
    */
   private void verifyServiceResumes() {
     cluster.boot("g8", "z1", true);
     double lostAt = cluster.time.now();
-    // 200 if the first try was written to contents restored from an earlier moment, unanswered.
+    // 200 if the first attempt was written to the rolled-back store without an answer.
     while (cluster
                 .submit(1, job("j-20", "standing", 1).replace("\"standard\"", "\"production\""))
                 .status()
             / 100
         != 2) {
       cluster.advance(0.1);
-      assertThat(cluster.time.now() - lostAt).as("submissions are taken again").isLessThan(5);
+      assertThat(cluster.time.now() - lostAt).as("submissions are accepted again").isLessThan(5);
     }
     cluster.advance(cluster.cloud.bootS + 3);
     assertThat(cluster.runningTasks("j-20")).hasSize(1);
     assertThat(runningTaskCount()).isEqualTo(MACHINES * TASKS_PER_JOB + 1);
     assertThat(cluster.workers.values()).allSatisfy(w -> assertThat(w.epoch).isEqualTo(1));
     assertThat(cluster.violations()).isEmpty();
-    // Packed, 300 jobs with their tasks take a few changes, where their keys would take 600.
+    // Packed into blocks, 300 jobs with their tasks take a few changes; as keys they take 600.
     assertThat(cluster.store.keys("block/")).hasSizeLessThan(20);
   }
 
--- a/src/test/java/io/embernotch/incarnation/DataLossRandomizedTest.java
+++ b/src/test/java/io/embernotch/incarnation/DataLossRandomizedTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Losses of data at any moment, among everything else that happens, drawn by a seed; what users
- * were answered and what workers ran is checked against the invariants. {@code -Dloss.seeds=N} runs
- * more seeds, {@code -Dloss.from=N} others.
+ * Random data losses among other random faults and requests, all determined by a seed. Checks the
+ * answers to users and the tasks on workers against the invariants. The system property {@code
+ * loss.seeds} sets the number of seeds, {@code loss.from} the first one.
  */
 class DataLossRandomizedTest {
   private static final int SEEDS = Integer.getInteger("loss.seeds", 500);
@@ -25,28 +25,28 @@
   private static final int STEPS = 30;
   private static final int CONTROLLERS = 3;
 
-  /** What happens beside the actions that all runs draw. */
+  /** Faults in addition to the random actions of all runs. */
   private enum Variant {
     PLAIN,
-    /** Controllers are cut off from the others. */
+    /** A controller is isolated from the others at times. */
     ISOLATED,
-    /** Leaders are paused, restarted, and end with a loss of data. */
+    /** Leaders are paused, restarted, and end together with a data loss. */
     WITHOUT_LEADER
   }
 
-  /** One run of random steps, all drawn from one seed. */
+  /** One run of random steps, all determined by one seed. */
   private static final class RandomRun {
     private final SplittableRandom random;
     private final SimulatedCluster cluster = new SimulatedCluster(CONTROLLERS, 10);
     private final RecordedAnswers answers = new RecordedAnswers(cluster);
 
-    /** Moments that the store may be restored to. */
+    /** Earlier states that the store may be rolled back to. */
     private final List<Snapshot> moments = new ArrayList<>();
 
-    /** Draws who is cut off from the other controllers; null: nobody is. */
+    /** Selects the controller that is isolated from the others; null if none is. */
     private final SplittableRandom isolation;
 
-    /** Takes leaders away; null: none is taken away. */
+    /** Generates faults of leaders; null if there are none. */
     private final LeaderFaults leaderFaults;
 
     private int nextJob = 1;
@@ -60,7 +60,7 @@
               : null;
     }
 
-    /** Returns what went wrong. */
+    /** Returns the violations that were found. */
     List<String> run() {
       cluster.awaitLeader(3);
       for (int step = 0; step < STEPS; step++) {
@@ -88,7 +88,7 @@
       return answers.violations;
     }
 
-    /** One controller at most reaches the store and workers alone, for a step or a few. */
+    /** Isolates at most one controller from the others; it still reaches the store and workers. */
     private void isolateOrReconnect() {
       if (isolation == null || isolation.nextInt(3) > 0) {
         return;
@@ -154,14 +154,15 @@
     }
 
     /**
-     * One controller that was up before stays up, so that nothing is forgotten. What only the one
-     * that is killed knew is lost with it: a submission whose frame to the leader did not arrive.
-     * So it is killed only once what it accepted last has had the time to arrive.
+     * Makes the store lose data and may restart a follower. The other controllers keep running, so
+     * that no answer is forgotten. A submission that only the killed controller knew, because its
+     * frame to the leader did not arrive, would be lost. So the controller is killed only after its
+     * last frames have had the time to arrive.
      */
     private void loseData() {
       ControllerNode leader = cluster.leader();
       if (leader != null && random.nextInt(3) == 0) {
-        // One that is not leader restarts: it knows nothing of what was.
+        // The restarted follower knows nothing of the lost contents.
         ControllerNode other = cluster.otherNode(leader);
         cluster.advance(1);
         other.kill();
@@ -183,22 +184,22 @@
     assertThat(violationsBySeed(FROM, SEEDS, Variant.PLAIN)).isEmpty();
   }
 
-  /** Guards against answers of a controller that does not hear of a loss. */
+  /** Guards against answers of a controller that does not learn of a data loss. */
   @Test
   void noAnswerIsRevokedWhileAControllerIsCutOffFromTheOthers() {
     assertThat(violationsBySeed(FROM, SEEDS, Variant.ISOLATED)).isEmpty();
   }
 
   /**
-   * Guards against what a leader takes with it, and against one that comes back with what is out of
-   * date. Others that were up for a while go on all the time.
+   * Guards against answers that only a killed leader knew, and against a leader that resumes with
+   * outdated state. Some other controller that has been running for a while always keeps running.
    */
   @Test
   void noAnswerIsRevokedWhileLeadersArePausedAndEnd() {
     assertThat(violationsBySeed(FROM, SEEDS, Variant.WITHOUT_LEADER)).isEmpty();
   }
 
-  /** More seeds than a build has time for: FROM, how many, and the variant. */
+  /** Runs more seeds than a build has time for. Arguments: first seed, number of seeds, variant. */
   public static void main(String[] args) {
     Map<Long, List<String>> violations =
         violationsBySeed(
--- a/src/test/java/io/embernotch/incarnation/DataLossTest.java
+++ b/src/test/java/io/embernotch/incarnation/DataLossTest.java
@@ -13,12 +13,12 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The store loses data while controllers and workers go on. */
+/** The store loses data while controllers and workers keep running. */
 class DataLossTest {
   private final SimulatedCluster cluster = new SimulatedCluster(3, 10);
   private ControllerNode leader;
 
-  /** Runs a job that is done, a service, an array, and a job that depends on the array. */
+  /** Runs a job until it is done, a service, an array and a job that depends on the array. */
   private void runJobs() {
     leader = cluster.awaitLeader(3);
     for (String json :
@@ -40,7 +40,7 @@
     assertThat(cluster.runningTasks("j-3")).hasSize(4);
   }
 
-  /** Within so many seconds all is as if nothing had been lost, and goes on from there. */
+  /** Checks that no answer is contradicted in the meantime, and that all jobs make progress. */
   private void verifyServiceResumes(double withinS) {
     verifyNothingIsForgotten(withinS);
     cluster.advance(30);
@@ -62,7 +62,7 @@
 
   private void verifyAllAsBefore() {
     assertThat(cluster.workers.values())
-        .as("no worker's lease ran out")
+        .as("no worker's lease expired")
         .allSatisfy(worker -> assertThat(worker.epoch).isEqualTo(1));
     assertThat(cluster.runningTasks("j-2")).hasSize(3);
     assertThat(cluster.runningTasks("j-3")).hasSize(4);
@@ -71,7 +71,7 @@
       assertThat(cluster.phase(n, "j-2")).isEqualTo("running");
       assertThat(cluster.phase(n, "j-4")).isEqualTo("queued");
       assertThat(cluster.phase(n, "j-99")).isEqualTo("status 404");
-      // A repeated submission is known as one.
+      // A repeated submission is recognized.
       assertThat(cluster.submit(n, job("j-1", "array", 2)).status()).isEqualTo(200);
       assertThat(cluster.submit(n, job("j-3", "array", 4)).status()).isEqualTo(200);
     }
@@ -106,7 +106,9 @@
     runJobs();
     cluster.store.wipe();
     verifyServiceResumes(6);
-    assertThat(cluster.leader()).as("the former leader knows most, and leads").isSameAs(leader);
+    assertThat(cluster.leader())
+        .as("the former leader knows most and leads again")
+        .isSameAs(leader);
   }
 
   @Test
@@ -166,12 +168,12 @@
     cluster.advance(6);
     int before = cluster.store.keys("").size();
     cluster.deliverDelayed();
-    // Modification revisions begin again after a loss: the late commit finds those that it names.
+    // Modification revisions restart after a loss, so the revisions in the late commit match again.
     assertThat(cluster.store.keys("").size()).isEqualTo(before);
     verifyServiceResumes(1);
   }
 
-  /** A submission's transaction is delayed, and all data is lost before it arrives. */
+  /** Delays a submission's transaction until all data is lost and the store is restored. */
   private void submitBeforeLossAndDeliverAfter() {
     runJobs();
     cluster.faults.commitDelivery = Delivery.DELAYED;
@@ -255,8 +257,9 @@
     assertThat(cluster.phase(cluster.leader().index, "j-1")).isEqualTo("done");
     cluster.advance(100);
     assertThat(cluster.runningTasks("j-2")).hasSize(3);
-    // Accepted by a controller that is still there: written again, and run once nothing of it can
-    // be anywhere.
+    // A controller that accepted the job still runs and restores it. Its tasks start again only
+    // once
+    // none of them can still run.
     assertThat(cluster.runningTasks("j-7")).hasSize(2);
   }
 
--- a/src/test/java/io/embernotch/incarnation/IncompleteRestoreTest.java
+++ b/src/test/java/io/embernotch/incarnation/IncompleteRestoreTest.java
@@ -13,14 +13,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All controllers end, and the store is put back before any of them is up again: nobody knows what
- * came after. That a job is not in what is left proves nothing then, and tasks of it may still run.
+ * All controllers end, and the store is rolled back before any of them is started again, so no
+ * controller knows what was lost. A job that is missing from the remaining contents may still have
+ * been accepted, and its tasks may still run.
  */
 class IncompleteRestoreTest {
   private static final String KEPT = "j-1";
   private static final String LOST = "j-2";
 
-  /** Seconds in which a worker that was renewed last before the loss may run what it was given. */
+  /** Seconds for which a worker may keep its tasks after its last lease renewal before the loss. */
   private static final int LEASE_S = 30;
 
   private final SimulatedCluster cluster = new SimulatedCluster(3, 10);
@@ -40,7 +41,7 @@
     cluster.nodes.forEach(ControllerNode::start);
   }
 
-  /** A job is accepted and runs after the moment that the store is put back to. */
+  /** A job is accepted and runs; then the store is rolled back to a state before that. */
   private void allEndAndStoreIsPutBack() {
     cluster.awaitLeader(4);
     acceptAndRun(KEPT, "z1");
@@ -52,7 +53,7 @@
     startAll();
   }
 
-  /** As above, to a moment at which no leader key stood. */
+  /** Like {@link #allEndAndStoreIsPutBack}, but the earlier state has no leader key. */
   private void allEndAndStoreIsPutBackToAMomentWithoutLeader() {
     cluster.awaitLeader(4);
     acceptAndRun(KEPT, "z1");
@@ -68,7 +69,7 @@
     startAll();
   }
 
-  /** What users get about the lost job while time passes; 504 is no response. */
+  /** All answers about the lost job within this time; 504 means no response. */
   private Set<String> answersFor(int seconds) {
     Set<String> answers = new TreeSet<>();
     for (int second = 0; second < seconds; second++) {
@@ -80,7 +81,7 @@
     return answers;
   }
 
-  /** Guards against "no such job" of what was accepted, since nobody is left who knows of it. */
+  /** Guards against "no such job" for an accepted job that no controller knows any more. */
   @Test
   void aJobThatIsNotInWhatIsLeftIsNotDenied() {
     allEndAndStoreIsPutBack();
@@ -88,7 +89,7 @@
     assertThat(cluster.phase(cluster.leader().index, KEPT)).isEqualTo("running");
   }
 
-  /** Guards against a submission that is refused for what was accepted before. */
+  /** Guards against a submission that is refused because its accepted dependency was lost. */
   @Test
   void aDependencyThatIsNotInWhatIsLeftIsNotCalledNeverAccepted() {
     allEndAndStoreIsPutBack();
@@ -103,7 +104,7 @@
     assertThat(statuses).doesNotContain(422);
   }
 
-  /** Guards against a repeated submission that starts tasks which still run. */
+  /** Guards against a repeated submission that starts tasks that still run. */
   @Test
   void aRepeatedSubmissionStartsNothingTwice() {
     allEndAndStoreIsPutBack();
@@ -111,7 +112,7 @@
     verifyNothingRunsTwice();
   }
 
-  /** Guards against the same where the workers' tasks are out of the controllers' reach. */
+  /** Guards against the same where the workers with these tasks are partitioned. */
   @Test
   void aRepeatedSubmissionStartsNothingTwiceWhileTheOldTasksAreUnreachable() {
     allEndAndStoreIsPutBack();
@@ -120,7 +121,7 @@
     verifyNothingRunsTwice();
   }
 
-  /** Where the job's own zone is out of reach there is room for it in the other. */
+  /** Repeats the submission without a zone, so that the job can start in the other zone. */
   private void repeatSubmissions() {
     for (int second = 0; second < 2 * LEASE_S; second++) {
       for (ControllerNode node : cluster.nodes) {
@@ -136,7 +137,7 @@
         .noneMatch(violation -> violation.matches(".* is on n-\\d+ and n-\\d+"));
   }
 
-  /** Guards against a cluster that takes no jobs any more: nothing new is in doubt for ever. */
+  /** Guards against a cluster that accepts no new jobs after an incomplete restore. */
   @Test
   void newJobsAreAcceptedAndRunInTheEnd() {
     allEndAndStoreIsPutBack();
@@ -153,8 +154,8 @@
   }
 
   /**
-   * Guards against contents that show no sign of a loss by themselves. Workers were shown tokens
-   * that these contents have not reached.
+   * Guards against contents that show no evidence of a data loss themselves. Only the workers have
+   * received fencing tokens that these contents have not reached.
    */
   @Test
   void aJobIsNotDeniedThoughNoLeaderKeyIsLeft() {
--- a/src/test/java/io/embernotch/incarnation/LeaderFaults.java
+++ b/src/test/java/io/embernotch/incarnation/LeaderFaults.java
@@ -8,39 +8,39 @@
 import java.util.SplittableRandom;
 
 /**
- * Draws faults that take leaders away, along with losses of data: pauses of a leader beyond its
- * lease, restarts of one controller after the other, leaders that end with a loss or just before
- * it, and contents that change twice within one restore.
+ * Generates random faults of leaders in combination with data loss: a leader that is paused beyond
+ * its lease, rolling restarts, a leader that ends together with a data loss or just before it, and
+ * a second data loss during a restore.
  *
- * <p>At any moment some controller goes on that was up and reached the others and the store for a
- * while, so that whatever users were told is known to somebody.
+ * <p>At any time at least one controller has been running and has reached the others and the store
+ * for a while, so that some controller knows every answer to users.
  */
 final class LeaderFaults {
-  /** A controller that was up for so long, and knows the contents, has learned what was told. */
+  /** Seconds after which a running controller that knows the contents knows all earlier answers. */
   private static final double STEADY_S = 12;
 
-  /** Pauses are longer than the lease of a leader. */
+  /** Longer than a leader's lease. */
   private static final double MIN_PAUSE_S = 4;
 
   private static final double MAX_PAUSE_S = 14;
   private static final double MAX_DOWN_S = 3;
 
-  /** What a submission takes at most to become known to the leader. */
+  /** Maximum seconds until a submission is announced to the leader. */
   private static final double ANNOUNCED_S = 1;
 
-  /** The longest time between a leader's end and a loss. */
+  /** Maximum seconds between a leader's end and a data loss. */
   private static final double MAX_BETWEEN_S = 0.6;
 
-  /** A restore by others than the leader begins after a third of a worker's lease. */
+  /** Just before controllers that did not lead last restore, a third of a worker lease (10 s). */
   private static final double LATE_RESTORE_S = 9;
 
   private final SimulatedCluster cluster;
   private final SplittableRandom random;
 
-  /** By controller: since when it is up, reaches the others and knows the contents. */
+  /** By controller: since when it runs, reaches the others and knows the contents. */
   private final double[] steadySince;
 
-  /** By controller: when a pause or the time between two processes ends. */
+  /** By controller: when its pause or downtime ends. */
   private final double[] awayUntil;
 
   LeaderFaults(SimulatedCluster cluster, SplittableRandom random) {
@@ -50,7 +50,7 @@
     awayUntil = new double[cluster.nodes.size()];
   }
 
-  /** Ends faults whose time is over, and may begin another. */
+  /** Ends faults that are due to end, and may start another one. */
   void step() {
     for (ControllerNode node : cluster.nodes) {
       if (isAway(node) && cluster.time.now() >= awayUntil[node.index]) {
@@ -72,7 +72,7 @@
     cluster.nodes.stream().filter(LeaderFaults::isAway).forEach(this::bringBack);
   }
 
-  /** Loses data once or twice; the leader may end with it. */
+  /** Makes the store lose data once or twice; the leader may end at the same time. */
   void loseData(List<Snapshot> moments) {
     ControllerNode leader = cluster.leader();
     boolean leaderEnds = leader != null && mayTakeAway(leader) && random.nextInt(3) > 0;
@@ -146,7 +146,7 @@
     return !isAway(node) && cluster.time.now() - steadySince[node.index] >= STEADY_S;
   }
 
-  /** Whether another goes on that knows what was told. */
+  /** Whether another running controller knows all answers to users. */
   private boolean mayTakeAway(ControllerNode node) {
     return cluster.nodes.stream().anyMatch(other -> other != node && isSteady(other));
   }
--- a/src/test/java/io/embernotch/incarnation/LossNewsTest.java
+++ b/src/test/java/io/embernotch/incarnation/LossNewsTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A loss is over once an incarnation has begun: controllers that still tell of it, since the store
- * does not answer them, cause no other one.
+ * A data loss is resolved once an incarnation has begun after it. Controllers that still report the
+ * loss, because the store does not answer them, must not cause another incarnation.
  */
 class LossNewsTest {
   private final LossScenario scenario = new LossScenario();
@@ -40,7 +40,7 @@
     second.storeUnavailable = unavailable;
   }
 
-  /** The leader has begun an incarnation, and the others have not seen it. */
+  /** Checks that the leader has begun an incarnation that the others have not read yet. */
   private String verifyOnlyTheLeaderHasBegunOne(String before) {
     String begun = incarnationOf(leader);
     assertThat(begun).isNotEqualTo(before);
@@ -53,7 +53,9 @@
   private void verifyAllAreIn(String incarnation) {
     for (ControllerNode node : cluster.nodes) {
       JsonNode overview = overview(node);
-      assertThat(overview.get("era").asText()).as("era of %s", node.index).isEqualTo(incarnation);
+      assertThat(overview.get("era").asText())
+          .as("incarnation of %s", node.index)
+          .isEqualTo(incarnation);
       assertThat(overview.get("sound").asBoolean()).as("sound at %s", node.index).isTrue();
       assertThat(overview.get("losses").asInt()).as("losses at %s", node.index).isEqualTo(1);
     }
@@ -61,7 +63,9 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a loss that two controllers go on telling each other after it is over. */
+  /**
+   * Guards against two controllers that keep reporting the loss to each other after the restore.
+   */
   @Test
   void controllersThatTheStoreAnswersLateTakeTheNewIncarnationOver() {
     String before = incarnationOf(leader);
@@ -75,7 +79,7 @@
     verifyAllAreIn(begun);
   }
 
-  /** Guards against the one that is told of the loss anew by the one that is still cut off. */
+  /** Guards against an isolated controller that reports the loss to one that was reconnected. */
   @Test
   void controllersThatTheStoreAnswersOneAfterTheOtherTakeTheNewIncarnationOver() {
     String before = incarnationOf(leader);
@@ -91,8 +95,8 @@
   }
 
   /**
-   * Guards against a leader that hears of the loss from two that have told each other of it, after
-   * it began the incarnation without hearing either.
+   * Guards against a leader that receives reports of the loss from two other controllers after it
+   * has begun the incarnation while isolated from them.
    */
   @Test
   void aLeaderThatHearsOfTheLossAfterItsRestoreRestoresNothing() {
@@ -112,7 +116,7 @@
   }
 
   /**
-   * Guards against the same where the store answers the others again before they hear the leader.
+   * Guards against the same where the others reach the store again before they reach the leader.
    */
   @Test
   void whoeverHasTakenTheNewIncarnationOverIsNotToldOfTheLossAgain() {
@@ -132,7 +136,7 @@
     verifyAllAreIn(begun);
   }
 
-  /** Guards against news of the loss that arrive after it is over, whoever sent them. */
+  /** Guards against reports of the loss that arrive after the restore, from any controller. */
   @Test
   void newsThatArriveLateCauseNoRestore() {
     String before = incarnationOf(leader);
--- a/src/test/java/io/embernotch/incarnation/LossScenario.java
+++ b/src/test/java/io/embernotch/incarnation/LossScenario.java
@@ -14,57 +14,57 @@
 import java.util.TreeSet;
 
 /**
- * Three controllers whose users were told of some jobs, in an order that a test forces. After a
- * loss of data everything that was told before must hold: what was accepted is not denied, an end
- * is not taken back, and nothing runs twice or after its end.
+ * Three controllers that answer users about some jobs, in an order that a test determines. After a
+ * data loss all earlier answers must remain valid: no accepted job is unknown, no reported end is
+ * withdrawn, and no task runs twice or after its job's end.
  */
 final class LossScenario {
   private static final double STEP_S = 0.5;
 
-  /** Seconds in which the tasks of new jobs have got machines and started. */
+  /** Seconds within which the tasks of new jobs get machines and start. */
   private static final double START_S = 15;
 
-  /** Seconds after the last fault by which every job is answered for, whatever was lost. */
+  /** Seconds after the last fault within which every controller answers for every job. */
   private static final double SETTLED_S = 75;
 
   final SimulatedCluster cluster = new SimulatedCluster(3, 10);
 
-  /** Whoever led when the scenario began. */
+  /** The leader at the beginning of the scenario. */
   final ControllerNode leader = cluster.awaitLeader(4);
 
   private final TreeSet<String> accepted = new TreeSet<>();
   private final Map<String, String> toldEnds = new TreeMap<>();
 
-  /** The controller that is neither of the two. */
+  /** The controller that is neither of these two. */
   ControllerNode third(ControllerNode first, ControllerNode second) {
     return cluster.nodes.get(3 - first.index - second.index);
   }
 
-  /** A user submits a job, and is told that it was accepted. */
+  /** Submits a job and checks that it is accepted. */
   void accept(ControllerNode at, String ref, String shape, int tasks) {
     accept(at, ref, job(ref, shape, tasks));
   }
 
-  /** A user submits this job, and is told that it was accepted. */
+  /** Submits this job and checks that it is accepted. */
   void accept(ControllerNode at, String ref, String json) {
     assertThat(cluster.submit(at.index, json).status()).isEqualTo(201);
     accepted.add(ref);
   }
 
-  /** Lets the tasks of all jobs start. */
+  /** Waits until tasks of all jobs have started. */
   void letTasksStart() {
     cluster.advance(START_S);
     accepted.forEach(ref -> assertThat(cluster.runningTasks(ref)).as(ref).isNotEmpty());
   }
 
-  /** A user cancels a job, and is told that it is cancelled. */
+  /** Cancels a job and checks that the cancellation is confirmed. */
   void cancel(ControllerNode at, String ref) {
     HttpResponse response = cluster.cancel(at.index, ref);
     assertThat(response.status()).as("cancellation of " + ref).isEqualTo(200);
     toldEnds.put(ref, "cancelled");
   }
 
-  /** All tasks of a job complete, and a user is told so. */
+  /** Completes all tasks of a job and checks that it is reported as done. */
   void complete(ControllerNode at, String ref) {
     cluster.completeTasks(ref);
     cluster.advance(3);
@@ -72,42 +72,42 @@
     completedAsTold(ref);
   }
 
-  /** A user was told that a job is done. */
+  /** Records that a user was told that a job is done. */
   void completedAsTold(String ref) {
     toldEnds.put(ref, "done");
   }
 
-  /** A user is told that a job is cancelled, since one that it depends on is. */
+  /** Checks that a job is reported as cancelled, because a job that it depends on is. */
   void expectCancelled(ControllerNode at, String ref) {
     expectPhase(at, ref, "cancelled");
     toldEnds.put(ref, "cancelled");
   }
 
-  /** A user asks for a job and is told this. */
+  /** Polls a job and checks the reported phase. */
   void expectPhase(ControllerNode at, String ref, String phase) {
     assertThat(cluster.phase(at.index, ref)).as(ref + " at " + at.index).isEqualTo(phase);
   }
 
-  /** The store's contents as they are now; one change more is made than they hold. */
+  /** Takes a snapshot of the store, then writes once more, so that a rollback to it loses data. */
   Snapshot rememberContents() {
     Snapshot contents = cluster.store.snapshot();
     cluster.store.put("mark", "{}");
     return contents;
   }
 
-  /** A controller reaches neither the store nor the other controllers. */
+  /** Isolates a controller from the store and from the other controllers. */
   void cutOff(ControllerNode node) {
     node.storeUnavailable = true;
     node.peersUnreachable = true;
   }
 
-  /** A controller reaches everything again. */
+  /** Ends the isolation of a controller. */
   void reconnect(ControllerNode node) {
     node.storeUnavailable = false;
     node.peersUnreachable = false;
   }
 
-  /** Ends a process and starts it again, with time for it to catch up. */
+  /** Restarts a process and waits until it has caught up. */
   void restart(ControllerNode node) {
     node.kill();
     cluster.advance(1);
@@ -115,7 +115,7 @@
     cluster.advance(8);
   }
 
-  /** Lets time pass while users ask every controller that is up for every job. */
+  /** Advances time while users poll every running controller for every job. */
   void advanceWithPolls(double seconds) {
     for (double leftS = seconds; leftS > 0; leftS -= STEP_S) {
       for (ControllerNode node : cluster.nodes) {
@@ -127,9 +127,7 @@
     }
   }
 
-  /**
-   * Faults are over: whoever is down is started, time passes, and everything that was told holds.
-   */
+  /** Starts the controllers that are down, waits, and checks that all earlier answers are valid. */
   void verifyAllToldHolds() {
     advanceWithPolls(30);
     cluster.nodes.stream().filter(node -> node.down).forEach(ControllerNode::start);
@@ -140,7 +138,7 @@
         checkAnswer(node, ref, findings);
       }
       if (toldEnds.containsKey(ref) && !cluster.runningTasks(ref).isEmpty()) {
-        findings.add(ref + " was told to be " + toldEnds.get(ref) + " and is on a machine");
+        findings.add(ref + " was reported as " + toldEnds.get(ref) + " and is on a machine");
       }
     }
     findings.addAll(cluster.violations());
--- a/src/test/java/io/embernotch/incarnation/LostLeaderTest.java
+++ b/src/test/java/io/embernotch/incarnation/LostLeaderTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The leader's process ends with the data, and two other controllers go on: they knew of all that
- * users had been told, so nothing of it is denied or taken back.
+ * The leader's process ends when the store loses data, and two other controllers keep running. They
+ * know all answers that users were given, so no answer is contradicted or withdrawn.
  */
 class LostLeaderTest {
   private static final String CANCELLED = "j-1";
@@ -18,7 +18,7 @@
   private static final String ACCEPTED_BY_LEADER = "j-4";
   private static final String ACCEPTED_BY_FOLLOWER = "j-5";
 
-  /** Seconds that whatever was told has had to become known everywhere. */
+  /** Seconds within which an answer becomes known to all controllers. */
   private static final double LONG_BEFORE_S = 30;
 
   private final LossScenario scenario = new LossScenario();
@@ -37,7 +37,7 @@
     scenario.cluster.advance(2);
   }
 
-  /** Submissions that are accepted, one of them by the leader, and ends that are told. */
+  /** Users are told of two accepted jobs, one of them accepted by the leader, and of two ends. */
   private void factsAreTold() {
     scenario.accept(leader, ACCEPTED_BY_LEADER, "array", 1);
     scenario.accept(second, ACCEPTED_BY_FOLLOWER, "array", 1);
@@ -51,7 +51,7 @@
     scenario.cluster.store.restore(before, false);
   }
 
-  /** Guards against answers that both survivors have given and then deny. */
+  /** Guards against answers that both survivors have given and then contradict. */
   @Test
   void whatTheSurvivorsToldHolds() {
     factsAreTold();
@@ -65,7 +65,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against answers that only the leader that has ended had given. */
+  /** Guards against the loss of answers that only the killed leader has given. */
   @Test
   void whatTheLeaderToldHolds() {
     scenario.accept(leader, ACCEPTED_BY_LEADER, "array", 1);
@@ -76,7 +76,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a leader that has noticed the loss and ends at any step of its restore. */
+  /** Guards against a leader that detects the loss and ends at any step of its restore. */
   @ParameterizedTest
   @ValueSource(doubles = {0.01, 0.05, 0.1, 0.35, 0.4, 0.5, 0.7, 1, 1.3})
   void whatWasToldHoldsThoughTheLeaderEndsAfterTheLoss(double secondsAfter) {
@@ -88,7 +88,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a loss of everything, the store's incarnation too. */
+  /** Guards against the loss of everything in the store, its incarnation included. */
   @Test
   void whatWasToldHoldsThoughNothingIsLeftInTheStore() {
     factsAreTold();
@@ -99,7 +99,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against an end that the leader tells before anybody else can know it. */
+  /** Guards against a cancellation that the leader reports before another controller knows it. */
   @Test
   void aCancellationThatTheLeaderToldMillisecondsBeforeItsEndHolds() {
     scenario.cancel(leader, CANCELLED);
@@ -109,7 +109,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a completion that the leader tells before anybody else can know it. */
+  /** Guards against a completion that the leader reports before another controller knows it. */
   @Test
   void aCompletionThatTheLeaderToldMillisecondsBeforeItsEndHolds() {
     scenario.cluster.completeTasks(DONE);
@@ -123,7 +123,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a submission that the leader accepts before anybody else can know of it. */
+  /** Guards against a submission that the leader accepts before another controller knows it. */
   @Test
   void aSubmissionThatTheLeaderAcceptedMillisecondsBeforeItsEndIsNotDenied() {
     scenario.accept(leader, ACCEPTED_BY_LEADER, "array", 1);
@@ -133,7 +133,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against survivors that know only what the store held when they started. */
+  /** Guards against survivors that know only what the store held at their start. */
   @Test
   void whatWasToldBeforeBothSurvivorsWereRestartedHolds() {
     factsAreTold();
@@ -144,7 +144,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a survivor that missed what was told while it did not hear the others. */
+  /** Guards against a survivor that missed answers while the other controllers were unreachable. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void whatWasToldWhileASurvivorWasCutOffFromTheOthersHolds(boolean isCutOffUntilAfterTheLoss) {
@@ -164,7 +164,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a survivor that alone begins an incarnation without what the other knows. */
+  /** Guards against a survivor that begins an incarnation without what the other survivor knows. */
   @Test
   void whatOnlyTheSurvivorThatIsCutOffAtTheLossKnowsHolds() {
     factsAreTold();
@@ -177,7 +177,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a restore by a survivor that missed what the other one knows. */
+  /** Guards against a restore by a survivor that missed what the other survivor knows. */
   @ParameterizedTest
   @ValueSource(doubles = {-0.5, 0.001, 0.3, 3})
   void whatOneSurvivorMissedIsTakenFromTheOther(double backAfterTheLossS) {
@@ -200,7 +200,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a next leader that is taken for one that knew the contents. */
+  /** Guards against the state of a next leader that never read the store's contents. */
   @Test
   void whatWasToldHoldsThoughTheNextLeaderHasNotReadTheStore() {
     factsAreTold();
@@ -213,7 +213,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a next leader that ends as well, before it has read the store. */
+  /** Guards against a next leader that ends too, before it has read the store. */
   @Test
   void whatWasToldHoldsThoughTheNextLeaderEndsToo() {
     factsAreTold();
@@ -228,7 +228,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a submission that only its controller, which has ended, knew. */
+  /** Guards against a submission that only the killed controller knew. */
   @Test
   void aSubmissionThatAFollowerAcceptedMillisecondsBeforeItsEndIsNotDenied() {
     scenario.accept(second, ACCEPTED_BY_FOLLOWER, "array", 1);
--- a/src/test/java/io/embernotch/incarnation/LostListTest.java
+++ b/src/test/java/io/embernotch/incarnation/LostListTest.java
@@ -6,20 +6,20 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A process that is started when nobody else is up asks the store for what it holds; the store is
- * put back, which the process notices, before the answer arrives.
+ * A process that is started while no other controller runs lists the store's contents. The store is
+ * rolled back before the answer arrives, and the process detects that.
  */
 class LostListTest {
   private static final String KEPT = "j-1";
   private static final String LOST = "j-2";
 
-  /** Seconds by which the leader's key has gone with its lease. */
+  /** Seconds after which the leader's lease has ended and its key is deleted. */
   private static final double LEASE_ENDED_S = 5;
 
   private final LossScenario scenario = new LossScenario();
   private final ControllerNode started = scenario.cluster.otherNode(scenario.leader);
 
-  /** Guards against a list that is dropped though nobody else knows what it tells. */
+  /** Guards against a late list that is dropped although no other controller knows its contents. */
   @ParameterizedTest
   @ValueSource(doubles = {0.6, 0.8, 1})
   void whatTheStoreToldOfLostContentsHoldsThoughItArrivesLate(double delayS) {
--- a/src/test/java/io/embernotch/incarnation/PausedControllerTest.java
+++ b/src/test/java/io/embernotch/incarnation/PausedControllerTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A controller that told users more than anybody else knows is paused as the data is lost, and goes
- * on after others have begun an incarnation. What it told holds still.
+ * A controller that has given answers that no other controller knows is paused when the store loses
+ * data, and resumes after others have begun an incarnation. Its answers must remain valid.
  */
 class PausedControllerTest {
   private static final String CANCELLED = "j-1";
@@ -52,7 +52,7 @@
     scenario.complete(leader, DONE);
   }
 
-  /** Guards against a leader that told what the others could read from the store only. */
+  /** Guards against answers of a leader that the others could only learn from the store. */
   @ParameterizedTest
   @ValueSource(doubles = {0.001, 10})
   void whatALeaderToldWhileItDidNotHearTheOthersHolds(double toldBeforeS) {
@@ -67,7 +67,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a leader that adopts an incarnation which lacks what it alone knows. */
+  /** Guards against a leader that adopts an incarnation without what it alone knows. */
   @Test
   void whatAPausedLeaderKnowsIsMergedWhereTheOthersWereStartedAfterTheLoss() {
     factsAreToldByTheLeader();
@@ -84,7 +84,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a follower that adopts an incarnation which lacks what it alone knows. */
+  /** Guards against a follower that adopts an incarnation without what it alone knows. */
   @Test
   void whatAPausedFollowerKnowsIsMergedWhereTheOthersWereStartedAfterTheLoss() {
     factsAreToldByTheLeader();
@@ -103,7 +103,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a second restore by a leader that wakes up after the others' one. */
+  /** Guards against a second restore by a leader that resumes after the others have restored. */
   @Test
   void aLeaderThatWakesUpTakesTheOthersIncarnationOver() {
     factsAreToldByTheLeader();
@@ -118,7 +118,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against two that restore at once, the leader's restore being the slower one. */
+  /** Guards against two concurrent restores, of which the leader's is the slower one. */
   @ParameterizedTest
   @ValueSource(doubles = {9.8, 10, 10.02, 10.05, 10.2, 10.6, 11, 12, 13})
   void aLeaderThatWakesUpDuringTheOthersRestoreTakesNothingBack(double pausedForS) {
@@ -132,7 +132,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** The first controller hears of a loss, and is paused before it hears that the loss is over. */
+  /** The first controller learns of a data loss, and is paused before it learns of the restore. */
   private void pauseOnceTheLossIsKnown() {
     first.storeUnavailable = true;
     scenario.cluster.store.restore(before, true);
@@ -151,8 +151,8 @@
   }
 
   /**
-   * Guards against a controller that has found one loss, waits through the incarnation that others
-   * begin then, and restores what it knows after the next loss.
+   * Guards against a controller that knows of one data loss, misses the incarnation that others
+   * begin after it, and restores its outdated state after the next loss.
    */
   @ParameterizedTest
   @ValueSource(doubles = {1, 4, 6, 12, 30})
@@ -167,7 +167,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against the same where the next loss is found by the other controller first. */
+  /** Guards against the same where the other controller detects the next loss first. */
   @ParameterizedTest
   @ValueSource(doubles = {0.05, 0.3, 3, 8})
   void whoeverMissedAnIncarnationAndComesBackLaterDoesNotRestoreEither(double backAfterS) {
--- a/src/test/java/io/embernotch/incarnation/ProgressLossTest.java
+++ b/src/test/java/io/embernotch/incarnation/ProgressLossTest.java
@@ -17,14 +17,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What jobs did after the moment that the store is put back to: tasks that are done stay so, and
- * tasks that were started do not start again while they may still run.
+ * Progress of jobs that a rollback of the store loses: tasks that were reported as done stay done,
+ * and tasks that were started do not start again while they may still run.
  */
 class ProgressLossTest {
   private static final String ARRAY = "j-1";
   private static final String STARTED_LATER = "j-2";
 
-  /** Longer than a worker that was renewed last before the loss keeps its tasks. */
+  /** Longer than a worker keeps its tasks after its last lease renewal before the loss. */
   private static final double LEASE_OVER_S = 40;
 
   private final LossScenario scenario = new LossScenario();
@@ -50,7 +50,7 @@
     return Json.parseObject(cluster.poll(at.index, ARRAY).body()).path("done").asInt();
   }
 
-  /** Lets a job start, and cuts its machines off as soon as it runs. */
+  /** Starts a job and partitions its machines as soon as it runs. */
   private void startOutOfReach(String shape) {
     scenario.accept(leader, STARTED_LATER, shape, 2);
     for (int i = 0; i < 2000 && cluster.runningTasks(STARTED_LATER).size() < 2; i++) {
@@ -61,7 +61,7 @@
     running.values().forEach(worker -> worker.partitioned = true);
   }
 
-  /** Meanwhile there is time to create another machine and start the tasks there. */
+  /** Waits long enough for another machine to be created and the tasks to start there. */
   private void verifyNothingStartsTwice() {
     scenario.advanceWithPolls(LEASE_OVER_S);
     assertThat(cluster.violations())
@@ -69,7 +69,7 @@
         .noneMatch(violation -> violation.matches(".* is on n-\\d+ and n-\\d+"));
   }
 
-  /** Guards against a count of done tasks that falls. */
+  /** Guards against a number of done tasks that decreases. */
   @Test
   void tasksThatWereToldToBeDoneStayDoneThoughTheLeaderEnds() {
     completeTask(ARRAY + "/0");
@@ -84,7 +84,7 @@
     assertThat(doneTold(first)).isEqualTo(2);
   }
 
-  /** Guards against a copy that is called complete and lacks the last starts. */
+  /** Guards against a snapshot that is marked complete but lacks the last starts of tasks. */
   @ParameterizedTest
   @ValueSource(strings = {"array", "group", "standing"})
   void tasksThatTheLeaderStartedAsItEndedDoNotStartTwice(String shape) {
@@ -94,7 +94,7 @@
     verifyNothingStartsTwice();
   }
 
-  /** Guards against the copy of a survivor that missed them. */
+  /** Guards against the snapshot of a survivor that missed the starts of tasks. */
   @Test
   void tasksThatWereStartedWhileASurvivorWasCutOffDoNotStartTwice() {
     scenario.cutOff(first);
@@ -107,11 +107,11 @@
     verifyNothingStartsTwice();
   }
 
-  /** Guards against a superseded leader that takes what its successor started for not started. */
+  /** Guards against a superseded leader that does not know which tasks its successor started. */
   @ParameterizedTest
   @ValueSource(strings = {"array", "group", "standing"})
   void tasksThatTheSuccessorStartedDoNotStartTwice(String shape) {
-    // A machine has to be created first: the former leader knows the job, and no start of it.
+    // A machine must be created first, so the former leader knows the job but no start of a task.
     String json = inZone(job(STARTED_LATER, shape, 2), "z2");
     assertThat(cluster.submit(leader.index, json).status()).isEqualTo(201);
     leader.storeUnavailable = true;
@@ -129,7 +129,7 @@
     verifyNothingStartsTwice();
   }
 
-  /** Guards against the leader's own copy, which knows of all that it started. */
+  /** Guards against a leader whose own snapshot lacks tasks that it started. */
   @Test
   void theLeaderRestoresWhatItStarted() {
     startOutOfReach("array");
@@ -137,7 +137,7 @@
     verifyNothingStartsTwice();
   }
 
-  /** Guards against ends that were told and are nobody's own: those of jobs that depend on one. */
+  /** Guards against the loss of reported ends that follow from the end of a dependency. */
   @ParameterizedTest
   @ValueSource(doubles = {0.005, 10})
   void theEndOfAJobThatDependsOnACancelledOneHolds(double toldBeforeS) {
--- a/src/test/java/io/embernotch/incarnation/PutBackWhileAllDownTest.java
+++ b/src/test/java/io/embernotch/incarnation/PutBackWhileAllDownTest.java
@@ -14,15 +14,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * All controllers end, and the store is put back to a moment without a leader before any of them is
- * started again: only workers can show that.
+ * All controllers end, and the store is rolled back to a state without a leader before any of them
+ * is started again. Only the workers can provide evidence of that rollback.
  */
 class PutBackWhileAllDownTest {
   private static final String KEPT = "j-1";
   private static final String LOST = "j-2";
   private static final String NEVER_ACCEPTED = "j-3";
 
-  /** Seconds by which the leader's key has gone with its lease. */
+  /** Seconds after which the leader's lease has ended and its key is deleted. */
   private static final double LEASE_ENDED_S = 5;
 
   private final SimulatedCluster cluster = new SimulatedCluster(3, 10);
@@ -47,7 +47,7 @@
     storeIsPutBackWhileAllAreDown(0);
   }
 
-  /** {@code failovers}: how many more terms there are, each of a higher epoch, that are lost. */
+  /** {@code failovers}: number of further terms, each with a higher epoch, that are lost too. */
   private void storeIsPutBackWhileAllAreDown(int failovers) {
     cluster.awaitLeader(4);
     acceptAndRun(KEPT);
@@ -66,8 +66,8 @@
   }
 
   /**
-   * Guards against what is denied before anybody was heard who could show that it was accepted. An
-   * unresponsive machine is scaled in after 7 s, and with it goes what it could show.
+   * Guards against "never accepted" before any worker that could prove the opposite has reported.
+   * An unresponsive machine is scaled in after 7 s, and its evidence is lost with it.
    */
   @ParameterizedTest
   @ValueSource(doubles = {2, 4, 6})
@@ -82,7 +82,7 @@
     assertThat(cluster.phase(cluster.leader().index, KEPT)).isEqualTo("running");
   }
 
-  /** What users get about the lost job, and as they submit others that depend on it. */
+  /** All answers about the lost job, and to submissions of jobs that depend on it. */
   private Set<String> answersFor(double seconds) {
     Set<String> answers = new TreeSet<>();
     for (int second = 0; second < seconds; second++) {
@@ -97,9 +97,10 @@
   }
 
   /**
-   * Guards against a loss that tokens do not show, since the next term is above the lost one.
+   * Guards against a data loss that fencing tokens do not reveal, since the next term's epoch is
+   * above the lost one's.
    *
-   * @param changes changes of the store after it was put back, each of which raises the next epoch
+   * @param changes writes to the store after the rollback, each of which raises the next epoch
    */
   @ParameterizedTest
   @ValueSource(ints = {1, 20})
@@ -112,7 +113,9 @@
     assertThat(answersFor(60)).doesNotContain("status 404", "refused with 422");
   }
 
-  /** Guards against a lost term whose epoch is so high that the next term is only superseded. */
+  /**
+   * Guards against a lost term with a higher epoch, which merely makes the next leader step down.
+   */
   @ParameterizedTest
   @ValueSource(ints = {1, 3})
   void aTaskShowsTheLossOfTermsAboveTheNextOne(int failovers) {
@@ -121,7 +124,7 @@
     assertThat(answersFor(60)).doesNotContain("status 404", "refused with 422");
   }
 
-  /** Guards against doubts that outlast their cause: what was never accepted is denied soon. */
+  /** Guards against a cluster that answers 503 for a job that was never accepted for too long. */
   @Test
   void whatWasNeverAcceptedIsDeniedOnceTheWorkersWereHeard() {
     cluster.awaitLeader(4);
--- a/src/test/java/io/embernotch/incarnation/ReplacedSnapshotTest.java
+++ b/src/test/java/io/embernotch/incarnation/ReplacedSnapshotTest.java
@@ -15,7 +15,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.slf4j.LoggerFactory;
 
-/** A process reads which incarnation the store holds, and then the blocks that this began with. */
+/**
+ * A process reads the store's incarnation, and then the blocks of its base snapshot. These are two
+ * reads, between which the store's contents may be replaced.
+ */
 class ReplacedSnapshotTest {
   private static final Logger LOGGER =
       (Logger) LoggerFactory.getLogger(StoreIncarnationTracker.class);
@@ -39,7 +42,9 @@
     return appender.list.stream().anyMatch(event -> event.getLevel() == Level.ERROR);
   }
 
-  /** An incarnation with a snapshot begins, and a process ends; returns what was before. */
+  /**
+   * Begins an incarnation with a base snapshot and kills a process; returns the former contents.
+   */
   private Snapshot anIncarnationBeginsWithASnapshot() {
     scenario.accept(scenario.leader, "j-1", "array", 1);
     scenario.cluster.advance(5);
@@ -51,7 +56,7 @@
     return before;
   }
 
-  /** Guards against an alarm over blocks that belong to contents which are not there any more. */
+  /** Guards against an error about missing blocks of contents that were replaced meanwhile. */
   @ParameterizedTest
   @ValueSource(doubles = {0.001, 0.002, 0.003, 0.004, 0.005, 0.006, 0.007, 0.008})
   void contentsThatAreReplacedBetweenTheReadsAreNotCalledDamaged(double replacedAfterS) {
@@ -64,7 +69,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against damage that nobody is told of. */
+  /** Guards against damage that is not logged. */
   @Test
   void missingBlocksAreAnError() {
     anIncarnationBeginsWithASnapshot();
--- a/src/test/java/io/embernotch/incarnation/RestartIntoLossTest.java
+++ b/src/test/java/io/embernotch/incarnation/RestartIntoLossTest.java
@@ -8,15 +8,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A process that is started into contents that were put back knows nothing. It does not make them
- * the present ones before those that know better have noticed.
+ * A process that is started after the store was rolled back has no means to detect that. It must
+ * not begin an incarnation with these contents before the controllers that were running during the
+ * rollback have detected it.
  */
 class RestartIntoLossTest {
   private static final String CANCELLED = "j-1";
   private static final String DONE = "j-2";
   private static final String ACCEPTED = "j-3";
 
-  /** Seconds in which no user's question has the survivors look into the store. */
+  /** Seconds without user requests, so that no survivor reads the store to answer one. */
   private static final double UNASKED_S = 6;
 
   private final LossScenario scenario = new LossScenario();
@@ -24,7 +25,7 @@
   private ControllerNode first;
   private ControllerNode second;
 
-  /** Contents in which no leader key stands. */
+  /** Contents without a leader key. */
   private Snapshot withoutLeader;
 
   @BeforeEach
@@ -47,7 +48,9 @@
     scenario.cluster.advance(20);
   }
 
-  /** Guards against a successor incarnation that is begun with contents that were put back. */
+  /**
+   * Guards against a successor incarnation that begins with the contents of a rolled-back store.
+   */
   @ParameterizedTest
   @ValueSource(doubles = {0.001, 0.1, 0.5, 1, 2.5})
   void aFormerLeaderThatIsStartedAnewDoesNotReplaceWhatTheOthersKnow(double startedAfterS) {
@@ -59,7 +62,9 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a leader in contents that were put back, which hears of the loss afterwards. */
+  /**
+   * Guards against a leader of a rolled-back store that learns of the data loss only afterwards.
+   */
   @Test
   void aProcessThatLeadsBeforeItHearsTheOthersIsNotRestored() {
     leader.kill();
@@ -72,8 +77,8 @@
   }
 
   /**
-   * Guards against a process that hears of an epoch which the contents have not reached, and begins
-   * an incarnation above it with these contents.
+   * Guards against a process that learns of an epoch that the contents have not reached, and begins
+   * an incarnation above that epoch with these contents.
    */
   @Test
   void aProcessThatHearsOfAHigherEpochDoesNotRaiseTheContentsAboveIt() {
@@ -87,7 +92,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against the same where one controller alone is left that knows. */
+  /** Guards against the same where only one controller is left that knows the lost contents. */
   @Test
   void oneSurvivorIsEnough() {
     second.kill();
@@ -99,7 +104,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a process that claims what a living leader has not noticed to be lost. */
+  /** Guards against a process that claims leadership before the live leader detects the loss. */
   @Test
   void aProcessThatClaimsBeforeTheLeaderNoticesIsNotRestored() {
     second.kill();
@@ -110,7 +115,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a process that waits, and claims once the survivors restore. */
+  /** Guards against a process that waits and claims leadership once the survivors restore. */
   @Test
   void aProcessThatIsStartedDuringTheRestoreTakesItsIncarnationOver() {
     leader.kill();
@@ -122,8 +127,8 @@
   }
 
   /**
-   * Guards against a process that waits for a time since its start, while another loss makes the
-   * only survivor's wait begin anew.
+   * Guards against a process that waits for a fixed time after its start, while a second data loss
+   * makes the only survivor start its own wait again.
    */
   @ParameterizedTest
   @ValueSource(doubles = {6, 9, 12, 14})
@@ -134,7 +139,7 @@
     scenario.expectPhase(first, ACCEPTED, "status 503");
     second.storeUnavailable = true;
     second.start();
-    // Something is written in between, so that the survivor sees that this is gone too.
+    // A write between the losses lets the survivor detect the second one.
     scenario.cluster.store.put("mark", "{}");
     scenario.cluster.advance(secondsBetweenLosses);
     scenario.cluster.store.wipe();
--- a/src/test/java/io/embernotch/incarnation/RestoredEndTest.java
+++ b/src/test/java/io/embernotch/incarnation/RestoredEndTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A job ends, and the store is put back before that end is written: the next incarnation begins
- * with it.
+ * A job ends, and the store is rolled back before the end is written to it. The base snapshot of
+ * the next incarnation holds that end.
  */
 class RestoredEndTest {
   private static final String DEPENDENCY = "j-1";
@@ -17,7 +17,7 @@
 
   private final LossScenario scenario = new LossScenario();
 
-  /** Shows that an end that only the blocks of an incarnation hold is in the store, too. */
+  /** Guards against a dependent job that never starts, since only the base snapshot has the end. */
   @Test
   void aJobStartsOnceTheIncarnationHoldsTheEndOfItsDependency() {
     scenario.accept(scenario.leader, DEPENDENCY, "array", 1);
--- a/src/test/java/io/embernotch/incarnation/RestoredStoreTest.java
+++ b/src/test/java/io/embernotch/incarnation/RestoredStoreTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The store is put back to a moment before a job's end. A controller that hears no other one, and
- * that had seen no later revision, reads the job there and tells that it runs, though users were
- * told that it is done: only an absent submission is confirmed by a comparison with the store
- * incarnation, and what was put back is still of the same one.
+ * Guards against a controller that reports a job as running after users were told that it is done.
+ * The store is rolled back to before the job's end. A controller that reaches no other controller
+ * and has seen no later revision reads the job there. Only an absent submission is verified by a
+ * comparison with the store incarnation, and the rolled-back store still holds the same one.
  */
 class RestoredStoreTest {
   private final SimulatedCluster cluster = new SimulatedCluster(3);
--- a/src/test/java/io/embernotch/incarnation/SecondLossTest.java
+++ b/src/test/java/io/embernotch/incarnation/SecondLossTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The store is put back, and during the restore or soon after it its contents change once more:
- * forward again, or back further. What was told before either holds.
+ * The store is rolled back, and during the restore or soon after it its contents change again, to a
+ * newer or an older state. All answers from before both changes must remain valid.
  */
 class SecondLossTest {
   private static final String CANCELLED = "j-1";
@@ -36,7 +36,7 @@
     newer = scenario.rememberContents();
   }
 
-  /** Guards against contents that come back and are newer than a restore without a leader. */
+  /** Guards against newer contents that reappear during a restore without the former leader. */
   @ParameterizedTest
   @ValueSource(doubles = {0.3, 3, 9.9, 10.01, 10.02, 10.05, 10.1, 10.3, 11, 12, 14, 16})
   void withoutTheLeaderContentsThatComeBackCount(double secondsBetween) {
@@ -48,7 +48,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against two losses that come upon a leader during its restore. */
+  /** Guards against a second data loss during the leader's restore. */
   @ParameterizedTest
   @ValueSource(doubles = {0.05, 0.1, 0.3, 0.35, 0.4, 0.5, 0.7, 1, 1.05, 1.1, 1.5, 3})
   void withTheLeaderContentsThatComeBackCount(double secondsBetween) {
@@ -58,7 +58,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a leader that ends after the second of two losses. */
+  /** Guards against a leader that ends after the second of two data losses. */
   @ParameterizedTest
   @ValueSource(doubles = {0.05, 0.5, 1, 1.5, 3})
   void withALeaderThatEndsAfterTheSecondLossNothingIsTakenBack(double secondsBetween) {
@@ -70,7 +70,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a survivor that restores and ends, at any step. */
+  /** Guards against a survivor that ends at any step of its restore. */
   @ParameterizedTest
   @ValueSource(doubles = {0.3, 1, 3, 9.9, 10.01, 10.03, 10.1, 10.5, 11, 12, 14})
   void theOtherSurvivorGoesOnWhereOneEndsDuringTheRestore(double secondsAfter) {
@@ -83,7 +83,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against facts that survive one loss with its leader, and not the next one. */
+  /** Guards against answers that survive the first loss of data and leader but not the second. */
   @ParameterizedTest
   @ValueSource(doubles = {0.5, 5, 30})
   void anotherLossWithTheNextLeaderTakesNothingBack(double secondsAfterTheRestore) {
@@ -101,7 +101,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against the contents of an incarnation that is over, put back once all has settled. */
+  /** Guards against a rollback to an earlier incarnation after the restore is complete. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void contentsOfAnEarlierIncarnationAreRestoredFromThePresentOne(boolean leaderEnds) {
--- a/src/test/java/io/embernotch/incarnation/SupersededLeaderTest.java
+++ b/src/test/java/io/embernotch/incarnation/SupersededLeaderTest.java
@@ -6,8 +6,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A leader that another has followed is not the last one: what it knew as leader is out of date,
- * whether or not it was told of its successor, and does not replace what has been told since.
+ * A leader that another leader has succeeded is not the last one. The state of its term is out of
+ * date, whether or not it knows of its successor, and must not replace answers that users were
+ * given since.
  */
 class SupersededLeaderTest {
   private static final String CANCELLED_LATER = "j-1";
@@ -16,7 +17,7 @@
   private static final String ACCEPTED_LATER = "j-4";
   private static final String GANG = "j-5";
 
-  /** Seconds after which the lease of a leader that is cut off has expired and another leads. */
+  /** Seconds after which an isolated leader's lease has expired and another controller leads. */
   private static final double SUCCESSION_S = 6;
 
   private final LossScenario scenario = new LossScenario();
@@ -35,14 +36,14 @@
     scenario.cluster.advance(2);
   }
 
-  /** The former leader's lease expires, and one of the others leads. */
+  /** Waits until the former leader's lease has expired and another controller leads. */
   private void anotherSucceeds() {
     scenario.cluster.advance(SUCCESSION_S);
     successor = scenario.cluster.leader();
     witness = scenario.third(former, successor);
   }
 
-  /** What the former leader can't know: two ends, an acceptance, and a gang that was started. */
+  /** Answers that the former leader cannot know: two ends, two accepted jobs, a started gang. */
   private void factsAreToldUnderTheSuccessor() {
     scenario.accept(witness, ACCEPTED_LATER, "array", 1);
     scenario.accept(witness, GANG, "group", 2);
@@ -58,7 +59,7 @@
     scenario.cluster.store.restore(before, false);
   }
 
-  /** Guards against a superseded leader that was told of its successor by a peer heartbeat only. */
+  /** Guards against a superseded leader that knows its successor from a peer heartbeat only. */
   @Test
   void aLeaderThatHeardOfItsSuccessorFromAPeerOnlyIsNotRestored() {
     former.storeUnavailable = true;
@@ -70,7 +71,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a superseded leader that reads the store again only after it was put back. */
+  /** Guards against a superseded leader that reads the store again only after the rollback. */
   @Test
   void aLeaderThatPassedOnItsSuccessorsAnswersIsNotRestored() {
     former.storeUnavailable = true;
@@ -82,7 +83,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a superseded leader that nobody has told of its successor. */
+  /** Guards against a superseded leader that does not know of its successor. */
   @Test
   void aLeaderThatNeverHeardOfItsSuccessorIsNotRestored() {
     scenario.cutOff(former);
@@ -94,7 +95,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against the first answer of the store being that of contents that were put back. */
+  /** Guards against a superseded leader whose first answer comes from the rolled-back store. */
   @Test
   void aPausedLeaderThatWakesBeforeTheLossIsNoticedIsNotRestored() {
     scenario.cutOff(former);
@@ -109,9 +110,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /**
-   * Guards against contents that come back during the restore and are newer than what is restored.
-   */
+  /** Guards against a store that returns to newer contents during the restore. */
   @Test
   void endsInContentsThatComeBackDuringTheRestoreAreNotTakenBack() {
     former.storeUnavailable = true;
@@ -125,7 +124,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a former leader that is restored though the successor is alive. */
+  /** Guards against a restore of the former leader's state although its successor is live. */
   @Test
   void theSuccessorIsRestoredWhereBothAreUp() {
     scenario.cutOff(former);
--- a/src/test/java/io/embernotch/incarnation/ToldMeansKnownByTwoTest.java
+++ b/src/test/java/io/embernotch/incarnation/ToldMeansKnownByTwoTest.java
@@ -19,23 +19,24 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Whatever a controller tells a user is known to another controller by then, if one is live: the
- * teller's process ends at the very event by which it tells, the store is put back to before, and
- * nothing is denied or taken back. Seeds may be chosen by the properties told.from and told.seeds.
+ * Before a controller answers a user, another live controller knows what the answer says. The
+ * answering process ends in the event that delivers its answer, the store is rolled back to an
+ * earlier state, and no answer may be contradicted or withdrawn. The system properties told.from
+ * and told.seeds select the seeds.
  */
 class ToldMeansKnownByTwoTest {
   private static final int SEEDS = 20;
 
-  /** Seconds after which everybody knows who is cut off. */
+  /** Seconds after which all controllers know which one is isolated. */
   private static final double CUT_OFF_IS_KNOWN_S = 8;
 
-  /** Seconds after the loss in which whoever goes on restores what it knows. */
+  /** Seconds after the data loss within which the remaining controllers restore what they know. */
   private static final double RESTORED_S = 25;
 
-  /** Seconds after the last fault by which every job is answered for. */
+  /** Seconds after the last fault within which every controller answers for every job. */
   private static final double SETTLED_S = 45;
 
-  /** Guards against an answer that is given before another controller holds what it says. */
+  /** Guards against an answer that is given before another controller knows what it says. */
   @Test
   void whatWasToldHoldsThoughTheTellerEndsAndTheStoreIsPutBackAtThatMoment() {
     assertThat(
@@ -43,14 +44,14 @@
         .isEmpty();
   }
 
-  /** One run: some jobs, some answers, and the last of these ends its controller. */
+  /** One run: some jobs and some answers; the controller that gives the last answer ends. */
   private static final class RandomRun {
     private static final int JOBS = 4;
 
     private final SplittableRandom random;
     private final SimulatedCluster cluster = new SimulatedCluster(3, 10);
 
-    /** By job: the last phase that a user was told, {@code accepted} if none but that. */
+    /** By job: the last phase that a user was told; {@code accepted} if only the acceptance was. */
     private final Map<String, String> told = new TreeMap<>();
 
     private final List<String> findings = new ArrayList<>();
@@ -59,7 +60,7 @@
       random = new SplittableRandom(seed);
     }
 
-    /** Returns what was denied or taken back. */
+    /** Returns the answers that were contradicted or withdrawn. */
     List<String> run() {
       cluster.awaitLeader(4);
       for (int number = 1; number <= JOBS; number++) {
@@ -82,11 +83,11 @@
       }
       tellSomething(teller, true);
       if (!teller.down) {
-        // Whatever was asked for told nothing new, such as of a job that had not started.
+        // No answer reported a new fact, for example because the job had not started.
         submit(teller, "j-last", true);
       }
       if (!teller.down) {
-        findings.add("nothing was told by c" + teller.index);
+        findings.add("no successful answer by c" + teller.index);
       }
       cluster.store.restore(before, random.nextBoolean());
       cluster.advance(RESTORED_S);
@@ -131,7 +132,7 @@
       checkedAnswer(teller, ref, teller.controller.abort(ref), isLast);
     }
 
-    /** Asks until the end is told: the first answer of it is what counts. */
+    /** Polls until the end is reported; the first such answer counts. */
     private void completeAndPoll(ControllerNode teller, String ref, boolean isLast) {
       cluster.completeTasks(ref);
       for (int i = 0; i < 500 && !teller.down && !isEnd(told.get(ref)); i++) {
@@ -150,7 +151,7 @@
       cluster.await(answer);
     }
 
-    /** The process ends before anything else happens, if it was the last answer of an end. */
+    /** Records an answer; if it is the last one, its process ends before any other event. */
     private void answered(
         ControllerNode teller, String ref, HttpResponse response, boolean isLast) {
       if (response.status() >= 300) {
--- a/src/test/java/io/embernotch/incarnation/UnheardLossTest.java
+++ b/src/test/java/io/embernotch/incarnation/UnheardLossTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A controller that reaches the store and does not hear the leader would not hear of a loss of data
- * either. It tells ends, which no loss makes untrue, and anything else once the leader's next
- * heartbeat in the store has shown that nothing was lost.
+ * A controller that reaches the store but receives no heartbeats from the leader would not learn of
+ * a data loss either. It reports ends of jobs, which are final. It gives any other answer only
+ * after the leader's next heartbeat in the store has proven that nothing was lost.
  */
 class UnheardLossTest {
   private static final double HEARD_AGAIN_WITHIN_S = 10;
@@ -35,7 +35,7 @@
     cluster.advance(12);
   }
 
-  /** Guards against "never accepted" of a job whose user was told 201 by another controller. */
+  /** Guards against "never accepted" for a job that another controller answered with 201. */
   @Test
   void aJobThatAStorePutBackLacksIsNotDenied() {
     isolate(alone);
@@ -46,7 +46,9 @@
     assertThat(cluster.submit(alone.index, dependentJob("j-3", 1, "j-2")).status()).isEqualTo(503);
   }
 
-  /** Guards against two that hear each other, and not the leader that has told the end. */
+  /**
+   * Guards against two controllers that reach each other but not the leader that reported the end.
+   */
   @Test
   void twoWithoutTheLeaderTellNoMoreThanOne() {
     leader.peersUnreachable = true;
@@ -61,7 +63,7 @@
     }
   }
 
-  /** Guards against ends that are withheld for no reason. */
+  /** Guards against a controller that answers 503 although the store holds the job's end. */
   @Test
   void anEndIsToldByAControllerAlone() {
     isolate(alone);
@@ -70,7 +72,7 @@
     assertThat(cluster.phase(alone.index, "j-1")).isEqualTo("done");
   }
 
-  /** Guards against a controller that stays silent for as long as it hears nobody. */
+  /** Guards against a controller that answers 503 for as long as it reaches no other controller. */
   @Test
   void allIsToldThroughAPartitionAndAfterIt() {
     cluster.nodes.forEach(node -> node.peersUnreachable = true);
@@ -87,9 +89,7 @@
     }
   }
 
-  /**
-   * Guards against a store that is written to once more, by its leader too, after it was put back.
-   */
+  /** Guards against a rollback that goes undetected because the leader and others write again. */
   @Test
   void whatIsWrittenAfterwardsDoesNotHideALoss() {
     isolate(alone);
@@ -105,7 +105,7 @@
     }
   }
 
-  /** Guards against silence while there is no leader, and those that are left hear each other. */
+  /** Guards against 503 while there is no leader and the other controllers reach each other. */
   @Test
   void withoutALeaderThoseThatHearEachOtherAnswer() {
     leader.kill();
--- a/src/test/java/io/embernotch/incarnation/UnreadStoreTest.java
+++ b/src/test/java/io/embernotch/incarnation/UnreadStoreTest.java
@@ -11,15 +11,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A process that is started while the store does not answer it reads nothing. It still holds what
- * users were told by the time that whoever read the store has ended.
+ * A process that is started while the store does not answer it cannot read the store. The other
+ * controllers send it what they know, so it still knows all answers to users after they have ended.
  */
 class UnreadStoreTest {
   private static final String CANCELLED = "j-1";
   private static final String DONE = "j-2";
   private static final String ACCEPTED = "j-3";
 
-  /** More than the store sees in the rest of a test. */
+  /** More changes than the store receives in the rest of a test. */
   private static final int CHANGES_THAT_ARE_LOST = 1000;
 
   private final LossScenario scenario = new LossScenario();
@@ -42,7 +42,8 @@
   }
 
   /**
-   * @param silent whether the store answers the process nothing at all, rather than refuse
+   * @param silent whether the store leaves requests of the process unanswered; otherwise it refuses
+   *     them
    */
   private void startWithoutStore(boolean silent) {
     started.kill();
@@ -62,7 +63,7 @@
     first.kill();
   }
 
-  /** Guards against a replica that is filled by the store alone. */
+  /** Guards against a replica that is filled from the store only. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void whatWasToldBeforeItWasStartedHolds(boolean silent) {
@@ -77,7 +78,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against commits that are not taken before the store was read. */
+  /** Guards against a replica that drops commits until the store has been read. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void whatWasToldAfterItWasStartedHolds(boolean silent) {
@@ -91,7 +92,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against another process that is started into the loss, and restores without asking. */
+  /** Guards against a process that is started after the loss and restores without asking others. */
   @ParameterizedTest
   @CsvSource({"0.1,false", "0.1,true", "1,false", "1,true", "6,false", "6,true"})
   void itIsAskedByProcessesThatAreStartedAfterTheLoss(double storeSilentForS, boolean silent) {
@@ -108,9 +109,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /**
-   * Guards against knowledge that goes with those who asked, rather than on from one to another.
-   */
+  /** Guards against received state that is not passed on to the next process. */
   @Test
   void whatItKnowsReachesTheNextProcessThatTheStoreDoesNotAnswer() {
     factsAreTold();
@@ -127,7 +126,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a process that commits without telling one of which it knows nothing yet. */
+  /** Guards against a process that does not replicate commits to a peer it knows nothing of yet. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void whatIsToldByAProcessThatIsStartedLaterHolds(boolean silent) {
@@ -147,7 +146,9 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a store that is silent once the incarnation was read, and before the rest. */
+  /**
+   * Guards against a store that stops answering after the incarnation was read, before the rest.
+   */
   @ParameterizedTest
   @ValueSource(doubles = {0.005, 0.015, 0.03, 0.05})
   void whatWasToldHoldsThoughTheStoreFallsSilentWhileItIsRead(double answersForS) {
@@ -166,7 +167,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a leader that is alive at the loss and ends before it was asked by anybody. */
+  /** Guards against a leader that outlives the loss and ends before another controller asks it. */
   @ParameterizedTest
   @ValueSource(doubles = {0.05, 0.3, 0.6, 1})
   void whatTheLeaderToldHoldsThoughItEndsSoonAfterTheLoss(double secondsAfter) {
@@ -182,7 +183,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a replica that is told of no more once the loss is noticed. */
+  /** Guards against a follower that sends nothing to a new process once it detects the loss. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void whatAFollowerKnowsIsToldAfterItHasNoticedTheLoss(boolean silent) {
@@ -200,7 +201,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against an incarnation that is taken for one without what was told of its own jobs. */
+  /** Guards against reported jobs of an incomplete incarnation that are taken for missing in it. */
   @Test
   void whatWasToldOfAnIncompleteIncarnationIsNotMissedInIt() {
     scenario.cluster.nodes.forEach(ControllerNode::kill);
@@ -216,7 +217,7 @@
     scenario.verifyAllToldHolds();
   }
 
-  /** Guards against a revision of lost contents that is taken for one of those that followed. */
+  /** Guards against a revision of lost contents that is applied to the next incarnation. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void aRevisionOfLostContentsIsNotExpectedOfThoseThatFollow(boolean silent) {
