--- a/src/main/java/io/embernotch/incarnation/ClaimEligibility.java
+++ b/src/main/java/io/embernotch/incarnation/ClaimEligibility.java
@@ -12,52 +12,52 @@
  */
 final class ClaimEligibility {
   private final ControllerContext context;
-  private final IncarnationKnowledge knowledge;
-  private final BooleanSupplier allPeersHeard;
+  private final IncarnationState state;
+  private final BooleanSupplier allPeersSeen;
   private final Consumer<String> dataLost;
   private final double startedAt;
-  private boolean verifying;
+  private boolean verificationPending;
 
   /**
-   * @param allPeersHeard whether every other controller has sent a heartbeat since the start
+   * @param allPeersSeen whether every other controller has sent a heartbeat since the start
    * @param dataLost receives the reason when data loss is detected
    */
   ClaimEligibility(
       ControllerContext context,
-      IncarnationKnowledge knowledge,
-      BooleanSupplier allPeersHeard,
+      IncarnationState state,
+      BooleanSupplier allPeersSeen,
       Consumer<String> dataLost) {
     this.context = context;
-    this.knowledge = knowledge;
-    this.allPeersHeard = allPeersHeard;
+    this.state = state;
+    this.allPeersSeen = allPeersSeen;
     this.dataLost = dataLost;
     this.startedAt = context.clock().now();
   }
 
   /** Seconds since this process was started. */
-  double upS() {
+  double uptimeS() {
     return context.clock().now() - startedAt;
   }
 
   /** Whether this node may claim leadership of contents that it considers intact. */
   boolean mayClaimIntact() {
-    if (!knowledge.hasIncarnation()) {
+    if (!state.hasIncarnation()) {
       return mayBeginFirstIncarnation();
     }
-    if (knowledge.isBehindLeader()) {
-      verifyReached();
+    if (state.isBehindReportedLeader()) {
+      verifyLeaderEpochReached();
       return false;
     }
-    return othersHadTimeToTell();
+    return othersHadTimeToReportLoss();
   }
 
   /**
    * Whether every other controller has sent a heartbeat or has had the time to send one. A
    * controller that was running before this process reports a data loss in its heartbeats.
    */
-  private boolean othersHadTimeToTell() {
-    return allPeersHeard.getAsBoolean()
-        || upS() > context.settings().workers().heartbeatIntervalS();
+  private boolean othersHadTimeToReportLoss() {
+    return allPeersSeen.getAsBoolean()
+        || uptimeS() > context.settings().workers().heartbeatIntervalS();
   }
 
   /**
@@ -68,34 +68,34 @@
    * If the contents are still behind an observed epoch after that time, data is lost.
    */
   private boolean mayBeginFirstIncarnation() {
-    if (knowledge.isBehind()) {
-      if (upS() > context.settings().workers().leaseS() / 2) {
+    if (state.isBehindHighestEpoch()) {
+      if (uptimeS() > context.settings().workers().leaseS() / 2) {
         dataLost.accept("it has no incarnation, but a later epoch was observed");
       }
       return false;
     }
-    return othersHadTimeToTell();
+    return othersHadTimeToReportLoss();
   }
 
   /**
    * Sends a request whose answer shows the store's present revision, and reports data loss if the
    * contents have still not reached the epoch of the leader.
    */
-  private void verifyReached() {
-    if (verifying) {
+  private void verifyLeaderEpochReached() {
+    if (verificationPending) {
       return;
     }
-    verifying = true;
-    long named = knowledge.highestLeaderEpoch();
+    verificationPending = true;
+    long leaderEpoch = state.highestLeaderEpoch();
     context
         .store()
         .commit(new Transaction())
         .onComplete(
-            compared -> {
-              verifying = false;
-              if (compared.succeeded() && knowledge.isIntact() && knowledge.isBefore(named)) {
+            result -> {
+              verificationPending = false;
+              if (result.succeeded() && state.isIntact() && state.isBehindEpoch(leaderEpoch)) {
                 dataLost.accept(
-                    "it has not reached epoch " + named + " of a leader that was reported");
+                    "it has not reached epoch " + leaderEpoch + " of a leader that was reported");
               }
             });
   }
--- a/src/main/java/io/embernotch/incarnation/ContentsConfirmation.java
+++ b/src/main/java/io/embernotch/incarnation/ContentsConfirmation.java
@@ -12,7 +12,7 @@
   private final ControllerContext context;
 
   /** When this process first read an incarnation, in seconds of the steady clock; -1 before. */
-  private double foundAt = -1;
+  private double incarnationReadAt = -1;
 
   private boolean confirmed;
 
@@ -21,11 +21,11 @@
   }
 
   /** Records whether the store held an incarnation; only the first call after the start counts. */
-  void contentsKnown(boolean holdIncarnation) {
-    boolean first = foundAt < 0 && !confirmed;
-    if (first && holdIncarnation) {
-      foundAt = context.clock().now();
-    } else if (first) {
+  void contentsRead(boolean hasIncarnation) {
+    boolean isFirstRead = incarnationReadAt < 0 && !confirmed;
+    if (isFirstRead && hasIncarnation) {
+      incarnationReadAt = context.clock().now();
+    } else if (isFirstRead) {
       // Everything that is written from now on is written after the start of this process.
       confirmed = true;
     }
@@ -39,7 +39,7 @@
   /** Whether it is confirmed that the store was not rolled back before this process read it. */
   public boolean isConfirmed() {
     return confirmed
-        || (foundAt >= 0
-            && context.clock().now() - foundAt > context.settings().workers().leaseS());
+        || (incarnationReadAt >= 0
+            && context.clock().now() - incarnationReadAt > context.settings().workers().leaseS());
   }
 }
--- a/src/main/java/io/embernotch/incarnation/IncarnationAdopter.java
+++ b/src/main/java/io/embernotch/incarnation/IncarnationAdopter.java
@@ -15,19 +15,19 @@
 
   private final StoreClient store;
   private final IncarnationHost host;
-  private final IncarnationKnowledge knowledge;
+  private final IncarnationState state;
   private final PointerReader pointer;
   private final ContentsConfirmation confirmation;
 
   IncarnationAdopter(
       StoreClient store,
       IncarnationHost host,
-      IncarnationKnowledge knowledge,
+      IncarnationState state,
       PointerReader pointer,
       ContentsConfirmation confirmation) {
     this.store = store;
     this.host = host;
-    this.knowledge = knowledge;
+    this.state = state;
     this.pointer = pointer;
     this.confirmation = confirmation;
   }
@@ -40,9 +40,9 @@
    * and adopts it unless another controller has reported that it is lost.
    */
   boolean mayAdoptAfterLoss(StoreIncarnation stored) {
-    StoreIncarnation known = knowledge.incarnation();
+    StoreIncarnation known = state.incarnation();
     if (known == null) {
-      return !knowledge.isHeardToBeLost(stored);
+      return !state.isReportedLost(stored);
     }
     return stored.follows(known);
   }
@@ -54,48 +54,48 @@
    */
   void adopt(StoreIncarnation stored) {
     // The base snapshot of an incarnation that another controller has reported is not read yet.
-    if (stored == null || (knowledge.isSame(stored) && !knowledge.isTold())) {
-      settle(stored, knowledge.baseSnapshot());
+    if (stored == null || (state.isKnown(stored) && !state.isReportedOnly())) {
+      adoptWithSnapshot(stored, state.baseSnapshot());
       return;
     }
     if (stored.snapshotName() == null) {
-      settle(stored, BaseSnapshot.EMPTY);
+      adoptWithSnapshot(stored, BaseSnapshot.EMPTY);
       return;
     }
-    int lossesBefore = knowledge.losses();
+    int lossesBefore = state.lossCount();
     store
         .list(IncarnationCodec.blocks(stored.snapshotName()))
         .onSuccess(
             found -> {
-              boolean heardToBeLost = knowledge.isUnread() && knowledge.isHeardToBeLost(stored);
-              if (knowledge.losses() != lossesBefore || heardToBeLost) {
+              boolean reportedLost = state.isStoreUnread() && state.isReportedLost(stored);
+              if (state.lossCount() != lossesBefore || reportedLost) {
                 // The blocks may belong to contents that were lost meanwhile.
-                pointer.readLater();
+                pointer.readAfterDelay();
                 return;
               }
               try {
-                settle(stored, BaseSnapshotReader.read(stored, found.events()));
+                adoptWithSnapshot(stored, BaseSnapshotReader.read(stored, found.events()));
               } catch (MalformedInputException e) {
-                reportUnusable(stored, e.getMessage());
+                logUnusable(stored, e.getMessage());
               }
             })
-        .onFailure(failure -> pointer.readLater());
+        .onFailure(failure -> pointer.readAfterDelay());
   }
 
   /** Logs damaged blocks as an error, unless another incarnation has replaced them meanwhile. */
-  private void reportUnusable(StoreIncarnation stored, String why) {
+  private void logUnusable(StoreIncarnation stored, String why) {
     store
         .get(IncarnationCodec.POINTER)
         .map(PointerReader::parse)
         .onSuccess(
-            present -> {
-              if (present.isPresent() && present.incarnation().name().equals(stored.name())) {
+            current -> {
+              if (current.isPresent() && current.incarnation().name().equals(stored.name())) {
                 LOG.error("store incarnation {} cannot be used: {}", stored.name(), why);
               } else {
                 LOG.info("store incarnation {} was replaced while it was read", stored.name());
               }
             })
-        .onComplete(read -> pointer.readLater());
+        .onComplete(read -> pointer.readAfterDelay());
   }
 
   /**
@@ -104,13 +104,13 @@
    *
    * @param incarnation the incarnation; null if the store holds none
    */
-  void settle(StoreIncarnation incarnation, BaseSnapshot baseSnapshot) {
+  void adoptWithSnapshot(StoreIncarnation incarnation, BaseSnapshot baseSnapshot) {
     if (incarnation != null) {
       store.setFence(IncarnationCodec.fence(incarnation), incarnation.modRevision());
     }
-    confirmation.contentsKnown(incarnation != null);
-    if (knowledge.settle(incarnation, baseSnapshot)) {
-      LOG.info("store incarnation {}, epochs from {}", knowledge.name(), knowledge.epochFloor());
+    confirmation.contentsRead(incarnation != null);
+    if (state.recordAdopted(incarnation, baseSnapshot)) {
+      LOG.info("store incarnation {}, epochs from {}", state.name(), state.epochFloor());
       host.incarnationSettled(baseSnapshot);
     }
   }
--- a/src/main/java/io/embernotch/incarnation/IncarnationClaimer.java
+++ b/src/main/java/io/embernotch/incarnation/IncarnationClaimer.java
@@ -19,54 +19,55 @@
   private static final long UNWRITTEN = 0;
 
   /** Value of {@code since} for a snapshot that was made when the incarnation began. */
-  private static final long SINCE_BEGIN = 0;
+  private static final long SINCE_INCARNATION_START = 0;
 
-  private final IncarnationKnowledge knowledge;
+  private final IncarnationState state;
   private final PointerReader pointer;
   private final StoreRestorer restorer;
-  private final Supplier<String> names;
+  private final Supplier<String> nameGenerator;
 
   /** The incarnation that the pending claim begins; null if it keeps the current one. */
-  private StoreIncarnation claimed;
+  private StoreIncarnation pendingIncarnation;
 
   /**
-   * @param names generates globally unique names
+   * @param nameGenerator generates globally unique names
    */
   IncarnationClaimer(
-      IncarnationKnowledge knowledge,
+      IncarnationState state,
       PointerReader pointer,
       StoreRestorer restorer,
-      Supplier<String> names) {
-    this.knowledge = knowledge;
+      Supplier<String> nameGenerator) {
+    this.state = state;
     this.pointer = pointer;
     this.restorer = restorer;
-    this.names = names;
+    this.nameGenerator = nameGenerator;
   }
 
   /** See {@link io.embernotch.election.Candidacy#claim}. */
   Claim claim(Transaction transaction) {
-    claimed = nextIncarnation();
-    if (claimed == null) {
-      return new Claim(knowledge.name(), knowledge.epochFloor(), 0);
+    pendingIncarnation = nextIncarnation();
+    if (pendingIncarnation == null) {
+      return new Claim(state.name(), state.epochFloor(), 0);
     }
     StoredPointer replaced = pointer.latest();
     transaction.unfenced().when(IncarnationCodec.POINTER, replaced.modRevision());
-    if (knowledge.isLost()) {
+    if (state.isDataLost()) {
       // If data was lost again after the blocks were written, they are missing. The last block was
       // written last, so a store that holds it holds all blocks.
       PreparedSnapshot prepared = restorer.prepared();
       transaction.when(
-          IncarnationCodec.block(prepared.name(), prepared.blocks() - 1),
+          IncarnationCodec.block(prepared.name(), prepared.blockCount() - 1),
           prepared.lastModRevision());
     }
     if (replaced.isPresent()) {
       transaction.drop(IncarnationCodec.fence(replaced.incarnation()));
     }
     transaction
-        .write(IncarnationCodec.POINTER, IncarnationCodec.write(claimed))
-        .write(IncarnationCodec.fence(claimed), IncarnationCodec.write(claimed));
-    double graceS = knowledge.isLost() ? restorer.formerLeaderGraceS() : 0;
-    return new Claim(claimed.name(), claimed.epochFloor(), graceS);
+        .write(IncarnationCodec.POINTER, IncarnationCodec.write(pendingIncarnation))
+        .write(
+            IncarnationCodec.fence(pendingIncarnation), IncarnationCodec.write(pendingIncarnation));
+    double graceS = state.isDataLost() ? restorer.formerLeaderGraceS() : 0;
+    return new Claim(pendingIncarnation.name(), pendingIncarnation.epochFloor(), graceS);
   }
 
   /**
@@ -74,72 +75,72 @@
    *
    * @return the incarnation that the claim has begun; empty if it kept the current one
    */
-  Optional<StoreIncarnation> succeeded(long modRevision) {
+  Optional<StoreIncarnation> claimSucceeded(long modRevision) {
     Optional<StoreIncarnation> begun =
-        Optional.ofNullable(claimed).map(incarnation -> incarnation.at(modRevision));
-    claimed = null;
+        Optional.ofNullable(pendingIncarnation).map(incarnation -> incarnation.at(modRevision));
+    pendingIncarnation = null;
     return begun;
   }
 
   /** Whether a claim that begins an incarnation is pending. */
-  boolean isClaiming() {
-    return claimed != null;
+  boolean isBeginningIncarnation() {
+    return pendingIncarnation != null;
   }
 
   /** Discards the pending claim; returns true if it was to begin an incarnation. */
-  boolean discard() {
-    boolean wasClaimed = claimed != null;
-    claimed = null;
-    return wasClaimed;
+  boolean discardClaim() {
+    boolean wasPending = pendingIncarnation != null;
+    pendingIncarnation = null;
+    return wasPending;
   }
 
   /** The incarnation that the next claim begins; null if it keeps the current one. */
   private StoreIncarnation nextIncarnation() {
-    if (knowledge.isLost()) {
+    if (state.isDataLost()) {
       return restoredIncarnation(restorer.prepared());
     }
-    if (!knowledge.hasIncarnation()) {
+    if (!state.hasIncarnation()) {
       return firstIncarnation();
     }
-    return knowledge.isBehind() ? raisedIncarnation(knowledge.incarnation()) : null;
+    return state.isBehindHighestEpoch() ? incarnationWithRaisedEpochs(state.incarnation()) : null;
   }
 
   private StoreIncarnation restoredIncarnation(PreparedSnapshot prepared) {
-    knowledge.observeEpoch(prepared.snapshot().getEpoch());
+    state.observeEpoch(prepared.snapshot().getEpoch());
     return new StoreIncarnation(
         prepared.name(),
         UNWRITTEN,
-        knowledge.raisedEpochFloor(),
+        state.raisedEpochFloor(),
         prepared.name(),
-        prepared.blocks(),
+        prepared.blockCount(),
         prepared.crc(),
-        SINCE_BEGIN,
+        SINCE_INCARNATION_START,
         predecessors(prepared));
   }
 
   private StoreIncarnation firstIncarnation() {
     return new StoreIncarnation(
-        names.get(),
+        nameGenerator.get(),
         UNWRITTEN,
-        knowledge.isBehind() ? knowledge.raisedEpochFloor() : 0,
+        state.isBehindHighestEpoch() ? state.raisedEpochFloor() : 0,
         null,
         0,
         0,
-        SINCE_BEGIN,
+        SINCE_INCARNATION_START,
         List.of());
   }
 
   /** The same contents under another name, with epochs above every epoch that was observed. */
-  private StoreIncarnation raisedIncarnation(StoreIncarnation present) {
+  private StoreIncarnation incarnationWithRaisedEpochs(StoreIncarnation current) {
     return new StoreIncarnation(
-        names.get(),
+        nameGenerator.get(),
         UNWRITTEN,
-        knowledge.raisedEpochFloor(),
-        present.snapshotName(),
-        present.blockCount(),
-        present.crc(),
-        present.since(),
-        present.lineage());
+        state.raisedEpochFloor(),
+        current.snapshotName(),
+        current.blockCount(),
+        current.crc(),
+        current.since(),
+        current.lineage());
   }
 
   /**
@@ -148,7 +149,7 @@
    */
   private List<String> predecessors(PreparedSnapshot prepared) {
     List<String> names =
-        new ArrayList<>(knowledge.hasIncarnation() ? knowledge.incarnation().lineage() : List.of());
+        new ArrayList<>(state.hasIncarnation() ? state.incarnation().lineage() : List.of());
     prepared.incarnations().stream().filter(name -> !names.contains(name)).forEach(names::add);
     StoredPointer replaced = pointer.latest();
     if (replaced.isPresent()) {
--- a/src/main/java/io/embernotch/incarnation/IncarnationKnowledge.java
+++ b/src/main/java/io/embernotch/incarnation/IncarnationState.java
@@ -5,14 +5,14 @@
 import io.embernotch.store.StoreClient;
 
 /** What this controller knows of the store's incarnation, its epochs and data losses. */
-final class IncarnationKnowledge {
+final class IncarnationState {
   /**
    * Added to the highest known epoch when epochs are raised, since other controllers may have seen
    * higher ones.
    */
-  private static final long EPOCH_LEAP = 1L << 24;
+  private static final long EPOCH_MARGIN = 1L << 24;
 
-  private enum State {
+  private enum ContentsStatus {
     /** This process has not read the incarnation from the store yet. */
     UNREAD,
     /** The store holds the known incarnation. */
@@ -22,7 +22,7 @@
   }
 
   private final StoreClient store;
-  private State state = State.UNREAD;
+  private ContentsStatus status = ContentsStatus.UNREAD;
 
   /** The known incarnation; null if none is known yet. */
   private StoreIncarnation incarnation;
@@ -36,38 +36,38 @@
   private long highestLeaderEpoch;
 
   /** The highest epoch that another controller has sent without naming a leader. */
-  private long heardLossEpoch;
+  private long reportedLossEpoch;
 
   /** The epoch that identifies the last data loss. */
   private long lossEpoch;
 
   /** Whether contents that this controller itself has read or written are lost. */
-  private boolean lossSeen;
+  private boolean observedContentsLost;
 
   /** The highest revision that this process had seen before the last data loss. */
   private long revisionBeforeLoss;
 
-  private int losses;
+  private int lossCount;
 
-  IncarnationKnowledge(StoreClient store) {
+  IncarnationState(StoreClient store) {
     this.store = store;
   }
 
-  boolean isUnread() {
-    return state == State.UNREAD;
+  boolean isStoreUnread() {
+    return status == ContentsStatus.UNREAD;
   }
 
   boolean isIntact() {
-    return state == State.INTACT;
+    return status == ContentsStatus.INTACT;
   }
 
-  boolean isLost() {
-    return state == State.LOST;
+  boolean isDataLost() {
+    return status == ContentsStatus.LOST;
   }
 
   /** Whether the incarnation is known from other controllers only, not read from the store yet. */
-  boolean isTold() {
-    return isUnread() && hasIncarnation();
+  boolean isReportedOnly() {
+    return isStoreUnread() && hasIncarnation();
   }
 
   /**
@@ -76,17 +76,17 @@
    *
    * @return whether that incarnation is a successor of one that was reported before
    */
-  boolean observeTold(StoreIncarnation told) {
-    boolean follows = isTold() && told.follows(incarnation);
-    if (follows || (isUnread() && !hasIncarnation())) {
-      incarnation = told;
+  boolean observeReported(StoreIncarnation reported) {
+    boolean follows = isReportedOnly() && reported.follows(incarnation);
+    if (follows || (isStoreUnread() && !hasIncarnation())) {
+      incarnation = reported;
     }
     return follows;
   }
 
   /** The highest revision that was seen of the known incarnation, which may be lost. */
   long highestRevision() {
-    return isLost() ? revisionBeforeLoss : store.highestRevisionSeen();
+    return isDataLost() ? revisionBeforeLoss : store.highestRevisionSeen();
   }
 
   /** The known incarnation; null if none is known yet. */
@@ -119,13 +119,13 @@
   }
 
   /** Whether an epoch was observed that the contents have not reached. */
-  boolean isBehind() {
+  boolean isBehindHighestEpoch() {
     return highestEpoch > reachedEpoch();
   }
 
   /** Whether an epoch is so high that only a controller that has detected data loss sends it. */
   boolean isLossEpoch(long epoch) {
-    return epoch > reachedEpoch() + EPOCH_LEAP / 2;
+    return epoch > reachedEpoch() + EPOCH_MARGIN / 2;
   }
 
   /** Records an epoch that some process has seen. */
@@ -148,29 +148,29 @@
    * Whether data is lost and a leader of a later incarnation was reported. Another controller has
    * restored the store then, so this controller neither reports the loss nor restores anything.
    */
-  boolean isLossOver() {
-    return isLost() && highestLeaderEpoch > lossEpoch;
+  boolean isLossResolved() {
+    return isDataLost() && highestLeaderEpoch > lossEpoch;
   }
 
   /** Whether a leader was reported whose epoch the contents have not reached. */
-  boolean isBehindLeader() {
+  boolean isBehindReportedLeader() {
     return highestLeaderEpoch > reachedEpoch();
   }
 
   /** Whether the contents have not reached an epoch, as far as this process has seen them. */
-  boolean isBefore(long epoch) {
+  boolean isBehindEpoch(long epoch) {
     return epoch > reachedEpoch();
   }
 
   /** Records the epoch of a heartbeat that names no leader; a high epoch reports a data loss. */
-  void observeLossEpoch(long epoch) {
+  void observeReportedLossEpoch(long epoch) {
     observeEpoch(epoch);
-    heardLossEpoch = Math.max(heardLossEpoch, epoch);
+    reportedLossEpoch = Math.max(reportedLossEpoch, epoch);
   }
 
   /** The highest epoch that another controller has sent without naming a leader. */
-  long heardLossEpoch() {
-    return heardLossEpoch;
+  long reportedLossEpoch() {
+    return reportedLossEpoch;
   }
 
   /**
@@ -178,13 +178,13 @@
    *
    * @param other the incarnation in the store; null if there is none
    */
-  boolean isHeardToBeLost(StoreIncarnation other) {
-    return heardLossEpoch > (other == null ? 0 : other.epochFloor()) + EPOCH_LEAP / 2;
+  boolean isReportedLost(StoreIncarnation other) {
+    return reportedLossEpoch > (other == null ? 0 : other.epochFloor()) + EPOCH_MARGIN / 2;
   }
 
   /** An epoch floor above all epochs that any controller or worker may have seen. */
   long raisedEpochFloor() {
-    return highestEpoch + EPOCH_LEAP;
+    return highestEpoch + EPOCH_MARGIN;
   }
 
   /** The epoch that identifies the last data loss. */
@@ -193,43 +193,44 @@
   }
 
   /** Number of data losses that this process has recorded. */
-  int losses() {
-    return losses;
+  int lossCount() {
+    return lossCount;
   }
 
   /**
    * Records a data loss.
    *
-   * @param namedBy the loss epoch that another controller has reported; 0 if this controller has
-   *     detected the loss, which then gets a new one
-   * @param seen whether contents that this controller itself has read or written are lost
+   * @param reportedEpoch the loss epoch that another controller has reported; 0 if this controller
+   *     has detected the loss, which then gets a new one
+   * @param observedContentsLost whether contents that this controller itself has read or written
+   *     are lost
    * @return false if data was lost already and this controller has adopted no incarnation since
    */
-  boolean recordLoss(long namedBy, boolean seen) {
-    long reached = Math.max(reachedEpoch(), isLossOver() ? highestLeaderEpoch : 0);
+  boolean recordLoss(long reportedEpoch, boolean observedContentsLost) {
+    long reached = Math.max(reachedEpoch(), isLossResolved() ? highestLeaderEpoch : 0);
     observeEpoch(reached);
-    boolean isAnother = state != State.LOST || isLossOver();
-    boolean first = state != State.LOST;
-    lossSeen = seen;
+    boolean isNewLoss = status != ContentsStatus.LOST || isLossResolved();
+    boolean newlyLost = status != ContentsStatus.LOST;
+    this.observedContentsLost = observedContentsLost;
     revisionBeforeLoss = store.highestRevisionSeen();
     store.discardIncarnation();
-    losses++;
-    state = State.LOST;
-    if (isAnother) {
+    lossCount++;
+    status = ContentsStatus.LOST;
+    if (isNewLoss) {
       // Derived from what the lost contents have reached, not from reported epochs of later ones.
       // Otherwise a delayed report of this loss could be mistaken for a report of the next one.
-      lossEpoch = namedBy > 0 ? namedBy : reached + EPOCH_LEAP;
+      lossEpoch = reportedEpoch > 0 ? reportedEpoch : reached + EPOCH_MARGIN;
       observeEpoch(lossEpoch);
     }
-    return first;
+    return newlyLost;
   }
 
   /**
    * Whether contents that this controller itself has read or written are lost. If not, the loss may
    * have happened before it first read the store, and so before a term that it has led.
    */
-  boolean isLossSeen() {
-    return lossSeen;
+  boolean hasLostObservedContents() {
+    return observedContentsLost;
   }
 
   /**
@@ -237,32 +238,32 @@
    * contents that this controller itself has read or written are lost.
    */
   boolean observeRevisionAfterLoss(long revision) {
-    boolean shown = isLost() && !lossSeen && revision < revisionBeforeLoss;
-    lossSeen |= shown;
-    return shown;
+    boolean proven = isDataLost() && !observedContentsLost && revision < revisionBeforeLoss;
+    observedContentsLost |= proven;
+    return proven;
   }
 
   /**
    * Records that the store holds this incarnation, and that its contents are intact.
    *
-   * @param settled the incarnation; null if the store holds none yet
-   * @param itsBaseSnapshot the snapshot that it began with
+   * @param adopted the incarnation; null if the store holds none yet
+   * @param adoptedBaseSnapshot the snapshot that it began with
    * @return whether the contents were not intact before, or the incarnation is another one
    */
-  boolean settle(StoreIncarnation settled, BaseSnapshot itsBaseSnapshot) {
+  boolean recordAdopted(StoreIncarnation adopted, BaseSnapshot adoptedBaseSnapshot) {
     boolean wasIntact = isIntact();
-    boolean changed = settled != null && (incarnation == null || !isNamed(settled.name()));
-    incarnation = settled;
-    baseSnapshot = itsBaseSnapshot;
-    state = State.INTACT;
+    boolean changed = adopted != null && (incarnation == null || !hasName(adopted.name()));
+    incarnation = adopted;
+    baseSnapshot = adoptedBaseSnapshot;
+    status = ContentsStatus.INTACT;
     return !wasIntact || changed;
   }
 
   /** Whether this is the known incarnation, at the same modification revision. */
-  boolean isSame(StoreIncarnation other) {
+  boolean isKnown(StoreIncarnation other) {
     return incarnation != null
         && other != null
-        && isNamed(other.name())
+        && hasName(other.name())
         && other.modRevision() == incarnation.modRevision();
   }
 
@@ -271,11 +272,11 @@
    *
    * @param other the incarnation in the store; null if there is none
    */
-  boolean isOurs(StoreIncarnation other) {
-    return incarnation == null || isSame(other) || (other != null && other.follows(incarnation));
+  boolean isKnownOrSuccessor(StoreIncarnation other) {
+    return incarnation == null || isKnown(other) || (other != null && other.follows(incarnation));
   }
 
-  private boolean isNamed(String name) {
+  private boolean hasName(String name) {
     return incarnation.name().equals(name);
   }
 }
--- a/src/main/java/io/embernotch/incarnation/LossNews.java
+++ b/src/main/java/io/embernotch/incarnation/LossNews.java
@@ -19,22 +19,22 @@
     void dataLost(String why, long lossEpoch);
   }
 
-  private final IncarnationKnowledge knowledge;
+  private final IncarnationState state;
   private final Listener listener;
   private final Runnable readPointer;
 
   /**
    * @param readPointer starts a read of the store's current incarnation
    */
-  LossNews(IncarnationKnowledge knowledge, Listener listener, Runnable readPointer) {
-    this.knowledge = knowledge;
+  LossNews(IncarnationState state, Listener listener, Runnable readPointer) {
+    this.state = state;
     this.listener = listener;
     this.readPointer = readPointer;
   }
 
   /** Whether data is lost and no later incarnation is known; the loss is reported until then. */
   public boolean isTold() {
-    return knowledge.isLost() && !knowledge.isLossOver();
+    return state.isDataLost() && !state.isLossResolved();
   }
 
   /**
@@ -44,7 +44,7 @@
    * above each other's.
    */
   public long lossEpoch() {
-    return knowledge.lossEpoch();
+    return state.lossEpoch();
   }
 
   /**
@@ -59,26 +59,26 @@
    */
   public void heartbeatReceived(String node, String leader, long epoch) {
     if (leader != null) {
-      knowledge.observeLeaderEpoch(epoch);
+      state.observeLeaderEpoch(epoch);
       return;
     }
-    boolean mightBeLost = knowledge.isIntact() && knowledge.hasIncarnation();
-    if (mightBeLost && knowledge.isLossEpoch(epoch)) {
+    boolean acceptsLossReport = state.isIntact() && state.hasIncarnation();
+    if (acceptsLossReport && state.isLossEpoch(epoch)) {
       listener.dataLost("reported by " + node, epoch);
     }
-    knowledge.observeLossEpoch(epoch);
+    state.observeReportedLossEpoch(epoch);
   }
 
   /**
    * Processes a request of another controller for what this controller knows of lost contents.
    *
    * @param node the requesting controller
-   * @param lossEpochThere the epoch that identifies the loss there
+   * @param peerLossEpoch the epoch that identifies the loss in that request
    * @return false if this controller knows a later incarnation, so there is nothing to restore
    */
-  public boolean lossHeard(String node, long lossEpochThere) {
-    heartbeatReceived(node, null, lossEpochThere);
-    return knowledge.isUnread() || isTold();
+  public boolean lossHeard(String node, long peerLossEpoch) {
+    heartbeatReceived(node, null, peerLossEpoch);
+    return state.isStoreUnread() || isTold();
   }
 
   /** Another controller knows a later incarnation: reads it from the store. */
--- a/src/main/java/io/embernotch/incarnation/LossSigns.java
+++ b/src/main/java/io/embernotch/incarnation/LossSigns.java
@@ -9,23 +9,23 @@
      * Data is lost.
      *
      * @param why the evidence, for the log
-     * @param seen whether contents that this controller itself has read or written are lost; if
-     *     not, the loss may have happened before it first read the store
+     * @param observedContentsLost whether contents that this controller itself has read or written
+     *     are lost; if not, the loss may have happened before it first read the store
      */
-    void dataLost(String why, boolean seen);
+    void dataLost(String why, boolean observedContentsLost);
   }
 
-  private final IncarnationKnowledge knowledge;
+  private final IncarnationState state;
   private final Listener listener;
 
-  LossSigns(IncarnationKnowledge knowledge, Listener listener) {
-    this.knowledge = knowledge;
+  LossSigns(IncarnationState state, Listener listener) {
+    this.state = state;
     this.listener = listener;
   }
 
   /** Reports that the store does not hold a job that is known to have been accepted. */
   public void acceptedJobMissing(String ref) {
-    if (knowledge.isIntact()) {
+    if (state.isIntact()) {
       listener.dataLost("job " + ref + " was accepted but is missing", true);
     }
   }
@@ -44,7 +44,7 @@
    * @param why the evidence, for the log
    */
   public void contentsPutBack(String why) {
-    if (knowledge.isIntact()) {
+    if (state.isIntact()) {
       listener.dataLost(why, false);
     }
   }
--- a/src/main/java/io/embernotch/incarnation/PointerReader.java
+++ b/src/main/java/io/embernotch/incarnation/PointerReader.java
@@ -21,37 +21,37 @@
   private final StoreClient store;
   private final Clock clock;
   private final Timers timers;
-  private final double retryS;
-  private final BooleanSupplier lost;
+  private final double retryDelayS;
+  private final BooleanSupplier dataLost;
   private final Consumer<StoredPointer> listener;
   private StoredPointer latest = StoredPointer.ABSENT;
   private boolean readSinceLoss;
-  private boolean reading;
+  private boolean readInProgress;
   private boolean retryScheduled;
 
   /**
    * When the store began to answer all reads, in seconds of the steady clock; infinite if the last
    * read failed.
    */
-  private double answersSince = Double.POSITIVE_INFINITY;
+  private double answeringSince = Double.POSITIVE_INFINITY;
 
   /**
-   * @param retryS seconds between a failed read and the next one
-   * @param lost whether data is lost; the pointer is then polled
+   * @param retryDelayS seconds between a failed read and the next one
+   * @param dataLost whether data is lost; the pointer is then polled
    * @param listener receives the pointer after each successful read
    */
   PointerReader(
       StoreClient store,
       Clock clock,
       Timers timers,
-      double retryS,
-      BooleanSupplier lost,
+      double retryDelayS,
+      BooleanSupplier dataLost,
       Consumer<StoredPointer> listener) {
     this.store = store;
     this.clock = clock;
     this.timers = timers;
-    this.retryS = retryS;
-    this.lost = lost;
+    this.retryDelayS = retryDelayS;
+    this.dataLost = dataLost;
     this.listener = listener;
   }
 
@@ -61,7 +61,7 @@
   }
 
   /** Records that this node has written the pointer. */
-  void written(StoreIncarnation incarnation) {
+  void recordWritten(StoreIncarnation incarnation) {
     latest = new StoredPointer(incarnation.modRevision(), incarnation);
   }
 
@@ -71,8 +71,8 @@
   }
 
   /** Seconds for which the store has answered all reads; 0 or less if the last read failed. */
-  double answersForS() {
-    return clock.now() - answersSince;
+  double answeringForS() {
+    return clock.now() - answeringSince;
   }
 
   /** Records that data is lost: earlier reads are out of date. */
@@ -82,21 +82,21 @@
 
   /** Reads the pointer, unless a read is in progress. */
   void read() {
-    if (reading) {
+    if (readInProgress) {
       return;
     }
-    reading = true;
+    readInProgress = true;
     store.get(IncarnationCodec.POINTER).onComplete(this::readCompleted);
   }
 
   /** Schedules a read after the retry delay, unless one is scheduled. */
-  void readLater() {
+  void readAfterDelay() {
     if (retryScheduled) {
       return;
     }
     retryScheduled = true;
     timers.after(
-        retryS,
+        retryDelayS,
         () -> {
           retryScheduled = false;
           read();
@@ -104,17 +104,17 @@
   }
 
   private void readCompleted(AsyncResult<VersionedEntry> result) {
-    reading = false;
+    readInProgress = false;
     if (result.failed()) {
-      answersSince = Double.POSITIVE_INFINITY;
+      answeringSince = Double.POSITIVE_INFINITY;
     } else {
-      answersSince = Math.min(answersSince, clock.now());
+      answeringSince = Math.min(answeringSince, clock.now());
       readSinceLoss = true;
       latest = parse(result.result());
       listener.accept(latest);
     }
-    if (result.failed() || lost.getAsBoolean()) {
-      readLater();
+    if (result.failed() || dataLost.getAsBoolean()) {
+      readAfterDelay();
     }
   }
 
--- a/src/main/java/io/embernotch/incarnation/PreparedSnapshot.java
+++ b/src/main/java/io/embernotch/incarnation/PreparedSnapshot.java
@@ -9,7 +9,7 @@
  * @param name name of the blocks, and of the incarnation that is to begin
  * @param snapshot the contents
  * @param incarnations names of incarnations that other controllers knew, whose contents it holds
- * @param blocks number of blocks
+ * @param blockCount number of blocks
  * @param crc checksum over all blocks
  * @param lastModRevision modification revision of the last block; 0 while none is written
  */
@@ -17,10 +17,10 @@
     String name,
     ClusterSnapshot snapshot,
     List<String> incarnations,
-    int blocks,
+    int blockCount,
     long crc,
     long lastModRevision) {
   PreparedSnapshot writtenAt(long modRevision) {
-    return new PreparedSnapshot(name, snapshot, incarnations, blocks, crc, modRevision);
+    return new PreparedSnapshot(name, snapshot, incarnations, blockCount, crc, modRevision);
   }
 }
--- a/src/main/java/io/embernotch/incarnation/RemainsReader.java
+++ b/src/main/java/io/embernotch/incarnation/RemainingContentsReader.java
@@ -15,10 +15,10 @@
  * Reads the remaining contents of a store that has lost data: the keys of the incarnation that it
  * holds now, and that incarnation's base snapshot.
  */
-final class RemainsReader {
-  private static final Logger LOG = LoggerFactory.getLogger(RemainsReader.class);
+final class RemainingContentsReader {
+  private static final Logger LOG = LoggerFactory.getLogger(RemainingContentsReader.class);
 
-  private RemainsReader() {}
+  private RemainingContentsReader() {}
 
   /** Reads the remaining contents as a snapshot; the future fails if any read of a key fails. */
   static Future<ClusterSnapshot> read(StoreClient store) {
@@ -30,13 +30,13 @@
             base ->
                 PersistedState.read(store)
                     .map(
-                        left ->
+                        remaining ->
                             StateSnapshot.of(
                                 base,
-                                left.jobs(),
-                                left.shards(),
-                                left.refinedShards(),
-                                left.shared())));
+                                remaining.jobs(),
+                                remaining.shards(),
+                                remaining.refinedShards(),
+                                remaining.shared())));
   }
 
   private static Future<BaseSnapshot> readBase(StoreClient store, StoredPointer pointer) {
--- a/src/main/java/io/embernotch/incarnation/StoreAnswerPolicy.java
+++ b/src/main/java/io/embernotch/incarnation/StoreAnswerPolicy.java
@@ -11,30 +11,31 @@
   private final ControllerContext context;
   private final IncarnationHost host;
   private final StoreIncarnationTracker incarnations;
-  private final IncarnationKnowledge knowledge;
+  private final IncarnationState state;
   private final ContentsConfirmation confirmation;
-  private final StoreHeartbeatReader leaderHeartbeats;
+  private final StoreHeartbeatReader heartbeatReader;
   private final double startedAt;
-  private final double silentS;
+  private final double startupSilenceS;
 
   /**
-   * @param silentS seconds after the start in which no answer may be based on the store alone
+   * @param startupSilenceS seconds after the start in which no answer may be based on the store
+   *     alone
    */
   StoreAnswerPolicy(
       ControllerContext context,
       IncarnationHost host,
       StoreIncarnationTracker incarnations,
-      IncarnationKnowledge knowledge,
+      IncarnationState state,
       ContentsConfirmation confirmation,
-      double silentS) {
+      double startupSilenceS) {
     this.context = context;
     this.host = host;
     this.incarnations = incarnations;
-    this.knowledge = knowledge;
+    this.state = state;
     this.confirmation = confirmation;
-    this.leaderHeartbeats = new StoreHeartbeatReader(context);
+    this.heartbeatReader = new StoreHeartbeatReader(context);
     this.startedAt = context.clock().now();
-    this.silentS = silentS;
+    this.startupSilenceS = startupSilenceS;
   }
 
   /**
@@ -45,8 +46,8 @@
    */
   public boolean mayTellEnds() {
     return incarnations.isIntact()
-        && !knowledge.isBehind()
-        && context.clock().now() - startedAt > silentS;
+        && !state.isBehindHighestEpoch()
+        && context.clock().now() - startedAt > startupSilenceS;
   }
 
   /**
@@ -59,7 +60,7 @@
     Future<Boolean> proven =
         host.wouldHearOfLoss()
             ? Future.succeededFuture(true)
-            : leaderHeartbeats.next(knowledge.name());
+            : heartbeatReader.awaitNext(state.name());
     return proven.map(isProven -> isProven && mayTellEnds());
   }
 
@@ -69,6 +70,6 @@
    * incompletely or that no controller has detected yet.
    */
   public boolean mayDenyJobs() {
-    return !knowledge.baseSnapshot().jobsMissing() && confirmation.isConfirmed();
+    return !state.baseSnapshot().jobsMissing() && confirmation.isConfirmed();
   }
 }
--- a/src/main/java/io/embernotch/incarnation/StoreHeartbeatReader.java
+++ b/src/main/java/io/embernotch/incarnation/StoreHeartbeatReader.java
@@ -15,10 +15,10 @@
  */
 final class StoreHeartbeatReader {
   /** Reads of the heartbeat in a heartbeat interval while there are waiters. */
-  private static final double READS_PER_HEARTBEAT = 24;
+  private static final double READS_PER_HEARTBEAT_INTERVAL = 24;
 
   /** The heartbeat interval divided by this is the timeout; a user's request waits 2 s at most. */
-  private static final double WAITS_PER_HEARTBEAT = 4;
+  private static final double TIMEOUTS_PER_HEARTBEAT_INTERVAL = 4;
 
   /** In place of a modification revision: the heartbeat has not been read yet. */
   private static final long UNREAD = -1;
@@ -28,7 +28,7 @@
     final Promise<Boolean> proven = Promise.promise();
     final String incarnation;
     final double deadline;
-    long firstRead = UNREAD;
+    long firstReadRevision = UNREAD;
 
     Waiter(String incarnation, double deadline) {
       this.incarnation = incarnation;
@@ -52,8 +52,8 @@
    *
    * @param incarnation name of the store incarnation that the caller has read
    */
-  Future<Boolean> next(String incarnation) {
-    double deadline = context.clock().now() + heartbeatIntervalS / WAITS_PER_HEARTBEAT;
+  Future<Boolean> awaitNext(String incarnation) {
+    double deadline = context.clock().now() + heartbeatIntervalS / TIMEOUTS_PER_HEARTBEAT_INTERVAL;
     Waiter waiter = new Waiter(incarnation, deadline);
     waiters.add(waiter);
     if (waiters.size() == 1) {
@@ -63,18 +63,18 @@
   }
 
   private void read() {
-    List<Waiter> asking = List.copyOf(waiters);
+    List<Waiter> waitersOfRead = List.copyOf(waiters);
     context
         .store()
         .get(IncarnationCodec.HEARTBEAT)
-        .onSuccess(heartbeat -> asking.forEach(waiter -> heartbeatRead(waiter, heartbeat)))
-        .onComplete(result -> readAgain());
+        .onSuccess(heartbeat -> waitersOfRead.forEach(waiter -> heartbeatRead(waiter, heartbeat)))
+        .onComplete(result -> readCompleted());
   }
 
   private void heartbeatRead(Waiter waiter, VersionedEntry heartbeat) {
-    if (waiter.firstRead == UNREAD) {
-      waiter.firstRead = heartbeat.modRevision();
-    } else if (heartbeat.modRevision() > waiter.firstRead) {
+    if (waiter.firstReadRevision == UNREAD) {
+      waiter.firstReadRevision = heartbeat.modRevision();
+    } else if (heartbeat.modRevision() > waiter.firstReadRevision) {
       waiter.proven.tryComplete(provesCurrent(heartbeat, waiter.incarnation));
     }
   }
@@ -92,7 +92,7 @@
     }
   }
 
-  private void readAgain() {
+  private void readCompleted() {
     double now = context.clock().now();
     for (Waiter waiter : List.copyOf(waiters)) {
       if (now >= waiter.deadline) {
@@ -101,7 +101,7 @@
     }
     waiters.removeIf(waiter -> waiter.proven.future().isComplete());
     if (!waiters.isEmpty()) {
-      context.timers().after(heartbeatIntervalS / READS_PER_HEARTBEAT, this::read);
+      context.timers().after(heartbeatIntervalS / READS_PER_HEARTBEAT_INTERVAL, this::read);
     }
   }
 }
--- a/src/main/java/io/embernotch/incarnation/StoreHeartbeatWriter.java
+++ b/src/main/java/io/embernotch/incarnation/StoreHeartbeatWriter.java
@@ -17,49 +17,52 @@
  */
 public final class StoreHeartbeatWriter {
   /** Heartbeats written in a heartbeat interval while some other controller is not live. */
-  private static final double WRITES_PER_HEARTBEAT = 6;
+  private static final double WRITES_PER_HEARTBEAT_INTERVAL = 6;
 
   private final ControllerContext context;
-  private final Supplier<Optional<Long>> leaderKey;
+  private final Supplier<Optional<Long>> leaderKeyRevision;
   private final Supplier<String> incarnation;
-  private final BooleanSupplier needed;
+  private final BooleanSupplier peersMayMissHeartbeats;
   private final double periodS;
 
   /**
    * Creates a writer that is idle until {@link #start}.
    *
-   * @param leaderKey modification revision of the leader key; empty while this node does not lead
+   * @param leaderKeyRevision modification revision of the leader key; empty while this node does
+   *     not lead
    * @param incarnation name of the current store incarnation
-   * @param needed whether some other controller may not receive this controller's heartbeats
+   * @param peersMayMissHeartbeats whether some other controller may not receive this controller's
+   *     heartbeats
    */
   public StoreHeartbeatWriter(
       ControllerContext context,
-      Supplier<Optional<Long>> leaderKey,
+      Supplier<Optional<Long>> leaderKeyRevision,
       Supplier<String> incarnation,
-      BooleanSupplier needed) {
+      BooleanSupplier peersMayMissHeartbeats) {
     this.context = context;
-    this.leaderKey = leaderKey;
+    this.leaderKeyRevision = leaderKeyRevision;
     this.incarnation = incarnation;
-    this.needed = needed;
-    this.periodS = context.settings().workers().heartbeatIntervalS() / WRITES_PER_HEARTBEAT;
+    this.peersMayMissHeartbeats = peersMayMissHeartbeats;
+    this.periodS =
+        context.settings().workers().heartbeatIntervalS() / WRITES_PER_HEARTBEAT_INTERVAL;
   }
 
   /** Starts the periodic writes; call it once. */
   public void start() {
-    if (needed.getAsBoolean()) {
-      leaderKey.get().ifPresent(this::write);
+    if (peersMayMissHeartbeats.getAsBoolean()) {
+      leaderKeyRevision.get().ifPresent(this::write);
     }
     context.timers().after(periodS, this::start);
   }
 
   private void write(long leaderModRevision) {
-    long seen = context.store().highestRevisionSeen();
+    long highestRevision = context.store().highestRevisionSeen();
     Transaction heartbeat =
         new Transaction()
             .when(JobProgressCodec.LEADER, leaderModRevision)
             .write(
                 IncarnationCodec.HEARTBEAT,
-                IncarnationCodec.writeHeartbeat(incarnation.get(), seen));
+                IncarnationCodec.writeHeartbeat(incarnation.get(), highestRevision));
     context.store().commit(heartbeat, RequestPriority.HIGH);
   }
 }
--- a/src/main/java/io/embernotch/incarnation/StoreIncarnationTracker.java
+++ b/src/main/java/io/embernotch/incarnation/StoreIncarnationTracker.java
@@ -27,13 +27,13 @@
   private static final double READS_PER_LEASE = 4;
 
   /** In place of a loss epoch: this controller has detected the loss, no other has reported it. */
-  private static final long UNNAMED = 0;
+  private static final long UNREPORTED = 0;
 
   private final ControllerContext context;
   private final IncarnationHost host;
   private final StoreRestorer.Source source;
   private final StoreRestorer restorer;
-  private final IncarnationKnowledge knowledge;
+  private final IncarnationState state;
   private final PointerReader pointer;
   private final IncarnationAdopter adopter;
   private final IncarnationClaimer claimer;
@@ -48,7 +48,7 @@
   private ClusterSnapshot initialSnapshot;
 
   /** Highest reported leader epoch when the pointer was last read, after another node's restore. */
-  private long overAtLastRead;
+  private long leaderEpochAtLastRead;
 
   /** Whether the leader runs a version without support for incarnations. */
   private boolean legacyLeaderPresent;
@@ -66,28 +66,27 @@
     this.context = context;
     this.host = host;
     this.source = source;
-    this.knowledge = new IncarnationKnowledge(context.store());
-    double retryS = leaseTtlS / READS_PER_LEASE;
+    this.state = new IncarnationState(context.store());
+    double retryDelayS = leaseTtlS / READS_PER_LEASE;
     this.pointer =
         new PointerReader(
             context.store(),
             context.clock(),
             context.timers(),
-            retryS,
-            knowledge::isLost,
+            retryDelayS,
+            state::isDataLost,
             this::pointerRead);
-    this.restorer = new StoreRestorer(context, source, leaseTtlS, knowledge, pointer::answersForS);
+    this.restorer = new StoreRestorer(context, source, leaseTtlS, state, pointer::answeringForS);
     this.confirmation = new ContentsConfirmation(context);
-    this.adopter = new IncarnationAdopter(context.store(), host, knowledge, pointer, confirmation);
-    this.claimer = new IncarnationClaimer(knowledge, pointer, restorer, context.names());
+    this.adopter = new IncarnationAdopter(context.store(), host, state, pointer, confirmation);
+    this.claimer = new IncarnationClaimer(state, pointer, restorer, context.names());
     this.eligibility =
-        new ClaimEligibility(
-            context, knowledge, host::allPeersHeard, why -> dataLost(why, UNNAMED));
+        new ClaimEligibility(context, state, host::allPeersHeard, why -> dataLost(why, UNREPORTED));
     this.answerPolicy =
-        new StoreAnswerPolicy(context, host, this, knowledge, confirmation, 2 * leaseTtlS);
-    this.lossNews = new LossNews(knowledge, this::dataLost, pointer::read);
-    this.lossSigns = new LossSigns(knowledge, (why, seen) -> dataLost(why, UNNAMED, seen));
-    this.toldIncarnation = new ToldIncarnation(context.store(), knowledge);
+        new StoreAnswerPolicy(context, host, this, state, confirmation, 2 * leaseTtlS);
+    this.lossNews = new LossNews(state, this::dataLost, pointer::read);
+    this.lossSigns = new LossSigns(state, (why, observed) -> dataLost(why, UNREPORTED, observed));
+    this.toldIncarnation = new ToldIncarnation(context.store(), state);
     context.store().setLossListener(this);
   }
 
@@ -101,8 +100,8 @@
    * just started cannot know that, unless a leader without support for incarnations leads.
    */
   public boolean isIntact() {
-    return knowledge.isIntact()
-        && (knowledge.hasIncarnation() || (legacyLeaderPresent && !knowledge.isBehind()));
+    return state.isIntact()
+        && (state.hasIncarnation() || (legacyLeaderPresent && !state.isBehindHighestEpoch()));
   }
 
   /** Exchanges reports of data loss with other controllers. */
@@ -132,17 +131,17 @@
 
   /** Number of data losses that this process has recorded. */
   public int losses() {
-    return knowledge.losses();
+    return state.lossCount();
   }
 
   /** The name of the known incarnation; "" if none is known yet. */
   public String name() {
-    return knowledge.name();
+    return state.name();
   }
 
   /** The snapshot that the known incarnation began with. */
   public BaseSnapshot base() {
-    return knowledge.baseSnapshot();
+    return state.baseSnapshot();
   }
 
   /**
@@ -158,13 +157,13 @@
 
   /** Records an epoch that another process has seen; the next leader's epoch will be above it. */
   public void observeEpoch(long epoch) {
-    knowledge.observeEpoch(epoch);
+    state.observeEpoch(epoch);
   }
 
   @Override
   public void incarnationNamed(String incarnation) {
     legacyLeaderPresent = incarnation != null && incarnation.isEmpty();
-    if (!knowledge.isUnread() && incarnation != null && !incarnation.equals(name())) {
+    if (!state.isStoreUnread() && incarnation != null && !incarnation.equals(name())) {
       pointer.read();
     }
   }
@@ -175,28 +174,28 @@
    * @param leaderModRevision modification revision of the leader key
    */
   public void probe(long leaderModRevision) {
-    if (isProbed()) {
+    if (shouldProbe()) {
       context.store().verifyUnchanged(JobProgressCodec.LEADER, leaderModRevision);
     }
   }
 
   @Override
   public void probe() {
-    if (isProbed()) {
+    if (shouldProbe()) {
       context.store().commit(new Transaction());
     }
   }
 
   /** Whether an incarnation is known and considered intact, so that a check may detect its loss. */
-  private boolean isProbed() {
-    return knowledge.isIntact() && knowledge.hasIncarnation();
+  private boolean shouldProbe() {
+    return state.isIntact() && state.hasIncarnation();
   }
 
   // ---- detection of data loss
 
   @Override
-  public void revisionFell(long seen, long now) {
-    dataLost("its revision fell from " + seen + " to " + now, UNNAMED);
+  public void revisionFell(long before, long after) {
+    dataLost("its revision fell from " + before + " to " + after, UNREPORTED);
   }
 
   @Override
@@ -206,72 +205,74 @@
 
   @Override
   public void leaderKeyOrphaned(String holder) {
-    if (knowledge.isIntact()) {
-      dataLost("the leader key names " + holder + ", but its lease has ended", UNNAMED);
+    if (state.isIntact()) {
+      dataLost("the leader key names " + holder + ", but its lease has ended", UNREPORTED);
     }
   }
 
-  /** {@code namedBy}: the loss epoch that another controller has reported, or none. */
-  private void dataLost(String why, long namedBy) {
-    dataLost(why, namedBy, namedBy == UNNAMED);
+  /** {@code reportedEpoch}: the loss epoch that another controller has reported, or none. */
+  private void dataLost(String why, long reportedEpoch) {
+    dataLost(why, reportedEpoch, reportedEpoch == UNREPORTED);
   }
 
-  /** {@code seen}: whether contents that this controller has seen are lost. */
-  private void dataLost(String why, long namedBy, boolean seen) {
-    double noticedAt = context.clock().now();
-    boolean first = knowledge.recordLoss(namedBy, seen);
-    claimer.discard();
-    if (first) {
+  /** {@code observedContentsLost}: whether contents that this controller has seen are lost. */
+  private void dataLost(String why, long reportedEpoch, boolean observedContentsLost) {
+    double detectedAt = context.clock().now();
+    boolean newlyLost = state.recordLoss(reportedEpoch, observedContentsLost);
+    claimer.discardClaim();
+    if (newlyLost) {
       LOG.warn("the store has lost data: {}", why);
       host.dataLost(why);
     } else {
       LOG.warn("the store has lost data again: {}", why);
     }
     pointer.invalidate();
-    restorer.begin(noticedAt);
-    if (!knowledge.isLossSeen()) {
-      observeRevision(noticedAt);
+    restorer.begin(detectedAt);
+    if (!state.hasLostObservedContents()) {
+      checkRevisionAfterLoss(detectedAt);
     }
     pointer.read();
   }
 
   /** Checks whether the store's revision proves that contents that this node has seen are lost. */
-  private void observeRevision(double noticedAt) {
+  private void checkRevisionAfterLoss(double detectedAt) {
     context
         .store()
         .list(IncarnationCodec.POINTER)
         .onSuccess(
             listed -> {
-              if (knowledge.observeRevisionAfterLoss(listed.revision()) && !claimer.isClaiming()) {
-                restorer.begin(noticedAt);
+              if (state.observeRevisionAfterLoss(listed.revision())
+                  && !claimer.isBeginningIncarnation()) {
+                restorer.begin(detectedAt);
               }
             });
   }
 
   private void pointerRead(StoredPointer read) {
     StoreIncarnation stored = read.incarnation();
-    ClusterSnapshot kept =
-        knowledge.isUnread() && stored == null ? source.newestStoredSnapshot() : null;
-    if (kept != null) {
+    ClusterSnapshot storedSnapshot =
+        state.isStoreUnread() && stored == null ? source.newestStoredSnapshot() : null;
+    if (storedSnapshot != null) {
       dataLost(
-          "it has no incarnation, but there is a snapshot of epoch " + kept.getEpoch(), UNNAMED);
-    } else if (knowledge.isLost()) {
+          "it has no incarnation, but there is a snapshot of epoch " + storedSnapshot.getEpoch(),
+          UNREPORTED);
+    } else if (state.isDataLost()) {
       pointerReadAfterLoss(stored);
-    } else if (knowledge.isUnread() && knowledge.isHeardToBeLost(stored)) {
-      dataLost("reported by another controller", knowledge.heardLossEpoch());
-    } else if (knowledge.isOurs(stored)) {
+    } else if (state.isStoreUnread() && state.isReportedLost(stored)) {
+      dataLost("reported by another controller", state.reportedLossEpoch());
+    } else if (state.isKnownOrSuccessor(stored)) {
       adopter.adopt(stored);
     } else {
       dataLost(
           stored == null
               ? "incarnation " + name() + " is missing"
               : "it holds incarnation " + stored.name() + " instead of " + name(),
-          UNNAMED);
+          UNREPORTED);
     }
   }
 
   /** Whether {@code stored}, which may be null, is an incarnation that began after the loss. */
-  private boolean isNextIncarnation(StoreIncarnation stored) {
+  private boolean isLaterIncarnation(StoreIncarnation stored) {
     return stored != null && adopter.mayAdoptAfterLoss(stored);
   }
 
@@ -279,14 +280,14 @@
    * Adopts the next incarnation. If a leader of it was reported and it is missing, it is lost too.
    */
   private void pointerReadAfterLoss(StoreIncarnation stored) {
-    if (isNextIncarnation(stored)) {
+    if (isLaterIncarnation(stored)) {
       adopter.adopt(stored);
-    } else if (knowledge.isLossOver()) {
+    } else if (state.isLossResolved()) {
       // A read that was sent before the report of the leader proves nothing, so two are needed.
-      if (overAtLastRead == knowledge.highestLeaderEpoch()) {
-        dataLost("the incarnation of a reported later leader is missing", UNNAMED);
+      if (leaderEpochAtLastRead == state.highestLeaderEpoch()) {
+        dataLost("the incarnation of a reported later leader is missing", UNREPORTED);
       } else {
-        overAtLastRead = knowledge.highestLeaderEpoch();
+        leaderEpochAtLastRead = state.highestLeaderEpoch();
       }
     }
   }
@@ -295,18 +296,18 @@
 
   @Override
   public boolean mayClaim() {
-    if (knowledge.isIntact()) {
+    if (state.isIntact()) {
       return eligibility.mayClaimIntact();
     }
     return lossNews.isTold()
         && pointer.hasReadSinceLoss()
         && restorer.prepared() != null
-        && !isNextIncarnation(pointer.latest().incarnation());
+        && !isLaterIncarnation(pointer.latest().incarnation());
   }
 
   @Override
   public boolean startsNewIncarnation() {
-    return knowledge.isLost();
+    return state.isDataLost();
   }
 
   @Override
@@ -316,28 +317,28 @@
 
   @Override
   public void claimSucceeded(long modRevision) {
-    claimer.succeeded(modRevision).ifPresent(this::incarnationBegun);
+    claimer.claimSucceeded(modRevision).ifPresent(this::incarnationBegun);
   }
 
   private void incarnationBegun(StoreIncarnation begun) {
-    BaseSnapshot baseSnapshot = knowledge.baseSnapshot();
-    if (knowledge.isLost()) {
+    BaseSnapshot baseSnapshot = state.baseSnapshot();
+    if (state.isDataLost()) {
       initialSnapshot = restorer.prepared().snapshot();
       baseSnapshot = new BaseSnapshot(initialSnapshot, begun.modRevision());
       LOG.info("restored: {} blocks, complete {}", begun.blockCount(), baseSnapshot.complete());
       restorer.finish();
     }
-    pointer.written(begun);
-    adopter.settle(begun, baseSnapshot);
+    pointer.recordWritten(begun);
+    adopter.adoptWithSnapshot(begun, baseSnapshot);
   }
 
   @Override
   public void claimRefused() {
-    if (!claimer.discard()) {
+    if (!claimer.discardClaim()) {
       return;
     }
     pointer.read();
-    if (knowledge.isLost()) {
+    if (state.isDataLost()) {
       // Either the blocks are lost too, or another controller has begun an incarnation.
       restorer.begin(context.clock().now());
     }
--- a/src/main/java/io/embernotch/incarnation/StoreRestorer.java
+++ b/src/main/java/io/embernotch/incarnation/StoreRestorer.java
@@ -24,7 +24,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(StoreRestorer.class);
 
   /** Controllers that did not lead last wait for a worker's lease divided by this. */
-  private static final double FORMER_LEADER_ADVANTAGE_DIVISOR = 3;
+  private static final double FORMER_LEADER_WAITS_PER_LEASE = 3;
 
   /** Reads are retried after the leader's lease divided by this. */
   private static final double READ_RETRIES_PER_LEASE = 4;
@@ -33,7 +33,7 @@
   private static final double WRITE_RETRIES_PER_LEASE = 16;
 
   /** Bytes that a block takes in a transaction in addition to its base64. */
-  private static final int BYTES_PER_BLOCK = 200;
+  private static final int BLOCK_OVERHEAD_BYTES = 200;
 
   private static final int BYTES_PER_KB = 1024;
 
@@ -46,9 +46,9 @@
      * of all controllers: its lease was still valid when the data loss was detected. Asks no other
      * controller. Empty if there is no such proof.
      *
-     * @param noticedAt when the data loss was detected, in seconds of the steady clock
+     * @param detectedAt when the data loss was detected, in seconds of the steady clock
      */
-    Optional<ClusterSnapshot> lastLeaderState(double noticedAt);
+    Optional<ClusterSnapshot> lastLeaderState(double detectedAt);
 
     /**
      * Merges what this controller knows with what all controllers that answer know. Completes
@@ -83,34 +83,34 @@
   private final ControllerContext context;
   private final Source source;
   private final double leaseTtlS;
-  private final IncarnationKnowledge knowledge;
-  private final DoubleSupplier storeAnswersForS;
+  private final IncarnationState state;
+  private final DoubleSupplier storeAnsweringForS;
 
   /** The snapshot in the store that an incarnation may begin with; null while there is none. */
   private PreparedSnapshot prepared;
 
   /** Whether this node led last, so that the snapshot is of its own term. */
-  private boolean wasLeader;
+  private boolean ledLast;
 
   /** Number of the latest attempt to restore; a new attempt cancels all earlier ones. */
   private int latestAttempt;
 
   /**
    * @param leaseTtlS time to live of a leader's lease, in seconds
-   * @param knowledge knows whether data is still lost
-   * @param storeAnswersForS seconds for which the store has answered without a failure
+   * @param state knows whether data is still lost
+   * @param storeAnsweringForS seconds for which the store has answered without a failure
    */
   StoreRestorer(
       ControllerContext context,
       Source source,
       double leaseTtlS,
-      IncarnationKnowledge knowledge,
-      DoubleSupplier storeAnswersForS) {
+      IncarnationState state,
+      DoubleSupplier storeAnsweringForS) {
     this.context = context;
     this.source = source;
     this.leaseTtlS = leaseTtlS;
-    this.knowledge = knowledge;
-    this.storeAnswersForS = storeAnswersForS;
+    this.state = state;
+    this.storeAnsweringForS = storeAnsweringForS;
   }
 
   /** The snapshot that an incarnation may begin with; null while there is none. */
@@ -123,26 +123,27 @@
    * valid.
    */
   double formerLeaderGraceS() {
-    return wasLeader ? 0 : leaseTtlS * (1 + 2 * Settings.DRIFT);
+    return ledLast ? 0 : leaseTtlS * (1 + 2 * Settings.DRIFT);
   }
 
   /**
    * Starts an attempt to restore the lost contents, and cancels earlier attempts. If this node
-   * provably led last, it restores its own state at once, since that includes every start of a
-   * task. Otherwise it asks all other controllers and restores the merged state.
+   * provably led last, it asks the other controllers once and restores its own state, which
+   * includes every start of a task. Otherwise it gives the others time to answer or to restore the
+   * store themselves, and then restores the merged state.
    *
-   * @param noticedAt when the data loss was detected, in seconds of the steady clock
+   * @param detectedAt when the data loss was detected, in seconds of the steady clock
    */
-  void begin(double noticedAt) {
+  void begin(double detectedAt) {
     prepared = null;
     int attempt = ++latestAttempt;
     Optional<ClusterSnapshot> ownState =
-        knowledge.isLossSeen() ? source.lastLeaderState(noticedAt) : Optional.empty();
-    wasLeader = ownState.isPresent();
-    if (wasLeader) {
+        state.hasLostObservedContents() ? source.lastLeaderState(detectedAt) : Optional.empty();
+    ledLast = ownState.isPresent();
+    if (ledLast) {
       restoreLastLeader(attempt, ownState.get());
     } else {
-      gather(attempt, patientUntil());
+      gather(attempt, gatherDeadline());
     }
   }
 
@@ -153,43 +154,45 @@
   }
 
   private boolean isCurrent(int attempt) {
-    return attempt == latestAttempt && knowledge.isLost() && !knowledge.isLossOver();
+    return attempt == latestAttempt && state.isDataLost() && !state.isLossResolved();
   }
 
   /**
    * Restores the state that this node had as the last leader. Adds jobs that other controllers
    * accepted and could not announce to the leader before the data loss.
    */
-  private void restoreLastLeader(int attempt, ClusterSnapshot state) {
-    LOG.info("restoring the state that this node had as leader of epoch {}", state.getEpoch());
+  private void restoreLastLeader(int attempt, ClusterSnapshot ledState) {
+    LOG.info("restoring the state that this node had as leader of epoch {}", ledState.getEpoch());
     source
-        .gather(knowledge.lossEpoch())
+        .gather(state.lossEpoch())
         .onSuccess(
             gathered -> {
-              if (isCurrent(attempt) && gathered.highestEpoch() > state.getEpoch()) {
-                wasLeader = false;
-                gathered(attempt, patientUntil(), gathered);
+              if (isCurrent(attempt) && gathered.highestEpoch() > ledState.getEpoch()) {
+                ledLast = false;
+                stateGathered(attempt, gatherDeadline(), gathered);
               } else if (isCurrent(attempt)) {
                 prepare(
                     attempt,
-                    SnapshotMerge.supplemented(state, gathered.state()),
+                    SnapshotMerge.supplemented(ledState, gathered.state()),
                     gathered.incarnations());
               }
             })
         .onFailure(
             failure -> {
               LOG.error("cannot use what the other controllers know: {}", failure.toString());
-              prepare(attempt, state, List.of());
+              prepare(attempt, ledState, List.of());
             });
   }
 
-  /** Asks all other controllers repeatedly, until their state is complete or {@code until}. */
-  private void gather(int attempt, double until) {
+  /**
+   * Asks all other controllers repeatedly, until their state is complete or the {@code deadline}.
+   */
+  private void gather(int attempt, double deadline) {
     if (isCurrent(attempt)) {
       source
-          .gather(knowledge.lossEpoch())
-          .onSuccess(gathered -> gathered(attempt, until, gathered))
-          .onFailure(failure -> gatherAgain(attempt, until, failure));
+          .gather(state.lossEpoch())
+          .onSuccess(gathered -> stateGathered(attempt, deadline, gathered))
+          .onFailure(failure -> gatherAfterFailure(attempt, deadline, failure));
     }
   }
 
@@ -197,33 +200,34 @@
    * Whether the store has only just begun to answer again. A controller that was isolated or paused
    * while it was to wait for the others must first find out whether they have restored the store.
    */
-  private boolean isBackTooShortly() {
-    return storeAnswersForS.getAsDouble() < context.settings().workers().heartbeatIntervalS();
+  private boolean storeJustRecovered() {
+    return storeAnsweringForS.getAsDouble() < context.settings().workers().heartbeatIntervalS();
   }
 
-  private void gatherAgain(int attempt, double until, Throwable failure) {
+  private void gatherAfterFailure(int attempt, double deadline, Throwable failure) {
     LOG.error("cannot merge what the controllers know: {}", failure.toString());
-    context.timers().after(leaseTtlS / READ_RETRIES_PER_LEASE, () -> gather(attempt, until));
+    context.timers().after(leaseTtlS / READ_RETRIES_PER_LEASE, () -> gather(attempt, deadline));
   }
 
   /** When to stop waiting for other controllers to answer or to restore the store themselves. */
-  private double patientUntil() {
-    double patienceS = context.settings().workers().leaseS() / FORMER_LEADER_ADVANTAGE_DIVISOR;
-    return context.clock().now() + patienceS;
+  private double gatherDeadline() {
+    double waitS = context.settings().workers().leaseS() / FORMER_LEADER_WAITS_PER_LEASE;
+    return context.clock().now() + waitS;
   }
 
-  private void gathered(int attempt, double until, RestorableState gathered) {
+  private void stateGathered(int attempt, double deadline, RestorableState gathered) {
     if (!isCurrent(attempt)) {
       return;
     }
     if (gathered.fromLastLeader()) {
-      wasLeader = true;
+      ledLast = true;
       LOG.info(
           "all other controllers confirm that nobody has led since epoch {}",
           gathered.state().getEpoch());
       prepare(attempt, gathered.state(), gathered.incarnations());
-    } else if (gathered.mayImprove() && (context.clock().now() < until || isBackTooShortly())) {
-      context.timers().after(leaseTtlS / READ_RETRIES_PER_LEASE, () -> gather(attempt, until));
+    } else if (gathered.mayImprove()
+        && (context.clock().now() < deadline || storeJustRecovered())) {
+      context.timers().after(leaseTtlS / READ_RETRIES_PER_LEASE, () -> gather(attempt, deadline));
     } else {
       restoreWithoutFormerLeader(attempt, gathered.state(), gathered.incarnations());
     }
@@ -238,7 +242,7 @@
         known.getJobCount(),
         known.getEndedCount(),
         describe(stored));
-    prepareWithRemains(
+    prepareWithRemaining(
         attempt, stored == null ? known : SnapshotMerge.of(known, stored), incarnations);
   }
 
@@ -255,23 +259,24 @@
    * necessarily newer. The result is marked incomplete: there may be running tasks and accepted
    * jobs that no controller knows.
    */
-  private void prepareWithRemains(int attempt, ClusterSnapshot known, List<String> incarnations) {
+  private void prepareWithRemaining(int attempt, ClusterSnapshot known, List<String> incarnations) {
     if (!isCurrent(attempt)) {
       return;
     }
-    RemainsReader.read(context.store())
+    RemainingContentsReader.read(context.store())
         .onSuccess(
-            left -> prepare(attempt, incomplete(SnapshotMerge.of(left, known)), incarnations))
+            remaining ->
+                prepare(attempt, markIncomplete(SnapshotMerge.of(remaining, known)), incarnations))
         .onFailure(
             failure ->
                 context
                     .timers()
                     .after(
                         leaseTtlS / READ_RETRIES_PER_LEASE,
-                        () -> prepareWithRemains(attempt, known, incarnations)));
+                        () -> prepareWithRemaining(attempt, known, incarnations)));
   }
 
-  private ClusterSnapshot incomplete(ClusterSnapshot snapshot) {
+  private ClusterSnapshot markIncomplete(ClusterSnapshot snapshot) {
     return snapshot.toBuilder()
         .setComplete(false)
         .setJobsMissing(true)
@@ -284,14 +289,14 @@
     String name = context.names().get();
     int valueBytes = (int) (context.settings().minStoreLimits().valueKb() * BYTES_PER_KB);
     SnapshotBlocks packed = SnapshotBlocks.pack(snapshot, valueBytes);
-    int blocks = packed.blocks().size();
+    int blockCount = packed.blocks().size();
     LOG.info(
         "restoring {} jobs and {} ended jobs in {} blocks",
         snapshot.getJobCount(),
         snapshot.getEndedCount(),
-        blocks);
+        blockCount);
     PreparedSnapshot unwritten =
-        new PreparedSnapshot(name, snapshot, incarnations, blocks, packed.crc(), 0);
+        new PreparedSnapshot(name, snapshot, incarnations, blockCount, packed.crc(), 0);
     writeBlocks(attempt, unwritten, packed.blocks(), 0);
   }
 
@@ -329,7 +334,7 @@
     while (index < blocks.size() && index - from < maxChanges) {
       byte[] block = blocks.get(index);
       // Base64 encodes three bytes as four.
-      bytes += block.length * 4 / 3 + BYTES_PER_BLOCK;
+      bytes += block.length * 4 / 3 + BLOCK_OVERHEAD_BYTES;
       if (index > from && bytes > Transaction.MAX_BYTES) {
         break;
       }
--- a/src/main/java/io/embernotch/incarnation/ToldIncarnation.java
+++ b/src/main/java/io/embernotch/incarnation/ToldIncarnation.java
@@ -11,21 +11,21 @@
  */
 public final class ToldIncarnation {
   private final StoreClient store;
-  private final IncarnationKnowledge knowledge;
+  private final IncarnationState state;
 
-  ToldIncarnation(StoreClient store, IncarnationKnowledge knowledge) {
+  ToldIncarnation(StoreClient store, IncarnationState state) {
     this.store = store;
-    this.knowledge = knowledge;
+    this.state = state;
   }
 
   /** The incarnation that this controller knows and sends to others; empty if it knows none. */
   public Optional<StoreIncarnation> known() {
-    return Optional.ofNullable(knowledge.incarnation());
+    return Optional.ofNullable(state.incarnation());
   }
 
   /** The highest revision of that incarnation that this controller has seen. */
   public long highestRevision() {
-    return knowledge.highestRevision();
+    return state.highestRevision();
   }
 
   /**
@@ -41,7 +41,7 @@
 
   /** Whether the incarnation is known from other controllers only, not read from the store yet. */
   public boolean isOnlyTold() {
-    return knowledge.isTold();
+    return state.isReportedOnly();
   }
 
   /**
@@ -53,10 +53,10 @@
    * @param revision the highest revision of that incarnation that the other controller has seen
    */
   public void observe(StoreIncarnation incarnation, long revision) {
-    if (knowledge.observeTold(incarnation)) {
+    if (state.observeReported(incarnation)) {
       store.discardIncarnation();
     }
-    if (!knowledge.isLost() && knowledge.name().equals(incarnation.name())) {
+    if (!state.isDataLost() && state.name().equals(incarnation.name())) {
       store.noteRevision(revision);
     }
   }
