--- a/src/test/java/io/embernotch/incarnation/ToldMeansKnownByTwoTest.java
+++ b/src/test/java/io/embernotch/incarnation/AnswersKnownToTwoControllersTest.java
@@ -24,11 +24,11 @@
  * earlier state, and no answer may be contradicted or withdrawn. The system properties told.from
  * and told.seeds select the seeds.
  */
-class ToldMeansKnownByTwoTest {
+class AnswersKnownToTwoControllersTest {
   private static final int SEEDS = 20;
 
   /** Seconds after which all controllers know which one is isolated. */
-  private static final double CUT_OFF_IS_KNOWN_S = 8;
+  private static final double ISOLATION_KNOWN_S = 8;
 
   /** Seconds after the data loss within which the remaining controllers restore what they know. */
   private static final double RESTORED_S = 25;
@@ -38,7 +38,7 @@
 
   /** Guards against an answer that is given before another controller knows what it says. */
   @Test
-  void whatWasToldHoldsThoughTheTellerEndsAndTheStoreIsPutBackAtThatMoment() {
+  void answersRemainValidIfTheResponderEndsAndTheStoreIsRolledBack() {
     assertThat(
             SeedRange.fromProperties("told", SEEDS).violations(seed -> new RandomRun(seed).run()))
         .isEmpty();
@@ -52,7 +52,7 @@
     private final SimulatedCluster cluster = new SimulatedCluster(3, 10);
 
     /** By job: the last phase that a user was told; {@code accepted} if only the acceptance was. */
-    private final Map<String, String> told = new TreeMap<>();
+    private final Map<String, String> lastPhases = new TreeMap<>();
 
     private final List<String> findings = new ArrayList<>();
 
@@ -69,33 +69,33 @@
       cluster.advance(12);
       Snapshot before = cluster.store.snapshot();
       cluster.store.put("mark", "{}");
-      ControllerNode teller = randomNode();
-      ControllerNode cutOff = random.nextInt(3) == 0 ? cluster.otherNode(teller) : null;
-      if (cutOff != null) {
-        cutOff.storeUnavailable = true;
-        cutOff.peersUnreachable = true;
+      ControllerNode responder = randomNode();
+      ControllerNode isolated = random.nextInt(3) == 0 ? cluster.otherNode(responder) : null;
+      if (isolated != null) {
+        isolated.storeUnavailable = true;
+        isolated.peersUnreachable = true;
       }
-      cluster.advance(CUT_OFF_IS_KNOWN_S + random.nextDouble());
-      int beforeTheLast = random.nextInt(3);
-      for (int i = 0; i < beforeTheLast; i++) {
-        tellSomething(teller, false);
+      cluster.advance(ISOLATION_KNOWN_S + random.nextDouble());
+      int earlierRequests = random.nextInt(3);
+      for (int i = 0; i < earlierRequests; i++) {
+        sendRandomRequest(responder, false);
         cluster.advance(random.nextDouble());
       }
-      tellSomething(teller, true);
-      if (!teller.down) {
+      sendRandomRequest(responder, true);
+      if (!responder.down) {
         // No answer reported a new fact, for example because the job had not started.
-        submit(teller, "j-last", true);
+        submit(responder, "j-last", true);
       }
-      if (!teller.down) {
-        findings.add("no successful answer by c" + teller.index);
+      if (!responder.down) {
+        findings.add("no successful answer by c" + responder.index);
       }
       cluster.store.restore(before, random.nextBoolean());
       cluster.advance(RESTORED_S);
-      if (cutOff != null) {
-        cutOff.storeUnavailable = false;
-        cutOff.peersUnreachable = false;
+      if (isolated != null) {
+        isolated.storeUnavailable = false;
+        isolated.peersUnreachable = false;
       }
-      teller.start();
+      responder.start();
       cluster.advance(SETTLED_S);
       verify();
       return findings;
@@ -105,55 +105,55 @@
       return cluster.nodes.get(random.nextInt(3));
     }
 
-    private void tellSomething(ControllerNode teller, boolean isLast) {
+    private void sendRandomRequest(ControllerNode responder, boolean isLast) {
       String running = "j-" + (1 + random.nextInt(JOBS));
       switch (random.nextInt(3)) {
-        case 0 -> submit(teller, "j-" + (JOBS + 1 + told.size()), isLast);
-        case 1 -> cancel(teller, running, isLast);
-        default -> completeAndPoll(teller, running, isLast);
+        case 0 -> submit(responder, "j-" + (JOBS + 1 + lastPhases.size()), isLast);
+        case 1 -> cancel(responder, running, isLast);
+        default -> completeAndPoll(responder, running, isLast);
       }
     }
 
-    private void submit(ControllerNode teller, String ref, boolean isLast) {
+    private void submit(ControllerNode responder, String ref, boolean isLast) {
       byte[] body = job(ref, "array", 1).getBytes(StandardCharsets.UTF_8);
       cluster.invariants.submissionSent(body);
       double sentAt = cluster.time.now();
-      Future<HttpResponse> answer = teller.controller.submit(body);
+      Future<HttpResponse> answer = responder.controller.submit(body);
       answer.onSuccess(
           response -> {
             cluster.invariants.submitted(body, response, sentAt, cluster.time.now());
-            answered(teller, ref, response, isLast);
+            recordAnswer(responder, ref, response, isLast);
           });
       cluster.await(answer);
     }
 
-    private void cancel(ControllerNode teller, String ref, boolean isLast) {
+    private void cancel(ControllerNode responder, String ref, boolean isLast) {
       cluster.invariants.cancelRequested(ref, cluster.time.now());
-      checkedAnswer(teller, ref, teller.controller.abort(ref), isLast);
+      awaitStatusAnswer(responder, ref, responder.controller.abort(ref), isLast);
     }
 
     /** Polls until the end is reported; the first such answer counts. */
-    private void completeAndPoll(ControllerNode teller, String ref, boolean isLast) {
+    private void completeAndPoll(ControllerNode responder, String ref, boolean isLast) {
       cluster.completeTasks(ref);
-      for (int i = 0; i < 500 && !teller.down && !isEnd(told.get(ref)); i++) {
-        checkedAnswer(teller, ref, teller.controller.poll(ref), isLast);
+      for (int i = 0; i < 500 && !responder.down && !isEnd(lastPhases.get(ref)); i++) {
+        awaitStatusAnswer(responder, ref, responder.controller.poll(ref), isLast);
       }
     }
 
-    private void checkedAnswer(
-        ControllerNode teller, String ref, Future<HttpResponse> answer, boolean isLast) {
+    private void awaitStatusAnswer(
+        ControllerNode responder, String ref, Future<HttpResponse> answer, boolean isLast) {
       double sentAt = cluster.time.now();
       answer.onSuccess(
           response -> {
             cluster.invariants.statusReceived(ref, response, sentAt, cluster.time.now());
-            answered(teller, ref, response, isLast);
+            recordAnswer(responder, ref, response, isLast);
           });
       cluster.await(answer);
     }
 
     /** Records an answer; if it is the last one, its process ends before any other event. */
-    private void answered(
-        ControllerNode teller, String ref, HttpResponse response, boolean isLast) {
+    private void recordAnswer(
+        ControllerNode responder, String ref, HttpResponse response, boolean isLast) {
       if (response.status() >= 300) {
         return;
       }
@@ -161,9 +161,9 @@
           response.status() == 201
               ? "accepted"
               : Json.parseObject(response.body()).get("phase").asText();
-      told.merge(ref, phase, (former, latter) -> isEnd(former) ? former : latter);
+      lastPhases.merge(ref, phase, (former, latter) -> isEnd(former) ? former : latter);
       if (isLast && (response.status() == 201 || isEnd(phase))) {
-        teller.kill();
+        responder.kill();
       }
     }
 
@@ -172,12 +172,12 @@
     }
 
     private void verify() {
-      told.forEach(
+      lastPhases.forEach(
           (ref, phase) -> {
             for (ControllerNode node : cluster.nodes) {
               String now = cluster.phase(node.index, ref);
-              boolean holds = isEnd(phase) ? now.equals(phase) : !now.startsWith("status");
-              if (!holds) {
+              boolean valid = isEnd(phase) ? now.equals(phase) : !now.startsWith("status");
+              if (!valid) {
                 findings.add(ref + " was " + phase + ", c" + node.index + " answers " + now);
               }
             }
--- a/src/test/java/io/embernotch/incarnation/ConcurrentRestoreTest.java
+++ b/src/test/java/io/embernotch/incarnation/ConcurrentRestoreTest.java
@@ -24,7 +24,7 @@
   private static final double STEP_S = 0.002;
   private static final double OBSERVED_S = 30;
 
-  private final LossScenario scenario = new LossScenario();
+  private final DataLossScenario scenario = new DataLossScenario();
   private final SimulatedCluster cluster = scenario.cluster;
   private final ControllerNode leader = scenario.leader;
   private final ControllerNode first = cluster.otherNode(leader);
@@ -34,11 +34,11 @@
   private Snapshot before;
 
   @BeforeEach
-  void jobsRun() {
+  void startJobs() {
     scenario.accept(first, "j-1", "array", 2);
     scenario.accept(leader, "j-2", "standing", 2);
-    scenario.letTasksStart();
-    before = scenario.rememberContents();
+    scenario.awaitTasksStarted();
+    before = scenario.snapshotBeforeAnotherWrite();
     cluster.advance(5);
   }
 
@@ -62,7 +62,7 @@
   }
 
   /** Makes a controller detect the data loss itself, by reads of the store. */
-  private void notice(ControllerNode node) {
+  private void detectLoss(ControllerNode node) {
     cluster.pollAsync(node.index, "j-1");
     cluster.pollAsync(node.index, "j-9");
   }
@@ -71,20 +71,20 @@
     observe(OBSERVED_S);
     assertThat(incarnations).as("the former incarnation and one new one").hasSize(2);
     assertThat(epochs).isSorted();
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against a claim that replaces an incarnation that has just begun. */
   @ParameterizedTest
   @ValueSource(doubles = {0, 0.002, 0.004, 0.006, 0.008, 0.01, 0.012, 0.014, 0.016, 0.02, 0.05})
-  void ofTwoSurvivorsThatNoticeShortlyAfterOneAnotherOneBeginsAnIncarnation(double laterS) {
+  void onlyOneOfTwoSurvivorsBeginsAnIncarnation(double laterS) {
     leader.kill();
     cluster.store.restore(before, false);
     first.peersUnreachable = true;
     observe(STEP_S);
-    notice(first);
+    detectLoss(first);
     observe(laterS);
-    notice(second);
+    detectLoss(second);
     observe(OBSERVED_S);
     first.peersUnreachable = false;
     verifyOneIncarnationBegan();
@@ -93,25 +93,25 @@
   /** Guards against the same with a third controller that is started after the loss. */
   @ParameterizedTest
   @ValueSource(doubles = {0.001, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5})
-  void withAProcessThatIsStartedAfterTheLossOneIncarnationBegins(double startedAfterS) {
+  void onlyOneIncarnationBeginsIfAProcessIsStartedAfterTheLoss(double startedAfterS) {
     leader.kill();
     cluster.store.restore(before, false);
     observe(startedAfterS);
     leader.start();
-    notice(first);
-    notice(second);
+    detectLoss(first);
+    detectLoss(second);
     verifyOneIncarnationBegan();
   }
 
   /** Guards against a restore by the others that coincides with the leader's own. */
   @ParameterizedTest
   @ValueSource(doubles = {9.8, 9.9, 9.95, 10, 10.01, 10.02, 10.03, 10.05, 10.1, 10.3})
-  void aLeaderThatTheStoreAnswersLateDoesNotReplaceWhatTheOthersHaveBegun(double lateS) {
+  void delayedLeaderDoesNotReplaceTheOthersIncarnation(double lateS) {
     leader.storeUnavailable = true;
     cluster.store.restore(before, false);
     observe(STEP_S);
-    notice(first);
-    notice(second);
+    detectLoss(first);
+    detectLoss(second);
     observe(lateS);
     leader.storeUnavailable = false;
     verifyOneIncarnationBegan();
--- a/src/test/java/io/embernotch/incarnation/DataLossAtScaleTest.java
+++ b/src/test/java/io/embernotch/incarnation/DataLossAtScaleTest.java
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void restoredToBeforeJobsCompletedAndOthersStarted() {
+  void rolledBackToBeforeJobsEndedAndOthersStarted() {
     Snapshot earlier = cluster.store.snapshot();
     for (int i = 0; i < 20; i++) {
       assertThat(cluster.cancel(i % 3, "j-1" + i).status()).isEqualTo(200);
--- a/src/test/java/io/embernotch/incarnation/DataLossRandomizedTest.java
+++ b/src/test/java/io/embernotch/incarnation/DataLossRandomizedTest.java
@@ -41,7 +41,7 @@
     private final RecordedAnswers answers = new RecordedAnswers(cluster);
 
     /** Earlier states that the store may be rolled back to. */
-    private final List<Snapshot> moments = new ArrayList<>();
+    private final List<Snapshot> snapshots = new ArrayList<>();
 
     /** Selects the controller that is isolated from the others; null if none is. */
     private final SplittableRandom isolation;
@@ -70,7 +70,7 @@
         }
         randomAction();
         if (random.nextInt(4) == 0) {
-          moments.add(cluster.store.snapshot());
+          snapshots.add(cluster.store.snapshot());
         }
         cluster.advance(random.nextDouble(5));
         for (String ref : answers.accepted) {
@@ -115,7 +115,7 @@
           if (leaderFaults == null) {
             loseData();
           } else {
-            leaderFaults.loseData(moments);
+            leaderFaults.loseData(snapshots);
           }
         }
       }
@@ -169,13 +169,13 @@
         cluster.advance(random.nextDouble(2));
         other.start();
       }
-      if (moments.isEmpty() || random.nextInt(2) == 0) {
+      if (snapshots.isEmpty() || random.nextInt(2) == 0) {
         cluster.store.wipe();
       } else {
-        Snapshot moment = moments.remove(random.nextInt(moments.size()));
-        cluster.store.restore(moment, random.nextBoolean());
+        Snapshot snapshot = snapshots.remove(random.nextInt(snapshots.size()));
+        cluster.store.restore(snapshot, random.nextBoolean());
       }
-      moments.clear();
+      snapshots.clear();
     }
   }
 
@@ -186,7 +186,7 @@
 
   /** Guards against answers of a controller that does not learn of a data loss. */
   @Test
-  void noAnswerIsRevokedWhileAControllerIsCutOffFromTheOthers() {
+  void noAnswerIsRevokedWhileAControllerIsIsolated() {
     assertThat(violationsBySeed(FROM, SEEDS, Variant.ISOLATED)).isEmpty();
   }
 
--- a/src/test/java/io/embernotch/incarnation/LossNewsTest.java
+++ b/src/test/java/io/embernotch/incarnation/DataLossReportsTest.java
@@ -13,18 +13,18 @@
  * A data loss is resolved once an incarnation has begun after it. Controllers that still report the
  * loss, because the store does not answer them, must not cause another incarnation.
  */
-class LossNewsTest {
-  private final LossScenario scenario = new LossScenario();
+class DataLossReportsTest {
+  private final DataLossScenario scenario = new DataLossScenario();
   private final SimulatedCluster cluster = scenario.cluster;
   private final ControllerNode leader = scenario.leader;
   private final ControllerNode first = cluster.otherNode(leader);
   private final ControllerNode second = scenario.third(leader, first);
 
   @BeforeEach
-  void jobsRun() {
+  void startJobs() {
     scenario.accept(first, "j-1", "array", 2);
     scenario.accept(leader, "j-2", "standing", 2);
-    scenario.letTasksStart();
+    scenario.awaitTasksStarted();
   }
 
   private JsonNode overview(ControllerNode node) {
@@ -35,13 +35,13 @@
     return overview(node).get("era").asText();
   }
 
-  private void othersHaveNoStore(boolean unavailable) {
+  private void setStoreUnavailableForOthers(boolean unavailable) {
     first.storeUnavailable = unavailable;
     second.storeUnavailable = unavailable;
   }
 
   /** Checks that the leader has begun an incarnation that the others have not read yet. */
-  private String verifyOnlyTheLeaderHasBegunOne(String before) {
+  private String verifyOnlyTheLeaderBeganAnIncarnation(String before) {
     String begun = incarnationOf(leader);
     assertThat(begun).isNotEqualTo(before);
     assertThat(incarnationOf(first)).isEqualTo(before);
@@ -50,7 +50,7 @@
     return begun;
   }
 
-  private void verifyAllAreIn(String incarnation) {
+  private void verifyAllAdopted(String incarnation) {
     for (ControllerNode node : cluster.nodes) {
       JsonNode overview = overview(node);
       assertThat(overview.get("era").asText())
@@ -60,38 +60,38 @@
       assertThat(overview.get("losses").asInt()).as("losses at %s", node.index).isEqualTo(1);
     }
     assertThat(cluster.leader()).isSameAs(leader);
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
   /**
    * Guards against two controllers that keep reporting the loss to each other after the restore.
    */
   @Test
-  void controllersThatTheStoreAnswersLateTakeTheNewIncarnationOver() {
+  void controllersThatReachTheStoreLateAdoptTheNewIncarnation() {
     String before = incarnationOf(leader);
     cluster.store.wipe();
-    othersHaveNoStore(true);
+    setStoreUnavailableForOthers(true);
     cluster.advance(8);
-    String begun = verifyOnlyTheLeaderHasBegunOne(before);
+    String begun = verifyOnlyTheLeaderBeganAnIncarnation(before);
     cluster.advance(12);
-    othersHaveNoStore(false);
+    setStoreUnavailableForOthers(false);
     cluster.advance(20);
-    verifyAllAreIn(begun);
+    verifyAllAdopted(begun);
   }
 
   /** Guards against an isolated controller that reports the loss to one that was reconnected. */
   @Test
-  void controllersThatTheStoreAnswersOneAfterTheOtherTakeTheNewIncarnationOver() {
+  void controllersThatReachTheStoreOneAfterTheOtherAdoptTheNewIncarnation() {
     String before = incarnationOf(leader);
     cluster.store.wipe();
-    othersHaveNoStore(true);
+    setStoreUnavailableForOthers(true);
     cluster.advance(8);
-    String begun = verifyOnlyTheLeaderHasBegunOne(before);
+    String begun = verifyOnlyTheLeaderBeganAnIncarnation(before);
     first.storeUnavailable = false;
     cluster.advance(15);
     second.storeUnavailable = false;
     cluster.advance(15);
-    verifyAllAreIn(begun);
+    verifyAllAdopted(begun);
   }
 
   /**
@@ -99,51 +99,51 @@
    * has begun the incarnation while isolated from them.
    */
   @Test
-  void aLeaderThatHearsOfTheLossAfterItsRestoreRestoresNothing() {
+  void leaderThatReceivesALossReportAfterItsRestoreRestoresNothing() {
     String before = incarnationOf(leader);
     leader.peersUnreachable = true;
     cluster.store.wipe();
     scenario.expectPhase(first, "j-1", "status 503");
-    othersHaveNoStore(true);
+    setStoreUnavailableForOthers(true);
     cluster.advance(8);
-    String begun = verifyOnlyTheLeaderHasBegunOne(before);
+    String begun = verifyOnlyTheLeaderBeganAnIncarnation(before);
     leader.peersUnreachable = false;
     cluster.advance(10);
     assertThat(incarnationOf(leader)).isEqualTo(begun);
-    othersHaveNoStore(false);
+    setStoreUnavailableForOthers(false);
     cluster.advance(20);
-    verifyAllAreIn(begun);
+    verifyAllAdopted(begun);
   }
 
   /**
    * Guards against the same where the others reach the store again before they reach the leader.
    */
   @Test
-  void whoeverHasTakenTheNewIncarnationOverIsNotToldOfTheLossAgain() {
+  void controllersThatAdoptedTheNewIncarnationIgnoreLossReports() {
     String before = incarnationOf(leader);
     leader.peersUnreachable = true;
     cluster.store.wipe();
     scenario.expectPhase(first, "j-1", "status 503");
-    othersHaveNoStore(true);
+    setStoreUnavailableForOthers(true);
     cluster.advance(8);
-    String begun = verifyOnlyTheLeaderHasBegunOne(before);
+    String begun = verifyOnlyTheLeaderBeganAnIncarnation(before);
     first.storeUnavailable = false;
     cluster.advance(10);
     second.storeUnavailable = false;
     cluster.advance(10);
     leader.peersUnreachable = false;
     cluster.advance(20);
-    verifyAllAreIn(begun);
+    verifyAllAdopted(begun);
   }
 
   /** Guards against reports of the loss that arrive after the restore, from any controller. */
   @Test
-  void newsThatArriveLateCauseNoRestore() {
+  void delayedLossReportsCauseNoRestore() {
     String before = incarnationOf(leader);
     cluster.faults.delayFrames = true;
     cluster.store.wipe();
     scenario.expectPhase(second, "j-1", "status 503");
-    othersHaveNoStore(true);
+    setStoreUnavailableForOthers(true);
     cluster.advance(8);
     String begun = incarnationOf(leader);
     assertThat(begun).isNotEqualTo(before);
@@ -151,10 +151,10 @@
     cluster.faults.delayFrames = false;
     cluster.advance(10);
     assertThat(incarnationOf(leader)).isEqualTo(begun);
-    othersHaveNoStore(false);
+    setStoreUnavailableForOthers(false);
     cluster.advance(20);
     assertThat(incarnationOf(leader)).isEqualTo(begun);
     assertThat(overview(leader).get("losses").asInt()).isEqualTo(1);
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 }
--- a/src/test/java/io/embernotch/incarnation/LossScenario.java
+++ b/src/test/java/io/embernotch/incarnation/DataLossScenario.java
@@ -18,7 +18,7 @@
  * data loss all earlier answers must remain valid: no accepted job is unknown, no reported end is
  * withdrawn, and no task runs twice or after its job's end.
  */
-final class LossScenario {
+final class DataLossScenario {
   private static final double STEP_S = 0.5;
 
   /** Seconds within which the tasks of new jobs get machines and start. */
@@ -33,7 +33,7 @@
   final ControllerNode leader = cluster.awaitLeader(4);
 
   private final TreeSet<String> accepted = new TreeSet<>();
-  private final Map<String, String> toldEnds = new TreeMap<>();
+  private final Map<String, String> reportedEnds = new TreeMap<>();
 
   /** The controller that is neither of these two. */
   ControllerNode third(ControllerNode first, ControllerNode second) {
@@ -52,7 +52,7 @@
   }
 
   /** Waits until tasks of all jobs have started. */
-  void letTasksStart() {
+  void awaitTasksStarted() {
     cluster.advance(START_S);
     accepted.forEach(ref -> assertThat(cluster.runningTasks(ref)).as(ref).isNotEmpty());
   }
@@ -61,7 +61,7 @@
   void cancel(ControllerNode at, String ref) {
     HttpResponse response = cluster.cancel(at.index, ref);
     assertThat(response.status()).as("cancellation of " + ref).isEqualTo(200);
-    toldEnds.put(ref, "cancelled");
+    reportedEnds.put(ref, "cancelled");
   }
 
   /** Completes all tasks of a job and checks that it is reported as done. */
@@ -69,18 +69,18 @@
     cluster.completeTasks(ref);
     cluster.advance(3);
     expectPhase(at, ref, "done");
-    completedAsTold(ref);
+    recordDone(ref);
   }
 
   /** Records that a user was told that a job is done. */
-  void completedAsTold(String ref) {
-    toldEnds.put(ref, "done");
+  void recordDone(String ref) {
+    reportedEnds.put(ref, "done");
   }
 
   /** Checks that a job is reported as cancelled, because a job that it depends on is. */
   void expectCancelled(ControllerNode at, String ref) {
     expectPhase(at, ref, "cancelled");
-    toldEnds.put(ref, "cancelled");
+    reportedEnds.put(ref, "cancelled");
   }
 
   /** Polls a job and checks the reported phase. */
@@ -89,14 +89,14 @@
   }
 
   /** Takes a snapshot of the store, then writes once more, so that a rollback to it loses data. */
-  Snapshot rememberContents() {
+  Snapshot snapshotBeforeAnotherWrite() {
     Snapshot contents = cluster.store.snapshot();
     cluster.store.put("mark", "{}");
     return contents;
   }
 
   /** Isolates a controller from the store and from the other controllers. */
-  void cutOff(ControllerNode node) {
+  void isolate(ControllerNode node) {
     node.storeUnavailable = true;
     node.peersUnreachable = true;
   }
@@ -128,7 +128,7 @@
   }
 
   /** Starts the controllers that are down, waits, and checks that all earlier answers are valid. */
-  void verifyAllToldHolds() {
+  void verifyAllAnswersValid() {
     advanceWithPolls(30);
     cluster.nodes.stream().filter(node -> node.down).forEach(ControllerNode::start);
     advanceWithPolls(SETTLED_S);
@@ -137,8 +137,8 @@
       for (ControllerNode node : cluster.nodes) {
         checkAnswer(node, ref, findings);
       }
-      if (toldEnds.containsKey(ref) && !cluster.runningTasks(ref).isEmpty()) {
-        findings.add(ref + " was reported as " + toldEnds.get(ref) + " and is on a machine");
+      if (reportedEnds.containsKey(ref) && !cluster.runningTasks(ref).isEmpty()) {
+        findings.add(ref + " was reported as " + reportedEnds.get(ref) + " and is on a machine");
       }
     }
     findings.addAll(cluster.violations());
@@ -147,7 +147,7 @@
 
   private void checkAnswer(ControllerNode node, String ref, List<String> findings) {
     String phase = cluster.phase(node.index, ref);
-    String end = toldEnds.get(ref);
+    String end = reportedEnds.get(ref);
     if (phase.startsWith("status") || (end != null && !phase.equals(end))) {
       findings.add(
           "c" + node.index + " answers " + phase + " of " + ref + (end == null ? "" : ", " + end));
--- a/src/test/java/io/embernotch/incarnation/DataLossTest.java
+++ b/src/test/java/io/embernotch/incarnation/DataLossTest.java
@@ -42,13 +42,13 @@
 
   /** Checks that no answer is contradicted in the meantime, and that all jobs make progress. */
   private void verifyServiceResumes(double withinS) {
-    verifyNothingIsForgotten(withinS);
+    verifyAnswersRemainValid(withinS);
     cluster.advance(30);
-    verifyAllAsBefore();
-    verifyProgressGoesOn();
+    verifyStateRestored();
+    verifyJobsProgress();
   }
 
-  private void verifyNothingIsForgotten(double forS) {
+  private void verifyAnswersRemainValid(double forS) {
     for (double remainingS = forS; remainingS > 0; remainingS -= 0.25) {
       cluster.advance(0.25);
       for (int n = 0; n < 3; n++) {
@@ -60,7 +60,7 @@
     }
   }
 
-  private void verifyAllAsBefore() {
+  private void verifyStateRestored() {
     assertThat(cluster.workers.values())
         .as("no worker's lease expired")
         .allSatisfy(worker -> assertThat(worker.epoch).isEqualTo(1));
@@ -77,7 +77,7 @@
     }
   }
 
-  private void verifyProgressGoesOn() {
+  private void verifyJobsProgress() {
     cluster.completeTasks("j-3");
     cluster.advance(20);
     assertThat(cluster.phase(1, "j-3")).isEqualTo("done");
@@ -102,7 +102,7 @@
   }
 
   @Test
-  void allDataLostWhileNothingHappens() {
+  void allDataLostWhileIdle() {
     runJobs();
     cluster.store.wipe();
     verifyServiceResumes(6);
@@ -125,7 +125,7 @@
   }
 
   @Test
-  void restoredToAnEarlierMomentWithItsLeaderKey() {
+  void rolledBackWithLeaderKey() {
     runJobs();
     Snapshot earlier = cluster.store.snapshot();
     cluster.submit(1, job("j-7", "array", 2));
@@ -142,7 +142,7 @@
   }
 
   @Test
-  void restoredWithoutLeasesToBeforeAChangeOfLeader() {
+  void rolledBackWithoutLeasesToBeforeALeaderChange() {
     runJobs();
     Snapshot earlier = cluster.store.snapshot();
     leader.kill();
@@ -157,7 +157,7 @@
   }
 
   @Test
-  void lostBeforeACommitThatArrivesInTheNextIncarnation() {
+  void commitThatArrivesInTheNextIncarnationIsNotApplied() {
     runJobs();
     cluster.faults.commitDelivery = Delivery.DELAYED;
     cluster.submit(1, job("j-6", "array", 2));
@@ -187,21 +187,21 @@
   }
 
   @Test
-  void aTransactionFromBeforeTheLossIsNotAppliedThoughModRevisionsCoincide() {
+  void transactionFromBeforeTheLossIsNotAppliedIfModRevisionsCoincide() {
     submitBeforeLossAndDeliverAfter();
     assertThat(cluster.store.value("job/j-6")).isNull();
     verifyServiceResumes(1);
   }
 
   @Test
-  void withoutTheFenceSuchATransactionWouldBeApplied() {
+  void transactionFromBeforeTheLossIsAppliedWithoutTheFence() {
     cluster.store.ignoredConditionPrefix = "era/";
     submitBeforeLossAndDeliverAfter();
     assertThat(cluster.store.value("job/j-6")).isNotNull();
   }
 
   @Test
-  void aWorkerWithAHigherTokenThanKnownIsServedInAnIncarnationAboveIt() {
+  void workerWithATokenAboveAllEpochsIsServedInAnIncarnationAboveIt() {
     runJobs();
     FakeWorker worker = cluster.runningTasks("j-2").values().iterator().next();
     worker.fencingToken = 1L << 50;
@@ -245,7 +245,7 @@
   }
 
   @Test
-  void theLeaderIsKilledWithTheLossAndTheRemainsRunOnceOnly() {
+  void tasksRunOnlyOnceIfTheLeaderIsKilledWithTheLoss() {
     runJobs();
     Snapshot earlier = cluster.store.snapshot();
     cluster.submit(1, job("j-7", "array", 2));
@@ -277,7 +277,7 @@
   }
 
   @Test
-  void failoversOutagesAndRestartsAreNoLoss() {
+  void failoversOutagesAndRestartsAreNotTakenForADataLoss() {
     runJobs();
     for (int i = 0; i < 3; i++) {
       ControllerNode current = cluster.leader();
--- a/src/test/java/io/embernotch/incarnation/IncompleteRestoreTest.java
+++ b/src/test/java/io/embernotch/incarnation/IncompleteRestoreTest.java
@@ -42,7 +42,7 @@
   }
 
   /** A job is accepted and runs; then the store is rolled back to a state before that. */
-  private void allEndAndStoreIsPutBack() {
+  private void killAllAndRollBackStore() {
     cluster.awaitLeader(4);
     acceptAndRun(KEPT, "z1");
     Snapshot before = cluster.store.snapshot();
@@ -53,8 +53,8 @@
     startAll();
   }
 
-  /** Like {@link #allEndAndStoreIsPutBack}, but the earlier state has no leader key. */
-  private void allEndAndStoreIsPutBackToAMomentWithoutLeader() {
+  /** Like {@link #killAllAndRollBackStore}, but the earlier state has no leader key. */
+  private void killAllAndRollBackStoreToAStateWithoutLeader() {
     cluster.awaitLeader(4);
     acceptAndRun(KEPT, "z1");
     killAll();
@@ -83,16 +83,16 @@
 
   /** Guards against "no such job" for an accepted job that no controller knows any more. */
   @Test
-  void aJobThatIsNotInWhatIsLeftIsNotDenied() {
-    allEndAndStoreIsPutBack();
+  void missingJobIsNotReportedAsNeverAccepted() {
+    killAllAndRollBackStore();
     assertThat(answersFor(3 * LEASE_S)).doesNotContain("status 404");
     assertThat(cluster.phase(cluster.leader().index, KEPT)).isEqualTo("running");
   }
 
   /** Guards against a submission that is refused because its accepted dependency was lost. */
   @Test
-  void aDependencyThatIsNotInWhatIsLeftIsNotCalledNeverAccepted() {
-    allEndAndStoreIsPutBack();
+  void missingDependencyIsNotReportedAsNeverAccepted() {
+    killAllAndRollBackStore();
     Set<Integer> statuses = new TreeSet<>();
     for (int second = 0; second < 2 * LEASE_S; second++) {
       cluster.advance(1);
@@ -106,16 +106,16 @@
 
   /** Guards against a repeated submission that starts tasks that still run. */
   @Test
-  void aRepeatedSubmissionStartsNothingTwice() {
-    allEndAndStoreIsPutBack();
+  void repeatedSubmissionStartsNoTaskTwice() {
+    killAllAndRollBackStore();
     repeatSubmissions();
     verifyNothingRunsTwice();
   }
 
   /** Guards against the same where the workers with these tasks are partitioned. */
   @Test
-  void aRepeatedSubmissionStartsNothingTwiceWhileTheOldTasksAreUnreachable() {
-    allEndAndStoreIsPutBack();
+  void repeatedSubmissionStartsNoTaskTwiceWhileTheOldTasksAreUnreachable() {
+    killAllAndRollBackStore();
     cluster.runningTasks(LOST).values().forEach(worker -> worker.partitioned = true);
     repeatSubmissions();
     verifyNothingRunsTwice();
@@ -139,8 +139,8 @@
 
   /** Guards against a cluster that accepts no new jobs after an incomplete restore. */
   @Test
-  void newJobsAreAcceptedAndRunInTheEnd() {
-    allEndAndStoreIsPutBack();
+  void newJobsAreAcceptedAndRun() {
+    killAllAndRollBackStore();
     cluster.advance(3 * LEASE_S);
     for (ControllerNode node : cluster.nodes) {
       String ref = "j-" + (20 + node.index);
@@ -158,15 +158,15 @@
    * received fencing tokens that these contents have not reached.
    */
   @Test
-  void aJobIsNotDeniedThoughNoLeaderKeyIsLeft() {
-    allEndAndStoreIsPutBackToAMomentWithoutLeader();
+  void missingJobIsNotReportedAsNeverAcceptedWithoutALeaderKey() {
+    killAllAndRollBackStoreToAStateWithoutLeader();
     assertThat(answersFor(3 * LEASE_S)).doesNotContain("status 404");
   }
 
   /** Guards against tasks that start twice for the same reason. */
   @Test
-  void aRepeatedSubmissionStartsNothingTwiceThoughNoLeaderKeyIsLeft() {
-    allEndAndStoreIsPutBackToAMomentWithoutLeader();
+  void repeatedSubmissionStartsNoTaskTwiceWithoutALeaderKey() {
+    killAllAndRollBackStoreToAStateWithoutLeader();
     cluster.runningTasks(LOST).values().forEach(worker -> worker.partitioned = true);
     repeatSubmissions();
     verifyNothingRunsTwice();
--- a/src/test/java/io/embernotch/incarnation/LeaderFaults.java
+++ b/src/test/java/io/embernotch/incarnation/LeaderFaults.java
@@ -17,7 +17,7 @@
  */
 final class LeaderFaults {
   /** Seconds after which a running controller that knows the contents knows all earlier answers. */
-  private static final double STEADY_S = 12;
+  private static final double STABLE_AFTER_S = 12;
 
   /** Longer than a leader's lease. */
   private static final double MIN_PAUSE_S = 4;
@@ -26,10 +26,10 @@
   private static final double MAX_DOWN_S = 3;
 
   /** Maximum seconds until a submission is announced to the leader. */
-  private static final double ANNOUNCED_S = 1;
+  private static final double MAX_ANNOUNCEMENT_S = 1;
 
   /** Maximum seconds between a leader's end and a data loss. */
-  private static final double MAX_BETWEEN_S = 0.6;
+  private static final double MAX_BETWEEN_END_AND_LOSS_S = 0.6;
 
   /** Just before controllers that did not lead last restore, a third of a worker lease (10 s). */
   private static final double LATE_RESTORE_S = 9;
@@ -38,26 +38,26 @@
   private final SplittableRandom random;
 
   /** By controller: since when it runs, reaches the others and knows the contents. */
-  private final double[] steadySince;
+  private final double[] stableSince;
 
   /** By controller: when its pause or downtime ends. */
-  private final double[] awayUntil;
+  private final double[] disruptedUntil;
 
   LeaderFaults(SimulatedCluster cluster, SplittableRandom random) {
     this.cluster = cluster;
     this.random = random;
-    steadySince = new double[cluster.nodes.size()];
-    awayUntil = new double[cluster.nodes.size()];
+    stableSince = new double[cluster.nodes.size()];
+    disruptedUntil = new double[cluster.nodes.size()];
   }
 
   /** Ends faults that are due to end, and may start another one. */
   void step() {
     for (ControllerNode node : cluster.nodes) {
-      if (isAway(node) && cluster.time.now() >= awayUntil[node.index]) {
-        bringBack(node);
+      if (isDisrupted(node) && cluster.time.now() >= disruptedUntil[node.index]) {
+        recover(node);
       }
-      if (!isAway(node) && !isSteady(node) && !knowsContents(node)) {
-        steadySince[node.index] = cluster.time.now();
+      if (!isDisrupted(node) && !isStable(node) && !knowsContents(node)) {
+        stableSince[node.index] = cluster.time.now();
       }
     }
     switch (random.nextInt(6)) {
@@ -69,65 +69,65 @@
 
   /** Ends all faults. */
   void end() {
-    cluster.nodes.stream().filter(LeaderFaults::isAway).forEach(this::bringBack);
+    cluster.nodes.stream().filter(LeaderFaults::isDisrupted).forEach(this::recover);
   }
 
   /** Makes the store lose data once or twice; the leader may end at the same time. */
-  void loseData(List<Snapshot> moments) {
+  void loseData(List<Snapshot> snapshots) {
     ControllerNode leader = cluster.leader();
-    boolean leaderEnds = leader != null && mayTakeAway(leader) && random.nextInt(3) > 0;
+    boolean leaderEnds = leader != null && mayDisrupt(leader) && random.nextInt(3) > 0;
     boolean endsBefore = random.nextBoolean();
     Snapshot present = cluster.store.snapshot();
     if (leaderEnds && endsBefore) {
       kill(leader);
-      cluster.advance(random.nextDouble(MAX_BETWEEN_S));
+      cluster.advance(random.nextDouble(MAX_BETWEEN_END_AND_LOSS_S));
     }
-    loseOnce(moments);
+    loseOnce(snapshots);
     if (leaderEnds && !endsBefore) {
-      cluster.advance(random.nextDouble(MAX_BETWEEN_S));
+      cluster.advance(random.nextDouble(MAX_BETWEEN_END_AND_LOSS_S));
       kill(leader);
     }
     if (random.nextInt(3) == 0) {
       cluster.advance((random.nextBoolean() ? 0 : LATE_RESTORE_S) + random.nextDouble(4));
       cluster.store.restore(present, random.nextBoolean());
     }
-    moments.clear();
+    snapshots.clear();
   }
 
-  private void loseOnce(List<Snapshot> moments) {
-    if (moments.isEmpty() || random.nextInt(3) == 0) {
+  private void loseOnce(List<Snapshot> snapshots) {
+    if (snapshots.isEmpty() || random.nextInt(3) == 0) {
       cluster.store.wipe();
     } else {
-      Snapshot moment = moments.get(random.nextInt(moments.size()));
-      cluster.store.restore(moment, random.nextBoolean());
+      Snapshot snapshot = snapshots.get(random.nextInt(snapshots.size()));
+      cluster.store.restore(snapshot, random.nextBoolean());
     }
   }
 
   private void pauseLeader() {
     ControllerNode leader = cluster.leader();
-    if (leader != null && mayTakeAway(leader)) {
+    if (leader != null && mayDisrupt(leader)) {
       leader.storeUnavailable = true;
       leader.peersUnreachable = true;
       leader.storeUnresponsive = random.nextBoolean();
       leader.workersUnreachable = random.nextBoolean();
-      awayUntil[leader.index] =
+      disruptedUntil[leader.index] =
           cluster.time.now() + MIN_PAUSE_S + random.nextDouble(MAX_PAUSE_S - MIN_PAUSE_S);
     }
   }
 
   private void restart(ControllerNode node) {
-    if (!isAway(node) && mayTakeAway(node)) {
-      cluster.advance(ANNOUNCED_S);
+    if (!isDisrupted(node) && mayDisrupt(node)) {
+      cluster.advance(MAX_ANNOUNCEMENT_S);
       kill(node);
     }
   }
 
   private void kill(ControllerNode node) {
     node.kill();
-    awayUntil[node.index] = cluster.time.now() + random.nextDouble(MAX_DOWN_S);
+    disruptedUntil[node.index] = cluster.time.now() + random.nextDouble(MAX_DOWN_S);
   }
 
-  private void bringBack(ControllerNode node) {
+  private void recover(ControllerNode node) {
     node.storeUnavailable = false;
     node.peersUnreachable = false;
     node.storeUnresponsive = false;
@@ -135,20 +135,20 @@
     if (node.down) {
       node.start();
     }
-    steadySince[node.index] = cluster.time.now();
+    stableSince[node.index] = cluster.time.now();
   }
 
-  private static boolean isAway(ControllerNode node) {
+  private static boolean isDisrupted(ControllerNode node) {
     return node.down || node.storeUnavailable;
   }
 
-  private boolean isSteady(ControllerNode node) {
-    return !isAway(node) && cluster.time.now() - steadySince[node.index] >= STEADY_S;
+  private boolean isStable(ControllerNode node) {
+    return !isDisrupted(node) && cluster.time.now() - stableSince[node.index] >= STABLE_AFTER_S;
   }
 
   /** Whether another running controller knows all answers to users. */
-  private boolean mayTakeAway(ControllerNode node) {
-    return cluster.nodes.stream().anyMatch(other -> other != node && isSteady(other));
+  private boolean mayDisrupt(ControllerNode node) {
+    return cluster.nodes.stream().anyMatch(other -> other != node && isStable(other));
   }
 
   private boolean knowsContents(ControllerNode node) {
--- a/src/test/java/io/embernotch/incarnation/LostLeaderTest.java
+++ b/src/test/java/io/embernotch/incarnation/LeaderLostWithDataTest.java
@@ -11,7 +11,7 @@
  * The leader's process ends when the store loses data, and two other controllers keep running. They
  * know all answers that users were given, so no answer is contradicted or withdrawn.
  */
-class LostLeaderTest {
+class LeaderLostWithDataTest {
   private static final String CANCELLED = "j-1";
   private static final String DONE = "j-2";
   private static final String SERVICE = "j-3";
@@ -19,33 +19,33 @@
   private static final String ACCEPTED_BY_FOLLOWER = "j-5";
 
   /** Seconds within which an answer becomes known to all controllers. */
-  private static final double LONG_BEFORE_S = 30;
+  private static final double KNOWN_TO_ALL_S = 30;
 
-  private final LossScenario scenario = new LossScenario();
+  private final DataLossScenario scenario = new DataLossScenario();
   private final ControllerNode leader = scenario.leader;
   private final ControllerNode first = scenario.cluster.otherNode(leader);
   private final ControllerNode second = scenario.third(leader, first);
   private Snapshot before;
 
   @BeforeEach
-  void jobsRun() {
+  void startJobs() {
     scenario.accept(leader, CANCELLED, "array", 2);
     scenario.accept(first, DONE, "array", 2);
     scenario.accept(second, SERVICE, "standing", 2);
-    scenario.letTasksStart();
-    before = scenario.rememberContents();
+    scenario.awaitTasksStarted();
+    before = scenario.snapshotBeforeAnotherWrite();
     scenario.cluster.advance(2);
   }
 
   /** Users are told of two accepted jobs, one of them accepted by the leader, and of two ends. */
-  private void factsAreTold() {
+  private void giveAnswers() {
     scenario.accept(leader, ACCEPTED_BY_LEADER, "array", 1);
     scenario.accept(second, ACCEPTED_BY_FOLLOWER, "array", 1);
     scenario.cancel(first, CANCELLED);
     scenario.complete(second, DONE);
   }
 
-  private void leaderEndsAndStoreIsPutBack() {
+  private void killLeaderAndRollBackStore() {
     leader.kill();
     scenario.cluster.advance(0.2);
     scenario.cluster.store.restore(before, false);
@@ -53,171 +53,171 @@
 
   /** Guards against answers that both survivors have given and then contradict. */
   @Test
-  void whatTheSurvivorsToldHolds() {
-    factsAreTold();
-    scenario.cluster.advance(LONG_BEFORE_S);
+  void answersOfTheSurvivorsRemainValid() {
+    giveAnswers();
+    scenario.cluster.advance(KNOWN_TO_ALL_S);
     for (ControllerNode survivor : new ControllerNode[] {first, second}) {
       scenario.expectPhase(survivor, CANCELLED, "cancelled");
       scenario.expectPhase(survivor, DONE, "done");
       scenario.expectPhase(survivor, ACCEPTED_BY_LEADER, "running");
     }
-    leaderEndsAndStoreIsPutBack();
-    scenario.verifyAllToldHolds();
+    killLeaderAndRollBackStore();
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against the loss of answers that only the killed leader has given. */
   @Test
-  void whatTheLeaderToldHolds() {
+  void answersOfTheKilledLeaderRemainValid() {
     scenario.accept(leader, ACCEPTED_BY_LEADER, "array", 1);
     scenario.cancel(leader, CANCELLED);
     scenario.complete(leader, DONE);
-    scenario.cluster.advance(LONG_BEFORE_S);
-    leaderEndsAndStoreIsPutBack();
-    scenario.verifyAllToldHolds();
+    scenario.cluster.advance(KNOWN_TO_ALL_S);
+    killLeaderAndRollBackStore();
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against a leader that detects the loss and ends at any step of its restore. */
   @ParameterizedTest
   @ValueSource(doubles = {0.01, 0.05, 0.1, 0.35, 0.4, 0.5, 0.7, 1, 1.3})
-  void whatWasToldHoldsThoughTheLeaderEndsAfterTheLoss(double secondsAfter) {
-    factsAreTold();
-    scenario.cluster.advance(LONG_BEFORE_S);
+  void answersRemainValidIfTheLeaderEndsAfterTheLoss(double secondsAfter) {
+    giveAnswers();
+    scenario.cluster.advance(KNOWN_TO_ALL_S);
     scenario.cluster.store.restore(before, true);
     scenario.cluster.time.advance(secondsAfter);
     leader.kill();
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against the loss of everything in the store, its incarnation included. */
   @Test
-  void whatWasToldHoldsThoughNothingIsLeftInTheStore() {
-    factsAreTold();
-    scenario.cluster.advance(LONG_BEFORE_S);
+  void answersRemainValidIfTheStoreLosesEverything() {
+    giveAnswers();
+    scenario.cluster.advance(KNOWN_TO_ALL_S);
     leader.kill();
     scenario.cluster.advance(0.2);
     scenario.cluster.store.wipe();
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against a cancellation that the leader reports before another controller knows it. */
   @Test
-  void aCancellationThatTheLeaderToldMillisecondsBeforeItsEndHolds() {
+  void cancellationReportedJustBeforeTheLeaderEndsRemainsValid() {
     scenario.cancel(leader, CANCELLED);
     scenario.cluster.time.advance(0.005);
     leader.kill();
     scenario.cluster.store.restore(before, true);
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against a completion that the leader reports before another controller knows it. */
   @Test
-  void aCompletionThatTheLeaderToldMillisecondsBeforeItsEndHolds() {
+  void completionReportedJustBeforeTheLeaderEndsRemainsValid() {
     scenario.cluster.completeTasks(DONE);
     for (int i = 0; i < 500 && !scenario.cluster.phase(leader.index, DONE).equals("done"); i++) {
       scenario.cluster.time.advance(0.01);
     }
     scenario.expectPhase(leader, DONE, "done");
-    scenario.completedAsTold(DONE);
+    scenario.recordDone(DONE);
     leader.kill();
     scenario.cluster.store.restore(before, true);
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against a submission that the leader accepts before another controller knows it. */
   @Test
-  void aSubmissionThatTheLeaderAcceptedMillisecondsBeforeItsEndIsNotDenied() {
+  void submissionAcceptedJustBeforeTheLeaderEndsRemainsKnown() {
     scenario.accept(leader, ACCEPTED_BY_LEADER, "array", 1);
     scenario.cluster.time.advance(0.005);
     leader.kill();
     scenario.cluster.store.restore(before, true);
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against survivors that know only what the store held at their start. */
   @Test
-  void whatWasToldBeforeBothSurvivorsWereRestartedHolds() {
-    factsAreTold();
-    scenario.cluster.advance(LONG_BEFORE_S);
+  void answersRemainValidIfBothSurvivorsWereRestarted() {
+    giveAnswers();
+    scenario.cluster.advance(KNOWN_TO_ALL_S);
     scenario.restart(first);
     scenario.restart(second);
-    leaderEndsAndStoreIsPutBack();
-    scenario.verifyAllToldHolds();
+    killLeaderAndRollBackStore();
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against a survivor that missed answers while the other controllers were unreachable. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void whatWasToldWhileASurvivorWasCutOffFromTheOthersHolds(boolean isCutOffUntilAfterTheLoss) {
+  void answersRemainValidIfASurvivorWasIsolatedMeanwhile(boolean isolatedUntilAfterTheLoss) {
     first.peersUnreachable = true;
     scenario.cluster.advance(5);
     scenario.accept(leader, ACCEPTED_BY_LEADER, "array", 1);
     scenario.cancel(leader, CANCELLED);
     scenario.complete(leader, DONE);
     scenario.cluster.advance(5);
-    if (!isCutOffUntilAfterTheLoss) {
+    if (!isolatedUntilAfterTheLoss) {
       first.peersUnreachable = false;
       scenario.cluster.advance(5);
     }
-    leaderEndsAndStoreIsPutBack();
+    killLeaderAndRollBackStore();
     scenario.cluster.advance(25);
     first.peersUnreachable = false;
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against a survivor that begins an incarnation without what the other survivor knows. */
   @Test
-  void whatOnlyTheSurvivorThatIsCutOffAtTheLossKnowsHolds() {
-    factsAreTold();
-    scenario.cluster.advance(LONG_BEFORE_S);
+  void answersKnownOnlyToAnIsolatedSurvivorRemainValid() {
+    giveAnswers();
+    scenario.cluster.advance(KNOWN_TO_ALL_S);
     scenario.restart(first);
-    scenario.cutOff(second);
-    leaderEndsAndStoreIsPutBack();
+    scenario.isolate(second);
+    killLeaderAndRollBackStore();
     scenario.cluster.advance(25);
     scenario.reconnect(second);
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against a restore by a survivor that missed what the other survivor knows. */
   @ParameterizedTest
   @ValueSource(doubles = {-0.5, 0.001, 0.3, 3})
-  void whatOneSurvivorMissedIsTakenFromTheOther(double backAfterTheLossS) {
-    scenario.cutOff(first);
+  void answersThatOneSurvivorMissedAreRestoredFromTheOther(double reconnectedAfterTheLossS) {
+    scenario.isolate(first);
     scenario.cluster.advance(5);
     scenario.accept(leader, ACCEPTED_BY_LEADER, "array", 1);
     scenario.accept(second, ACCEPTED_BY_FOLLOWER, "array", 1);
     scenario.cancel(second, CANCELLED);
     scenario.complete(second, DONE);
-    scenario.cluster.advance(LONG_BEFORE_S);
-    if (backAfterTheLossS < 0) {
+    scenario.cluster.advance(KNOWN_TO_ALL_S);
+    if (reconnectedAfterTheLossS < 0) {
       scenario.reconnect(first);
-      scenario.cluster.time.advance(-backAfterTheLossS);
+      scenario.cluster.time.advance(-reconnectedAfterTheLossS);
     }
-    leaderEndsAndStoreIsPutBack();
-    if (backAfterTheLossS > 0) {
-      scenario.cluster.time.advance(backAfterTheLossS);
+    killLeaderAndRollBackStore();
+    if (reconnectedAfterTheLossS > 0) {
+      scenario.cluster.time.advance(reconnectedAfterTheLossS);
       scenario.reconnect(first);
     }
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against the state of a next leader that never read the store's contents. */
   @Test
-  void whatWasToldHoldsThoughTheNextLeaderHasNotReadTheStore() {
-    factsAreTold();
-    scenario.cluster.advance(LONG_BEFORE_S);
+  void answersRemainValidIfTheNextLeaderHasNotReadTheStore() {
+    giveAnswers();
+    scenario.cluster.advance(KNOWN_TO_ALL_S);
     leader.kill();
     scenario.cluster.store.listsUnanswered = true;
     scenario.cluster.advance(5);
     scenario.cluster.store.restore(before, false);
     scenario.cluster.store.listsUnanswered = false;
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against a next leader that ends too, before it has read the store. */
   @Test
-  void whatWasToldHoldsThoughTheNextLeaderEndsToo() {
-    factsAreTold();
-    scenario.cluster.advance(LONG_BEFORE_S);
+  void answersRemainValidIfTheNextLeaderEndsToo() {
+    giveAnswers();
+    scenario.cluster.advance(KNOWN_TO_ALL_S);
     leader.kill();
     scenario.cluster.store.listsUnanswered = true;
     scenario.cluster.advance(5);
@@ -225,16 +225,16 @@
     scenario.cluster.store.restore(before, false);
     scenario.cluster.store.listsUnanswered = false;
     next.kill();
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against a submission that only the killed controller knew. */
   @Test
-  void aSubmissionThatAFollowerAcceptedMillisecondsBeforeItsEndIsNotDenied() {
+  void submissionAcceptedJustBeforeAFollowerEndsRemainsKnown() {
     scenario.accept(second, ACCEPTED_BY_FOLLOWER, "array", 1);
     scenario.cluster.time.advance(0.005);
     second.kill();
     scenario.cluster.store.restore(before, true);
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 }
--- a/src/test/java/io/embernotch/incarnation/PausedControllerTest.java
+++ b/src/test/java/io/embernotch/incarnation/PausedControllerTest.java
@@ -19,23 +19,23 @@
   private static final String DONE = "j-2";
   private static final String ACCEPTED = "j-3";
 
-  private final LossScenario scenario = new LossScenario();
+  private final DataLossScenario scenario = new DataLossScenario();
   private final ControllerNode leader = scenario.leader;
   private final ControllerNode first = scenario.cluster.otherNode(leader);
   private final ControllerNode second = scenario.third(leader, first);
   private Snapshot before;
 
   @BeforeEach
-  void jobsRun() {
+  void startJobs() {
     scenario.accept(leader, CANCELLED, "array", 2);
     scenario.accept(first, DONE, "array", 2);
-    scenario.letTasksStart();
-    before = scenario.rememberContents();
+    scenario.awaitTasksStarted();
+    before = scenario.snapshotBeforeAnotherWrite();
     scenario.cluster.advance(2);
   }
 
   private void pause(ControllerNode node) {
-    scenario.cutOff(node);
+    scenario.isolate(node);
     node.storeUnresponsive = true;
     node.workersUnreachable = true;
   }
@@ -46,7 +46,7 @@
     node.workersUnreachable = false;
   }
 
-  private void factsAreToldByTheLeader() {
+  private void giveAnswersByTheLeader() {
     scenario.accept(leader, ACCEPTED, "array", 1);
     scenario.cancel(leader, CANCELLED);
     scenario.complete(leader, DONE);
@@ -55,22 +55,22 @@
   /** Guards against answers of a leader that the others could only learn from the store. */
   @ParameterizedTest
   @ValueSource(doubles = {0.001, 10})
-  void whatALeaderToldWhileItDidNotHearTheOthersHolds(double toldBeforeS) {
+  void answersOfALeaderIsolatedFromItsPeersRemainValid(double answeredBeforeS) {
     leader.peersUnreachable = true;
     scenario.cluster.advance(5);
-    factsAreToldByTheLeader();
-    scenario.cluster.time.advance(toldBeforeS);
+    giveAnswersByTheLeader();
+    scenario.cluster.time.advance(answeredBeforeS);
     pause(leader);
     scenario.cluster.store.restore(before, false);
     scenario.advanceWithPolls(30);
     resume(leader);
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against a leader that adopts an incarnation without what it alone knows. */
   @Test
   void whatAPausedLeaderKnowsIsMergedWhereTheOthersWereStartedAfterTheLoss() {
-    factsAreToldByTheLeader();
+    giveAnswersByTheLeader();
     scenario.cluster.advance(10);
     pause(leader);
     first.kill();
@@ -81,13 +81,13 @@
     second.start();
     scenario.cluster.advance(30);
     resume(leader);
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against a follower that adopts an incarnation without what it alone knows. */
   @Test
   void whatAPausedFollowerKnowsIsMergedWhereTheOthersWereStartedAfterTheLoss() {
-    factsAreToldByTheLeader();
+    giveAnswersByTheLeader();
     scenario.expectPhase(first, CANCELLED, "cancelled");
     scenario.expectPhase(first, DONE, "done");
     scenario.cluster.advance(10);
@@ -100,13 +100,13 @@
     second.start();
     scenario.cluster.advance(30);
     resume(first);
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against a second restore by a leader that resumes after the others have restored. */
   @Test
-  void aLeaderThatWakesUpTakesTheOthersIncarnationOver() {
-    factsAreToldByTheLeader();
+  void resumedLeaderAdoptsTheOthersIncarnation() {
+    giveAnswersByTheLeader();
     scenario.cluster.advance(10);
     pause(leader);
     scenario.cluster.advance(0.5);
@@ -115,36 +115,36 @@
     scenario.accept(second, "j-4", "array", 1);
     scenario.cluster.advance(5);
     resume(leader);
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against two concurrent restores, of which the leader's is the slower one. */
   @ParameterizedTest
   @ValueSource(doubles = {9.8, 10, 10.02, 10.05, 10.2, 10.6, 11, 12, 13})
-  void aLeaderThatWakesUpDuringTheOthersRestoreTakesNothingBack(double pausedForS) {
-    factsAreToldByTheLeader();
+  void leaderResumedDuringTheOthersRestoreWithdrawsNoAnswer(double pausedForS) {
+    giveAnswersByTheLeader();
     scenario.cluster.advance(10);
     pause(leader);
     scenario.cluster.store.restore(before, false);
     scenario.expectPhase(first, "j-9", "status 503");
     scenario.cluster.advance(pausedForS);
     resume(leader);
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
   /** The first controller learns of a data loss, and is paused before it learns of the restore. */
   private void pauseOnceTheLossIsKnown() {
     first.storeUnavailable = true;
     scenario.cluster.store.restore(before, true);
-    for (int i = 0; i < 200 && lossesKnownTo(first) == 0; i++) {
+    for (int i = 0; i < 200 && lossCount(first) == 0; i++) {
       scenario.cluster.time.advance(0.005);
     }
-    assertThat(lossesKnownTo(first)).isEqualTo(1);
+    assertThat(lossCount(first)).isEqualTo(1);
     pause(first);
     scenario.cluster.advance(5);
   }
 
-  private int lossesKnownTo(ControllerNode node) {
+  private int lossCount(ControllerNode node) {
     return Json.parseObject(scenario.cluster.await(node.controller.overview()).body())
         .get("losses")
         .asInt();
@@ -156,29 +156,30 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {1, 4, 6, 12, 30})
-  void whoeverMissedAnIncarnationDoesNotRestoreWhatWasBeforeIt(double betweenLossesS) {
+  void controllerThatMissedAnIncarnationDoesNotRestoreOutdatedState(double betweenLossesS) {
     pauseOnceTheLossIsKnown();
-    factsAreToldByTheLeader();
+    giveAnswersByTheLeader();
     scenario.expectPhase(second, CANCELLED, "cancelled");
     scenario.cluster.advance(betweenLossesS);
     leader.kill();
     scenario.cluster.store.wipe();
     resume(first);
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against the same where the other controller detects the next loss first. */
   @ParameterizedTest
   @ValueSource(doubles = {0.05, 0.3, 3, 8})
-  void whoeverMissedAnIncarnationAndComesBackLaterDoesNotRestoreEither(double backAfterS) {
+  void controllerThatMissedAnIncarnationAndResumesLaterDoesNotRestoreOutdatedState(
+      double resumedAfterS) {
     pauseOnceTheLossIsKnown();
-    factsAreToldByTheLeader();
+    giveAnswersByTheLeader();
     scenario.cluster.advance(12);
     leader.kill();
     scenario.cluster.store.wipe();
     scenario.expectPhase(second, ACCEPTED, "status 503");
-    scenario.cluster.time.advance(backAfterS);
+    scenario.cluster.time.advance(resumedAfterS);
     resume(first);
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 }
--- a/src/test/java/io/embernotch/incarnation/ProgressLossTest.java
+++ b/src/test/java/io/embernotch/incarnation/ProgressLossTest.java
@@ -25,9 +25,9 @@
   private static final String STARTED_LATER = "j-2";
 
   /** Longer than a worker keeps its tasks after its last lease renewal before the loss. */
-  private static final double LEASE_OVER_S = 40;
+  private static final double LEASE_EXPIRED_S = 40;
 
-  private final LossScenario scenario = new LossScenario();
+  private final DataLossScenario scenario = new DataLossScenario();
   private final SimulatedCluster cluster = scenario.cluster;
   private final ControllerNode leader = scenario.leader;
   private final ControllerNode first = cluster.otherNode(leader);
@@ -35,10 +35,10 @@
   private Snapshot before;
 
   @BeforeEach
-  void anArrayRuns() {
+  void startArray() {
     scenario.accept(leader, ARRAY, "array", 4);
-    scenario.letTasksStart();
-    before = scenario.rememberContents();
+    scenario.awaitTasksStarted();
+    before = scenario.snapshotBeforeAnotherWrite();
     cluster.advance(2);
   }
 
@@ -46,12 +46,12 @@
     cluster.runningTasks(ARRAY).get(task).exitTask(task, "done");
   }
 
-  private int doneTold(ControllerNode at) {
+  private int reportedDone(ControllerNode at) {
     return Json.parseObject(cluster.poll(at.index, ARRAY).body()).path("done").asInt();
   }
 
   /** Starts a job and partitions its machines as soon as it runs. */
-  private void startOutOfReach(String shape) {
+  private void startAndPartition(String shape) {
     scenario.accept(leader, STARTED_LATER, shape, 2);
     for (int i = 0; i < 2000 && cluster.runningTasks(STARTED_LATER).size() < 2; i++) {
       cluster.time.advance(0.01);
@@ -62,8 +62,8 @@
   }
 
   /** Waits long enough for another machine to be created and the tasks to start there. */
-  private void verifyNothingStartsTwice() {
-    scenario.advanceWithPolls(LEASE_OVER_S);
+  private void verifyNoTaskStartsTwice() {
+    scenario.advanceWithPolls(LEASE_EXPIRED_S);
     assertThat(cluster.violations())
         .noneMatch(violation -> violation.contains(" while it is on "))
         .noneMatch(violation -> violation.matches(".* is on n-\\d+ and n-\\d+"));
@@ -71,52 +71,52 @@
 
   /** Guards against a number of done tasks that decreases. */
   @Test
-  void tasksThatWereToldToBeDoneStayDoneThoughTheLeaderEnds() {
+  void tasksReportedAsDoneStayDoneIfTheLeaderEnds() {
     completeTask(ARRAY + "/0");
     completeTask(ARRAY + "/2");
     cluster.advance(4);
-    assertThat(doneTold(first)).isEqualTo(2);
-    assertThat(doneTold(second)).isEqualTo(2);
+    assertThat(reportedDone(first)).isEqualTo(2);
+    assertThat(reportedDone(second)).isEqualTo(2);
     cluster.advance(10);
     leader.kill();
     cluster.store.restore(before, false);
-    scenario.verifyAllToldHolds();
-    assertThat(doneTold(first)).isEqualTo(2);
+    scenario.verifyAllAnswersValid();
+    assertThat(reportedDone(first)).isEqualTo(2);
   }
 
   /** Guards against a snapshot that is marked complete but lacks the last starts of tasks. */
   @ParameterizedTest
   @ValueSource(strings = {"array", "group", "standing"})
-  void tasksThatTheLeaderStartedAsItEndedDoNotStartTwice(String shape) {
-    startOutOfReach(shape);
+  void tasksStartedJustBeforeTheLeaderEndsDoNotStartTwice(String shape) {
+    startAndPartition(shape);
     leader.kill();
     cluster.store.restore(before, true);
-    verifyNothingStartsTwice();
+    verifyNoTaskStartsTwice();
   }
 
   /** Guards against the snapshot of a survivor that missed the starts of tasks. */
   @Test
-  void tasksThatWereStartedWhileASurvivorWasCutOffDoNotStartTwice() {
-    scenario.cutOff(first);
+  void tasksStartedWhileASurvivorWasIsolatedDoNotStartTwice() {
+    scenario.isolate(first);
     cluster.advance(5);
-    startOutOfReach("array");
+    startAndPartition("array");
     second.kill();
     leader.kill();
     cluster.store.restore(before, false);
     scenario.reconnect(first);
-    verifyNothingStartsTwice();
+    verifyNoTaskStartsTwice();
   }
 
   /** Guards against a superseded leader that does not know which tasks its successor started. */
   @ParameterizedTest
   @ValueSource(strings = {"array", "group", "standing"})
-  void tasksThatTheSuccessorStartedDoNotStartTwice(String shape) {
+  void tasksStartedByTheSuccessorDoNotStartTwice(String shape) {
     // A machine must be created first, so the former leader knows the job but no start of a task.
     String json = inZone(job(STARTED_LATER, shape, 2), "z2");
     assertThat(cluster.submit(leader.index, json).status()).isEqualTo(201);
     leader.storeUnavailable = true;
     assertThat(cluster.runningTasks(STARTED_LATER)).isEmpty();
-    before = scenario.rememberContents();
+    before = scenario.snapshotBeforeAnotherWrite();
     cluster.advance(6);
     ControllerNode successor = cluster.leader();
     cluster.advance(15);
@@ -126,30 +126,30 @@
     successor.kill();
     cluster.store.restore(before, false);
     leader.storeUnavailable = false;
-    verifyNothingStartsTwice();
+    verifyNoTaskStartsTwice();
   }
 
   /** Guards against a leader whose own snapshot lacks tasks that it started. */
   @Test
-  void theLeaderRestoresWhatItStarted() {
-    startOutOfReach("array");
+  void leaderRestoresTheTasksThatItStarted() {
+    startAndPartition("array");
     cluster.store.restore(before, true);
-    verifyNothingStartsTwice();
+    verifyNoTaskStartsTwice();
   }
 
   /** Guards against the loss of reported ends that follow from the end of a dependency. */
   @ParameterizedTest
   @ValueSource(doubles = {0.005, 10})
-  void theEndOfAJobThatDependsOnACancelledOneHolds(double toldBeforeS) {
+  void endOfAJobWithACancelledDependencyRemainsValid(double answeredBeforeS) {
     scenario.accept(first, "j-3", dependentJob("j-3", 1, ARRAY));
     scenario.accept(second, "j-4", dependentJob("j-4", 1, "j-3"));
     cluster.advance(3);
     scenario.cancel(leader, ARRAY);
     scenario.expectCancelled(leader, "j-3");
     scenario.expectCancelled(leader, "j-4");
-    cluster.time.advance(toldBeforeS);
+    cluster.time.advance(answeredBeforeS);
     leader.kill();
     cluster.store.restore(before, false);
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 }
--- a/src/test/java/io/embernotch/incarnation/ReplacedSnapshotTest.java
+++ b/src/test/java/io/embernotch/incarnation/ReplacedSnapshotTest.java
@@ -23,32 +23,32 @@
   private static final Logger LOGGER =
       (Logger) LoggerFactory.getLogger(StoreIncarnationTracker.class);
 
-  private final LossScenario scenario = new LossScenario();
+  private final DataLossScenario scenario = new DataLossScenario();
   private final ControllerNode started = scenario.cluster.otherNode(scenario.leader);
   private final ListAppender<ILoggingEvent> appender = new ListAppender<>();
 
   @BeforeEach
-  void observe() {
+  void attachAppender() {
     appender.start();
     LOGGER.addAppender(appender);
   }
 
   @AfterEach
-  void release() {
+  void detachAppender() {
     LOGGER.detachAppender(appender);
   }
 
-  private boolean anyError() {
+  private boolean hasLoggedError() {
     return appender.list.stream().anyMatch(event -> event.getLevel() == Level.ERROR);
   }
 
   /**
    * Begins an incarnation with a base snapshot and kills a process; returns the former contents.
    */
-  private Snapshot anIncarnationBeginsWithASnapshot() {
+  private Snapshot beginIncarnationWithSnapshot() {
     scenario.accept(scenario.leader, "j-1", "array", 1);
     scenario.cluster.advance(5);
-    Snapshot before = scenario.rememberContents();
+    Snapshot before = scenario.snapshotBeforeAnotherWrite();
     scenario.cluster.store.wipe();
     scenario.cluster.advance(10);
     started.kill();
@@ -59,23 +59,23 @@
   /** Guards against an error about missing blocks of contents that were replaced meanwhile. */
   @ParameterizedTest
   @ValueSource(doubles = {0.001, 0.002, 0.003, 0.004, 0.005, 0.006, 0.007, 0.008})
-  void contentsThatAreReplacedBetweenTheReadsAreNotCalledDamaged(double replacedAfterS) {
-    Snapshot before = anIncarnationBeginsWithASnapshot();
+  void contentsReplacedBetweenTheReadsAreNotLoggedAsDamaged(double replacedAfterS) {
+    Snapshot before = beginIncarnationWithSnapshot();
     started.start();
     scenario.cluster.time.advance(replacedAfterS);
     scenario.cluster.store.restore(before, false);
     scenario.cluster.advance(5);
-    assertThat(anyError()).isFalse();
-    scenario.verifyAllToldHolds();
+    assertThat(hasLoggedError()).isFalse();
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against damage that is not logged. */
   @Test
-  void missingBlocksAreAnError() {
-    anIncarnationBeginsWithASnapshot();
+  void missingBlocksAreLoggedAsError() {
+    beginIncarnationWithSnapshot();
     scenario.cluster.store.deletePrefix("block/");
     started.start();
     scenario.cluster.advance(5);
-    assertThat(anyError()).isTrue();
+    assertThat(hasLoggedError()).isTrue();
   }
 }
--- a/src/test/java/io/embernotch/incarnation/RestoredEndTest.java
+++ b/src/test/java/io/embernotch/incarnation/RestoredJobEndTest.java
@@ -11,20 +11,20 @@
  * A job ends, and the store is rolled back before the end is written to it. The base snapshot of
  * the next incarnation holds that end.
  */
-class RestoredEndTest {
+class RestoredJobEndTest {
   private static final String DEPENDENCY = "j-1";
   private static final String DEPENDENT = "j-2";
 
-  private final LossScenario scenario = new LossScenario();
+  private final DataLossScenario scenario = new DataLossScenario();
 
   /** Guards against a dependent job that never starts, since only the base snapshot has the end. */
   @Test
-  void aJobStartsOnceTheIncarnationHoldsTheEndOfItsDependency() {
+  void dependentJobStartsIfOnlyTheBaseSnapshotHoldsTheEndOfItsDependency() {
     scenario.accept(scenario.leader, DEPENDENCY, "array", 1);
-    scenario.letTasksStart();
+    scenario.awaitTasksStarted();
     scenario.accept(scenario.leader, DEPENDENT, dependentJob(DEPENDENT, 1, DEPENDENCY));
     scenario.cluster.advance(1);
-    Snapshot before = scenario.rememberContents();
+    Snapshot before = scenario.snapshotBeforeAnotherWrite();
     scenario.cluster.faults.commitDelivery = Delivery.LOST;
     scenario.cluster.faults.commitDeliveryFilter = "run/" + DEPENDENCY;
     scenario.cluster.completeTasks(DEPENDENCY);
--- a/src/test/java/io/embernotch/incarnation/PutBackWhileAllDownTest.java
+++ b/src/test/java/io/embernotch/incarnation/RollbackWhileAllDownTest.java
@@ -17,7 +17,7 @@
  * All controllers end, and the store is rolled back to a state without a leader before any of them
  * is started again. Only the workers can provide evidence of that rollback.
  */
-class PutBackWhileAllDownTest {
+class RollbackWhileAllDownTest {
   private static final String KEPT = "j-1";
   private static final String LOST = "j-2";
   private static final String NEVER_ACCEPTED = "j-3";
@@ -34,7 +34,7 @@
     assertThat(cluster.runningTasks(ref)).hasSize(2);
   }
 
-  private void allEnd() {
+  private void killAllAndAwaitLeaseEnd() {
     cluster.nodes.forEach(ControllerNode::kill);
     cluster.advance(LEASE_ENDED_S);
   }
@@ -43,15 +43,15 @@
     cluster.nodes.forEach(ControllerNode::start);
   }
 
-  private void storeIsPutBackWhileAllAreDown() {
-    storeIsPutBackWhileAllAreDown(0);
+  private void rollBackStoreWhileAllAreDown() {
+    rollBackStoreWhileAllAreDown(0);
   }
 
   /** {@code failovers}: number of further terms, each with a higher epoch, that are lost too. */
-  private void storeIsPutBackWhileAllAreDown(int failovers) {
+  private void rollBackStoreWhileAllAreDown(int failovers) {
     cluster.awaitLeader(4);
     acceptAndRun(KEPT);
-    allEnd();
+    killAllAndAwaitLeaseEnd();
     Snapshot before = cluster.store.snapshot();
     startAll();
     cluster.awaitLeader(10);
@@ -71,11 +71,11 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {2, 4, 6})
-  void nothingIsDeniedBeforeTheWorkersAreHeard(double silentForS) {
-    storeIsPutBackWhileAllAreDown();
+  void noJobIsReportedAsNeverAcceptedBeforeTheWorkersReport(double partitionedForS) {
+    rollBackStoreWhileAllAreDown();
     cluster.workers.values().forEach(worker -> worker.partitioned = true);
     startAll();
-    Set<String> answers = answersFor(silentForS);
+    Set<String> answers = answersFor(partitionedForS);
     cluster.workers.values().forEach(worker -> worker.partitioned = false);
     answers.addAll(answersFor(60));
     assertThat(answers).doesNotContain("status 404", "refused with 422");
@@ -104,8 +104,8 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {1, 20})
-  void aTaskOfAJobThatTheStoreDoesNotHoldShowsTheLoss(int changes) {
-    storeIsPutBackWhileAllAreDown();
+  void taskOfAMissingJobRevealsTheDataLoss(int changes) {
+    rollBackStoreWhileAllAreDown();
     for (int change = 0; change < changes; change++) {
       cluster.store.put("mark", "{}");
     }
@@ -118,18 +118,18 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {1, 3})
-  void aTaskShowsTheLossOfTermsAboveTheNextOne(int failovers) {
-    storeIsPutBackWhileAllAreDown(failovers);
+  void taskRevealsTheLossOfTermsAboveTheNextOne(int failovers) {
+    rollBackStoreWhileAllAreDown(failovers);
     startAll();
     assertThat(answersFor(60)).doesNotContain("status 404", "refused with 422");
   }
 
   /** Guards against a cluster that answers 503 for a job that was never accepted for too long. */
   @Test
-  void whatWasNeverAcceptedIsDeniedOnceTheWorkersWereHeard() {
+  void jobIsReportedAsNeverAcceptedOnceTheWorkersHaveReported() {
     cluster.awaitLeader(4);
     acceptAndRun(KEPT);
-    allEnd();
+    killAllAndAwaitLeaseEnd();
     startAll();
     ControllerNode leader = cluster.awaitLeader(10);
     cluster.advance(8);
--- a/src/test/java/io/embernotch/incarnation/RestoredStoreTest.java
+++ b/src/test/java/io/embernotch/incarnation/RolledBackStoreTest.java
@@ -14,22 +14,22 @@
  * and has seen no later revision reads the job there. Only an absent submission is verified by a
  * comparison with the store incarnation, and the rolled-back store still holds the same one.
  */
-class RestoredStoreTest {
+class RolledBackStoreTest {
   private final SimulatedCluster cluster = new SimulatedCluster(3);
 
   @Test
-  void aControllerAloneDoesNotTellWhatAStoreThatWasPutBackHolds() {
+  void isolatedControllerDoesNotReportPhasesFromARolledBackStore() {
     ControllerNode leader = cluster.awaitLeader(4);
-    ControllerNode alone = cluster.otherNode(leader);
+    ControllerNode isolated = cluster.otherNode(leader);
     cluster.submit(leader.index, job("j-1", "array", 1));
     cluster.advance(12);
-    alone.peersUnreachable = true;
+    isolated.peersUnreachable = true;
     cluster.advance(5);
     FakeStore.Snapshot before = cluster.store.snapshot();
     cluster.completeTasks("j-1");
     cluster.advance(2);
     assertThat(cluster.phase(leader.index, "j-1")).isEqualTo("done");
     cluster.store.restore(before, true);
-    assertThat(cluster.phase(alone.index, "j-1")).isIn("done", "status 503");
+    assertThat(cluster.phase(isolated.index, "j-1")).isIn("done", "status 503");
   }
 }
--- a/src/test/java/io/embernotch/incarnation/RestartIntoLossTest.java
+++ b/src/test/java/io/embernotch/incarnation/StartAfterRollbackTest.java
@@ -12,15 +12,15 @@
  * not begin an incarnation with these contents before the controllers that were running during the
  * rollback have detected it.
  */
-class RestartIntoLossTest {
+class StartAfterRollbackTest {
   private static final String CANCELLED = "j-1";
   private static final String DONE = "j-2";
   private static final String ACCEPTED = "j-3";
 
   /** Seconds without user requests, so that no survivor reads the store to answer one. */
-  private static final double UNASKED_S = 6;
+  private static final double WITHOUT_REQUESTS_S = 6;
 
-  private final LossScenario scenario = new LossScenario();
+  private final DataLossScenario scenario = new DataLossScenario();
   private ControllerNode leader;
   private ControllerNode first;
   private ControllerNode second;
@@ -29,10 +29,10 @@
   private Snapshot withoutLeader;
 
   @BeforeEach
-  void factsAreToldAfterAMomentWithoutLeader() {
+  void giveAnswersAfterASnapshotWithoutLeader() {
     scenario.accept(scenario.leader, CANCELLED, "array", 2);
     scenario.accept(scenario.leader, DONE, "array", 2);
-    scenario.letTasksStart();
+    scenario.awaitTasksStarted();
     scenario.cluster.nodes.forEach(node -> node.storeUnavailable = true);
     scenario.cluster.advance(5);
     withoutLeader = scenario.cluster.store.snapshot();
@@ -53,27 +53,27 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {0.001, 0.1, 0.5, 1, 2.5})
-  void aFormerLeaderThatIsStartedAnewDoesNotReplaceWhatTheOthersKnow(double startedAfterS) {
+  void restartedFormerLeaderDoesNotReplaceWhatTheOthersKnow(double startedAfterS) {
     leader.kill();
     scenario.cluster.store.restore(withoutLeader, false);
     scenario.cluster.time.advance(startedAfterS);
     leader.start();
-    scenario.cluster.advance(UNASKED_S);
-    scenario.verifyAllToldHolds();
+    scenario.cluster.advance(WITHOUT_REQUESTS_S);
+    scenario.verifyAllAnswersValid();
   }
 
   /**
    * Guards against a leader of a rolled-back store that learns of the data loss only afterwards.
    */
   @Test
-  void aProcessThatLeadsBeforeItHearsTheOthersIsNotRestored() {
+  void stateOfAProcessThatLedBeforeItReachedTheOthersIsNotRestored() {
     leader.kill();
     scenario.cluster.store.restore(withoutLeader, false);
     leader.start();
     leader.peersUnreachable = true;
     scenario.cluster.advance(2);
     leader.peersUnreachable = false;
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
   /**
@@ -81,49 +81,49 @@
    * an incarnation above that epoch with these contents.
    */
   @Test
-  void aProcessThatHearsOfAHigherEpochDoesNotRaiseTheContentsAboveIt() {
+  void processThatLearnsOfAHigherEpochDoesNotBeginAnIncarnationAboveIt() {
     leader.kill();
     scenario.cluster.store.restore(withoutLeader, false);
     leader.storeUnavailable = true;
     leader.start();
     scenario.cluster.advance(1.5);
     leader.storeUnavailable = false;
-    scenario.cluster.advance(UNASKED_S);
-    scenario.verifyAllToldHolds();
+    scenario.cluster.advance(WITHOUT_REQUESTS_S);
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against the same where only one controller is left that knows the lost contents. */
   @Test
-  void oneSurvivorIsEnough() {
+  void oneSurvivorRestoresTheLostContents() {
     second.kill();
     scenario.cluster.advance(10);
     leader.kill();
     scenario.cluster.store.restore(withoutLeader, false);
     second.start();
-    scenario.cluster.advance(UNASKED_S);
-    scenario.verifyAllToldHolds();
+    scenario.cluster.advance(WITHOUT_REQUESTS_S);
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against a process that claims leadership before the live leader detects the loss. */
   @Test
-  void aProcessThatClaimsBeforeTheLeaderNoticesIsNotRestored() {
+  void stateOfAProcessThatClaimsBeforeTheLeaderDetectsTheLossIsNotRestored() {
     second.kill();
     scenario.cluster.advance(10);
     scenario.cluster.store.restore(withoutLeader, false);
     second.start();
-    scenario.cluster.advance(UNASKED_S);
-    scenario.verifyAllToldHolds();
+    scenario.cluster.advance(WITHOUT_REQUESTS_S);
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against a process that waits and claims leadership once the survivors restore. */
   @Test
-  void aProcessThatIsStartedDuringTheRestoreTakesItsIncarnationOver() {
+  void processStartedDuringTheRestoreAdoptsTheNewIncarnation() {
     leader.kill();
     scenario.cluster.store.restore(withoutLeader, false);
     scenario.expectPhase(first, ACCEPTED, "status 503");
     scenario.cluster.advance(5);
     leader.start();
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
   /**
@@ -132,7 +132,7 @@
    */
   @ParameterizedTest
   @ValueSource(doubles = {6, 9, 12, 14})
-  void aFirstIncarnationIsNotBegunWhileASurvivorWaitsAnew(double secondsBetweenLosses) {
+  void noFirstIncarnationBeginsWhileASurvivorRestartsItsWait(double secondsBetweenLosses) {
     leader.kill();
     second.kill();
     scenario.cluster.store.wipe();
@@ -145,6 +145,6 @@
     scenario.cluster.store.wipe();
     scenario.cluster.advance(1);
     second.storeUnavailable = false;
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 }
--- a/src/test/java/io/embernotch/incarnation/SupersededLeaderTest.java
+++ b/src/test/java/io/embernotch/incarnation/SupersededLeaderTest.java
@@ -20,40 +20,40 @@
   /** Seconds after which an isolated leader's lease has expired and another controller leads. */
   private static final double SUCCESSION_S = 6;
 
-  private final LossScenario scenario = new LossScenario();
+  private final DataLossScenario scenario = new DataLossScenario();
   private final ControllerNode former = scenario.leader;
   private Snapshot before;
   private ControllerNode successor;
-  private ControllerNode witness;
+  private ControllerNode follower;
 
   @BeforeEach
-  void jobsRun() {
+  void startJobs() {
     scenario.accept(former, CANCELLED_LATER, "array", 2);
     scenario.accept(former, DONE_LATER, "array", 2);
     scenario.accept(former, SERVICE, "standing", 2);
-    scenario.letTasksStart();
-    before = scenario.rememberContents();
+    scenario.awaitTasksStarted();
+    before = scenario.snapshotBeforeAnotherWrite();
     scenario.cluster.advance(2);
   }
 
   /** Waits until the former leader's lease has expired and another controller leads. */
-  private void anotherSucceeds() {
+  private void awaitSuccessor() {
     scenario.cluster.advance(SUCCESSION_S);
     successor = scenario.cluster.leader();
-    witness = scenario.third(former, successor);
+    follower = scenario.third(former, successor);
   }
 
   /** Answers that the former leader cannot know: two ends, two accepted jobs, a started gang. */
-  private void factsAreToldUnderTheSuccessor() {
-    scenario.accept(witness, ACCEPTED_LATER, "array", 1);
-    scenario.accept(witness, GANG, "group", 2);
+  private void giveAnswersUnderTheSuccessor() {
+    scenario.accept(follower, ACCEPTED_LATER, "array", 1);
+    scenario.accept(follower, GANG, "group", 2);
     scenario.cancel(successor, CANCELLED_LATER);
-    scenario.complete(witness, DONE_LATER);
-    scenario.expectPhase(witness, CANCELLED_LATER, "cancelled");
+    scenario.complete(follower, DONE_LATER);
+    scenario.expectPhase(follower, CANCELLED_LATER, "cancelled");
     scenario.cluster.advance(10);
   }
 
-  private void successorEndsAndStoreIsPutBack() {
+  private void killSuccessorAndRollBackStore() {
     successor.kill();
     scenario.cluster.advance(0.1);
     scenario.cluster.store.restore(before, false);
@@ -61,77 +61,77 @@
 
   /** Guards against a superseded leader that knows its successor from a peer heartbeat only. */
   @Test
-  void aLeaderThatHeardOfItsSuccessorFromAPeerOnlyIsNotRestored() {
+  void stateOfALeaderThatKnowsItsSuccessorFromAPeerOnlyIsNotRestored() {
     former.storeUnavailable = true;
-    anotherSucceeds();
-    factsAreToldUnderTheSuccessor();
-    successorEndsAndStoreIsPutBack();
+    awaitSuccessor();
+    giveAnswersUnderTheSuccessor();
+    killSuccessorAndRollBackStore();
     scenario.cluster.advance(0.3);
     former.storeUnavailable = false;
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against a superseded leader that reads the store again only after the rollback. */
   @Test
-  void aLeaderThatPassedOnItsSuccessorsAnswersIsNotRestored() {
+  void stateOfALeaderThatForwardedItsSuccessorsAnswersIsNotRestored() {
     former.storeUnavailable = true;
-    anotherSucceeds();
-    factsAreToldUnderTheSuccessor();
+    awaitSuccessor();
+    giveAnswersUnderTheSuccessor();
     scenario.expectPhase(former, CANCELLED_LATER, "cancelled");
-    successorEndsAndStoreIsPutBack();
+    killSuccessorAndRollBackStore();
     former.storeUnavailable = false;
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against a superseded leader that does not know of its successor. */
   @Test
-  void aLeaderThatNeverHeardOfItsSuccessorIsNotRestored() {
-    scenario.cutOff(former);
-    anotherSucceeds();
-    factsAreToldUnderTheSuccessor();
-    successorEndsAndStoreIsPutBack();
+  void stateOfALeaderThatDoesNotKnowItsSuccessorIsNotRestored() {
+    scenario.isolate(former);
+    awaitSuccessor();
+    giveAnswersUnderTheSuccessor();
+    killSuccessorAndRollBackStore();
     scenario.cluster.advance(0.2);
     scenario.reconnect(former);
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against a superseded leader whose first answer comes from the rolled-back store. */
   @Test
-  void aPausedLeaderThatWakesBeforeTheLossIsNoticedIsNotRestored() {
-    scenario.cutOff(former);
+  void stateOfALeaderResumedBeforeTheLossIsDetectedIsNotRestored() {
+    scenario.isolate(former);
     former.storeUnresponsive = true;
     former.workersUnreachable = true;
-    anotherSucceeds();
-    factsAreToldUnderTheSuccessor();
+    awaitSuccessor();
+    giveAnswersUnderTheSuccessor();
     successor.kill();
     scenario.cluster.store.restore(before, true);
     scenario.reconnect(former);
     former.workersUnreachable = false;
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against a store that returns to newer contents during the restore. */
   @Test
-  void endsInContentsThatComeBackDuringTheRestoreAreNotTakenBack() {
+  void endsInContentsThatReappearDuringTheRestoreRemainValid() {
     former.storeUnavailable = true;
-    anotherSucceeds();
-    factsAreToldUnderTheSuccessor();
-    Snapshot newer = scenario.rememberContents();
-    successorEndsAndStoreIsPutBack();
+    awaitSuccessor();
+    giveAnswersUnderTheSuccessor();
+    Snapshot newer = scenario.snapshotBeforeAnotherWrite();
+    killSuccessorAndRollBackStore();
     former.storeUnavailable = false;
     scenario.cluster.advance(0.4);
     scenario.cluster.store.restore(newer, false);
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
   /** Guards against a restore of the former leader's state although its successor is live. */
   @Test
-  void theSuccessorIsRestoredWhereBothAreUp() {
-    scenario.cutOff(former);
-    anotherSucceeds();
-    factsAreToldUnderTheSuccessor();
+  void stateOfTheSuccessorIsRestoredIfBothAreRunning() {
+    scenario.isolate(former);
+    awaitSuccessor();
+    giveAnswersUnderTheSuccessor();
     scenario.cluster.store.restore(before, false);
     scenario.reconnect(former);
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 }
