--- a/src/main/java/io/embernotch/incarnation/IncarnationAdopter.java
+++ b/src/main/java/io/embernotch/incarnation/IncarnationAdopter.java
@@ -8,107 +8,109 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Takes over the incarnation that the store holds, along with the snapshot that it began with. */
+/** Adopts the incarnation that the store holds, together with its base snapshot. */
 final class IncarnationAdopter {
-  /** Logs under the name of the tracker, of which this class is a part. */
+  /** Uses the name of the tracker, which this class is a part of. */
   private static final Logger LOG = LoggerFactory.getLogger(StoreIncarnationTracker.class);
 
   private final StoreClient store;
   private final IncarnationHost host;
-  private final IncarnationKnowledge knowledge;
+  private final IncarnationState state;
   private final PointerReader pointer;
   private final ContentsConfirmation confirmation;
 
   IncarnationAdopter(
       StoreClient store,
       IncarnationHost host,
-      IncarnationKnowledge knowledge,
+      IncarnationState state,
       PointerReader pointer,
       ContentsConfirmation confirmation) {
     this.store = store;
     this.host = host;
-    this.knowledge = knowledge;
+    this.state = state;
     this.pointer = pointer;
     this.confirmation = confirmation;
   }
 
   /**
-   * After a loss an incarnation that was begun since is taken over if it was made from ours, or if
-   * we know none, and so nothing that could be put in its place. The one that we knew, or one
-   * before it, is what was restored from an earlier moment; one that was begun without what we know
-   * is replaced by one with both.
+   * Whether an incarnation that the store holds after a data loss may be adopted. A successor of
+   * the known incarnation may. The known incarnation or a predecessor of it shows a rollback. Any
+   * other one began without what this controller knows, and is to be replaced by one that holds
+   * both. If no incarnation is known, this controller has nothing to replace the stored one with,
+   * and adopts it unless another controller has reported that it is lost.
    */
   boolean mayAdoptAfterLoss(StoreIncarnation stored) {
-    StoreIncarnation known = knowledge.incarnation();
+    StoreIncarnation known = state.incarnation();
     if (known == null) {
-      return !knowledge.isHeardToBeLost(stored);
+      return !state.isReportedLost(stored);
     }
     return stored.follows(known);
   }
 
   /**
-   * Takes over an incarnation, once its snapshot has been read.
+   * Adopts an incarnation after reading its base snapshot.
    *
-   * @param stored null if the store holds none
+   * @param stored the incarnation in the store; null if it holds none
    */
   void adopt(StoreIncarnation stored) {
-    // The snapshot of an incarnation that another controller has told of is not known here yet.
-    if (stored == null || (knowledge.isSame(stored) && !knowledge.isTold())) {
-      settle(stored, knowledge.baseSnapshot());
+    // The base snapshot of an incarnation that another controller has reported is not read yet.
+    if (stored == null || (state.isKnown(stored) && !state.isReportedOnly())) {
+      adoptWithSnapshot(stored, state.baseSnapshot());
       return;
     }
     if (stored.snapshotName() == null) {
-      settle(stored, BaseSnapshot.EMPTY);
+      adoptWithSnapshot(stored, BaseSnapshot.EMPTY);
       return;
     }
-    int lossesBefore = knowledge.losses();
+    int lossesBefore = state.lossCount();
     store
         .list(IncarnationCodec.blocks(stored.snapshotName()))
         .onSuccess(
             found -> {
-              boolean heardToBeLost = knowledge.isUnread() && knowledge.isHeardToBeLost(stored);
-              if (knowledge.losses() != lossesBefore || heardToBeLost) {
-                // What was read may be of contents that were lost meanwhile.
-                pointer.readLater();
+              boolean reportedLost = state.isStoreUnread() && state.isReportedLost(stored);
+              if (state.lossCount() != lossesBefore || reportedLost) {
+                // The blocks may belong to contents that were lost meanwhile.
+                pointer.readAfterDelay();
                 return;
               }
               try {
-                settle(stored, BaseSnapshotReader.read(stored, found.events()));
+                adoptWithSnapshot(stored, BaseSnapshotReader.read(stored, found.events()));
               } catch (MalformedInputException e) {
-                reportUnusable(stored, e.getMessage());
+                logUnusable(stored, e.getMessage());
               }
             })
-        .onFailure(failure -> pointer.readLater());
+        .onFailure(failure -> pointer.readAfterDelay());
   }
 
-  /** Missing blocks are an error, unless the contents were replaced after the pointer was read. */
-  private void reportUnusable(StoreIncarnation stored, String why) {
+  /** Logs damaged blocks as an error, unless another incarnation has replaced them meanwhile. */
+  private void logUnusable(StoreIncarnation stored, String why) {
     store
         .get(IncarnationCodec.POINTER)
         .map(PointerReader::parse)
         .onSuccess(
-            present -> {
-              if (present.isPresent() && present.incarnation().name().equals(stored.name())) {
+            current -> {
+              if (current.isPresent() && current.incarnation().name().equals(stored.name())) {
                 LOG.error("store incarnation {} cannot be used: {}", stored.name(), why);
               } else {
                 LOG.info("store incarnation {} was replaced while it was read", stored.name());
               }
             })
-        .onComplete(read -> pointer.readLater());
+        .onComplete(read -> pointer.readAfterDelay());
   }
 
   /**
-   * The store's contents are ours from now on, and every transaction conditions on the fence.
+   * Adopts an incarnation whose base snapshot is known; from now on every transaction conditions on
+   * its fence key.
    *
-   * @param incarnation null if the store holds none
+   * @param incarnation the incarnation; null if the store holds none
    */
-  void settle(StoreIncarnation incarnation, BaseSnapshot baseSnapshot) {
+  void adoptWithSnapshot(StoreIncarnation incarnation, BaseSnapshot baseSnapshot) {
     if (incarnation != null) {
       store.setFence(IncarnationCodec.fence(incarnation), incarnation.modRevision());
     }
-    confirmation.contentsKnown(incarnation != null);
-    if (knowledge.settle(incarnation, baseSnapshot)) {
-      LOG.info("store incarnation {}, epochs from {}", knowledge.name(), knowledge.epochFloor());
+    confirmation.contentsRead(incarnation != null);
+    if (state.recordAdopted(incarnation, baseSnapshot)) {
+      LOG.info("store incarnation {}, epochs from {}", state.name(), state.epochFloor());
       host.incarnationSettled(baseSnapshot);
     }
   }
--- a/src/main/java/io/embernotch/incarnation/StoreRestorer.java
+++ b/src/main/java/io/embernotch/incarnation/StoreRestorer.java
@@ -16,61 +16,62 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes a snapshot of what was lost into the store, as blocks under a name that no incarnation has
- * had, so that nothing there can be taken for part of another snapshot. It counts only once an
- * incarnation is begun with it.
+ * Writes a snapshot of the lost contents to the store. The snapshot is split into blocks under a
+ * new unique name, so that no block can be mistaken for part of another snapshot. It takes effect
+ * only when an incarnation begins with it.
  */
 public final class StoreRestorer {
   private static final Logger LOG = LoggerFactory.getLogger(StoreRestorer.class);
 
-  /** Others than the former leader wait for a worker's lease divided by this. */
-  private static final double FORMER_LEADER_ADVANTAGE_DIVISOR = 3;
+  /** Controllers that did not lead last wait for a worker's lease divided by this. */
+  private static final double FORMER_LEADER_WAITS_PER_LEASE = 3;
 
-  /** A read that failed is tried again after the leader's lease divided by this. */
+  /** Reads are retried after the leader's lease divided by this. */
   private static final double READ_RETRIES_PER_LEASE = 4;
 
-  /** A write that failed is tried again after the leader's lease divided by this. */
+  /** Failed writes are retried after the leader's lease divided by this. */
   private static final double WRITE_RETRIES_PER_LEASE = 16;
 
-  /** A block takes so many bytes of a transaction besides its base64. */
-  private static final int BYTES_PER_BLOCK = 200;
+  /** Bytes that a block takes in a transaction in addition to its base64. */
+  private static final int BLOCK_OVERHEAD_BYTES = 200;
 
   private static final int BYTES_PER_KB = 1024;
 
   private static final long MS_PER_S = 1000;
 
-  /** Where the snapshot comes from. */
+  /** Provides the lost contents. */
   public interface Source {
     /**
-     * The state of the term that this node has led, if it is proven without asking anybody that
-     * nobody has led since: the lease of the term could be proven when the loss was noticed.
+     * The state at the end of the term that this node led last, if that is provably the last term
+     * of all controllers: its lease was still valid when the data loss was detected. Asks no other
+     * controller. Empty if there is no such proof.
      *
-     * @param noticedAt when that was, by the steady clock
+     * @param detectedAt when the data loss was detected, in seconds of the steady clock
      */
-    Optional<ClusterSnapshot> lastLeaderState(double noticedAt);
+    Optional<ClusterSnapshot> lastLeaderState(double detectedAt);
 
     /**
-     * Puts together what this node and all others that answer know; completes within a bounded time
-     * and does not fail.
+     * Merges what this controller knows with what all controllers that answer know. Completes
+     * within a bounded time and does not fail.
      *
-     * @param lossEpoch the epoch that names the loss
+     * @param lossEpoch the epoch that identifies the data loss
      */
     Future<RestorableState> gather(long lossEpoch);
 
-    /** The newest snapshot file that may be used; null if there is none. Blocks. */
+    /** The newest usable snapshot file; null if there is none. Blocks the calling thread. */
     ClusterSnapshot newestStoredSnapshot();
   }
 
   /**
-   * What is known of the contents that were lost.
+   * What the controllers know of the lost contents.
    *
    * @param state all jobs with their progress
-   * @param fromLastLeader whether it is of the leader that led last, by proof, so that no start is
-   *     missing from it
-   * @param highestEpoch highest epoch of a leader that anybody who answered has seen or heard of
-   * @param incarnations names of the store incarnations that the others knew
-   * @param mayImprove whether others may soon know more, or put back more themselves: somebody has
-   *     not answered, or may have led last
+   * @param fromLastLeader whether the state is provably that of the last leader, so that no start
+   *     of a task is missing from it
+   * @param highestEpoch highest epoch of a leader that any controller that answered has observed
+   * @param incarnations names of the store incarnations that other controllers knew
+   * @param mayImprove whether a later attempt may yield more, or another controller may restore
+   *     more itself: some controller has not answered, or may have led last
    */
   public record RestorableState(
       ClusterSnapshot state,
@@ -82,139 +83,151 @@
   private final ControllerContext context;
   private final Source source;
   private final double leaseTtlS;
-  private final IncarnationKnowledge knowledge;
-  private final DoubleSupplier storeAnswersForS;
+  private final IncarnationState state;
+  private final DoubleSupplier storeAnsweringForS;
 
-  /** Null while no snapshot lies in the store. */
+  /** The snapshot in the store that an incarnation may begin with; null while there is none. */
   private PreparedSnapshot prepared;
 
-  /** The snapshot is of the leader that led last, and that was this node. */
-  private boolean wasLeader;
+  /** Whether this node led last, so that the snapshot is of its own term. */
+  private boolean ledLast;
 
-  /** Attempts are numbered: a later one ends those before it. */
+  /** Number of the latest attempt to restore; a new attempt cancels all earlier ones. */
   private int latestAttempt;
 
   /**
-   * @param leaseTtlS time to live of a leader's lease in seconds
-   * @param knowledge tells whether data is still lost
-   * @param storeAnswersForS seconds for which the store has answered without a failure
+   * @param leaseTtlS time to live of a leader's lease, in seconds
+   * @param state knows whether data is still lost
+   * @param storeAnsweringForS seconds for which the store has answered without a failure
    */
   StoreRestorer(
       ControllerContext context,
       Source source,
       double leaseTtlS,
-      IncarnationKnowledge knowledge,
-      DoubleSupplier storeAnswersForS) {
+      IncarnationState state,
+      DoubleSupplier storeAnsweringForS) {
     this.context = context;
     this.source = source;
     this.leaseTtlS = leaseTtlS;
-    this.knowledge = knowledge;
-    this.storeAnswersForS = storeAnswersForS;
+    this.state = state;
+    this.storeAnsweringForS = storeAnsweringForS;
   }
 
-  /** The snapshot that an incarnation may be begun with; null while none is there. */
+  /** The snapshot that an incarnation may begin with; null while there is none. */
   PreparedSnapshot prepared() {
     return prepared;
   }
 
-  /** Seconds for which a leader from before the loss may count itself leader after a claim. */
+  /**
+   * Seconds after a claim for which a leader from before the data loss may still consider its lease
+   * valid.
+   */
   double formerLeaderGraceS() {
-    return wasLeader ? 0 : leaseTtlS * (1 + 2 * Settings.DRIFT);
+    return ledLast ? 0 : leaseTtlS * (1 + 2 * Settings.DRIFT);
   }
 
   /**
-   * Data was lost. Whoever is proven to have led last goes first: it knows of every start. Anybody
-   * else asks all others, and goes on with what is known together.
+   * Starts an attempt to restore the lost contents, and cancels earlier attempts. If this node
+   * provably led last, it asks the other controllers once and restores its own state, which
+   * includes every start of a task. Otherwise it gives the others time to answer or to restore the
+   * store themselves, and then restores the merged state.
    *
-   * @param noticedAt when the loss was noticed, by the steady clock
+   * @param detectedAt when the data loss was detected, in seconds of the steady clock
    */
-  void begin(double noticedAt) {
+  void begin(double detectedAt) {
     prepared = null;
     int attempt = ++latestAttempt;
     Optional<ClusterSnapshot> ownState =
-        knowledge.isLossSeen() ? source.lastLeaderState(noticedAt) : Optional.empty();
-    wasLeader = ownState.isPresent();
-    if (wasLeader) {
+        state.hasLostObservedContents() ? source.lastLeaderState(detectedAt) : Optional.empty();
+    ledLast = ownState.isPresent();
+    if (ledLast) {
       restoreLastLeader(attempt, ownState.get());
     } else {
-      gather(attempt, patientUntil());
+      gather(attempt, gatherDeadline());
     }
   }
 
-  /** Ends the present attempt, if there is one: an incarnation has begun. */
+  /** Ends the current attempt, if there is one, since an incarnation has begun. */
   void finish() {
     latestAttempt++;
     prepared = null;
   }
 
   private boolean isCurrent(int attempt) {
-    return attempt == latestAttempt && knowledge.isLost() && !knowledge.isLossOver();
+    return attempt == latestAttempt && state.isDataLost() && !state.isLossResolved();
   }
 
-  /** The others may have accepted jobs that they could not make known to the leader in time. */
-  private void restoreLastLeader(int attempt, ClusterSnapshot state) {
-    LOG.info("the state that this node had as leader of epoch {} is restored", state.getEpoch());
+  /**
+   * Restores the state that this node had as the last leader. Adds jobs that other controllers
+   * accepted and could not announce to the leader before the data loss.
+   */
+  private void restoreLastLeader(int attempt, ClusterSnapshot ledState) {
+    LOG.info("restoring the state that this node had as leader of epoch {}", ledState.getEpoch());
     source
-        .gather(knowledge.lossEpoch())
+        .gather(state.lossEpoch())
         .onSuccess(
             gathered -> {
-              if (isCurrent(attempt) && gathered.highestEpoch() > state.getEpoch()) {
-                wasLeader = false;
-                gathered(attempt, patientUntil(), gathered);
+              if (isCurrent(attempt) && gathered.highestEpoch() > ledState.getEpoch()) {
+                ledLast = false;
+                stateGathered(attempt, gatherDeadline(), gathered);
               } else if (isCurrent(attempt)) {
                 prepare(
                     attempt,
-                    SnapshotMerge.supplemented(state, gathered.state()),
+                    SnapshotMerge.supplemented(ledState, gathered.state()),
                     gathered.incarnations());
               }
             })
         .onFailure(
             failure -> {
-              LOG.error("what the others know can't be used: {}", failure.toString());
-              prepare(attempt, state, List.of());
+              LOG.error("cannot use what the other controllers know: {}", failure.toString());
+              prepare(attempt, ledState, List.of());
             });
   }
 
-  /** Asks all others, again and again until nothing can be gained by it or {@code until}. */
-  private void gather(int attempt, double until) {
+  /**
+   * Asks all other controllers repeatedly, until their state is complete or the {@code deadline}.
+   */
+  private void gather(int attempt, double deadline) {
     if (isCurrent(attempt)) {
       source
-          .gather(knowledge.lossEpoch())
-          .onSuccess(gathered -> gathered(attempt, until, gathered))
-          .onFailure(failure -> gatherAgain(attempt, until, failure));
+          .gather(state.lossEpoch())
+          .onSuccess(gathered -> stateGathered(attempt, deadline, gathered))
+          .onFailure(failure -> gatherAfterFailure(attempt, deadline, failure));
     }
   }
 
   /**
-   * A controller that was cut off or paused through all the time for which it waits for others is
-   * to hear first what has become of them meanwhile.
+   * Whether the store has only just begun to answer again. A controller that was isolated or paused
+   * while it was to wait for the others must first find out whether they have restored the store.
    */
-  private boolean isBackTooShortly() {
-    return storeAnswersForS.getAsDouble() < context.settings().workers().heartbeatIntervalS();
+  private boolean storeJustRecovered() {
+    return storeAnsweringForS.getAsDouble() < context.settings().workers().heartbeatIntervalS();
   }
 
-  private void gatherAgain(int attempt, double until, Throwable failure) {
-    LOG.error("what is known can't be put together: {}", failure.toString());
-    context.timers().after(leaseTtlS / READ_RETRIES_PER_LEASE, () -> gather(attempt, until));
+  private void gatherAfterFailure(int attempt, double deadline, Throwable failure) {
+    LOG.error("cannot merge what the controllers know: {}", failure.toString());
+    context.timers().after(leaseTtlS / READ_RETRIES_PER_LEASE, () -> gather(attempt, deadline));
   }
 
-  /** Until when others may still answer, or restore the store themselves. */
-  private double patientUntil() {
-    double patienceS = context.settings().workers().leaseS() / FORMER_LEADER_ADVANTAGE_DIVISOR;
-    return context.clock().now() + patienceS;
+  /** When to stop waiting for other controllers to answer or to restore the store themselves. */
+  private double gatherDeadline() {
+    double waitS = context.settings().workers().leaseS() / FORMER_LEADER_WAITS_PER_LEASE;
+    return context.clock().now() + waitS;
   }
 
-  private void gathered(int attempt, double until, RestorableState gathered) {
+  private void stateGathered(int attempt, double deadline, RestorableState gathered) {
     if (!isCurrent(attempt)) {
       return;
     }
     if (gathered.fromLastLeader()) {
-      wasLeader = true;
+      ledLast = true;
       LOG.info(
-          "all others confirm that nobody has led since epoch {}", gathered.state().getEpoch());
+          "all other controllers confirm that nobody has led since epoch {}",
+          gathered.state().getEpoch());
       prepare(attempt, gathered.state(), gathered.incarnations());
-    } else if (gathered.mayImprove() && (context.clock().now() < until || isBackTooShortly())) {
-      context.timers().after(leaseTtlS / READ_RETRIES_PER_LEASE, () -> gather(attempt, until));
+    } else if (gathered.mayImprove()
+        && (context.clock().now() < deadline || storeJustRecovered())) {
+      context.timers().after(leaseTtlS / READ_RETRIES_PER_LEASE, () -> gather(attempt, deadline));
     } else {
       restoreWithoutFormerLeader(attempt, gathered.state(), gathered.incarnations());
     }
@@ -224,12 +237,12 @@
       int attempt, ClusterSnapshot known, List<String> incarnations) {
     ClusterSnapshot stored = source.newestStoredSnapshot();
     LOG.warn(
-        "no former leader has restored the store: continuing with what is left there, {} jobs and"
-            + " {} ends that controllers know, and {}",
+        "no former leader has restored the store: merging its remaining contents, {} jobs and"
+            + " {} ended jobs that controllers know, and {}",
         known.getJobCount(),
         known.getEndedCount(),
         describe(stored));
-    prepareWithRemains(
+    prepareWithRemaining(
         attempt, stored == null ? known : SnapshotMerge.of(known, stored), incarnations);
   }
 
@@ -242,26 +255,28 @@
   }
 
   /**
-   * Neither what is known nor what is left in the store need be the newer one: both count. Tasks
-   * may run of which nobody here knows, and jobs may have been accepted.
+   * Merges what the controllers know with the remaining contents of the store, since neither is
+   * necessarily newer. The result is marked incomplete: there may be running tasks and accepted
+   * jobs that no controller knows.
    */
-  private void prepareWithRemains(int attempt, ClusterSnapshot known, List<String> incarnations) {
+  private void prepareWithRemaining(int attempt, ClusterSnapshot known, List<String> incarnations) {
     if (!isCurrent(attempt)) {
       return;
     }
-    RemainsReader.read(context.store())
+    RemainingContentsReader.read(context.store())
         .onSuccess(
-            left -> prepare(attempt, incomplete(SnapshotMerge.of(left, known)), incarnations))
+            remaining ->
+                prepare(attempt, markIncomplete(SnapshotMerge.of(remaining, known)), incarnations))
         .onFailure(
             failure ->
                 context
                     .timers()
                     .after(
                         leaseTtlS / READ_RETRIES_PER_LEASE,
-                        () -> prepareWithRemains(attempt, known, incarnations)));
+                        () -> prepareWithRemaining(attempt, known, incarnations)));
   }
 
-  private ClusterSnapshot incomplete(ClusterSnapshot snapshot) {
+  private ClusterSnapshot markIncomplete(ClusterSnapshot snapshot) {
     return snapshot.toBuilder()
         .setComplete(false)
         .setJobsMissing(true)
@@ -269,23 +284,23 @@
         .build();
   }
 
-  /** {@code incarnations}: those that others knew, whose contents the snapshot holds too. */
+  /** {@code incarnations}: those that other controllers knew, whose contents the snapshot holds. */
   private void prepare(int attempt, ClusterSnapshot snapshot, List<String> incarnations) {
     String name = context.names().get();
     int valueBytes = (int) (context.settings().minStoreLimits().valueKb() * BYTES_PER_KB);
     SnapshotBlocks packed = SnapshotBlocks.pack(snapshot, valueBytes);
-    int blocks = packed.blocks().size();
+    int blockCount = packed.blocks().size();
     LOG.info(
-        "restoring {} jobs and {} ends in {} blocks",
+        "restoring {} jobs and {} ended jobs in {} blocks",
         snapshot.getJobCount(),
         snapshot.getEndedCount(),
-        blocks);
+        blockCount);
     PreparedSnapshot unwritten =
-        new PreparedSnapshot(name, snapshot, incarnations, blocks, packed.crc(), 0);
+        new PreparedSnapshot(name, snapshot, incarnations, blockCount, packed.crc(), 0);
     writeBlocks(attempt, unwritten, packed.blocks(), 0);
   }
 
-  /** Writes the blocks from this one on, as many as fit into each transaction. */
+  /** Writes the blocks from this index on, as many as fit into each transaction. */
   private void writeBlocks(int attempt, PreparedSnapshot snapshot, List<byte[]> blocks, int from) {
     if (!isCurrent(attempt)) {
       return;
@@ -296,7 +311,7 @@
     }
     Transaction transaction = new Transaction().unfenced();
     int next = addBlocks(transaction, snapshot.name(), blocks, from);
-    // A transaction that is sent again after an answer that did not come writes the same.
+    // Retries are idempotent: if an answer is lost, the next transaction writes the same blocks.
     context
         .store()
         .commit(transaction, RequestPriority.HIGH)
@@ -311,15 +326,15 @@
                         () -> writeBlocks(attempt, snapshot, blocks, from)));
   }
 
-  /** Adds blocks from this one on to a transaction; returns the first that is not in it. */
+  /** Adds blocks from this index on to a transaction; returns the index of the first left out. */
   private int addBlocks(Transaction transaction, String name, List<byte[]> blocks, int from) {
     int maxChanges = context.settings().minStoreLimits().txnOps();
     int bytes = 0;
     int index = from;
     while (index < blocks.size() && index - from < maxChanges) {
       byte[] block = blocks.get(index);
-      // Base64 makes four bytes of three.
-      bytes += block.length * 4 / 3 + BYTES_PER_BLOCK;
+      // Base64 encodes three bytes as four.
+      bytes += block.length * 4 / 3 + BLOCK_OVERHEAD_BYTES;
       if (index > from && bytes > Transaction.MAX_BYTES) {
         break;
       }
--- a/src/test/java/io/embernotch/incarnation/DataLossTest.java
+++ b/src/test/java/io/embernotch/incarnation/DataLossTest.java
@@ -13,12 +13,12 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The store loses data while controllers and workers go on. */
+/** The store loses data while controllers and workers keep running. */
 class DataLossTest {
   private final SimulatedCluster cluster = new SimulatedCluster(3, 10);
   private ControllerNode leader;
 
-  /** Runs a job that is done, a service, an array, and a job that depends on the array. */
+  /** Runs a job until it is done, a service, an array and a job that depends on the array. */
   private void runJobs() {
     leader = cluster.awaitLeader(3);
     for (String json :
@@ -40,15 +40,15 @@
     assertThat(cluster.runningTasks("j-3")).hasSize(4);
   }
 
-  /** Within so many seconds all is as if nothing had been lost, and goes on from there. */
+  /** Checks that no answer is contradicted in the meantime, and that all jobs make progress. */
   private void verifyServiceResumes(double withinS) {
-    verifyNothingIsForgotten(withinS);
+    verifyAnswersRemainValid(withinS);
     cluster.advance(30);
-    verifyAllAsBefore();
-    verifyProgressGoesOn();
+    verifyStateRestored();
+    verifyJobsProgress();
   }
 
-  private void verifyNothingIsForgotten(double forS) {
+  private void verifyAnswersRemainValid(double forS) {
     for (double remainingS = forS; remainingS > 0; remainingS -= 0.25) {
       cluster.advance(0.25);
       for (int n = 0; n < 3; n++) {
@@ -60,9 +60,9 @@
     }
   }
 
-  private void verifyAllAsBefore() {
+  private void verifyStateRestored() {
     assertThat(cluster.workers.values())
-        .as("no worker's lease ran out")
+        .as("no worker's lease expired")
         .allSatisfy(worker -> assertThat(worker.epoch).isEqualTo(1));
     assertThat(cluster.runningTasks("j-2")).hasSize(3);
     assertThat(cluster.runningTasks("j-3")).hasSize(4);
@@ -71,13 +71,13 @@
       assertThat(cluster.phase(n, "j-2")).isEqualTo("running");
       assertThat(cluster.phase(n, "j-4")).isEqualTo("queued");
       assertThat(cluster.phase(n, "j-99")).isEqualTo("status 404");
-      // A repeated submission is known as one.
+      // A repeated submission is recognized.
       assertThat(cluster.submit(n, job("j-1", "array", 2)).status()).isEqualTo(200);
       assertThat(cluster.submit(n, job("j-3", "array", 4)).status()).isEqualTo(200);
     }
   }
 
-  private void verifyProgressGoesOn() {
+  private void verifyJobsProgress() {
     cluster.completeTasks("j-3");
     cluster.advance(20);
     assertThat(cluster.phase(1, "j-3")).isEqualTo("done");
@@ -102,11 +102,13 @@
   }
 
   @Test
-  void allDataLostWhileNothingHappens() {
+  void allDataLostWhileIdle() {
     runJobs();
     cluster.store.wipe();
     verifyServiceResumes(6);
-    assertThat(cluster.leader()).as("the former leader knows most, and leads").isSameAs(leader);
+    assertThat(cluster.leader())
+        .as("the former leader knows most and leads again")
+        .isSameAs(leader);
   }
 
   @Test
@@ -123,7 +125,7 @@
   }
 
   @Test
-  void restoredToAnEarlierMomentWithItsLeaderKey() {
+  void rolledBackWithLeaderKey() {
     runJobs();
     Snapshot earlier = cluster.store.snapshot();
     cluster.submit(1, job("j-7", "array", 2));
@@ -140,7 +142,7 @@
   }
 
   @Test
-  void restoredWithoutLeasesToBeforeAChangeOfLeader() {
+  void rolledBackWithoutLeasesToBeforeALeaderChange() {
     runJobs();
     Snapshot earlier = cluster.store.snapshot();
     leader.kill();
@@ -155,7 +157,7 @@
   }
 
   @Test
-  void lostBeforeACommitThatArrivesInTheNextIncarnation() {
+  void commitThatArrivesInTheNextIncarnationIsNotApplied() {
     runJobs();
     cluster.faults.commitDelivery = Delivery.DELAYED;
     cluster.submit(1, job("j-6", "array", 2));
@@ -166,12 +168,12 @@
     cluster.advance(6);
     int before = cluster.store.keys("").size();
     cluster.deliverDelayed();
-    // Modification revisions begin again after a loss: the late commit finds those that it names.
+    // Modification revisions restart after a loss, so the revisions in the late commit match again.
     assertThat(cluster.store.keys("").size()).isEqualTo(before);
     verifyServiceResumes(1);
   }
 
-  /** A submission's transaction is delayed, and all data is lost before it arrives. */
+  /** Delays a submission's transaction until all data is lost and the store is restored. */
   private void submitBeforeLossAndDeliverAfter() {
     runJobs();
     cluster.faults.commitDelivery = Delivery.DELAYED;
@@ -185,21 +187,21 @@
   }
 
   @Test
-  void aTransactionFromBeforeTheLossIsNotAppliedThoughModRevisionsCoincide() {
+  void transactionFromBeforeTheLossIsNotAppliedIfModRevisionsCoincide() {
     submitBeforeLossAndDeliverAfter();
     assertThat(cluster.store.value("job/j-6")).isNull();
     verifyServiceResumes(1);
   }
 
   @Test
-  void withoutTheFenceSuchATransactionWouldBeApplied() {
+  void transactionFromBeforeTheLossIsAppliedWithoutTheFence() {
     cluster.store.ignoredConditionPrefix = "era/";
     submitBeforeLossAndDeliverAfter();
     assertThat(cluster.store.value("job/j-6")).isNotNull();
   }
 
   @Test
-  void aWorkerWithAHigherTokenThanKnownIsServedInAnIncarnationAboveIt() {
+  void workerWithATokenAboveAllEpochsIsServedInAnIncarnationAboveIt() {
     runJobs();
     FakeWorker worker = cluster.runningTasks("j-2").values().iterator().next();
     worker.fencingToken = 1L << 50;
@@ -243,7 +245,7 @@
   }
 
   @Test
-  void theLeaderIsKilledWithTheLossAndTheRemainsRunOnceOnly() {
+  void tasksRunOnlyOnceIfTheLeaderIsKilledWithTheLoss() {
     runJobs();
     Snapshot earlier = cluster.store.snapshot();
     cluster.submit(1, job("j-7", "array", 2));
@@ -255,8 +257,9 @@
     assertThat(cluster.phase(cluster.leader().index, "j-1")).isEqualTo("done");
     cluster.advance(100);
     assertThat(cluster.runningTasks("j-2")).hasSize(3);
-    // Accepted by a controller that is still there: written again, and run once nothing of it can
-    // be anywhere.
+    // A controller that accepted the job still runs and restores it. Its tasks start again only
+    // once
+    // none of them can still run.
     assertThat(cluster.runningTasks("j-7")).hasSize(2);
   }
 
@@ -274,7 +277,7 @@
   }
 
   @Test
-  void failoversOutagesAndRestartsAreNoLoss() {
+  void failoversOutagesAndRestartsAreNotTakenForADataLoss() {
     runJobs();
     for (int i = 0; i < 3; i++) {
       ControllerNode current = cluster.leader();
--- a/src/test/java/io/embernotch/incarnation/ReplacedSnapshotTest.java
+++ b/src/test/java/io/embernotch/incarnation/ReplacedSnapshotTest.java
@@ -15,35 +15,40 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.slf4j.LoggerFactory;
 
-/** A process reads which incarnation the store holds, and then the blocks that this began with. */
+/**
+ * A process reads the store's incarnation, and then the blocks of its base snapshot. These are two
+ * reads, between which the store's contents may be replaced.
+ */
 class ReplacedSnapshotTest {
   private static final Logger LOGGER =
       (Logger) LoggerFactory.getLogger(StoreIncarnationTracker.class);
 
-  private final LossScenario scenario = new LossScenario();
+  private final DataLossScenario scenario = new DataLossScenario();
   private final ControllerNode started = scenario.cluster.otherNode(scenario.leader);
   private final ListAppender<ILoggingEvent> appender = new ListAppender<>();
 
   @BeforeEach
-  void observe() {
+  void attachAppender() {
     appender.start();
     LOGGER.addAppender(appender);
   }
 
   @AfterEach
-  void release() {
+  void detachAppender() {
     LOGGER.detachAppender(appender);
   }
 
-  private boolean anyError() {
+  private boolean hasLoggedError() {
     return appender.list.stream().anyMatch(event -> event.getLevel() == Level.ERROR);
   }
 
-  /** An incarnation with a snapshot begins, and a process ends; returns what was before. */
-  private Snapshot anIncarnationBeginsWithASnapshot() {
+  /**
+   * Begins an incarnation with a base snapshot and kills a process; returns the former contents.
+   */
+  private Snapshot beginIncarnationWithSnapshot() {
     scenario.accept(scenario.leader, "j-1", "array", 1);
     scenario.cluster.advance(5);
-    Snapshot before = scenario.rememberContents();
+    Snapshot before = scenario.snapshotBeforeAnotherWrite();
     scenario.cluster.store.wipe();
     scenario.cluster.advance(10);
     started.kill();
@@ -51,26 +56,26 @@
     return before;
   }
 
-  /** Guards against an alarm over blocks that belong to contents which are not there any more. */
+  /** Guards against an error about missing blocks of contents that were replaced meanwhile. */
   @ParameterizedTest
   @ValueSource(doubles = {0.001, 0.002, 0.003, 0.004, 0.005, 0.006, 0.007, 0.008})
-  void contentsThatAreReplacedBetweenTheReadsAreNotCalledDamaged(double replacedAfterS) {
-    Snapshot before = anIncarnationBeginsWithASnapshot();
+  void contentsReplacedBetweenTheReadsAreNotLoggedAsDamaged(double replacedAfterS) {
+    Snapshot before = beginIncarnationWithSnapshot();
     started.start();
     scenario.cluster.time.advance(replacedAfterS);
     scenario.cluster.store.restore(before, false);
     scenario.cluster.advance(5);
-    assertThat(anyError()).isFalse();
-    scenario.verifyAllToldHolds();
+    assertThat(hasLoggedError()).isFalse();
+    scenario.verifyAllAnswersValid();
   }
 
-  /** Guards against damage that nobody is told of. */
+  /** Guards against damage that is not logged. */
   @Test
-  void missingBlocksAreAnError() {
-    anIncarnationBeginsWithASnapshot();
+  void missingBlocksAreLoggedAsError() {
+    beginIncarnationWithSnapshot();
     scenario.cluster.store.deletePrefix("block/");
     started.start();
     scenario.cluster.advance(5);
-    assertThat(anyError()).isTrue();
+    assertThat(hasLoggedError()).isTrue();
   }
 }
--- a/src/test/java/io/embernotch/incarnation/PutBackWhileAllDownTest.java
+++ b/src/test/java/io/embernotch/incarnation/RollbackWhileAllDownTest.java
@@ -14,15 +14,15 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * All controllers end, and the store is put back to a moment without a leader before any of them is
- * started again: only workers can show that.
+ * All controllers end, and the store is rolled back to a state without a leader before any of them
+ * is started again. Only the workers can provide evidence of that rollback.
  */
-class PutBackWhileAllDownTest {
+class RollbackWhileAllDownTest {
   private static final String KEPT = "j-1";
   private static final String LOST = "j-2";
   private static final String NEVER_ACCEPTED = "j-3";
 
-  /** Seconds by which the leader's key has gone with its lease. */
+  /** Seconds after which the leader's lease has ended and its key is deleted. */
   private static final double LEASE_ENDED_S = 5;
 
   private final SimulatedCluster cluster = new SimulatedCluster(3, 10);
@@ -34,7 +34,7 @@
     assertThat(cluster.runningTasks(ref)).hasSize(2);
   }
 
-  private void allEnd() {
+  private void killAllAndAwaitLeaseEnd() {
     cluster.nodes.forEach(ControllerNode::kill);
     cluster.advance(LEASE_ENDED_S);
   }
@@ -43,15 +43,15 @@
     cluster.nodes.forEach(ControllerNode::start);
   }
 
-  private void storeIsPutBackWhileAllAreDown() {
-    storeIsPutBackWhileAllAreDown(0);
+  private void rollBackStoreWhileAllAreDown() {
+    rollBackStoreWhileAllAreDown(0);
   }
 
-  /** {@code failovers}: how many more terms there are, each of a higher epoch, that are lost. */
-  private void storeIsPutBackWhileAllAreDown(int failovers) {
+  /** {@code failovers}: number of further terms, each with a higher epoch, that are lost too. */
+  private void rollBackStoreWhileAllAreDown(int failovers) {
     cluster.awaitLeader(4);
     acceptAndRun(KEPT);
-    allEnd();
+    killAllAndAwaitLeaseEnd();
     Snapshot before = cluster.store.snapshot();
     startAll();
     cluster.awaitLeader(10);
@@ -66,23 +66,23 @@
   }
 
   /**
-   * Guards against what is denied before anybody was heard who could show that it was accepted. An
-   * unresponsive machine is scaled in after 7 s, and with it goes what it could show.
+   * Guards against "never accepted" before any worker that could prove the opposite has reported.
+   * An unresponsive machine is scaled in after 7 s, and its evidence is lost with it.
    */
   @ParameterizedTest
   @ValueSource(doubles = {2, 4, 6})
-  void nothingIsDeniedBeforeTheWorkersAreHeard(double silentForS) {
-    storeIsPutBackWhileAllAreDown();
+  void noJobIsReportedAsNeverAcceptedBeforeTheWorkersReport(double partitionedForS) {
+    rollBackStoreWhileAllAreDown();
     cluster.workers.values().forEach(worker -> worker.partitioned = true);
     startAll();
-    Set<String> answers = answersFor(silentForS);
+    Set<String> answers = answersFor(partitionedForS);
     cluster.workers.values().forEach(worker -> worker.partitioned = false);
     answers.addAll(answersFor(60));
     assertThat(answers).doesNotContain("status 404", "refused with 422");
     assertThat(cluster.phase(cluster.leader().index, KEPT)).isEqualTo("running");
   }
 
-  /** What users get about the lost job, and as they submit others that depend on it. */
+  /** All answers about the lost job, and to submissions of jobs that depend on it. */
   private Set<String> answersFor(double seconds) {
     Set<String> answers = new TreeSet<>();
     for (int second = 0; second < seconds; second++) {
@@ -97,14 +97,15 @@
   }
 
   /**
-   * Guards against a loss that tokens do not show, since the next term is above the lost one.
+   * Guards against a data loss that fencing tokens do not reveal, since the next term's epoch is
+   * above the lost one's.
    *
-   * @param changes changes of the store after it was put back, each of which raises the next epoch
+   * @param changes writes to the store after the rollback, each of which raises the next epoch
    */
   @ParameterizedTest
   @ValueSource(ints = {1, 20})
-  void aTaskOfAJobThatTheStoreDoesNotHoldShowsTheLoss(int changes) {
-    storeIsPutBackWhileAllAreDown();
+  void taskOfAMissingJobRevealsTheDataLoss(int changes) {
+    rollBackStoreWhileAllAreDown();
     for (int change = 0; change < changes; change++) {
       cluster.store.put("mark", "{}");
     }
@@ -112,21 +113,23 @@
     assertThat(answersFor(60)).doesNotContain("status 404", "refused with 422");
   }
 
-  /** Guards against a lost term whose epoch is so high that the next term is only superseded. */
+  /**
+   * Guards against a lost term with a higher epoch, which merely makes the next leader step down.
+   */
   @ParameterizedTest
   @ValueSource(ints = {1, 3})
-  void aTaskShowsTheLossOfTermsAboveTheNextOne(int failovers) {
-    storeIsPutBackWhileAllAreDown(failovers);
+  void taskRevealsTheLossOfTermsAboveTheNextOne(int failovers) {
+    rollBackStoreWhileAllAreDown(failovers);
     startAll();
     assertThat(answersFor(60)).doesNotContain("status 404", "refused with 422");
   }
 
-  /** Guards against doubts that outlast their cause: what was never accepted is denied soon. */
+  /** Guards against a cluster that answers 503 for a job that was never accepted for too long. */
   @Test
-  void whatWasNeverAcceptedIsDeniedOnceTheWorkersWereHeard() {
+  void jobIsReportedAsNeverAcceptedOnceTheWorkersHaveReported() {
     cluster.awaitLeader(4);
     acceptAndRun(KEPT);
-    allEnd();
+    killAllAndAwaitLeaseEnd();
     startAll();
     ControllerNode leader = cluster.awaitLeader(10);
     cluster.advance(8);
--- a/src/test/java/io/embernotch/incarnation/SupersededLeaderTest.java
+++ b/src/test/java/io/embernotch/incarnation/SupersededLeaderTest.java
@@ -6,8 +6,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A leader that another has followed is not the last one: what it knew as leader is out of date,
- * whether or not it was told of its successor, and does not replace what has been told since.
+ * A leader that another leader has succeeded is not the last one. The state of its term is out of
+ * date, whether or not it knows of its successor, and must not replace answers that users were
+ * given since.
  */
 class SupersededLeaderTest {
   private static final String CANCELLED_LATER = "j-1";
@@ -16,123 +17,121 @@
   private static final String ACCEPTED_LATER = "j-4";
   private static final String GANG = "j-5";
 
-  /** Seconds after which the lease of a leader that is cut off has expired and another leads. */
+  /** Seconds after which an isolated leader's lease has expired and another controller leads. */
   private static final double SUCCESSION_S = 6;
 
-  private final LossScenario scenario = new LossScenario();
+  private final DataLossScenario scenario = new DataLossScenario();
   private final ControllerNode former = scenario.leader;
   private Snapshot before;
   private ControllerNode successor;
-  private ControllerNode witness;
+  private ControllerNode follower;
 
   @BeforeEach
-  void jobsRun() {
+  void startJobs() {
     scenario.accept(former, CANCELLED_LATER, "array", 2);
     scenario.accept(former, DONE_LATER, "array", 2);
     scenario.accept(former, SERVICE, "standing", 2);
-    scenario.letTasksStart();
-    before = scenario.rememberContents();
+    scenario.awaitTasksStarted();
+    before = scenario.snapshotBeforeAnotherWrite();
     scenario.cluster.advance(2);
   }
 
-  /** The former leader's lease expires, and one of the others leads. */
-  private void anotherSucceeds() {
+  /** Waits until the former leader's lease has expired and another controller leads. */
+  private void awaitSuccessor() {
     scenario.cluster.advance(SUCCESSION_S);
     successor = scenario.cluster.leader();
-    witness = scenario.third(former, successor);
+    follower = scenario.third(former, successor);
   }
 
-  /** What the former leader can't know: two ends, an acceptance, and a gang that was started. */
-  private void factsAreToldUnderTheSuccessor() {
-    scenario.accept(witness, ACCEPTED_LATER, "array", 1);
-    scenario.accept(witness, GANG, "group", 2);
+  /** Answers that the former leader cannot know: two ends, two accepted jobs, a started gang. */
+  private void giveAnswersUnderTheSuccessor() {
+    scenario.accept(follower, ACCEPTED_LATER, "array", 1);
+    scenario.accept(follower, GANG, "group", 2);
     scenario.cancel(successor, CANCELLED_LATER);
-    scenario.complete(witness, DONE_LATER);
-    scenario.expectPhase(witness, CANCELLED_LATER, "cancelled");
+    scenario.complete(follower, DONE_LATER);
+    scenario.expectPhase(follower, CANCELLED_LATER, "cancelled");
     scenario.cluster.advance(10);
   }
 
-  private void successorEndsAndStoreIsPutBack() {
+  private void killSuccessorAndRollBackStore() {
     successor.kill();
     scenario.cluster.advance(0.1);
     scenario.cluster.store.restore(before, false);
   }
 
-  /** Guards against a superseded leader that was told of its successor by a peer heartbeat only. */
+  /** Guards against a superseded leader that knows its successor from a peer heartbeat only. */
   @Test
-  void aLeaderThatHeardOfItsSuccessorFromAPeerOnlyIsNotRestored() {
+  void stateOfALeaderThatKnowsItsSuccessorFromAPeerOnlyIsNotRestored() {
     former.storeUnavailable = true;
-    anotherSucceeds();
-    factsAreToldUnderTheSuccessor();
-    successorEndsAndStoreIsPutBack();
+    awaitSuccessor();
+    giveAnswersUnderTheSuccessor();
+    killSuccessorAndRollBackStore();
     scenario.cluster.advance(0.3);
     former.storeUnavailable = false;
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
-  /** Guards against a superseded leader that reads the store again only after it was put back. */
+  /** Guards against a superseded leader that reads the store again only after the rollback. */
   @Test
-  void aLeaderThatPassedOnItsSuccessorsAnswersIsNotRestored() {
+  void stateOfALeaderThatForwardedItsSuccessorsAnswersIsNotRestored() {
     former.storeUnavailable = true;
-    anotherSucceeds();
-    factsAreToldUnderTheSuccessor();
+    awaitSuccessor();
+    giveAnswersUnderTheSuccessor();
     scenario.expectPhase(former, CANCELLED_LATER, "cancelled");
-    successorEndsAndStoreIsPutBack();
+    killSuccessorAndRollBackStore();
     former.storeUnavailable = false;
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
-  /** Guards against a superseded leader that nobody has told of its successor. */
+  /** Guards against a superseded leader that does not know of its successor. */
   @Test
-  void aLeaderThatNeverHeardOfItsSuccessorIsNotRestored() {
-    scenario.cutOff(former);
-    anotherSucceeds();
-    factsAreToldUnderTheSuccessor();
-    successorEndsAndStoreIsPutBack();
+  void stateOfALeaderThatDoesNotKnowItsSuccessorIsNotRestored() {
+    scenario.isolate(former);
+    awaitSuccessor();
+    giveAnswersUnderTheSuccessor();
+    killSuccessorAndRollBackStore();
     scenario.cluster.advance(0.2);
     scenario.reconnect(former);
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
-  /** Guards against the first answer of the store being that of contents that were put back. */
+  /** Guards against a superseded leader whose first answer comes from the rolled-back store. */
   @Test
-  void aPausedLeaderThatWakesBeforeTheLossIsNoticedIsNotRestored() {
-    scenario.cutOff(former);
+  void stateOfALeaderResumedBeforeTheLossIsDetectedIsNotRestored() {
+    scenario.isolate(former);
     former.storeUnresponsive = true;
     former.workersUnreachable = true;
-    anotherSucceeds();
-    factsAreToldUnderTheSuccessor();
+    awaitSuccessor();
+    giveAnswersUnderTheSuccessor();
     successor.kill();
     scenario.cluster.store.restore(before, true);
     scenario.reconnect(former);
     former.workersUnreachable = false;
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
-  /**
-   * Guards against contents that come back during the restore and are newer than what is restored.
-   */
+  /** Guards against a store that returns to newer contents during the restore. */
   @Test
-  void endsInContentsThatComeBackDuringTheRestoreAreNotTakenBack() {
+  void endsInContentsThatReappearDuringTheRestoreRemainValid() {
     former.storeUnavailable = true;
-    anotherSucceeds();
-    factsAreToldUnderTheSuccessor();
-    Snapshot newer = scenario.rememberContents();
-    successorEndsAndStoreIsPutBack();
+    awaitSuccessor();
+    giveAnswersUnderTheSuccessor();
+    Snapshot newer = scenario.snapshotBeforeAnotherWrite();
+    killSuccessorAndRollBackStore();
     former.storeUnavailable = false;
     scenario.cluster.advance(0.4);
     scenario.cluster.store.restore(newer, false);
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 
-  /** Guards against a former leader that is restored though the successor is alive. */
+  /** Guards against a restore of the former leader's state although its successor is live. */
   @Test
-  void theSuccessorIsRestoredWhereBothAreUp() {
-    scenario.cutOff(former);
-    anotherSucceeds();
-    factsAreToldUnderTheSuccessor();
+  void stateOfTheSuccessorIsRestoredIfBothAreRunning() {
+    scenario.isolate(former);
+    awaitSuccessor();
+    giveAnswersUnderTheSuccessor();
     scenario.cluster.store.restore(before, false);
     scenario.reconnect(former);
-    scenario.verifyAllToldHolds();
+    scenario.verifyAllAnswersValid();
   }
 }
