--- a/src/main/java/io/embernotch/codec/CalendarCodec.java
+++ b/src/main/java/io/embernotch/codec/CalendarCodec.java
@@ -19,26 +19,26 @@
 import java.util.TreeSet;
 
 /**
- * The embargo calendar as shared state entries: its releases, and each occurrence of a release with
- * its deadline.
+ * Encodes the embargo calendar as shared state entries: its releases, and each occurrence of a
+ * release with its deadline.
  */
 public final class CalendarCodec {
-  /** Generation of the calendar that a value is of. */
+  /** Generation of the calendar settings. */
   private static final String GENERATION = "gen";
 
-  /** Present deadline of an occurrence, in milliseconds of the time of day. */
+  /** Current deadline of an occurrence, in Unix milliseconds. */
   private static final String DEADLINE_MS = "at";
 
-  /** Deadline of an occurrence when it was first written. */
+  /** Deadline of an occurrence when it was first written, in Unix milliseconds. */
   private static final String FIRST_DEADLINE_MS = "first";
 
   /** Whether the embargo of an occurrence is lifted. */
   private static final String LIFTED = "lifted";
 
-  /** Number of jobs of an occurrence. */
+  /** Number of jobs that belong to an occurrence. */
   private static final String JOBS = "jobs";
 
-  /** How many of them were done by the deadline. */
+  /** Number of these jobs that were done by the deadline. */
   private static final String IN_TIME = "in_time";
 
   /** Whether the deadline of an occurrence has passed. */
@@ -56,36 +56,36 @@
   /** Time of day of a release. */
   private static final String TIME = "time";
 
-  /** Seconds before the deadline by which the work is to be done. */
+  /** Seconds before the deadline by which the work must be done. */
   private static final String LEAD_S = "lead";
 
-  /** Days of the week, Monday is 1. */
+  /** Days of the week as numbers; Monday is 1. */
   private static final String DAYS = "days";
 
   /** Dates without an occurrence. */
   private static final String EXCEPT = "except";
 
-  /** Additional dates with their time. */
+  /** Additional dates and the time of day of each. */
   private static final String ALSO = "also";
 
-  /** Dates with another time; null: lifted. */
+  /** Dates with a different time of day; null if the embargo is lifted on that date. */
   private static final String MOVED = "moved";
 
-  /** Selectors of the work that a release needs. */
+  /** Selectors of the work that must be done for a release. */
   private static final String ORDERS = "orders";
 
   private CalendarCodec() {}
 
   /**
-   * One occurrence of a release as it is stored.
+   * An occurrence of a release as it is stored.
    *
-   * @param generation generation of the calendar that it was written under
-   * @param deadlineMs present deadline, in milliseconds of the time of day
-   * @param firstDeadlineMs the deadline when it was first written; it never changes
+   * @param generation generation of the calendar settings that it was written under
+   * @param deadlineMs current deadline, in Unix milliseconds
+   * @param firstDeadlineMs deadline when it was first written, in Unix milliseconds; never changes
    * @param lifted whether its embargo is lifted
-   * @param jobs number of jobs for it
-   * @param inTime how many of them were done by the deadline
-   * @param over whether the deadline has passed, and the counts are final
+   * @param jobs number of jobs that belong to it
+   * @param inTime number of these jobs that were done by the deadline
+   * @param over whether the deadline has passed and the counts are final
    */
   public record StoredOccurrence(
       long generation,
@@ -96,7 +96,7 @@
       int inTime,
       boolean over) {}
 
-  /** The value of an occurrence. */
+  /** Encodes an occurrence. */
   public static ObjectNode write(StoredOccurrence occurrence) {
     return Json.object()
         .put(GENERATION, occurrence.generation())
@@ -109,9 +109,9 @@
   }
 
   /**
-   * Reads the value of an occurrence.
+   * Reads an occurrence.
    *
-   * @throws MalformedInputException if its generation or a deadline is missing
+   * @throws MalformedInputException if the generation or a deadline is missing or malformed
    */
   public static StoredOccurrence read(JsonNode json) {
     return new StoredOccurrence(
@@ -124,7 +124,7 @@
         json.path(OVER).asBoolean());
   }
 
-  /** The value that holds a calendar's releases. */
+  /** Encodes the releases of a calendar. */
   public static ObjectNode writeReleases(long generation, List<Release> releases) {
     ObjectNode json = Json.object().put(GENERATION, generation);
     ArrayNode list = json.putArray(RELEASES);
@@ -152,9 +152,10 @@
   }
 
   /**
-   * Reads a calendar's releases.
+   * Reads the releases of a calendar.
    *
-   * @throws MalformedInputException if a field is missing, or a date, time or time zone is none
+   * @throws MalformedInputException if a field is missing, or a day, date, time or time zone is
+   *     invalid
    */
   public static List<Release> readReleases(JsonNode json) {
     List<Release> releases = new ArrayList<>();
--- a/src/main/java/io/embernotch/codec/CloudCodec.java
+++ b/src/main/java/io/embernotch/codec/CloudCodec.java
@@ -8,7 +8,7 @@
 import java.util.Collection;
 import java.util.List;
 
-/** Requests to the cloud's interface and its replies. */
+/** Encodes requests to the cloud API and reads its responses. */
 public final class CloudCodec {
   /** Name of a machine type. */
   private static final String TYPE_NAME = "name";
@@ -16,7 +16,7 @@
   /** Size of a machine's image cache in GB. */
   private static final String CACHE_GB = "local_gb";
 
-  /** Speed at which a machine fetches images, in GB per second. */
+  /** Rate at which a machine fetches images, in GB per second. */
   private static final String FETCH_GB_PER_S = "fetch_gb_per_s";
 
   /** Price of a machine per hour. */
@@ -28,36 +28,37 @@
   /** Time that a machine takes to boot, in seconds. */
   private static final String BOOT_S = "boot_s";
 
-  /** Seconds since a machine was rented. */
+  /** Seconds since the machine was rented. */
   private static final String AGE_S = "age_s";
 
-  /** Whether another page of the machine list follows. */
+  /** Whether another page of the machine list follows; absent means false. */
   private static final String MORE_PAGES = "truncated";
 
-  /** Idempotency key of a rental. */
+  /** Idempotency key of a rental request. */
   private static final String BOOKING = "booking";
 
   /** Number of machines to rent. */
   private static final String NUMBER = "number";
 
-  /** Phase of a machine that runs. */
+  /** Phase of a running machine. */
   private static final String RUNNING = "running";
 
-  /** Phase of a machine that has stopped on its own. */
+  /** Phase of a machine that has stopped without a deletion request. */
   private static final String FAILED = "failed";
 
   private CloudCodec() {}
 
   /**
-   * One machine in the cloud's list.
+   * A machine in the cloud's machine list.
    *
    * @param name unique name of the machine
-   * @param address address of its worker as HOST:PORT; null while it has none
+   * @param address address of its worker as HOST:PORT; null until it has one
    * @param type name of its machine type
-   * @param zone zone it is in
+   * @param zone name of its zone
    * @param spot whether the cloud may reclaim it
-   * @param phase the cloud's name of its state; see {@link #running} and {@link #failed}
-   * @param ageS seconds since it was rented
+   * @param phase state of the machine as the cloud names it; see {@link #running} and {@link
+   *     #failed}
+   * @param ageS seconds since it was rented; 0 if the cloud does not report it
    */
   public record ListedMachine(
       String name,
@@ -67,21 +68,21 @@
       boolean spot,
       String phase,
       double ageS) {
-    /** Whether the cloud says that it runs. */
+    /** Returns whether the cloud reports the machine as running. */
     public boolean running() {
       return phase.equals(RUNNING);
     }
 
-    /** Whether the cloud says that it has failed. */
+    /** Returns whether the cloud reports the machine as failed. */
     public boolean failed() {
       return phase.equals(FAILED);
     }
   }
 
   /**
-   * One page of the machine list.
+   * A page of the cloud's machine list.
    *
-   * @param machines the machines of this page, in the cloud's order
+   * @param machines machines on this page, in the cloud's order
    * @param more whether another page follows
    */
   public record MachinePage(List<ListedMachine> machines, boolean more) {}
@@ -89,7 +90,7 @@
   /**
    * Reads the list of machine types.
    *
-   * @throws MalformedInputException if a field is missing or of another type
+   * @throws MalformedInputException if a field is missing or has the wrong type
    */
   public static List<MachineType> readTypes(JsonNode json) {
     List<MachineType> types = new ArrayList<>();
@@ -118,7 +119,7 @@
         List.copyOf(zones));
   }
 
-  /** The list of machine types as {@link #readTypes} reads it. */
+  /** Encodes a list of machine types for {@link #readTypes}. */
   public static ObjectNode writeTypes(Collection<MachineType> types) {
     ObjectNode json = Json.object();
     ArrayNode list = json.putArray(WireFields.TYPES);
@@ -140,9 +141,9 @@
   }
 
   /**
-   * Reads one page of the machine list.
+   * Reads a page of the machine list.
    *
-   * @throws MalformedInputException if a field is missing or of another type
+   * @throws MalformedInputException if a field is missing or has the wrong type
    */
   public static MachinePage readPage(JsonNode json) {
     List<ListedMachine> machines = new ArrayList<>();
@@ -163,13 +164,14 @@
   }
 
   /**
-   * The body of a rental request.
+   * Encodes the body of a rental request.
    *
-   * @param booking idempotency key: repeated, it gives the same answer and rents nothing more
+   * @param booking idempotency key: a repeated request gets the same response and rents no further
+   *     machines
    * @param type name of the machine type
-   * @param zone zone to rent in
+   * @param zone name of the zone to rent in
    * @param spot whether to rent spot machines
-   * @param number how many machines
+   * @param number number of machines to rent
    */
   public static byte[] rentRequest(
       String booking, String type, String zone, boolean spot, int number) {
@@ -183,7 +185,7 @@
   }
 
   /**
-   * Reads the names of the machines that a rental gave.
+   * Reads the names of the rented machines from the response to a rental request.
    *
    * @throws MalformedInputException if the list is missing
    */
@@ -195,7 +197,7 @@
     return names;
   }
 
-  /** The body of a deletion request for the machines with these names. */
+  /** Encodes the body of a request to delete the machines with the given names. */
   public static byte[] deleteRequest(List<String> names) {
     ObjectNode json = Json.object();
     ArrayNode list = json.putArray(WireFields.MACHINES);
--- a/src/main/java/io/embernotch/codec/IncarnationCodec.java
+++ b/src/main/java/io/embernotch/codec/IncarnationCodec.java
@@ -9,21 +9,22 @@
 import java.util.List;
 
 /**
- * Store incarnations as the store keeps them. The key {@link #POINTER} holds the present one, the
- * {@linkplain #fence fence key} exists as long as its incarnation lasts, and {@linkplain #block
- * block keys} hold the packed snapshot that an incarnation began with.
+ * Keys and values that represent store incarnations in the store. The key {@link #POINTER} holds
+ * the current incarnation, the {@linkplain #fence fence key} exists as long as its incarnation
+ * lasts, and the {@linkplain #block block keys} hold the packed snapshot that an incarnation was
+ * restored from.
  */
 public final class IncarnationCodec {
-  /** The key that holds the present incarnation. */
+  /** Key that holds the current incarnation. */
   public static final String POINTER = "era";
 
-  /** The key that the leader writes while it does not hear every other controller. */
+  /** Key that the leader writes while it misses heartbeats of any other controller. */
   public static final String HEARTBEAT = "heartbeat";
 
-  /** Highest revision that the writer of a heartbeat had seen. */
+  /** In a heartbeat: highest store revision that its writer had seen. */
   private static final String SEEN = "seen";
 
-  /** Prefix of the keys that exist as long as an incarnation lasts. */
+  /** Prefix of the fence keys. */
   private static final String FENCE = "era/";
 
   /** Prefix of the keys of snapshot blocks. */
@@ -32,40 +33,40 @@
   /** Name of an incarnation. */
   private static final String NAME = "name";
 
-  /** Number that is added to revisions to get epochs. */
+  /** Offset that is added to revisions to get epochs. */
   private static final String EPOCH_FLOOR = "floor";
 
-  /** Name of the snapshot that the incarnation began with. */
+  /** Name of the snapshot that the incarnation was restored from; absent for none. */
   private static final String SNAPSHOT = "base";
 
   /** Number of blocks of that snapshot. */
   private static final String BLOCK_COUNT = "blocks";
 
-  /** Checksum over the whole snapshot; in a block, over that block. */
+  /** Checksum of the whole snapshot or, in the value of a block, of that block. */
   private static final String CRC = "crc";
 
-  /** Keys of this modification revision or a lower one are older than the snapshot. */
+  /** Keys with this modification revision or a lower one are older than the snapshot. */
   private static final String SINCE = "since";
 
-  /** Names of the incarnations before, the latest first. */
+  /** Names of the preceding incarnations, most recent first. */
   private static final String PREDECESSORS = "after";
 
-  /** Incarnation that wrote an announced job. */
+  /** In an announcement: name of the incarnation in which the job was written. */
   private static final String ANNOUNCED_INCARNATION = "era";
 
-  /** Revision that wrote an announced job. */
+  /** In an announcement: store revision at which the job was written. */
   private static final String ANNOUNCED_EPOCH = "epoch";
 
-  /** Base64 of a block's compressed bytes. */
+  /** Base64 of the compressed bytes of a block. */
   private static final String BLOCK_BYTES = "z";
 
   private IncarnationCodec() {}
 
   /**
-   * The value of a leader's heartbeat.
+   * Encodes a heartbeat of the leader.
    *
-   * @param incarnation name of the incarnation that it knows
-   * @param seen the highest revision that it has seen
+   * @param incarnation name of the incarnation that the leader knows
+   * @param seen highest store revision that the leader has seen
    */
   public static ObjectNode writeHeartbeat(String incarnation, long seen) {
     return Json.object().put(NAME, incarnation).put(SEEN, seen);
@@ -74,28 +75,28 @@
   /**
    * Reads the name of the incarnation that the writer of a heartbeat knew.
    *
-   * @throws MalformedInputException if the value is none of a heartbeat
+   * @throws MalformedInputException if the name is missing or not a string
    */
   public static String readHeartbeatIncarnation(JsonNode json) {
     return Json.text(json, NAME);
   }
 
   /**
-   * Reads the highest revision that the writer of a heartbeat had seen.
+   * Reads the highest store revision that the writer of a heartbeat had seen.
    *
-   * @throws MalformedInputException if the value is none of a heartbeat
+   * @throws MalformedInputException if the revision is missing or malformed
    */
   public static long readHeartbeatSeen(JsonNode json) {
     return Json.whole(json, SEEN);
   }
 
-  /** The key that every transaction of an incarnation conditions on. */
+  /** Returns the fence key, on which every transaction of an incarnation is conditional. */
   public static String fence(StoreIncarnation incarnation) {
     return FENCE + incarnation.name();
   }
 
   /**
-   * The prefix of a snapshot's block keys.
+   * Returns the prefix of the block keys of a snapshot.
    *
    * @param base name of the snapshot
    */
@@ -104,16 +105,16 @@
   }
 
   /**
-   * The key of one block. Keys sort as their blocks do.
+   * Returns the key of a block. The keys of a snapshot sort in the order of its blocks.
    *
    * @param base name of the snapshot
-   * @param index position of the block, from 0
+   * @param index index of the block, from 0
    */
   public static String block(String base, int index) {
     return blocks(base) + String.format("%06d", index);
   }
 
-  /** The value that describes an incarnation. */
+  /** Encodes an incarnation. */
   public static ObjectNode write(StoreIncarnation incarnation) {
     ObjectNode json =
         Json.object().put(NAME, incarnation.name()).put(EPOCH_FLOOR, incarnation.epochFloor());
@@ -129,10 +130,10 @@
   }
 
   /**
-   * Reads the value that describes an incarnation.
+   * Reads an incarnation.
    *
-   * @param modRevision modification revision of its key
-   * @throws MalformedInputException if the value is not an incarnation's
+   * @param modRevision modification revision of the key that holds the value
+   * @throws MalformedInputException if a field is missing or malformed
    */
   public static StoreIncarnation read(JsonNode json, long modRevision) {
     List<String> predecessors = new ArrayList<>();
@@ -152,15 +153,18 @@
   }
 
   /**
-   * The announcement of a new job to the leader: the value of the job's key with the incarnation
-   * and the revision that wrote it.
+   * Encodes the announcement of a new job to the leader: the value of the job's key, and the
+   * incarnation and store revision at which it was written.
+   *
+   * @param incarnation name of the incarnation
+   * @param epoch store revision of the write
    */
   public static ObjectNode announcement(ObjectNode value, String incarnation, long epoch) {
     return value.deepCopy().put(ANNOUNCED_INCARNATION, incarnation).put(ANNOUNCED_EPOCH, epoch);
   }
 
   /**
-   * The incarnation that an {@link #announcement} names; empty if a version that knew no
+   * Reads the name of the incarnation in an {@link #announcement}; empty if a version without
    * incarnations sent it.
    */
   public static String announcedIncarnation(JsonNode json) {
@@ -168,32 +172,32 @@
   }
 
   /**
-   * The revision that an {@link #announcement} names.
+   * Reads the store revision in an {@link #announcement}.
    *
-   * @throws MalformedInputException if it names none
+   * @throws MalformedInputException if the revision is missing or malformed
    */
   public static long announcedEpoch(JsonNode json) {
     return Json.whole(json, ANNOUNCED_EPOCH);
   }
 
-  /** The value of a snapshot block: its bytes with their checksum. */
+  /** Encodes a snapshot block: its bytes and their checksum. */
   public static ObjectNode writeBlock(byte[] bytes, long crc) {
     return Json.object().put(CRC, crc).put(BLOCK_BYTES, Base64.getEncoder().encodeToString(bytes));
   }
 
   /**
-   * The checksum that a block's value states.
+   * Reads the checksum of a snapshot block.
    *
-   * @throws MalformedInputException if it states none
+   * @throws MalformedInputException if the checksum is missing or malformed
    */
   public static long readCrc(JsonNode json) {
     return Json.whole(json, CRC);
   }
 
   /**
-   * The bytes of a block's value.
+   * Reads the bytes of a snapshot block.
    *
-   * @throws MalformedInputException if they are missing or not base64
+   * @throws MalformedInputException if the bytes are missing or not base64
    */
   public static byte[] readBlock(JsonNode json) {
     try {
--- a/src/main/java/io/embernotch/codec/JobCodec.java
+++ b/src/main/java/io/embernotch/codec/JobCodec.java
@@ -15,9 +15,9 @@
 import java.util.function.Consumer;
 import java.util.regex.Pattern;
 
-/** Submissions of jobs as users write them, and the answers that users get. */
+/** Reads and writes job submissions, and encodes the responses to job requests. */
 public final class JobCodec {
-  /** Most tasks of a job. */
+  /** Maximum number of tasks in a job. */
   public static final int MAX_TASKS = 100_000;
 
   /** Job class, by which objectives and reservations select jobs. */
@@ -26,7 +26,7 @@
   /** Team that owns a job. */
   private static final String TEAM = "owner";
 
-  /** How the tasks of a job belong together. */
+  /** Shape of a job: array, gang or service. */
   private static final String SHAPE = "shape";
 
   /** Priority of a job. */
@@ -35,49 +35,49 @@
   /** Name of the image that tasks run. */
   private static final String IMAGE = "bundle";
 
-  /** Size of that image in GB. */
+  /** Size of the image in GB. */
   private static final String IMAGE_GB = "size_gb";
 
-  /** Whether all tasks are to be in one zone. */
+  /** Whether all tasks must be placed in one zone. */
   private static final String ONE_ZONE = "one_zone";
 
-  /** Whether at most half of the tasks may be in one zone. */
+  /** Whether each zone may hold at most half of the tasks. */
   private static final String SPREAD = "scatter";
 
   /** Expected run time of a task in seconds. */
   private static final String EXPECTED_S = "expect_s";
 
-  /** Seconds of progress between two checkpoints of a task; 0: it takes none. */
+  /** Seconds of progress between two checkpoints of a task; 0 if it takes none. */
   private static final String CHECKPOINT_S = "snapshot_s";
 
-  /** Seconds that a task needs to save when it is stopped. */
+  /** Seconds that a stopped task needs to save its progress. */
   private static final String SAVE_S = "flush_s";
 
-  /** Seconds after the submission by which the job is to be done. */
+  /** Due time of a job, in seconds after its submission. */
   private static final String DUE_S = "due_s";
 
   /** Ids of the jobs that a job depends on. */
   private static final String DEPENDENCIES = "awaits";
 
-  /** Number of done tasks in an answer. */
+  /** In a response: number of done tasks. */
   private static final String DONE_TASKS = "done";
 
-  /** Number of running tasks in an answer. */
+  /** In a response: number of running tasks. */
   private static final String RUNNING_TASKS = "running";
 
-  /** Number of dependencies that are not met, in an answer. */
+  /** In a response: number of unmet dependencies. */
   private static final String UNMET_DEPENDENCIES = "awaited";
 
-  /** Machines on which a job failed, in an answer. */
+  /** In a response: number and last few names of the machines on which the job failed. */
   private static final String FAILING = "failing";
 
   private static final String FAILING_MACHINES = "machines";
   private static final String LAST_FAILING_MACHINES = "last";
 
-  /** Machines that the answer for a failing job names. */
+  /** Maximum number of machines that the response for a failing job names. */
   private static final int MAX_NAMED_MACHINES = 3;
 
-  /** What stands before the phase in an answer: every answer of this program is written so. */
+  /** Text before the phase in a response; every response of this class contains it. */
   private static final String PHASE_PREFIX = "\"" + WireFields.PHASE + "\":\"";
 
   private static final int MAX_NAME_LENGTH = 500;
@@ -85,7 +85,7 @@
 
   private JobCodec() {}
 
-  /** Whether a text has the form of a job id. */
+  /** Returns whether a text is a well-formed job id. */
   public static boolean isRef(String text) {
     return REF.matcher(text).matches();
   }
@@ -93,7 +93,7 @@
   /**
    * Reads a submission.
    *
-   * @throws MalformedInputException if a field is missing, of another type or out of its bounds
+   * @throws MalformedInputException if a field is missing, has the wrong type or is out of range
    */
   public static JobSpec read(JsonNode json) {
     String ref = Json.text(json, WireFields.REF);
@@ -128,7 +128,7 @@
         readDependencies(json));
   }
 
-  /** A submission as {@link #read} reads it; absent fields are left out. */
+  /** Encodes a submission for {@link #read}; optional fields without a value are omitted. */
   public static ObjectNode write(JobSpec spec) {
     ObjectNode json = Json.object();
     json.put(WireFields.REF, spec.ref());
@@ -166,8 +166,8 @@
   }
 
   /**
-   * The answer to a poll. It is put together without a JSON tree; ids need no escaping, see {@link
-   * #isRef}.
+   * Encodes the response to a poll. The JSON is concatenated without a tree; job ids need no
+   * escaping, see {@link #isRef}.
    *
    * @param done number of done tasks
    * @param running number of running tasks
@@ -177,9 +177,9 @@
   }
 
   /**
-   * The answer to a poll with further fields.
+   * Encodes the response to a poll with additional fields.
    *
-   * @param more adds them
+   * @param more adds the fields to the response
    */
   public static byte[] status(
       String ref, JobPhase phase, int done, int running, Consumer<ObjectNode> more) {
@@ -194,9 +194,10 @@
   }
 
   /**
-   * The answer to a poll for a job that fails on every machine.
+   * Encodes the response to a poll for a job that fails on every machine.
    *
-   * @param machines machines on which it failed, the latest last; the last few are named
+   * @param machines names of the machines on which it failed, most recent last; the response
+   *     contains their number and the last few names
    */
   public static byte[] failing(
       String ref, JobPhase phase, int done, int running, Collection<String> machines) {
@@ -217,9 +218,9 @@
   }
 
   /**
-   * The answer to a poll for a job that waits for its dependencies.
+   * Encodes the response to a poll for a job that waits for its dependencies.
    *
-   * @param others number of dependencies that are not met
+   * @param others number of unmet dependencies
    */
   public static byte[] waiting(String ref, int others) {
     return utf8(
@@ -230,14 +231,14 @@
             + "}");
   }
 
-  /** The id in a submission, well formed or not; empty if there is none. */
+  /** Returns the job id in a submission without validating it; empty if the field is absent. */
   public static String refOf(JsonNode submission) {
     return submission.path(WireFields.REF).asText();
   }
 
   /**
-   * The phase that an answer gives; empty if it gives none. Without a JSON tree, see {@link
-   * #status}.
+   * Returns the phase in a response; empty if it contains none. Searches the text without building
+   * a JSON tree, see {@link #status}.
    */
   public static Optional<JobPhase> phaseOf(byte[] answer) {
     String text = new String(answer, StandardCharsets.UTF_8);
@@ -248,7 +249,7 @@
         : JobEnumNames.phase(text.substring(from, to));
   }
 
-  /** The answer to a submission or a cancellation. */
+  /** Encodes the response to a submission or a cancellation. */
   public static byte[] brief(String ref, JobPhase phase) {
     return utf8(open(ref, phase) + "}");
   }
@@ -304,10 +305,10 @@
   }
 
   /**
-   * Reads the ids of the jobs that a submission depends on, each once; absent, null and empty mean
-   * none.
+   * Reads the ids of the jobs that a submission depends on, without duplicates; empty if the field
+   * is absent or null.
    *
-   * @throws MalformedInputException if the field is of another type
+   * @throws MalformedInputException if the field is not an array of job ids
    */
   static List<String> readDependencies(JsonNode json) {
     JsonNode dependencies = Json.opt(json, DEPENDENCIES);
--- a/src/main/java/io/embernotch/codec/JobEnumNames.java
+++ b/src/main/java/io/embernotch/codec/JobEnumNames.java
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-/** Names of job shapes, priorities and phases in submissions, answers and stored values. */
+/** Names of job shapes, priorities and phases in submissions, responses and stored values. */
 final class JobEnumNames {
   /** Phases. */
   static final String QUEUED = "queued";
@@ -39,7 +39,7 @@
     };
   }
 
-  /** The phase of an answer; empty if the text names none. */
+  /** Returns the phase with the given name; empty if there is none. */
   static Optional<JobPhase> phase(String text) {
     return Arrays.stream(JobPhase.values()).filter(phase -> phase(phase).equals(text)).findFirst();
   }
@@ -53,9 +53,9 @@
   }
 
   /**
-   * The shape of a submission.
+   * Returns the shape with the given name.
    *
-   * @throws MalformedInputException if it is unknown
+   * @throws MalformedInputException if the name is unknown
    */
   static JobShape shape(String text) {
     return switch (text) {
@@ -76,9 +76,9 @@
   }
 
   /**
-   * The priority of a submission.
+   * Returns the priority with the given name.
    *
-   * @throws MalformedInputException if it is unknown
+   * @throws MalformedInputException if the name is unknown
    */
   static Priority priority(String text) {
     return switch (text) {
--- a/src/main/java/io/embernotch/codec/JobProgressCodec.java
+++ b/src/main/java/io/embernotch/codec/JobProgressCodec.java
@@ -11,15 +11,15 @@
 import java.util.List;
 
 /**
- * Progress of jobs as the store keeps it. {@code job/REF} is the submission and never changes.
- * {@code run/REF} holds the end of the job, if any, and the first tasks' progress; {@code
- * run/REF/K} holds that of the K-th further shard of tasks. Shards keep every value within the
- * store's limit, however many tasks a job has.
+ * Encodes submissions and the progress of jobs as values of the store. {@code job/REF} holds the
+ * submission of job REF; its progress is split into shards of consecutive tasks, so that no value
+ * exceeds the store's limit. {@code run/REF} holds shard 0 and the end of the job, if it has ended;
+ * {@code run/REF/K} holds shard K.
  *
- * <p>The size of these shards is fixed when the job is accepted. Should a shard not fit any more,
- * since the store has lowered its limits, {@code part/REF/SIZE/K} holds the K-th shard of SIZE
- * tasks instead, a refined shard. It states everything about its tasks, so it overrides what any
- * larger shard states about them, and larger shards are never written again.
+ * <p>The size of these shards is fixed when the job is accepted. If a shard no longer fits because
+ * the store has lowered its limit, refined shards replace it: {@code part/REF/SIZE/K} holds the
+ * K-th shard of SIZE tasks. A refined shard contains the complete progress of its tasks, so it
+ * overrides any larger shard that covers them; the larger shards are never written again.
  */
 public final class JobProgressCodec {
   /** Prefix of the keys of submissions. */
@@ -31,40 +31,40 @@
   /** Prefix of the keys of refined shards. */
   public static final String REFINED_SHARD = "part/";
 
-  /** Prefix of the keys of shared state entries, which leaders hand on beside jobs. */
+  /** Prefix of the keys of shared state entries: data besides jobs that each leader inherits. */
   public static final String SHARED = "shared/";
 
-  /** The key that the present leader holds. */
+  /** Key of the leader lock, which the current leader holds. */
   public static final String LEADER = "steward";
 
-  /** Marks a submission that was written again after the store had lost data. */
+  /** Whether the submission was restored after the store had lost data; absent means false. */
   public static final String REWRITTEN_AFTER_LOSS = "again";
 
-  /** The submission within the value of a job. */
+  /** The submission, as {@link JobCodec} encodes it. */
   private static final String SPEC = "job";
 
-  /** Tasks in a shard of this job. */
+  /** Number of tasks per progress shard of the job. */
   private static final String SHARD_SIZE = "piece";
 
-  /** Time of the submission, or of the job's end, in milliseconds of the time of day. */
+  /** Time of the submission or, in a progress shard, of the job's end, in Unix milliseconds. */
   private static final String AT_MS = "at";
 
-  /** Number of the next attempt. */
+  /** Number that the job's next attempt gets. */
   private static final String NEXT_ATTEMPT = "next";
 
-  /** Final phase of the job. */
+  /** Final phase of the job; absent until it has ended. */
   private static final String END = "end";
 
-  /** Occurrence of a release that the job is for. */
+  /** Release occurrence that the job belongs to, as RELEASE/DATE; absent for none. */
   private static final String RELEASE = "rel";
 
-  /** Bit set of done tasks, counted from the shard's first, in base64. */
+  /** Base64 of the bit set of done tasks; bit 0 is the first task of the shard. */
   private static final String DONE = "done";
 
-  /** Open attempts, each an array of the fields below. */
+  /** Open attempts, each an array of fields at the positions below. */
   private static final String OPEN = "open";
 
-  /** Positions in an open attempt; the preferred machine for the next attempt may be absent. */
+  /** Positions of the fields of an open attempt; the preferred machine of its task is optional. */
   private static final int TASK = 0;
 
   private static final int NUMBER = 1;
@@ -73,12 +73,12 @@
   private static final int PREFERRED_MACHINE = 4;
 
   /**
-   * Bytes that an open attempt takes besides its zone's name; its done mark takes less than two
-   * more.
+   * Estimated bytes per task: an open attempt without the name of its zone, and less than two bytes
+   * for the task's bit in the done set.
    */
   private static final int BYTES_PER_TASK = 46;
 
-  /** Bytes that a shard takes besides its tasks. */
+  /** Estimated bytes of a shard in addition to its tasks. */
   private static final int BYTES_PER_SHARD = 192;
 
   private static final int BYTES_PER_KIB = 1024;
@@ -86,11 +86,12 @@
   private JobProgressCodec() {}
 
   /**
-   * Number of tasks in a shard. With longer names of machines than usual, or with restarts under
-   * way, a shard of this size may still not fit: then refined shards take its place.
+   * Computes the number of tasks per shard so that a shard usually fits into one value, at least 1.
+   * Unusually long machine names or restarts in progress can still make a shard too large; then
+   * refined shards replace it.
    *
-   * @param valueKb what a value of the store may have, in KiB
-   * @param zones names of all zones
+   * @param valueKb maximum size of a value in the store, in KiB
+   * @param zones names of all zones; the longest determines the result
    */
   public static int shardSize(double valueKb, List<String> zones) {
     int zone = zones.stream().mapToInt(String::length).max().orElse(0);
@@ -99,9 +100,9 @@
   }
 
   /**
-   * The value of a job's submission key.
+   * Encodes a job as the value of its submission key.
    *
-   * @param shardSize tasks in a shard of this job
+   * @param shardSize number of tasks per progress shard of this job
    */
   public static ObjectNode writeJob(Job job, int shardSize) {
     ObjectNode json = Json.object();
@@ -112,9 +113,9 @@
   }
 
   /**
-   * Reads the value of a submission key as a job without progress.
+   * Reads a job without progress from the value of its submission key.
    *
-   * @throws MalformedInputException if it is none
+   * @throws MalformedInputException if the value is malformed
    */
   public static Job readJob(JsonNode json) {
     Job job = new Job(JobCodec.read(Json.need(json, SPEC)), Json.whole(json, AT_MS));
@@ -123,10 +124,10 @@
   }
 
   /**
-   * Reads the ids of the jobs that a job depends on from the value of a submission key, of which
-   * all else may be malformed.
+   * Reads the ids of the jobs that a job depends on from the value of its submission key. Other
+   * fields of the value may be malformed.
    *
-   * @throws MalformedInputException if there is no submission, or they are malformed
+   * @throws MalformedInputException if the submission is missing or the dependencies are malformed
    */
   public static List<String> readDependencies(JsonNode json) {
     JsonNode spec = Json.need(json, SPEC);
@@ -137,23 +138,23 @@
   }
 
   /**
-   * Reads the number of tasks in a shard from the value of a submission key.
+   * Reads the number of tasks per shard from the value of a submission key, at least 1.
    *
-   * @throws MalformedInputException if it is missing
+   * @throws MalformedInputException if the field is missing or malformed
    */
   public static int readShardSize(JsonNode json) {
     return (int) Math.max(1, Json.whole(json, SHARD_SIZE));
   }
 
-  /** The key of a progress shard. */
+  /** Returns the key of a progress shard. */
   public static String shardKey(String ref, int shard) {
     return shard == 0 ? SHARD + ref : SHARD + ref + "/" + shard;
   }
 
   /**
-   * The number of the shard that a progress key holds.
+   * Returns the shard number in the key of a progress shard.
    *
-   * @throws MalformedInputException if what follows the job's id is no number
+   * @throws MalformedInputException if the job id is followed by something other than a number
    */
   public static int shardOf(String key) {
     int slash = key.indexOf('/', SHARD.length());
@@ -168,20 +169,20 @@
   }
 
   /**
-   * The key of a refined shard.
+   * Returns the key of a refined shard.
    *
-   * @param size tasks in each refined shard of this size
-   * @param shard which of them, from 0
+   * @param size number of tasks per refined shard
+   * @param shard index among the refined shards of this size, from 0
    */
   public static String refinedShardKey(String ref, int size, int shard) {
     return REFINED_SHARD + ref + "/" + size + "/" + shard;
   }
 
   /**
-   * The value of a shard, refined or not.
+   * Encodes the progress of the tasks in a shard, refined or not.
    *
-   * @param shardSize tasks in a shard
-   * @param shard which of the job's shards, from 0; the first one holds the job's end too
+   * @param shardSize number of tasks per shard
+   * @param shard index of the shard, from 0; shard 0 also contains the job's end
    */
   public static ObjectNode writeShard(Job job, int shardSize, int shard) {
     ObjectNode json = Json.object();
@@ -204,7 +205,7 @@
     json.put(NEXT_ATTEMPT, job.nextAttempt);
     if (job.finalPhase != null) {
       json.put(END, JobEnumNames.phase(job.finalPhase));
-      // The version before job chains ignores this, and may write the value back without it.
+      // The version before job chains ignores this field and may rewrite the value without it.
       json.put(AT_MS, job.endedMs);
     }
     if (job.release != null) {
@@ -231,9 +232,9 @@
   }
 
   /**
-   * Reads the end of a job from its first shard; null while it has none.
+   * Reads the final phase of a job from its shard 0; null if the job has not ended.
    *
-   * @throws MalformedInputException if it is unknown
+   * @throws MalformedInputException if the phase is unknown
    */
   public static JobPhase readEnd(JsonNode json) {
     JsonNode end = Json.opt(json, END);
@@ -248,8 +249,8 @@
   }
 
   /**
-   * Whether the value of a first shard tells if and how its job has ended, whatever else of it is
-   * malformed.
+   * Returns whether the value of shard 0 determines if and how its job has ended. The other fields
+   * of the value may be malformed.
    */
   public static boolean tellsEnd(JsonNode json) {
     try {
@@ -260,10 +261,11 @@
   }
 
   /**
-   * Replaces what larger shards stated about the tasks of a refined shard by what that one states.
+   * Applies a refined shard to a job. It replaces the progress that larger shards recorded for its
+   * tasks.
    *
-   * @param size tasks in each refined shard of this size
-   * @param shard which of them, from 0
+   * @param size number of tasks per refined shard
+   * @param shard index among the refined shards of this size, from 0
    * @throws MalformedInputException if the value is malformed
    */
   public static void readRefinedShard(JsonNode json, Job job, int size, int shard) {
@@ -276,15 +278,15 @@
   }
 
   /**
-   * Adds what a shard states to a job.
+   * Adds the progress in a shard to a job.
    *
-   * @param shardSize tasks in a shard
-   * @param shard which of the job's shards, from 0; the first one holds the job's end too
+   * @param shardSize number of tasks per shard
+   * @param shard index of the shard, from 0; shard 0 also contains the job's end
    * @throws MalformedInputException if the value is malformed
    */
   public static void readShard(JsonNode json, Job job, int shardSize, int shard) {
     if (shard == 0) {
-      // First: an end counts even if the rest is malformed.
+      // Read first, so that the job's end takes effect even if the other fields are malformed.
       job.finalPhase = readEnd(json);
       job.endPersisted = job.finalPhase != null;
       if (job.finalPhase == JobPhase.DONE) {
--- a/src/main/java/io/embernotch/codec/Json.java
+++ b/src/main/java/io/embernotch/codec/Json.java
@@ -10,7 +10,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
 
-/** Reads fields of JSON objects; errors name the field. */
+/** Parses JSON and reads typed fields of objects; error messages start with the field's name. */
 public final class Json {
   private static final ObjectMapper MAPPER =
       JsonMapper.builder()
@@ -20,15 +20,15 @@
 
   private Json() {}
 
-  /** A new, empty object. */
+  /** Returns a new, empty object. */
   public static ObjectNode object() {
     return JsonNodeFactory.instance.objectNode();
   }
 
   /**
-   * Parses a body that must be one JSON object, without duplicate fields or trailing content.
+   * Parses a body that must be one JSON object without duplicate fields or trailing content.
    *
-   * @throws MalformedInputException if it is not
+   * @throws MalformedInputException if the body is anything else
    */
   public static ObjectNode parseObject(byte[] body) {
     JsonNode node;
@@ -43,7 +43,7 @@
     return (ObjectNode) node;
   }
 
-  /** The JSON text of a node in UTF-8. */
+  /** Encodes a node as JSON text in UTF-8. */
   public static byte[] bytes(JsonNode node) {
     try {
       return MAPPER.writeValueAsBytes(node);
@@ -52,14 +52,14 @@
     }
   }
 
-  /** The field, or null if it is absent or JSON null. */
+  /** Returns a field, or null if it is absent or JSON null. */
   public static JsonNode opt(JsonNode object, String name) {
     JsonNode node = object.get(name);
     return node == null || node.isNull() ? null : node;
   }
 
   /**
-   * A field that must be there.
+   * Returns a required field.
    *
    * @throws MalformedInputException if it is absent or JSON null
    */
@@ -72,9 +72,9 @@
   }
 
   /**
-   * A string.
+   * Reads a required string.
    *
-   * @throws MalformedInputException if the field is missing or no string
+   * @throws MalformedInputException if the field is missing or not a string
    */
   public static String text(JsonNode object, String name) {
     JsonNode node = need(object, name);
@@ -85,9 +85,9 @@
   }
 
   /**
-   * A boolean.
+   * Reads a required boolean.
    *
-   * @throws MalformedInputException if the field is missing or no boolean
+   * @throws MalformedInputException if the field is missing or not a boolean
    */
   public static boolean flag(JsonNode object, String name) {
     JsonNode node = need(object, name);
@@ -98,19 +98,19 @@
   }
 
   /**
-   * A boolean that may be absent or JSON null.
+   * Reads an optional boolean.
    *
-   * @param fallback its value then
-   * @throws MalformedInputException if the field is there and no boolean
+   * @param fallback returned if the field is absent or JSON null
+   * @throws MalformedInputException if the field is present and not a boolean
    */
   public static boolean flagOr(JsonNode object, String name, boolean fallback) {
     return opt(object, name) == null ? fallback : flag(object, name);
   }
 
   /**
-   * A finite number of at least 0.
+   * Reads a required finite number of at least 0.
    *
-   * @throws MalformedInputException if the field is missing or no such number
+   * @throws MalformedInputException if the field is missing or not such a number
    */
   public static double amount(JsonNode object, String name) {
     JsonNode node = need(object, name);
@@ -122,19 +122,19 @@
   }
 
   /**
-   * An {@linkplain #amount amount} that may be absent or JSON null.
+   * Reads an optional finite number of at least 0.
    *
-   * @param fallback its value then
-   * @throws MalformedInputException if the field is there and no such number
+   * @param fallback returned if the field is absent or JSON null
+   * @throws MalformedInputException if the field is present and not such a number
    */
   public static double amountOr(JsonNode object, String name, double fallback) {
     return opt(object, name) == null ? fallback : amount(object, name);
   }
 
   /**
-   * A whole number of at least 0.
+   * Reads a required integer of at least 0 that fits into a long.
    *
-   * @throws MalformedInputException if the field is missing or no such number
+   * @throws MalformedInputException if the field is missing or not such a number
    */
   public static long whole(JsonNode object, String name) {
     JsonNode node = need(object, name);
--- a/src/main/java/io/embernotch/codec/ReservationCodec.java
+++ b/src/main/java/io/embernotch/codec/ReservationCodec.java
@@ -13,9 +13,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Reservations as shared state entries: their terms, and what is reserved on which machines. */
+/**
+ * Encodes reservations as shared state entries: their definitions ("terms"), and the amounts that
+ * are reserved on each machine.
+ */
 public final class ReservationCodec {
-  /** Generation of the reservations that a value is of. */
+  /** Generation of the reservation settings. */
   private static final String GENERATION = "gen";
 
   /** List of reservations. */
@@ -36,7 +39,7 @@
   /** Memory in GB. */
   private static final String MEM_GB = "mem";
 
-  /** Headroom as a share of what the work holds. */
+  /** Headroom as a share of the resources that the work uses. */
   private static final String SHARE = "share";
 
   /** Headroom in standard deviations of the work's growth. */
@@ -48,33 +51,33 @@
   /** Machine types that a reservation may use. */
   private static final String TYPES = "types";
 
-  /** Least share of the headroom by zone. */
+  /** Minimum share of the headroom by zone. */
   private static final String ZONES = "zones";
 
-  /** Priority that a selector asks for, absent for any. */
+  /** Priority that a selector matches; absent for any. */
   private static final String PRIORITY = "priority";
 
-  /** Shape that a selector asks for, absent for any. */
+  /** Shape that a selector matches; absent for any. */
   private static final String SHAPE = "shape";
 
-  /** Team that a selector asks for, null for any. */
+  /** Team that a selector matches; null for any. */
   private static final String TEAM = "team";
 
-  /** Job class that a selector asks for, null for any. */
+  /** Job class that a selector matches; null for any. */
   private static final String JOB_CLASS = "class";
 
   /** Reserved amounts by machine. */
   private static final String RESERVED = "on";
 
-  /** Reserved amounts are stored as whole numbers of this fraction. */
+  /** Stored units per CPU, GPU or GB: reserved amounts are stored as integers. */
   private static final double UNITS = 1000.0;
 
-  /** CPUs, GPUs and memory. */
+  /** Reserved amounts per machine: CPUs, GPUs and memory. */
   private static final int AMOUNTS = 3;
 
   private ReservationCodec() {}
 
-  /** The value that holds the terms of all reservations. */
+  /** Encodes the terms of all reservations. */
   public static ObjectNode writeTerms(long generation, List<Reservation> terms) {
     ObjectNode json = Json.object().put(GENERATION, generation);
     ArrayNode list = json.putArray(TERMS);
@@ -98,7 +101,7 @@
     return json;
   }
 
-  /** A selector as JSON. */
+  /** Encodes a selector. */
   public static ObjectNode writeSelector(Selector selector) {
     ObjectNode json = Json.object();
     if (selector.priority() != null) {
@@ -164,9 +167,9 @@
   }
 
   /**
-   * The value that holds what is reserved on machines.
+   * Encodes the amounts that are reserved on machines.
    *
-   * @param reserved CPUs, GPUs and memory in GB by machine; they are kept to a thousandth
+   * @param reserved CPUs, GPUs and memory in GB by machine; rounded to a thousandth
    */
   public static ObjectNode writeReserved(Map<String, double[]> reserved) {
     ObjectNode json = Json.object();
@@ -182,7 +185,7 @@
     return json;
   }
 
-  /** Reads what is reserved on machines: CPUs, GPUs and memory in GB by machine. */
+  /** Reads the reserved amounts by machine: CPUs, GPUs and memory in GB. */
   public static Map<String, double[]> readReserved(JsonNode json) {
     Map<String, double[]> reserved = new TreeMap<>();
     json.path(RESERVED)
--- a/src/main/java/io/embernotch/codec/WireFields.java
+++ b/src/main/java/io/embernotch/codec/WireFields.java
@@ -1,9 +1,9 @@
 package io.embernotch.codec;
 
 /**
- * Field names that more than one JSON format of the platform uses: submissions, heartbeats of
- * workers and the cloud's interface. The platform's protocol gives these names; each constant is
- * named after the term that the code uses for it.
+ * Field names that several JSON formats of the platform share: submissions, heartbeats of workers
+ * and the cloud API. The platform's protocol defines these names; each constant is named after the
+ * term that the code uses.
  */
 final class WireFields {
   /** Id of a job. In the cloud's machine list: name of a machine. */
@@ -27,19 +27,19 @@
   /** List of zones. */
   static final String ZONES = "rooms";
 
-  /** Whether a machine is a spot machine, or a job may run on one. */
+  /** Whether a machine is a spot machine; in a submission: whether the job may use them. */
   static final String SPOT = "loaner";
 
   /** A worker's address as HOST:PORT. */
   static final String ADDRESS = "address";
 
-  /** State of a task or a machine, phase of a job. */
+  /** State of a task or a machine, or phase of a job. */
   static final String PHASE = "phase";
 
-  /** One task as JOB/NUMBER. */
+  /** Id of a task as JOB/NUMBER. */
   static final String TASK = "shard";
 
-  /** List of tasks, or their number. */
+  /** List of tasks; in a submission: number of tasks. */
   static final String TASKS = "shards";
 
   /** Number of CPUs. */
--- a/src/main/java/io/embernotch/codec/WorkerCodec.java
+++ b/src/main/java/io/embernotch/codec/WorkerCodec.java
@@ -11,9 +11,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Heartbeats of workers, the responses to them, and commands. */
+/** Reads heartbeats of workers, and encodes the responses to them and direct commands. */
 public final class WorkerCodec {
-  /** Agent epoch: it rises whenever the worker's lease expires. */
+  /** Agent epoch; the worker increments it whenever its lease expires. */
   private static final String AGENT_EPOCH = "tenure";
 
   /** Sequence number of a heartbeat. */
@@ -22,7 +22,7 @@
   /** Fencing token. */
   private static final String TOKEN = "baton";
 
-  /** Seconds until the cloud reclaims a spot machine. */
+  /** Seconds until the cloud reclaims a spot machine; absent without notice. */
   private static final String RECLAIM_IN_S = "recall_s";
 
   /** Number of an attempt. */
@@ -37,13 +37,13 @@
   /** List of commands. */
   private static final String COMMANDS = "orders";
 
-  /** What a command is to do. */
+  /** Verb of a command. */
   private static final String VERB = "verb";
 
-  /** Seconds that a stopped task has to save. */
+  /** Grace period in seconds for a stopped task to save its progress. */
   private static final String GRACE_S = "linger_s";
 
-  /** Task states, exit causes and verbs. */
+  /** Values of the task states, exit causes and verbs. */
   private static final String FETCHING = "fetching";
 
   private static final String WAITING = "gathering";
@@ -66,7 +66,8 @@
   /**
    * Reads a heartbeat.
    *
-   * @throws MalformedInputException if a field is missing, of another type or unknown
+   * @throws MalformedInputException if a field is missing or has the wrong type, or a task's state
+   *     is unknown
    */
   public static Heartbeat read(byte[] body) {
     ObjectNode json = Json.parseObject(body);
@@ -156,29 +157,30 @@
   }
 
   /**
-   * The response to a heartbeat, which renews the worker's lease.
+   * Encodes the response to a heartbeat. It renews the worker's lease.
    *
-   * @param token fencing token that the commands carry
-   * @param commands commands to carry out, possibly none
+   * @param token fencing token of the commands
+   * @param commands commands to execute; may be empty
    */
   public static byte[] response(long token, List<AgentCommand> commands) {
     return Json.bytes(putCommands(Json.object().put(TOKEN, token), commands));
   }
 
   /**
-   * A response that a worker drops, since it has no token ("Tokens" in the protocol): the lease is
-   * not renewed, nothing is done, and the worker stays with the node that gave it.
+   * Encodes a response without a token. Per the platform's protocol ("Tokens"), a worker ignores
+   * such a response: its lease is not renewed, it executes nothing, and it keeps sending heartbeats
+   * to the controller that answered.
    */
   public static byte[] emptyResponse() {
     return Json.bytes(Json.object().set(COMMANDS, Json.object().arrayNode()));
   }
 
   /**
-   * The body of a direct command.
+   * Encodes the body of a request that sends commands to a worker directly.
    *
-   * @param token fencing token that the commands carry
-   * @param agentEpoch the worker refuses the commands if its own agent epoch is another
-   * @param commands commands to carry out
+   * @param token fencing token of the commands
+   * @param agentEpoch expected agent epoch; the worker rejects the commands if its own differs
+   * @param commands commands to execute
    */
   public static byte[] directCommand(long token, long agentEpoch, List<AgentCommand> commands) {
     return Json.bytes(
--- a/src/main/java/io/embernotch/codec/package-info.java
+++ b/src/main/java/io/embernotch/codec/package-info.java
@@ -1,10 +1,9 @@
 /**
- * Wire and storage formats: JSON of the HTTP interfaces, of the store's values and of the cloud's
- * replies.
+ * JSON formats of the HTTP interfaces, of the values in the store and of the cloud's responses.
  *
- * <p>The package owns the names of fields, enum values and store keys; each stands once, as a
- * constant. Nothing here does input or output, keeps state or decides anything: codecs turn values
- * of {@code model} and {@code settings} into JSON and back, and refuse what is malformed with
- * {@link io.embernotch.codec.MalformedInputException}. All methods may be called from any thread.
+ * <p>The package defines the names of fields, enum values and store keys as constants. The codecs
+ * are stateless and perform no I/O: they convert values of {@code model} and {@code settings} to
+ * JSON and back, and reject malformed input with {@link
+ * io.embernotch.codec.MalformedInputException}. All methods are safe to call from any thread.
  */
 package io.embernotch.codec;
--- a/src/main/java/io/embernotch/peer/Frame.java
+++ b/src/main/java/io/embernotch/peer/Frame.java
@@ -11,31 +11,32 @@
    * A heartbeat between controllers.
    *
    * @param node name of the sender
-   * @param leader node that it takes for the leader; null if it knows none, or data is lost
-   * @param leaderEpoch epoch of that leader; while data is lost, an epoch that the store cannot
-   *     reach, which tells the others so
+   * @param leader name of the leader that the sender knows; null if it knows none, or while it
+   *     reports a data loss of the store
+   * @param leaderEpoch epoch of that leader; while the sender reports a data loss, an epoch that
+   *     the lost contents cannot reach, which identifies the loss
    * @param storeReachable whether the store answers the sender
-   * @param replicates whether the sender takes {@link StateUpdate} and {@link KnowledgeRequest};
-   *     not told while the store does not answer it
+   * @param replicates whether the sender accepts {@link StateUpdate} and {@link KnowledgeRequest};
+   *     sent as false if the store is not reachable
    */
   record PeerHeartbeat(
       String node, String leader, long leaderEpoch, boolean storeReachable, boolean replicates)
       implements Frame {
-    /** A heartbeat as the version before replication sends it. */
+    /** Creates a heartbeat as sent by the version without replication. */
     public PeerHeartbeat(String node, String leader, long leaderEpoch, boolean storeReachable) {
       this(node, leader, leaderEpoch, storeReachable, false);
     }
   }
 
   /**
-   * Changes of the store that the sender has committed, for the receiver's replica. Like {@link
-   * KnowledgeRequest} it may only be sent to a controller whose heartbeat says that it replicates:
-   * the former version drops the connection.
+   * Replicates changes that the sender has committed to the store. Send it, like {@link
+   * KnowledgeRequest}, only to a controller whose heartbeat has {@link PeerHeartbeat#replicates}
+   * set: the previous version closes the connection on receiving one.
    *
    * @param id number of the update, which its {@link StateUpdateAck} repeats
-   * @param incarnation name of the store incarnation that it belongs to
-   * @param revision revision at which all the entries were written
-   * @param entries what was written
+   * @param incarnation name of the store incarnation of the changes
+   * @param revision store revision at which all the entries were written
+   * @param entries the written keys and values
    */
   record StateUpdate(long id, String incarnation, long revision, List<StateEntry> entries)
       implements Frame {}
@@ -43,25 +44,26 @@
   /**
    * A key of the store and its value.
    *
-   * @param value JSON of the value
+   * @param key the key
+   * @param value the value as JSON
    */
   @SuppressWarnings("ArrayRecordComponent") // The bytes are passed on and never compared.
   record StateEntry(String key, byte[] value) {}
 
   /**
-   * The receiver of a {@link StateUpdate} holds its entries.
+   * Acknowledges that the receiver of a {@link StateUpdate} holds its entries.
    *
    * @param id number of the update
    */
   record StateUpdateAck(long id) implements Frame {}
 
   /**
-   * Asks for a part of what the receiver knows of the contents that the store has lost. Its {@link
-   * Response} holds it, or status 409 if no data is lost as far as the receiver knows.
+   * Requests a part of what the receiver knows about the contents that the store has lost. The
+   * {@link Response} contains the part, or status 409 if the receiver knows of no data loss.
    *
    * @param id number of the request, which its response repeats
    * @param node name of the sender
-   * @param lossEpoch the epoch by which the sender tells of the loss
+   * @param lossEpoch epoch that identifies the loss in the sender's heartbeats
    * @param part number of the part, from 0
    */
   record KnowledgeRequest(long id, String node, long lossEpoch, int part) implements Frame {}
@@ -69,8 +71,8 @@
   /**
    * Announces to the leader that a job was accepted.
    *
-   * @param value JSON of the job's submission key, with the incarnation and the revision that wrote
-   *     it
+   * @param value value of the job's submission key as JSON, with the store incarnation and revision
+   *     at which it was written
    */
   @SuppressWarnings("ArrayRecordComponent") // The bytes are passed on and never compared.
   record JobAccepted(byte[] value) implements Frame {}
@@ -79,23 +81,23 @@
    * A user's request, forwarded to the leader.
    *
    * @param id number of the request, which its response repeats
-   * @param kind what the user asks for
+   * @param kind kind of the user's request
    * @param ref id of the job; empty for {@link Kind#OVERVIEW}
    */
   record ForwardedRequest(long id, Kind kind, String ref) implements Frame {
-    /** What a user asks for; the order is part of the frame format. */
+    /** Kind of a user's request; the order is part of the frame format. */
     public enum Kind {
-      /** The job's status. */
+      /** Asks for the status of the job. */
       POLL,
-      /** To cancel the job. */
+      /** Cancels the job. */
       ABORT,
-      /** The overview of the cluster. */
+      /** Asks for the overview of the cluster. */
       OVERVIEW
     }
   }
 
   /**
-   * A submission, forwarded by a controller that the store does not answer.
+   * A job submission, forwarded by a controller that cannot reach the store.
    *
    * @param id number of the request, which its response repeats
    * @param body body of the user's request
@@ -107,15 +109,16 @@
    * The response to a forwarded request, submission or heartbeat.
    *
    * @param id number of the request
-   * @param status HTTP status
-   * @param retryAfterS seconds after which the caller is to try again; 0: not said
+   * @param status HTTP status code
+   * @param retryAfterS seconds after which the client should retry; 0 if unspecified
    * @param body body of the HTTP response
    */
   @SuppressWarnings("ArrayRecordComponent") // The bytes are passed on and never compared.
   record Response(long id, int status, int retryAfterS, byte[] body) implements Frame {}
 
   /**
-   * The leader's view of a machine in the receiver's partition.
+   * The leader's view of a machine in the receiver's partition of the machines, for straggler
+   * detection.
    *
    * @param epoch epoch of the leader
    * @param view the machine and the tasks on it
@@ -123,7 +126,7 @@
   record MachineViewUpdate(long epoch, MachineView view) implements Frame {}
 
   /**
-   * The images that a machine has, for whoever is leader next.
+   * The images that a machine has cached, so that the next leader knows them.
    *
    * @param epoch epoch of the leader
    * @param machine name of the machine
@@ -132,7 +135,7 @@
   record ImageInventoryUpdate(long epoch, String machine, List<String> images) implements Frame {}
 
   /**
-   * A machine is gone, or has moved to another partition.
+   * Reports that a machine no longer exists or has moved to another partition.
    *
    * @param epoch epoch of the leader
    * @param machine name of the machine
@@ -140,42 +143,43 @@
   record MachineViewRemoval(long epoch, String machine) implements Frame {}
 
   /**
-   * A worker's heartbeat, forwarded to the leader. Only a leader whose key says that it takes them
-   * may be sent one: the former version drops the connection.
+   * A worker's heartbeat, forwarded to the leader. Send it only to a leader whose key states that
+   * it accepts forwarded heartbeats: the previous version closes the connection on receiving one.
    *
-   * @param id number of the request, which its {@link Response} repeats; 0: no response is wanted
+   * @param id number of the request, which its {@link Response} repeats; 0 if no response is wanted
    * @param heartbeat the worker's heartbeat
    */
   record ForwardedHeartbeat(long id, Heartbeat heartbeat) implements Frame {}
 
   /**
-   * A heartbeat of a controller to a leader that takes forwarded heartbeats, by which it asks for
-   * delegated lease renewal.
+   * Requests delegated lease renewal: the heartbeat of a controller to a leader that accepts
+   * forwarded heartbeats.
    *
    * @param node name of the sender
-   * @param seq number of this message, rising
-   * @param ack highest number that the leader acknowledged; 0: none
-   * @param renewedAgoS seconds since the sender last renewed a worker's lease by itself; below 0:
-   *     never
+   * @param seq sequence number of this message
+   * @param ack highest sequence number that the leader has acknowledged; 0 if none
+   * @param renewedAgoS seconds since the sender last renewed a worker's lease as a delegate;
+   *     negative if it never has
    */
   record DelegateHeartbeat(String node, long seq, long ack, double renewedAgoS) implements Frame {}
 
   /**
-   * The leader's answer to a {@link DelegateHeartbeat}.
+   * The leader's response to a {@link DelegateHeartbeat}.
    *
    * @param epoch epoch of the leader
-   * @param seq number that it acknowledges
-   * @param granted whether the controller may renew workers of its zone for a while if it is
-   *     partitioned
+   * @param seq sequence number that the leader acknowledges
+   * @param granted whether the controller may renew the leases of workers in its zone for a limited
+   *     time if a network partition cuts it off from the leader
    */
   record DelegateHeartbeatAck(long epoch, long seq, boolean granted) implements Frame {}
 
   /**
-   * The restarts that a straggler round of a partition's owner proposes to the leader.
+   * Proposes restarts to the leader: the result of a straggler detection round of the controller
+   * that owns a partition of the machines.
    *
    * @param from name of the sender
-   * @param epoch epoch of the leader whose views the round went by
-   * @param restarts the proposals, at least one
+   * @param epoch epoch of the leader whose machine views the round used
+   * @param restarts proposed restarts, at least one
    */
   record RestartProposals(String from, long epoch, List<Restart> restarts) implements Frame {}
 }
--- a/src/main/java/io/embernotch/peer/FrameCodec.java
+++ b/src/main/java/io/embernotch/peer/FrameCodec.java
@@ -6,21 +6,22 @@
 import java.nio.ByteBuffer;
 
 /**
- * The bytes of frames: four bytes of length, one of version, one of kind, then the fields. Numbers
- * are big-endian, strings have two bytes of length, blobs four. Enum constants are written as their
- * position, so their order is part of the format. May be used from any thread.
+ * Encodes and decodes frames: four bytes of length, one byte of version, one byte of kind, then the
+ * fields. Numbers are big-endian. Strings and lists start with two bytes of length, blobs with
+ * four. Enum constants are written as their ordinals, so their order is part of the format. Safe to
+ * use from any thread.
  */
 public final class FrameCodec {
-  /** The version of the format, which every frame states. */
+  /** Version of the format, which every frame contains. */
   public static final byte VERSION = 1;
 
-  /** Most bytes of a frame, without its length. */
+  /** Maximum bytes of a frame without its length field. */
   public static final int MAX_FRAME = 256 * 1024;
 
-  /** Bytes of the length that a frame starts with. */
+  /** Bytes of the length field at the start of a frame. */
   static final int LENGTH_BYTES = 4;
 
-  /** Most entries of a list, and the length that stands for a null string. */
+  /** Maximum number of entries in a list; as the length of a string it encodes null. */
   static final int MAX_COUNT = 0xFFFF;
 
   /** In a peer heartbeat: the store does not answer the sender. */
@@ -29,7 +30,7 @@
   /** In a peer heartbeat: the store answers the sender. */
   static final byte STORE_REACHABLE = 1;
 
-  /** In a peer heartbeat: the store answers the sender, which takes the frames of replication. */
+  /** In a peer heartbeat: the store answers the sender, which accepts replication frames. */
   static final byte STORE_REACHABLE_AND_REPLICATES = 2;
 
   private static final int FIRST_BUFFER_BYTES = 512;
@@ -38,9 +39,10 @@
   private FrameCodec() {}
 
   /**
-   * The whole frame, its length included.
+   * Encodes a frame, including its length field.
    *
-   * @throws IllegalArgumentException if it exceeds {@link #MAX_FRAME}, or a string its own limit
+   * @throws IllegalArgumentException if the frame exceeds {@link #MAX_FRAME}, or a string is too
+   *     long
    */
   public static byte[] encode(Frame frame) {
     for (int size = FIRST_BUFFER_BYTES; ; size *= BUFFER_GROWTH) {
@@ -66,10 +68,10 @@
   }
 
   /**
-   * Reads a frame.
+   * Decodes a frame.
    *
-   * @param buffer what follows the frame's length, no more and no less
-   * @throws MalformedInputException if its version or kind is unknown, or its fields are malformed
+   * @param buffer exactly the bytes of the frame after its length field
+   * @throws MalformedInputException if the version or kind is unknown, or a field is malformed
    */
   public static Frame decode(ByteBuffer buffer) {
     try {
--- a/src/main/java/io/embernotch/peer/FrameDecoder.java
+++ b/src/main/java/io/embernotch/peer/FrameDecoder.java
@@ -19,23 +19,23 @@
  * arguments, which Java evaluates from left to right.
  */
 final class FrameDecoder {
-  /** The message for a frame with fewer bytes than its fields need. */
+  /** Error message for a frame that ends before its last field. */
   static final String TRUNCATED = "frame is cut short";
 
   private final ByteBuffer buffer;
 
   /**
-   * @param buffer stands at the frame's kind; a {@link java.nio.BufferUnderflowException} tells
-   *     that it ends too early
+   * @param buffer positioned at the frame's kind; if it ends too early, {@link #next} throws a
+   *     {@link java.nio.BufferUnderflowException}
    */
   FrameDecoder(ByteBuffer buffer) {
     this.buffer = buffer;
   }
 
   /**
-   * The frame.
+   * Reads the frame.
    *
-   * @throws MalformedInputException if its kind is unknown or a field malformed
+   * @throws MalformedInputException if the kind is unknown or a field is malformed
    */
   Frame next() {
     byte kind = buffer.get();
@@ -202,7 +202,7 @@
     return constants[position];
   }
 
-  /** Seconds, or null for a number below 0. */
+  /** Reads seconds; a negative number means null. */
   private Double seconds() {
     double seconds = buffer.getDouble();
     return seconds < 0 ? null : seconds;
@@ -224,7 +224,7 @@
     return entries;
   }
 
-  /** A string, or null for a length of all ones. */
+  /** Reads a string; the length {@link FrameCodec#MAX_COUNT} means null. */
   private String text() {
     int length = buffer.getShort() & FrameCodec.MAX_COUNT;
     return length == FrameCodec.MAX_COUNT
--- a/src/main/java/io/embernotch/peer/FrameEncoder.java
+++ b/src/main/java/io/embernotch/peer/FrameEncoder.java
@@ -10,7 +10,7 @@
 import java.util.List;
 
 /**
- * Writes the kind and the fields of frames, in the order in which {@link FrameDecoder} reads them.
+ * Writes the kind and the fields of frames in the order in which {@link FrameDecoder} reads them.
  */
 final class FrameEncoder {
   private static final byte ABSENT_ENUM = -1;
@@ -19,8 +19,8 @@
   private final ByteBuffer buffer;
 
   /**
-   * @param buffer takes the bytes; a {@link java.nio.BufferOverflowException} tells that it is too
-   *     small
+   * @param buffer receives the bytes; if it is too small, {@link #put} throws a {@link
+   *     java.nio.BufferOverflowException}
    */
   FrameEncoder(ByteBuffer buffer) {
     this.buffer = buffer;
@@ -68,7 +68,10 @@
     buffer.put(storeState(heartbeat));
   }
 
-  /** The former version reads any byte but 0 as "the store answers". */
+  /**
+   * Encodes whether the sender reaches the store and whether it replicates. The previous version
+   * reads any value but 0 as "the store answers".
+   */
   private static byte storeState(Frame.PeerHeartbeat heartbeat) {
     if (!heartbeat.storeReachable()) {
       return FrameCodec.STORE_UNREACHABLE;
@@ -241,14 +244,14 @@
     }
   }
 
-  /** An enum constant by its position. */
-  @SuppressWarnings("EnumOrdinal") // The position is the encoding; constants are only appended.
+  /** Writes an enum constant as its ordinal. */
+  @SuppressWarnings("EnumOrdinal") // The ordinal is the encoding; constants are only appended.
   private void putEnum(Enum<?> value) {
     buffer.put((byte) value.ordinal());
   }
 
-  /** An enum constant by its position; null as -1. */
-  @SuppressWarnings("EnumOrdinal") // The position is the encoding; constants are only appended.
+  /** Writes an enum constant as its ordinal, or -1 for null. */
+  @SuppressWarnings("EnumOrdinal") // The ordinal is the encoding; constants are only appended.
   private void putOptionalEnum(Enum<?> value) {
     buffer.put(value == null ? ABSENT_ENUM : (byte) value.ordinal());
   }
@@ -266,7 +269,7 @@
     texts.forEach(this::putText);
   }
 
-  /** A string or null; null has a length of all ones. */
+  /** Writes a string; null has the length {@link FrameCodec#MAX_COUNT} and no bytes. */
   private void putText(String text) {
     if (text == null) {
       buffer.putShort((short) FrameCodec.MAX_COUNT);
--- a/src/main/java/io/embernotch/peer/FrameKind.java
+++ b/src/main/java/io/embernotch/peer/FrameKind.java
@@ -1,6 +1,6 @@
 package io.embernotch.peer;
 
-/** The byte that tells the kind of a frame. */
+/** Values of the byte that identifies the kind of a frame. */
 final class FrameKind {
   /** {@link Frame.PeerHeartbeat}. */
   static final byte PEER_HEARTBEAT = 1;
--- a/src/main/java/io/embernotch/peer/FrameReader.java
+++ b/src/main/java/io/embernotch/peer/FrameReader.java
@@ -4,30 +4,30 @@
 import java.nio.ByteBuffer;
 import java.util.function.Consumer;
 
-/** Splits the bytes of one connection into frames. Not thread-safe. */
+/** Splits the byte stream of one connection into frames. Not thread-safe. */
 public final class FrameReader {
   private static final int FIRST_BUFFER_BYTES = 1024;
 
-  /** A frame holds at least its version and its kind. */
+  /** Minimum bytes of a frame without its length: its version and its kind. */
   private static final int MIN_FRAME = 2;
 
   private final Consumer<Frame> sink;
   private ByteBuffer pending = ByteBuffer.allocate(FIRST_BUFFER_BYTES);
 
-  /** A frame was malformed, so where the next one begins is not known. */
+  /** Whether a frame was malformed; the start of the next frame is unknown from then on. */
   private boolean unusable;
 
   /**
-   * @param sink receives each frame, in the order of the stream
+   * @param sink receives each frame in stream order
    */
   public FrameReader(Consumer<Frame> sink) {
     this.sink = sink;
   }
 
   /**
-   * Takes more bytes, and delivers the frames that they complete.
+   * Appends bytes of the stream and delivers the frames that they complete.
    *
-   * @throws MalformedInputException if a frame is malformed, or one before it was
+   * @throws MalformedInputException if a frame is malformed, or an earlier frame was
    */
   public void feed(byte[] bytes) {
     if (unusable) {
--- a/src/main/java/io/embernotch/peer/PeerLink.java
+++ b/src/main/java/io/embernotch/peer/PeerLink.java
@@ -3,28 +3,31 @@
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
 
-/** Carries frames to the other controllers. Delivery is not guaranteed. Core loop only. */
+/** Sends and receives frames. Delivery is not guaranteed. Confined to the core loop. */
 public interface PeerLink {
-  /** Sends frames back over the connection that a frame came by. */
+  /** Sends frames on the connection on which a frame arrived. */
   interface ReplyChannel {
     /** Sends a frame, or drops it if the connection is congested. */
     void send(Frame frame);
   }
 
-  /** Sets the handler of all incoming frames, in place of the one before. */
+  /** Sets the handler of all incoming frames; replaces the previous one. */
   void onFrame(BiConsumer<Frame, ReplyChannel> handler);
 
-  /** Sets what is done for a controller that connects to this one, in place of what was before. */
+  /**
+   * Sets the callback for each controller that connects to this one; replaces the previous one. It
+   * receives the channel to the connected controller.
+   */
   default void onConnected(Consumer<ReplyChannel> greeter) {}
 
-  /** Sends a frame to a controller, or drops it if there is no connection or it is congested. */
+  /** Sends a frame to a controller, or drops it if the connection is missing or congested. */
   void send(String node, Frame frame);
 
-  /** Whether there is a connection to a controller, so that a frame is not dropped at once. */
+  /** Returns whether a connection to a controller exists; without one, frames are dropped. */
   default boolean isConnected(String node) {
     return true;
   }
 
-  /** Closes the connection to a node that has become unresponsive, and connects anew. */
+  /** Closes the connection to an unresponsive controller and reconnects. */
   void renew(String node);
 }
--- a/src/main/java/io/embernotch/peer/VertxPeerLink.java
+++ b/src/main/java/io/embernotch/peer/VertxPeerLink.java
@@ -19,19 +19,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps one outgoing TCP connection to each member. Responses travel back on the connection that
- * the request came by.
+ * Maintains one outgoing TCP connection to each of the other controllers. Replies are sent on the
+ * connection on which the request arrived.
  */
 public final class VertxPeerLink implements PeerLink {
   private static final Logger LOG = LoggerFactory.getLogger(VertxPeerLink.class);
 
   /**
-   * A restarted process may be back at once: the first retry comes after this share of the longest
-   * time between two, and the time doubles from there.
+   * First retry delay as a share of the maximum. It is short because a restarted process may accept
+   * connections again immediately; the delay doubles with each retry.
    */
   private static final double FIRST_RETRY_SHARE = 1.0 / 32;
 
-  /** Connections are retried so many times a heartbeat interval at the least. */
+  /** Minimum number of connection retries per heartbeat interval. */
   private static final int RETRIES_PER_HEARTBEAT = 3;
 
   private static final int MS_PER_S = 1000;
@@ -43,7 +43,7 @@
   private BiConsumer<Frame, ReplyChannel> handler = (frame, reply) -> {};
   private Consumer<ReplyChannel> greeter = replies -> {};
 
-  /** A link to all members of the settings; {@link #start} connects it. */
+  /** Creates a link to all members in the settings; {@link #start} connects it. */
   public VertxPeerLink(Vertx vertx, Timers timers, Settings settings) {
     this.timers = timers;
     this.retryS = settings.workers().heartbeatIntervalS() / RETRIES_PER_HEARTBEAT;
@@ -56,8 +56,8 @@
   }
 
   /**
-   * Listens for the members' connections, and connects to them; the future fails if the address
-   * cannot be listened on.
+   * Listens for connections of the members and connects to them. The future fails if this
+   * controller cannot listen on the address.
    */
   public Future<Void> start(Vertx vertx, HostPort listen) {
     NetServerOptions options = new NetServerOptions();
@@ -70,7 +70,10 @@
         .mapEmpty();
   }
 
-  /** Whoever connects may have been started just now: it is greeted, and connected to at once. */
+  /**
+   * Accepts a connection. Its controller may just have started, so this controller greets it and
+   * connects to all unconnected members immediately instead of waiting for the next retry.
+   */
   private void accept(NetSocket socket) {
     Outbox outbox = attach(socket);
     greeter.accept(outbox::add);
@@ -117,18 +120,17 @@
           try {
             reader.feed(bytes.getBytes());
           } catch (MalformedInputException e) {
-            LOG.info("dropping a controller's connection: {}", e.getMessage());
+            LOG.info("closing a peer connection after a malformed frame: {}", e.getMessage());
             socket.close();
           }
         });
-    socket.exceptionHandler(
-        e -> LOG.debug("connection to a controller failed: {}", e.getMessage()));
+    socket.exceptionHandler(e -> LOG.debug("peer connection failed: {}", e.getMessage()));
     return outbox;
   }
 
   /**
-   * Collects the frames of one iteration of the event loop, so that forwarded heartbeats share
-   * packets and system calls.
+   * Batches the frames that one iteration of the event loop sends on a connection, which saves
+   * packets and system calls when many heartbeats are forwarded.
    */
   private static final class Outbox {
     private final NetSocket socket;
@@ -139,8 +141,8 @@
     }
 
     void add(Frame frame) {
-      // A peer that does not read must not fill this process's memory: frames are dropped, and
-      // repeated later.
+      // Drop the frame: a peer that does not read must not exhaust this process's memory. Senders
+      // repeat frames later.
       if (socket.writeQueueFull()) {
         return;
       }
@@ -158,7 +160,7 @@
     }
   }
 
-  /** The connection to one member, retried until it is there. */
+  /** The outgoing connection to one member; retries until it is established. */
   private final class Outgoing {
     final HostPort address;
     NetSocket socket;
@@ -170,7 +172,7 @@
       this.address = address;
     }
 
-    /** Connects, unless it is connected or about to be. */
+    /** Connects, unless a connection exists or an attempt is in progress. */
     void connect() {
       if (socket != null || connecting) {
         return;
--- a/src/test/java/io/embernotch/codec/CodecTest.java
+++ b/src/test/java/io/embernotch/codec/CodecTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** JSON formats: what is written is read back, and malformed fields are named. */
+/** JSON codecs: written values are read back unchanged, and errors name the malformed field. */
 class CodecTest {
   private static byte[] utf8(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
--- a/src/test/java/io/embernotch/peer/FormerVersionTest.java
+++ b/src/test/java/io/embernotch/peer/FormerVersionTest.java
@@ -15,8 +15,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Frames and values as the version before job chains wrote them, one of each kind. Both versions
- * serve side by side, and the former one drops a connection on any frame that it does not know.
+ * Compatibility with frames and stored values of the version before job chains, one of each kind.
+ * Both versions run side by side during an upgrade, and the previous version closes a connection on
+ * receiving an unknown frame.
  */
 class FormerVersionTest {
   private static byte[] file(String name) throws IOException {
@@ -58,7 +59,7 @@
     ObjectNode ended = JobProgressCodec.writeShard(job, shard, 0);
     assertThat(ended.remove("at").asLong()).isEqualTo(99);
     assertThat(Json.bytes(ended)).isEqualTo(Json.bytes(value("ended.json")));
-    // Written back by the former version, an end has lost its time: then the submission's counts.
+    // The previous version rewrites an end without its time; the submission time replaces it.
     Job back = JobProgressCodec.readJob(stored);
     JobProgressCodec.readShard(value("ended.json"), back, shard, 0);
     assertThat(back.finalPhase).isEqualTo(JobPhase.CANCELLED);
--- a/src/test/java/io/embernotch/peer/FrameReaderTest.java
+++ b/src/test/java/io/embernotch/peer/FrameReaderTest.java
@@ -10,9 +10,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * After a malformed frame nothing of its stream counts: a connection that is being closed still
- * delivers what had arrived on it, as {@code PausedServerTest} tells of the server for users. The
- * reader then went on at an arbitrary place, and might have taken anything for a frame.
+ * Guards against a reader that continues after a malformed frame. A connection that is being closed
+ * still delivers bytes that had already arrived, as {@code PausedServerTest} shows for the HTTP
+ * server. The reader then continued at an arbitrary position of the stream and could read any bytes
+ * as a frame.
  */
 class FrameReaderTest {
   private static final Frame FRAME = new Frame.DelegateHeartbeatAck(7, 3, true);
--- a/src/test/java/io/embernotch/peer/FrameTest.java
+++ b/src/test/java/io/embernotch/peer/FrameTest.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Frames between controllers on the wire. */
+/** Encoding of frames between controllers. */
 class FrameTest {
   private static final MachineView VIEW =
       new MachineView(
--- a/src/test/java/io/embernotch/peer/ReplicationFramesTest.java
+++ b/src/test/java/io/embernotch/peer/ReplicationFramesTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Frames of replication on the wire, and heartbeats between this version and the former one. */
+/** Encoding of replication frames, and of heartbeats exchanged with the previous version. */
 class ReplicationFramesTest {
   private static final String HEARTBEAT_OF_C1_FOR_C2 =
       "0000001301010002633100026332000000000000002c";
@@ -26,7 +26,7 @@
     return new Frame.PeerHeartbeat("c1", "c2", 44, storeReachable, replicates);
   }
 
-  /** Guards against fields of an update in another order or width than other versions read. */
+  /** Guards against a changed order or width of an update's fields, which other versions read. */
   @Test
   void aStateUpdateSurvivesAndItsBytesStay() {
     byte[] value = "{}".getBytes(StandardCharsets.UTF_8);
@@ -44,7 +44,7 @@
     assertThat(read.entries().get(0).value()).isEqualTo(value);
   }
 
-  /** Guards against an acknowledgement of another update than the one that is held. */
+  /** Guards against an acknowledgement that identifies the wrong update. */
   @Test
   void anAcknowledgementSurvivesAndItsBytesStay() {
     Frame acknowledgement = new Frame.StateUpdateAck((7L << 32) + 1);
@@ -53,7 +53,7 @@
     assertThat(decode(bytes)).isEqualTo(acknowledgement);
   }
 
-  /** Guards against a request for another part, or of another loss. */
+  /** Guards against a request that identifies the wrong part or the wrong data loss. */
   @Test
   void aKnowledgeRequestSurvivesAndItsBytesStay() {
     Frame request = new Frame.KnowledgeRequest(9, "c1", 1L << 24, 3);
@@ -62,21 +62,21 @@
     assertThat(decode(bytes)).isEqualTo(request);
   }
 
-  /** Guards against a byte that the former version would take for a store that is unreachable. */
+  /** Guards against a byte that the previous version reads as an unreachable store. */
   @Test
   void aHeartbeatThatReplicatesEndsIn2() {
     assertThat(hex(heartbeat(true, true))).isEqualTo(HEARTBEAT_OF_C1_FOR_C2 + "02");
     assertThat(decode(HEARTBEAT_OF_C1_FOR_C2 + "02")).isEqualTo(heartbeat(true, true));
   }
 
-  /** Guards against frames that the former version does not know being sent to it. */
+  /** Guards against sending replication frames to the previous version, which rejects them. */
   @Test
   void aHeartbeatOfTheFormerVersionDoesNotReplicate() {
     assertThat(hex(heartbeat(true, false))).isEqualTo(HEARTBEAT_OF_C1_FOR_C2 + "01");
     assertThat(decode(HEARTBEAT_OF_C1_FOR_C2 + "01")).isEqualTo(heartbeat(true, false));
   }
 
-  /** Guards against a former version that takes a store for reachable that is not. */
+  /** Guards against a byte that the previous version reads as a reachable store. */
   @Test
   void aHeartbeatWithoutTheStoreEndsIn0WhetherItReplicatesOrNot() {
     assertThat(hex(heartbeat(false, true))).isEqualTo(HEARTBEAT_OF_C1_FOR_C2 + "00");
--- a/src/test/java/io/embernotch/peer/VertxPeerLinkTest.java
+++ b/src/test/java/io/embernotch/peer/VertxPeerLinkTest.java
@@ -17,17 +17,17 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Two controllers on loopback, of which one is started while the other one is up. */
+/** Connects two controllers over loopback; the second starts while the first is running. */
 class VertxPeerLinkTest {
   private static final String HOST = "127.0.0.1";
 
-  /** So long that no connection is retried within a test: the first time after a 96th of it. */
+  /** Long enough that no test reaches the first connection retry, after 1/96 of the interval. */
   private static final String HEARTBEAT_INTERVAL = "report_s = 600.0";
 
   private static final String LEASE = "lease_s = 6000.0";
   private static final String CANCEL = "cancel_s = 9000.0";
 
-  /** Long enough for whatever is done at once, and shorter than the first retry. */
+  /** Timeout for immediate actions; shorter than the delay of the first connection retry. */
   private static final int AT_ONCE_MS = 5000;
 
   private static final int STEP_MS = 50;
@@ -35,7 +35,7 @@
   private final Vertx vertx = Vertx.vertx();
   private final Context loop = vertx.getOrCreateContext();
 
-  /** Nobody listens on the third one. */
+  /** Ports of the three controllers; nothing listens on the third. */
   private final int[] ports = {freePort(), freePort(), freePort()};
 
   private final BlockingQueue<String> receivedByFirst = new LinkedBlockingQueue<>();
@@ -83,7 +83,7 @@
     vertx.close().await(AT_ONCE_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** Guards against a process that hears of the others only with their next heartbeats. */
+  /** Guards against a started process that waits for the next heartbeats of the others. */
   @Test
   void whoeverConnectsIsGreeted() throws Exception {
     start(first, 0);
@@ -91,7 +91,7 @@
     assertThat(receivedBySecond.poll(AT_ONCE_MS, TimeUnit.MILLISECONDS)).isEqualTo("c0");
   }
 
-  /** Guards against answers that are waited for from a process that has ended. */
+  /** Guards against waiting for responses from a process that has ended. */
   @Test
   void whoeverDoesNotListenIsNotConnected() throws Exception {
     start(first, 0);
@@ -100,7 +100,7 @@
     assertThat(isConnected("c2")).isFalse();
   }
 
-  /** Guards against frames that are dropped until the next retry of a connection. */
+  /** Guards against dropping frames until the next connection retry. */
   @Test
   void whoeverConnectsIsConnectedToAtOnce() throws Exception {
     start(first, 0);
