--- a/src/main/java/io/embernotch/codec/CalendarCodec.java
+++ b/src/main/java/io/embernotch/codec/CalendarCodec.java
@@ -42,7 +42,7 @@
   private static final String IN_TIME = "in_time";
 
   /** Whether the deadline of an occurrence has passed. */
-  private static final String OVER = "over";
+  private static final String DEADLINE_PASSED = "over";
 
   /** List of releases. */
   private static final String RELEASES = "releases";
@@ -63,16 +63,16 @@
   private static final String DAYS = "days";
 
   /** Dates without an occurrence. */
-  private static final String EXCEPT = "except";
+  private static final String EXCLUDED_DATES = "except";
 
   /** Additional dates and the time of day of each. */
-  private static final String ALSO = "also";
+  private static final String ADDITIONAL_DATES = "also";
 
   /** Dates with a different time of day; null if the embargo is lifted on that date. */
-  private static final String MOVED = "moved";
+  private static final String MOVED_DATES = "moved";
 
   /** Selectors of the work that must be done for a release. */
-  private static final String ORDERS = "orders";
+  private static final String WORK_SELECTORS = "orders";
 
   private CalendarCodec() {}
 
@@ -105,7 +105,7 @@
         .put(LIFTED, occurrence.lifted())
         .put(JOBS, occurrence.jobs())
         .put(IN_TIME, occurrence.inTime())
-        .put(OVER, occurrence.over());
+        .put(DEADLINE_PASSED, occurrence.over());
   }
 
   /**
@@ -121,7 +121,7 @@
         json.path(LIFTED).asBoolean(),
         json.path(JOBS).asInt(),
         json.path(IN_TIME).asInt(),
-        json.path(OVER).asBoolean());
+        json.path(DEADLINE_PASSED).asBoolean());
   }
 
   /** Encodes the releases of a calendar. */
@@ -137,12 +137,12 @@
               .put(LEAD_S, release.leadS());
       ArrayNode days = entry.putArray(DAYS);
       release.days().forEach(day -> days.add(day.getValue()));
-      ArrayNode except = entry.putArray(EXCEPT);
+      ArrayNode except = entry.putArray(EXCLUDED_DATES);
       release.except().forEach(date -> except.add(date.toString()));
-      writeTimes(entry.putObject(ALSO), release.also());
-      writeTimes(entry.putObject(MOVED), release.moved());
-      ArrayNode orders = entry.putArray(ORDERS);
-      release.orders().forEach(s -> orders.add(ReservationCodec.writeSelector(s)));
+      writeTimes(entry.putObject(ADDITIONAL_DATES), release.also());
+      writeTimes(entry.putObject(MOVED_DATES), release.moved());
+      ArrayNode orders = entry.putArray(WORK_SELECTORS);
+      release.orders().forEach(selector -> orders.add(ReservationCodec.writeSelector(selector)));
     }
     return json;
   }
@@ -173,17 +173,19 @@
     Set<DayOfWeek> days = EnumSet.noneOf(DayOfWeek.class);
     entry.path(DAYS).forEach(day -> days.add(DayOfWeek.of(day.asInt())));
     Set<LocalDate> except = new TreeSet<>();
-    entry.path(EXCEPT).forEach(date -> except.add(LocalDate.parse(date.asText())));
+    entry.path(EXCLUDED_DATES).forEach(date -> except.add(LocalDate.parse(date.asText())));
     List<Selector> orders = new ArrayList<>();
-    entry.path(ORDERS).forEach(s -> orders.add(ReservationCodec.readSelector(s)));
+    entry
+        .path(WORK_SELECTORS)
+        .forEach(selector -> orders.add(ReservationCodec.readSelector(selector)));
     return new Release(
         Json.need(entry, ID).asText(),
         ZoneId.of(Json.need(entry, ZONE).asText()),
         LocalTime.parse(Json.need(entry, TIME).asText()),
         days,
         except,
-        readTimes(entry.path(ALSO)),
-        readTimes(entry.path(MOVED)),
+        readTimes(entry.path(ADDITIONAL_DATES)),
+        readTimes(entry.path(MOVED_DATES)),
         orders,
         entry.path(LEAD_S).asDouble());
   }
--- a/src/main/java/io/embernotch/codec/CloudCodec.java
+++ b/src/main/java/io/embernotch/codec/CloudCodec.java
@@ -35,10 +35,10 @@
   private static final String MORE_PAGES = "truncated";
 
   /** Idempotency key of a rental request. */
-  private static final String BOOKING = "booking";
+  private static final String IDEMPOTENCY_KEY = "booking";
 
   /** Number of machines to rent. */
-  private static final String NUMBER = "number";
+  private static final String MACHINE_COUNT = "number";
 
   /** Phase of a running machine. */
   private static final String RUNNING = "running";
@@ -166,22 +166,22 @@
   /**
    * Encodes the body of a rental request.
    *
-   * @param booking idempotency key: a repeated request gets the same response and rents no further
-   *     machines
+   * @param idempotencyKey identifies the rental: a repeated request gets the same response and
+   *     rents no further machines
    * @param type name of the machine type
    * @param zone name of the zone to rent in
    * @param spot whether to rent spot machines
-   * @param number number of machines to rent
+   * @param machineCount number of machines to rent
    */
   public static byte[] rentRequest(
-      String booking, String type, String zone, boolean spot, int number) {
+      String idempotencyKey, String type, String zone, boolean spot, int machineCount) {
     return Json.bytes(
         Json.object()
-            .put(BOOKING, booking)
+            .put(IDEMPOTENCY_KEY, idempotencyKey)
             .put(WireFields.TYPE, type)
             .put(WireFields.ZONE, zone)
             .put(WireFields.SPOT, spot)
-            .put(NUMBER, number));
+            .put(MACHINE_COUNT, machineCount));
   }
 
   /**
--- a/src/main/java/io/embernotch/codec/IncarnationCodec.java
+++ b/src/main/java/io/embernotch/codec/IncarnationCodec.java
@@ -22,13 +22,13 @@
   public static final String HEARTBEAT = "heartbeat";
 
   /** In a heartbeat: highest store revision that its writer had seen. */
-  private static final String SEEN = "seen";
+  private static final String SEEN_REVISION = "seen";
 
   /** Prefix of the fence keys. */
-  private static final String FENCE = "era/";
+  private static final String FENCE_PREFIX = "era/";
 
   /** Prefix of the keys of snapshot blocks. */
-  private static final String BLOCK = "block/";
+  private static final String BLOCK_PREFIX = "block/";
 
   /** Name of an incarnation. */
   private static final String NAME = "name";
@@ -46,7 +46,7 @@
   private static final String CRC = "crc";
 
   /** Keys with this modification revision or a lower one are older than the snapshot. */
-  private static final String SINCE = "since";
+  private static final String SNAPSHOT_REVISION = "since";
 
   /** Names of the preceding incarnations, most recent first. */
   private static final String PREDECESSORS = "after";
@@ -55,7 +55,7 @@
   private static final String ANNOUNCED_INCARNATION = "era";
 
   /** In an announcement: store revision at which the job was written. */
-  private static final String ANNOUNCED_EPOCH = "epoch";
+  private static final String ANNOUNCED_REVISION = "epoch";
 
   /** Base64 of the compressed bytes of a block. */
   private static final String BLOCK_BYTES = "z";
@@ -66,10 +66,10 @@
    * Encodes a heartbeat of the leader.
    *
    * @param incarnation name of the incarnation that the leader knows
-   * @param seen highest store revision that the leader has seen
+   * @param seenRevision highest store revision that the leader has seen
    */
-  public static ObjectNode writeHeartbeat(String incarnation, long seen) {
-    return Json.object().put(NAME, incarnation).put(SEEN, seen);
+  public static ObjectNode writeHeartbeat(String incarnation, long seenRevision) {
+    return Json.object().put(NAME, incarnation).put(SEEN_REVISION, seenRevision);
   }
 
   /**
@@ -87,31 +87,31 @@
    * @throws MalformedInputException if the revision is missing or malformed
    */
   public static long readHeartbeatSeen(JsonNode json) {
-    return Json.whole(json, SEEN);
+    return Json.whole(json, SEEN_REVISION);
   }
 
   /** Returns the fence key, on which every transaction of an incarnation is conditional. */
   public static String fence(StoreIncarnation incarnation) {
-    return FENCE + incarnation.name();
+    return FENCE_PREFIX + incarnation.name();
   }
 
   /**
    * Returns the prefix of the block keys of a snapshot.
    *
-   * @param base name of the snapshot
+   * @param snapshot name of the snapshot
    */
-  public static String blocks(String base) {
-    return BLOCK + base + "/";
+  public static String blocks(String snapshot) {
+    return BLOCK_PREFIX + snapshot + "/";
   }
 
   /**
    * Returns the key of a block. The keys of a snapshot sort in the order of its blocks.
    *
-   * @param base name of the snapshot
+   * @param snapshot name of the snapshot
    * @param index index of the block, from 0
    */
-  public static String block(String base, int index) {
-    return blocks(base) + String.format("%06d", index);
+  public static String block(String snapshot, int index) {
+    return blocks(snapshot) + String.format("%06d", index);
   }
 
   /** Encodes an incarnation. */
@@ -122,7 +122,7 @@
       json.put(SNAPSHOT, incarnation.snapshotName())
           .put(BLOCK_COUNT, incarnation.blockCount())
           .put(CRC, incarnation.crc())
-          .put(SINCE, incarnation.since());
+          .put(SNAPSHOT_REVISION, incarnation.since());
     }
     ArrayNode predecessors = json.putArray(PREDECESSORS);
     incarnation.predecessors().forEach(predecessors::add);
@@ -148,7 +148,7 @@
         hasSnapshot ? Json.text(json, SNAPSHOT) : null,
         hasSnapshot ? (int) Json.whole(json, BLOCK_COUNT) : 0,
         hasSnapshot ? Json.whole(json, CRC) : 0,
-        hasSnapshot ? Json.whole(json, SINCE) : 0,
+        hasSnapshot ? Json.whole(json, SNAPSHOT_REVISION) : 0,
         predecessors);
   }
 
@@ -157,10 +157,13 @@
    * incarnation and store revision at which it was written.
    *
    * @param incarnation name of the incarnation
-   * @param epoch store revision of the write
+   * @param revision store revision of the write
    */
-  public static ObjectNode announcement(ObjectNode value, String incarnation, long epoch) {
-    return value.deepCopy().put(ANNOUNCED_INCARNATION, incarnation).put(ANNOUNCED_EPOCH, epoch);
+  public static ObjectNode announcement(ObjectNode value, String incarnation, long revision) {
+    return value
+        .deepCopy()
+        .put(ANNOUNCED_INCARNATION, incarnation)
+        .put(ANNOUNCED_REVISION, revision);
   }
 
   /**
@@ -177,7 +180,7 @@
    * @throws MalformedInputException if the revision is missing or malformed
    */
   public static long announcedEpoch(JsonNode json) {
-    return Json.whole(json, ANNOUNCED_EPOCH);
+    return Json.whole(json, ANNOUNCED_REVISION);
   }
 
   /** Encodes a snapshot block: its bytes and their checksum. */
--- a/src/main/java/io/embernotch/codec/JobCodec.java
+++ b/src/main/java/io/embernotch/codec/JobCodec.java
@@ -81,13 +81,13 @@
   private static final String PHASE_PREFIX = "\"" + WireFields.PHASE + "\":\"";
 
   private static final int MAX_NAME_LENGTH = 500;
-  private static final Pattern REF = Pattern.compile("j-[0-9A-Za-z_-]{1,64}");
+  private static final Pattern JOB_ID_PATTERN = Pattern.compile("j-[0-9A-Za-z_-]{1,64}");
 
   private JobCodec() {}
 
   /** Returns whether a text is a well-formed job id. */
   public static boolean isRef(String text) {
-    return REF.matcher(text).matches();
+    return JOB_ID_PATTERN.matcher(text).matches();
   }
 
   /**
@@ -173,23 +173,24 @@
    * @param running number of running tasks
    */
   public static byte[] status(String ref, JobPhase phase, int done, int running) {
-    return utf8(open(ref, phase) + field(DONE_TASKS, done) + field(RUNNING_TASKS, running) + "}");
+    return utf8(
+        responseStart(ref, phase) + field(DONE_TASKS, done) + field(RUNNING_TASKS, running) + "}");
   }
 
   /**
    * Encodes the response to a poll with additional fields.
    *
-   * @param more adds the fields to the response
+   * @param additionalFields adds the fields to the response
    */
   public static byte[] status(
-      String ref, JobPhase phase, int done, int running, Consumer<ObjectNode> more) {
+      String ref, JobPhase phase, int done, int running, Consumer<ObjectNode> additionalFields) {
     ObjectNode json =
         Json.object()
             .put(WireFields.REF, ref)
             .put(WireFields.PHASE, JobEnumNames.phase(phase))
             .put(DONE_TASKS, done)
             .put(RUNNING_TASKS, running);
-    more.accept(json);
+    additionalFields.accept(json);
     return Json.bytes(json);
   }
 
@@ -220,14 +221,14 @@
   /**
    * Encodes the response to a poll for a job that waits for its dependencies.
    *
-   * @param others number of unmet dependencies
+   * @param unmetDependencies number of unmet dependencies
    */
-  public static byte[] waiting(String ref, int others) {
+  public static byte[] waiting(String ref, int unmetDependencies) {
     return utf8(
-        open(ref, JobPhase.QUEUED)
+        responseStart(ref, JobPhase.QUEUED)
             + field(DONE_TASKS, 0)
             + field(RUNNING_TASKS, 0)
-            + field(UNMET_DEPENDENCIES, others)
+            + field(UNMET_DEPENDENCIES, unmetDependencies)
             + "}");
   }
 
@@ -251,10 +252,10 @@
 
   /** Encodes the response to a submission or a cancellation. */
   public static byte[] brief(String ref, JobPhase phase) {
-    return utf8(open(ref, phase) + "}");
+    return utf8(responseStart(ref, phase) + "}");
   }
 
-  private static String open(String ref, JobPhase phase) {
+  private static String responseStart(String ref, JobPhase phase) {
     return "{\""
         + WireFields.REF
         + "\":\""
@@ -288,19 +289,19 @@
       return null;
     }
     if (!types.isArray() || types.isEmpty()) {
-      throw notTypes();
+      throw malformedTypes();
     }
     List<String> names = new ArrayList<>();
     for (JsonNode name : types) {
       if (!name.isTextual()) {
-        throw notTypes();
+        throw malformedTypes();
       }
       names.add(name.textValue());
     }
     return List.copyOf(names);
   }
 
-  private static MalformedInputException notTypes() {
+  private static MalformedInputException malformedTypes() {
     return new MalformedInputException(WireFields.TYPES + ": must be null or an array of names");
   }
 
@@ -316,19 +317,19 @@
       return List.of();
     }
     if (!dependencies.isArray()) {
-      throw notDependencies();
+      throw malformedDependencies();
     }
     Set<String> refs = new LinkedHashSet<>();
     for (JsonNode ref : dependencies) {
       if (!ref.isTextual() || !isRef(ref.textValue())) {
-        throw notDependencies();
+        throw malformedDependencies();
       }
       refs.add(ref.textValue());
     }
     return List.copyOf(refs);
   }
 
-  private static MalformedInputException notDependencies() {
+  private static MalformedInputException malformedDependencies() {
     return new MalformedInputException(DEPENDENCIES + ": must be null or an array of job ids");
   }
 }
--- a/src/main/java/io/embernotch/codec/JobProgressCodec.java
+++ b/src/main/java/io/embernotch/codec/JobProgressCodec.java
@@ -47,13 +47,13 @@
   private static final String SHARD_SIZE = "piece";
 
   /** Time of the submission or, in a progress shard, of the job's end, in Unix milliseconds. */
-  private static final String AT_MS = "at";
+  private static final String TIME_MS = "at";
 
   /** Number that the job's next attempt gets. */
   private static final String NEXT_ATTEMPT = "next";
 
   /** Final phase of the job; absent until it has ended. */
-  private static final String END = "end";
+  private static final String FINAL_PHASE = "end";
 
   /** Release occurrence that the job belongs to, as RELEASE/DATE; absent for none. */
   private static final String RELEASE = "rel";
@@ -67,7 +67,7 @@
   /** Positions of the fields of an open attempt; the preferred machine of its task is optional. */
   private static final int TASK = 0;
 
-  private static final int NUMBER = 1;
+  private static final int ATTEMPT_NUMBER = 1;
   private static final int MACHINE = 2;
   private static final int ZONE = 3;
   private static final int PREFERRED_MACHINE = 4;
@@ -106,7 +106,7 @@
    */
   public static ObjectNode writeJob(Job job, int shardSize) {
     ObjectNode json = Json.object();
-    json.put(AT_MS, job.submittedMs);
+    json.put(TIME_MS, job.submittedMs);
     json.put(SHARD_SIZE, shardSize);
     json.set(SPEC, JobCodec.write(job.spec));
     return json;
@@ -118,7 +118,7 @@
    * @throws MalformedInputException if the value is malformed
    */
   public static Job readJob(JsonNode json) {
-    Job job = new Job(JobCodec.read(Json.need(json, SPEC)), Json.whole(json, AT_MS));
+    Job job = new Job(JobCodec.read(Json.need(json, SPEC)), Json.whole(json, TIME_MS));
     job.restoredAfterLoss = Json.flagOr(json, REWRITTEN_AFTER_LOSS, false);
     return job;
   }
@@ -204,9 +204,9 @@
   private static void writeEnd(Job job, ObjectNode json) {
     json.put(NEXT_ATTEMPT, job.nextAttempt);
     if (job.finalPhase != null) {
-      json.put(END, JobEnumNames.phase(job.finalPhase));
+      json.put(FINAL_PHASE, JobEnumNames.phase(job.finalPhase));
       // The version before job chains ignores this field and may rewrite the value without it.
-      json.put(AT_MS, job.endedMs);
+      json.put(TIME_MS, job.endedMs);
     }
     if (job.release != null) {
       json.put(RELEASE, job.release);
@@ -237,14 +237,14 @@
    * @throws MalformedInputException if the phase is unknown
    */
   public static JobPhase readEnd(JsonNode json) {
-    JsonNode end = Json.opt(json, END);
+    JsonNode end = Json.opt(json, FINAL_PHASE);
     if (end == null) {
       return null;
     }
     return switch (end.asText()) {
       case JobEnumNames.DONE -> JobPhase.DONE;
       case JobEnumNames.CANCELLED -> JobPhase.CANCELLED;
-      default -> throw new MalformedInputException(END + ": unknown: " + end.asText());
+      default -> throw new MalformedInputException(FINAL_PHASE + ": unknown: " + end.asText());
     };
   }
 
@@ -292,13 +292,13 @@
       if (job.finalPhase == JobPhase.DONE) {
         job.done.set(0, job.spec.tasks());
       }
-      job.endedMs = Json.opt(json, AT_MS) == null ? job.submittedMs : Json.whole(json, AT_MS);
+      job.endedMs = Json.opt(json, TIME_MS) == null ? job.submittedMs : Json.whole(json, TIME_MS);
       job.release = json.path(RELEASE).asText(null);
       job.nextAttempt = Json.whole(json, NEXT_ATTEMPT);
     }
     JsonNode done = Json.opt(json, DONE);
     if (done != null) {
-      readBits(done).stream()
+      readBitSet(done).stream()
           .map(task -> Math.multiplyExact(shard, shardSize) + task)
           .filter(task -> isTaskOf(job, task))
           .forEach(job.done::set);
@@ -313,7 +313,7 @@
     return task >= 0 && task < job.spec.tasks();
   }
 
-  private static BitSet readBits(JsonNode base64) {
+  private static BitSet readBitSet(JsonNode base64) {
     try {
       return BitSet.valueOf(Base64.getDecoder().decode(base64.asText()));
     } catch (IllegalArgumentException e) {
@@ -336,7 +336,7 @@
         new Attempt(
             job,
             entry.get(TASK).asInt(),
-            entry.get(NUMBER).asLong(),
+            entry.get(ATTEMPT_NUMBER).asLong(),
             entry.get(MACHINE).asText(),
             entry.get(ZONE).asText(),
             0);
--- a/src/main/java/io/embernotch/codec/ReservationCodec.java
+++ b/src/main/java/io/embernotch/codec/ReservationCodec.java
@@ -70,10 +70,10 @@
   private static final String RESERVED = "on";
 
   /** Stored units per CPU, GPU or GB: reserved amounts are stored as integers. */
-  private static final double UNITS = 1000.0;
+  private static final double STORED_UNITS_PER_AMOUNT = 1000.0;
 
   /** Reserved amounts per machine: CPUs, GPUs and memory. */
-  private static final int AMOUNTS = 3;
+  private static final int AMOUNT_COUNT = 3;
 
   private ReservationCodec() {}
 
@@ -179,7 +179,7 @@
             (machine, amounts) -> {
               ArrayNode list = byMachine.putArray(machine);
               for (double amount : amounts) {
-                list.add(Math.round(amount * UNITS));
+                list.add(Math.round(amount * STORED_UNITS_PER_AMOUNT));
               }
             });
     return json;
@@ -192,9 +192,9 @@
         .fields()
         .forEachRemaining(
             field -> {
-              double[] amounts = new double[AMOUNTS];
-              for (int i = 0; i < AMOUNTS; i++) {
-                amounts[i] = field.getValue().path(i).asLong() / UNITS;
+              double[] amounts = new double[AMOUNT_COUNT];
+              for (int i = 0; i < AMOUNT_COUNT; i++) {
+                amounts[i] = field.getValue().path(i).asLong() / STORED_UNITS_PER_AMOUNT;
               }
               reserved.put(field.getKey(), amounts);
             });
--- a/src/main/java/io/embernotch/codec/WorkerCodec.java
+++ b/src/main/java/io/embernotch/codec/WorkerCodec.java
@@ -120,15 +120,15 @@
     try {
       index = Integer.parseInt(name.substring(slash + 1));
     } catch (NumberFormatException e) {
-      throw notATask(name);
+      throw malformedTaskId(name);
     }
     if (slash <= 0 || index < 0) {
-      throw notATask(name);
+      throw malformedTaskId(name);
     }
     return index;
   }
 
-  private static MalformedInputException notATask(String name) {
+  private static MalformedInputException malformedTaskId(String name) {
     return new MalformedInputException(WireFields.TASK + ": not JOB/NUMBER: " + name);
   }
 
--- a/src/main/java/io/embernotch/peer/FrameCodec.java
+++ b/src/main/java/io/embernotch/peer/FrameCodec.java
@@ -33,7 +33,7 @@
   /** In a peer heartbeat: the store answers the sender, which accepts replication frames. */
   static final byte STORE_REACHABLE_AND_REPLICATES = 2;
 
-  private static final int FIRST_BUFFER_BYTES = 512;
+  private static final int INITIAL_BUFFER_BYTES = 512;
   private static final int BUFFER_GROWTH = 4;
 
   private FrameCodec() {}
@@ -45,7 +45,7 @@
    *     long
    */
   public static byte[] encode(Frame frame) {
-    for (int size = FIRST_BUFFER_BYTES; ; size *= BUFFER_GROWTH) {
+    for (int size = INITIAL_BUFFER_BYTES; ; size *= BUFFER_GROWTH) {
       try {
         return encode(frame, ByteBuffer.allocate(Math.min(size, MAX_FRAME + LENGTH_BYTES)));
       } catch (BufferOverflowException e) {
--- a/src/main/java/io/embernotch/peer/FrameDecoder.java
+++ b/src/main/java/io/embernotch/peer/FrameDecoder.java
@@ -91,7 +91,7 @@
 
   private Frame forwardedRequest() {
     return new Frame.ForwardedRequest(
-        buffer.getLong(), constant(Frame.ForwardedRequest.Kind.values(), buffer.get()), text());
+        buffer.getLong(), enumConstant(Frame.ForwardedRequest.Kind.values(), buffer.get()), text());
   }
 
   private Frame forwardedSubmission() {
@@ -154,7 +154,7 @@
         text(),
         buffer.getInt(),
         buffer.getLong(),
-        constant(TaskState.values(), buffer.get()),
+        enumConstant(TaskState.values(), buffer.get()),
         exitCause(buffer.get()),
         flag());
   }
@@ -192,10 +192,10 @@
   }
 
   private static ExitCause exitCause(byte position) {
-    return position < 0 ? null : constant(ExitCause.values(), position);
+    return position < 0 ? null : enumConstant(ExitCause.values(), position);
   }
 
-  private static <T> T constant(T[] constants, byte position) {
+  private static <T> T enumConstant(T[] constants, byte position) {
     if (position < 0 || position >= constants.length) {
       throw new MalformedInputException("unknown value " + position);
     }
--- a/src/main/java/io/embernotch/peer/FrameReader.java
+++ b/src/main/java/io/embernotch/peer/FrameReader.java
@@ -6,16 +6,16 @@
 
 /** Splits the byte stream of one connection into frames. Not thread-safe. */
 public final class FrameReader {
-  private static final int FIRST_BUFFER_BYTES = 1024;
+  private static final int INITIAL_BUFFER_BYTES = 1024;
 
   /** Minimum bytes of a frame without its length: its version and its kind. */
-  private static final int MIN_FRAME = 2;
+  private static final int MIN_FRAME_BYTES = 2;
 
   private final Consumer<Frame> sink;
-  private ByteBuffer pending = ByteBuffer.allocate(FIRST_BUFFER_BYTES);
+  private ByteBuffer pending = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
 
   /** Whether a frame was malformed; the start of the next frame is unknown from then on. */
-  private boolean unusable;
+  private boolean malformed;
 
   /**
    * @param sink receives each frame in stream order
@@ -30,7 +30,7 @@
    * @throws MalformedInputException if a frame is malformed, or an earlier frame was
    */
   public void feed(byte[] bytes) {
-    if (unusable) {
+    if (malformed) {
       throw new MalformedInputException("follows a malformed frame");
     }
     append(bytes);
@@ -38,7 +38,7 @@
     try {
       deliverFrames();
     } catch (MalformedInputException e) {
-      unusable = true;
+      malformed = true;
       throw e;
     } finally {
       pending.compact();
@@ -48,7 +48,7 @@
   private void deliverFrames() {
     while (pending.remaining() >= FrameCodec.LENGTH_BYTES) {
       int length = pending.getInt(pending.position());
-      if (length < MIN_FRAME || length > FrameCodec.MAX_FRAME) {
+      if (length < MIN_FRAME_BYTES || length > FrameCodec.MAX_FRAME) {
         throw new MalformedInputException("frame length " + length);
       }
       if (pending.remaining() < FrameCodec.LENGTH_BYTES + length) {
--- a/src/main/java/io/embernotch/peer/PeerLink.java
+++ b/src/main/java/io/embernotch/peer/PeerLink.java
@@ -18,7 +18,7 @@
    * Sets the callback for each controller that connects to this one; replaces the previous one. It
    * receives the channel to the connected controller.
    */
-  default void onConnected(Consumer<ReplyChannel> greeter) {}
+  default void onConnected(Consumer<ReplyChannel> callback) {}
 
   /** Sends a frame to a controller, or drops it if the connection is missing or congested. */
   void send(String node, Frame frame);
--- a/src/main/java/io/embernotch/peer/VertxPeerLink.java
+++ b/src/main/java/io/embernotch/peer/VertxPeerLink.java
@@ -38,20 +38,20 @@
 
   private final Timers timers;
   private final NetClient client;
-  private final double retryS;
-  private final Map<String, Outgoing> outgoing = new HashMap<>();
+  private final double maxRetryDelayS;
+  private final Map<String, OutgoingConnection> outgoing = new HashMap<>();
   private BiConsumer<Frame, ReplyChannel> handler = (frame, reply) -> {};
-  private Consumer<ReplyChannel> greeter = replies -> {};
+  private Consumer<ReplyChannel> connectedCallback = replies -> {};
 
   /** Creates a link to all members in the settings; {@link #start} connects it. */
   public VertxPeerLink(Vertx vertx, Timers timers, Settings settings) {
     this.timers = timers;
-    this.retryS = settings.workers().heartbeatIntervalS() / RETRIES_PER_HEARTBEAT;
+    this.maxRetryDelayS = settings.workers().heartbeatIntervalS() / RETRIES_PER_HEARTBEAT;
     NetClientOptions options = new NetClientOptions();
-    options.setConnectTimeout((int) (retryS * MS_PER_S)).setTcpNoDelay(true);
+    options.setConnectTimeout((int) (maxRetryDelayS * MS_PER_S)).setTcpNoDelay(true);
     this.client = vertx.createNetClient(options);
     for (Settings.Member member : settings.members()) {
-      outgoing.put(member.node(), new Outgoing(member.address()));
+      outgoing.put(member.node(), new OutgoingConnection(member.address()));
     }
   }
 
@@ -66,7 +66,7 @@
         .createNetServer(options)
         .connectHandler(this::accept)
         .listen(listen.port(), listen.host())
-        .onSuccess(listening -> outgoing.values().forEach(Outgoing::connect))
+        .onSuccess(listening -> outgoing.values().forEach(OutgoingConnection::connect))
         .mapEmpty();
   }
 
@@ -76,8 +76,8 @@
    */
   private void accept(NetSocket socket) {
     Outbox outbox = attach(socket);
-    greeter.accept(outbox::add);
-    outgoing.values().forEach(Outgoing::connect);
+    connectedCallback.accept(outbox::add);
+    outgoing.values().forEach(OutgoingConnection::connect);
   }
 
   @Override
@@ -86,13 +86,13 @@
   }
 
   @Override
-  public void onConnected(Consumer<ReplyChannel> newGreeter) {
-    greeter = newGreeter;
+  public void onConnected(Consumer<ReplyChannel> newCallback) {
+    connectedCallback = newCallback;
   }
 
   @Override
   public void send(String node, Frame frame) {
-    Outgoing connection = outgoing.get(node);
+    OutgoingConnection connection = outgoing.get(node);
     if (connection != null && connection.socket != null) {
       connection.outbox.add(frame);
     }
@@ -100,13 +100,13 @@
 
   @Override
   public boolean isConnected(String node) {
-    Outgoing connection = outgoing.get(node);
+    OutgoingConnection connection = outgoing.get(node);
     return connection != null && connection.socket != null;
   }
 
   @Override
   public void renew(String node) {
-    Outgoing connection = outgoing.get(node);
+    OutgoingConnection connection = outgoing.get(node);
     if (connection != null && connection.socket != null) {
       connection.socket.close();
     }
@@ -161,14 +161,14 @@
   }
 
   /** The outgoing connection to one member; retries until it is established. */
-  private final class Outgoing {
+  private final class OutgoingConnection {
     final HostPort address;
     NetSocket socket;
     Outbox outbox;
-    double retryDelayS = FIRST_RETRY_SHARE * retryS;
+    double retryDelayS = FIRST_RETRY_SHARE * maxRetryDelayS;
     boolean connecting;
 
-    Outgoing(HostPort address) {
+    OutgoingConnection(HostPort address) {
       this.address = address;
     }
 
@@ -185,7 +185,7 @@
               connected -> {
                 socket = connected;
                 outbox = attach(connected);
-                retryDelayS = FIRST_RETRY_SHARE * retryS;
+                retryDelayS = FIRST_RETRY_SHARE * maxRetryDelayS;
                 connected.closeHandler(
                     v -> {
                       socket = null;
@@ -197,7 +197,7 @@
 
     private void retry() {
       timers.after(retryDelayS, this::connect);
-      retryDelayS = Math.min(retryS, 2 * retryDelayS);
+      retryDelayS = Math.min(maxRetryDelayS, 2 * retryDelayS);
     }
   }
 }
--- a/src/test/java/io/embernotch/codec/CodecTest.java
+++ b/src/test/java/io/embernotch/codec/CodecTest.java
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void aSubmissionSurvivesTheStore() {
+  void submissionIsReadBackUnchanged() {
     JobSpec spec = read(job("j-1", "group", 4).replace("\"flavors\":null", "\"flavors\":[\"g8\"]"));
     assertThat(JobCodec.read(JobCodec.write(spec))).isEqualTo(spec);
   }
@@ -52,7 +52,7 @@
         "\"ref\":\"j-1\" | \"ref\":\"x/../y\" | ref",
         "\"due_s\":null | \"due_s\":true | due_s"
       })
-  void malformedFieldsAreNamed(String good, String bad, String field) {
+  void errorNamesTheMalformedField(String good, String bad, String field) {
     String json = job("j-1", "array", 2);
     assertThat(json).contains(good);
     assertThatThrownBy(() -> read(json.replace(good, bad)))
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void whatIsNotAnObjectIsRefused() {
+  void nonObjectsAreRejected() {
     for (String text : new String[] {"", "[]", "3", "{", "{}x", "null"}) {
       assertThatThrownBy(() -> Json.parseObject(utf8(text)))
           .as(text)
@@ -104,7 +104,7 @@
   }
 
   @Test
-  void progressSurvivesTheStore() {
+  void progressIsReadBackUnchanged() {
     JobSpec spec = read(job("j-1", "array", 10));
     Job job = new Job(spec, 77);
     job.done.set(1);
@@ -113,22 +113,22 @@
     job.openAttempts.put(3, new Attempt(job, 3, 4, "n-1", "z1", 9));
     job.openAttempts.put(8, new Attempt(job, 8, 4, "n-2", "z2", 9));
     job.preferredMachines.put(3, "n-9");
-    Job back = JobProgressCodec.readJob(JobProgressCodec.writeJob(job, 4));
+    Job restored = JobProgressCodec.readJob(JobProgressCodec.writeJob(job, 4));
     for (int shard = 0; shard < 3; shard++) {
-      JobProgressCodec.readShard(JobProgressCodec.writeShard(job, 4, shard), back, 4, shard);
+      JobProgressCodec.readShard(JobProgressCodec.writeShard(job, 4, shard), restored, 4, shard);
     }
-    assertThat(back.submittedMs).isEqualTo(77);
-    assertThat(back.done).isEqualTo(job.done);
-    assertThat(back.openAttempts.keySet()).containsExactly(3, 8);
-    assertThat(back.openAttempts.get(8).zone).isEqualTo("z2");
-    assertThat(back.preferredMachines).containsEntry(3, "n-9");
+    assertThat(restored.submittedMs).isEqualTo(77);
+    assertThat(restored.done).isEqualTo(job.done);
+    assertThat(restored.openAttempts.keySet()).containsExactly(3, 8);
+    assertThat(restored.openAttempts.get(8).zone).isEqualTo("z2");
+    assertThat(restored.preferredMachines).containsEntry(3, "n-9");
     job.finalPhase = JobPhase.CANCELLED;
     ObjectNode json = JobProgressCodec.writeShard(job, 4, 0);
     assertThat(JobProgressCodec.readEnd(json)).isEqualTo(JobPhase.CANCELLED);
   }
 
   @Test
-  void aHeartbeatThatLacksAFieldIsRefused() {
+  void malformedHeartbeatIsRejected() {
     for (String body : new String[] {"{\"hearth\":", "{\"hearth\":\"n-1\"}", "[]"}) {
       assertThatThrownBy(() -> WorkerCodec.read(utf8(body)))
           .isInstanceOf(MalformedInputException.class);
--- a/src/test/java/io/embernotch/peer/FormerVersionTest.java
+++ b/src/test/java/io/embernotch/peer/PreviousVersionCompatibilityTest.java
@@ -19,9 +19,10 @@
  * Both versions run side by side during an upgrade, and the previous version closes a connection on
  * receiving an unknown frame.
  */
-class FormerVersionTest {
+class PreviousVersionCompatibilityTest {
   private static byte[] file(String name) throws IOException {
-    try (InputStream in = FormerVersionTest.class.getResourceAsStream("/former-version/" + name)) {
+    try (InputStream in =
+        PreviousVersionCompatibilityTest.class.getResourceAsStream("/former-version/" + name)) {
       return in.readAllBytes();
     }
   }
@@ -31,7 +32,7 @@
   }
 
   @Test
-  void framesAreReadAndWrittenToTheByteAsBefore() throws IOException {
+  void framesAreReadAndWrittenByteForByte() throws IOException {
     String[] lines = new String(file("frames.hex"), StandardCharsets.US_ASCII).split("\n");
     assertThat(lines).hasSize(9);
     for (String line : lines) {
@@ -42,7 +43,7 @@
   }
 
   @Test
-  void valuesAreReadAndWrittenAsBeforeButForFieldsThatItIgnores() throws IOException {
+  void storedValuesDifferOnlyInFieldsThatThePreviousVersionIgnores() throws IOException {
     ObjectNode stored = value("job.json");
     Job job = JobProgressCodec.readJob(stored);
     assertThat(job.spec.dependencies()).isEmpty();
@@ -60,9 +61,9 @@
     assertThat(ended.remove("at").asLong()).isEqualTo(99);
     assertThat(Json.bytes(ended)).isEqualTo(Json.bytes(value("ended.json")));
     // The previous version rewrites an end without its time; the submission time replaces it.
-    Job back = JobProgressCodec.readJob(stored);
-    JobProgressCodec.readShard(value("ended.json"), back, shard, 0);
-    assertThat(back.finalPhase).isEqualTo(JobPhase.CANCELLED);
-    assertThat(back.endedMs).isEqualTo(77);
+    Job restored = JobProgressCodec.readJob(stored);
+    JobProgressCodec.readShard(value("ended.json"), restored, shard, 0);
+    assertThat(restored.finalPhase).isEqualTo(JobPhase.CANCELLED);
+    assertThat(restored.endedMs).isEqualTo(77);
   }
 }
--- a/src/test/java/io/embernotch/peer/ReplicationFramesTest.java
+++ b/src/test/java/io/embernotch/peer/ReplicationFramesTest.java
@@ -28,7 +28,7 @@
 
   /** Guards against a changed order or width of an update's fields, which other versions read. */
   @Test
-  void aStateUpdateSurvivesAndItsBytesStay() {
+  void stateUpdateHasAStableEncoding() {
     byte[] value = "{}".getBytes(StandardCharsets.UTF_8);
     Frame update =
         new Frame.StateUpdate(9, "c0-7", 300, List.of(new Frame.StateEntry("run/j-1", value)));
@@ -46,7 +46,7 @@
 
   /** Guards against an acknowledgement that identifies the wrong update. */
   @Test
-  void anAcknowledgementSurvivesAndItsBytesStay() {
+  void acknowledgementHasAStableEncoding() {
     Frame acknowledgement = new Frame.StateUpdateAck((7L << 32) + 1);
     String bytes = "0000000a010e0000000700000001";
     assertThat(hex(acknowledgement)).isEqualTo(bytes);
@@ -55,7 +55,7 @@
 
   /** Guards against a request that identifies the wrong part or the wrong data loss. */
   @Test
-  void aKnowledgeRequestSurvivesAndItsBytesStay() {
+  void knowledgeRequestHasAStableEncoding() {
     Frame request = new Frame.KnowledgeRequest(9, "c1", 1L << 24, 3);
     String bytes = "0000001a010f0000000000000009000263310000000001000000" + "00000003";
     assertThat(hex(request)).isEqualTo(bytes);
@@ -64,21 +64,21 @@
 
   /** Guards against a byte that the previous version reads as an unreachable store. */
   @Test
-  void aHeartbeatThatReplicatesEndsIn2() {
+  void heartbeatOfAReplicatingControllerEndsIn2() {
     assertThat(hex(heartbeat(true, true))).isEqualTo(HEARTBEAT_OF_C1_FOR_C2 + "02");
     assertThat(decode(HEARTBEAT_OF_C1_FOR_C2 + "02")).isEqualTo(heartbeat(true, true));
   }
 
   /** Guards against sending replication frames to the previous version, which rejects them. */
   @Test
-  void aHeartbeatOfTheFormerVersionDoesNotReplicate() {
+  void heartbeatOfThePreviousVersionDoesNotReplicate() {
     assertThat(hex(heartbeat(true, false))).isEqualTo(HEARTBEAT_OF_C1_FOR_C2 + "01");
     assertThat(decode(HEARTBEAT_OF_C1_FOR_C2 + "01")).isEqualTo(heartbeat(true, false));
   }
 
   /** Guards against a byte that the previous version reads as a reachable store. */
   @Test
-  void aHeartbeatWithoutTheStoreEndsIn0WhetherItReplicatesOrNot() {
+  void heartbeatWithoutAReachableStoreEndsIn0() {
     assertThat(hex(heartbeat(false, true))).isEqualTo(HEARTBEAT_OF_C1_FOR_C2 + "00");
     assertThat(hex(heartbeat(false, false))).isEqualTo(HEARTBEAT_OF_C1_FOR_C2 + "00");
     assertThat(decode(HEARTBEAT_OF_C1_FOR_C2 + "00")).isEqualTo(heartbeat(false, false));
--- a/src/test/java/io/embernotch/peer/VertxPeerLinkTest.java
+++ b/src/test/java/io/embernotch/peer/VertxPeerLinkTest.java
@@ -28,7 +28,7 @@
   private static final String CANCEL = "cancel_s = 9000.0";
 
   /** Timeout for immediate actions; shorter than the delay of the first connection retry. */
-  private static final int AT_ONCE_MS = 5000;
+  private static final int IMMEDIATE_TIMEOUT_MS = 5000;
 
   private static final int STEP_MS = 50;
 
@@ -75,25 +75,25 @@
     HostPort address = HostPort.parse(HOST + ":" + ports[index]);
     Promise<Void> started = Promise.promise();
     loop.runOnContext(v -> link.start(vertx, address).onComplete(started));
-    started.future().await(AT_ONCE_MS, TimeUnit.MILLISECONDS);
+    started.future().await(IMMEDIATE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 
   @AfterEach
   void close() throws Exception {
-    vertx.close().await(AT_ONCE_MS, TimeUnit.MILLISECONDS);
+    vertx.close().await(IMMEDIATE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 
   /** Guards against a started process that waits for the next heartbeats of the others. */
   @Test
-  void whoeverConnectsIsGreeted() throws Exception {
+  void connectingControllerIsGreeted() throws Exception {
     start(first, 0);
     start(second, 1);
-    assertThat(receivedBySecond.poll(AT_ONCE_MS, TimeUnit.MILLISECONDS)).isEqualTo("c0");
+    assertThat(receivedBySecond.poll(IMMEDIATE_TIMEOUT_MS, TimeUnit.MILLISECONDS)).isEqualTo("c0");
   }
 
   /** Guards against waiting for responses from a process that has ended. */
   @Test
-  void whoeverDoesNotListenIsNotConnected() throws Exception {
+  void controllerThatDoesNotListenIsNotConnected() throws Exception {
     start(first, 0);
     start(second, 1);
     awaitConnected("c1");
@@ -102,18 +102,18 @@
 
   /** Guards against dropping frames until the next connection retry. */
   @Test
-  void whoeverConnectsIsConnectedToAtOnce() throws Exception {
+  void connectionToAConnectingControllerIsOpenedImmediately() throws Exception {
     start(first, 0);
     start(second, 1);
     awaitConnected("c1");
     receivedBySecond.clear();
     loop.runOnContext(v -> first.send("c1", heartbeatOf(0)));
-    assertThat(receivedBySecond.poll(AT_ONCE_MS, TimeUnit.MILLISECONDS)).isEqualTo("c0");
+    assertThat(receivedBySecond.poll(IMMEDIATE_TIMEOUT_MS, TimeUnit.MILLISECONDS)).isEqualTo("c0");
   }
 
   private void awaitConnected(String node) throws Exception {
     boolean connected = isConnected(node);
-    for (int waitedMs = 0; !connected && waitedMs < AT_ONCE_MS; waitedMs += STEP_MS) {
+    for (int waitedMs = 0; !connected && waitedMs < IMMEDIATE_TIMEOUT_MS; waitedMs += STEP_MS) {
       Thread.sleep(STEP_MS);
       connected = isConnected(node);
     }
@@ -123,6 +123,6 @@
   private boolean isConnected(String node) throws Exception {
     Promise<Boolean> answer = Promise.promise();
     loop.runOnContext(v -> answer.complete(first.isConnected(node)));
-    return answer.future().await(AT_ONCE_MS, TimeUnit.MILLISECONDS);
+    return answer.future().await(IMMEDIATE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 }
