--- a/src/main/java/io/embernotch/codec/CalendarCodec.java
+++ b/src/main/java/io/embernotch/codec/CalendarCodec.java
@@ -19,30 +19,30 @@
 import java.util.TreeSet;
 
 /**
- * The embargo calendar as shared state entries: its releases, and each occurrence of a release with
- * its deadline.
+ * Encodes the embargo calendar as shared state entries: its releases, and each occurrence of a
+ * release with its deadline.
  */
 public final class CalendarCodec {
-  /** Generation of the calendar that a value is of. */
+  /** Generation of the calendar settings. */
   private static final String GENERATION = "gen";
 
-  /** Present deadline of an occurrence, in milliseconds of the time of day. */
+  /** Current deadline of an occurrence, in Unix milliseconds. */
   private static final String DEADLINE_MS = "at";
 
-  /** Deadline of an occurrence when it was first written. */
+  /** Deadline of an occurrence when it was first written, in Unix milliseconds. */
   private static final String FIRST_DEADLINE_MS = "first";
 
   /** Whether the embargo of an occurrence is lifted. */
   private static final String LIFTED = "lifted";
 
-  /** Number of jobs of an occurrence. */
+  /** Number of jobs that belong to an occurrence. */
   private static final String JOBS = "jobs";
 
-  /** How many of them were done by the deadline. */
+  /** Number of these jobs that were done by the deadline. */
   private static final String IN_TIME = "in_time";
 
   /** Whether the deadline of an occurrence has passed. */
-  private static final String OVER = "over";
+  private static final String DEADLINE_PASSED = "over";
 
   /** List of releases. */
   private static final String RELEASES = "releases";
@@ -56,36 +56,36 @@
   /** Time of day of a release. */
   private static final String TIME = "time";
 
-  /** Seconds before the deadline by which the work is to be done. */
+  /** Seconds before the deadline by which the work must be done. */
   private static final String LEAD_S = "lead";
 
-  /** Days of the week, Monday is 1. */
+  /** Days of the week as numbers; Monday is 1. */
   private static final String DAYS = "days";
 
   /** Dates without an occurrence. */
-  private static final String EXCEPT = "except";
+  private static final String EXCLUDED_DATES = "except";
 
-  /** Additional dates with their time. */
-  private static final String ALSO = "also";
+  /** Additional dates and the time of day of each. */
+  private static final String ADDITIONAL_DATES = "also";
 
-  /** Dates with another time; null: lifted. */
-  private static final String MOVED = "moved";
+  /** Dates with a different time of day; null if the embargo is lifted on that date. */
+  private static final String MOVED_DATES = "moved";
 
-  /** Selectors of the work that a release needs. */
-  private static final String ORDERS = "orders";
+  /** Selectors of the work that must be done for a release. */
+  private static final String WORK_SELECTORS = "orders";
 
   private CalendarCodec() {}
 
   /**
-   * One occurrence of a release as it is stored.
+   * An occurrence of a release as it is stored.
    *
-   * @param generation generation of the calendar that it was written under
-   * @param deadlineMs present deadline, in milliseconds of the time of day
-   * @param firstDeadlineMs the deadline when it was first written; it never changes
+   * @param generation generation of the calendar settings that it was written under
+   * @param deadlineMs current deadline, in Unix milliseconds
+   * @param firstDeadlineMs deadline when it was first written, in Unix milliseconds; never changes
    * @param lifted whether its embargo is lifted
-   * @param jobs number of jobs for it
-   * @param inTime how many of them were done by the deadline
-   * @param over whether the deadline has passed, and the counts are final
+   * @param jobs number of jobs that belong to it
+   * @param inTime number of these jobs that were done by the deadline
+   * @param over whether the deadline has passed and the counts are final
    */
   public record StoredOccurrence(
       long generation,
@@ -96,7 +96,7 @@
       int inTime,
       boolean over) {}
 
-  /** The value of an occurrence. */
+  /** Encodes an occurrence. */
   public static ObjectNode write(StoredOccurrence occurrence) {
     return Json.object()
         .put(GENERATION, occurrence.generation())
@@ -105,13 +105,13 @@
         .put(LIFTED, occurrence.lifted())
         .put(JOBS, occurrence.jobs())
         .put(IN_TIME, occurrence.inTime())
-        .put(OVER, occurrence.over());
+        .put(DEADLINE_PASSED, occurrence.over());
   }
 
   /**
-   * Reads the value of an occurrence.
+   * Reads an occurrence.
    *
-   * @throws MalformedInputException if its generation or a deadline is missing
+   * @throws MalformedInputException if the generation or a deadline is missing or malformed
    */
   public static StoredOccurrence read(JsonNode json) {
     return new StoredOccurrence(
@@ -121,10 +121,10 @@
         json.path(LIFTED).asBoolean(),
         json.path(JOBS).asInt(),
         json.path(IN_TIME).asInt(),
-        json.path(OVER).asBoolean());
+        json.path(DEADLINE_PASSED).asBoolean());
   }
 
-  /** The value that holds a calendar's releases. */
+  /** Encodes the releases of a calendar. */
   public static ObjectNode writeReleases(long generation, List<Release> releases) {
     ObjectNode json = Json.object().put(GENERATION, generation);
     ArrayNode list = json.putArray(RELEASES);
@@ -137,12 +137,12 @@
               .put(LEAD_S, release.leadS());
       ArrayNode days = entry.putArray(DAYS);
       release.days().forEach(day -> days.add(day.getValue()));
-      ArrayNode except = entry.putArray(EXCEPT);
+      ArrayNode except = entry.putArray(EXCLUDED_DATES);
       release.except().forEach(date -> except.add(date.toString()));
-      writeTimes(entry.putObject(ALSO), release.also());
-      writeTimes(entry.putObject(MOVED), release.moved());
-      ArrayNode orders = entry.putArray(ORDERS);
-      release.orders().forEach(s -> orders.add(ReservationCodec.writeSelector(s)));
+      writeTimes(entry.putObject(ADDITIONAL_DATES), release.also());
+      writeTimes(entry.putObject(MOVED_DATES), release.moved());
+      ArrayNode orders = entry.putArray(WORK_SELECTORS);
+      release.orders().forEach(selector -> orders.add(ReservationCodec.writeSelector(selector)));
     }
     return json;
   }
@@ -152,9 +152,10 @@
   }
 
   /**
-   * Reads a calendar's releases.
+   * Reads the releases of a calendar.
    *
-   * @throws MalformedInputException if a field is missing, or a date, time or time zone is none
+   * @throws MalformedInputException if a field is missing, or a day, date, time or time zone is
+   *     invalid
    */
   public static List<Release> readReleases(JsonNode json) {
     List<Release> releases = new ArrayList<>();
@@ -172,17 +173,19 @@
     Set<DayOfWeek> days = EnumSet.noneOf(DayOfWeek.class);
     entry.path(DAYS).forEach(day -> days.add(DayOfWeek.of(day.asInt())));
     Set<LocalDate> except = new TreeSet<>();
-    entry.path(EXCEPT).forEach(date -> except.add(LocalDate.parse(date.asText())));
+    entry.path(EXCLUDED_DATES).forEach(date -> except.add(LocalDate.parse(date.asText())));
     List<Selector> orders = new ArrayList<>();
-    entry.path(ORDERS).forEach(s -> orders.add(ReservationCodec.readSelector(s)));
+    entry
+        .path(WORK_SELECTORS)
+        .forEach(selector -> orders.add(ReservationCodec.readSelector(selector)));
     return new Release(
         Json.need(entry, ID).asText(),
         ZoneId.of(Json.need(entry, ZONE).asText()),
         LocalTime.parse(Json.need(entry, TIME).asText()),
         days,
         except,
-        readTimes(entry.path(ALSO)),
-        readTimes(entry.path(MOVED)),
+        readTimes(entry.path(ADDITIONAL_DATES)),
+        readTimes(entry.path(MOVED_DATES)),
         orders,
         entry.path(LEAD_S).asDouble());
   }
--- a/src/test/java/io/embernotch/peer/FormerVersionTest.java
+++ b/src/test/java/io/embernotch/peer/PreviousVersionCompatibilityTest.java
@@ -15,12 +15,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Frames and values as the version before job chains wrote them, one of each kind. Both versions
- * serve side by side, and the former one drops a connection on any frame that it does not know.
+ * Compatibility with frames and stored values of the version before job chains, one of each kind.
+ * Both versions run side by side during an upgrade, and the previous version closes a connection on
+ * receiving an unknown frame.
  */
-class FormerVersionTest {
+class PreviousVersionCompatibilityTest {
   private static byte[] file(String name) throws IOException {
-    try (InputStream in = FormerVersionTest.class.getResourceAsStream("/former-version/" + name)) {
+    try (InputStream in =
+        PreviousVersionCompatibilityTest.class.getResourceAsStream("/former-version/" + name)) {
       return in.readAllBytes();
     }
   }
@@ -30,7 +32,7 @@
   }
 
   @Test
-  void framesAreReadAndWrittenToTheByteAsBefore() throws IOException {
+  void framesAreReadAndWrittenByteForByte() throws IOException {
     String[] lines = new String(file("frames.hex"), StandardCharsets.US_ASCII).split("\n");
     assertThat(lines).hasSize(9);
     for (String line : lines) {
@@ -41,7 +43,7 @@
   }
 
   @Test
-  void valuesAreReadAndWrittenAsBeforeButForFieldsThatItIgnores() throws IOException {
+  void storedValuesDifferOnlyInFieldsThatThePreviousVersionIgnores() throws IOException {
     ObjectNode stored = value("job.json");
     Job job = JobProgressCodec.readJob(stored);
     assertThat(job.spec.dependencies()).isEmpty();
@@ -58,10 +60,10 @@
     ObjectNode ended = JobProgressCodec.writeShard(job, shard, 0);
     assertThat(ended.remove("at").asLong()).isEqualTo(99);
     assertThat(Json.bytes(ended)).isEqualTo(Json.bytes(value("ended.json")));
-    // Written back by the former version, an end has lost its time: then the submission's counts.
-    Job back = JobProgressCodec.readJob(stored);
-    JobProgressCodec.readShard(value("ended.json"), back, shard, 0);
-    assertThat(back.finalPhase).isEqualTo(JobPhase.CANCELLED);
-    assertThat(back.endedMs).isEqualTo(77);
+    // The previous version rewrites an end without its time; the submission time replaces it.
+    Job restored = JobProgressCodec.readJob(stored);
+    JobProgressCodec.readShard(value("ended.json"), restored, shard, 0);
+    assertThat(restored.finalPhase).isEqualTo(JobPhase.CANCELLED);
+    assertThat(restored.endedMs).isEqualTo(77);
   }
 }
