--- a/src/main/java/io/embernotch/fleet/CloudInventory.java
+++ b/src/main/java/io/embernotch/fleet/CloudInventory.java
@@ -11,9 +11,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Polls the cloud's machine list, and takes over what it adds to the cluster state. */
+/** Polls the cloud's machine list, and adds new machines and their details to the cluster state. */
 final class CloudInventory {
-  /** Operators know these lines under the fleet manager's name. */
+  /** Logs under the fleet manager's name, which operators search for. */
   private static final Logger LOG = LoggerFactory.getLogger(FleetManager.class);
 
   private final ControllerContext context;
@@ -29,7 +29,8 @@
   private boolean cloudAnswers;
 
   /**
-   * @param clusterChanged called after a list that brought something new
+   * @param clusterChanged called after the first list, and after each that contains a new machine
+   *     or a failure
    * @param scaleIn returns a machine
    */
   CloudInventory(
@@ -53,12 +54,12 @@
     return listedOnce;
   }
 
-  /** Whether the last list that was asked for, if it is decided, was received. */
+  /** Whether the most recent completed list request succeeded. */
   boolean cloudAnswers() {
     return cloudAnswers;
   }
 
-  /** Asks for the list when that is due. */
+  /** Requests the list if a request is due. */
   void tick(double now) {
     if (!requestPending && now - requestedAt > intervalS()) {
       request();
@@ -84,15 +85,15 @@
                 apply(result.result());
               } else {
                 cloudAnswers = false;
-                LOG.debug("machine list: {}", result.cause().getMessage());
+                LOG.debug("machine list request failed: {}", result.cause().getMessage());
               }
             });
   }
 
   /**
-   * Takes over what a list adds. A machine that a list lacks may be too new, or the list too old:
-   * lists never end anything here. Unresponsiveness does, followed by a deletion whose answer is
-   * proof.
+   * Adds the new information of a list. A machine that is missing from a list may be newer than the
+   * list, so no machine is given up for that. A machine is given up when it is unresponsive, and is
+   * proven gone by the response to its deletion.
    */
   private void apply(List<ListedMachine> list) {
     double now = context.clock().now();
@@ -113,8 +114,8 @@
       }
       if (listed.running()) {
         machine.listedUpAt = machine.listedUpAt < 0 ? now : machine.listedUpAt;
-        // A machine that ran under an earlier leader is asked at once: until its worker finds this
-        // leader by itself, nothing could be started on it.
+        // Contacts a machine that ran under an earlier leader at once: until its worker finds this
+        // leader by itself, nothing can be started on it.
         agents.find(machine);
       }
       if (listed.failed() && !machine.failed) {
@@ -130,7 +131,7 @@
     }
   }
 
-  /** Until its worker reports, a machine is known from the list alone. */
+  /** Sets the details of a machine whose worker has not reported yet from the list. */
   private void describe(Machine machine, ListedMachine listed, double now) {
     machine.type = state.types.getOrDefault(listed.type(), machine.type);
     machine.zone = listed.zone();
@@ -138,7 +139,7 @@
     machine.address = listed.address() == null ? machine.address : listed.address();
     machine.rentedAt =
         Math.min(machine.rentedAt == 0 ? now : machine.rentedAt, now - listed.ageS());
-    // One that ran under an earlier leader is given time to find this one.
+    // A machine that ran under an earlier leader is given time to find this leader.
     double findsLeaderBy =
         listed.running() ? startedAt + context.settings().workers().leaseS() / 2 : 0;
     double bootS = machine.type == null ? 0 : FleetManager.EXPECTED_BOOTS * machine.type.bootS();
--- a/src/main/java/io/embernotch/fleet/FailureDetector.java
+++ b/src/main/java/io/embernotch/fleet/FailureDetector.java
@@ -17,41 +17,47 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Detects machines that are unresponsive, tells partitioned ones from those that hang or are dead,
- * and decides when one is given up.
+ * Detects unresponsive machines, distinguishes partitioned ones from those that hang or are dead,
+ * and decides when a machine is given up.
  */
 final class FailureDetector {
   private static final Logger LOG = LoggerFactory.getLogger(FailureDetector.class);
 
   /**
-   * Heartbeat intervals without a heartbeat after which a machine is probed; heartbeats come a
-   * quarter of an interval late at most.
+   * Heartbeat intervals without a heartbeat after which a machine is probed; heartbeats are late by
+   * at most a quarter of an interval.
    */
   private static final double PROBE_HEARTBEATS = 1.5;
 
   /**
-   * Heartbeat intervals without a heartbeat after which a machine that did not answer a probe is
-   * given up.
+   * Heartbeat intervals without a heartbeat after which a machine whose probe failed is given up.
    */
   private static final double GIVE_UP_HEARTBEATS = 2.2;
 
-  /** One more for a machine whose probe is not decided. */
+  /** Further heartbeat intervals for a machine whose probe has no result yet. */
   private static final double UNDECIDED_PROBE_HEARTBEATS = 1;
 
   /**
    * If more than this share of the machines is unresponsive, this controller is the partitioned
-   * one. A zone can hold more than half of them: with a half here, leaders that heard the rest well
-   * would pass leadership to each other, and none of them would start anything.
+   * one. A zone can hold more than half of the machines: with a share of one half, leaders that
+   * receive the heartbeats of the other zones would pass leadership to each other, and none of them
+   * would start any task.
    */
   private static final double CONTROLLER_PARTITIONED_SHARE = 0.8;
 
-  /** Fewer unresponsive machines than this prove nothing about this controller. */
+  /** With fewer unresponsive machines than this, this controller is never taken for partitioned. */
   private static final int CONTROLLER_PARTITIONED_MACHINES = 3;
 
-  /** Heartbeat intervals that a new leader gives machines to find it. */
+  /**
+   * Heartbeat intervals after the start of a leader in which it does not take itself for
+   * partitioned, so that machines can find it.
+   */
   private static final double START_HEARTBEATS = 4;
 
-  /** Share of a worker's lease for which an unresponsive machine with live services is kept. */
+  /**
+   * Share of a worker's lease, since its last renewal, for which an unresponsive machine with live
+   * services is kept.
+   */
   private static final double LEASE_SHARE = 0.9;
 
   private final ControllerContext context;
@@ -91,12 +97,13 @@
   }
 
   /**
-   * When the machine last gave a sign of life, or had no chance to give one. One that ran under an
-   * earlier leader is given a heartbeat interval longer to find this one: taken for a booting one,
-   * its services would stay down until its lease and the old leader's grace period are over. One
-   * that has only just come up is given the same time, lest it be returned right before its first
-   * heartbeat. So is one whose zone's partition has just ended, lest all machines of the zone be
-   * returned as its controller is back.
+   * Returns when the machine last gave a sign of life, or was last unable to give one. A machine
+   * that ran under an earlier leader is given one more heartbeat interval to find this leader: if
+   * it were treated as booting, its services would stay down until its lease and the old leader's
+   * grace period are over. A machine that has just come up is given the same time, so that it is
+   * not returned right before its first heartbeat. So is a machine whose zone's partition has just
+   * ended, so that the machines of the zone are not all returned when its controller responds
+   * again.
    */
   private double lastSignOfLifeAt(Machine machine) {
     double intervalS = context.settings().workers().heartbeatIntervalS();
@@ -109,9 +116,9 @@
   }
 
   /**
-   * Probes unresponsive machines, then returns them: the answer to the deletion proves their tasks
-   * gone. Two heartbeats that did not come and a probe without an answer are enough; one alone may
-   * be this controller's own failure.
+   * Probes unresponsive machines, then returns them: the response to the deletion proves that their
+   * tasks have ended. Two missing heartbeats and a failed probe are sufficient; either alone may be
+   * a failure of this controller itself.
    */
   void watch(double now) {
     double intervalS = context.settings().workers().heartbeatIntervalS();
@@ -155,7 +162,7 @@
         machine.name,
         Math.round(now - lastSignOfLifeAt(machine)),
         machine.openAttempts.size(),
-        machine.probeConnected ? "takes connections" : "takes no connection");
+        machine.probeConnected ? "accepts connections" : "accepts no connection");
     rates.machineFailed();
     scaleIn.accept(machine);
   }
@@ -167,8 +174,8 @@
 
   /**
    * A zone is partitioned if a controller there is unresponsive, and more than half of its
-   * machines. That controller renews their workers for as long as it may, so what runs there is
-   * kept, and nothing new is rented.
+   * machines. That controller renews the leases of their workers as long as it may, so tasks in the
+   * zone keep running, and no machine is rented there.
    */
   private void updatePartitionedZones(List<Machine> unresponsive) {
     Set<String> live = listener.controllers();
@@ -202,11 +209,12 @@
   }
 
   /**
-   * A live service on a machine that only lost the network runs on until its lease expires, and
-   * would have to start anew elsewhere if the machine were returned before. A machine that takes a
-   * connection and does not answer is not partitioned: it hangs, and so does the service. One that
-   * nothing has proven alive in this term is not waited for: the heartbeats received from it may be
-   * late copies of those it sent before it ended.
+   * Whether an unresponsive machine is kept for now. A live service on a machine that only lost the
+   * network runs on until the worker's lease expires, and would have to restart elsewhere if the
+   * machine were returned earlier. A machine that accepts a connection and does not answer is not
+   * partitioned: it hangs, and so does the service. A machine that was not confirmed alive in this
+   * term is not kept: the heartbeats received from it may be delayed copies of those that it sent
+   * before it ended.
    */
   private boolean worthWaitingFor(Machine machine, double now) {
     if (machine.probeConnected && machine.probeFailedAt > lastSignOfLifeAt(machine)) {
--- a/src/main/java/io/embernotch/fleet/FailureRates.java
+++ b/src/main/java/io/embernotch/fleet/FailureRates.java
@@ -16,10 +16,10 @@
   /** Prior: one failure of a zone in this many worker leases. */
   private static final double ZONE_PRIOR_LEASES = 4000;
 
-  /** Worker leases for which a replica is counted on. */
+  /** Planning horizon for the availability of a replica, in worker leases. */
   private static final double HORIZON_LEASES = 5;
 
-  /** Worker leases from a failure until what ran there may start elsewhere. */
+  /** Worker leases from a failure until its tasks may start elsewhere. */
   private static final double DETECTION_LEASES = 1;
 
   private final Settings settings;
@@ -28,7 +28,9 @@
   private int machineFailures;
   private int zoneFailures;
 
-  /** When uptimes were last added up; below 0 before the first time. */
+  /**
+   * When uptimes were last added up, in seconds of the steady clock; below 0 before the first time.
+   */
   private double countedAt = -1;
 
   FailureRates(Settings settings) {
@@ -53,7 +55,7 @@
     zoneFailures++;
   }
 
-  /** The present estimate. */
+  /** Returns the current estimate. */
   FailureRisk risk() {
     double leaseS = settings.workers().leaseS();
     return new FailureRisk(
--- a/src/main/java/io/embernotch/fleet/FleetManager.java
+++ b/src/main/java/io/embernotch/fleet/FleetManager.java
@@ -24,27 +24,35 @@
   /** Boot times after which a machine that has not come up is returned. */
   private static final double BOOT_TIMEOUT_BOOTS = 2.5;
 
-  /** Boot times for which a machine is expected; then another is rented in its place. */
+  /** Boot times for which a machine is expected to come up; then another is rented in its place. */
   static final double EXPECTED_BOOTS = 1.6;
 
   /** Heartbeat intervals between two requests for the machine types. */
   private static final double TYPES_INTERVAL_HEARTBEATS = 20;
 
-  /** Receives what happens to the fleet; called on the core loop. */
+  /** Receives changes of the fleet; called on the leader's event loop. */
   public interface Listener {
-    /** The machine and all that was on it are gone. */
+    /** Called when the machine is deleted, and all tasks on it have ended. */
     void machineGone(Machine machine);
 
-    /** Machines have come, failed or will not come: a new plan may differ. */
+    /**
+     * Called when machines were added or failed, or a rental was refused, so that a new plan may
+     * differ.
+     */
     void clusterChanged();
 
-    /** Controllers that have been heard from lately, this one included. */
+    /**
+     * Returns the names of the controllers that have sent messages recently, including this one.
+     */
     Set<String> controllers();
 
-    /** The attempt's start does not reach its machine. */
+    /** Called when the start command of the attempt can't reach its machine. */
     void startUnreachable(Attempt attempt);
 
-    /** So many machines are unresponsive at once that this controller is the partitioned one. */
+    /**
+     * Called when so many machines are unresponsive at once that this controller must be the
+     * partitioned one.
+     */
     void controllerPartitioned();
   }
 
@@ -62,7 +70,7 @@
 
   /**
    * @param epoch epoch of this leader, unique to its term
-   * @param listener receives what happens to the fleet
+   * @param listener receives changes of the fleet
    */
   public FleetManager(
       ControllerContext context,
@@ -93,8 +101,8 @@
   }
 
   /**
-   * True while the cloud answers. What is idle when it does not is kept: it could not be returned
-   * now, nor replaced, and a deletion that was tried may be carried out at any later time.
+   * Whether the cloud answers. While it does not, idle machines are kept: they can be neither
+   * returned nor replaced, and a deletion that was requested may be executed at any later time.
    */
   public boolean cloudAnswers() {
     return inventory.cloudAnswers();
@@ -105,7 +113,7 @@
     return scaleOut.expected();
   }
 
-  /** How often machines and zones fail, as far as is known. */
+  /** Returns the estimated failure rates of machines and zones. */
   public FailureRisk risk() {
     return rates.risk();
   }
@@ -117,12 +125,14 @@
     return failureDetector.isPartitioned(zone) || scaleOut.exhausted(type, zone, spot);
   }
 
-  /** See {@link ScaleOut#rent}. */
+  /** Rents machines as described in {@link ScaleOut#rent}. */
   public void rent(SchedulingPlan.ScaleOutRequest request) {
     scaleOut.rent(request);
   }
 
-  /** Does what is due; called several times a heartbeat interval. */
+  /**
+   * Runs all periodic checks and requests that are due; called several times a heartbeat interval.
+   */
   public void tick() {
     double now = context.clock().now();
     inventory.tick(now);
@@ -163,12 +173,15 @@
     }
   }
 
-  /** Returns a machine. Nothing more is placed on it, and what is on it ends with it. */
+  /** Returns a machine to the cloud. No more tasks are placed on it, and its tasks end with it. */
   public void scaleIn(Machine machine) {
     scaleIn.release(machine);
   }
 
-  /** Attempts on machines whose worker's lease must have expired: they are gone, deleted or not. */
+  /**
+   * Returns the attempts on machines whose worker's lease must have expired: these attempts have
+   * ended, whether or not the machine is deleted.
+   */
   public List<Attempt> attemptsWithExpiredLease() {
     List<Attempt> expired = new ArrayList<>();
     double now = context.clock().now();
--- a/src/main/java/io/embernotch/fleet/OneWayPartitions.java
+++ b/src/main/java/io/embernotch/fleet/OneWayPartitions.java
@@ -10,25 +10,28 @@
 
 /**
  * Machines behind a one-way partition: their heartbeats arrive, but neither responses nor commands
- * reach them. What runs there runs until its worker's lease expires, and may be done before; what
- * has not begun there goes elsewhere as soon as that is proven. Once nothing runs there any more
- * the machine is returned, which proves all else on it gone.
+ * reach them. Tasks that run on such a machine continue until its worker's lease expires, and may
+ * be done before. Tasks that have not started there are moved elsewhere as soon as it is proven
+ * that they have not. Once no task runs there any more the machine is returned, which proves that
+ * everything else on it has ended.
  */
 final class OneWayPartitions {
   /**
-   * If more than this share of the machines is unreachable, it is rather this controller whose
-   * messages are lost: no machine is returned for it.
+   * If more than this share of the machines is unreachable, this controller's own messages are
+   * probably lost, so no machine is returned.
    */
   private static final double CONTROLLER_UNREACHABLE_SHARE = 0.2;
 
-  /** Fewer unreachable machines than this prove nothing about this controller. */
+  /** With fewer unreachable machines than this, this controller is never taken for unreachable. */
   private static final int CONTROLLER_UNREACHABLE_MACHINES = 3;
 
-  /** Share of a lease, counted from its last renewal, for which what runs there is waited for. */
+  /**
+   * Share of a lease, counted from its last renewal, for which the end of running tasks is awaited.
+   */
   private static final double LEASE_SHARE = 0.9;
 
   /**
-   * Heartbeat intervals from the last response that a machine received until it is taken for
+   * Heartbeat intervals from the last response that a machine received until it counts as
    * unreachable.
    */
   private static final double DETECTION_HEARTBEATS = 2;
@@ -55,7 +58,10 @@
     this.scaleIn = scaleIn;
   }
 
-  /** Probes unreachable machines, withdraws what has not begun there, and returns idle ones. */
+  /**
+   * Probes unreachable machines, withdraws attempts that have not started there, and returns
+   * machines that are not worth waiting for.
+   */
   void watch(double now) {
     List<Machine> unreachable =
         state.machines.values().stream()
--- a/src/main/java/io/embernotch/fleet/ScaleIn.java
+++ b/src/main/java/io/embernotch/fleet/ScaleIn.java
@@ -14,13 +14,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Returns machines to the cloud. The answer to a deletion proves a machine gone; deletions that
- * fail are tried again.
+ * Returns machines to the cloud. The response to a deletion proves that a machine is gone; failed
+ * deletions are retried.
  */
 final class ScaleIn {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
 
-  /** Failed deletions are tried again so many times a heartbeat interval. */
+  /** Retries of a failed deletion per heartbeat interval. */
   private static final int RETRIES_PER_HEARTBEAT = 3;
 
   private final ControllerContext context;
@@ -31,7 +31,7 @@
   private boolean idleDeletePending;
 
   /**
-   * @param gone receives each machine that is gone with all that was on it
+   * @param gone receives each machine that was deleted, with all tasks on it
    */
   ScaleIn(ControllerContext context, ClusterState state, Consumer<Machine> gone) {
     this.context = context;
@@ -39,7 +39,7 @@
     this.gone = gone;
   }
 
-  /** Returns a machine. Nothing more is placed on it, and what is on it ends with it. */
+  /** Returns a machine. No more tasks are placed on it, and its tasks end with it. */
   void release(Machine machine) {
     if (!machine.deleting) {
       machine.deleting = true;
@@ -52,8 +52,9 @@
   }
 
   /**
-   * Sends the next deletion if one is due. Deletions of machines with tasks are urgent: they are
-   * proofs that the tasks wait for, and never queue behind a call that only saves money.
+   * Sends the next deletion if one is due. Deletions of machines with tasks are urgent: their
+   * responses prove that the tasks have ended and may be restarted. They never queue behind the
+   * deletion of idle machines, which only saves money.
    */
   void send(double now) {
     boolean urgent =
@@ -97,7 +98,7 @@
                 leaving.removeAll(new HashSet<>(batch));
                 batch.forEach(gone);
               } else {
-                LOG.debug("could not scale in {}: {}", names, result.cause().getMessage());
+                LOG.debug("failed to scale in {}: {}", names, result.cause().getMessage());
                 batch.forEach(this::retryLater);
               }
             });
--- a/src/main/java/io/embernotch/fleet/ScaleOut.java
+++ b/src/main/java/io/embernotch/fleet/ScaleOut.java
@@ -16,25 +16,27 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Rents machines: the bookings that are under way, and which pools are exhausted. */
+/** Rents machines, and keeps track of pending rentals and exhausted pools. */
 final class ScaleOut {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleOut.class);
 
-  /** Unanswered rentals are repeated so many times a heartbeat interval. */
+  /** Retries of an unanswered rental per heartbeat interval. */
   private static final int RETRIES_PER_HEARTBEAT = 3;
 
-  /** Heartbeat intervals for which a pool that gave too few machines is not asked again. */
+  /** Heartbeat intervals for which a pool that provided too few machines counts as exhausted. */
   private static final double EXHAUSTED_HEARTBEATS = 5;
 
-  /** Stands for a pool that was never exhausted. */
+  /** Time that {@link #exhausted} assumes for a pool that was never exhausted. */
   private static final double NOT_EXHAUSTED = -1.0;
 
-  /** A rental whose answer is not known yet; its name is an idempotency key. */
+  /** A rental whose response has not been received yet; its name is an idempotency key. */
   private record Booking(String name, Pool pool, int number) {}
 
-  /** Machines of one type in one zone, spot or not; the cloud runs out of each by itself. */
+  /**
+   * Machines of one type in one zone, spot or not; the cloud can run out of each pool separately.
+   */
   private record Pool(String type, String zone, boolean spot) {
-    /** How the log names the kind of machine. */
+    /** Suffix that marks spot machines in the log; empty for others. */
     String spotSuffix() {
       return spot ? " (spot)" : "";
     }
@@ -51,7 +53,7 @@
 
   /**
    * @param epoch epoch of this leader, unique to its term
-   * @param changed called when machines have come, or will not
+   * @param changed called when a rental has been answered, also if it was refused
    */
   ScaleOut(
       ControllerContext context, ClusterState state, long tokenBase, long epoch, Runnable changed) {
@@ -63,7 +65,7 @@
     this.bookingPrefix = "r-" + epoch + "-";
   }
 
-  /** The machines that are being rented. */
+  /** Returns the machines that are being rented. */
   List<FleetView.Expected> expected() {
     List<FleetView.Expected> expected = new ArrayList<>();
     for (Booking booking : open.values()) {
@@ -73,16 +75,16 @@
     return expected;
   }
 
-  /** Whether the cloud has lately had too few machines in a pool. */
+  /** Whether the cloud recently had too few machines in a pool. */
   boolean exhausted(String type, String zone, boolean spot) {
     Pool pool = new Pool(type, zone, spot);
     return exhaustedUntil.getOrDefault(pool, NOT_EXHAUSTED) > context.clock().now();
   }
 
   /**
-   * Rents in as few calls as possible: while one is under way for a pool, further machines wait for
-   * the next plan, unless they fill a call. A call for each plan's few machines would use up the
-   * cloud's rate limit.
+   * Rents machines in as few calls as possible: while a call is pending for a pool, further
+   * machines wait for the next plan, unless they fill a call. A call for each plan's few machines
+   * would use up the cloud's rate limit.
    */
   void rent(SchedulingPlan.ScaleOutRequest request) {
     Pool pool = new Pool(request.type(), request.zone(), request.spot());
@@ -108,8 +110,10 @@
         .onSuccess(rented -> complete(booking, rented))
         .onFailure(
             e -> {
-              // Perhaps it was executed: the same name gives the same answer and rents nothing.
-              LOG.debug("scale-out request {}: {}", booking.name, e.getMessage());
+              // The request may have been executed: a retry with the same name gets the same
+              // response and rents no further machine.
+              LOG.debug(
+                  "scale-out request {} failed, to be retried: {}", booking.name, e.getMessage());
               context
                   .timers()
                   .after(
@@ -118,7 +122,7 @@
             });
   }
 
-  /** Seconds that a machine takes to come up; {@code type} is null if it is not known. */
+  /** Returns the boot time in seconds; {@code type} is null if it is not known. */
   private double bootS(MachineType type) {
     return type == null ? context.settings().workers().leaseS() : type.bootS();
   }
--- a/src/main/java/io/embernotch/fleet/package-info.java
+++ b/src/main/java/io/embernotch/fleet/package-info.java
@@ -3,9 +3,9 @@
  * detection that decides when a machine is given up.
  *
  * <p>The package owns all calls that rent or delete machines, and the counts from which failure
- * rates are estimated. It does not place tasks and starts none; what it learns of a machine's tasks
- * it reports through {@link io.embernotch.fleet.FleetManager.Listener}. An attempt is only reported
- * as gone with proof: the cloud's answer to a deletion, or an expired worker lease. Everything runs
- * on the core loop of the leader.
+ * rates are estimated. It neither places nor starts tasks; it reports changes that affect a
+ * machine's tasks through {@link io.embernotch.fleet.FleetManager.Listener}. It reports an attempt
+ * as ended only with proof: the cloud's response to a deletion, or an expired worker lease.
+ * Everything runs on the leader's event loop.
  */
 package io.embernotch.fleet;
--- a/src/main/java/io/embernotch/jobs/AttemptOutcomes.java
+++ b/src/main/java/io/embernotch/jobs/AttemptOutcomes.java
@@ -17,7 +17,7 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * What the end of an attempt means for its job: done marks, completion, restart of a gang, failure
+ * Applies the end of an attempt to its job: done marks, completion, restart of a gang, failure
  * attribution and backoff. Owned by the leader's event loop.
  */
 public final class AttemptOutcomes {
@@ -40,11 +40,11 @@
   private TaskStopper stopper;
 
   /**
-   * To be completed by {@link #setStopper}.
+   * Creates the handler; {@link #setStopper} must be called before its use.
    *
    * @param performanceSamples how many finished tasks a machine's performance is averaged over
-   * @param attemptClosed called with each job that has one attempt less open
-   * @param clusterChanged called when a scheduling round may find something to do
+   * @param attemptClosed called with the job of each attempt that is closed
+   * @param clusterChanged called when capacity was freed, so that a scheduling round is due
    */
   public AttemptOutcomes(
       ControllerContext context,
@@ -64,12 +64,15 @@
     this.clusterChanged = clusterChanged;
   }
 
-  /** Stopping an attempt may end it, and an end may stop others, so each refers to the other. */
+  /**
+   * Sets the stopper of attempts. It can't be a constructor parameter: stopping an attempt may end
+   * it, and the end of an attempt may stop others, so each class refers to the other.
+   */
   public void setStopper(TaskStopper stopper) {
     this.stopper = stopper;
   }
 
-  /** Carries on with completions, cancellations and gang restarts that an earlier leader began. */
+  /** Resumes completions, cancellations and gang restarts that an earlier leader began. */
   public void resume() {
     completions.resume();
     for (Job job : state.jobs.values()) {
@@ -89,9 +92,9 @@
   }
 
   /**
-   * An attempt has exited on its machine.
+   * Handles the exit of an attempt on its machine.
    *
-   * @param saved whether the task has saved its state before
+   * @param saved whether the task saved its state before it exited
    */
   public void exited(Attempt attempt, Machine machine, ExitCause cause, boolean saved) {
     double now = context.clock().now();
@@ -131,7 +134,9 @@
     }
   }
 
-  /** Counts the run for the means of job and machine, if it was a whole one. */
+  /**
+   * Adds the run time to the averages of job and machine if the task ran once, without a restart.
+   */
   private void recordRunTime(Attempt attempt, Machine machine, double now) {
     Job job = attempt.job;
     if (attempt.runningAt >= 0
@@ -154,7 +159,7 @@
     }
   }
 
-  /** The job is done, so what is left of it ends by itself. */
+  /** Withdraws the stop request of an attempt: its job is done, so the attempt ends by itself. */
   private void withdrawStop(Attempt attempt) {
     attempt.stopping = false;
     Machine machine = state.machines.get(attempt.machine);
@@ -174,9 +179,9 @@
     stopRestOfGang(attempt, attempt.stopping ? attempt.stopGraceS : 0);
   }
 
-  /** An attempt is proven gone without an exit having been reported. */
+  /** Handles an attempt that provably no longer runs although its exit was not reported. */
   public void gone(Attempt attempt, Machine machine, String why) {
-    LOG.info("{} is gone: {}", attempt, why);
+    LOG.info("{} no longer runs: {}", attempt, why);
     stopRestOfGang(attempt, 0);
     close(attempt);
   }
@@ -188,7 +193,7 @@
     }
   }
 
-  /** Closes an attempt: its capacity is free, and its shard has to be written. */
+  /** Closes an attempt: frees its capacity and schedules the write of its shard. */
   public void close(Attempt attempt) {
     state.closeAttempt(attempt, context.clock().now());
     if (attempt.launchState != Attempt.LaunchState.UNCOMMITTED
--- a/src/main/java/io/embernotch/jobs/Cancellations.java
+++ b/src/main/java/io/embernotch/jobs/Cancellations.java
@@ -18,26 +18,27 @@
 import java.util.Map;
 
 /**
- * Cancellations that users have requested and that are not decided yet. From the request on,
- * nothing of the job starts and all that runs is stopped. It is decided, and so made known to
- * anybody, only once no task of the job can outlive {@code cancel_s} from then on: each is proven
- * gone, or its machine's worker must kill it in time, whoever renews the worker's lease. With a
- * network partition, that takes until the renewals on the other side of it end.
+ * Cancellations that users have requested and that are not decided yet. From the request on, no
+ * task of the job is started and all running ones are stopped. A cancellation is decided, and only
+ * then reported, once no task of the job can run for longer than {@code cancel_s} after the
+ * decision: each task provably no longer runs, or its machine's worker must kill it in time,
+ * whichever controller renews the worker's lease. During a network partition, the decision waits
+ * until the renewals on the other side of the partition end.
  *
- * <p>Nor is it decided while a start command of this leader may yet be carried out, or a task waits
- * for its image: a machine that hangs may carry out such a start seconds later, after the user was
- * told that the job is cancelled.
+ * <p>A cancellation is not decided either while a start command of this leader may still be
+ * executed, or a task waits for its image: a machine that hangs may execute the command seconds
+ * later, after the job was reported as cancelled.
  *
  * <p>Owned by the leader's event loop.
  */
 public final class Cancellations {
   /**
-   * Within this share of {@code cancel_s} all tasks must be gone. The commit and its answer count
-   * as well, and take far less than the rest.
+   * Share of {@code cancel_s} within which all tasks must have ended. The commit and its response
+   * also count, and take far less than the rest.
    */
   private static final double SHARE_FOR_TASKS = 0.9;
 
-  /** A request waits for its decision for a heartbeat interval divided by this, at most. */
+  /** A request waits at most a heartbeat interval divided by this for its decision. */
   private static final int REQUEST_WAITS_PER_HEARTBEAT = 2;
 
   private final ControllerContext context;
@@ -49,7 +50,7 @@
   /** The replies that wait for each job's cancellation. */
   private final Map<Job, List<Promise<HttpResponse>>> pendingReplies = new LinkedHashMap<>();
 
-  /** No cancellation is pending at first; {@code agents} tells how long worker leases last. */
+  /** Starts without pending cancellations; {@code agents} provides the expiry of worker leases. */
   public Cancellations(
       ControllerContext context,
       ClusterState state,
@@ -64,8 +65,9 @@
   }
 
   /**
-   * A user wants the job cancelled; stop commands for its tasks have been issued. {@code reply} is
-   * completed with the job's final phase, or with 503 if that takes too long.
+   * Registers a user's request to cancel a job, after stop commands for its tasks were issued.
+   * Completes {@code reply} with the job's final phase, or with 503 if the decision takes longer
+   * than half a heartbeat interval.
    */
   public void request(Job job, Promise<HttpResponse> reply) {
     pendingReplies.computeIfAbsent(job, key -> new ArrayList<>()).add(reply);
@@ -82,7 +84,10 @@
     List.copyOf(pendingReplies.keySet()).forEach(this::check);
   }
 
-  /** An attempt of the job may have ended: decides its cancellation if one is due. */
+  /**
+   * Decides a requested cancellation of the job if it may be decided by now. To be called when an
+   * attempt of the job may have ended.
+   */
   public void check(Job job) {
     List<Promise<HttpResponse>> replies = pendingReplies.get(job);
     if (replies == null) {
--- a/src/main/java/io/embernotch/jobs/DependencyGraph.java
+++ b/src/main/java/io/embernotch/jobs/DependencyGraph.java
@@ -19,26 +19,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The graph of jobs and the jobs that they depend on. A job is released once every dependency of it
- * is done in the store, and cancelled once one of them is cancelled there. Both follow from
- * committed completions and from submissions, which never change, so every leader comes to the same
- * result.
+ * The dependency graph of the jobs. A job is released once the store holds every dependency as
+ * done, and cancelled once the store holds one of them as cancelled. Both follow from committed
+ * completions and from submissions, which never change, so every leader comes to the same result.
  *
- * <p>A job names only jobs that were accepted before it, so the graph is acyclic. Owned by the
+ * <p>A job depends only on jobs that were accepted before it, so the graph is acyclic. Owned by the
  * leader's event loop.
  */
 public final class DependencyGraph {
   private static final Logger LOG = LoggerFactory.getLogger(DependencyGraph.class);
 
-  /** What becomes of blocked jobs and of jobs that are named as dependencies. */
+  /** Receives the release and cancellation of blocked jobs, and dependencies found in the store. */
   public interface Listener {
-    /** Every dependency of the job is done. */
+    /** Called when every dependency of the job is done. */
     void released(Job job);
 
-    /** A dependency of the job is cancelled, and so is the job; no task of it ever started. */
+    /** Called when the job is cancelled because a dependency is; no task of it ever started. */
     void cancelled(Job job);
 
-    /** The store holds a job that is a dependency and that the cluster state does not know. */
+    /** Called when the store holds a dependency that is not in the cluster state. */
     void jobFound(VersionedEntry entry);
   }
 
@@ -51,10 +50,10 @@
   /** By the id of a job that has not ended: the jobs that depend on it. */
   private final Map<String, Set<Job>> dependents = new HashMap<>();
 
-  /** Whether effective priorities may differ from what the graph demands. */
+  /** Whether the graph has changed since priorities were last propagated. */
   private boolean changed;
 
-  /** An empty graph; {@code listener} is called on the caller's thread. */
+  /** Creates an empty graph; {@code listener} is called on the caller's thread. */
   public DependencyGraph(ControllerContext context, ClusterState state, Listener listener) {
     this.context = context;
     this.state = state;
@@ -63,14 +62,16 @@
     this.priorityInheritance = new PriorityInheritance(state);
   }
 
-  /** Builds the graph anew from all jobs of the cluster state. */
+  /** Rebuilds the graph from all jobs of the cluster state. */
   public void rebuild() {
     dependents.clear();
     lookup.clear();
     List.copyOf(state.jobs.values()).forEach(this::add);
   }
 
-  /** Adds a job of the cluster state; it is blocked from now on if a dependency is not done. */
+  /**
+   * Adds a job of the cluster state. The job is blocked while one of its dependencies is not done.
+   */
   public void add(Job job) {
     changed = true;
     lookup.remove(job.spec.ref());
@@ -102,7 +103,7 @@
     }
   }
 
-  /** The store holds the end of the job: its dependents are released or cancelled. */
+  /** Releases or cancels the dependents of a job whose end is in the store. */
   public void ended(Job job) {
     boolean cancelled = job.finalPhase == JobPhase.CANCELLED;
     Set<Job> waiting = dependents.remove(job.spec.ref());
@@ -134,8 +135,8 @@
   }
 
   /**
-   * Cancels a job and all that depend on it. Their ends count as persisted at once, since the
-   * cancellation that implies them is in the store.
+   * Cancels a job and all jobs that depend on it, directly or indirectly. Their ends count as
+   * persisted at once, since the cancellation that implies them is in the store.
    */
   private void cancelWithDependents(Job first) {
     Deque<Job> queue = new ArrayDeque<>(List.of(first));
@@ -144,7 +145,7 @@
       if (job.endPersisted) {
         continue;
       }
-      LOG.debug("job {} is cancelled: a job that it depends on is", job.spec.ref());
+      LOG.debug("job {} is cancelled because a dependency is cancelled", job.spec.ref());
       job.finalPhase = JobPhase.CANCELLED;
       job.endPersisted = true;
       job.endedMs = context.clock().wallMs();
@@ -157,14 +158,14 @@
   }
 
   /**
-   * A job that the given one depends on, directly or through others, and whose cancellation is
-   * decided and not known to be in the store; empty if there is none.
+   * Returns a direct or indirect dependency of the job whose cancellation is decided and not yet
+   * known to be in the store; empty if there is none.
    */
   public Optional<Job> cancellationBeingWritten(Job job) {
     return cancellationBeingWritten(job.unmetDependencies);
   }
 
-  /** The same of a job, of which only the jobs that it depends on are known. */
+  /** Returns the same for a job of which only the ids of its dependencies are known. */
   Optional<Job> cancellationBeingWritten(Collection<String> dependencies) {
     Deque<String> queue = new ArrayDeque<>(dependencies);
     Set<String> seen = new HashSet<>(queue);
@@ -181,13 +182,13 @@
     return Optional.empty();
   }
 
-  /** Reads dependencies that the cluster state does not know from the store, a few at a time. */
+  /** Looks up dependencies that are not in the cluster state, a few at a time, in the store. */
   public void resolveUnknown() {
     lookup.resolve();
   }
 
   /**
-   * Has jobs inherit the priority and the latest start of all that depend on them. To be called
+   * Propagates the priority and the latest start of each job to its dependencies. To be called
    * before a scheduling round; does nothing unless the graph has changed.
    */
   public void propagateUrgency() {
@@ -198,7 +199,7 @@
     priorityInheritance.propagate();
   }
 
-  /** How many jobs that have not ended wait for a dependency. */
+  /** Returns the number of jobs that have not ended and wait for a dependency. */
   public int blockedCount() {
     return (int)
         state.jobs.values().stream().filter(job -> job.finalPhase == null && job.blocked()).count();
--- a/src/main/java/io/embernotch/jobs/DependencyLookup.java
+++ b/src/main/java/io/embernotch/jobs/DependencyLookup.java
@@ -11,13 +11,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads from the store those dependencies that the cluster state does not know yet, a few at a
- * time. Owned by the leader's event loop.
+ * Reads from the store those dependencies that are not in the cluster state, a few at a time. Owned
+ * by the leader's event loop.
  */
 final class DependencyLookup {
   private static final Logger LOG = LoggerFactory.getLogger(DependencyLookup.class);
 
-  /** One lookup may be under way for so many requests per second that the store allows. */
+  /**
+   * One lookup may be in flight for each this many requests per second of the store's rate limit.
+   */
   private static final int STORE_REQUESTS_PER_LOOKUP = 20;
 
   private final ControllerContext context;
@@ -29,28 +31,30 @@
   /** Ids of the jobs whose read has not been answered yet. */
   private final Set<String> inFlight = new LinkedHashSet<>();
 
-  /** {@code jobFound} is called with each submission that the store holds. */
+  /**
+   * Creates an empty lookup; {@code jobFound} is called with each submission found in the store.
+   */
   DependencyLookup(ControllerContext context, Consumer<VersionedEntry> jobFound) {
     this.context = context;
     this.jobFound = jobFound;
   }
 
-  /** Forgets the jobs still to be read; answers of reads under way are then ignored. */
+  /** Drops all jobs that are still to be read; responses to reads in flight are then ignored. */
   void clear() {
     unknown.clear();
   }
 
-  /** The job is named by another one, and is not in the cluster state. */
+  /** Adds a job that another one depends on and that is not in the cluster state. */
   void add(String ref) {
     unknown.add(ref);
   }
 
-  /** The job is in the cluster state now and need not be read. */
+  /** Removes a job that has been added to the cluster state and need not be read any more. */
   void remove(String ref) {
     unknown.remove(ref);
   }
 
-  /** Starts as many reads as may be under way at once; the others follow on later calls. */
+  /** Starts reads up to the limit of reads in flight; later calls start the others. */
   void resolve() {
     int maxInFlight =
         (int) Math.max(1, context.settings().minStoreLimits().rps() / STORE_REQUESTS_PER_LOOKUP);
@@ -78,8 +82,9 @@
                 resolve();
                 jobFound.accept(result.result());
               } else {
-                // The controller that accepted the job naming it had read it, so this cannot be.
-                LOG.error("job {} is a dependency, and is not in the store", ref);
+                // Must not happen: a controller accepts a job only after it has read all its
+                // dependencies.
+                LOG.error("job {} is a dependency but is not in the store", ref);
               }
             });
   }
--- a/src/main/java/io/embernotch/jobs/FailoverRecovery.java
+++ b/src/main/java/io/embernotch/jobs/FailoverRecovery.java
@@ -18,14 +18,17 @@
 import java.util.stream.Stream;
 
 /**
- * Fills a new leader's cluster state from the store. Tasks that run are left running: their
- * attempts are open, and unconfirmed until a worker sends a heartbeat under one of this leader's
- * fencing tokens. Owned by the leader's event loop.
+ * Restores a new leader's cluster state from the store. Running tasks keep running: their attempts
+ * are restored as open, and are unconfirmed until a worker sends a heartbeat under one of this
+ * leader's fencing tokens. Owned by the leader's event loop.
  */
 public final class FailoverRecovery {
   private static final double MS_PER_S = 1000.0;
 
-  /** A loss counts as recent for so many times the longest lease: times of day may differ. */
+  /**
+   * A loss of data counts as recent for this many times the longest lease: the wall clocks of
+   * controllers may differ.
+   */
   private static final double CLOCK_ALLOWANCE = 2;
 
   private final ControllerContext context;
@@ -41,7 +44,7 @@
   /**
    * @param tokenBase the lowest fencing token of this leader; those of earlier leaders are below it
    * @param acquiredAt when leadership was acquired, in seconds of the steady clock
-   * @param baseSnapshot what the present store incarnation began with
+   * @param baseSnapshot the contents that the current store incarnation started with
    */
   public FailoverRecovery(
       ControllerContext context,
@@ -65,7 +68,7 @@
   }
 
   /**
-   * Replaces the cluster state's jobs and machines by what the store holds.
+   * Replaces the cluster state's jobs and machines with those that the store holds.
    *
    * @param submissions all {@code job/} entries
    * @param shards all {@code run/} entries
@@ -114,17 +117,17 @@
     return Math.max(0, context.clock().wallMs() - job.eligibleSinceMs) / MS_PER_S;
   }
 
-  /** Whether entries of the job may yet be written, so that their revisions are needed. */
+  /** Whether entries of the job may still be written, so that their revisions are needed. */
   private static boolean mayStillBeWritten(StoredSubmission recovered) {
     return recovered != null
         && (recovered.job().finalPhase == null || !recovered.job().openAttempts.isEmpty());
   }
 
   /**
-   * Holds back a job of which starts may be unknown. After a loss of data of which no leader's
-   * snapshot is left, tasks that were started before it may run unknown to anybody; they are over
-   * once no worker's lease can have been renewed for them any more. Until then what looks like a
-   * new job may be the repeat of one that was lost.
+   * Delays a job if this leader may not know all its running tasks. After a loss of data of which
+   * no leader's snapshot is left, tasks that were started before the loss may run without any
+   * controller knowing of them. They have ended once every worker lease renewed for them must have
+   * expired. Until then, an apparently new job may be the repeated submission of a lost one.
    */
   public void delayIfProgressUncertain(Job job) {
     if (!baseSnapshot.complete() && (job.restoredAfterLoss || isLossRecent())) {
@@ -132,21 +135,27 @@
     }
   }
 
-  /** Whether tasks from before the loss may still run, by times of day of two controllers. */
+  /**
+   * Whether tasks started before the loss may still run, as far as the wall clocks of two
+   * controllers show.
+   */
   private boolean isLossRecent() {
     double sinceLossS = (context.clock().wallMs() - baseSnapshot.madeMs()) / MS_PER_S;
     return sinceLossS < CLOCK_ALLOWANCE * WorkerLeases.longestLeaseS(context.settings());
   }
 
   /**
-   * Whether no task can run that this leader does not know of: nothing of that kind was left by a
-   * loss of data, or it is over.
+   * Whether this leader knows every task that can run: the base snapshot is complete, or all tasks
+   * that it may lack must have ended.
    */
   public boolean allStartsKnown() {
     return baseSnapshot.complete() || context.clock().now() > noTaskRunsAfter();
   }
 
-  /** When, by the steady clock, no task runs any more that only an earlier leader knew of. */
+  /**
+   * Returns the time, in seconds of the steady clock, after which no task runs that only an earlier
+   * leader knew of.
+   */
   private double noTaskRunsAfter() {
     return acquiredAt + WorkerLeases.longestLeaseS(context.settings());
   }
@@ -159,7 +168,7 @@
       return;
     }
     shardLayout.recordShardSize(ref, recovered.shardSize());
-    // Attempt numbers are never used twice, whatever an earlier leader left unwritten.
+    // An attempt number is never reused, even one that an earlier leader did not persist.
     job.nextAttempt = Math.max(job.nextAttempt, tokenBase);
     state.jobs.put(ref, job);
     job.persistedDone.or(job.done);
--- a/src/main/java/io/embernotch/jobs/JobCompletions.java
+++ b/src/main/java/io/embernotch/jobs/JobCompletions.java
@@ -13,8 +13,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The completion of jobs: decided once, made known once the store holds it, followed by the job's
- * eviction from memory when nothing of it is open or unwritten. Owned by the leader's event loop.
+ * Completes jobs. The end of a job is decided once and reported only when the store holds it. The
+ * job is evicted from memory when it has no open attempt and no unwritten change. Owned by the
+ * leader's event loop.
  */
 public final class JobCompletions {
   private static final Logger LOG = LoggerFactory.getLogger(JobCompletions.class);
@@ -22,9 +23,11 @@
   /** The task whose shard holds the end of its job. */
   static final int FIRST_TASK = 0;
 
-  /** Learns which jobs have left the cluster state. */
+  /** Is notified of jobs that are evicted from the cluster state. */
   public interface EvictionListener {
-    /** The job has ended, with no attempt open and nothing unwritten. */
+    /**
+     * Called when a job has been evicted; it has ended, without open attempts or unwritten changes.
+     */
     void evicted(String ref, ClusterState.EndedJob end);
   }
 
@@ -34,10 +37,12 @@
   private final DependencyGraph dependencyGraph;
   private final EvictionListener listener;
 
-  /** Jobs whose end is decided, until nothing of them is open or unwritten. */
+  /** Jobs whose end is decided and that are not evicted yet. */
   private final Set<Job> completing = new LinkedHashSet<>();
 
-  /** Completions of the jobs in {@code state}; nothing is completing before {@link #resume}. */
+  /**
+   * Creates the completions of the jobs in {@code state}; call {@link #resume} after a failover.
+   */
   public JobCompletions(
       ControllerContext context,
       ClusterState state,
@@ -51,15 +56,15 @@
     this.listener = listener;
   }
 
-  /** Takes over the completions that an earlier leader has decided. */
+  /** Resumes the completions that an earlier leader decided. */
   public void resume() {
     completing.clear();
     state.jobs.values().stream().filter(job -> job.finalPhase != null).forEach(completing::add);
   }
 
   /**
-   * Decides how a job ends. Jobs that depend on it are released or cancelled when that is
-   * committed, not before.
+   * Decides the final phase of a job and writes it. Jobs that depend on it are released or
+   * cancelled once the write is committed, not before.
    */
   public void decide(Job job, JobPhase end) {
     LOG.debug(
@@ -84,15 +89,15 @@
   }
 
   /**
-   * The end of a job follows from a persisted one of a dependency. It is written all the same, for
-   * those who read the store.
+   * Completes a job whose end follows from the persisted end of a dependency. The end is still
+   * written, for other readers of the store.
    */
   public void completedByDependency(Job job) {
     completing.add(job);
     stateWriter.writeSoon(job, FIRST_TASK);
   }
 
-  /** Whether no attempt of a job whose cancellation is decided is open in a zone. */
+  /** Whether a zone has no open attempt of a job whose cancellation is decided. */
   public boolean zoneHasNoCancelledTasks(String zone) {
     return completing.stream()
         .filter(job -> job.finalPhase == JobPhase.CANCELLED)
@@ -100,7 +105,7 @@
         .noneMatch(attempt -> attempt.zone.equals(zone));
   }
 
-  /** Evicts jobs that have ended from memory, once nothing of them is open or unwritten. */
+  /** Evicts ended jobs that have neither open attempts nor unwritten changes from memory. */
   public void evict() {
     for (Job job : List.copyOf(completing)) {
       if (job.openAttempts.isEmpty() && !stateWriter.isDirty(job)) {
@@ -114,7 +119,7 @@
     }
   }
 
-  /** Runs {@code action} once the store is known to hold the end of a job that is decided. */
+  /** Runs {@code action} once the store is known to hold the decided end of a job. */
   static void onceEndPersisted(StateWriter stateWriter, Job job, Runnable action) {
     if (job.endPersisted) {
       action.run();
--- a/src/main/java/io/embernotch/jobs/JobRequestHandler.java
+++ b/src/main/java/io/embernotch/jobs/JobRequestHandler.java
@@ -19,25 +19,31 @@
 
 /**
  * Answers polls and cancellations at the leader. No end of a job and no done task is reported
- * before the store is known to hold it, so that no later answer, by whichever controller,
- * contradicts an earlier one. Owned by the leader's event loop.
+ * before the store is known to hold it, so that no later answer of any controller contradicts an
+ * earlier one. Owned by the leader's event loop.
  */
 public final class JobRequestHandler {
-  /** A poll waits for a write for a heartbeat interval divided by this, at most. */
+  /** A poll waits at most a heartbeat interval divided by this for a write. */
   private static final int POLL_WAITS_PER_HEARTBEAT = 6;
 
-  /** What the handler needs of its leader. */
+  /** The leader's part in handling requests. */
   public interface Host {
-    /** The store holds a job that the leader has not been notified of. */
+    /** Adds a job that the store holds and that the leader has not been notified of. */
     void jobFound(VersionedEntry job);
 
-    /** Stops a job's tasks, and replies once it is cancelled or done, or cannot be yet. */
+    /**
+     * Stops a job's tasks. Completes {@code reply} once the job is cancelled or done, or with 503
+     * if it can't be cancelled yet.
+     */
     void cancel(Job job, Promise<HttpResponse> reply);
 
-    /** Whether the leader has stopped, so that it must not take over jobs any more. */
+    /** Whether the leader has stopped and must not add jobs any more. */
     boolean isStopped();
 
-    /** Whether a job that the store does not hold was never accepted; false after some losses. */
+    /**
+     * Whether a job that the store does not hold was certainly never accepted; false after a loss
+     * of data that may have affected accepted jobs.
+     */
     boolean mayDenyJobs();
 
     /** Adds further fields to the status of a job that has not ended. */
@@ -51,7 +57,9 @@
   private final BooleanSupplier leaseValid;
   private final Host host;
 
-  /** {@code leaseValid}: whether leadership is proven at this moment. */
+  /**
+   * Creates the handler; {@code leaseValid} returns whether leadership is proven at this moment.
+   */
   public JobRequestHandler(
       ControllerContext context,
       ClusterState state,
@@ -126,9 +134,10 @@
     Runnable pollAgain = () -> pollUnlessAnswered(ref, reply);
     Optional<Job> beingWritten = endBeingWritten(job);
     if (beingWritten.isPresent()) {
-      // That end may be in the store before the commit is answered, and another controller that got
-      // no answer from here may report it from there. So no older state may be reported any more:
-      // a user would see the job done, then running, then done.
+      // The store may hold that end before this leader receives the response to its commit, and a
+      // controller that got no answer from this leader may report the end from the store. So this
+      // leader must not report an older state: a user would see the job done, then running, then
+      // done.
       Job ended = beingWritten.get();
       boolean waits = stateWriter.whenWritten(ended, JobCompletions.FIRST_TASK, pollAgain);
       replyLater(reply, waits ? pollPatienceS() : 0, "its end is being written");
@@ -143,9 +152,9 @@
   }
 
   /**
-   * The job whose end decides that of the given one, and is decided and not known to be in the
-   * store: itself, or a dependency that is cancelled, from which everybody derives its
-   * cancellation.
+   * Returns the job whose end determines the end of the given one, and is decided and not yet known
+   * to be in the store: the given job itself, or a cancelled dependency, whose cancellation implies
+   * that of the given job. Empty if there is none.
    */
   private Optional<Job> endBeingWritten(Job job) {
     if (job.finalPhase == null) {
@@ -160,7 +169,7 @@
     }
   }
 
-  /** Tells the user to come back, unless the reply is completed within {@code delayS} seconds. */
+  /** Replies with 503 unless {@code reply} is completed within {@code delayS} seconds. */
   private void replyLater(Promise<HttpResponse> reply, double delayS, String why) {
     context.timers().after(delayS, () -> reply.tryComplete(HttpResponse.later(why)));
   }
@@ -169,14 +178,16 @@
     return context.settings().workers().heartbeatIntervalS() / POLL_WAITS_PER_HEARTBEAT;
   }
 
-  /** The body of a status response; nothing of the job's end or done marks is being written. */
+  /**
+   * Returns the body of a status response; no write of the job's end or done marks may be pending.
+   */
   private byte[] status(Job job) {
     String ref = job.spec.ref();
     int running = job.runningCount();
     if (job.endPersisted) {
       return JobCodec.status(ref, job.finalPhase, job.done.cardinality(), running);
     }
-    // A start command that has gone unanswered for as long as a poll may take may have arrived.
+    // A start command without a response for as long as a poll may take may have arrived.
     double sentBefore = context.clock().now() - pollPatienceS();
     JobPhase phase =
         running > 0 || job.startMayHaveArrived(sentBefore) ? JobPhase.RUNNING : JobPhase.QUEUED;
@@ -190,7 +201,10 @@
     return JobCodec.status(ref, phase, done, running);
   }
 
-  /** Only the store can prove that a job was never accepted. */
+  /**
+   * Looks up an unknown job in the store, which alone can prove that a job was never accepted; runs
+   * {@code found} if the store holds the job.
+   */
   private void lookUp(String ref, Promise<HttpResponse> reply, Runnable found) {
     context
         .store()
--- a/src/main/java/io/embernotch/jobs/PriorityInheritance.java
+++ b/src/main/java/io/embernotch/jobs/PriorityInheritance.java
@@ -8,8 +8,9 @@
 import java.util.List;
 
 /**
- * Priority inheritance over the dependency graph: a job runs at the highest priority, and by the
- * earliest latest start, of all jobs that depend on it. Owned by the leader's event loop.
+ * Priority inheritance over the dependency graph: a job gets the highest priority and the earliest
+ * of the latest start times of itself and all jobs that depend on it. Owned by the leader's event
+ * loop.
  */
 final class PriorityInheritance {
   private static final int MS_PER_S = 1000;
@@ -20,7 +21,7 @@
     this.state = state;
   }
 
-  /** Computes effective priority and latest start of every job anew. */
+  /** Recomputes the effective priority and the latest start of every job. */
   void propagate() {
     for (Job job : state.jobs.values()) {
       job.effectivePriority = job.spec.priority();
@@ -62,7 +63,9 @@
     return true;
   }
 
-  /** A dependency of a live service is not itself one, so it must not preempt other services. */
+  /**
+   * A dependency of a live service is not itself a live service, so it must not preempt services.
+   */
   private static Priority inheritedPriority(Job dependent) {
     return dependent.effectivePriority == Priority.PRODUCTION
         ? Priority.HIGH
--- a/src/main/java/io/embernotch/jobs/StoreLoader.java
+++ b/src/main/java/io/embernotch/jobs/StoreLoader.java
@@ -12,19 +12,19 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads all that the store holds of jobs, and retries until that succeeds. Owned by the leader's
- * event loop.
+ * Reads all entries of jobs and of shared state from the store, and retries until that succeeds.
+ * Owned by the leader's event loop.
  */
 public final class StoreLoader {
   private static final Logger LOG = LoggerFactory.getLogger(StoreLoader.class);
 
-  /** A failed load is retried so many times in a heartbeat interval. */
+  /** Retries of a failed load per heartbeat interval. */
   private static final int RETRIES_PER_HEARTBEAT = 10;
 
   /** Receives the contents of the store. */
   public interface Sink {
     /**
-     * All entries by their prefix. {@code jobs} was read first: what changed after its revision may
+     * Receives all entries, by prefix. {@code jobs} was read first: changes after its revision may
      * be missing.
      */
     void read(WatchEvents jobs, WatchEvents runs, WatchEvents parts, List<VersionedEntry> shared);
@@ -35,8 +35,8 @@
   private final BooleanSupplier cancelled;
 
   /**
-   * @param baseSnapshot what the present store incarnation began with; entries of the store
-   *     override it
+   * @param baseSnapshot the contents that the current store incarnation started with; entries of
+   *     the store override them
    * @param cancelled whether the result is no longer needed
    */
   public StoreLoader(
@@ -46,7 +46,7 @@
     this.cancelled = cancelled;
   }
 
-  /** Gives the contents to {@code sink}, again if it throws; stops once cancelled. */
+  /** Passes the contents to {@code sink}, and retries if the sink throws; stops once cancelled. */
   public void read(Sink sink) {
     if (cancelled.getAsBoolean()) {
       return;
@@ -54,7 +54,7 @@
     PersistedState.read(context.store())
         .map(
             stored -> {
-              // Within map, so that a failure of the sink is retried like one of the store.
+              // Called within map, so that an exception of the sink is retried like a failed read.
               deliver(stored, sink);
               return null;
             })
--- a/src/main/java/io/embernotch/jobs/StoredJobReader.java
+++ b/src/main/java/io/embernotch/jobs/StoredJobReader.java
@@ -21,23 +21,23 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Puts the jobs together that the store holds, for a new leader. Whatever is wrong with one entry,
- * all others are read: if it failed the whole load, this and every later leader would retry for
- * ever. What can't be read is unknown, not absent:
+ * Reconstructs the jobs that the store holds, for a new leader. An entry that can't be read does
+ * not fail the load: otherwise this and every later leader would retry the load for ever. What
+ * can't be read is unknown, not absent:
  *
  * <ul>
- *   <li>a job whose submission can't be read stays known, and can't run; if it has ended, that is
- *       told;
- *   <li>a job of which a shard can't be read starts nothing until no task of it can run that only
+ *   <li>a job whose submission can't be read stays known, and can't run; if it has ended, its end
+ *       is reported;
+ *   <li>a job of which a shard can't be read starts no task until no task of it can run that only
  *       an earlier leader knew of;
- *   <li>a job whose end can't be read is neither started nor written nor told about: it may have
- *       ended, and its user may have been told so.
+ *   <li>a job whose end can't be read is neither started nor written, and its state is not
+ *       reported: it may have ended, and its end may have been reported to its user.
  * </ul>
  */
 final class StoredJobReader {
   private static final Logger LOG = LoggerFactory.getLogger(StoredJobReader.class);
 
-  /** Of a value that can't be read so many characters are logged: it may be overwritten later. */
+  /** Characters of an unreadable value that are logged; the value may be overwritten later. */
   private static final int MAX_LOGGED_CHARACTERS = 2000;
 
   private final ClusterState state;
@@ -47,11 +47,12 @@
   private final Map<String, StoredSubmission> recovered = new LinkedHashMap<>();
 
   /**
-   * @param state receives what can't be read, and the ends of jobs of which nothing else can
+   * @param state receives the unreadable entries, and the ends of jobs whose submission can't be
+   *     read
    * @param shardLayout receives the sizes of refined shards
-   * @param baseSince revision that the present store incarnation began with
-   * @param noTaskRunsAfter when, by the steady clock, no task runs any more that only an earlier
-   *     leader knew of
+   * @param baseSince revision that the current store incarnation started with
+   * @param noTaskRunsAfter time, in seconds of the steady clock, after which no task runs that only
+   *     an earlier leader knew of
    */
   StoredJobReader(
       ClusterState state, ShardLayout shardLayout, long baseSince, double noTaskRunsAfter) {
@@ -61,7 +62,7 @@
     this.noTaskRunsAfter = noTaskRunsAfter;
   }
 
-  /** The jobs whose submission and end could be read, by id. */
+  /** Returns the jobs whose submission and end can be read, by id. */
   Map<String, StoredSubmission> read(
       WatchEvents submissions, WatchEvents shards, WatchEvents refinedShards) {
     submissions.events().forEach(this::readSubmission);
@@ -74,7 +75,7 @@
     return recovered;
   }
 
-  /** The id of the job that a {@code run/} or {@code part/} entry belongs to. */
+  /** Returns the id of the job that a {@code run/} or {@code part/} entry belongs to. */
   static String refOf(VersionedEntry entry) {
     return entry.key().split("/", -1)[1];
   }
@@ -117,7 +118,7 @@
         entry.value(), owner.job(), owner.shardSize(), JobProgressCodec.shardOf(entry.key()));
   }
 
-  /** Of a job whose submission can't be read, its end is told all the same. */
+  /** Reads the end of a job whose submission can't be read, so that it can be reported. */
   private void readEndAlone(VersionedEntry entry, String ref) {
     if (!state.unreadable.isStarted(ref)) {
       return;
@@ -154,19 +155,19 @@
             if (!tryRead(shard.entry(), () -> shard.applyTo(owner.job()))) {
               holdBack(owner);
             }
-            // Also if its value can't be read: what larger shards state of its tasks stays
-            // overridden.
+            // Recorded even if its value can't be read: it still overrides what larger shards state
+            // of its tasks.
             shardLayout.recordRefinedSize(ref, shard.size());
           }
         });
   }
 
-  /** Which tasks of the job run is not known, so it waits until none can. */
+  /** Delays a job until none of its tasks can run, since it is not known which of them do. */
   private void holdBack(StoredSubmission job) {
     job.job().notBefore = noTaskRunsAfter;
   }
 
-  /** Returns whether {@code read} succeeded; otherwise its entry is logged and left out. */
+  /** Returns whether {@code read} succeeded; otherwise logs the entry and skips it. */
   private boolean tryRead(VersionedEntry entry, Runnable read) {
     try {
       read.run();
--- a/src/main/java/io/embernotch/state/ClusterOverview.java
+++ b/src/main/java/io/embernotch/state/ClusterOverview.java
@@ -10,7 +10,7 @@
 
 /** The queue and the machines as a JSON document for operators. */
 public final class ClusterOverview {
-  /** What the queue holds of one job class. */
+  /** Jobs and tasks of one job class in the queue. */
   private static final class JobClassCounts {
     int jobs;
     int pendingTasks;
@@ -32,12 +32,15 @@
     }
   }
 
-  /** Keys that can't be read are listed up to this number. */
+  /** Maximum number of keys with unreadable values that the overview lists. */
   private static final int MAX_UNREADABLE_KEYS = 20;
 
   private ClusterOverview() {}
 
-  /** The present overview; {@code blockedJobs} is how many jobs wait for their dependencies. */
+  /**
+   * Returns the current overview; {@code blockedJobs} is the number of jobs that wait for their
+   * dependencies.
+   */
   public static ObjectNode of(ClusterState state, int blockedJobs) {
     ObjectNode overview = Json.object();
     writeQueue(state, overview.putObject("queue"));
--- a/src/main/java/io/embernotch/state/ClusterState.java
+++ b/src/main/java/io/embernotch/state/ClusterState.java
@@ -19,7 +19,7 @@
  */
 public final class ClusterState {
   /**
-   * A job that has ended, and whose every attempt is proven gone.
+   * A job that has ended and no attempt of which runs any more.
    *
    * @param phase DONE or CANCELLED
    * @param tasks how many tasks the job has
@@ -27,19 +27,22 @@
    * @param atMs when the end was decided, in milliseconds of wall-clock time
    */
   public record EndedJob(JobPhase phase, int tasks, int done, long atMs) {
-    /** The end of a job whose final phase is decided. */
+    /** Returns the end of a job whose final phase is decided. */
     public static EndedJob of(Job job) {
       return new EndedJob(job.finalPhase, job.spec.tasks(), job.done.cardinality(), job.endedMs);
     }
   }
 
-  /** By id, in the order in which they became known: jobs with anything open or unwritten. */
+  /**
+   * Jobs that have not ended, have an open attempt or have an unwritten change; by id, in the order
+   * in which they became known.
+   */
   public final Map<String, Job> jobs = new LinkedHashMap<>();
 
-  /** By id: jobs that have ended and left {@link #jobs}. */
+  /** Jobs that have ended and are no longer in {@link #jobs}, by id. */
   public final Map<String, EndedJob> endedJobs = new HashMap<>();
 
-  /** Entries of the store that can't be read: nothing of the jobs behind them is started. */
+  /** Entries of the store that can't be read, and what is known of the jobs that they belong to. */
   public final UnreadableEntries unreadable = new UnreadableEntries();
 
   /** Machines by name. */
@@ -48,10 +51,10 @@
   /** Machine types by name, in the order of the configuration. */
   public final Map<String, MachineType> types = new LinkedHashMap<>();
 
-  /** How long the largest jobs wait under this leader. */
+  /** Wait times of the largest jobs under this leader. */
   public final LargestJobWaitTimes largestJobWaits = new LargestJobWaitTimes();
 
-  /** Sizes of images in GB, of those images whose jobs have been seen to run. */
+  /** Sizes of images in GB; only of images whose jobs have been seen running. */
   public final Map<String, Double> imageGb = new HashMap<>();
 
   private Function<String, List<String>> imageLookup = name -> List.of();
@@ -61,7 +64,7 @@
     this.imageLookup = imageLookup;
   }
 
-  /** What is known of a job. */
+  /** Returns what this leader knows of a job. */
   public JobKnowledge knowledgeOf(String ref) {
     if (endedJobs.containsKey(ref)) {
       return JobKnowledge.ENDED;
@@ -78,8 +81,8 @@
   }
 
   /**
-   * Whether a job whose submission was just found may be taken for one without progress: an earlier
-   * leader has written none, and this leader has not taken it in.
+   * Whether a job whose submission was just found can be added as a job without progress: no
+   * earlier leader has written any, and this leader has not added the job yet.
    */
   public boolean isNew(String ref) {
     return switch (knowledgeOf(ref)) {
@@ -90,7 +93,7 @@
     };
   }
 
-  /** The end of a job as the store holds it; empty while it has none there. */
+  /** Returns the end of a job as the store holds it; empty while the store holds none. */
   public Optional<EndedJob> persistedEnd(String ref) {
     EndedJob ended = endedJobs.get(ref);
     if (ended != null) {
@@ -99,7 +102,7 @@
     return Optional.ofNullable(jobs.get(ref)).filter(job -> job.endPersisted).map(EndedJob::of);
   }
 
-  /** The machine of this name; one not known yet is added with the given fencing token. */
+  /** Returns the machine of this name; adds an unknown one with the given fencing token. */
   public Machine machine(String name, long token) {
     return machines.computeIfAbsent(
         name,
@@ -127,7 +130,7 @@
   }
 
   /**
-   * Removes an attempt from its job and its machine; does nothing to a later attempt of its task.
+   * Removes an attempt from its job and its machine; leaves a later attempt of its task open.
    *
    * @param now seconds of the steady clock
    */
--- a/src/main/java/io/embernotch/state/ClusterSummary.java
+++ b/src/main/java/io/embernotch/state/ClusterSummary.java
@@ -6,7 +6,7 @@
 
 /** The machines and the queue in one line for the log. */
 public final class ClusterSummary {
-  /** Machines by what they do; each counts once. */
+  /** Counts of machines by what they run; each machine counts once. */
   private static final class MachineCounts {
     int booting;
     int idle;
@@ -45,7 +45,7 @@
 
   private ClusterSummary() {}
 
-  /** The present summary. */
+  /** Returns the current summary. */
   public static String of(ClusterState state) {
     MachineCounts ordinary = new MachineCounts();
     MachineCounts spot = new MachineCounts();
--- a/src/main/java/io/embernotch/state/DemandForecast.java
+++ b/src/main/java/io/embernotch/state/DemandForecast.java
@@ -19,18 +19,17 @@
 
 /**
  * Recent demand by job class, and the headroom that follows from it. While a machine boots, jobs of
- * a class arrive at its usual rate and as many end; what deviates from that must find free capacity
- * at once. Jobs arrive independently and are of uneven size, so the variance of the tasks that
- * arrive is the sum of the squares of the jobs' sizes; the headroom is a number of standard
- * deviations.
+ * a class arrive at its usual rate and as many end; tasks in excess of that need free capacity at
+ * once. Jobs arrive independently and are of uneven size, so the variance of the tasks that arrive
+ * is the sum of the squares of the jobs' sizes; the headroom is a number of standard deviations.
  *
- * <p>That number follows from the costs: the smaller a deviation is compared with all that runs,
- * the cheaper is one more of it, while a task that finds no free capacity waits for a boot at any
- * size. For a normal distribution the best number grows with the root of the logarithm of that
- * ratio.
+ * <p>That number follows from the costs. The smaller a standard deviation is compared with all
+ * placed tasks, the cheaper is one more standard deviation of headroom, while a task without free
+ * capacity waits for a boot regardless of that ratio. For a normal distribution the optimal number
+ * grows with the square root of the logarithm of the ratio.
  */
 public final class DemandForecast {
-  /** Boot times over which the rate of a class is measured. */
+  /** Length, in boot times, of the window over which the arrivals of a class are counted. */
   private static final double WINDOW_BOOTS = 4;
 
   /** A job that became eligible at {@code at}, in seconds of the steady clock. */
@@ -47,7 +46,7 @@
       }
     }
 
-    /** Standard deviation of the tasks that arrive in one boot time. */
+    /** Returns the standard deviation of the number of tasks that arrive in one boot time. */
     double deviation() {
       double squares =
           arrivals.stream().mapToDouble(arrival -> (double) arrival.tasks * arrival.tasks).sum();
@@ -59,14 +58,18 @@
   private final Map<String, JobClassDemand> demandByClass = new LinkedHashMap<>();
 
   /**
-   * @param mayWaitForCapacity for such jobs there is no headroom: otherwise a job that may itself
-   *     wait would have machines scaled out for the next one like it
+   * @param mayWaitForCapacity whether no headroom is kept for jobs like the given one: otherwise a
+   *     job that may itself wait for capacity would cause machines to be rented for the next job
+   *     like it
    */
   public DemandForecast(Predicate<JobSpec> mayWaitForCapacity) {
     this.mayWaitForCapacity = mayWaitForCapacity;
   }
 
-  /** A job became eligible at {@code at}, in seconds of the steady clock; to be called in order. */
+  /**
+   * Records that a job became eligible at {@code at}, in seconds of the steady clock; to be called
+   * in the order of these times.
+   */
   public void recordArrival(JobSpec spec, double at) {
     JobClassDemand demand =
         demandByClass.computeIfAbsent(spec.jobClass(), name -> new JobClassDemand());
@@ -75,10 +78,10 @@
   }
 
   /**
-   * The free capacity to keep for each class with recent arrivals.
+   * Returns the free capacity to keep for each class with recent arrivals.
    *
-   * @param types all machine types, for the time that a boot takes
-   * @param jobs all jobs, for what is placed of each class
+   * @param types all machine types, which determine the boot time of a class
+   * @param jobs all jobs, whose placed tasks are counted for each class
    * @param now seconds of the steady clock
    */
   public List<Headroom> headroom(
@@ -101,7 +104,10 @@
     return headroom;
   }
 
-  /** How many deviations pay off when {@code ratio} deviations are placed already; 1 at least. */
+  /**
+   * Returns the optimal number of standard deviations of headroom, at least 1; {@code ratio} is the
+   * number of placed tasks in standard deviations.
+   */
   private static double costFactor(double ratio) {
     return ratio <= 1 ? 1 : Math.max(1, Math.sqrt(2 * Math.log(ratio)));
   }
--- a/src/main/java/io/embernotch/state/FailureAttribution.java
+++ b/src/main/java/io/embernotch/state/FailureAttribution.java
@@ -15,18 +15,18 @@
  * that was submitted with a mistake fails on whatever machine it starts. A job that failed on
  * several machines and succeeded on none is at fault, and its failures do not count against any
  * machine. A machine is at fault, and is quarantined, once the failures of several jobs count
- * against it; those of jobs that succeed elsewhere count more than those of jobs of which nothing
- * is known yet.
+ * against it; those of jobs that succeed elsewhere count more than those of jobs that have not
+ * succeeded yet.
  *
- * <p>One job alone must not be enough to have a machine replaced: a gang with a mistake would cost
- * a machine and a boot with each of its first attempts.
+ * <p>A single job that has not succeeded yet must not be enough to have a machine replaced: a gang
+ * with a mistake would cost a machine and a boot with each of its first attempts.
  *
  * <p>Owned by the leader's event loop.
  */
 public final class FailureAttribution {
   private static final Logger LOG = LoggerFactory.getLogger(FailureAttribution.class);
 
-  /** From this weight on, the failures on a machine show that it is at fault. */
+  /** Total weight of the failures on a machine from which the machine is at fault. */
   private static final double AT_FAULT = 1;
 
   /** Weight of a job's failures on a machine if it succeeds elsewhere. */
@@ -35,16 +35,18 @@
   /** Weight of a job's failures on a machine if it has not succeeded anywhere yet. */
   private static final double NO_SUCCESS_YET = 1.0 / 3;
 
-  /** Makes up for rounding where weights that add up to {@link #AT_FAULT} are summed. */
+  /** Offset for rounding errors in sums of weights that should equal {@link #AT_FAULT}. */
   private static final double ROUNDING = 1e-6;
 
-  /** So many failures on a machine of one job that succeeds elsewhere are enough by themselves. */
+  /** Failures of one job that succeeds elsewhere from which a machine is at fault. */
   private static final int REPEATED_FAILURES = 3;
 
-  /** The backoff of a job doubles with each further machine it fails on, up to this often. */
+  /**
+   * Maximum number of doublings of a job's backoff, one for each further machine that it fails on.
+   */
   private static final int MAX_JOB_DOUBLINGS = 5;
 
-  /** The backoff of a machine doubles with each failure in a row, up to this often. */
+  /** Maximum number of doublings of a machine's backoff, one for each consecutive failure. */
   private static final int MAX_MACHINE_DOUBLINGS = 4;
 
   private final Settings settings;
@@ -56,7 +58,9 @@
     this.state = state;
   }
 
-  /** A task has exited with an error at {@code now}, in seconds of the steady clock. */
+  /**
+   * Records that a task has exited with an error at {@code now}, in seconds of the steady clock.
+   */
   public void failed(Attempt attempt, Machine machine, double now) {
     Job job = attempt.job;
     machine.failures.merge(job.spec.ref(), 1, Integer::sum);
@@ -74,8 +78,8 @@
   }
 
   /**
-   * A job at fault is retried with one task at a time, so what its retries cost is bounded however
-   * large the job is.
+   * Returns the backoff of a job at fault, in seconds. Such a job is retried with one task at a
+   * time, so the cost of its retries is bounded regardless of its size.
    */
   private double jobBackoffS(Job job) {
     int doublings = job.errorMachines.size() - Job.MANY_MACHINES;
@@ -93,8 +97,8 @@
   }
 
   /**
-   * A task of the job was done on the machine, so neither is at fault. The machines that failed the
-   * job elsewhere are.
+   * Records that a task of the job was done on the machine, so neither is at fault; the failures of
+   * the job on other machines count against those.
    */
   public void succeeded(Job job, Machine machine) {
     machine.errorStreak = 0;
@@ -116,7 +120,7 @@
     return !job.done.isEmpty();
   }
 
-  /** The weight of all failures that count against a machine. */
+  /** Returns the total weight of the failures that count against a machine. */
   private double failureWeight(Machine machine) {
     double sum = ROUNDING;
     for (Map.Entry<String, Integer> failures : machine.failures.entrySet()) {
@@ -140,24 +144,29 @@
       return;
     }
     LOG.info(
-        "machine {} quarantined, it fails what it starts: {}",
+        "machine {} quarantined after failures of jobs {}",
         machine.name,
         machine.failures.keySet());
     machine.cordoned = true;
     for (String ref : machine.failures.keySet()) {
       Job job = state.jobs.get(ref);
-      // That the job failed here no longer counts against it.
+      // A failure on a machine at fault does not count against the job.
       if (job != null && job.errorMachines.remove(machine.name) && !job.failsEverywhere()) {
         job.backoffUntil = 0;
       }
     }
   }
 
-  /** The job is at fault: its failures no longer count against the machines it failed on. */
+  /**
+   * Clears the machines on which a job at fault failed: its failures no longer count against them.
+   */
   private void clearMachinesOf(Job job) {
     if (!job.failureLogged) {
       job.failureLogged = true;
-      LOG.info("job {} fails wherever it goes: {}", job.spec.ref(), job.errorMachines);
+      LOG.info(
+          "job {} failed on several machines and succeeded on none: {}",
+          job.spec.ref(),
+          job.errorMachines);
     }
     for (Machine machine : errorMachines(job)) {
       double remaining = failureWeight(machine);
--- a/src/main/java/io/embernotch/state/LargestJobWaitTimes.java
+++ b/src/main/java/io/embernotch/state/LargestJobWaitTimes.java
@@ -7,18 +7,18 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * How long the largest jobs of each class, a tenth of them by number of tasks, wait until their
- * first tasks start, under this leader.
+ * Wait times of the largest tenth of the jobs of each class, by number of tasks, until their first
+ * tasks start, under this leader.
  */
 public final class LargestJobWaitTimes {
-  /** A job is large if its class has this percentage of smaller ones. */
+  /** A job is large if it is not smaller than this percentile of the started jobs of its class. */
   private static final double LARGE_PERCENTILE = 90;
 
   private static final long MAX_TASKS = 100_000;
   private static final long MAX_WAIT_MS = 24 * 3600 * 1000L;
   private static final int SIGNIFICANT_DIGITS = 2;
 
-  /** Sizes of all jobs of a class that have started, and waits of the large ones. */
+  /** Sizes of all started jobs of a class, and wait times of the large ones. */
   private static final class JobClassWaits {
     final Histogram sizes = new Histogram(MAX_TASKS, SIGNIFICANT_DIGITS);
     final Histogram waitsMs = new Histogram(MAX_WAIT_MS, SIGNIFICANT_DIGITS);
@@ -42,7 +42,10 @@
 
   private final Map<String, JobClassWaits> waitsByClass = new TreeMap<>();
 
-  /** The first tasks of a job are being started, at {@code wallMs} of wall-clock time. */
+  /**
+   * Records that the first tasks of a job start at {@code wallMs}, in milliseconds of wall-clock
+   * time.
+   */
   public void recordStart(Job job, long wallMs) {
     JobClassWaits waits =
         waitsByClass.computeIfAbsent(job.spec.jobClass(), name -> new JobClassWaits());
@@ -53,8 +56,8 @@
   }
 
   /**
-   * One line on all classes, with the longest wait among large {@code jobs} that still wait at
-   * {@code wallMs}; null if no job has started.
+   * Returns one line on all classes, with the longest wait among large {@code jobs} that still wait
+   * at {@code wallMs}, in milliseconds of wall-clock time; null if no job has started.
    */
   public String statusLine(Collection<Job> jobs, long wallMs) {
     Map<String, Long> longestWaitMs = longestPresentWaitsMs(jobs, wallMs);
@@ -64,7 +67,7 @@
           line.append(line.isEmpty() ? "" : "; ").append(name).append(' ');
           waits.appendTo(line);
           if (longestWaitMs.containsKey(name)) {
-            line.append(", one waits since ").append(longestWaitMs.get(name)).append(" ms");
+            line.append(", one waiting for ").append(longestWaitMs.get(name)).append(" ms");
           }
         });
     return line.isEmpty() ? null : line.toString();
--- a/src/main/java/io/embernotch/state/UnreadableEntries.java
+++ b/src/main/java/io/embernotch/state/UnreadableEntries.java
@@ -13,14 +13,14 @@
 import java.util.TreeSet;
 
 /**
- * Entries of the store that a leader can't read, and what is left of the jobs behind them. What
- * can't be read is unknown, not absent. Owned by the leader's event loop.
+ * Entries of the store that a leader can't read, and what is known of the jobs that they belong to.
+ * What can't be read is unknown, not absent. Owned by the leader's event loop.
  */
 public final class UnreadableEntries {
   /**
    * What is known of a job whose submission can't be read.
    *
-   * @param dependencies the jobs that it depends on; empty if these can't be read either
+   * @param dependencies ids of the jobs that it depends on; empty if these can't be read either
    * @param mayHaveProgress whether an earlier leader may have written progress of it
    */
   public record UnreadableSubmission(
@@ -32,7 +32,7 @@
   private final Set<String> unknownEnds = new HashSet<>();
   private final List<Job> jobsWithUnknownEnd = new ArrayList<>();
 
-  /** Forgets everything, before a load. */
+  /** Removes all entries, before a load. */
   public void clear() {
     keys.clear();
     submissions.clear();
@@ -41,53 +41,58 @@
     jobsWithUnknownEnd.clear();
   }
 
-  /** The value of this key can't be read. */
+  /** Records that the value of this key can't be read. */
   public void addKey(String key) {
     keys.add(key);
   }
 
-  /** The submission of a job can't be read; what was known of it first stays. */
+  /**
+   * Records that the submission of a job can't be read; keeps an earlier record of the same job.
+   */
   public void addSubmission(String ref, UnreadableSubmission submission) {
     submissions.putIfAbsent(ref, submission);
   }
 
-  /** A job whose submission can't be read has progress in the store. */
+  /** Records that the store holds progress of a job whose submission can't be read. */
   public void addStarted(String ref) {
     startedJobs.add(ref);
   }
 
-  /** Neither the submission of a job nor whether it has ended can be read. */
+  /** Records that neither the submission of a job nor its end can be read. */
   public void addUnknownEnd(String ref) {
     unknownEnds.add(ref);
   }
 
-  /** Of a job all but whether it has ended can be read: tasks of it may still run. */
+  /** Records a job whose submission can be read but whose end can't: tasks of it may still run. */
   public void addUnknownEnd(Job job) {
     unknownEnds.add(job.spec.ref());
     jobsWithUnknownEnd.add(job);
   }
 
-  /** Keys of the store whose values can't be read, in their order. */
+  /** Returns the keys of the store whose values can't be read, in ascending order. */
   public Set<String> keys() {
     return Collections.unmodifiableSet(keys);
   }
 
-  /** What is known of a job whose submission can't be read; empty if it can, or is not there. */
+  /** Returns what is known of a job whose submission can't be read; empty for any other job. */
   public Optional<UnreadableSubmission> submission(String ref) {
     return Optional.ofNullable(submissions.get(ref));
   }
 
-  /** Whether the store has progress of a job whose submission can't be read. */
+  /** Whether the store holds progress of a job whose submission can't be read. */
   public boolean isStarted(String ref) {
     return startedJobs.contains(ref);
   }
 
-  /** Whether it can't be read if the job has ended. */
+  /** Whether the entry that holds the job's end can't be read. */
   public boolean isEndUnknown(String ref) {
     return unknownEnds.contains(ref);
   }
 
-  /** Jobs that may have ended, and tasks of which may still run. */
+  /**
+   * Returns the jobs with a readable submission that may have ended, or of which tasks may still
+   * run.
+   */
   public Collection<Job> jobsWithUnknownEnd() {
     return Collections.unmodifiableList(jobsWithUnknownEnd);
   }
--- a/src/test/java/io/embernotch/fleet/ScaleOutTest.java
+++ b/src/test/java/io/embernotch/fleet/ScaleOutTest.java
@@ -17,8 +17,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Machines whose type is not known by the time they are rented. The answer was dropped with a null
- * pointer: the machines were paid for and unknown until a list showed them.
+ * Tests rentals of machines whose type is not known yet. Such a response once caused a
+ * NullPointerException: the machines were paid for, but unknown until a machine list contained
+ * them.
  */
 class ScaleOutTest {
   @Test
--- a/src/test/java/io/embernotch/jobs/DependencyGraphTest.java
+++ b/src/test/java/io/embernotch/jobs/DependencyGraphTest.java
@@ -21,7 +21,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Priority inheritance between dependent jobs, their release and their cancellation. */
+/** Tests priority inheritance between dependent jobs, their release and their cancellation. */
 class DependencyGraphTest implements DependencyGraph.Listener {
   private final FakeTime time = new FakeTime();
   private final ControllerContext context =
@@ -83,7 +83,8 @@
         add(dependentJob("j-3", 1, "j-1").replace("\"expect_s\":30.0", "\"expect_s\":50.0"));
     Job last = add(withPriorityAndDue(dependentJob("j-4", 1, "j-2", "j-3"), "high", 300));
     dependencyGraph.propagateUrgency();
-    // Submitted at 1 s and due 300 s later; each stage takes its own estimate.
+    // Submitted at 1 s and due 300 s later; each stage must start earlier by its own estimated run
+    // time.
     assertThat(last.latestStartMs).isEqualTo(1_000 + 300_000 - 30_000);
     assertThat(left.latestStartMs).isEqualTo(last.latestStartMs - 30_000);
     assertThat(right.latestStartMs).isEqualTo(last.latestStartMs - 50_000);
@@ -91,7 +92,7 @@
     assertThat(List.of(first.effectivePriority, left.effectivePriority, right.effectivePriority))
         .containsOnly(Priority.HIGH);
     assertThat(first.spec.priority()).isEqualTo(Priority.LOW);
-    // Once the last one is cancelled, nothing depends on them any more.
+    // Once the last job is cancelled, no live job depends on the others any more.
     end(last, JobPhase.CANCELLED, 2_000);
     dependencyGraph.propagateUrgency();
     assertThat(first.effectivePriority).isEqualTo(Priority.NORMAL);
--- a/src/test/java/io/embernotch/jobs/UnknownEndTest.java
+++ b/src/test/java/io/embernotch/jobs/UnknownEndTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A job of which the store holds something that can't be read, and whatever brings its id before
- * the leader again. It may have ended, and its user may have been told so, so nothing takes it for
- * a new one; what depends on it waits.
+ * Tests that no request or store event makes a leader treat a job with unreadable entries as new.
+ * The job may have ended, and its end may have been reported to its user; jobs that depend on it
+ * wait.
  */
 class UnknownEndTest {
   private static final double AFTER_ALL_LEASES_S = 130;
@@ -22,7 +22,7 @@
 
   private final SimulatedCluster cluster = new SimulatedCluster(3);
 
-  /** What brings the id of a job before the leader. */
+  /** Events by which a leader comes across the id of a job. */
   private enum WayIn {
     DEPENDENCY,
     REPEATED_SUBMISSION,
@@ -62,7 +62,7 @@
     cluster.advance(20);
   }
 
-  /** Guards against taking in as new a job of which only the submission can be read. */
+  /** Guards against adding as new a job of which only the submission can be read. */
   @ParameterizedTest
   @EnumSource(WayIn.class)
   void nothingStartsAJobWhoseEndCannotBeRead(WayIn way) {
@@ -79,7 +79,10 @@
     assertThat(cluster.store.value("run/j-1").path("end").asText()).isEqualTo("parked");
   }
 
-  /** Guards against a job that is forgotten, or decided by a guess, with an unreadable one. */
+  /**
+   * Guards against dropping, releasing or cancelling a job while the end of its dependency can't be
+   * read.
+   */
   @ParameterizedTest
   @CsvSource({"done,running", "cancelled,cancelled"})
   void aDependentJobWaitsUntilTheEndCanBeRead(String end, String phaseAfterwards) {
@@ -95,7 +98,7 @@
     assertThat(cluster.violations()).isEmpty();
   }
 
-  /** Guards against running again what is done, once a submission is put right by hand. */
+  /** Guards against rerunning tasks that are done, after a submission was repaired by hand. */
   @Test
   void aSubmissionThatIsPutRightIsTakenOverWithItsProgressByTheNextLeader() {
     putJob("j-1", "{\"ref\":\"x\"}");
@@ -110,7 +113,10 @@
     assertThat(cluster.runningTasks("j-1").keySet()).containsExactly("j-1/2");
   }
 
-  /** Guards against "queued" of a job that a dependency has cancelled: that may have been told. */
+  /**
+   * Guards against reporting a job as queued that was cancelled with its dependency, after the
+   * cancellation may have been reported.
+   */
   @ParameterizedTest
   @CsvSource(
       value = {
@@ -132,7 +138,10 @@
     assertThat(phase("j-1")).isEqualTo(expected);
   }
 
-  /** Guards against a state that is told while the store's decisive entry is unreadable or gone. */
+  /**
+   * Guards against reporting a state while the store entry that determines it is unreadable or
+   * missing.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"j-1", "j-2", "j-3"})
   void aControllerWithoutLeaderTellsNothingThatRestsOnAnUnreadableEntry(String ref) {
--- a/src/test/java/io/embernotch/jobs/UnreadableEntriesTest.java
+++ b/src/test/java/io/embernotch/jobs/UnreadableEntriesTest.java
@@ -15,22 +15,22 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Entries of the store that a new leader can't read, whole or in part: by whatever wrote them, all
- * other jobs are served, and what is unknown is not taken for absent.
+ * Tests store entries that a new leader can't read, in whole or in part. All other jobs are served,
+ * and what is unknown is not taken for absent.
  *
- * <p>What happened: found by reading, shown by this test. With one key {@code part/j-9} in the
- * store no job was ever served again: "reading the store failed: Index 1 out of bounds for length
- * 1" ten times in each heartbeat interval, in this and every later leader.
+ * <p>Guards against a load that fails because of one entry. With a key {@code part/j-9} in the
+ * store, this and every later leader logged "reading the store failed: Index 1 out of bounds for
+ * length 1" ten times per heartbeat interval and never served a job.
  *
- * <p>Why: values that can't be read were passed over one by one, but not keys of refined shards, so
- * the first such key failed the whole load, which was then retried. Beside it, what can't be read
- * was taken for absent: a job that had ended was told to be queued, tasks that may still run were
- * not counted for their team's limit, and a request to cancel such a job was never answered.
+ * <p>The reader skipped unreadable values but not unreadable keys of refined shards, so the first
+ * such key failed the whole load, which was then retried. It also took unreadable entries for
+ * absent: a job that had ended was reported as queued, tasks that may still run did not count
+ * towards their team's limit, and a request to cancel such a job was never answered.
  */
 class UnreadableEntriesTest {
   private static final double AFTER_ALL_LEASES_S = 130;
 
-  /** Empty, cut off, and of other types than any version writes. */
+  /** Empty, truncated, and with field types that no version writes. */
   private static final List<String> MALFORMED_VALUES =
       List.of(
           "{}",
@@ -97,7 +97,8 @@
   }
 
   /**
-   * Its tasks may run unknown to anybody, until no worker's lease can have been renewed for them.
+   * The job's tasks may run without any controller knowing of them, until every worker lease
+   * renewed for them must have expired.
    */
   @Test
   void aJobOfAnUnreadableRefinedShardWaitsUntilNoTaskCanRun() {
@@ -112,7 +113,10 @@
     assertThat(cluster.runningTasks("j-1")).hasSize(3);
   }
 
-  /** The tasks that may run unknown to anybody count for their team's limit, of 24 GPUs, too. */
+  /**
+   * Tasks that may run without any controller knowing of them also count towards their team's limit
+   * of 24 GPUs.
+   */
   @Test
   void tasksThatMayRunCountForTheirTeamsLimit() {
     putJob("j-1", 20);
@@ -143,8 +147,8 @@
   }
 
   /**
-   * Whether it has ended is not known, so any other answer might contradict an earlier one, and to
-   * run it might run it again. What was stored stays as it is.
+   * It is not known whether the job has ended, so any answer other than 503 might contradict an
+   * earlier one, and starting the job might run it twice. The stored entry stays unchanged.
    */
   @ParameterizedTest
   @ValueSource(
@@ -167,9 +171,9 @@
   }
 
   /**
-   * A job whose end can't be read was started, and told to be queued, as soon as another job named
-   * it as a dependency: the leader looked it up as one that it does not know, found its submission,
-   * and took it for new. It may have been told to be done before.
+   * Guards against treating a job with an unreadable end as new. When another job named it as a
+   * dependency, the leader looked it up as an unknown job, found its submission, started it and
+   * reported it as queued. It may have been reported as done before.
    */
   @Test
   void aDependentJobDoesNotBringBackAJobWhoseEndCannotBeRead() {
@@ -195,7 +199,7 @@
     assertThat(cluster.phase(0, "j-1")).isEqualTo("queued");
   }
 
-  /** The size of its shards is part of a submission too. */
+  /** A submission without a shard size is unreadable too, and must not end the watch. */
   @Test
   void aSubmissionWithoutItsShardSizeEndsNoWatch() {
     cluster.awaitLeader(4);
--- a/src/test/java/io/embernotch/state/FailureAttributionTest.java
+++ b/src/test/java/io/embernotch/state/FailureAttributionTest.java
@@ -14,7 +14,10 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Which of jobs and machines is found at fault when jobs have mistakes, machines fail, or both. */
+/**
+ * Tests whether jobs or machines are found at fault when jobs have mistakes, machines fail, or
+ * both.
+ */
 class FailureAttributionTest {
   private final FakeTime time = new FakeTime();
   private final ClusterState state = new ClusterState();
@@ -52,7 +55,8 @@
   }
 
   /**
-   * Otherwise a gang with a mistake has each machine replaced on which its tasks fail repeatedly.
+   * Guards against replacing each machine on which the tasks of a gang with a mistake fail
+   * repeatedly.
    */
   @Test
   void jobsWithAMistakeQuarantineNoMachineHoweverOftenTheyFail() {
@@ -78,7 +82,7 @@
     assertThat(job(4).errorMachines).isEmpty();
   }
 
-  /** Among many failing machines a correct job fails on several, until it succeeds on another. */
+  /** A correct job fails on several failing machines before it succeeds on another one. */
   @Test
   void machinesThatFailedACorrectJobAreQuarantinedOnceItSucceeds() {
     for (int machine = 1; machine <= 5; machine++) {
--- a/src/test/java/io/embernotch/state/LargestJobWaitTimesTest.java
+++ b/src/test/java/io/embernotch/state/LargestJobWaitTimesTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which waits of jobs the status line of {@link LargestJobWaitTimes} contains. */
+/** Tests which jobs' wait times the status line of {@link LargestJobWaitTimes} contains. */
 class LargestJobWaitTimesTest {
   private static Job job(int number, int tasks) {
     return new Job(
@@ -30,8 +30,8 @@
     largestJobWaits.recordStart(job(200, 40), 61_000);
     assertThat(largestJobWaits.statusLine(List.of(job(300, 2), job(301, 50)), 31_000))
         .contains("max 60")
-        .endsWith("one waits since 30000 ms");
+        .endsWith("one waiting for 30000 ms");
     assertThat(largestJobWaits.statusLine(List.of(job(300, 2)), 31_000))
-        .doesNotContain("waits since");
+        .doesNotContain("waiting for");
   }
 }
