--- a/src/main/java/io/embernotch/fleet/CloudInventory.java
+++ b/src/main/java/io/embernotch/fleet/CloudInventory.java
@@ -61,12 +61,12 @@
 
   /** Requests the list if a request is due. */
   void tick(double now) {
-    if (!requestPending && now - requestedAt > intervalS()) {
+    if (!requestPending && now - requestedAt > listIntervalS()) {
       request();
     }
   }
 
-  private double intervalS() {
+  private double listIntervalS() {
     return Math.max(
         context.settings().cloudLimits().listLagS(),
         context.settings().workers().heartbeatIntervalS());
@@ -110,7 +110,7 @@
         changed = true;
       }
       if (!machine.up()) {
-        describe(machine, listed, now);
+        setDetails(machine, listed, now);
       }
       if (listed.running()) {
         machine.listedUpAt = machine.listedUpAt < 0 ? now : machine.listedUpAt;
@@ -121,7 +121,7 @@
       if (listed.failed() && !machine.failed) {
         LOG.info("machine {} has failed", machine.name);
         machine.failed = true;
-        rates.machineFailed();
+        rates.recordMachineFailure();
         scaleIn.accept(machine);
         changed = true;
       }
@@ -132,7 +132,7 @@
   }
 
   /** Sets the details of a machine whose worker has not reported yet from the list. */
-  private void describe(Machine machine, ListedMachine listed, double now) {
+  private void setDetails(Machine machine, ListedMachine listed, double now) {
     machine.type = state.types.getOrDefault(listed.type(), machine.type);
     machine.zone = listed.zone();
     machine.spot = listed.spot();
--- a/src/main/java/io/embernotch/fleet/FailureDetector.java
+++ b/src/main/java/io/embernotch/fleet/FailureDetector.java
@@ -46,19 +46,19 @@
   private static final double CONTROLLER_PARTITIONED_SHARE = 0.8;
 
   /** With fewer unresponsive machines than this, this controller is never taken for partitioned. */
-  private static final int CONTROLLER_PARTITIONED_MACHINES = 3;
+  private static final int CONTROLLER_PARTITIONED_MIN_MACHINES = 3;
 
   /**
    * Heartbeat intervals after the start of a leader in which it does not take itself for
    * partitioned, so that machines can find it.
    */
-  private static final double START_HEARTBEATS = 4;
+  private static final double STARTUP_HEARTBEATS = 4;
 
   /**
    * Share of a worker's lease, since its last renewal, for which an unresponsive machine with live
    * services is kept.
    */
-  private static final double LEASE_SHARE = 0.9;
+  private static final double WAIT_LEASE_SHARE = 0.9;
 
   private final ControllerContext context;
   private final ClusterState state;
@@ -91,7 +91,7 @@
     this.startedAt = context.clock().now();
   }
 
-  /** Whether a zone was found partitioned at the last {@link #watch}. */
+  /** Whether a zone was found partitioned at the last {@link #check}. */
   boolean isPartitioned(String zone) {
     return partitionedZones.contains(zone);
   }
@@ -120,7 +120,7 @@
    * tasks have ended. Two missing heartbeats and a failed probe are sufficient; either alone may be
    * a failure of this controller itself.
    */
-  void watch(double now) {
+  void check(double now) {
     double intervalS = context.settings().workers().heartbeatIntervalS();
     List<Machine> unresponsive = new ArrayList<>();
     int up = 0;
@@ -133,9 +133,9 @@
         unresponsive.add(machine);
       }
     }
-    if (unresponsive.size() >= CONTROLLER_PARTITIONED_MACHINES
+    if (unresponsive.size() >= CONTROLLER_PARTITIONED_MIN_MACHINES
         && unresponsive.size() > CONTROLLER_PARTITIONED_SHARE * up) {
-      if (now - startedAt > START_HEARTBEATS * intervalS) {
+      if (now - startedAt > STARTUP_HEARTBEATS * intervalS) {
         listener.controllerPartitioned();
       }
       return;
@@ -144,7 +144,7 @@
     for (Machine machine : unresponsive) {
       agents.probe(machine);
       if (now - lastSignOfLifeAt(machine) > giveUpHeartbeats(machine) * intervalS
-          && !worthWaitingFor(machine, now)) {
+          && !shouldWaitFor(machine, now)) {
         giveUp(machine, now);
       }
     }
@@ -163,7 +163,7 @@
         Math.round(now - lastSignOfLifeAt(machine)),
         machine.openAttempts.size(),
         machine.probeConnected ? "accepts connections" : "accepts no connection");
-    rates.machineFailed();
+    rates.recordMachineFailure();
     scaleIn.accept(machine);
   }
 
@@ -190,7 +190,9 @@
     }
     if (!zones.equals(partitionedZones)) {
       LOG.info("partitioned zones: {}", zones);
-      zones.stream().filter(z -> !partitionedZones.contains(z)).forEach(z -> rates.zoneFailed());
+      zones.stream()
+          .filter(z -> !partitionedZones.contains(z))
+          .forEach(z -> rates.recordZoneFailure());
       partitionedZones.stream()
           .filter(z -> !zones.contains(z))
           .forEach(z -> partitionEndedAt.put(z, context.clock().now()));
@@ -209,23 +211,24 @@
   }
 
   /**
-   * Whether an unresponsive machine is kept for now. A live service on a machine that only lost the
-   * network runs on until the worker's lease expires, and would have to restart elsewhere if the
-   * machine were returned earlier. A machine that accepts a connection and does not answer is not
-   * partitioned: it hangs, and so does the service. A machine that was not confirmed alive in this
-   * term is not kept: the heartbeats received from it may be delayed copies of those that it sent
-   * before it ended.
+   * Returns whether an unresponsive machine is kept for now. A live service on a machine that only
+   * lost the network runs on until the worker's lease expires, and would have to restart elsewhere
+   * if the machine were returned earlier. A machine that accepts a connection and does not answer
+   * is not partitioned: it hangs, and so does the service. A machine that was not confirmed alive
+   * in this term is not kept: the heartbeats received from it may be delayed copies of those that
+   * it sent before it ended.
    */
-  private boolean worthWaitingFor(Machine machine, double now) {
+  private boolean shouldWaitFor(Machine machine, double now) {
     if (machine.probeConnected && machine.probeFailedAt > lastSignOfLifeAt(machine)) {
       return false;
     }
     if (partitionedZones.contains(machine.zone)) {
       return now - lastSignOfLifeAt(machine)
-          < context.settings().gracePeriodS() + LEASE_SHARE * context.settings().workers().leaseS();
+          < context.settings().gracePeriodS()
+              + WAIT_LEASE_SHARE * context.settings().workers().leaseS();
     }
     return machine.load().pinned
         && machine.confirmedAliveAt >= 0
-        && now - machine.leaseRenewedAt < LEASE_SHARE * context.settings().workers().leaseS();
+        && now - machine.leaseRenewedAt < WAIT_LEASE_SHARE * context.settings().workers().leaseS();
   }
 }
--- a/src/main/java/io/embernotch/fleet/FailureRates.java
+++ b/src/main/java/io/embernotch/fleet/FailureRates.java
@@ -47,11 +47,11 @@
     countedAt = now;
   }
 
-  void machineFailed() {
+  void recordMachineFailure() {
     machineFailures++;
   }
 
-  void zoneFailed() {
+  void recordZoneFailure() {
     zoneFailures++;
   }
 
--- a/src/main/java/io/embernotch/fleet/FleetManager.java
+++ b/src/main/java/io/embernotch/fleet/FleetManager.java
@@ -66,7 +66,7 @@
   private final OneWayPartitions oneWayPartitions;
   private final ScaleIn scaleIn;
   private final double startedAt;
-  private double typesAt = Clock.NEVER;
+  private double typesRequestedAt = Clock.NEVER;
 
   /**
    * @param epoch epoch of this leader, unique to its term
@@ -87,11 +87,11 @@
     this.rates = new FailureRates(context.settings());
     this.inventory =
         new CloudInventory(
-            context, state, agents, rates, listener::clusterChanged, scaleIn::release);
+            context, state, agents, rates, listener::clusterChanged, scaleIn::returnMachine);
     this.failureDetector =
-        new FailureDetector(context, state, agents, listener, scaleIn::release, rates);
+        new FailureDetector(context, state, agents, listener, scaleIn::returnMachine, rates);
     this.oneWayPartitions =
-        new OneWayPartitions(context, state, agents, listener, scaleIn::release);
+        new OneWayPartitions(context, state, agents, listener, scaleIn::returnMachine);
     this.startedAt = context.clock().now();
   }
 
@@ -139,16 +139,16 @@
     refreshTypes(now);
     rates.tick(state, now);
     returnMachinesThatDidNotBoot(now);
-    failureDetector.watch(now);
-    oneWayPartitions.watch(now);
-    scaleIn.send(now);
+    failureDetector.check(now);
+    oneWayPartitions.check(now);
+    scaleIn.sendNextDeletion(now);
   }
 
   private void refreshTypes(double now) {
     double intervalS =
         TYPES_INTERVAL_HEARTBEATS * context.settings().workers().heartbeatIntervalS();
-    if (now - typesAt > intervalS) {
-      typesAt = now;
+    if (now - typesRequestedAt > intervalS) {
+      typesRequestedAt = now;
       context
           .cloud()
           .types()
@@ -175,7 +175,7 @@
 
   /** Returns a machine to the cloud. No more tasks are placed on it, and its tasks end with it. */
   public void scaleIn(Machine machine) {
-    scaleIn.release(machine);
+    scaleIn.returnMachine(machine);
   }
 
   /**
--- a/src/main/java/io/embernotch/fleet/OneWayPartitions.java
+++ b/src/main/java/io/embernotch/fleet/OneWayPartitions.java
@@ -23,12 +23,12 @@
   private static final double CONTROLLER_UNREACHABLE_SHARE = 0.2;
 
   /** With fewer unreachable machines than this, this controller is never taken for unreachable. */
-  private static final int CONTROLLER_UNREACHABLE_MACHINES = 3;
+  private static final int CONTROLLER_UNREACHABLE_MIN_MACHINES = 3;
 
   /**
    * Share of a lease, counted from its last renewal, for which the end of running tasks is awaited.
    */
-  private static final double LEASE_SHARE = 0.9;
+  private static final double WAIT_LEASE_SHARE = 0.9;
 
   /**
    * Heartbeat intervals from the last response that a machine received until it counts as
@@ -62,7 +62,7 @@
    * Probes unreachable machines, withdraws attempts that have not started there, and returns
    * machines that are not worth waiting for.
    */
-  void watch(double now) {
+  void check(double now) {
     List<Machine> unreachable =
         state.machines.values().stream()
             .filter(machine -> machine.unreachableSince >= 0 && !machine.deleting)
@@ -72,39 +72,39 @@
     }
     long up = state.machines.values().stream().filter(Machine::up).count();
     boolean controllerUnreachable =
-        unreachable.size() >= CONTROLLER_UNREACHABLE_MACHINES
+        unreachable.size() >= CONTROLLER_UNREACHABLE_MIN_MACHINES
             && unreachable.size() > CONTROLLER_UNREACHABLE_SHARE * up;
     for (Machine machine : unreachable) {
       agents.probe(machine);
-      withdrawUnstarted(machine);
+      withdrawUnstartedAttempts(machine);
       if (!controllerUnreachable
           && machine.probeFailedAt > machine.unreachableSince
-          && !worthWaitingFor(machine, now)) {
+          && !shouldWaitFor(machine, now)) {
         scaleIn.accept(machine);
       }
     }
   }
 
-  private void withdrawUnstarted(Machine machine) {
+  private void withdrawUnstartedAttempts(Machine machine) {
     for (Attempt attempt : List.copyOf(machine.openAttempts.values())) {
-      boolean begun =
+      boolean started =
           attempt.launchState == Attempt.LaunchState.CONFIRMED
               || attempt.launchState == Attempt.LaunchState.SENDING;
-      if (!begun && !attempt.stopping) {
+      if (!started && !attempt.stopping) {
         listener.startUnreachable(attempt);
       }
     }
   }
 
-  private boolean worthWaitingFor(Machine machine, double now) {
-    boolean runs =
+  private boolean shouldWaitFor(Machine machine, double now) {
+    boolean hasRunningTasks =
         machine.openAttempts.values().stream()
             .anyMatch(
                 attempt ->
                     attempt.launchState == Attempt.LaunchState.CONFIRMED && !attempt.stopping);
-    double patienceS =
-        LEASE_SHARE * context.settings().workers().leaseS()
+    double maxWaitS =
+        WAIT_LEASE_SHARE * context.settings().workers().leaseS()
             - DETECTION_HEARTBEATS * context.settings().workers().heartbeatIntervalS();
-    return runs && now - machine.unreachableSince < patienceS;
+    return hasRunningTasks && now - machine.unreachableSince < maxWaitS;
   }
 }
--- a/src/main/java/io/embernotch/fleet/ScaleIn.java
+++ b/src/main/java/io/embernotch/fleet/ScaleIn.java
@@ -25,28 +25,28 @@
 
   private final ControllerContext context;
   private final ClusterState state;
-  private final Consumer<Machine> gone;
-  private final Set<Machine> leaving = new LinkedHashSet<>();
+  private final Consumer<Machine> onDeleted;
+  private final Set<Machine> machinesToDelete = new LinkedHashSet<>();
   private boolean urgentDeletePending;
   private boolean idleDeletePending;
 
   /**
-   * @param gone receives each machine that was deleted, with all tasks on it
+   * @param onDeleted receives each machine that was deleted, with all tasks on it
    */
-  ScaleIn(ControllerContext context, ClusterState state, Consumer<Machine> gone) {
+  ScaleIn(ControllerContext context, ClusterState state, Consumer<Machine> onDeleted) {
     this.context = context;
     this.state = state;
-    this.gone = gone;
+    this.onDeleted = onDeleted;
   }
 
   /** Returns a machine. No more tasks are placed on it, and its tasks end with it. */
-  void release(Machine machine) {
+  void returnMachine(Machine machine) {
     if (!machine.deleting) {
       machine.deleting = true;
       machine.deleteRetryAt = 0;
-      leaving.add(machine);
+      machinesToDelete.add(machine);
       if (!machine.openAttempts.isEmpty()) {
-        send(context.clock().now());
+        sendNextDeletion(context.clock().now());
       }
     }
   }
@@ -56,9 +56,9 @@
    * responses prove that the tasks have ended and may be restarted. They never queue behind the
    * deletion of idle machines, which only saves money.
    */
-  void send(double now) {
+  void sendNextDeletion(double now) {
     boolean urgent =
-        leaving.stream()
+        machinesToDelete.stream()
             .anyMatch(machine -> !machine.openAttempts.isEmpty() && machine.deleteRetryAt <= now);
     boolean blocked = urgent ? urgentDeletePending : urgentDeletePending || idleDeletePending;
     if (blocked) {
@@ -72,8 +72,8 @@
 
   private List<Machine> nextBatch(double now) {
     List<Machine> batch = new ArrayList<>();
-    leaving.removeIf(machine -> state.machines.get(machine.name) != machine);
-    for (Machine machine : leaving) {
+    machinesToDelete.removeIf(machine -> state.machines.get(machine.name) != machine);
+    for (Machine machine : machinesToDelete) {
       if (machine.deleteRetryAt <= now
           && batch.size() < Settings.CloudLimits.MAX_DELETE
           && !machine.commandInFlight) {
@@ -95,8 +95,8 @@
               setDeletePending(urgent, false);
               if (result.succeeded()) {
                 LOG.info("scaled in: {}", names);
-                leaving.removeAll(new HashSet<>(batch));
-                batch.forEach(gone);
+                machinesToDelete.removeAll(new HashSet<>(batch));
+                batch.forEach(onDeleted);
               } else {
                 LOG.debug("failed to scale in {}: {}", names, result.cause().getMessage());
                 batch.forEach(this::retryLater);
--- a/src/main/java/io/embernotch/fleet/ScaleOut.java
+++ b/src/main/java/io/embernotch/fleet/ScaleOut.java
@@ -30,7 +30,7 @@
   private static final double NOT_EXHAUSTED = -1.0;
 
   /** A rental whose response has not been received yet; its name is an idempotency key. */
-  private record Booking(String name, Pool pool, int number) {}
+  private record Rental(String name, Pool pool, int number) {}
 
   /**
    * Machines of one type in one zone, spot or not; the cloud can run out of each pool separately.
@@ -45,32 +45,36 @@
   private final ControllerContext context;
   private final ClusterState state;
   private final long tokenBase;
-  private final Runnable changed;
-  private final String bookingPrefix;
-  private final Map<String, Booking> open = new LinkedHashMap<>();
+  private final Runnable onChange;
+  private final String rentalPrefix;
+  private final Map<String, Rental> pendingRentals = new LinkedHashMap<>();
   private final Map<Pool, Double> exhaustedUntil = new HashMap<>();
-  private int bookings;
+  private int rentalCount;
 
   /**
    * @param epoch epoch of this leader, unique to its term
-   * @param changed called when a rental has been answered, also if it was refused
+   * @param onChange called when a rental has been answered, also if it was refused
    */
   ScaleOut(
-      ControllerContext context, ClusterState state, long tokenBase, long epoch, Runnable changed) {
+      ControllerContext context,
+      ClusterState state,
+      long tokenBase,
+      long epoch,
+      Runnable onChange) {
     this.context = context;
     this.state = state;
     this.tokenBase = tokenBase;
-    this.changed = changed;
-    // The epoch is new with each term, so no booking name is ever used twice.
-    this.bookingPrefix = "r-" + epoch + "-";
+    this.onChange = onChange;
+    // The epoch is new with each term, so no rental name is ever used twice.
+    this.rentalPrefix = "r-" + epoch + "-";
   }
 
   /** Returns the machines that are being rented. */
   List<FleetView.Expected> expected() {
     List<FleetView.Expected> expected = new ArrayList<>();
-    for (Booking booking : open.values()) {
-      Pool pool = booking.pool;
-      expected.add(new FleetView.Expected(pool.type, pool.zone, pool.spot, booking.number));
+    for (Rental rental : pendingRentals.values()) {
+      Pool pool = rental.pool;
+      expected.add(new FleetView.Expected(pool.type, pool.zone, pool.spot, rental.number));
     }
     return expected;
   }
@@ -89,36 +93,37 @@
   void rent(SchedulingPlan.ScaleOutRequest request) {
     Pool pool = new Pool(request.type(), request.zone(), request.spot());
     int remaining = request.number();
-    boolean underWay = open.values().stream().anyMatch(booking -> booking.pool.equals(pool));
-    while (remaining > 0 && open.size() < context.settings().cloudLimits().rps()) {
-      if (underWay && remaining < Settings.CloudLimits.MAX_RENT) {
+    boolean callPending =
+        pendingRentals.values().stream().anyMatch(rental -> rental.pool.equals(pool));
+    while (remaining > 0 && pendingRentals.size() < context.settings().cloudLimits().rps()) {
+      if (callPending && remaining < Settings.CloudLimits.MAX_RENT) {
         return;
       }
       int number = Math.min(remaining, Settings.CloudLimits.MAX_RENT);
-      Booking booking = new Booking(bookingPrefix + ++bookings, pool, number);
-      open.put(booking.name, booking);
+      Rental rental = new Rental(rentalPrefix + ++rentalCount, pool, number);
+      pendingRentals.put(rental.name, rental);
       LOG.info("scaling out: {} {} in {}{}", number, pool.type, pool.zone, pool.spotSuffix());
-      send(booking);
+      send(rental);
       remaining -= number;
     }
   }
 
-  private void send(Booking booking) {
+  private void send(Rental rental) {
     context
         .cloud()
-        .rent(booking.name, booking.pool.type, booking.pool.zone, booking.pool.spot, booking.number)
-        .onSuccess(rented -> complete(booking, rented))
+        .rent(rental.name, rental.pool.type, rental.pool.zone, rental.pool.spot, rental.number)
+        .onSuccess(rented -> completeRental(rental, rented))
         .onFailure(
             e -> {
               // The request may have been executed: a retry with the same name gets the same
               // response and rents no further machine.
               LOG.debug(
-                  "scale-out request {} failed, to be retried: {}", booking.name, e.getMessage());
+                  "scale-out request {} failed, to be retried: {}", rental.name, e.getMessage());
               context
                   .timers()
                   .after(
                       context.settings().workers().heartbeatIntervalS() / RETRIES_PER_HEARTBEAT,
-                      () -> send(booking));
+                      () -> send(rental));
             });
   }
 
@@ -127,10 +132,10 @@
     return type == null ? context.settings().workers().leaseS() : type.bootS();
   }
 
-  private void complete(Booking booking, Rented rented) {
-    open.remove(booking.name);
+  private void completeRental(Rental rental, Rented rented) {
+    pendingRentals.remove(rental.name);
     double now = context.clock().now();
-    Pool pool = booking.pool;
+    Pool pool = rental.pool;
     MachineType type = state.types.get(pool.type);
     for (String name : rented.machines()) {
       Machine machine = state.machine(name, tokenBase);
@@ -142,17 +147,17 @@
         machine.expectedUntil = now + FleetManager.EXPECTED_BOOTS * bootS(type);
       }
     }
-    if (rented.refused() || rented.machines().size() < booking.number) {
+    if (rented.refused() || rented.machines().size() < rental.number) {
       LOG.info(
           "pool exhausted: {} in {}{}, got {} of {}",
           pool.type,
           pool.zone,
           pool.spotSuffix(),
           rented.machines().size(),
-          booking.number);
+          rental.number);
       exhaustedUntil.put(
           pool, now + EXHAUSTED_HEARTBEATS * context.settings().workers().heartbeatIntervalS());
     }
-    changed.run();
+    onChange.run();
   }
 }
--- a/src/main/java/io/embernotch/jobs/AttemptOutcomes.java
+++ b/src/main/java/io/embernotch/jobs/AttemptOutcomes.java
@@ -100,9 +100,9 @@
     double now = context.clock().now();
     logExit(attempt, cause, saved, now);
     if (cause == ExitCause.DONE && attempt.job.spec.shape() != JobShape.SERVICE) {
-      finished(attempt, machine, now);
+      handleFinished(attempt, machine, now);
     } else {
-      failed(attempt, machine, cause, now);
+      handleFailed(attempt, machine, cause, now);
     }
     close(attempt);
   }
@@ -120,14 +120,14 @@
     }
   }
 
-  private void finished(Attempt attempt, Machine machine, double now) {
+  private void handleFinished(Attempt attempt, Machine machine, double now) {
     Job job = attempt.job;
     recordRunTime(attempt, machine, now);
     boolean ended = job.finalPhase != null;
     if (!ended) {
       markDone(attempt);
     }
-    failureAttribution.succeeded(job, machine);
+    failureAttribution.recordSuccess(job, machine);
     if (!ended && job.remaining() == 0) {
       completions.decide(job, JobPhase.DONE);
       job.openAttempts.values().forEach(this::withdrawStop);
@@ -168,10 +168,10 @@
     }
   }
 
-  private void failed(Attempt attempt, Machine machine, ExitCause cause, double now) {
+  private void handleFailed(Attempt attempt, Machine machine, ExitCause cause, double now) {
     double heartbeatS = context.settings().workers().heartbeatIntervalS();
     switch (cause) {
-      case ERROR -> failureAttribution.failed(attempt, machine, now);
+      case ERROR -> failureAttribution.recordFailure(attempt, machine, now);
       case NO_ROOM, BUSY -> machine.avoidUntil = now + heartbeatS;
       case UNKNOWN -> attempt.job.backoffUntil = now + heartbeatS / BACKOFFS_PER_HEARTBEAT;
       default -> {}
@@ -180,8 +180,8 @@
   }
 
   /** Handles an attempt that provably no longer runs although its exit was not reported. */
-  public void gone(Attempt attempt, Machine machine, String why) {
-    LOG.info("{} no longer runs: {}", attempt, why);
+  public void gone(Attempt attempt, Machine machine, String reason) {
+    LOG.info("{} no longer runs: {}", attempt, reason);
     stopRestOfGang(attempt, 0);
     close(attempt);
   }
--- a/src/main/java/io/embernotch/jobs/Cancellations.java
+++ b/src/main/java/io/embernotch/jobs/Cancellations.java
@@ -36,7 +36,7 @@
    * Share of {@code cancel_s} within which all tasks must have ended. The commit and its response
    * also count, and take far less than the rest.
    */
-  private static final double SHARE_FOR_TASKS = 0.9;
+  private static final double TASK_END_SHARE = 0.9;
 
   /** A request waits at most a heartbeat interval divided by this for its decision. */
   private static final int REQUEST_WAITS_PER_HEARTBEAT = 2;
@@ -112,11 +112,11 @@
   private boolean allTasksEndInTime(Job job) {
     double deadline =
         context.clock().now()
-            + context.settings().workers().cancelS() * (SHARE_FOR_TASKS - Settings.DRIFT);
-    return job.openAttempts.values().stream().allMatch(attempt -> endsBy(attempt, deadline));
+            + context.settings().workers().cancelS() * (TASK_END_SHARE - Settings.DRIFT);
+    return job.openAttempts.values().stream().allMatch(attempt -> taskEndsBy(attempt, deadline));
   }
 
-  private boolean endsBy(Attempt attempt, double deadline) {
+  private boolean taskEndsBy(Attempt attempt, double deadline) {
     Machine machine = state.machines.get(attempt.machine);
     return machine != null
         && agents.leaseExpiresBy(machine) <= deadline
--- a/src/main/java/io/embernotch/jobs/DependencyGraph.java
+++ b/src/main/java/io/embernotch/jobs/DependencyGraph.java
@@ -51,7 +51,7 @@
   private final Map<String, Set<Job>> dependents = new HashMap<>();
 
   /** Whether the graph has changed since priorities were last propagated. */
-  private boolean changed;
+  private boolean changedSincePropagation;
 
   /** Creates an empty graph; {@code listener} is called on the caller's thread. */
   public DependencyGraph(ControllerContext context, ClusterState state, Listener listener) {
@@ -73,13 +73,13 @@
    * Adds a job of the cluster state. The job is blocked while one of its dependencies is not done.
    */
   public void add(Job job) {
-    changed = true;
+    changedSincePropagation = true;
     lookup.remove(job.spec.ref());
     boolean dependencyCancelled = false;
     for (String ref : job.finalPhase == null ? job.spec.dependencies() : List.<String>of()) {
       Optional<ClusterState.EndedJob> ended = state.persistedEnd(ref);
       if (ended.isEmpty()) {
-        addUnmet(job, ref);
+        addUnmetDependency(job, ref);
       } else if (ended.get().phase() == JobPhase.CANCELLED) {
         dependencyCancelled = true;
       } else {
@@ -92,7 +92,7 @@
     lookup.resolve();
   }
 
-  private void addUnmet(Job job, String dependency) {
+  private void addUnmetDependency(Job job, String dependency) {
     job.unmetDependencies.add(dependency);
     dependents.computeIfAbsent(dependency, ref -> new LinkedHashSet<>()).add(job);
     switch (state.knowledgeOf(dependency)) {
@@ -108,12 +108,12 @@
     boolean cancelled = job.finalPhase == JobPhase.CANCELLED;
     Set<Job> waiting = dependents.remove(job.spec.ref());
     if (cancelled) {
-      changed = true;
+      changedSincePropagation = true;
     }
     if (waiting == null) {
       return;
     }
-    changed = true;
+    changedSincePropagation = true;
     for (Job dependent : waiting) {
       if (dependent.finalPhase != null) {
         continue;
@@ -192,10 +192,10 @@
    * before a scheduling round; does nothing unless the graph has changed.
    */
   public void propagateUrgency() {
-    if (!changed) {
+    if (!changedSincePropagation) {
       return;
     }
-    changed = false;
+    changedSincePropagation = false;
     priorityInheritance.propagate();
   }
 
--- a/src/main/java/io/embernotch/jobs/DependencyLookup.java
+++ b/src/main/java/io/embernotch/jobs/DependencyLookup.java
@@ -26,7 +26,7 @@
   private final Consumer<VersionedEntry> jobFound;
 
   /** Ids of the jobs to read, in the order in which they were first named. */
-  private final Set<String> unknown = new LinkedHashSet<>();
+  private final Set<String> unresolved = new LinkedHashSet<>();
 
   /** Ids of the jobs whose read has not been answered yet. */
   private final Set<String> inFlight = new LinkedHashSet<>();
@@ -41,24 +41,24 @@
 
   /** Drops all jobs that are still to be read; responses to reads in flight are then ignored. */
   void clear() {
-    unknown.clear();
+    unresolved.clear();
   }
 
   /** Adds a job that another one depends on and that is not in the cluster state. */
   void add(String ref) {
-    unknown.add(ref);
+    unresolved.add(ref);
   }
 
   /** Removes a job that has been added to the cluster state and need not be read any more. */
   void remove(String ref) {
-    unknown.remove(ref);
+    unresolved.remove(ref);
   }
 
   /** Starts reads up to the limit of reads in flight; later calls start the others. */
   void resolve() {
     int maxInFlight =
         (int) Math.max(1, context.settings().minStoreLimits().rps() / STORE_REQUESTS_PER_LOOKUP);
-    for (String ref : List.copyOf(unknown)) {
+    for (String ref : List.copyOf(unresolved)) {
       if (inFlight.size() >= maxInFlight) {
         return;
       }
@@ -75,7 +75,7 @@
         .onComplete(
             result -> {
               inFlight.remove(ref);
-              if (result.failed() || !unknown.remove(ref)) {
+              if (result.failed() || !unresolved.remove(ref)) {
                 return;
               }
               if (result.result().present()) {
--- a/src/main/java/io/embernotch/jobs/FailoverRecovery.java
+++ b/src/main/java/io/embernotch/jobs/FailoverRecovery.java
@@ -29,7 +29,7 @@
    * A loss of data counts as recent for this many times the longest lease: the wall clocks of
    * controllers may differ.
    */
-  private static final double CLOCK_ALLOWANCE = 2;
+  private static final double RECENT_LOSS_LEASES = 2;
 
   private final ControllerContext context;
   private final ClusterState state;
@@ -77,7 +77,7 @@
   public void load(WatchEvents submissions, WatchEvents shards, WatchEvents refinedShards) {
     clearState();
     Map<String, StoredSubmission> recovered =
-        new StoredJobReader(state, shardLayout, baseSnapshot.since(), noTaskRunsAfter())
+        new StoredJobReader(state, shardLayout, baseSnapshot.since(), unknownTasksEndAt())
             .read(submissions, shards, refinedShards);
     if (shardLayout.refinedAny()) {
       stateWriter.limitsLowered();
@@ -85,7 +85,7 @@
     recordModRevisions(shards, refinedShards, recovered);
     recovered.values().stream()
         .sorted(Comparator.comparingLong(entry -> entry.job().submittedMs))
-        .forEach(this::adopt);
+        .forEach(this::restore);
     dependencyGraph.rebuild();
     forecastDemand(recovered.values());
   }
@@ -131,7 +131,7 @@
    */
   public void delayIfProgressUncertain(Job job) {
     if (!baseSnapshot.complete() && (job.restoredAfterLoss || isLossRecent())) {
-      job.notBefore = noTaskRunsAfter();
+      job.notBefore = unknownTasksEndAt();
     }
   }
 
@@ -141,7 +141,7 @@
    */
   private boolean isLossRecent() {
     double sinceLossS = (context.clock().wallMs() - baseSnapshot.madeMs()) / MS_PER_S;
-    return sinceLossS < CLOCK_ALLOWANCE * WorkerLeases.longestLeaseS(context.settings());
+    return sinceLossS < RECENT_LOSS_LEASES * WorkerLeases.longestLeaseS(context.settings());
   }
 
   /**
@@ -149,18 +149,18 @@
    * that it may lack must have ended.
    */
   public boolean allStartsKnown() {
-    return baseSnapshot.complete() || context.clock().now() > noTaskRunsAfter();
+    return baseSnapshot.complete() || context.clock().now() > unknownTasksEndAt();
   }
 
   /**
    * Returns the time, in seconds of the steady clock, after which no task runs that only an earlier
    * leader knew of.
    */
-  private double noTaskRunsAfter() {
+  private double unknownTasksEndAt() {
     return acquiredAt + WorkerLeases.longestLeaseS(context.settings());
   }
 
-  private void adopt(StoredSubmission recovered) {
+  private void restore(StoredSubmission recovered) {
     Job job = recovered.job();
     String ref = job.spec.ref();
     if (job.finalPhase != null && job.openAttempts.isEmpty()) {
@@ -173,10 +173,10 @@
     state.jobs.put(ref, job);
     job.persistedDone.or(job.done);
     delayIfProgressUncertain(job);
-    job.openAttempts.values().forEach(this::adopt);
+    job.openAttempts.values().forEach(this::restore);
   }
 
-  private void adopt(Attempt attempt) {
+  private void restore(Attempt attempt) {
     Job job = attempt.job;
     Machine machine = state.machine(attempt.machine, tokenBase);
     machine.zone = attempt.zone;
--- a/src/main/java/io/embernotch/jobs/JobRequestHandler.java
+++ b/src/main/java/io/embernotch/jobs/JobRequestHandler.java
@@ -77,12 +77,12 @@
 
   /** Completes {@code reply} with the state of a job: 200, 404 if never accepted, or 503. */
   public void poll(String ref, Promise<HttpResponse> reply) {
-    JobKnowledge known = state.knowledgeOf(ref);
-    if (known != JobKnowledge.ENDED && !leaseValid.getAsBoolean()) {
+    JobKnowledge knowledge = state.knowledgeOf(ref);
+    if (knowledge != JobKnowledge.ENDED && !leaseValid.getAsBoolean()) {
       reply.complete(HttpResponse.later("leadership is not proven"));
       return;
     }
-    switch (known) {
+    switch (knowledge) {
       case ENDED -> reply.complete(endedStatus(ref));
       case LIVE -> poll(state.jobs.get(ref), reply);
       case END_UNREADABLE -> reply.complete(unreadable());
@@ -139,13 +139,13 @@
       // leader must not report an older state: a user would see the job done, then running, then
       // done.
       Job ended = beingWritten.get();
-      boolean waits = stateWriter.whenWritten(ended, JobCompletions.FIRST_TASK, pollAgain);
-      replyLater(reply, waits ? pollPatienceS() : 0, "its end is being written");
+      boolean writePending = stateWriter.whenWritten(ended, JobCompletions.FIRST_TASK, pollAgain);
+      replyLater(reply, writePending ? pollTimeoutS() : 0, "its end is being written");
     } else if (job.finalPhase == null && job.blocked()) {
       reply.complete(HttpResponse.of(200, JobCodec.waiting(ref, job.unmetDependencies.size())));
     } else if (job.finalPhase == null && stateWriter.whenDoneMarksSettled(job, pollAgain)) {
       // The same holds for the count of done tasks.
-      replyLater(reply, pollPatienceS(), "what is done of it is being written");
+      replyLater(reply, pollTimeoutS(), "what is done of it is being written");
     } else {
       reply.complete(HttpResponse.of(200, status(job)));
     }
@@ -170,11 +170,11 @@
   }
 
   /** Replies with 503 unless {@code reply} is completed within {@code delayS} seconds. */
-  private void replyLater(Promise<HttpResponse> reply, double delayS, String why) {
-    context.timers().after(delayS, () -> reply.tryComplete(HttpResponse.later(why)));
+  private void replyLater(Promise<HttpResponse> reply, double delayS, String reason) {
+    context.timers().after(delayS, () -> reply.tryComplete(HttpResponse.later(reason)));
   }
 
-  private double pollPatienceS() {
+  private double pollTimeoutS() {
     return context.settings().workers().heartbeatIntervalS() / POLL_WAITS_PER_HEARTBEAT;
   }
 
@@ -188,7 +188,7 @@
       return JobCodec.status(ref, job.finalPhase, job.done.cardinality(), running);
     }
     // A start command without a response for as long as a poll may take may have arrived.
-    double sentBefore = context.clock().now() - pollPatienceS();
+    double sentBefore = context.clock().now() - pollTimeoutS();
     JobPhase phase =
         running > 0 || job.startMayHaveArrived(sentBefore) ? JobPhase.RUNNING : JobPhase.QUEUED;
     int done = job.persistedDone.cardinality();
@@ -203,9 +203,9 @@
 
   /**
    * Looks up an unknown job in the store, which alone can prove that a job was never accepted; runs
-   * {@code found} if the store holds the job.
+   * {@code whenFound} if the store holds the job.
    */
-  private void lookUp(String ref, Promise<HttpResponse> reply, Runnable found) {
+  private void lookUp(String ref, Promise<HttpResponse> reply, Runnable whenFound) {
     context
         .store()
         .getConfirmed(JobProgressCodec.JOB + ref)
@@ -221,7 +221,7 @@
                 reply.complete(HttpResponse.later("no steward"));
               } else {
                 host.jobFound(entry);
-                found.run();
+                whenFound.run();
               }
             })
         .onFailure(e -> reply.complete(HttpResponse.later("the state service does not answer")));
--- a/src/main/java/io/embernotch/jobs/StoredJobReader.java
+++ b/src/main/java/io/embernotch/jobs/StoredJobReader.java
@@ -42,24 +42,24 @@
 
   private final ClusterState state;
   private final ShardLayout shardLayout;
-  private final long baseSince;
-  private final double noTaskRunsAfter;
+  private final long baseRevision;
+  private final double unknownTasksEndAt;
   private final Map<String, StoredSubmission> recovered = new LinkedHashMap<>();
 
   /**
    * @param state receives the unreadable entries, and the ends of jobs whose submission can't be
    *     read
    * @param shardLayout receives the sizes of refined shards
-   * @param baseSince revision that the current store incarnation started with
-   * @param noTaskRunsAfter time, in seconds of the steady clock, after which no task runs that only
-   *     an earlier leader knew of
+   * @param baseRevision revision that the current store incarnation started with
+   * @param unknownTasksEndAt time, in seconds of the steady clock, after which no task runs that
+   *     only an earlier leader knew of
    */
   StoredJobReader(
-      ClusterState state, ShardLayout shardLayout, long baseSince, double noTaskRunsAfter) {
+      ClusterState state, ShardLayout shardLayout, long baseRevision, double unknownTasksEndAt) {
     this.state = state;
     this.shardLayout = shardLayout;
-    this.baseSince = baseSince;
-    this.noTaskRunsAfter = noTaskRunsAfter;
+    this.baseRevision = baseRevision;
+    this.unknownTasksEndAt = unknownTasksEndAt;
   }
 
   /** Returns the jobs whose submission and end can be read, by id. */
@@ -86,9 +86,9 @@
         tryRead(
             entry,
             () -> {
-              StoredSubmission found = StoredSubmission.read(entry.value());
-              found.job().restoredAfterLoss |= entry.modRevision() <= baseSince;
-              recovered.put(ref, found);
+              StoredSubmission submission = StoredSubmission.read(entry.value());
+              submission.job().restoredAfterLoss |= entry.modRevision() <= baseRevision;
+              recovered.put(ref, submission);
             });
     if (!readable) {
       state.unreadable.addSubmission(
@@ -98,18 +98,18 @@
 
   private void readShard(VersionedEntry entry) {
     String ref = refOf(entry);
-    boolean first = entry.key().equals(JobProgressCodec.shardKey(ref, 0));
+    boolean holdsEnd = entry.key().equals(JobProgressCodec.shardKey(ref, 0));
     StoredSubmission owner = recovered.get(ref);
     if (owner != null) {
       if (!tryRead(entry, () -> readShard(entry, owner))) {
-        holdBack(owner);
-        if (first && !JobProgressCodec.tellsEnd(entry.value())) {
+        delayUntilUnknownTasksEnd(owner);
+        if (holdsEnd && !JobProgressCodec.tellsEnd(entry.value())) {
           recovered.remove(ref);
           state.unreadable.addUnknownEnd(owner.job());
         }
       }
-    } else if (first) {
-      readEndAlone(entry, ref);
+    } else if (holdsEnd) {
+      readEndWithoutSubmission(entry, ref);
     }
   }
 
@@ -119,7 +119,7 @@
   }
 
   /** Reads the end of a job whose submission can't be read, so that it can be reported. */
-  private void readEndAlone(VersionedEntry entry, String ref) {
+  private void readEndWithoutSubmission(VersionedEntry entry, String ref) {
     if (!state.unreadable.isStarted(ref)) {
       return;
     }
@@ -145,7 +145,7 @@
                       .computeIfAbsent(refOf(entry), ref -> new ArrayList<>())
                       .add(ProgressShard.of(entry)));
       if (!readable && owner != null) {
-        holdBack(owner);
+        delayUntilUnknownTasksEnd(owner);
       }
     }
     recovered.forEach(
@@ -153,7 +153,7 @@
           for (ProgressShard shard :
               ProgressShard.largestFirst(shardsByJob.getOrDefault(ref, List.of()))) {
             if (!tryRead(shard.entry(), () -> shard.applyTo(owner.job()))) {
-              holdBack(owner);
+              delayUntilUnknownTasksEnd(owner);
             }
             // Recorded even if its value can't be read: it still overrides what larger shards state
             // of its tasks.
@@ -163,8 +163,8 @@
   }
 
   /** Delays a job until none of its tasks can run, since it is not known which of them do. */
-  private void holdBack(StoredSubmission job) {
-    job.job().notBefore = noTaskRunsAfter;
+  private void delayUntilUnknownTasksEnd(StoredSubmission job) {
+    job.job().notBefore = unknownTasksEndAt;
   }
 
   /** Returns whether {@code read} succeeded; otherwise logs the entry and skips it. */
--- a/src/main/java/io/embernotch/state/FailureAttribution.java
+++ b/src/main/java/io/embernotch/state/FailureAttribution.java
@@ -27,16 +27,16 @@
   private static final Logger LOG = LoggerFactory.getLogger(FailureAttribution.class);
 
   /** Total weight of the failures on a machine from which the machine is at fault. */
-  private static final double AT_FAULT = 1;
+  private static final double AT_FAULT_WEIGHT = 1;
 
   /** Weight of a job's failures on a machine if it succeeds elsewhere. */
-  private static final double SUCCEEDS_ELSEWHERE = 0.5;
+  private static final double SUCCEEDS_ELSEWHERE_WEIGHT = 0.5;
 
   /** Weight of a job's failures on a machine if it has not succeeded anywhere yet. */
-  private static final double NO_SUCCESS_YET = 1.0 / 3;
+  private static final double NO_SUCCESS_YET_WEIGHT = 1.0 / 3;
 
-  /** Offset for rounding errors in sums of weights that should equal {@link #AT_FAULT}. */
-  private static final double ROUNDING = 1e-6;
+  /** Offset for rounding errors in sums of weights that should equal {@link #AT_FAULT_WEIGHT}. */
+  private static final double ROUNDING_TOLERANCE = 1e-6;
 
   /** Failures of one job that succeeds elsewhere from which a machine is at fault. */
   private static final int REPEATED_FAILURES = 3;
@@ -61,7 +61,7 @@
   /**
    * Records that a task has exited with an error at {@code now}, in seconds of the steady clock.
    */
-  public void failed(Attempt attempt, Machine machine, double now) {
+  public void recordFailure(Attempt attempt, Machine machine, double now) {
     Job job = attempt.job;
     machine.failures.merge(job.spec.ref(), 1, Integer::sum);
     if (!hasSucceeded(job)) {
@@ -100,7 +100,7 @@
    * Records that a task of the job was done on the machine, so neither is at fault; the failures of
    * the job on other machines count against those.
    */
-  public void succeeded(Job job, Machine machine) {
+  public void recordSuccess(Job job, Machine machine) {
     machine.errorStreak = 0;
     machine.failures.clear();
     if (job.errorMachines.isEmpty()) {
@@ -122,7 +122,7 @@
 
   /** Returns the total weight of the failures that count against a machine. */
   private double failureWeight(Machine machine) {
-    double sum = ROUNDING;
+    double sum = ROUNDING_TOLERANCE;
     for (Map.Entry<String, Integer> failures : machine.failures.entrySet()) {
       Job job = state.jobs.get(failures.getKey());
       if (job != null && !job.failsEverywhere()) {
@@ -134,13 +134,13 @@
 
   private static double failureWeight(Job job, int failures) {
     if (!hasSucceeded(job)) {
-      return NO_SUCCESS_YET;
+      return NO_SUCCESS_YET_WEIGHT;
     }
-    return failures >= REPEATED_FAILURES ? AT_FAULT : SUCCEEDS_ELSEWHERE;
+    return failures >= REPEATED_FAILURES ? AT_FAULT_WEIGHT : SUCCEEDS_ELSEWHERE_WEIGHT;
   }
 
   private void quarantineIfAtFault(Machine machine) {
-    if (machine.cordoned || failureWeight(machine) < AT_FAULT) {
+    if (machine.cordoned || failureWeight(machine) < AT_FAULT_WEIGHT) {
       return;
     }
     LOG.info(
@@ -170,8 +170,8 @@
     }
     for (Machine machine : errorMachines(job)) {
       double remaining = failureWeight(machine);
-      machine.cordoned &= remaining >= AT_FAULT;
-      if (remaining <= ROUNDING) {
+      machine.cordoned &= remaining >= AT_FAULT_WEIGHT;
+      if (remaining <= ROUNDING_TOLERANCE) {
         machine.errorStreak = 0;
         machine.avoidUntil = 0;
       }
--- a/src/test/java/io/embernotch/fleet/ScaleOutTest.java
+++ b/src/test/java/io/embernotch/fleet/ScaleOutTest.java
@@ -23,7 +23,7 @@
  */
 class ScaleOutTest {
   @Test
-  void machinesOfAnUnknownTypeAreExpectedAllTheSame() {
+  void machinesOfAnUnknownTypeAreExpected() {
     FakeTime time = new FakeTime();
     Settings settings = SettingsReader.parse(SimulatedCluster.settingsToml(0));
     byte[] rented = "{\"hearths\":[\"n-1\"]}".getBytes(StandardCharsets.UTF_8);
--- a/src/test/java/io/embernotch/jobs/UnknownEndTest.java
+++ b/src/test/java/io/embernotch/jobs/UnknownEndTest.java
@@ -23,7 +23,7 @@
   private final SimulatedCluster cluster = new SimulatedCluster(3);
 
   /** Events by which a leader comes across the id of a job. */
-  private enum WayIn {
+  private enum Trigger {
     DEPENDENCY,
     REPEATED_SUBMISSION,
     POLL,
@@ -31,9 +31,9 @@
     REWRITTEN_SUBMISSION
   }
 
-  private void bringUp(WayIn way) {
+  private void fire(Trigger trigger) {
     int leader = cluster.leader().index;
-    switch (way) {
+    switch (trigger) {
       case DEPENDENCY -> cluster.submit(leader, dependentJob("j-2", 1, "j-1"));
       case REPEATED_SUBMISSION -> cluster.submit(leader, job("j-1", "array", 3));
       case POLL -> cluster.poll(leader, "j-1");
@@ -64,11 +64,11 @@
 
   /** Guards against adding as new a job of which only the submission can be read. */
   @ParameterizedTest
-  @EnumSource(WayIn.class)
-  void nothingStartsAJobWhoseEndCannotBeRead(WayIn way) {
+  @EnumSource(Trigger.class)
+  void nothingStartsAJobWhoseEndCannotBeRead(Trigger trigger) {
     putJobWithUnreadableEnd();
     for (int term = 0; term < 2; term++) {
-      bringUp(way);
+      fire(trigger);
       assertThat(cluster.runningTasks("j-1")).isEmpty();
       assertThat(phase("j-1")).isEqualTo("status 503");
       assertThat(cluster.cancel(cluster.leader().index, "j-1").status()).isEqualTo(503);
@@ -87,7 +87,7 @@
   @CsvSource({"done,running", "cancelled,cancelled"})
   void aDependentJobWaitsUntilTheEndCanBeRead(String end, String phaseAfterwards) {
     putJobWithUnreadableEnd();
-    bringUp(WayIn.DEPENDENCY);
+    fire(Trigger.DEPENDENCY);
     assertThat(phase("j-2")).isEqualTo("queued");
     changeLeader();
     assertThat(phase("j-2")).isEqualTo("queued");
@@ -100,7 +100,7 @@
 
   /** Guards against rerunning tasks that are done, after a submission was repaired by hand. */
   @Test
-  void aSubmissionThatIsPutRightIsTakenOverWithItsProgressByTheNextLeader() {
+  void aRepairedSubmissionIsRestoredWithItsProgressByTheNextLeader() {
     putJob("j-1", "{\"ref\":\"x\"}");
     // Tasks 0 and 1 are done.
     cluster.store.put("run/j-1", "{\"next\":3,\"done\":\"Aw==\"}");
@@ -127,7 +127,7 @@
         "[\"j-8\"];done;status 503"
       },
       delimiter = ';')
-  void aJobWhoseSubmissionCannotBeReadIsToldWhatItsDependenciesProve(
+  void aJobWhoseSubmissionCannotBeReadIsReportedAsItsDependenciesProve(
       String dependencies, String end, String expected) {
     putJob("j-0", job("j-0", "array", 1));
     cluster.store.put("run/j-0", "{\"next\":3,\"end\":\"" + end + "\",\"at\":900500}");
@@ -144,7 +144,7 @@
    */
   @ParameterizedTest
   @ValueSource(strings = {"j-1", "j-2", "j-3"})
-  void aControllerWithoutLeaderTellsNothingThatRestsOnAnUnreadableEntry(String ref) {
+  void aControllerWithoutLeaderReportsNoStateThatDependsOnAnUnreadableEntry(String ref) {
     putJobWithUnreadableEnd();
     putJob("j-2", dependentJob("j-2", 1, "j-1"));
     putJob("j-3", dependentJob("j-3", 1, "j-9"));
--- a/src/test/java/io/embernotch/jobs/UnreadableEntriesTest.java
+++ b/src/test/java/io/embernotch/jobs/UnreadableEntriesTest.java
@@ -80,7 +80,7 @@
         "shared/reserve",
         "shared/x"
       })
-  void noEntryKeepsALeaderFromServing(String key) {
+  void noUnreadableEntryKeepsALeaderFromServingOtherJobs(String key) {
     for (String value : MALFORMED_VALUES) {
       cluster.store.put(key, value);
       putJob("j-1", 3);
@@ -101,7 +101,7 @@
    * renewed for them must have expired.
    */
   @Test
-  void aJobOfAnUnreadableRefinedShardWaitsUntilNoTaskCanRun() {
+  void aJobWithAnUnreadableRefinedShardWaitsUntilNoTaskCanRun() {
     putJob("j-1", 3);
     cluster.store.put("part/j-1/4/0", "{\"next\":\"x\",\"open\":7}");
     cluster.awaitLeader(4);
@@ -132,7 +132,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"done", "cancelled"})
-  void aKnownEndIsToldThoughTheRestCannotBeRead(String end) {
+  void aReadableEndIsReportedThoughTheRestCannotBeRead(String end) {
     putUnreadableJob("j-1");
     cluster.store.put("run/j-1", "{\"next\":3,\"end\":\"" + end + "\",\"at\":900500}");
     putJob("j-2", 3);
@@ -153,7 +153,7 @@
   @ParameterizedTest
   @ValueSource(
       strings = {"{}", "{\"next\":3,\"end\":\"parked\"}", "{\"next\":3,\"end\":{}}", "{\"x\":1}"})
-  void aJobWhoseEndCannotBeReadIsNeitherRunNorToldAbout(String value) {
+  void aJobWhoseEndCannotBeReadIsNeitherRunNorReported(String value) {
     putJob("j-1", 3);
     putUnreadableJob("j-2");
     cluster.store.put("run/j-1", value);
@@ -176,7 +176,7 @@
    * reported it as queued. It may have been reported as done before.
    */
   @Test
-  void aDependentJobDoesNotBringBackAJobWhoseEndCannotBeRead() {
+  void aDependentJobDoesNotRestartAJobWhoseEndCannotBeRead() {
     putJob("j-1", 3);
     cluster.store.put("run/j-1", "{\"next\":3,\"end\":\"parked\"}");
     cluster.awaitLeader(4);
@@ -188,8 +188,8 @@
 
   @ParameterizedTest
   @CsvSource({"true", "false"})
-  void aRequestToCancelAJobThatCannotBeReadIsAnswered(boolean beforeTheLeader) {
-    if (beforeTheLeader) {
+  void aRequestToCancelAJobThatCannotBeReadIsAnswered(boolean beforeLeaderElection) {
+    if (beforeLeaderElection) {
       putUnreadableJob("j-1");
     }
     cluster.awaitLeader(4);
@@ -201,7 +201,7 @@
 
   /** A submission without a shard size is unreadable too, and must not end the watch. */
   @Test
-  void aSubmissionWithoutItsShardSizeEndsNoWatch() {
+  void aSubmissionWithoutShardSizeDoesNotEndTheWatch() {
     cluster.awaitLeader(4);
     cluster.store.put("job/j-1", "{\"at\":900000,\"job\":" + job("j-1", "array", 3) + "}");
     cluster.advance(4);
--- a/src/test/java/io/embernotch/state/FailureAttributionTest.java
+++ b/src/test/java/io/embernotch/state/FailureAttributionTest.java
@@ -43,7 +43,7 @@
     Job job = job(jobNumber);
     Machine machine = machine(machineNumber);
     machine.zone = "z1";
-    failureAttribution.failed(
+    failureAttribution.recordFailure(
         state.openAttempt(job, job.openAttempts.size(), 1, machine, time.now()),
         machine,
         time.now());
@@ -51,7 +51,7 @@
 
   private void succeed(int jobNumber, int machineNumber) {
     job(jobNumber).done.set(39);
-    failureAttribution.succeeded(job(jobNumber), machine(machineNumber));
+    failureAttribution.recordSuccess(job(jobNumber), machine(machineNumber));
   }
 
   /**
