--- a/src/main/java/io/embernotch/fleet/OneWayPartitions.java
+++ b/src/main/java/io/embernotch/fleet/OneWayPartitions.java
@@ -10,25 +10,28 @@
 
 /**
  * Machines behind a one-way partition: their heartbeats arrive, but neither responses nor commands
- * reach them. What runs there runs until its worker's lease expires, and may be done before; what
- * has not begun there goes elsewhere as soon as that is proven. Once nothing runs there any more
- * the machine is returned, which proves all else on it gone.
+ * reach them. Tasks that run on such a machine continue until its worker's lease expires, and may
+ * be done before. Tasks that have not started there are moved elsewhere as soon as it is proven
+ * that they have not. Once no task runs there any more the machine is returned, which proves that
+ * everything else on it has ended.
  */
 final class OneWayPartitions {
   /**
-   * If more than this share of the machines is unreachable, it is rather this controller whose
-   * messages are lost: no machine is returned for it.
+   * If more than this share of the machines is unreachable, this controller's own messages are
+   * probably lost, so no machine is returned.
    */
   private static final double CONTROLLER_UNREACHABLE_SHARE = 0.2;
 
-  /** Fewer unreachable machines than this prove nothing about this controller. */
-  private static final int CONTROLLER_UNREACHABLE_MACHINES = 3;
+  /** With fewer unreachable machines than this, this controller is never taken for unreachable. */
+  private static final int CONTROLLER_UNREACHABLE_MIN_MACHINES = 3;
 
-  /** Share of a lease, counted from its last renewal, for which what runs there is waited for. */
-  private static final double LEASE_SHARE = 0.9;
+  /**
+   * Share of a lease, counted from its last renewal, for which the end of running tasks is awaited.
+   */
+  private static final double WAIT_LEASE_SHARE = 0.9;
 
   /**
-   * Heartbeat intervals from the last response that a machine received until it is taken for
+   * Heartbeat intervals from the last response that a machine received until it counts as
    * unreachable.
    */
   private static final double DETECTION_HEARTBEATS = 2;
@@ -55,8 +58,11 @@
     this.scaleIn = scaleIn;
   }
 
-  /** Probes unreachable machines, withdraws what has not begun there, and returns idle ones. */
-  void watch(double now) {
+  /**
+   * Probes unreachable machines, withdraws attempts that have not started there, and returns
+   * machines that are not worth waiting for.
+   */
+  void check(double now) {
     List<Machine> unreachable =
         state.machines.values().stream()
             .filter(machine -> machine.unreachableSince >= 0 && !machine.deleting)
@@ -66,39 +72,39 @@
     }
     long up = state.machines.values().stream().filter(Machine::up).count();
     boolean controllerUnreachable =
-        unreachable.size() >= CONTROLLER_UNREACHABLE_MACHINES
+        unreachable.size() >= CONTROLLER_UNREACHABLE_MIN_MACHINES
             && unreachable.size() > CONTROLLER_UNREACHABLE_SHARE * up;
     for (Machine machine : unreachable) {
       agents.probe(machine);
-      withdrawUnstarted(machine);
+      withdrawUnstartedAttempts(machine);
       if (!controllerUnreachable
           && machine.probeFailedAt > machine.unreachableSince
-          && !worthWaitingFor(machine, now)) {
+          && !shouldWaitFor(machine, now)) {
         scaleIn.accept(machine);
       }
     }
   }
 
-  private void withdrawUnstarted(Machine machine) {
+  private void withdrawUnstartedAttempts(Machine machine) {
     for (Attempt attempt : List.copyOf(machine.openAttempts.values())) {
-      boolean begun =
+      boolean started =
           attempt.launchState == Attempt.LaunchState.CONFIRMED
               || attempt.launchState == Attempt.LaunchState.SENDING;
-      if (!begun && !attempt.stopping) {
+      if (!started && !attempt.stopping) {
         listener.startUnreachable(attempt);
       }
     }
   }
 
-  private boolean worthWaitingFor(Machine machine, double now) {
-    boolean runs =
+  private boolean shouldWaitFor(Machine machine, double now) {
+    boolean hasRunningTasks =
         machine.openAttempts.values().stream()
             .anyMatch(
                 attempt ->
                     attempt.launchState == Attempt.LaunchState.CONFIRMED && !attempt.stopping);
-    double patienceS =
-        LEASE_SHARE * context.settings().workers().leaseS()
+    double maxWaitS =
+        WAIT_LEASE_SHARE * context.settings().workers().leaseS()
             - DETECTION_HEARTBEATS * context.settings().workers().heartbeatIntervalS();
-    return runs && now - machine.unreachableSince < patienceS;
+    return hasRunningTasks && now - machine.unreachableSince < maxWaitS;
   }
 }
--- a/src/main/java/io/embernotch/fleet/ScaleIn.java
+++ b/src/main/java/io/embernotch/fleet/ScaleIn.java
@@ -14,50 +14,51 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Returns machines to the cloud. The answer to a deletion proves a machine gone; deletions that
- * fail are tried again.
+ * Returns machines to the cloud. The response to a deletion proves that a machine is gone; failed
+ * deletions are retried.
  */
 final class ScaleIn {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleIn.class);
 
-  /** Failed deletions are tried again so many times a heartbeat interval. */
+  /** Retries of a failed deletion per heartbeat interval. */
   private static final int RETRIES_PER_HEARTBEAT = 3;
 
   private final ControllerContext context;
   private final ClusterState state;
-  private final Consumer<Machine> gone;
-  private final Set<Machine> leaving = new LinkedHashSet<>();
+  private final Consumer<Machine> onDeleted;
+  private final Set<Machine> machinesToDelete = new LinkedHashSet<>();
   private boolean urgentDeletePending;
   private boolean idleDeletePending;
 
   /**
-   * @param gone receives each machine that is gone with all that was on it
+   * @param onDeleted receives each machine that was deleted, with all tasks on it
    */
-  ScaleIn(ControllerContext context, ClusterState state, Consumer<Machine> gone) {
+  ScaleIn(ControllerContext context, ClusterState state, Consumer<Machine> onDeleted) {
     this.context = context;
     this.state = state;
-    this.gone = gone;
+    this.onDeleted = onDeleted;
   }
 
-  /** Returns a machine. Nothing more is placed on it, and what is on it ends with it. */
-  void release(Machine machine) {
+  /** Returns a machine. No more tasks are placed on it, and its tasks end with it. */
+  void returnMachine(Machine machine) {
     if (!machine.deleting) {
       machine.deleting = true;
       machine.deleteRetryAt = 0;
-      leaving.add(machine);
+      machinesToDelete.add(machine);
       if (!machine.openAttempts.isEmpty()) {
-        send(context.clock().now());
+        sendNextDeletion(context.clock().now());
       }
     }
   }
 
   /**
-   * Sends the next deletion if one is due. Deletions of machines with tasks are urgent: they are
-   * proofs that the tasks wait for, and never queue behind a call that only saves money.
+   * Sends the next deletion if one is due. Deletions of machines with tasks are urgent: their
+   * responses prove that the tasks have ended and may be restarted. They never queue behind the
+   * deletion of idle machines, which only saves money.
    */
-  void send(double now) {
+  void sendNextDeletion(double now) {
     boolean urgent =
-        leaving.stream()
+        machinesToDelete.stream()
             .anyMatch(machine -> !machine.openAttempts.isEmpty() && machine.deleteRetryAt <= now);
     boolean blocked = urgent ? urgentDeletePending : urgentDeletePending || idleDeletePending;
     if (blocked) {
@@ -71,8 +72,8 @@
 
   private List<Machine> nextBatch(double now) {
     List<Machine> batch = new ArrayList<>();
-    leaving.removeIf(machine -> state.machines.get(machine.name) != machine);
-    for (Machine machine : leaving) {
+    machinesToDelete.removeIf(machine -> state.machines.get(machine.name) != machine);
+    for (Machine machine : machinesToDelete) {
       if (machine.deleteRetryAt <= now
           && batch.size() < Settings.CloudLimits.MAX_DELETE
           && !machine.commandInFlight) {
@@ -94,10 +95,10 @@
               setDeletePending(urgent, false);
               if (result.succeeded()) {
                 LOG.info("scaled in: {}", names);
-                leaving.removeAll(new HashSet<>(batch));
-                batch.forEach(gone);
+                machinesToDelete.removeAll(new HashSet<>(batch));
+                batch.forEach(onDeleted);
               } else {
-                LOG.debug("could not scale in {}: {}", names, result.cause().getMessage());
+                LOG.debug("failed to scale in {}: {}", names, result.cause().getMessage());
                 batch.forEach(this::retryLater);
               }
             });
--- a/src/main/java/io/embernotch/jobs/StoredJobReader.java
+++ b/src/main/java/io/embernotch/jobs/StoredJobReader.java
@@ -21,47 +21,48 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Puts the jobs together that the store holds, for a new leader. Whatever is wrong with one entry,
- * all others are read: if it failed the whole load, this and every later leader would retry for
- * ever. What can't be read is unknown, not absent:
+ * Reconstructs the jobs that the store holds, for a new leader. An entry that can't be read does
+ * not fail the load: otherwise this and every later leader would retry the load for ever. What
+ * can't be read is unknown, not absent:
  *
  * <ul>
- *   <li>a job whose submission can't be read stays known, and can't run; if it has ended, that is
- *       told;
- *   <li>a job of which a shard can't be read starts nothing until no task of it can run that only
+ *   <li>a job whose submission can't be read stays known, and can't run; if it has ended, its end
+ *       is reported;
+ *   <li>a job of which a shard can't be read starts no task until no task of it can run that only
  *       an earlier leader knew of;
- *   <li>a job whose end can't be read is neither started nor written nor told about: it may have
- *       ended, and its user may have been told so.
+ *   <li>a job whose end can't be read is neither started nor written, and its state is not
+ *       reported: it may have ended, and its end may have been reported to its user.
  * </ul>
  */
 final class StoredJobReader {
   private static final Logger LOG = LoggerFactory.getLogger(StoredJobReader.class);
 
-  /** Of a value that can't be read so many characters are logged: it may be overwritten later. */
+  /** Characters of an unreadable value that are logged; the value may be overwritten later. */
   private static final int MAX_LOGGED_CHARACTERS = 2000;
 
   private final ClusterState state;
   private final ShardLayout shardLayout;
-  private final long baseSince;
-  private final double noTaskRunsAfter;
+  private final long baseRevision;
+  private final double unknownTasksEndAt;
   private final Map<String, StoredSubmission> recovered = new LinkedHashMap<>();
 
   /**
-   * @param state receives what can't be read, and the ends of jobs of which nothing else can
+   * @param state receives the unreadable entries, and the ends of jobs whose submission can't be
+   *     read
    * @param shardLayout receives the sizes of refined shards
-   * @param baseSince revision that the present store incarnation began with
-   * @param noTaskRunsAfter when, by the steady clock, no task runs any more that only an earlier
-   *     leader knew of
+   * @param baseRevision revision that the current store incarnation started with
+   * @param unknownTasksEndAt time, in seconds of the steady clock, after which no task runs that
+   *     only an earlier leader knew of
    */
   StoredJobReader(
-      ClusterState state, ShardLayout shardLayout, long baseSince, double noTaskRunsAfter) {
+      ClusterState state, ShardLayout shardLayout, long baseRevision, double unknownTasksEndAt) {
     this.state = state;
     this.shardLayout = shardLayout;
-    this.baseSince = baseSince;
-    this.noTaskRunsAfter = noTaskRunsAfter;
+    this.baseRevision = baseRevision;
+    this.unknownTasksEndAt = unknownTasksEndAt;
   }
 
-  /** The jobs whose submission and end could be read, by id. */
+  /** Returns the jobs whose submission and end can be read, by id. */
   Map<String, StoredSubmission> read(
       WatchEvents submissions, WatchEvents shards, WatchEvents refinedShards) {
     submissions.events().forEach(this::readSubmission);
@@ -74,7 +75,7 @@
     return recovered;
   }
 
-  /** The id of the job that a {@code run/} or {@code part/} entry belongs to. */
+  /** Returns the id of the job that a {@code run/} or {@code part/} entry belongs to. */
   static String refOf(VersionedEntry entry) {
     return entry.key().split("/", -1)[1];
   }
@@ -85,9 +86,9 @@
         tryRead(
             entry,
             () -> {
-              StoredSubmission found = StoredSubmission.read(entry.value());
-              found.job().restoredAfterLoss |= entry.modRevision() <= baseSince;
-              recovered.put(ref, found);
+              StoredSubmission submission = StoredSubmission.read(entry.value());
+              submission.job().restoredAfterLoss |= entry.modRevision() <= baseRevision;
+              recovered.put(ref, submission);
             });
     if (!readable) {
       state.unreadable.addSubmission(
@@ -97,18 +98,18 @@
 
   private void readShard(VersionedEntry entry) {
     String ref = refOf(entry);
-    boolean first = entry.key().equals(JobProgressCodec.shardKey(ref, 0));
+    boolean holdsEnd = entry.key().equals(JobProgressCodec.shardKey(ref, 0));
     StoredSubmission owner = recovered.get(ref);
     if (owner != null) {
       if (!tryRead(entry, () -> readShard(entry, owner))) {
-        holdBack(owner);
-        if (first && !JobProgressCodec.tellsEnd(entry.value())) {
+        delayUntilUnknownTasksEnd(owner);
+        if (holdsEnd && !JobProgressCodec.tellsEnd(entry.value())) {
           recovered.remove(ref);
           state.unreadable.addUnknownEnd(owner.job());
         }
       }
-    } else if (first) {
-      readEndAlone(entry, ref);
+    } else if (holdsEnd) {
+      readEndWithoutSubmission(entry, ref);
     }
   }
 
@@ -117,8 +118,8 @@
         entry.value(), owner.job(), owner.shardSize(), JobProgressCodec.shardOf(entry.key()));
   }
 
-  /** Of a job whose submission can't be read, its end is told all the same. */
-  private void readEndAlone(VersionedEntry entry, String ref) {
+  /** Reads the end of a job whose submission can't be read, so that it can be reported. */
+  private void readEndWithoutSubmission(VersionedEntry entry, String ref) {
     if (!state.unreadable.isStarted(ref)) {
       return;
     }
@@ -144,7 +145,7 @@
                       .computeIfAbsent(refOf(entry), ref -> new ArrayList<>())
                       .add(ProgressShard.of(entry)));
       if (!readable && owner != null) {
-        holdBack(owner);
+        delayUntilUnknownTasksEnd(owner);
       }
     }
     recovered.forEach(
@@ -152,21 +153,21 @@
           for (ProgressShard shard :
               ProgressShard.largestFirst(shardsByJob.getOrDefault(ref, List.of()))) {
             if (!tryRead(shard.entry(), () -> shard.applyTo(owner.job()))) {
-              holdBack(owner);
+              delayUntilUnknownTasksEnd(owner);
             }
-            // Also if its value can't be read: what larger shards state of its tasks stays
-            // overridden.
+            // Recorded even if its value can't be read: it still overrides what larger shards state
+            // of its tasks.
             shardLayout.recordRefinedSize(ref, shard.size());
           }
         });
   }
 
-  /** Which tasks of the job run is not known, so it waits until none can. */
-  private void holdBack(StoredSubmission job) {
-    job.job().notBefore = noTaskRunsAfter;
+  /** Delays a job until none of its tasks can run, since it is not known which of them do. */
+  private void delayUntilUnknownTasksEnd(StoredSubmission job) {
+    job.job().notBefore = unknownTasksEndAt;
   }
 
-  /** Returns whether {@code read} succeeded; otherwise its entry is logged and left out. */
+  /** Returns whether {@code read} succeeded; otherwise logs the entry and skips it. */
   private boolean tryRead(VersionedEntry entry, Runnable read) {
     try {
       read.run();
--- a/src/test/java/io/embernotch/jobs/UnknownEndTest.java
+++ b/src/test/java/io/embernotch/jobs/UnknownEndTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A job of which the store holds something that can't be read, and whatever brings its id before
- * the leader again. It may have ended, and its user may have been told so, so nothing takes it for
- * a new one; what depends on it waits.
+ * Tests that no request or store event makes a leader treat a job with unreadable entries as new.
+ * The job may have ended, and its end may have been reported to its user; jobs that depend on it
+ * wait.
  */
 class UnknownEndTest {
   private static final double AFTER_ALL_LEASES_S = 130;
@@ -22,8 +22,8 @@
 
   private final SimulatedCluster cluster = new SimulatedCluster(3);
 
-  /** What brings the id of a job before the leader. */
-  private enum WayIn {
+  /** Events by which a leader comes across the id of a job. */
+  private enum Trigger {
     DEPENDENCY,
     REPEATED_SUBMISSION,
     POLL,
@@ -31,9 +31,9 @@
     REWRITTEN_SUBMISSION
   }
 
-  private void bringUp(WayIn way) {
+  private void fire(Trigger trigger) {
     int leader = cluster.leader().index;
-    switch (way) {
+    switch (trigger) {
       case DEPENDENCY -> cluster.submit(leader, dependentJob("j-2", 1, "j-1"));
       case REPEATED_SUBMISSION -> cluster.submit(leader, job("j-1", "array", 3));
       case POLL -> cluster.poll(leader, "j-1");
@@ -62,13 +62,13 @@
     cluster.advance(20);
   }
 
-  /** Guards against taking in as new a job of which only the submission can be read. */
+  /** Guards against adding as new a job of which only the submission can be read. */
   @ParameterizedTest
-  @EnumSource(WayIn.class)
-  void nothingStartsAJobWhoseEndCannotBeRead(WayIn way) {
+  @EnumSource(Trigger.class)
+  void nothingStartsAJobWhoseEndCannotBeRead(Trigger trigger) {
     putJobWithUnreadableEnd();
     for (int term = 0; term < 2; term++) {
-      bringUp(way);
+      fire(trigger);
       assertThat(cluster.runningTasks("j-1")).isEmpty();
       assertThat(phase("j-1")).isEqualTo("status 503");
       assertThat(cluster.cancel(cluster.leader().index, "j-1").status()).isEqualTo(503);
@@ -79,12 +79,15 @@
     assertThat(cluster.store.value("run/j-1").path("end").asText()).isEqualTo("parked");
   }
 
-  /** Guards against a job that is forgotten, or decided by a guess, with an unreadable one. */
+  /**
+   * Guards against dropping, releasing or cancelling a job while the end of its dependency can't be
+   * read.
+   */
   @ParameterizedTest
   @CsvSource({"done,running", "cancelled,cancelled"})
   void aDependentJobWaitsUntilTheEndCanBeRead(String end, String phaseAfterwards) {
     putJobWithUnreadableEnd();
-    bringUp(WayIn.DEPENDENCY);
+    fire(Trigger.DEPENDENCY);
     assertThat(phase("j-2")).isEqualTo("queued");
     changeLeader();
     assertThat(phase("j-2")).isEqualTo("queued");
@@ -95,9 +98,9 @@
     assertThat(cluster.violations()).isEmpty();
   }
 
-  /** Guards against running again what is done, once a submission is put right by hand. */
+  /** Guards against rerunning tasks that are done, after a submission was repaired by hand. */
   @Test
-  void aSubmissionThatIsPutRightIsTakenOverWithItsProgressByTheNextLeader() {
+  void aRepairedSubmissionIsRestoredWithItsProgressByTheNextLeader() {
     putJob("j-1", "{\"ref\":\"x\"}");
     // Tasks 0 and 1 are done.
     cluster.store.put("run/j-1", "{\"next\":3,\"done\":\"Aw==\"}");
@@ -110,7 +113,10 @@
     assertThat(cluster.runningTasks("j-1").keySet()).containsExactly("j-1/2");
   }
 
-  /** Guards against "queued" of a job that a dependency has cancelled: that may have been told. */
+  /**
+   * Guards against reporting a job as queued that was cancelled with its dependency, after the
+   * cancellation may have been reported.
+   */
   @ParameterizedTest
   @CsvSource(
       value = {
@@ -121,7 +127,7 @@
         "[\"j-8\"];done;status 503"
       },
       delimiter = ';')
-  void aJobWhoseSubmissionCannotBeReadIsToldWhatItsDependenciesProve(
+  void aJobWhoseSubmissionCannotBeReadIsReportedAsItsDependenciesProve(
       String dependencies, String end, String expected) {
     putJob("j-0", job("j-0", "array", 1));
     cluster.store.put("run/j-0", "{\"next\":3,\"end\":\"" + end + "\",\"at\":900500}");
@@ -132,10 +138,13 @@
     assertThat(phase("j-1")).isEqualTo(expected);
   }
 
-  /** Guards against a state that is told while the store's decisive entry is unreadable or gone. */
+  /**
+   * Guards against reporting a state while the store entry that determines it is unreadable or
+   * missing.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"j-1", "j-2", "j-3"})
-  void aControllerWithoutLeaderTellsNothingThatRestsOnAnUnreadableEntry(String ref) {
+  void aControllerWithoutLeaderReportsNoStateThatDependsOnAnUnreadableEntry(String ref) {
     putJobWithUnreadableEnd();
     putJob("j-2", dependentJob("j-2", 1, "j-1"));
     putJob("j-3", dependentJob("j-3", 1, "j-9"));
--- a/src/test/java/io/embernotch/state/FailureAttributionTest.java
+++ b/src/test/java/io/embernotch/state/FailureAttributionTest.java
@@ -14,7 +14,10 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Which of jobs and machines is found at fault when jobs have mistakes, machines fail, or both. */
+/**
+ * Tests whether jobs or machines are found at fault when jobs have mistakes, machines fail, or
+ * both.
+ */
 class FailureAttributionTest {
   private final FakeTime time = new FakeTime();
   private final ClusterState state = new ClusterState();
@@ -40,7 +43,7 @@
     Job job = job(jobNumber);
     Machine machine = machine(machineNumber);
     machine.zone = "z1";
-    failureAttribution.failed(
+    failureAttribution.recordFailure(
         state.openAttempt(job, job.openAttempts.size(), 1, machine, time.now()),
         machine,
         time.now());
@@ -48,11 +51,12 @@
 
   private void succeed(int jobNumber, int machineNumber) {
     job(jobNumber).done.set(39);
-    failureAttribution.succeeded(job(jobNumber), machine(machineNumber));
+    failureAttribution.recordSuccess(job(jobNumber), machine(machineNumber));
   }
 
   /**
-   * Otherwise a gang with a mistake has each machine replaced on which its tasks fail repeatedly.
+   * Guards against replacing each machine on which the tasks of a gang with a mistake fail
+   * repeatedly.
    */
   @Test
   void jobsWithAMistakeQuarantineNoMachineHoweverOftenTheyFail() {
@@ -78,7 +82,7 @@
     assertThat(job(4).errorMachines).isEmpty();
   }
 
-  /** Among many failing machines a correct job fails on several, until it succeeds on another. */
+  /** A correct job fails on several failing machines before it succeeds on another one. */
   @Test
   void machinesThatFailedACorrectJobAreQuarantinedOnceItSucceeds() {
     for (int machine = 1; machine <= 5; machine++) {
