--- a/src/main/java/io/embernotch/scheduling/AllocationListener.java
+++ b/src/main/java/io/embernotch/scheduling/AllocationListener.java
@@ -2,9 +2,9 @@
 
 /** Called for each allocation on a machine. */
 interface AllocationListener {
-  /** Capacity is claimed, and no task starts on it yet. */
+  /** Does nothing: capacity is only claimed, and no task starts on it yet. */
   AllocationListener CLAIM_ONLY = (candidate, tasks) -> {};
 
-  /** So many tasks have been allocated on the machine. */
+  /** Called when capacity for {@code tasks} tasks has been allocated on the machine. */
   void allocated(CandidateMachine candidate, int tasks);
 }
--- a/src/main/java/io/embernotch/scheduling/AllocationRequest.java
+++ b/src/main/java/io/embernotch/scheduling/AllocationRequest.java
@@ -5,13 +5,13 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Tasks of one job that need capacity.
+ * A request for capacity for tasks of one job.
  *
  * @param spec the job
  * @param wanted how many tasks; nothing is allocated if it is zero or negative
  * @param zones the zones that the tasks may go to; updated by each allocation
  * @param allowed the machines that may be used
- * @param score how well a machine suits: less is better
+ * @param score rates how well a machine suits the tasks; lower is better
  */
 record AllocationRequest(
     JobSpec spec,
--- a/src/main/java/io/embernotch/scheduling/BootQueueing.java
+++ b/src/main/java/io/embernotch/scheduling/BootQueueing.java
@@ -9,14 +9,15 @@
 import java.util.Map;
 
 /**
- * How many short tasks may queue for the same capacity of a machine that is booting. Where a task
- * runs for less time than another machine takes to boot, the next task waits for the same capacity
- * about as long as for a machine of its own. A machine rented for each of them would triple the
- * fleet while the first machines boot, and be returned right after.
+ * Limits how many short tasks may queue for the same capacity of a booting machine. If a task runs
+ * for less time than a machine takes to boot, the next task waits about as long for the same
+ * capacity as for another machine. Renting a machine for each of them would triple the fleet while
+ * the first machines boot, and they would be returned right after.
  */
 final class BootQueueing {
   /**
-   * Owners' estimates are often wrong by half, so the mean of a job class counts, and up to this.
+   * Most tasks that queue for the same capacity. Owners' estimates are often wrong by half, so the
+   * depth is limited and computed from the mean of a job class.
    */
   private static final int MAX_QUEUE_DEPTH = 3;
 
@@ -50,16 +51,19 @@
     }
   }
 
-  /** The job with the share of a machine that one of its tasks counts for while it is booting. */
+  /**
+   * The job's requirements on a booting machine: the resources of a task, divided by the queue
+   * depth.
+   */
   JobSpec queuedSpec(JobSpec spec) {
     int depth = queueDepth(spec);
     return depth > 1 ? spec.withShare(1.0 / depth) : spec;
   }
 
   /**
-   * Whether an ordinary machine is to be rented for spot work that finds no spot machine. Not while
-   * as many tasks of its class as are pending will have ended before that machine is up: it costs
-   * several times as much, and would find nothing left to do.
+   * Whether an ordinary machine is worth renting for spot work if there is no spot machine. It is
+   * not if, before it has booted, as many tasks of the class end as are pending: it costs several
+   * times as much, and would have nothing left to run.
    */
   boolean worthOrdinaryMachine(JobSpec spec) {
     ClassTotals totals = totalsByClass.get(spec.jobClass());
--- a/src/main/java/io/embernotch/scheduling/CandidateMachine.java
+++ b/src/main/java/io/embernotch/scheduling/CandidateMachine.java
@@ -9,9 +9,12 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** A machine while a plan is made: one that is up, one that is booting, or one to be rented. */
+/**
+ * A machine on which a plan may place tasks: up, booting, or to be rented. Its capacity is what the
+ * plan has not allocated yet.
+ */
 final class CandidateMachine {
-  /** How far a machine is from running tasks. */
+  /** Whether the machine can run tasks now or only later. */
   enum State {
     /** Up: tasks can start. */
     UP,
@@ -21,10 +24,10 @@
     SCALE_OUT
   }
 
-  /** Most tasks that a machine is ever taken to have capacity for. */
+  /** Upper bound for the task capacity of a machine. */
   private static final double MAX_TASKS = 10_000;
 
-  /** Owners' estimates of run times are often wrong by half. */
+  /** Factor applied to run time estimates: those of owners are often wrong by half. */
   static final double ESTIMATE_MARGIN = 1.5;
 
   final State state;
@@ -48,28 +51,28 @@
   private double freeingGpus;
   private double freeingMemGb;
 
-  /** Needed by this plan, and so not returned. */
+  /** Whether this plan needs the machine, so that it is not returned. */
   private boolean claimed;
 
-  /** Runs work that may not run on spot machines, so it is paid for whatever else it does. */
+  /** Whether it runs work that may not run on spot machines, so that it is paid for in any case. */
   private boolean pinned;
 
   /** Lowest priority of the attempts that are not being stopped; null if there are none. */
   private Priority lowestPriority;
 
-  /** The gang for which this machine accumulates capacity for one task; null if none. */
+  /** Id of the gang for which this machine accumulates capacity for one task; null if none. */
   private String accumulatingFor;
 
-  /** Seconds until it has accumulated that capacity. */
+  /** Seconds until the machine has accumulated that capacity. */
   private double accumulatedInS;
 
-  /** How well it suits the job that is being placed: less is better. */
+  /** Rates how well the machine suits the job that is being placed; lower is better. */
   double score;
 
-  /** What is reserved here; null if nothing. */
+  /** Reservations on the machine; null if there are none. */
   MachineReservation reservation;
 
-  /** Images that are being fetched; shared with the machine's load until this plan adds to it. */
+  /** Images that are being fetched; the set of the machine's load until this plan adds an image. */
   private Set<String> fetchingImages = Set.of();
 
   private boolean ownsFetchingImages;
@@ -85,7 +88,7 @@
     this.memGb = type.memGb();
   }
 
-  /** A machine of the fleet with its present load. */
+  /** Creates a candidate for a machine of the fleet with its present load. */
   static CandidateMachine of(State state, Machine machine) {
     CandidateMachine candidate =
         new CandidateMachine(state, machine, machine.type, machine.zone, machine.spot);
@@ -107,28 +110,28 @@
     return spec.allows(type.name(), zone, spot);
   }
 
-  /** Whether no task of any kind has capacity here. */
+  /** Whether no CPUs or no memory are left for any task, even once stopping attempts have ended. */
   boolean full() {
     return cpus + freeingCpus <= Resources.TOLERANCE || memGb + freeingMemGb <= Resources.TOLERANCE;
   }
 
-  /** Whether only tasks without GPUs have capacity here. */
+  /** Whether the machine has GPUs and all are taken, so that only tasks without GPUs fit. */
   boolean gpusTaken() {
     return type.gpus() > 0 && gpus + freeingGpus <= Resources.TOLERANCE;
   }
 
   /**
-   * Whether the capacity that this job would use here is paid for already: beside work that may not
-   * run on spot machines, or beside work that has taken all GPUs.
+   * Whether the machine is paid for without this job: it runs work that may not run on spot
+   * machines, or its GPUs are all taken and the job needs none.
    */
   boolean paidFor(JobSpec spec) {
     return pinned || (spec.gpus() <= 0 && gpusTaken());
   }
 
   /**
-   * How many such tasks have capacity here.
+   * How many tasks of the job the machine has capacity for.
    *
-   * @param includeFreeing whether capacity counts that is still being freed
+   * @param includeFreeing whether to include capacity that is still being freed
    */
   int taskCapacity(JobSpec spec, boolean includeFreeing) {
     Resources reserved = reservedAgainst(spec);
@@ -147,7 +150,9 @@
     return (int) Math.max(0, tasks);
   }
 
-  /** How many such tasks have capacity here once this part of the load has ended. */
+  /**
+   * How many tasks of the job the machine has capacity for once this part of its load has ended.
+   */
   int taskCapacityWithout(MachineLoad load, JobSpec spec) {
     Resources reserved = reservedAgainst(spec);
     double tasks =
@@ -167,12 +172,12 @@
     return each <= 0 ? most : Math.min(most, Math.floor((free + Resources.TOLERANCE) / each));
   }
 
-  /** What is reserved here for other work than this job. */
+  /** Free capacity that is reserved for other work than this job. */
   Resources reservedAgainst(JobSpec spec) {
     return reservation == null ? Resources.ZERO : reservation.reservedAgainst(spec);
   }
 
-  /** What is not in use, or will not be once the attempts that are being stopped have ended. */
+  /** Capacity that is not in use once the attempts that are being stopped have ended. */
   Resources unusedCapacity() {
     return new Resources(
         Math.max(0, cpus + freeingCpus),
@@ -180,12 +185,12 @@
         Math.max(0, memGb + freeingMemGb));
   }
 
-  /** What is free once the attempts that are being stopped have ended, less one such task. */
+  /** Capacity for the job that is free once stopping attempts have ended, less one of its tasks. */
   CapacityBalance balanceAfterFreeing(JobSpec spec) {
     return balance(cpus + freeingCpus, gpus + freeingGpus, memGb + freeingMemGb, spec);
   }
 
-  /** What is free now, less one such task. */
+  /** Capacity for the job that is free now, less one of its tasks. */
   CapacityBalance balanceNow(JobSpec spec) {
     return balance(cpus, gpus, memGb, spec);
   }
@@ -198,20 +203,22 @@
     return balance;
   }
 
-  /** Has the machine accumulate capacity for one task of a gang. */
+  /**
+   * Makes the machine accumulate capacity for one task of a gang, which takes {@code inS} seconds.
+   */
   void accumulateFor(String gang, double inS) {
     accumulatingFor = gang;
     accumulatedInS = inS;
   }
 
-  /** Whether it accumulates capacity for a gang. */
+  /** Whether the machine accumulates capacity for a gang. */
   boolean isAccumulating() {
     return accumulatingFor != null;
   }
 
   /**
-   * Whether a task of this job may go here though the machine accumulates capacity for another: if
-   * it will have ended before the machine has that capacity.
+   * Whether a task of this job may be placed on the machine. While the machine accumulates capacity
+   * for another job, the task must be expected to end before the machine has that capacity.
    */
   boolean admits(JobSpec spec) {
     return accumulatingFor == null
@@ -221,7 +228,7 @@
             && ESTIMATE_MARGIN * spec.expectS() <= accumulatedInS);
   }
 
-  /** Whether an attempt of lower priority runs here and is not being stopped. */
+  /** Whether the machine runs an attempt of lower priority that is not being stopped. */
   boolean runsLowerPriorityThan(Priority priority) {
     return lowestPriority != null && lowestPriority.compareTo(priority) < 0;
   }
@@ -235,7 +242,7 @@
     return claimed;
   }
 
-  /** Share of its GPUs that is free. */
+  /** Share of the machine's GPUs that is free; the machine must have GPUs. */
   double freeGpuShare() {
     return gpus / type.gpus();
   }
@@ -258,7 +265,7 @@
     freeingMemGb += spec.memGb();
   }
 
-  /** Counts an image that this plan has fetched here. */
+  /** Adds an image that the machine fetches because of this plan. */
   void addFetchingImage(String image) {
     if (!ownsFetchingImages) {
       fetchingImages = new HashSet<>(fetchingImages);
@@ -276,7 +283,7 @@
     return type.memGb() > 0 ? Math.max(utilization, 1 - memGb / type.memGb()) : utilization;
   }
 
-  /** Seconds until the job's image is here. */
+  /** Estimated seconds until the machine has the job's image; 0 if it has it already. */
   double fetchS(JobSpec spec) {
     if (machine != null && machine.images.contains(spec.image())) {
       return 0;
--- a/src/main/java/io/embernotch/scheduling/CandidateMachines.java
+++ b/src/main/java/io/embernotch/scheduling/CandidateMachines.java
@@ -13,12 +13,13 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * All machines of a plan. Machines without free capacity are kept apart: on a busy fleet they are
- * nearly all, and looking at them for each job would cost machines times tasks. For the same reason
- * machines whose GPUs are all taken are offered only to jobs that need none.
+ * All machines that a plan may use. Machines without free capacity are excluded from the searches:
+ * on a busy fleet they are nearly all, and the cost of looking at them for each job would be
+ * machines times tasks. For the same reason, machines whose GPUs are all taken are searched only
+ * for jobs that need none.
  */
 final class CandidateMachines {
-  /** The kinds of capacity that a task can be given. */
+  /** The kinds of capacity that a task can be allocated. */
   enum Capacity {
     /** Free on a machine that is up. */
     FREE,
@@ -33,7 +34,7 @@
   private final List<CandidateMachine> all = new ArrayList<>();
   private final List<CandidateMachine> upWithCapacity = new ArrayList<>();
 
-  /** Machines that are up and have capacity, but no GPU. */
+  /** Machines that are up and have capacity, but no free GPUs. */
   private final List<CandidateMachine> withoutGpus = new ArrayList<>();
 
   private final List<CandidateMachine> booting = new ArrayList<>();
@@ -41,7 +42,7 @@
   private final Map<String, Integer> countByZone = new HashMap<>();
   private boolean anySpot;
 
-  /** The usable machines of the fleet, with what is reserved on them. */
+  /** Creates candidates for the usable machines of the fleet, with their reservations. */
   static CandidateMachines of(
       Collection<Machine> machines,
       Predicate<Machine> usable,
@@ -102,7 +103,10 @@
     }
   }
 
-  /** Adds machines that a request in flight may bring; none if the type is unknown (null). */
+  /**
+   * Adds machines that a rental request in flight may provide; none if {@code type} is null
+   * (unknown).
+   */
   void add(FleetView.Expected expected, MachineType type) {
     for (int i = 0; type != null && i < expected.number(); i++) {
       add(
@@ -136,7 +140,7 @@
     return all.stream().anyMatch(CandidateMachine::isAccumulating);
   }
 
-  /** What all machines have together, in use or not. */
+  /** Total capacity of all machines, used or free. */
   Resources totalCapacity() {
     Resources total = Resources.ZERO;
     for (CandidateMachine candidate : all) {
@@ -146,7 +150,10 @@
     return total;
   }
 
-  /** Offers a machine again that may have capacity, since attempts there are to be stopped. */
+  /**
+   * Includes a machine in the searches again: attempts on it are to be stopped, which frees
+   * capacity.
+   */
   void reopen(CandidateMachine candidate) {
     if (!upWithCapacity.contains(candidate)) {
       withoutGpus.remove(candidate);
@@ -154,12 +161,14 @@
     }
   }
 
-  /** How many machines are in the zone. */
+  /** Number of machines in the zone. */
   int inZone(String zone) {
     return countByZone.getOrDefault(zone, 0);
   }
 
-  /** Machines with such capacity for this job, best first; equally good ones keep their order. */
+  /**
+   * Machines with this kind of capacity for the job, best first; the order of equal ones is stable.
+   */
   List<CandidateMachine> ranked(
       Capacity capacity,
       JobSpec spec,
@@ -206,7 +215,7 @@
     }
   }
 
-  /** What is reserved after this plan, by machine name; only machines with something. */
+  /** Amounts reserved after this plan, by machine name, without machines on which nothing is. */
   Map<String, ReservationAmounts> reserved() {
     Map<String, ReservationAmounts> reserved = new HashMap<>();
     for (CandidateMachine candidate : all) {
--- a/src/main/java/io/embernotch/scheduling/CapacityAllocator.java
+++ b/src/main/java/io/embernotch/scheduling/CapacityAllocator.java
@@ -10,8 +10,9 @@
 import java.util.Optional;
 
 /**
- * Gives tasks capacity: free now, being freed, booting, or of machines that are rented for them.
- * What it allocates is taken from the candidates at once, so that nothing is given twice.
+ * Allocates capacity to tasks: capacity that is free, being freed, on booting machines, or on
+ * machines that are rented for them. It is subtracted from the candidates at once, so that no
+ * capacity is allocated twice.
  */
 final class CapacityAllocator implements ReservationPlanner.CapacityProvider {
   private final SchedulingCycle cycle;
@@ -120,7 +121,7 @@
   }
 
   /**
-   * Claims capacity of machines that are booting, or rents machines.
+   * Claims capacity on machines that are booting, or rents machines.
    *
    * @return for how many tasks
    */
@@ -166,8 +167,8 @@
   }
 
   /**
-   * Whether a job keeps off ordinary machines: it may run on spot machines and the cloud has some.
-   * On an ordinary machine that serves nothing else it would only prevent scale in.
+   * Whether a job avoids ordinary machines: it may run on spot machines, and the cloud has some. On
+   * an ordinary machine that is not needed otherwise it would only prevent scale-in.
    */
   private boolean avoidsOrdinaryMachines(JobSpec spec) {
     return spec.spot() && spec.shape() == JobShape.ARRAY && scaleOutPlanner.spotAvailable(spec);
--- a/src/main/java/io/embernotch/scheduling/CapacityBalance.java
+++ b/src/main/java/io/embernotch/scheduling/CapacityBalance.java
@@ -3,8 +3,8 @@
 import io.embernotch.model.JobSpec;
 
 /**
- * Free capacity of a machine minus what a task needs there: below zero in an amount that is
- * lacking. Unlike {@link Resources} it may become negative.
+ * Free capacity of a machine less the demand on it. A negative amount is a shortfall; subtraction
+ * of {@link Resources}, in contrast, stops at zero.
  */
 final class CapacityBalance {
   private double cpus;
@@ -35,12 +35,12 @@
     memGb -= amount.memGb();
   }
 
-  /** Whether some amount is lacking. */
+  /** Whether any amount is negative. */
   boolean insufficient() {
     return insufficient(cpus, gpus, memGb);
   }
 
-  /** Whether nothing would be lacking without the capacity of such a task. */
+  /** Whether no amount would be negative without the capacity of such a task. */
   boolean canSpare(JobSpec task) {
     return !insufficient(cpus - task.cpus(), gpus - task.gpus(), memGb - task.memGb());
   }
--- a/src/main/java/io/embernotch/scheduling/Deadlines.java
+++ b/src/main/java/io/embernotch/scheduling/Deadlines.java
@@ -10,10 +10,10 @@
 import java.util.Set;
 
 /**
- * Chooses which of the jobs that are for a release miss their deadline where not all can meet it.
- * As many as possible meet theirs (Moore and Hodgson: jobs are added in the order of their due
- * times, and whenever one would be late, the one with the longest processing time is left out).
- * Jobs that are left out are placed behind the others, and do not starve: see {@link JobOrdering}.
+ * Chooses which jobs of releases miss their deadlines if not all can meet them. As few as possible
+ * do (Moore-Hodgson algorithm: jobs are added in the order of their due times, and whenever one
+ * would be late, the job with the longest processing time is left out). Jobs that are left out are
+ * placed after the others; {@link JobOrdering} keeps them from starving.
  */
 public final class Deadlines {
   private static final double MS_PER_S = 1000.0;
@@ -21,15 +21,15 @@
   /**
    * One job with a deadline.
    *
-   * @param ref the job's name
-   * @param processingS seconds that it takes of all machines together
+   * @param ref the job's id
+   * @param processingS seconds that the job takes if it uses the capacity of all machines
    * @param dueS seconds from now until it must be done
    */
   public record Entry(String ref, double processingS, double dueS) {}
 
   private Deadlines() {}
 
-  /** The names of the jobs that miss their deadlines. */
+  /** Returns the ids of the jobs that miss their deadlines. */
   public static Set<String> missed(List<Entry> entries) {
     List<Entry> byDueTime = new ArrayList<>(entries);
     byDueTime.sort(Comparator.comparingDouble(Entry::dueS).thenComparing(Entry::ref));
@@ -50,7 +50,7 @@
     return missed;
   }
 
-  /** Sets {@link Job#missesDeadline} of each job, given the capacity of all machines together. */
+  /** Sets {@link Job#missesDeadline} of each job, given the total capacity of all machines. */
   static void mark(List<Job> jobs, Resources totalCapacity, long wallMs) {
     List<Entry> entries = new ArrayList<>();
     for (Job job : jobs) {
@@ -72,7 +72,7 @@
             ratio(job.spec.cpus(), totalCapacity.cpus()));
     int tasks = job.spec.shape() == JobShape.GANG ? job.spec.tasks() : job.remaining();
     double runS = job.remainingRunMs / MS_PER_S;
-    // A job is not done before one of its tasks has run, however many machines there are.
+    // However many machines there are, a job takes at least the run time of one task.
     double dueS =
         (job.releaseDeadlineMs - wallMs) / MS_PER_S - runS * (1 - Math.min(1, share * tasks));
     return new Entry(job.spec.ref(), share * tasks * runS, dueS);
--- a/src/main/java/io/embernotch/scheduling/FleetView.java
+++ b/src/main/java/io/embernotch/scheduling/FleetView.java
@@ -2,12 +2,12 @@
 
 import io.embernotch.model.JobSpec;
 
-/** What the scheduler has to know of the fleet beyond the machines themselves. */
+/** Input of the scheduler about the fleet, other than the machines themselves. */
 public final class FleetView {
   private FleetView() {}
 
   /**
-   * Machines that a rental request in flight may yet bring.
+   * Machines that a rental request in flight may still provide.
    *
    * @param type name of the machine type
    * @param zone their zone
@@ -17,16 +17,16 @@
   public record Expected(String type, String zone, boolean spot, int number) {}
 
   /**
-   * Capacity to be kept free.
+   * Capacity to keep free.
    *
-   * @param sample a sample of the tasks, or of the gangs, that it is for
-   * @param count for how many of them
+   * @param sample a job with the requirements of the tasks that the capacity is for
+   * @param count number of tasks that the capacity must be enough for
    */
   public record Headroom(JobSpec sample, int count) {}
 
-  /** What the cloud can be expected to have. */
+  /** The machines that the cloud has run out of. */
   public interface Pools {
-    /** Whether the cloud has lately reported that it has no such machines. */
+    /** Whether the cloud has recently reported that it has no such machines. */
     boolean exhausted(String type, String zone, boolean spot);
   }
 }
--- a/src/main/java/io/embernotch/scheduling/GangAccumulation.java
+++ b/src/main/java/io/embernotch/scheduling/GangAccumulation.java
@@ -12,25 +12,27 @@
 import java.util.Map;
 
 /**
- * Accumulates capacity for gangs that wait and find neither enough free machines nor any to rent.
- * Capacity that is freed bit by bit is taken at once by smaller tasks, so without this a gang of
- * whole machines may wait for as long as there are small tasks. Some machines therefore accept
- * nothing new but tasks that will have ended before the machine has capacity for a task of the
- * gang. Their number grows with the time that the gang has waited. The first gang that waits may
- * have as many as it needs, the others only within a share of the machines, so that the fleet is
- * not emptied for them.
+ * Accumulates capacity for waiting gangs for which there are neither enough free machines nor
+ * machines to rent. Smaller tasks take freed capacity at once, so without accumulation a gang that
+ * needs whole machines may wait for as long as there are small tasks. An accumulating machine
+ * accepts only tasks that are expected to end before it has capacity for a task of the gang. The
+ * number of accumulating machines grows with the time that the gang has waited. The first waiting
+ * gang gets as many as it needs; the others only within a share of the machines, so that the fleet
+ * is not emptied for them.
  */
 final class GangAccumulation {
-  /** Worker leases after which capacity is accumulated for all of its tasks. */
+  /**
+   * Waiting time, in worker leases, after which capacity is accumulated for all tasks of a gang.
+   */
   private static final double FULL_WAIT_LEASES = 2;
 
-  /** Largest share of the machines that are up that accumulate capacity. */
+  /** Largest share of the machines in state UP that may accumulate capacity. */
   private static final double MAX_MACHINE_SHARE = 0.25;
 
-  /** What a task takes; hosts are searched for once for each size. */
+  /** Resources of one task; hosts are computed once for each size. */
   private record TaskSize(double cpus, double gpus, double memGb) {}
 
-  /** A machine, and in how many seconds it has capacity for a task. */
+  /** A machine, and the seconds until it has capacity for a task. */
   private record Host(CandidateMachine candidate, double availableInS) {}
 
   private final SchedulingCycle cycle;
@@ -41,7 +43,7 @@
   /** How many more machines may accumulate capacity. */
   private int machineBudget;
 
-  /** Whether no gang has had machines accumulate capacity yet. */
+  /** Whether no machine of this plan accumulates capacity for a gang yet. */
   private boolean firstGang;
 
   GangAccumulation(SchedulingCycle cycle) {
@@ -50,7 +52,7 @@
     this.settings = cycle.settings();
   }
 
-  /** Has machines accumulate capacity for the gangs among these jobs that need it, in order. */
+  /** Selects machines to accumulate capacity for the gangs among these jobs, in the given order. */
   void reserveMachines(List<Job> order) {
     machineBudget =
         (int)
@@ -100,7 +102,10 @@
     }
   }
 
-  /** The hosts of the zone that has most, or among equals those that are available first. */
+  /**
+   * The hosts in the zone with the most hosts; among equal zones, the one whose last host is
+   * available first.
+   */
   private List<Host> bestZoneHosts(JobSpec spec, int wanted) {
     List<Host> best = List.of();
     for (String zone : settings.zones()) {
@@ -117,7 +122,7 @@
     return hosts.isEmpty() ? 0 : hosts.get(hosts.size() - 1).availableInS;
   }
 
-  /** The machines that will have capacity for one such task first. */
+  /** The first machines to have capacity for one task of the job, at most {@code wanted}. */
   private List<Host> firstAvailable(JobSpec spec, int wanted, ZoneConstraints zones) {
     List<Host> hosts = new ArrayList<>();
     TaskSize size = new TaskSize(spec.cpus(), spec.gpus(), spec.memGb());
@@ -148,7 +153,9 @@
     return hosts;
   }
 
-  /** Seconds until there is capacity for one such task; {@link Double#MAX_VALUE}: never. */
+  /**
+   * Seconds until the machine has capacity for one such task; {@link Double#MAX_VALUE} if never.
+   */
   private double availableInS(CandidateMachine candidate, JobSpec spec) {
     List<Attempt> attempts = new ArrayList<>(candidate.machine.openAttempts.values());
     attempts.sort(Comparator.comparingDouble(this::remainingS));
@@ -164,7 +171,7 @@
     return balance.insufficient() ? Double.MAX_VALUE : availableInS;
   }
 
-  /** Seconds that a task still has to run; {@link Double#MAX_VALUE} for a service. */
+  /** Estimated seconds until an attempt ends; {@link Double#MAX_VALUE} for a service. */
   private double remainingS(Attempt attempt) {
     if (attempt.stopping) {
       return attempt.job.spec.saveS();
--- a/src/main/java/io/embernotch/scheduling/GangPlacement.java
+++ b/src/main/java/io/embernotch/scheduling/GangPlacement.java
@@ -19,8 +19,8 @@
   }
 
   /**
-   * Starts a gang if all of its tasks find free capacity; otherwise claims capacity for them, which
-   * later jobs do not get.
+   * Starts a gang if there is free capacity for all of its tasks; otherwise claims capacity for
+   * them, so that later jobs do not take it.
    */
   void place(Job job) {
     JobSpec spec = job.spec;
@@ -30,7 +30,8 @@
     if (cycle.usage().remainingTasks(spec) < spec.tasks()) {
       cycle.waitsForQuota(job, spec.tasks());
       if (cycle.aged(job)) {
-        // Otherwise smaller jobs of its team would use up the quota for as long as they come.
+        // Otherwise smaller jobs of its team would use up the quota for as long as any are
+        // submitted.
         cycle.usage().keepFor(spec);
       }
       return;
--- a/src/main/java/io/embernotch/scheduling/HeadroomPlanner.java
+++ b/src/main/java/io/embernotch/scheduling/HeadroomPlanner.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * Keeps capacity free for jobs that may come, renting machines if there is too little. Work that a
- * reservation serves is left to {@link ReservationPlanner}.
+ * Keeps capacity free for jobs that may be submitted, and rents machines if there is too little.
+ * {@link ReservationPlanner} does so for work that a reservation serves.
  */
 final class HeadroomPlanner {
   private final CapacityAllocator allocator;
--- a/src/main/java/io/embernotch/scheduling/JobOrdering.java
+++ b/src/main/java/io/embernotch/scheduling/JobOrdering.java
@@ -11,24 +11,26 @@
 /** The order in which jobs are placed. */
 final class JobOrdering {
   /**
-   * Worker leases of waiting after which a job goes before all others of its priority, whether they
-   * are for a release or not: under four minutes.
+   * Waiting time, in worker leases, after which a job precedes all others of its priority,
+   * including release jobs; less than four minutes.
    */
   private static final int STARVED_LEASES = 7;
 
   /**
-   * Worker leases before its latest start from which on work for a release goes before work that is
-   * for none.
+   * Time before its latest start, in worker leases, from which on a release job precedes other
+   * jobs.
    */
   private static final int NEAR_START_LEASES = 4;
 
-  /** Further apart than any two times that occur. */
+  /**
+   * Offset that makes a time precede all others; larger than the difference of any two real times.
+   */
   private static final long FIRST_OFFSET_MS = 1L << 50;
 
   /**
    * Production jobs first, then jobs within their guarantee, then by priority, then by urgency: the
-   * latest start that the deadline leaves, or, without one, a worker lease after the job could have
-   * started.
+   * latest start that the deadline leaves, or, without a deadline, one worker lease after the job
+   * became eligible.
    */
   private static final Comparator<Job> ORDER =
       Comparator.comparing((Job job) -> job.spec.priority() != Priority.PRODUCTION)
@@ -39,7 +41,7 @@
 
   private JobOrdering() {}
 
-  /** The jobs with pending tasks, in their order. */
+  /** Returns the jobs with pending tasks in the order in which they are placed. */
   static List<Job> of(
       Collection<Job> jobs, Settings settings, CandidateMachines candidates, long wallMs) {
     long leaseMs = Math.round(settings.workers().leaseS() * 1000);
@@ -60,9 +62,10 @@
   }
 
   /**
-   * The time by which a job counts among its equals: its own deadline, or that of a job that came a
-   * lease later. A job for a release goes before all others once its latest start is near, if it
-   * can meet its deadline together with others. A job that has waited for too long goes before all.
+   * The urgency of a job among jobs of equal priority, as a time; earlier is more urgent. It is the
+   * latest start that the job's deadline leaves; for a job of no release, at most one worker lease
+   * after it became eligible. A release job precedes all others once its latest start is near,
+   * unless it is chosen to miss its deadline. A job that has waited for too long precedes all.
    */
   private static long urgencyMs(Job job, long leaseMs, long wallMs) {
     long byAge = job.eligibleSinceMs + leaseMs;
--- a/src/main/java/io/embernotch/scheduling/JobPlacement.java
+++ b/src/main/java/io/embernotch/scheduling/JobPlacement.java
@@ -3,7 +3,7 @@
 import io.embernotch.model.Job;
 import io.embernotch.model.JobShape;
 
-/** Places one job after another, by its shape. */
+/** Places jobs, each in the way that its shape requires. */
 final class JobPlacement {
   private final SchedulingCycle cycle;
   private final TaskPlacement tasks;
@@ -16,12 +16,14 @@
     this.gangs = new GangPlacement(cycle, allocator, zoneSelector);
   }
 
-  /** Places the pending tasks of a job; a job that this fails on is left out of the plan. */
+  /**
+   * Places the pending tasks of a job; if that throws, the job is left out of the rest of the plan.
+   */
   void place(Job job) {
     cycle.plan().attempt(job, () -> placeUnlessDelayed(job));
   }
 
-  /** Places the pending tasks of a job, unless nothing of it may start yet. */
+  /** Places the pending tasks of a job, unless none of them may start yet. */
   private void placeUnlessDelayed(Job job) {
     if (Math.max(job.backoffUntil, job.notBefore) > cycle.now()) {
       cycle.plan().waits(job, job.pendingCount(), WaitReason.DELAYED, null);
--- a/src/main/java/io/embernotch/scheduling/MachineReservation.java
+++ b/src/main/java/io/embernotch/scheduling/MachineReservation.java
@@ -5,25 +5,30 @@
 import java.util.Optional;
 
 /**
- * What is reserved on one machine while a plan is made. Reservations are known by their index in
- * the list of {@link ReservationView#demands}.
+ * The amounts reserved on one machine, as changed by the plan. Reservations are identified by their
+ * index in {@link ReservationView#demands}.
  */
 final class MachineReservation {
   private final List<ReservationView.ReservationDemand> demands;
 
-  /** What the work of each reservation takes of the machine. */
+  /** What the work of each reservation uses of the machine. */
   private final ReservationAmounts used;
 
-  /** What is reserved, used and not. */
+  /** Amount reserved for each reservation, in use or free. */
   private final Resources[] reserved;
 
-  /** What of it is free for that work, or will be once other attempts have ended. */
+  /**
+   * The part of {@link #reserved} that its work does not use; other attempts may still occupy it.
+   */
   private final Resources[] free;
 
-  /** Is to be released: it stays reserved until the store holds the release. */
+  /** Whether the free part is to be released; it stays reserved until the release is stored. */
   private final boolean[] released;
 
-  /** Takes over what is reserved at present; what is used is reserved in any case. */
+  /**
+   * Starts from the amounts reserved before this plan; what is in use counts as reserved in any
+   * case.
+   */
   MachineReservation(
       List<ReservationView.ReservationDemand> demands,
       ReservationAmounts used,
@@ -39,7 +44,7 @@
     }
   }
 
-  /** What is reserved and free on the machine, but not for this job. */
+  /** Free capacity on the machine that is reserved for other work than this job. */
   Resources reservedAgainst(JobSpec job) {
     Resources against = Resources.ZERO;
     for (int i = 0; i < free.length; i++) {
@@ -50,7 +55,9 @@
     return against;
   }
 
-  /** Takes capacity for tasks of a job, reserved capacity if some is for it. */
+  /**
+   * Allocates capacity to tasks of a job; reduces the free part of the reservations that serve it.
+   */
   void allocate(JobSpec job, int tasks) {
     for (int i = 0; i < free.length; i++) {
       if (demands.get(i).reservation().serves(job)) {
@@ -59,7 +66,7 @@
     }
   }
 
-  /** What is reserved and free. */
+  /** The free part of what is reserved. */
   Resources free(int index) {
     return free[index];
   }
@@ -69,18 +76,18 @@
     return !used.get(index).isZero();
   }
 
-  /** Reserves capacity for so many more tasks of this size. */
+  /** Reserves capacity for {@code tasks} more tasks that use {@code unit} each. */
   void extend(int index, Resources unit, int tasks) {
     free[index] = free[index].plus(unit, tasks);
     reserved[index] = reserved[index].plus(unit, tasks);
   }
 
-  /** Has what is free released after this plan. */
+  /** Marks the free part to be released after this plan. */
   void release(int index) {
     released[index] = true;
   }
 
-  /** All that is to be reserved after this plan; empty if that is nothing. */
+  /** The amounts to be reserved after this plan; empty if all are zero. */
   Optional<ReservationAmounts> totalReserved() {
     Resources[] amounts = new Resources[free.length];
     for (int i = 0; i < amounts.length; i++) {
--- a/src/main/java/io/embernotch/scheduling/MachineTypes.java
+++ b/src/main/java/io/embernotch/scheduling/MachineTypes.java
@@ -5,16 +5,16 @@
 import java.util.Collection;
 import java.util.function.ToDoubleFunction;
 
-/** Times that hold for the best of the machine types that a job fits. */
+/** Shortest times over the machine types that a job fits. */
 public final class MachineTypes {
   private MachineTypes() {}
 
-  /** Seconds until a machine for the job has booted; 0 if it fits none. */
+  /** Returns the shortest boot time in seconds of a type that the job fits; 0 if it fits none. */
   public static double shortestBootS(Collection<MachineType> types, JobSpec spec) {
     return shortest(types, spec, MachineType::bootS);
   }
 
-  /** Seconds until the job's image is fetched; 0 if it fits no machine. */
+  /** Returns the shortest time in seconds to fetch the job's image; 0 if the job fits no type. */
   public static double shortestFetchS(Collection<MachineType> types, JobSpec spec) {
     return shortest(types, spec, type -> type.fetchS(spec));
   }
--- a/src/main/java/io/embernotch/scheduling/PlacementScore.java
+++ b/src/main/java/io/embernotch/scheduling/PlacementScore.java
@@ -2,29 +2,33 @@
 
 import io.embernotch.model.JobSpec;
 
-/** How well a machine suits a task, in seconds: less is better. */
+/** Rates how well a machine suits a task, in seconds; lower is better. */
 final class PlacementScore {
-  /** Seconds of fetching that a full machine is worth against an empty one. */
+  /**
+   * Seconds of fetching accepted in exchange for placing a task on a full instead of an empty
+   * machine.
+   */
   static final double PACKING_WEIGHT_S = 8;
 
-  /** Penalty of a machine on which tasks fail, in units of {@link #PACKING_WEIGHT_S}. */
+  /** Penalty for a machine on which tasks fail, in units of {@link #PACKING_WEIGHT_S}. */
   private static final double ERROR_PENALTY = 10;
 
-  /** Performance below which a machine is not counted as any slower. */
+  /** Lowest relative performance that the score takes into account. */
   private static final double MIN_PERFORMANCE = 0.1;
 
   private PlacementScore() {}
 
-  /** Seconds of delay on the machine, with everything else against it converted to seconds. */
+  /** Seconds of delay on the machine, with its other disadvantages converted to seconds. */
   static double of(JobSpec spec, CandidateMachine candidate, ZoneConstraints zones) {
     double score = candidate.fetchS(spec) - PACKING_WEIGHT_S * candidate.utilization();
     if (spec.spot() && !candidate.spot) {
-      // Capacity beside a service is paid for already, and not lost to a spot reclaim; any other
-      // ordinary machine is dearer than spot.
+      // An ordinary machine that runs a service is paid for already and is never reclaimed; any
+      // other ordinary machine costs more than a spot machine.
       score += candidate.paidFor(spec) ? -PACKING_WEIGHT_S : PACKING_WEIGHT_S / 2;
     }
     if (spec.gpus() <= 0 && candidate.type.gpus() > 0) {
-      // Work without GPUs goes where GPUs are taken, and leaves the CPUs beside free GPUs alone.
+      // Work without GPUs prefers machines whose GPUs are taken: elsewhere it would use CPUs that
+      // work on the free GPUs needs.
       score += PACKING_WEIGHT_S * (candidate.freeGpuShare() - (candidate.gpusTaken() ? 1 : 0));
     }
     if (spec.spread()) {
@@ -41,8 +45,8 @@
   }
 
   /**
-   * The score for capacity that is kept free for jobs that are not known yet: since their images
-   * are unknown, machines with many images are kept, and young machines returned.
+   * Rates a machine for headroom. The jobs that will use it, and so their images, are unknown:
+   * machines with many images are kept, and recently rented ones are returned.
    */
   static double ofHeadroom(CandidateMachine candidate) {
     return -PACKING_WEIGHT_S * candidate.utilization()
--- a/src/main/java/io/embernotch/scheduling/Preemption.java
+++ b/src/main/java/io/embernotch/scheduling/Preemption.java
@@ -19,32 +19,33 @@
 /**
  * Chooses the attempts that are stopped for other jobs. Production jobs preempt any work of lower
  * priority. A job that is within its team's guarantee and for which no machine can be rented
- * preempts what others run beyond theirs: all work of teams without any guarantee, else work of
- * lower priority. Without that, an array of such a team that fills every machine keeps guaranteed
- * gangs waiting: capacity is freed bit by bit, and whole machines never are.
+ * preempts work of other teams that is beyond their guarantees: any such work of a team without a
+ * guarantee, and work of lower priority of the others. Without that, an array of a team without a
+ * guarantee that fills every machine keeps guaranteed gangs waiting: its tasks end one by one, and
+ * a whole machine never becomes free.
  *
- * <p>Work within a guarantee is never preempted for gangs of high priority: it comes before them in
- * the order and would take the capacity back in the next plan, without end. Work beyond a guarantee
- * comes behind them.
+ * <p>Work within a guarantee is never preempted for gangs of high priority: it precedes them in
+ * {@link JobOrdering}, so that it would take the capacity back in the next plan, again and again.
+ * Work beyond a guarantee follows them.
  */
 final class Preemption {
   /**
-   * How many jobs of a plan may search all machines, which takes time; there are several plans a
-   * second.
+   * Most jobs of a plan that may search for work beyond guarantees. A search looks at many
+   * machines, and there are several plans a second.
    */
   private static final int MAX_SEARCHES = 8;
 
-  /** A search may end once it has found so many times the machines that are needed. */
+  /** A search may end once it has found more than this many machines for each wanted task. */
   private static final int SUFFICIENT_FACTOR = 2;
 
   /**
-   * What is searched for: capacity for {@code wanted} tasks.
+   * A search for capacity for {@code wanted} tasks.
    *
-   * @param machines the machines to look at
+   * @param machines the machines to search
    * @param allowed which of them may be used
    * @param preemptible which attempts may be stopped
    * @param graceS seconds that an attempt gets to save its progress
-   * @param endsWhenSufficient whether the search may end before all machines are looked at
+   * @param endsWhenSufficient whether the search may end before it has looked at all machines
    */
   private record Search(
       JobSpec spec,
@@ -75,13 +76,14 @@
   }
 
   /**
-   * Preempts work of lower priority, where that loses least.
+   * Preempts work of lower priority where that loses the least progress.
    *
    * @return for how many tasks capacity has been claimed, at most {@code wanted}
    */
   int preempt(
       JobSpec spec, int wanted, ZoneConstraints zones, Predicate<CandidateMachine> allowed) {
-    // Production jobs do not wait for others to save; these fall back to their last checkpoint.
+    // Production jobs do not wait until preempted work is saved; it resumes from its last
+    // checkpoint.
     return preempt(
         new Search(
             spec,
@@ -96,7 +98,7 @@
   }
 
   /**
-   * Preempts what others run beyond their guarantees, for a job that is within its team's.
+   * Preempts work of other teams beyond their guarantees, for a job within its team's guarantee.
    *
    * @return for how many tasks capacity has been claimed, at most {@code wanted}
    */
@@ -152,7 +154,7 @@
     if (search.spec.shape() == JobShape.GANG
         && hosts.stream().mapToInt(host -> tasksAfterPreemption(search, host)).sum()
             < search.wanted) {
-      // All tasks of a gang start or none does: to preempt for a part of it is of no use.
+      // A gang starts as a whole, so preempting for a part of it is useless.
       return 0;
     }
     hosts.sort(Comparator.comparingDouble(candidate -> candidate.score));
@@ -163,7 +165,10 @@
     return claimed;
   }
 
-  /** The machines where preemption frees capacity for a task, scored by what it loses. */
+  /**
+   * The machines where preemption frees capacity for a task, scored by fetch time and lost
+   * progress.
+   */
   private List<CandidateMachine> findHosts(Search search) {
     List<CandidateMachine> hosts = new ArrayList<>();
     for (CandidateMachine candidate : search.machines) {
@@ -202,7 +207,7 @@
         host.addFreeing(attempt.job.spec);
         plan.stop(
             new SchedulingPlan.Stop(
-                attempt, search.graceS.applyAsDouble(attempt), "room for " + spec.ref()));
+                attempt, search.graceS.applyAsDouble(attempt), "preempted for " + spec.ref()));
       }
       CapacityAllocator.take(host, spec, 1, search.zones);
       candidates.reopen(host);
@@ -223,8 +228,8 @@
   }
 
   /**
-   * The attempts to stop on a machine for one task, and none besides. Empty if the attempts that
-   * may be stopped are not enough, or none has to be.
+   * The attempts to stop on a machine to free capacity for one task, without any that can be
+   * spared. Empty if stopping all preemptible attempts is not enough, or if none has to be stopped.
    */
   private List<Attempt> victims(Search search, CandidateMachine candidate) {
     List<Attempt> victims = new ArrayList<>();
@@ -238,7 +243,8 @@
     if (victims.isEmpty() || balance.insufficient()) {
       return List.of();
     }
-    // The most valuable are spared first; small tasks beside large ones mostly need not stop.
+    // Spares the most valuable attempts first. If large tasks are stopped, small ones can mostly be
+    // spared.
     victims.sort(
         Comparator.comparing((Attempt attempt) -> attempt.job.spec.priority())
             .thenComparing(attempt -> attempt.job.spec.shape() == JobShape.GANG)
--- a/src/main/java/io/embernotch/scheduling/QuotaUsage.java
+++ b/src/main/java/io/embernotch/scheduling/QuotaUsage.java
@@ -12,7 +12,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** What the teams use, what they may use, and what they are guaranteed. */
+/** Tracks what the teams use of their limits and guarantees. */
 final class QuotaUsage {
   /** What one team uses. */
   private static final class TeamUsage {
@@ -22,7 +22,7 @@
     /** GPUs that open attempts took before the plan. */
     double openGpus;
 
-    /** GPUs kept for gangs that wait. */
+    /** GPUs kept for waiting gangs. */
     double keptGpus;
 
     /** Id of the first gang that quota is kept for; null if there is none. */
@@ -33,8 +33,9 @@
   private final Map<String, TeamUsage> usageByTeam = new HashMap<>();
 
   /**
-   * Open attempts count until their end is proven, whatever has become of their job. While tasks of
-   * a job may run of which nothing is known, all count that it has left.
+   * Counts the present usage. Open attempts count until their end is proven, even if their job has
+   * ended. While a job may not start tasks yet, all of its remaining tasks count, since unknown
+   * attempts of it may be running.
    */
   QuotaUsage(
       Map<String, Settings.Team> teams,
@@ -60,7 +61,7 @@
     usage.gpus += spec.gpus() * tasks;
   }
 
-  /** Keeps quota for a gang that waits: it counts as if the gang ran. */
+  /** Keeps quota for a waiting gang: it counts as used. */
   void keepFor(JobSpec gang) {
     add(gang, gang.tasks());
     TeamUsage usage = usageByTeam.get(gang.team());
@@ -68,7 +69,7 @@
     usage.keptForGang = usage.keptForGang == null ? gang.ref() : usage.keptForGang;
   }
 
-  /** What the teams use of their GPUs, by the name of the team. */
+  /** GPU usage by team name. */
   Map<String, WaitSummary.TeamGpus> gpusByTeam() {
     Map<String, WaitSummary.TeamGpus> gpus = new TreeMap<>();
     usageByTeam.forEach(
@@ -104,7 +105,7 @@
             tasksWithinLimit(team.gpusMax(), usage.gpus, spec.gpus()));
   }
 
-  /** A limit of zero or less is none. */
+  /** How many tasks a limit leaves room for; a limit of zero or less means no limit. */
   private static double tasksWithinLimit(double limit, double used, double each) {
     if (limit <= 0 || each <= 0) {
       return Integer.MAX_VALUE;
@@ -121,7 +122,7 @@
     byTeam.forEach((name, teamJobs) -> markGuaranteed(teams.get(name), teamJobs));
   }
 
-  /** Marks those that fit the guarantee together with the team's earlier jobs. */
+  /** Marks the jobs that fit the guarantee together with all earlier jobs of the team. */
   private static void markGuaranteed(Settings.Team team, List<Job> jobs) {
     jobs.sort(
         Comparator.comparingLong((Job job) -> job.eligibleSinceMs)
--- a/src/main/java/io/embernotch/scheduling/ReservationAmounts.java
+++ b/src/main/java/io/embernotch/scheduling/ReservationAmounts.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * Amounts of one machine, one for each reservation, by the reservation's index in the list that is
- * in force. Immutable.
+ * Amounts on one machine, one for each reservation, by the index of the reservation in the current
+ * list. Immutable.
  */
 public final class ReservationAmounts {
   private final Resources[] amounts;
@@ -13,19 +13,19 @@
     this.amounts = amounts;
   }
 
-  /** Nothing for each of so many reservations. */
+  /** Zero for each of {@code reservations} reservations. */
   public static ReservationAmounts zeros(int reservations) {
     Resources[] zeros = new Resources[reservations];
     Arrays.fill(zeros, Resources.ZERO);
     return new ReservationAmounts(zeros);
   }
 
-  /** These amounts, which are copied. */
+  /** Creates an instance with a copy of these amounts. */
   public static ReservationAmounts of(Resources... amounts) {
     return new ReservationAmounts(amounts.clone());
   }
 
-  /** For how many reservations there are amounts. */
+  /** The number of reservations. */
   public int size() {
     return amounts.length;
   }
@@ -35,14 +35,14 @@
     return amounts[index];
   }
 
-  /** The same with another amount of one reservation. */
+  /** A copy with another amount for one reservation. */
   public ReservationAmounts with(int index, Resources amount) {
     Resources[] changed = amounts.clone();
     changed[index] = amount;
     return new ReservationAmounts(changed);
   }
 
-  /** The larger of both in each amount; both are of equally many reservations. */
+  /** The larger of both in each amount; both must have the same number of reservations. */
   public ReservationAmounts max(ReservationAmounts other) {
     Resources[] max = new Resources[amounts.length];
     for (int i = 0; i < max.length; i++) {
@@ -51,7 +51,7 @@
     return new ReservationAmounts(max);
   }
 
-  /** What is left of each amount without the other's; none becomes negative. */
+  /** Subtracts the other's amounts; no amount becomes negative. */
   public ReservationAmounts minus(ReservationAmounts other) {
     Resources[] left = new Resources[amounts.length];
     for (int i = 0; i < left.length; i++) {
--- a/src/main/java/io/embernotch/scheduling/ReservationPlanner.java
+++ b/src/main/java/io/embernotch/scheduling/ReservationPlanner.java
@@ -10,19 +10,20 @@
 import java.util.function.Predicate;
 
 /**
- * Keeps as much capacity free for each reservation as it wants. What is reserved already comes
- * first, so that it stays where it is; then capacity that nobody uses; then what is being freed,
- * booting, or rented; last, for a reservation of a fixed amount where no machine can be rented,
- * what is preempted. Too much is released only from a margin on, and first where no work of the
- * reservation runs, so that machines become empty.
+ * Keeps the wanted capacity free for each reservation. It uses, in this order: capacity that is
+ * already reserved, so that reservations stay where they are; free capacity; capacity that is being
+ * freed, booting or rented; and, for a reservation of a fixed amount if no machine can be rented,
+ * capacity freed by preemption. Excess capacity is released only beyond a margin, and first on
+ * machines that run no work of the reservation, so that machines become empty.
  */
 final class ReservationPlanner {
   /**
-   * Share of the wanted capacity by which more may stay reserved, beside the capacity for one task.
+   * Share of the wanted capacity that may stay reserved in excess, in addition to capacity for one
+   * task.
    */
   private static final double RELEASE_MARGIN = 0.1;
 
-  /** Provides capacity that is not free yet. */
+  /** Claims capacity that is not free yet. */
   interface CapacityProvider {
     /**
      * Claims capacity that will be available later.
@@ -31,11 +32,14 @@
      */
     int claimLater(JobSpec sample, int wanted);
 
-    /** Preempts work of lower priority for so many tasks, where no machine can be rented. */
+    /** Preempts work of lower priority for {@code wanted} tasks if no machine can be rented. */
     void preemptFor(JobSpec sample, int wanted, Reservation reservation);
   }
 
-  /** Tasks that a reservation wants capacity for: its index, and what one of them is and takes. */
+  /**
+   * Tasks that a reservation wants capacity for: its index, a sample job, and the resources of a
+   * task.
+   */
   private record Need(int index, Reservation reservation, JobSpec sample, Resources unit) {}
 
   private final ReservationView reservations;
@@ -49,7 +53,7 @@
     this.provider = provider;
   }
 
-  /** Reserves what is lacking for each reservation, and releases what is too much. */
+  /** Reserves missing capacity for each reservation, and releases excess capacity. */
   void reserve() {
     for (int i = 0; i < reservations.demands().size(); i++) {
       ReservationView.ReservationDemand demand = reservations.demands().get(i);
@@ -66,8 +70,8 @@
 
   private void reserve(Need need, int wanted) {
     Predicate<CandidateMachine> inUse = candidate -> !candidate.machine.openAttempts.isEmpty();
-    // A reservation on a machine that is empty otherwise keeps work of whole machines away from it:
-    // it moves to machines that are in use.
+    // A reservation on an otherwise empty machine blocks work that needs whole machines. It moves
+    // to machines that are in use.
     int lacking = wanted - reservedTasks(need, wanted, false);
     for (Map.Entry<String, Double> zoneShare : need.reservation.zones().entrySet()) {
       String zone = zoneShare.getKey();
@@ -86,7 +90,7 @@
     }
   }
 
-  /** For how many tasks capacity is reserved already; claims the machines where it is. */
+  /** For how many tasks capacity is reserved already; claims the machines that have it. */
   private int reservedTasks(Need need, int most, boolean onEmptyMachines) {
     int tasks = 0;
     for (CandidateMachine candidate : candidates.all()) {
@@ -113,7 +117,7 @@
   }
 
   /**
-   * Reserves free capacity of ordinary machines, first of those that are used most.
+   * Reserves free capacity on ordinary machines, starting with the most utilized ones.
    *
    * @return for how many tasks
    */
--- a/src/main/java/io/embernotch/scheduling/ReservationView.java
+++ b/src/main/java/io/embernotch/scheduling/ReservationView.java
@@ -9,32 +9,32 @@
 import java.util.function.Function;
 
 /**
- * Reservations as a plan sees them.
+ * The reservations, with the amounts that are reserved and in use on each machine.
  *
- * @param demands the reservations, each with the headroom that it wants; the index in this list is
- *     that of {@link ReservationAmounts}
- * @param reserved what is reserved on machines, by machine name: what the reservation's work takes
- *     there, and what is free for it
- * @param used what the work of each reservation takes of a machine; empty if no such work runs
- *     there
+ * @param demands the reservations, each with the capacity to keep free for it; {@link
+ *     ReservationAmounts} uses the indexes of this list
+ * @param reserved amounts reserved on machines, by machine name: what the reservation's work uses
+ *     there, and what is kept free for it
+ * @param used returns what the work of each reservation uses of a machine; empty if no such work
+ *     runs there
  */
 public record ReservationView(
     List<ReservationDemand> demands,
     Map<String, ReservationAmounts> reserved,
     Function<Machine, Optional<ReservationAmounts>> used) {
-  /** There are no reservations. */
+  /** A view without reservations. */
   public static final ReservationView NONE =
       new ReservationView(List.of(), Map.of(), machine -> Optional.empty());
 
   /**
-   * One reservation, and how much is to be free for it.
+   * A reservation, and the capacity to keep free for it.
    *
-   * @param reservation its terms
-   * @param headroom what is to be free beside what its work takes
+   * @param reservation the settings of the reservation
+   * @param headroom capacity to keep free in addition to what its work uses
    */
   public record ReservationDemand(Reservation reservation, List<FleetView.Headroom> headroom) {}
 
-  /** What is reserved on a machine. */
+  /** The reservations on a machine. */
   MachineReservation on(Machine machine) {
     ReservationAmounts usedThere =
         used.apply(machine).orElseGet(() -> ReservationAmounts.zeros(demands.size()));
@@ -42,13 +42,13 @@
         demands, usedThere, reserved.getOrDefault(machine.name, usedThere));
   }
 
-  /** Nothing is reserved, and no work of a reservation runs. */
+  /** The state of a machine on which nothing is reserved and no work of a reservation runs. */
   MachineReservation nothing() {
     ReservationAmounts zeros = ReservationAmounts.zeros(demands.size());
     return new MachineReservation(demands, zeros, zeros);
   }
 
-  /** Whether something is reserved on the machine, or used by work of a reservation. */
+  /** Whether capacity of the machine is reserved, or in use by work of a reservation. */
   boolean concerns(Machine machine) {
     return reserved.containsKey(machine.name) || used.apply(machine).isPresent();
   }
--- a/src/main/java/io/embernotch/scheduling/Resources.java
+++ b/src/main/java/io/embernotch/scheduling/Resources.java
@@ -13,7 +13,7 @@
   /** Nothing. */
   public static final Resources ZERO = new Resources(0, 0, 0);
 
-  /** Amounts that differ by less are equal: sums of amounts are rounded. */
+  /** Amounts that differ by less are considered equal, since sums of them have rounding errors. */
   static final double TOLERANCE = 1e-6;
 
   /** What one task of the job takes. */
@@ -46,7 +46,7 @@
     return cpus <= TOLERANCE && gpus <= TOLERANCE && memGb <= TOLERANCE;
   }
 
-  /** How many whole {@code unit}s fit; 0 if the unit is nothing. */
+  /** How many whole {@code unit}s fit; 0 if the unit is zero. */
   public int count(Resources unit) {
     double count = Double.MAX_VALUE;
     count = unit.cpus > 0 ? Math.min(count, (cpus + TOLERANCE) / unit.cpus) : count;
--- a/src/main/java/io/embernotch/scheduling/ScaleInPlanner.java
+++ b/src/main/java/io/embernotch/scheduling/ScaleInPlanner.java
@@ -5,8 +5,8 @@
   private ScaleInPlanner() {}
 
   /**
-   * Adds the machines to the plan that are empty, that nothing has claimed, and that have been idle
-   * for longer than {@code keepIdleBoots} times their boot time.
+   * Adds to the plan the machines that run nothing, are not claimed, and have been idle for longer
+   * than {@code keepIdleBoots} times their boot time.
    */
   static void addTo(
       SchedulingPlanBuilder plan, CandidateMachines candidates, double now, double keepIdleBoots) {
--- a/src/main/java/io/embernotch/scheduling/ScaleOutPlanner.java
+++ b/src/main/java/io/embernotch/scheduling/ScaleOutPlanner.java
@@ -9,17 +9,19 @@
 
 /** Chooses the machines that a plan rents. */
 final class ScaleOutPlanner {
-  /** Whether spot machines are meant, in the order in which offers are compared. */
+  /** The values of {@code spot}, in the order in which offers are compared. */
   private static final boolean[] SPOT_THEN_ORDINARY = {true, false};
 
-  /** Share by which each machine in a zone makes it seem dearer, so that zones fill evenly. */
+  /**
+   * Relative price surcharge for each machine that a zone already has, so that zones fill evenly.
+   */
   private static final double ZONE_BALANCE_WEIGHT = 0.001;
 
   private final Map<String, MachineType> types;
   private final FleetView.Pools pools;
   private final CandidateMachines candidates;
 
-  /** How many machines are requested, by a request whose number is 0. */
+  /** Number of machines to rent, by type, zone and spot; the keys have the number 0. */
   private final Map<SchedulingPlan.ScaleOutRequest, Integer> requested = new LinkedHashMap<>();
 
   /** How many more machines this plan may rent. */
@@ -39,8 +41,8 @@
   /**
    * Rents the machine with the lowest price for a task of this size.
    *
-   * @param ordinaryToo whether it may be an ordinary machine
-   * @return the machine, which is among the candidates now; empty if none can be rented
+   * @param ordinaryToo whether an ordinary machine may be rented besides a spot machine
+   * @return the machine, which has been added to the candidates; empty if none can be rented
    */
   Optional<CandidateMachine> request(JobSpec spec, ZoneConstraints zones, boolean ordinaryToo) {
     if (remaining <= 0) {
@@ -94,14 +96,17 @@
     return candidate;
   }
 
-  /** Only arrays have spot machines rented for them. */
+  /** Whether such a machine may be rented for the job; spot machines are rented for arrays only. */
   private boolean rentable(JobSpec spec, MachineType type, String zone, boolean spot) {
     return spec.allows(type.name(), zone, spot)
         && (!spot || spec.shape() == JobShape.ARRAY)
         && !pools.exhausted(type.name(), zone, spot);
   }
 
-  /** Whether the cloud can be expected to have a spot machine for the job, and cheaper. */
+  /**
+   * Whether the cloud is likely to have a spot machine for the job that is cheaper than an ordinary
+   * one.
+   */
   boolean spotAvailable(JobSpec spec) {
     for (MachineType type : types.values()) {
       if (type.fits(spec) && type.spotPrice() < type.price()) {
--- a/src/main/java/io/embernotch/scheduling/Scheduler.java
+++ b/src/main/java/io/embernotch/scheduling/Scheduler.java
@@ -22,7 +22,7 @@
  * <p>Not thread-safe: one instance belongs to the event loop of one leader.
  */
 public final class Scheduler {
-  /** Heartbeat intervals without a sign of life after which nothing is started on a machine. */
+  /** Heartbeat intervals without contact after which no task is started on a machine. */
   private static final double MAX_MISSED_HEARTBEATS = 2;
 
   private final Settings settings;
@@ -45,7 +45,7 @@
   }
 
   /**
-   * Makes a whole plan: starts, preemptions, scale out, scale in and reservations.
+   * Computes a full plan: starts, preemptions, scale-out, scale-in and reservations.
    *
    * @param input the state of the cluster; its collections must not change during the call
    * @return the plan, never null
@@ -55,7 +55,7 @@
     CapacityAllocator allocator = new CapacityAllocator(cycle);
     JobPlacement placement = new JobPlacement(cycle, allocator);
     List<Job> others = placeProduction(cycle, placement, input);
-    // Reserved capacity comes before all other work, which would fill it otherwise.
+    // Reservations are planned before the other jobs, which would take their capacity otherwise.
     new ReservationPlanner(input.reservations(), cycle.candidates(), allocator).reserve();
     HeadroomPlanner headroom = new HeadroomPlanner(allocator, input);
     headroom.keepForProduction();
@@ -71,11 +71,11 @@
   }
 
   /**
-   * Makes a plan for production jobs alone. It takes a fraction of the time of a whole plan, for
-   * which these jobs would have to wait.
+   * Computes a plan for production jobs only. That takes a fraction of the time of a full plan, so
+   * that these jobs need not wait for one.
    *
    * @param input the state of the cluster; its collections must not change during the call
-   * @return the plan, without scale in and without a change of the reservations
+   * @return the plan, without scale-in and without a change of the reservations
    */
   public SchedulingPlan liveOnly(SchedulingInput input) {
     SchedulingCycle cycle = SchedulingCycle.begin(settings, maxNewMachines, input);
@@ -97,9 +97,9 @@
   }
 
   /**
-   * Tells whether tasks may be started on a machine now, as far as its state is concerned.
+   * Returns whether the state of a machine allows starting tasks on it now.
    *
-   * @param now seconds of the monotonic clock
+   * @param now monotonic time in seconds
    */
   public static boolean usable(Machine machine, double now, Settings settings) {
     return machine.avoidUntil <= now
@@ -109,9 +109,9 @@
   }
 
   /**
-   * Tells whether a job has to wait for cheap capacity: no capacity is promised to work of low
-   * priority and to teams without a guarantee. Without this bound a large {@link JobShape#ARRAY} of
-   * such a team has every machine of the cloud rented, and none is left for the others.
+   * Returns whether a job may be kept waiting for cheap capacity: work of low priority and of teams
+   * without a guarantee. Otherwise, for a large {@link JobShape#ARRAY} of such a team, every
+   * machine of the cloud would be rented, and none would be left for the others.
    */
   public static boolean mayWaitForCapacity(Settings settings, JobSpec spec) {
     return spec.priority() == Priority.LOW
--- a/src/main/java/io/embernotch/scheduling/SchedulingCycle.java
+++ b/src/main/java/io/embernotch/scheduling/SchedulingCycle.java
@@ -4,18 +4,18 @@
 import io.embernotch.settings.Settings;
 
 /**
- * The working state of one plan, shared by the classes that make it. It lives for one call of
- * {@link Scheduler}.
+ * The state that the classes computing one plan share. An instance lives for one call of {@link
+ * Scheduler}.
  *
  * @param settings the settings of the cluster
- * @param now seconds of the monotonic clock
- * @param wallMs the time of day in milliseconds
- * @param plan the plan that is being made
- * @param usage what the teams use, counting what this plan has placed
- * @param candidates the machines, counting what this plan has allocated on them
+ * @param now monotonic time in seconds
+ * @param wallMs wall-clock time in milliseconds
+ * @param plan the builder of the plan
+ * @param usage resources that each team uses, including what this plan has placed
+ * @param candidates the machines, with the capacity that this plan has not allocated yet
  * @param scaleOutPlanner rents machines
  * @param preemption stops attempts to free capacity
- * @param queueing how many short tasks may wait for one booting machine
+ * @param queueing decides how many short tasks may wait for one booting machine
  * @param spread chooses machines for the replicas of a service
  */
 record SchedulingCycle(
@@ -29,12 +29,14 @@
     Preemption preemption,
     BootQueueing queueing,
     TopologySpread spread) {
-  /** Worker leases after which capacity, and its team's quota, are kept for a gang that waits. */
+  /** Waiting time, in worker leases, after which capacity and team quota are kept for a gang. */
   static final double AGED_LEASES = 1;
 
   private static final double MS_PER_S = 1000.0;
 
-  /** Reads the input, and marks the jobs that are within their teams' guarantees. */
+  /**
+   * Creates the state from the input, and marks the jobs that are within their teams' guarantees.
+   */
   static SchedulingCycle begin(Settings settings, int maxNewMachines, SchedulingInput input) {
     double now = input.now();
     SchedulingPlanBuilder plan = new SchedulingPlanBuilder();
@@ -72,14 +74,17 @@
     return waitedLeases(job) > AGED_LEASES;
   }
 
-  /** Notes that tasks of a job wait since the team's quota is used or kept. */
+  /** Records that tasks of a job wait because the team's quota is used up or kept for a gang. */
   void waitsForQuota(Job job, int tasks) {
     String gang = usage.keptForGang(job.spec.team());
     WaitReason reason = gang == null ? WaitReason.QUOTA : WaitReason.QUOTA_KEPT_FOR_GANG;
     plan.waits(job, tasks, reason, gang);
   }
 
-  /** Notes that tasks of a job wait for capacity, which is claimed for some of them. */
+  /**
+   * Records that tasks of a job wait for capacity, {@code claimed} of them for capacity that is
+   * already claimed for them.
+   */
   void waitsForCapacity(Job job, int tasks, int claimed) {
     WaitReason none =
         candidates.anyAccumulating() ? WaitReason.GANG_ACCUMULATION : WaitReason.NO_CAPACITY;
--- a/src/main/java/io/embernotch/scheduling/SchedulingInput.java
+++ b/src/main/java/io/embernotch/scheduling/SchedulingInput.java
@@ -8,18 +8,19 @@
 import java.util.Map;
 
 /**
- * All that a plan is made of.
+ * The state of the cluster from which {@link Scheduler} computes a plan.
  *
- * @param now seconds of the monotonic clock
- * @param wallMs the time of day in milliseconds
+ * @param now monotonic time in seconds
+ * @param wallMs wall-clock time in milliseconds
  * @param jobs all jobs of the cluster that may be planned
- * @param withUnknownEnd jobs that may have ended, so that none of them is planned
+ * @param withUnknownEnd jobs that may have ended: their open attempts count towards the quota, but
+ *     none of their tasks is placed
  * @param machines all machines of the fleet
  * @param types machine types by name
- * @param pools what the cloud can be expected to have
- * @param expected machines that requests in flight may bring
- * @param headroom capacity to be kept free
- * @param reservations what is reserved, and for what
+ * @param pools tells which machines the cloud has run out of
+ * @param expected machines that rental requests in flight may still provide
+ * @param headroom capacity to keep free for jobs that may be submitted
+ * @param reservations the reservations, and the capacity that is reserved for each
  * @param risk how often machines and zones fail
  */
 public record SchedulingInput(
--- a/src/main/java/io/embernotch/scheduling/SchedulingPlan.java
+++ b/src/main/java/io/embernotch/scheduling/SchedulingPlan.java
@@ -7,16 +7,16 @@
 import java.util.Map;
 
 /**
- * What the leader is to do now.
+ * The actions that the leader takes next, as computed by {@link Scheduler}.
  *
  * @param starts tasks to start, in the order of their jobs
  * @param stops attempts to stop, in the order in which they were chosen
  * @param scaleOuts machines to rent
  * @param scaleIns idle machines to return
- * @param reserved what is to be reserved, by machine name; null: unchanged, the plan was for
- *     production jobs alone
- * @param failures jobs that were left out, since planning them failed
- * @param waits what was not started, and why
+ * @param reserved amounts to reserve, by machine name; null if reservations stay unchanged, because
+ *     the plan is for production jobs only
+ * @param failures jobs that were left out because planning them failed
+ * @param waits the jobs and tasks that were not started, by reason
  */
 public record SchedulingPlan(
     List<Start> starts,
@@ -43,7 +43,7 @@
   public record Start(Job job, List<Placement> placements) {}
 
   /**
-   * An attempt that is to stop.
+   * An attempt to stop.
    *
    * @param attempt the attempt
    * @param graceS seconds that it has to save its progress
@@ -52,7 +52,7 @@
   public record Stop(Attempt attempt, double graceS, String reason) {}
 
   /**
-   * Machines to be rented.
+   * Machines to rent.
    *
    * @param type name of the machine type
    * @param zone their zone
@@ -62,10 +62,10 @@
   public record ScaleOutRequest(String type, String zone, boolean spot, int number) {}
 
   /**
-   * A job that could not be planned, by a mistake of the program.
+   * A job that could not be planned because of a bug in the scheduler.
    *
    * @param job the job
-   * @param cause what planning it failed with
+   * @param cause the exception that planning it threw
    */
   public record Failure(Job job, RuntimeException cause) {}
 }
--- a/src/main/java/io/embernotch/scheduling/SchedulingPlanBuilder.java
+++ b/src/main/java/io/embernotch/scheduling/SchedulingPlanBuilder.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A plan while it is being made. */
+/** Builds a {@link SchedulingPlan}. */
 final class SchedulingPlanBuilder {
   private final List<SchedulingPlan.Start> starts = new ArrayList<>();
   private final List<SchedulingPlan.Stop> stops = new ArrayList<>();
@@ -19,8 +19,8 @@
   private Map<String, ReservationAmounts> reserved;
 
   /**
-   * Runs a step of the plan for one job. A job that a step fails on is left out of the steps that
-   * follow, so that it does not keep the others from being planned.
+   * Runs a step of the plan for one job. If a step throws, the job is left out of the following
+   * steps, so that it does not prevent the others from being planned.
    */
   void attempt(Job job, Runnable step) {
     if (failures.containsKey(job)) {
@@ -33,7 +33,10 @@
     }
   }
 
-  /** Notes that tasks of a job wait; {@code gang}: what it waits behind, or null. */
+  /**
+   * Records that tasks of a job wait; {@code gang} is the gang that the team's quota is kept for,
+   * or null.
+   */
   void waits(Job job, int tasks, WaitReason reason, String gang) {
     if (tasks > 0) {
       waits.add(job, tasks, reason, gang);
@@ -60,12 +63,12 @@
     scaleIns.add(machine);
   }
 
-  /** Sets what is to be reserved; without this call it stays as it is. */
+  /** Sets the amounts to reserve; without this call the reservations stay unchanged. */
   void reserve(Map<String, ReservationAmounts> amounts) {
     reserved = amounts;
   }
 
-  /** The plan; the builder must not be used after this. */
+  /** Returns the plan; the builder must not be used afterwards. */
   SchedulingPlan build() {
     return new SchedulingPlan(
         Collections.unmodifiableList(starts),
--- a/src/main/java/io/embernotch/scheduling/TaskPlacement.java
+++ b/src/main/java/io/embernotch/scheduling/TaskPlacement.java
@@ -23,7 +23,7 @@
   /** Starts as many pending tasks as find free capacity, and claims capacity for the others. */
   void place(Job job) {
     JobSpec spec = job.spec;
-    // One task is enough to see whether a job that fails everywhere still does.
+    // One task is enough to test whether a job that fails on every machine still fails.
     int startable = job.failsEverywhere() ? Math.min(1, job.pendingCount()) : job.pendingCount();
     int wanted = Math.max(0, Math.min(startable, cycle.usage().remainingTasks(spec)));
     cycle.waitsForQuota(job, startable - wanted);
@@ -60,10 +60,10 @@
   }
 
   /**
-   * Puts lost replicas where their image is, preempting other work if needed: to fetch the image
-   * elsewhere would keep them down for longer than anything else does.
+   * Places lost replicas on machines that have their image, preempting other work if needed.
+   * Fetching the image on another machine is what would keep them down longest.
    *
-   * @return how many claim capacity without starting yet
+   * @return for how many replicas capacity is claimed that is not free yet
    */
   private int claimWhereImageIs(
       JobSpec spec, int wanted, ZoneConstraints zones, TaskStarts starts) {
@@ -76,7 +76,9 @@
     return claimed + cycle.preemption().preempt(spec, wanted - started - claimed, zones, hasImage);
   }
 
-  /** Starts tasks on the machines that the straggler rounds chose for them, if they still fit. */
+  /**
+   * Starts tasks on the machines that the straggler detection chose for them, if they still fit.
+   */
   private void startOnPreferredMachines(
       Job job, int wanted, ZoneConstraints zones, TaskStarts starts) {
     if (job.preferredMachines.isEmpty()) {
--- a/src/main/java/io/embernotch/scheduling/TaskStarts.java
+++ b/src/main/java/io/embernotch/scheduling/TaskStarts.java
@@ -11,7 +11,7 @@
 final class TaskStarts implements AllocationListener {
   private final Job job;
 
-  /** Iterated as far as needed: a job may have a hundred thousand tasks and get place for a few. */
+  /** Iterated only as far as needed: a job may have 100,000 tasks and capacity for a few. */
   private final PrimitiveIterator.OfInt pending;
 
   /** Tasks that were placed on their preferred machines. */
@@ -24,13 +24,15 @@
     this.pending = job.pending();
   }
 
-  /** Starts a task on the machine that it prefers. */
+  /** Starts a task on its preferred machine. */
   void startOnPreferred(int task, Machine machine) {
     onPreferred.set(task);
     placements.add(new SchedulingPlan.Placement(task, machine));
   }
 
-  /** Starts the next pending tasks on a machine, which will have to fetch their image. */
+  /**
+   * Starts the next pending tasks on a machine, and records that the machine fetches their image.
+   */
   @Override
   public void allocated(CandidateMachine candidate, int tasks) {
     candidate.addFetchingImage(job.spec.image());
--- a/src/main/java/io/embernotch/scheduling/TopologySpread.java
+++ b/src/main/java/io/embernotch/scheduling/TopologySpread.java
@@ -10,19 +10,19 @@
 import java.util.TreeSet;
 
 /**
- * Places the replicas of one service: near its weights, against the wish to spread them. Both are
- * measured in seconds of replica time. A replica that must fetch its image is lost for as long as
- * that takes. Of failures it is expected that, within the horizon, a machine with k replicas of n
- * fails with its rate; they are down until that is noticed and, where no other machine has the
- * weights, for a fetch; and each second counts by the share of the service that is down at once, k
- * of n. Another replica on that machine adds (k+1)² - k² = 2k + 1 of n to that; the same holds for
- * its zone. Fetches that a later failure would not save are not paid for: weights on another
- * machine count only while that machine has free capacity.
+ * Places the replicas of one service, weighing image locality against spreading. The costs of both
+ * are seconds of replica downtime. A replica that must fetch its image is down until it has been
+ * fetched. A machine that runs k of n replicas is expected to fail at its failure rate within the
+ * horizon. Its replicas are then down until the failure is detected and, if no other machine has
+ * the image, until it has been fetched. Each second is weighted by the share of the service that is
+ * down at once, k of n, so that a further replica on that machine adds (k+1)² - k² = 2k + 1 of n to
+ * the cost. The same holds for zones. An image on another machine only saves a fetch after a
+ * failure if that machine has free capacity, so it counts only then.
  */
 final class TopologySpread {
   /**
-   * So many of the best machines are compared for each replica: what spreading gains is small
-   * beside a fetch.
+   * Number of the best machines that are compared for each replica. Few are enough: spreading gains
+   * little compared with the cost of a fetch.
    */
   private static final int WEIGHED_PER_REPLICA = 4;
 
@@ -51,7 +51,7 @@
     return machinesByImage.getOrDefault(image, List.of());
   }
 
-  /** Seconds of replica time that one more replica is expected to lose by failures there. */
+  /** Seconds of replica time that one more replica on a machine is expected to lose by failures. */
   static double lostS(
       FailureRisk risk,
       int replicas,
@@ -67,7 +67,7 @@
   }
 
   /**
-   * Places replicas one by one, each where it loses least.
+   * Places replicas one by one, each on the machine where the expected loss is least.
    *
    * @param ranked machines with free capacity, best first
    * @param listener allocates the capacity; called once for each replica
@@ -90,7 +90,7 @@
     return placed;
   }
 
-  /** Where the replicas and the image of one service are while its replicas are placed. */
+  /** Counts the replicas and image copies of one service while its replicas are placed. */
   private final class ReplicaDistribution {
     private final List<CandidateMachine> weighed;
     private final AllocationRequest request;
@@ -124,7 +124,7 @@
       return candidate.machine.images.contains(spec.image());
     }
 
-    /** The machine on which one more replica loses least; null if none has capacity. */
+    /** The machine with the least expected loss for one more replica; null if none has capacity. */
     CandidateMachine leastLoss() {
       CandidateMachine best = null;
       double least = 0;
--- a/src/main/java/io/embernotch/scheduling/WaitReason.java
+++ b/src/main/java/io/embernotch/scheduling/WaitReason.java
@@ -1,20 +1,20 @@
 package io.embernotch.scheduling;
 
-/** Why tasks that could be placed were not started by a plan. */
+/** Why a plan did not start pending tasks. */
 public enum WaitReason {
-  /** Nothing of the job may start yet. */
+  /** No task of the job may start yet. */
   DELAYED("delayed"),
 
-  /** What runs of its team leaves nothing of the team's limit. */
+  /** The team's limit is used up. */
   QUOTA("quota"),
 
-  /** What is left of the team's limit is kept for a gang that waits. */
+  /** The rest of the team's limit is kept for a waiting gang. */
   QUOTA_KEPT_FOR_GANG("quota kept for gang"),
 
   /** Capacity that is being freed, booting or rented is claimed for all of them. */
   CAPACITY_COMING("capacity coming"),
 
-  /** There is no capacity while some machines accumulate it for gangs. */
+  /** There is no capacity, and some machines accumulate capacity for gangs. */
   GANG_ACCUMULATION("gang accumulation"),
 
   /** There is no capacity. */
@@ -26,7 +26,7 @@
     this.text = text;
   }
 
-  /** As logs and the overview name it. */
+  /** The text for logs and the overview. */
   public String text() {
     return text;
   }
--- a/src/main/java/io/embernotch/scheduling/WaitSummary.java
+++ b/src/main/java/io/embernotch/scheduling/WaitSummary.java
@@ -5,15 +5,15 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** How many jobs and tasks a plan left waiting, by the reason, with an example of each. */
+/** Counts the jobs and tasks that a plan left waiting, by reason, with an example for each. */
 public final class WaitSummary {
   /**
-   * What waits for one reason.
+   * The jobs that wait for one reason.
    *
    * @param jobs number of jobs
    * @param tasks number of their tasks
    * @param firstJob id of the first of these jobs in the order of the plan
-   * @param gang id of the gang that it waits behind; null if that is not the reason
+   * @param gang id of the gang for which the team's quota is kept; null for other reasons
    */
   public record Waits(int jobs, int tasks, String firstJob, String gang) {
     private Waits plus(int moreTasks) {
@@ -28,12 +28,12 @@
   }
 
   /**
-   * A team's GPUs as a plan counts them.
+   * Number of a team's GPUs by use.
    *
-   * @param open taken by open attempts, whatever has become of their jobs
-   * @param claimed taken by what the plan starts, or claims capacity for
-   * @param kept kept for gangs that wait
-   * @param limit the team's limit; 0 is none
+   * @param open GPUs of open attempts, including those of jobs that have ended
+   * @param claimed GPUs of tasks that the plan starts or claims capacity for
+   * @param kept GPUs kept for waiting gangs
+   * @param limit the team's limit; 0 if there is none
    */
   public record TeamGpus(double open, double claimed, double kept, double limit) {
     @Override
@@ -61,12 +61,15 @@
         (earlier, added) -> earlier.plus(added.tasks()));
   }
 
-  /** What waits, in the order of the reasons; reasons that nothing waits for are left out. */
+  /**
+   * The waiting jobs by reason, in the order of {@link WaitReason}, without reasons for which no
+   * job waits.
+   */
   public Map<WaitReason, Waits> byReason() {
     return byReason;
   }
 
-  /** One line for the log; null if nothing waits. */
+  /** One line for the log; null if no job waits. */
   public String line() {
     return byReason.isEmpty()
         ? null
--- a/src/main/java/io/embernotch/scheduling/ZoneConstraints.java
+++ b/src/main/java/io/embernotch/scheduling/ZoneConstraints.java
@@ -6,14 +6,14 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** In which zones a job has tasks, and so where its next ones may go. */
+/** Counts a job's tasks by zone, and limits the zones in which further tasks may be placed. */
 final class ZoneConstraints {
-  /** The job whose rules apply; null if none do. */
+  /** The job whose zone rules apply; null if there are none. */
   private final JobSpec spec;
 
   private final Map<String, Integer> tasksByZone = new HashMap<>();
 
-  /** The zone that all tasks must be in; null while any will do. */
+  /** The zone that all tasks must be in; null while any zone is allowed. */
   String requiredZone;
 
   ZoneConstraints(JobSpec spec, String requiredZone) {
@@ -21,12 +21,12 @@
     this.requiredZone = requiredZone;
   }
 
-  /** For capacity that is not yet bound to the rules of a job. */
+  /** Constraints for capacity that is not bound to the zone rules of a job. */
   static ZoneConstraints anywhere() {
     return new ZoneConstraints(null, null);
   }
 
-  /** Those of a job with its open attempts. */
+  /** The constraints of a job, counting its open attempts. */
   static ZoneConstraints of(Job job) {
     ZoneConstraints zones = new ZoneConstraints(job.spec, null);
     for (Attempt attempt : job.openAttempts.values()) {
@@ -35,7 +35,7 @@
     return zones;
   }
 
-  /** Counts so many tasks in a zone; nothing if that is zero or negative. */
+  /** Counts further tasks in a zone; does nothing if {@code tasks} is zero or negative. */
   void add(String zone, int tasks) {
     if (tasks <= 0) {
       return;
@@ -51,7 +51,7 @@
     return tasksByZone.getOrDefault(zone, 0);
   }
 
-  /** How many more tasks may go to the zone. */
+  /** How many more tasks may be placed in the zone. */
   int remaining(String zone) {
     if (requiredZone != null && !requiredZone.equals(zone)) {
       return 0;
@@ -61,7 +61,10 @@
         : Integer.MAX_VALUE;
   }
 
-  /** The least of what a machine in the zone has capacity for, what is wanted, and what may go. */
+  /**
+   * How many tasks may be placed on a machine in the zone: at most its capacity, the number wanted,
+   * and the number that the zone still allows.
+   */
   int limit(String zone, int available, int wanted) {
     return Math.min(Math.min(available, wanted), remaining(zone));
   }
--- a/src/main/java/io/embernotch/scheduling/ZoneSelector.java
+++ b/src/main/java/io/embernotch/scheduling/ZoneSelector.java
@@ -3,18 +3,18 @@
 import io.embernotch.model.JobSpec;
 import io.embernotch.scheduling.CandidateMachines.Capacity;
 
-/** Chooses the zone of a job whose tasks must all be in one. */
+/** Chooses the zone of a job whose tasks must all run in one zone. */
 final class ZoneSelector {
-  /** What a machine counts, in tasks, on which capacity is still being freed. */
+  /** Score, in tasks, of a machine on which capacity is still being freed. */
   private static final double FREEING_MACHINE_WEIGHT = 0.9;
 
-  /** Tasks that have to wait for booting machines and count as one that can start at once. */
+  /** Number of tasks on booting machines that score as much as one task that can start at once. */
   private static final double BOOTING_TASKS_PER_TASK = 4;
 
-  /** Most that booting machines count, in tasks, whatever their number. */
+  /** Upper bound, in tasks, of the score of all booting machines. */
   private static final double MAX_BOOTING_WEIGHT = 0.5;
 
-  /** What the possibility to rent a machine counts, in tasks. */
+  /** Score, in tasks, if a machine can be rented. */
   private static final double SCALE_OUT_WEIGHT = 0.1;
 
   private final SchedulingCycle cycle;
@@ -24,8 +24,8 @@
   }
 
   /**
-   * The zone where most tasks could start at once, then where most could start later; null if the
-   * job's own zone is none of the cluster's.
+   * The zone where most tasks can start at once, or, among equal ones, most can start later; null
+   * if the job requires a zone that the cluster does not have.
    */
   String bestZone(JobSpec spec, int wanted) {
     String best = null;
@@ -49,7 +49,8 @@
     ZoneConstraints constraints = new ZoneConstraints(spec, zone);
     for (CandidateMachine candidate : candidates(Capacity.FREEING, spec, constraints)) {
       int tasks = candidate.taskCapacity(spec, false);
-      // Capacity that is being freed must decide the zone, or the next plan frees some in another.
+      // Capacity being freed must decide the zone. Otherwise the next plan may choose another zone
+      // and free capacity there too.
       ready += tasks > 0 ? tasks : FREEING_MACHINE_WEIGHT;
     }
     for (CandidateMachine candidate : candidates(Capacity.BOOTING, spec, constraints)) {
--- a/src/main/java/io/embernotch/scheduling/package-info.java
+++ b/src/main/java/io/embernotch/scheduling/package-info.java
@@ -10,7 +10,7 @@
  * plans.
  *
  * <p>Amounts are CPUs, GPUs and gigabytes of memory. Durations whose names end in {@code S} are
- * seconds, in {@code Ms} milliseconds; {@code now} is seconds of the monotonic clock, {@code
- * wallMs} the time of day. All of it runs on the event loop of the leader.
+ * seconds, in {@code Ms} milliseconds; {@code now} is monotonic time in seconds, {@code wallMs}
+ * wall-clock time. All classes run on the event loop of the leader.
  */
 package io.embernotch.scheduling;
--- a/src/test/java/io/embernotch/scheduling/DeadlinesSearch.java
+++ b/src/test/java/io/embernotch/scheduling/DeadlinesSearch.java
@@ -7,8 +7,8 @@
 import net.jqwik.api.constraints.Size;
 
 /**
- * The property of {@link DeadlinesTest} with new seeds on every run. Not part of the build, whose
- * verdict has to be the same every time; CONTRIBUTING.md names the command.
+ * Runs the property of {@link DeadlinesTest} with new seeds. Not part of the build, which must be
+ * reproducible; CONTRIBUTING.md describes how to run it.
  */
 class DeadlinesSearch extends DeadlinesTest {
   @Override
--- a/src/test/java/io/embernotch/scheduling/DeadlinesTest.java
+++ b/src/test/java/io/embernotch/scheduling/DeadlinesTest.java
@@ -14,11 +14,11 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** Which jobs meet their deadlines where not all can. */
+/** Which jobs meet their deadlines if not all can. */
 class DeadlinesTest {
   private static final int SEEDS = 3;
 
-  /** No other choice has more of them meet their deadlines: all subsets are tried. */
+  /** Compares with all subsets: in none do more jobs meet their deadlines. */
   @Property(tries = 300, seed = "4711")
   void noOtherChoiceServesMore(
       @ForAll @Size(max = 9) List<@IntRange(min = 1, max = 400) Integer> numbers) {
@@ -60,7 +60,10 @@
     return sum;
   }
 
-  /** Jobs in time by order of arrival, by deadlines of their own, and by those of the calendar. */
+  /**
+   * Compares the share of jobs in time for three orders: by arrival, by the jobs' own deadlines,
+   * and by the release deadlines of the calendar.
+   */
   @Test
   void theCalendarServesMoreMembersInTimeThanArrivalOrDeadlinesAlone() {
     BiConsumer<Job, Double> arrival = (job, due) -> {};
--- a/src/test/java/io/embernotch/scheduling/FailingJobTest.java
+++ b/src/test/java/io/embernotch/scheduling/FailingJobTest.java
@@ -14,11 +14,11 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A job that a plan fails on, by a mistake of the program: it is left out of that plan and
- * reported. One job that failed the plan used to keep all others from being started for good.
+ * A job whose planning throws because of a bug is left out of the plan and reported. Without that,
+ * one such job keeps all others from ever being started.
  */
 class FailingJobTest {
-  /** A list of machine types that can't be read stands for any mistake. */
+  /** A list of machine types that throws on access, in place of any bug. */
   private static final List<String> FAILING =
       new AbstractList<>() {
         @Override
--- a/src/test/java/io/embernotch/scheduling/GangPlacementTest.java
+++ b/src/test/java/io/embernotch/scheduling/GangPlacementTest.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Gangs start as a whole, in one zone if they must, and capacity accumulates for them. */
+/** Gangs start as a whole, in one zone if required, and capacity is accumulated for them. */
 class GangPlacementTest {
   private static final String WHOLE_MACHINES =
       job("j-9", "group", 3)
@@ -20,11 +20,12 @@
 
   private final SchedulerFixture fixture = new SchedulerFixture();
 
-  /** Tasks that run, and the second in which they end. */
+  /** The second in which each running attempt ends. */
   private final Map<Attempt, Integer> ends = new HashMap<>();
 
   /**
-   * Small tasks take capacity as soon as it is freed, so a whole machine is never free by itself.
+   * Small tasks take capacity as soon as it is freed, so without accumulation no whole machine ever
+   * becomes free.
    */
   @Test
   void capacityAccumulatesForAWaitingGangOfWholeMachines() {
@@ -32,8 +33,8 @@
   }
 
   /**
-   * Seconds until a gang of whole machines starts on a full fleet whose small tasks, always enough,
-   * last 20 s each.
+   * Seconds until a gang of whole machines starts on a full fleet, with an unlimited supply of
+   * small tasks of about 20 s each; {@code mostS} if it does not start.
    */
   private int gangStartsAfter(int mostS) {
     fixture.cloudFull = true;
--- a/src/test/java/io/embernotch/scheduling/PlanExecution.java
+++ b/src/test/java/io/embernotch/scheduling/PlanExecution.java
@@ -3,11 +3,11 @@
 import io.embernotch.model.Attempt;
 import io.embernotch.model.Machine;
 
-/** Carries plans out without a cluster. */
+/** Applies plans to the model without a cluster. */
 final class PlanExecution {
   private PlanExecution() {}
 
-  /** Starts one task of a plan; it runs at once. */
+  /** Starts one task of a plan; its launch is confirmed at once. */
   static Attempt start(SchedulingPlan.Start start, SchedulingPlan.Placement placement) {
     Machine machine = placement.machine();
     int task = placement.task();
--- a/src/test/java/io/embernotch/scheduling/PreemptionTest.java
+++ b/src/test/java/io/embernotch/scheduling/PreemptionTest.java
@@ -9,7 +9,7 @@
 import io.embernotch.model.Machine;
 import org.junit.jupiter.api.Test;
 
-/** Which attempts are stopped for which jobs, and which never are. */
+/** Which attempts are preempted for which jobs, and which never are. */
 class PreemptionTest {
   private final SchedulerFixture fixture = new SchedulerFixture();
 
@@ -28,7 +28,8 @@
     assertThat(fixture.plan().stops()).isEmpty();
     fixture.cloudFull = true;
     SchedulingPlan plan = fixture.plan();
-    // What need not stop stays, and what can save its progress may.
+    // Attempts that need not stop keep running, and those that can save their progress get a grace
+    // period.
     assertThat(plan.stops())
         .hasSize(8)
         .allMatch(stop -> stop.attempt().job == array && stop.graceS() > 0);
@@ -85,7 +86,10 @@
     assertThat(fixture.plan().stops()).isEmpty();
   }
 
-  /** It would take the capacity back in the next plan and be stopped again, without end. */
+  /**
+   * Guaranteed work would take the capacity back in the next plan and be preempted again, without
+   * end.
+   */
   @Test
   void guaranteedWorkIsNotPreemptedForWorkThatComesAfterIt() {
     fixture.cloudFull = true;
@@ -110,7 +114,7 @@
         fixture.add(job("j-1", "array", 8).replace("\"bundle\":\"img\"", "\"bundle\":\"other\""));
     fixture.runFirst(array, 8, cached);
     Job service = fixture.add(liveService("j-2", 1));
-    // A new service takes the empty machine; nothing is stopped for an image.
+    // A new service takes the empty machine; nothing is preempted to save a fetch.
     assertThat(fixture.plan().starts().get(0).placements().get(0).machine()).isSameAs(empty);
     service.restartedTasks.set(0);
     SchedulingPlan plan = fixture.plan();
--- a/src/test/java/io/embernotch/scheduling/ReleaseMorning.java
+++ b/src/test/java/io/embernotch/scheduling/ReleaseMorning.java
@@ -18,10 +18,10 @@
 import java.util.SplittableRandom;
 import java.util.function.BiConsumer;
 
-/** A morning of jobs with and without due times, on twelve machines that are never more. */
+/** Simulates a morning of jobs with and without due times on a fixed fleet of twelve machines. */
 final class ReleaseMorning {
   /**
-   * What came of a morning.
+   * The outcome of a morning.
    *
    * @param inTime share of the jobs with a due time that met it
    * @param othersDone share of the other jobs that were done
@@ -52,7 +52,7 @@
   private double now = BEGIN_S;
   private int nextJob;
 
-  /** GPU seconds of work that are still to be submitted for the load. */
+  /** GPU seconds of work that must still be submitted to reach the load. */
   private double owed;
 
   private ReleaseMorning(long seed, BiConsumer<Job, Double> setDeadline) {
@@ -72,7 +72,7 @@
    * Simulates a morning.
    *
    * @param load work that is submitted, as a share of what the machines can do
-   * @param setDeadline tells the scheduler of a job's due time, in seconds
+   * @param setDeadline sets a deadline on a job, given its due time in seconds
    */
   static Result run(double load, long seed, BiConsumer<Job, Double> setDeadline) {
     ReleaseMorning morning = new ReleaseMorning(seed, setDeadline);
--- a/src/test/java/io/embernotch/scheduling/ScaleOutTest.java
+++ b/src/test/java/io/embernotch/scheduling/ScaleOutTest.java
@@ -17,7 +17,9 @@
         .sum();
   }
 
-  /** An array without a guarantee must not have every ordinary machine rented. */
+  /**
+   * Large arrays of teams without a guarantee must not cause every ordinary machine to be rented.
+   */
   @Test
   void guestsHaveNoOrdinaryMachinesRentedWhileThereAreSpotMachines() {
     fixture.spotFull = true;
@@ -27,7 +29,7 @@
     assertThat(plan.starts().get(0).placements()).hasSize(8);
     assertThat(plan.scaleOuts()).isEmpty();
     fixture.machines.clear();
-    // Where there are none at all, they would wait for ever otherwise.
+    // If there are no spot machines at all, guests would otherwise wait forever.
     assertThat(fixture.plan().scaleOuts()).isNotEmpty();
     array.cancelRequested = true;
     fixture.add(job("j-2", "array", 50));
@@ -45,8 +47,8 @@
 
   @Test
   void shortTasksQueueForMachinesThatBootLongerThanTheyRun() {
-    // Machines boot in 60 s and the tasks run 30: two in a row wait no longer than for another
-    // boot.
+    // Machines boot in 60 s and tasks run for 30 s: two tasks in a row wait no longer than another
+    // boot takes.
     fixture.add(job("j-1", "array", 24));
     assertThat(rentedMachines()).isEqualTo(1);
     fixture.jobs.clear();
@@ -61,7 +63,7 @@
     fixture.runFirst(fixture.add(job("j-1", "array", 8)), 8, machine);
     fixture.add(job("j-2", "array", 6));
     assertThat(fixture.plan().scaleOuts()).isEmpty();
-    // More than will have ended by then are worth one.
+    // More tasks wait than end before an ordinary machine boots, so one is rented.
     fixture.add(job("j-3", "array", 6));
     assertThat(fixture.plan().scaleOuts()).hasSize(1);
   }
--- a/src/test/java/io/embernotch/scheduling/SchedulerFixture.java
+++ b/src/test/java/io/embernotch/scheduling/SchedulerFixture.java
@@ -34,7 +34,7 @@
   final List<Job> jobs = new ArrayList<>();
   final List<Machine> machines = new ArrayList<>();
 
-  /** The cloud has no machines, or no spot machines. */
+  /** Whether the cloud has no machines at all. {@link #spotFull}: no spot machines. */
   boolean cloudFull;
 
   boolean spotFull;
@@ -78,7 +78,7 @@
         risk);
   }
 
-  /** The cloud has no machines at all. */
+  /** The pools of a cloud that has no machines at all. */
   static boolean noneAvailable(String type, String zone, boolean spot) {
     return true;
   }
@@ -104,7 +104,7 @@
     return machine;
   }
 
-  /** A task runs on a machine. */
+  /** Makes a task run on a machine. */
   void run(Job job, int task, Machine machine) {
     Attempt attempt = new Attempt(job, task, 1, machine.name, machine.zone, 0);
     attempt.launchState = Attempt.LaunchState.CONFIRMED;
@@ -113,14 +113,14 @@
     machine.openAttempts.put(Machine.taskKey(job.spec.ref(), task), attempt);
   }
 
-  /** The first tasks of a job run on a machine. */
+  /** Makes the first tasks of a job run on a machine. */
   void runFirst(Job job, int tasks, Machine machine) {
     for (int task = 0; task < tasks; task++) {
       run(job, task, machine);
     }
   }
 
-  /** A running array of a team without a guarantee. */
+  /** Adds an array of a team without a guarantee that runs on a machine. */
   Job guestArray(String ref, int tasks, Machine machine) {
     Job array = add(guestJob(ref, tasks));
     runFirst(array, tasks, machine);
--- a/src/test/java/io/embernotch/scheduling/SchedulerTest.java
+++ b/src/test/java/io/embernotch/scheduling/SchedulerTest.java
@@ -16,7 +16,7 @@
 class SchedulerTest {
   private final SchedulerFixture fixture = new SchedulerFixture();
 
-  /** After a failover live services must not wait for a whole plan. */
+  /** After a failover, live services must not wait for a full plan. */
   @Test
   void aPlanForLiveServicesPlacesThemAsTheWholePlanDoesAndTouchesNothingElse() {
     fixture.machine("n-1", false);
@@ -70,7 +70,7 @@
         .count();
   }
 
-  /** Where GPUs are free it would take the CPUs without which these are of no use. */
+  /** On machines with free GPUs, work without GPUs would take the CPUs that GPU tasks need. */
   @Test
   void workWithoutGpusGoesWhereAllAreTakenAndOnlyThenElsewhere() {
     Machine taken = fixture.machine("n-1", false);
@@ -97,7 +97,7 @@
     fixture.cloudFull = true;
     fixture.spotFull = true;
     fixture.machine("n-1", true);
-    // Nine tasks each: none is within the team's guarantee, which would come first.
+    // Nine tasks each, so that none is within the team's guarantee: such a job would come first.
     fixture.add(job("j-1", "array", 9));
     Job early = fixture.add(job("j-2", "array", 9));
     early.latestStartMs = 5;
--- a/src/test/java/io/embernotch/scheduling/ServiceFleet.java
+++ b/src/test/java/io/embernotch/scheduling/ServiceFleet.java
@@ -12,7 +12,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Machines with large caches, and live services with weights of their own. */
+/** Machines with large caches, and live services with an image of their own each. */
 final class ServiceFleet {
   static final MachineType G8 =
       new MachineType("g8", 48, 8, 288, 200, 1, 12, 4, 60, List.of("z1", "z2"));
--- a/src/test/java/io/embernotch/scheduling/ServiceHour.java
+++ b/src/test/java/io/embernotch/scheduling/ServiceHour.java
@@ -11,19 +11,19 @@
 import java.util.SplittableRandom;
 
 /**
- * An hour of forty services with weights of 20 to 120 GB on 64 machines; machines fail, and at half
- * time a fifth of a zone.
+ * Simulates an hour of 40 services with images of 20 to 120 GB on 64 machines. Single machines fail
+ * at random, and after half an hour a fifth of the machines of one zone.
  */
 final class ServiceHour {
   /**
-   * What an hour has cost.
+   * The cost of an hour.
    *
-   * @param lostS replica seconds lost after the first starts
-   * @param weightedS the same, each second by the share of the service that is down
-   * @param fetchedGb what was fetched
+   * @param lostS seconds of replica downtime after the first starts
+   * @param weightedS the same, each second weighted by the share of the service that is down
+   * @param fetchedGb gigabytes of images fetched
    */
   record Result(double lostS, double weightedS, double fetchedGb) {
-    /** The sum of this and a share of the other. */
+    /** The sum of this and {@code share} times the other. */
     Result plus(Result other, double share) {
       return new Result(
           lostS + other.lostS * share,
@@ -34,7 +34,7 @@
 
   private static final int SECONDS = 3600;
 
-  /** Until then services start for the first time: what is lost does not count. */
+  /** Seconds in which services start for the first time; downtime in them does not count. */
   private static final int FIRST_STARTS_S = 200;
 
   private final ServiceFleet fleet = new ServiceFleet();
@@ -56,7 +56,7 @@
     }
   }
 
-  /** Simulates an hour in which the scheduler reckons with this risk. */
+  /** Simulates an hour in which the scheduler assumes this risk. */
   static Result run(long seed, FailureRisk risk) {
     ServiceHour hour = new ServiceHour(seed, risk);
     for (int second = 0; second < SECONDS; second++, hour.fleet.now++) {
@@ -97,7 +97,7 @@
     }
   }
 
-  /** Puts an image on a machine, and returns how many gigabytes, in a second each, that fetches. */
+  /** Caches an image on a machine; returns the gigabytes fetched, each of which takes a second. */
   private double fetch(Job job, Machine machine) {
     String image = job.spec.image();
     boolean cached = machine.images.remove(image);
--- a/src/test/java/io/embernotch/scheduling/TopologySpreadTest.java
+++ b/src/test/java/io/embernotch/scheduling/TopologySpreadTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Where replicas go: near their weights, against the wish to spread them. */
+/** Placement of replicas: image locality against spreading. */
 class TopologySpreadTest {
   private static final double LEASE_S = 30;
   private static final int SEEDS = 3;
@@ -71,8 +71,8 @@
   }
 
   /**
-   * Replica time lost and gigabytes fetched: by weights alone, by spread alone, and with both
-   * weighed at the rates that there are.
+   * Compares the lost replica time and the gigabytes fetched of three policies: image locality
+   * only, spreading only, and the objective that weighs both by the actual failure rates.
    */
   @Test
   void theObjectiveLosesNoMoreThanEitherAlone() {
