--- a/src/main/java/io/embernotch/scheduling/CandidateMachines.java
+++ b/src/main/java/io/embernotch/scheduling/CandidateMachines.java
@@ -35,7 +35,7 @@
   private final List<CandidateMachine> upWithCapacity = new ArrayList<>();
 
   /** Machines that are up and have capacity, but no free GPUs. */
-  private final List<CandidateMachine> withoutGpus = new ArrayList<>();
+  private final List<CandidateMachine> upWithoutFreeGpus = new ArrayList<>();
 
   private final List<CandidateMachine> booting = new ArrayList<>();
   private final List<CandidateMachine> scaledOut = new ArrayList<>();
@@ -57,7 +57,7 @@
       boolean up = candidate.state == CandidateMachine.State.UP;
       if (!up || usable.test(machine)) {
         candidate.reservation =
-            up && !candidate.spot && reservations.concerns(machine)
+            up && !candidate.spot && reservations.affects(machine)
                 ? reservations.on(machine)
                 : null;
         candidates.add(candidate);
@@ -98,7 +98,7 @@
       if (!candidate.gpusTaken()) {
         offered(candidate.state).add(candidate);
       } else if (candidate.state == CandidateMachine.State.UP) {
-        withoutGpus.add(candidate);
+        upWithoutFreeGpus.add(candidate);
       }
     }
   }
@@ -154,9 +154,9 @@
    * Includes a machine in the searches again: attempts on it are to be stopped, which frees
    * capacity.
    */
-  void reopen(CandidateMachine candidate) {
+  void offerAgain(CandidateMachine candidate) {
     if (!upWithCapacity.contains(candidate)) {
-      withoutGpus.remove(candidate);
+      upWithoutFreeGpus.remove(candidate);
       upWithCapacity.add(candidate);
     }
   }
@@ -178,8 +178,8 @@
     offered.removeIf(this::noLongerOffered);
     List<CandidateMachine> ranked = new ArrayList<>();
     if (spec.gpus() <= 0 && offered == upWithCapacity) {
-      withoutGpus.removeIf(CandidateMachine::full);
-      addMatching(withoutGpus, ranked, capacity, spec, allowed, score);
+      upWithoutFreeGpus.removeIf(CandidateMachine::full);
+      addMatching(upWithoutFreeGpus, ranked, capacity, spec, allowed, score);
     }
     addMatching(offered, ranked, capacity, spec, allowed, score);
     ranked.sort(Comparator.comparingDouble(candidate -> candidate.score));
@@ -191,7 +191,7 @@
       return true;
     }
     if (candidate.gpusTaken() && candidate.state == CandidateMachine.State.UP) {
-      withoutGpus.add(candidate);
+      upWithoutFreeGpus.add(candidate);
       return true;
     }
     return candidate.gpusTaken();
--- a/src/main/java/io/embernotch/scheduling/CapacityAllocator.java
+++ b/src/main/java/io/embernotch/scheduling/CapacityAllocator.java
@@ -44,7 +44,7 @@
               ranked,
               request,
               (candidate, tasks) -> {
-                take(candidate, spec, tasks, zones);
+                allocateOn(candidate, spec, tasks, zones);
                 listener.allocated(candidate, tasks);
               });
     }
@@ -53,7 +53,7 @@
       int available = candidate.taskCapacity(spec, capacity == Capacity.FREEING);
       int tasks = zones.limit(candidate.zone, available, request.wanted() - allocated);
       if (tasks > 0) {
-        take(candidate, spec, tasks, zones);
+        allocateOn(candidate, spec, tasks, zones);
         listener.allocated(candidate, tasks);
         allocated += tasks;
       }
@@ -73,12 +73,13 @@
         candidate ->
             request.allowed().test(candidate)
                 && request.zones().remaining(candidate.zone) > 0
-                && !(avoidsOrdinary && paidForAlone(spec, candidate)),
+                && !(avoidsOrdinary && isUnneededOrdinary(spec, candidate)),
         request.score());
   }
 
   /** Allocates capacity for tasks on one machine. */
-  static void take(CandidateMachine candidate, JobSpec spec, int tasks, ZoneConstraints zones) {
+  static void allocateOn(
+      CandidateMachine candidate, JobSpec spec, int tasks, ZoneConstraints zones) {
     candidate.allocate(spec, tasks);
     zones.add(candidate.zone, tasks);
   }
@@ -146,7 +147,7 @@
       CandidateMachine candidate = rented.get();
       int tasks =
           zones.limit(candidate.zone, candidate.taskCapacity(spec, false), wanted - claimed);
-      take(candidate, spec, tasks, zones);
+      allocateOn(candidate, spec, tasks, zones);
       claimed += tasks;
     }
     return claimed;
@@ -174,7 +175,7 @@
     return spec.spot() && spec.shape() == JobShape.ARRAY && scaleOutPlanner.spotAvailable(spec);
   }
 
-  private static boolean paidForAlone(JobSpec spec, CandidateMachine candidate) {
+  private static boolean isUnneededOrdinary(JobSpec spec, CandidateMachine candidate) {
     return !candidate.spot && !candidate.paidFor(spec);
   }
 }
--- a/src/main/java/io/embernotch/scheduling/CapacityBalance.java
+++ b/src/main/java/io/embernotch/scheduling/CapacityBalance.java
@@ -36,16 +36,16 @@
   }
 
   /** Whether any amount is negative. */
-  boolean insufficient() {
-    return insufficient(cpus, gpus, memGb);
+  boolean hasShortfall() {
+    return hasShortfall(cpus, gpus, memGb);
   }
 
   /** Whether no amount would be negative without the capacity of such a task. */
   boolean canSpare(JobSpec task) {
-    return !insufficient(cpus - task.cpus(), gpus - task.gpus(), memGb - task.memGb());
+    return !hasShortfall(cpus - task.cpus(), gpus - task.gpus(), memGb - task.memGb());
   }
 
-  private static boolean insufficient(double cpus, double gpus, double memGb) {
+  private static boolean hasShortfall(double cpus, double gpus, double memGb) {
     return cpus < -Resources.TOLERANCE
         || gpus < -Resources.TOLERANCE
         || memGb < -Resources.TOLERANCE;
--- a/src/main/java/io/embernotch/scheduling/GangAccumulation.java
+++ b/src/main/java/io/embernotch/scheduling/GangAccumulation.java
@@ -53,7 +53,7 @@
   }
 
   /** Selects machines to accumulate capacity for the gangs among these jobs, in the given order. */
-  void reserveMachines(List<Job> order) {
+  void selectMachines(List<Job> order) {
     machineBudget =
         (int)
             (MAX_MACHINE_SHARE
@@ -61,10 +61,10 @@
                     .filter(candidate -> candidate.state == CandidateMachine.State.UP)
                     .count());
     firstGang = true;
-    order.forEach(job -> cycle.plan().attempt(job, () -> reserveMachines(job)));
+    order.forEach(job -> cycle.plan().attempt(job, () -> selectMachines(job)));
   }
 
-  private void reserveMachines(Job job) {
+  private void selectMachines(Job job) {
     if (isWaitingGang(job) && (machineBudget > 0 || firstGang) && !mayScaleOutFor(job)) {
       machineBudget = firstGang ? Math.max(machineBudget, job.spec.tasks()) : machineBudget;
       firstGang = false;
@@ -162,13 +162,13 @@
     CapacityBalance balance = candidate.balanceNow(spec);
     double availableInS = 0;
     for (Attempt attempt : attempts) {
-      if (!balance.insufficient()) {
+      if (!balance.hasShortfall()) {
         break;
       }
       availableInS = remainingS(attempt);
       balance.add(attempt.job.spec);
     }
-    return balance.insufficient() ? Double.MAX_VALUE : availableInS;
+    return balance.hasShortfall() ? Double.MAX_VALUE : availableInS;
   }
 
   /** Estimated seconds until an attempt ends; {@link Double#MAX_VALUE} for a service. */
--- a/src/main/java/io/embernotch/scheduling/GangPlacement.java
+++ b/src/main/java/io/embernotch/scheduling/GangPlacement.java
@@ -28,7 +28,7 @@
       return;
     }
     if (cycle.usage().remainingTasks(spec) < spec.tasks()) {
-      cycle.waitsForQuota(job, spec.tasks());
+      cycle.recordQuotaWait(job, spec.tasks());
       if (cycle.aged(job)) {
         // Otherwise smaller jobs of its team would use up the quota for as long as any are
         // submitted.
@@ -43,7 +43,7 @@
     }
     cycle.usage().keepFor(spec);
     if (spec.oneZone() && bestZone == null) {
-      cycle.waitsForCapacity(job, spec.tasks(), 0);
+      cycle.recordCapacityWait(job, spec.tasks(), 0);
       return;
     }
     ZoneConstraints zones = new ZoneConstraints(spec, bestZone);
@@ -53,7 +53,7 @@
             AllocationRequest.of(spec, spec.tasks(), zones),
             AllocationListener.CLAIM_ONLY);
     claimed += allocator.claimLater(job, spec.tasks() - claimed, zones);
-    cycle.waitsForCapacity(job, spec.tasks(), claimed);
+    cycle.recordCapacityWait(job, spec.tasks(), claimed);
   }
 
   private boolean startInOtherZone(Job job, String triedZone) {
@@ -90,7 +90,7 @@
       int tasks =
           zones.limit(host.zone, host.taskCapacity(spec, false), spec.tasks() - placements.size());
       if (tasks > 0) {
-        CapacityAllocator.take(host, spec, tasks, zones);
+        CapacityAllocator.allocateOn(host, spec, tasks, zones);
         for (int i = 0; i < tasks; i++) {
           placements.add(new SchedulingPlan.Placement(placements.size(), host.machine));
         }
--- a/src/main/java/io/embernotch/scheduling/JobPlacement.java
+++ b/src/main/java/io/embernotch/scheduling/JobPlacement.java
@@ -26,7 +26,7 @@
   /** Places the pending tasks of a job, unless none of them may start yet. */
   private void placeUnlessDelayed(Job job) {
     if (Math.max(job.backoffUntil, job.notBefore) > cycle.now()) {
-      cycle.plan().waits(job, job.pendingCount(), WaitReason.DELAYED, null);
+      cycle.plan().recordWait(job, job.pendingCount(), WaitReason.DELAYED, null);
       return;
     }
     if (job.spec.shape() == JobShape.GANG) {
--- a/src/main/java/io/embernotch/scheduling/MachineReservation.java
+++ b/src/main/java/io/embernotch/scheduling/MachineReservation.java
@@ -77,7 +77,7 @@
   }
 
   /** Reserves capacity for {@code tasks} more tasks that use {@code unit} each. */
-  void extend(int index, Resources unit, int tasks) {
+  void reserve(int index, Resources unit, int tasks) {
     free[index] = free[index].plus(unit, tasks);
     reserved[index] = reserved[index].plus(unit, tasks);
   }
--- a/src/main/java/io/embernotch/scheduling/Preemption.java
+++ b/src/main/java/io/embernotch/scheduling/Preemption.java
@@ -209,8 +209,8 @@
             new SchedulingPlan.Stop(
                 attempt, search.graceS.applyAsDouble(attempt), "preempted for " + spec.ref()));
       }
-      CapacityAllocator.take(host, spec, 1, search.zones);
-      candidates.reopen(host);
+      CapacityAllocator.allocateOn(host, spec, 1, search.zones);
+      candidates.offerAgain(host);
       claimed++;
     }
     return claimed;
@@ -240,7 +240,7 @@
         balance.add(attempt.job.spec);
       }
     }
-    if (victims.isEmpty() || balance.insufficient()) {
+    if (victims.isEmpty() || balance.hasShortfall()) {
       return List.of();
     }
     // Spares the most valuable attempts first. If large tasks are stopped, small ones can mostly be
--- a/src/main/java/io/embernotch/scheduling/ReservationPlanner.java
+++ b/src/main/java/io/embernotch/scheduling/ReservationPlanner.java
@@ -77,11 +77,11 @@
       String zone = zoneShare.getKey();
       int least = (int) Math.ceil(zoneShare.getValue() * wanted);
       int lackingInZone = Math.min(lacking, least - reservedTasksInZone(need, zone));
-      lacking -= extend(need, lackingInZone, candidate -> zone.equals(candidate.zone));
+      lacking -= reserveFree(need, lackingInZone, candidate -> zone.equals(candidate.zone));
     }
-    lacking -= extend(need, lacking, inUse);
+    lacking -= reserveFree(need, lacking, inUse);
     lacking -= reservedTasks(need, lacking, true);
-    lacking -= extend(need, lacking, candidate -> true);
+    lacking -= reserveFree(need, lacking, candidate -> true);
     if (lacking > 0) {
       lacking -= provider.claimLater(need.sample, lacking);
     }
@@ -121,11 +121,11 @@
    *
    * @return for how many tasks
    */
-  private int extend(Need need, int wanted, Predicate<CandidateMachine> allowed) {
+  private int reserveFree(Need need, int wanted, Predicate<CandidateMachine> allowed) {
     if (wanted <= 0) {
       return 0;
     }
-    int extended = 0;
+    int added = 0;
     for (CandidateMachine candidate :
         candidates.ranked(
             Capacity.FREE,
@@ -136,20 +136,19 @@
                     && allowed.test(candidate),
             PlacementScore::ofHeadroom)) {
       int reserved = candidate.reservation == null ? 0 : freeTasks(need, candidate);
-      int tasks =
-          Math.min(candidate.taskCapacity(need.sample, false) - reserved, wanted - extended);
+      int tasks = Math.min(candidate.taskCapacity(need.sample, false) - reserved, wanted - added);
       if (tasks > 0) {
         candidate.reservation =
-            candidate.reservation == null ? reservations.nothing() : candidate.reservation;
-        candidate.reservation.extend(need.index, need.unit, tasks);
+            candidate.reservation == null ? reservations.unreserved() : candidate.reservation;
+        candidate.reservation.reserve(need.index, need.unit, tasks);
         candidate.claim();
-        extended += tasks;
+        added += tasks;
       }
-      if (extended == wanted) {
+      if (added == wanted) {
         break;
       }
     }
-    return extended;
+    return added;
   }
 
   private void releaseExcess(int index, Resources wanted) {
--- a/src/main/java/io/embernotch/scheduling/ReservationView.java
+++ b/src/main/java/io/embernotch/scheduling/ReservationView.java
@@ -43,13 +43,13 @@
   }
 
   /** The state of a machine on which nothing is reserved and no work of a reservation runs. */
-  MachineReservation nothing() {
+  MachineReservation unreserved() {
     ReservationAmounts zeros = ReservationAmounts.zeros(demands.size());
     return new MachineReservation(demands, zeros, zeros);
   }
 
   /** Whether capacity of the machine is reserved, or in use by work of a reservation. */
-  boolean concerns(Machine machine) {
+  boolean affects(Machine machine) {
     return reserved.containsKey(machine.name) || used.apply(machine).isPresent();
   }
 
--- a/src/main/java/io/embernotch/scheduling/Scheduler.java
+++ b/src/main/java/io/embernotch/scheduling/Scheduler.java
@@ -59,7 +59,7 @@
     new ReservationPlanner(input.reservations(), cycle.candidates(), allocator).reserve();
     HeadroomPlanner headroom = new HeadroomPlanner(allocator, input);
     headroom.keepForProduction();
-    new GangAccumulation(cycle).reserveMachines(others);
+    new GangAccumulation(cycle).selectMachines(others);
     others.forEach(placement::place);
     headroom.keepForOthers();
     SchedulingPlanBuilder plan = cycle.plan();
--- a/src/main/java/io/embernotch/scheduling/SchedulingCycle.java
+++ b/src/main/java/io/embernotch/scheduling/SchedulingCycle.java
@@ -75,19 +75,19 @@
   }
 
   /** Records that tasks of a job wait because the team's quota is used up or kept for a gang. */
-  void waitsForQuota(Job job, int tasks) {
+  void recordQuotaWait(Job job, int tasks) {
     String gang = usage.keptForGang(job.spec.team());
     WaitReason reason = gang == null ? WaitReason.QUOTA : WaitReason.QUOTA_KEPT_FOR_GANG;
-    plan.waits(job, tasks, reason, gang);
+    plan.recordWait(job, tasks, reason, gang);
   }
 
   /**
    * Records that tasks of a job wait for capacity, {@code claimed} of them for capacity that is
    * already claimed for them.
    */
-  void waitsForCapacity(Job job, int tasks, int claimed) {
+  void recordCapacityWait(Job job, int tasks, int claimed) {
     WaitReason none =
         candidates.anyAccumulating() ? WaitReason.GANG_ACCUMULATION : WaitReason.NO_CAPACITY;
-    plan.waits(job, tasks, claimed >= tasks ? WaitReason.CAPACITY_COMING : none, null);
+    plan.recordWait(job, tasks, claimed >= tasks ? WaitReason.CAPACITY_COMING : none, null);
   }
 }
--- a/src/main/java/io/embernotch/scheduling/SchedulingPlanBuilder.java
+++ b/src/main/java/io/embernotch/scheduling/SchedulingPlanBuilder.java
@@ -37,7 +37,7 @@
    * Records that tasks of a job wait; {@code gang} is the gang that the team's quota is kept for,
    * or null.
    */
-  void waits(Job job, int tasks, WaitReason reason, String gang) {
+  void recordWait(Job job, int tasks, WaitReason reason, String gang) {
     if (tasks > 0) {
       waits.add(job, tasks, reason, gang);
     }
--- a/src/main/java/io/embernotch/scheduling/TaskPlacement.java
+++ b/src/main/java/io/embernotch/scheduling/TaskPlacement.java
@@ -26,7 +26,7 @@
     // One task is enough to test whether a job that fails on every machine still fails.
     int startable = job.failsEverywhere() ? Math.min(1, job.pendingCount()) : job.pendingCount();
     int wanted = Math.max(0, Math.min(startable, cycle.usage().remainingTasks(spec)));
-    cycle.waitsForQuota(job, startable - wanted);
+    cycle.recordQuotaWait(job, startable - wanted);
     if (wanted == 0) {
       return;
     }
@@ -39,7 +39,7 @@
     int onPreferred = starts.count();
     int claimed = 0;
     if (isLostReplica(job)) {
-      claimed = claimWhereImageIs(spec, wanted - onPreferred, zones, starts);
+      claimed = placeLostReplicas(spec, wanted - onPreferred, zones, starts);
     }
     allocator.allocate(
         Capacity.FREE,
@@ -47,7 +47,7 @@
         starts);
     claimed += allocator.claimLater(job, wanted - starts.count() - claimed, zones);
     cycle.usage().add(spec, starts.count() - onPreferred + claimed);
-    cycle.waitsForCapacity(job, wanted - starts.count(), claimed);
+    cycle.recordCapacityWait(job, wanted - starts.count(), claimed);
     if (starts.count() > 0) {
       cycle.plan().start(new SchedulingPlan.Start(job, starts.placements()));
     }
@@ -65,7 +65,7 @@
    *
    * @return for how many replicas capacity is claimed that is not free yet
    */
-  private int claimWhereImageIs(
+  private int placeLostReplicas(
       JobSpec spec, int wanted, ZoneConstraints zones, TaskStarts starts) {
     Predicate<CandidateMachine> hasImage = candidate -> candidate.fetchS(spec) == 0;
     AllocationRequest request = AllocationRequest.of(spec, wanted, zones).onlyOn(hasImage);
@@ -100,7 +100,7 @@
                   candidate -> zones.remaining(candidate.zone) > 0,
                   candidate -> 0)) {
         if (candidate.machine.name.equals(preferred)) {
-          CapacityAllocator.take(candidate, job.spec, 1, zones);
+          CapacityAllocator.allocateOn(candidate, job.spec, 1, zones);
           cycle.usage().add(job.spec, 1);
           starts.startOnPreferred(task, candidate.machine);
           break;
--- a/src/main/java/io/embernotch/scheduling/TopologySpread.java
+++ b/src/main/java/io/embernotch/scheduling/TopologySpread.java
@@ -24,7 +24,7 @@
    * Number of the best machines that are compared for each replica. Few are enough: spreading gains
    * little compared with the cost of a fetch.
    */
-  private static final int WEIGHED_PER_REPLICA = 4;
+  private static final int COMPARED_PER_REPLICA = 4;
 
   private final CandidateMachines candidates;
   private final FailureRisk risk;
@@ -52,17 +52,20 @@
   }
 
   /** Seconds of replica time that one more replica on a machine is expected to lose by failures. */
-  static double lostS(
+  static double expectedLossS(
       FailureRisk risk,
       int replicas,
       double fetchS,
       int onMachine,
       int inZone,
-      boolean otherMachine,
-      boolean otherZone) {
+      boolean imageOnOtherMachine,
+      boolean imageInOtherZone) {
     double machine =
-        risk.machinePerS() * (risk.noticedS() + (otherMachine ? 0 : fetchS)) * (2 * onMachine + 1);
-    double zone = risk.zonePerS() * (risk.noticedS() + (otherZone ? 0 : fetchS)) * (2 * inZone + 1);
+        risk.machinePerS()
+            * (risk.noticedS() + (imageOnOtherMachine ? 0 : fetchS))
+            * (2 * onMachine + 1);
+    double zone =
+        risk.zonePerS() * (risk.noticedS() + (imageInOtherZone ? 0 : fetchS)) * (2 * inZone + 1);
     return risk.horizonS() * (machine + zone) / Math.max(1, replicas);
   }
 
@@ -74,17 +77,17 @@
    * @return how many replicas were placed
    */
   int place(List<CandidateMachine> ranked, AllocationRequest request, AllocationListener listener) {
-    int weighed = WEIGHED_PER_REPLICA * (request.wanted() + 1);
+    int compared = COMPARED_PER_REPLICA * (request.wanted() + 1);
     ReplicaDistribution distribution =
-        new ReplicaDistribution(ranked.subList(0, Math.min(ranked.size(), weighed)), request);
+        new ReplicaDistribution(ranked.subList(0, Math.min(ranked.size(), compared)), request);
     int placed = 0;
     while (placed < request.wanted()) {
-      CandidateMachine best = distribution.leastLoss();
+      CandidateMachine best = distribution.machineWithLeastLoss();
       if (best == null) {
         break;
       }
       listener.allocated(best, 1);
-      distribution.placedOn(best);
+      distribution.addReplica(best);
       placed++;
     }
     return placed;
@@ -92,18 +95,18 @@
 
   /** Counts the replicas and image copies of one service while its replicas are placed. */
   private final class ReplicaDistribution {
-    private final List<CandidateMachine> weighed;
+    private final List<CandidateMachine> compared;
     private final AllocationRequest request;
     private final JobSpec spec;
     private final Map<CandidateMachine, Integer> replicas = new HashMap<>();
     private final Set<String> zonesWithImage = new TreeSet<>();
     private int machinesWithImage;
 
-    ReplicaDistribution(List<CandidateMachine> weighed, AllocationRequest request) {
-      this.weighed = weighed;
+    ReplicaDistribution(List<CandidateMachine> compared, AllocationRequest request) {
+      this.compared = compared;
       this.request = request;
       this.spec = request.spec();
-      weighed.forEach(candidate -> replicas.put(candidate, openReplicas(candidate)));
+      compared.forEach(candidate -> replicas.put(candidate, openReplicas(candidate)));
       for (CandidateMachine candidate : machinesWith(spec.image())) {
         if (candidate.taskCapacity(spec, false) > 0) {
           machinesWithImage++;
@@ -125,10 +128,10 @@
     }
 
     /** The machine with the least expected loss for one more replica; null if none has capacity. */
-    CandidateMachine leastLoss() {
+    CandidateMachine machineWithLeastLoss() {
       CandidateMachine best = null;
       double least = 0;
-      for (CandidateMachine candidate : weighed) {
+      for (CandidateMachine candidate : compared) {
         if (request.zones().remaining(candidate.zone) > 0
             && candidate.taskCapacity(spec, false) > 0) {
           double loss = request.score().applyAsDouble(candidate) + lostByFailuresS(candidate);
@@ -142,7 +145,7 @@
     }
 
     private double lostByFailuresS(CandidateMachine candidate) {
-      return lostS(
+      return expectedLossS(
           risk,
           spec.tasks(),
           candidate.type.fetchS(spec),
@@ -152,7 +155,7 @@
           zonesWithImage.size() > (zonesWithImage.contains(candidate.zone) ? 1 : 0));
     }
 
-    void placedOn(CandidateMachine candidate) {
+    void addReplica(CandidateMachine candidate) {
       replicas.merge(candidate, 1, Integer::sum);
       if (!hasImage(candidate) && replicas.get(candidate) == 1) {
         machinesWithImage++;
