--- a/src/test/java/io/embernotch/scheduling/DeadlinesSearch.java
+++ b/src/test/java/io/embernotch/scheduling/DeadlinesSearch.java
@@ -13,8 +13,8 @@
 class DeadlinesSearch extends DeadlinesTest {
   @Override
   @Property(tries = 20_000)
-  void noOtherChoiceServesMore(
+  void noOtherSubsetMeetsMoreDeadlines(
       @ForAll @Size(max = 9) List<@IntRange(min = 1, max = 400) Integer> numbers) {
-    super.noOtherChoiceServesMore(numbers);
+    super.noOtherSubsetMeetsMoreDeadlines(numbers);
   }
 }
--- a/src/test/java/io/embernotch/scheduling/DeadlinesTest.java
+++ b/src/test/java/io/embernotch/scheduling/DeadlinesTest.java
@@ -20,7 +20,7 @@
 
   /** Compares with all subsets: in none do more jobs meet their deadlines. */
   @Property(tries = 300, seed = "4711")
-  void noOtherChoiceServesMore(
+  void noOtherSubsetMeetsMoreDeadlines(
       @ForAll @Size(max = 9) List<@IntRange(min = 1, max = 400) Integer> numbers) {
     List<Entry> entries = new ArrayList<>();
     for (int i = 0; i < numbers.size(); i++) {
@@ -52,10 +52,10 @@
   private static double mean(
       double load,
       BiConsumer<Job, Double> setDeadline,
-      ToDoubleFunction<ReleaseMorning.Result> share) {
+      ToDoubleFunction<ReleaseDeadlineSimulation.Result> share) {
     double sum = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      sum += share.applyAsDouble(ReleaseMorning.run(load, seed, setDeadline)) / SEEDS;
+      sum += share.applyAsDouble(ReleaseDeadlineSimulation.run(load, seed, setDeadline)) / SEEDS;
     }
     return sum;
   }
@@ -65,13 +65,15 @@
    * and by the release deadlines of the calendar.
    */
   @Test
-  void theCalendarServesMoreMembersInTimeThanArrivalOrDeadlinesAlone() {
+  void releaseDeadlinesKeepMoreJobsInTimeThanArrivalOrOwnDeadlines() {
     BiConsumer<Job, Double> arrival = (job, due) -> {};
     BiConsumer<Job, Double> own =
         (job, due) -> job.latestStartMs = Math.round(due * 1000 - job.spec.expectS() * 1000);
     BiConsumer<Job, Double> calendar = (job, due) -> job.releaseDeadlineMs = Math.round(due * 1000);
-    ToDoubleFunction<ReleaseMorning.Result> inTime = ReleaseMorning.Result::inTime;
-    ToDoubleFunction<ReleaseMorning.Result> othersDone = ReleaseMorning.Result::othersDone;
+    ToDoubleFunction<ReleaseDeadlineSimulation.Result> inTime =
+        ReleaseDeadlineSimulation.Result::inTime;
+    ToDoubleFunction<ReleaseDeadlineSimulation.Result> othersDone =
+        ReleaseDeadlineSimulation.Result::othersDone;
     for (double load : new double[] {0.7, 1.0, 1.5}) {
       double byArrival = mean(load, arrival, inTime);
       double byOwn = mean(load, own, inTime);
--- a/src/test/java/io/embernotch/scheduling/FailingJobTest.java
+++ b/src/test/java/io/embernotch/scheduling/FailingJobTest.java
@@ -65,7 +65,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"array", "group", "standing"})
-  void theOthersAreStartedAndItIsReported(String shape) {
+  void otherJobsAreStartedAndTheFailureIsReported(String shape) {
     for (String rank : List.of("production", "standard")) {
       fixture.jobs.clear();
       Job failing = failingJob(shape, rank);
--- a/src/test/java/io/embernotch/scheduling/GangPlacementTest.java
+++ b/src/test/java/io/embernotch/scheduling/GangPlacementTest.java
@@ -34,16 +34,16 @@
 
   /**
    * Seconds until a gang of whole machines starts on a full fleet, with an unlimited supply of
-   * small tasks of about 20 s each; {@code mostS} if it does not start.
+   * small tasks of about 20 s each; {@code timeoutS} if it does not start.
    */
-  private int gangStartsAfter(int mostS) {
-    fixture.cloudFull = true;
+  private int gangStartsAfter(int timeoutS) {
+    fixture.cloudExhausted = true;
     Job small = fixture.add(job("j-1", "array", 100_000).replace("red", "blue"));
     for (int i = 0; i < 8; i++) {
       fixture.machine("n-" + i, false);
     }
     Job gang = fixture.add(WHOLE_MACHINES);
-    for (int second = 0; second < mostS; second++) {
+    for (int second = 0; second < timeoutS; second++) {
       fixture.wallMs = 1000L * second;
       endTasks(small, second);
       for (SchedulingPlan.Start start : fixture.plan().starts()) {
@@ -53,7 +53,7 @@
         startTasks(start, small, second);
       }
     }
-    return mostS;
+    return timeoutS;
   }
 
   private void endTasks(Job small, int second) {
--- a/src/test/java/io/embernotch/scheduling/PreemptionTest.java
+++ b/src/test/java/io/embernotch/scheduling/PreemptionTest.java
@@ -26,7 +26,7 @@
     fixture.run(tiny, 0, machine);
     fixture.add(gang("j-3").replace("\"cores\":4.0", "\"cores\":8.0"));
     assertThat(fixture.plan().stops()).isEmpty();
-    fixture.cloudFull = true;
+    fixture.cloudExhausted = true;
     SchedulingPlan plan = fixture.plan();
     // Attempts that need not stop keep running, and those that can save their progress get a grace
     // period.
@@ -39,8 +39,8 @@
   }
 
   @Test
-  void aGangThatGuestsCannotFreeEnoughForStopsNothingAndNeitherDoesWorkWithoutGuarantee() {
-    fixture.cloudFull = true;
+  void nothingIsPreemptedForGangsThatWouldNotFitOrHaveNoGuarantee() {
+    fixture.cloudExhausted = true;
     Machine machine = fixture.machine("n-1", false);
     fixture.guestArray("j-1", 4, machine);
     Job array = fixture.add(job("j-4", "array", 4));
@@ -58,7 +58,7 @@
 
   @Test
   void guaranteedWorkIsNotPreemptedForOthers() {
-    fixture.cloudFull = true;
+    fixture.cloudExhausted = true;
     Machine machine = fixture.machine("n-1", false);
     fixture.runFirst(fixture.add(job("j-1", "array", 8)), 8, machine);
     fixture.add(gang("j-2"));
@@ -67,7 +67,7 @@
 
   @Test
   void liveServicesPreemptLowerPriorityAtOnce() {
-    fixture.cloudFull = true;
+    fixture.cloudExhausted = true;
     Machine machine = fixture.machine("n-1", false);
     fixture.runFirst(fixture.add(job("j-1", "array", 8)), 8, machine);
     fixture.add(liveService("j-2", 1));
@@ -79,7 +79,7 @@
 
   @Test
   void workOfEqualPriorityIsNeverPreempted() {
-    fixture.cloudFull = true;
+    fixture.cloudExhausted = true;
     Machine machine = fixture.machine("n-1", false);
     fixture.runFirst(fixture.add(job("j-1", "array", 8)), 8, machine);
     fixture.add(job("j-2", "standing", 1));
@@ -91,8 +91,8 @@
    * end.
    */
   @Test
-  void guaranteedWorkIsNotPreemptedForWorkThatComesAfterIt() {
-    fixture.cloudFull = true;
+  void guaranteedWorkIsNotPreemptedForWorkOrderedAfterIt() {
+    fixture.cloudExhausted = true;
     Machine machine = fixture.machine("n-1", false);
     Job array = fixture.add(job("j-1", "array", 8));
     fixture.runFirst(array, 8, machine);
@@ -106,7 +106,7 @@
   }
 
   @Test
-  void aLostReplicaReturnsWhereItsImageIsInPlaceOfLowerPriority() {
+  void aLostReplicaPreemptsLowerPriorityWhereItsImageIs() {
     Machine empty = fixture.machine("n-1", false);
     Machine cached = fixture.machine("n-2", false);
     cached.images.add("img");
--- a/src/test/java/io/embernotch/scheduling/ReleaseMorning.java
+++ b/src/test/java/io/embernotch/scheduling/ReleaseDeadlineSimulation.java
@@ -19,9 +19,9 @@
 import java.util.function.BiConsumer;
 
 /** Simulates a morning of jobs with and without due times on a fixed fleet of twelve machines. */
-final class ReleaseMorning {
+final class ReleaseDeadlineSimulation {
   /**
-   * The outcome of a morning.
+   * The outcome of a simulation.
    *
    * @param inTime share of the jobs with a due time that met it
    * @param othersDone share of the other jobs that were done
@@ -53,9 +53,9 @@
   private int nextJob;
 
   /** GPU seconds of work that must still be submitted to reach the load. */
-  private double owed;
+  private double unsubmittedGpuS;
 
-  private ReleaseMorning(long seed, BiConsumer<Job, Double> setDeadline) {
+  private ReleaseDeadlineSimulation(long seed, BiConsumer<Job, Double> setDeadline) {
     this.random = new SplittableRandom(seed);
     this.setDeadline = setDeadline;
     for (int i = 0; i < MACHINES; i++) {
@@ -69,19 +69,19 @@
   }
 
   /**
-   * Simulates a morning.
+   * Simulates a simulation.
    *
    * @param load work that is submitted, as a share of what the machines can do
    * @param setDeadline sets a deadline on a job, given its due time in seconds
    */
   static Result run(double load, long seed, BiConsumer<Job, Double> setDeadline) {
-    ReleaseMorning morning = new ReleaseMorning(seed, setDeadline);
-    for (; morning.now < END_S; morning.now += 1) {
-      morning.endAttempts();
-      morning.submitJobs(load);
-      morning.startTasks();
+    ReleaseDeadlineSimulation simulation = new ReleaseDeadlineSimulation(seed, setDeadline);
+    for (; simulation.now < END_S; simulation.now += 1) {
+      simulation.endAttempts();
+      simulation.submitJobs(load);
+      simulation.startTasks();
     }
-    return morning.result();
+    return simulation.result();
   }
 
   private void endAttempts() {
@@ -106,12 +106,12 @@
   }
 
   private void submitJobs(double load) {
-    owed += now < LAST_SUBMISSION_S ? load * MACHINES * G8.gpus() : 0;
-    while (owed > 0) {
+    unsubmittedGpuS += now < LAST_SUBMISSION_S ? load * MACHINES * G8.gpus() : 0;
+    while (unsubmittedGpuS > 0) {
       int tasks = 1 + random.nextInt(16);
       int runS = 20 + random.nextInt(40);
       submitJob(tasks, runS);
-      owed -= tasks * (double) runS;
+      unsubmittedGpuS -= tasks * (double) runS;
     }
   }
 
--- a/src/test/java/io/embernotch/scheduling/ScaleOutTest.java
+++ b/src/test/java/io/embernotch/scheduling/ScaleOutTest.java
@@ -21,8 +21,8 @@
    * Large arrays of teams without a guarantee must not cause every ordinary machine to be rented.
    */
   @Test
-  void guestsHaveNoOrdinaryMachinesRentedWhileThereAreSpotMachines() {
-    fixture.spotFull = true;
+  void noOrdinaryMachinesAreRentedForGuestsWhileThereAreSpotMachines() {
+    fixture.spotExhausted = true;
     Job array = fixture.add(SchedulerFixture.guestJob("j-1", 50_000));
     fixture.machine("n-1", true);
     SchedulingPlan plan = fixture.plan();
@@ -57,8 +57,8 @@
   }
 
   @Test
-  void spotWorkThatSoonFindsCapacityHasNoOrdinaryMachineRented() {
-    fixture.spotFull = true;
+  void noOrdinaryMachineIsRentedForSpotWorkThatSoonFindsCapacity() {
+    fixture.spotExhausted = true;
     Machine machine = fixture.machine("n-1", true);
     fixture.runFirst(fixture.add(job("j-1", "array", 8)), 8, machine);
     fixture.add(job("j-2", "array", 6));
--- a/src/test/java/io/embernotch/scheduling/SchedulerFixture.java
+++ b/src/test/java/io/embernotch/scheduling/SchedulerFixture.java
@@ -34,10 +34,10 @@
   final List<Job> jobs = new ArrayList<>();
   final List<Machine> machines = new ArrayList<>();
 
-  /** Whether the cloud has no machines at all. {@link #spotFull}: no spot machines. */
-  boolean cloudFull;
+  /** Whether the cloud has no machines at all. {@link #spotExhausted}: no spot machines. */
+  boolean cloudExhausted;
 
-  boolean spotFull;
+  boolean spotExhausted;
   long wallMs;
 
   SchedulingPlan plan() {
@@ -51,7 +51,7 @@
         jobs,
         machines,
         G8,
-        (type, zone, spot) -> cloudFull || (spot && spotFull),
+        (type, zone, spot) -> cloudExhausted || (spot && spotExhausted),
         FailureRisk.NONE);
   }
 
--- a/src/test/java/io/embernotch/scheduling/SchedulerTest.java
+++ b/src/test/java/io/embernotch/scheduling/SchedulerTest.java
@@ -18,7 +18,7 @@
 
   /** After a failover, live services must not wait for a full plan. */
   @Test
-  void aPlanForLiveServicesPlacesThemAsTheWholePlanDoesAndTouchesNothingElse() {
+  void aPlanForLiveServicesPlacesThemLikeAFullPlanAndDoesNothingElse() {
     fixture.machine("n-1", false);
     fixture.machine("n-2", true);
     Job array = fixture.add(job("j-1", "array", 8));
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void spotWorkKeepsOffIdleOrdinaryMachinesButUsesCapacityBesideServices() {
+  void spotWorkAvoidsIdleOrdinaryMachinesButUsesCapacityBesideServices() {
     Machine idle = fixture.machine("n-1", false);
     Machine pinned = fixture.machine("n-2", false);
     fixture.run(fixture.add(job("j-1", "standing", 1)), 0, pinned);
@@ -72,7 +72,7 @@
 
   /** On machines with free GPUs, work without GPUs would take the CPUs that GPU tasks need. */
   @Test
-  void workWithoutGpusGoesWhereAllAreTakenAndOnlyThenElsewhere() {
+  void workWithoutGpusPrefersMachinesWhoseGpusAreTaken() {
     Machine taken = fixture.machine("n-1", false);
     Job gang = fixture.add(gang("j-1"));
     fixture.run(gang, 0, taken);
@@ -94,8 +94,8 @@
 
   @Test
   void anInheritedPriorityAndTheEarliestLatestStartComeFirst() {
-    fixture.cloudFull = true;
-    fixture.spotFull = true;
+    fixture.cloudExhausted = true;
+    fixture.spotExhausted = true;
     fixture.machine("n-1", true);
     // Nine tasks each, so that none is within the team's guarantee: such a job would come first.
     fixture.add(job("j-1", "array", 9));
--- a/src/test/java/io/embernotch/scheduling/ServiceHour.java
+++ b/src/test/java/io/embernotch/scheduling/ServiceFailureSimulation.java
@@ -14,7 +14,7 @@
  * Simulates an hour of 40 services with images of 20 to 120 GB on 64 machines. Single machines fail
  * at random, and after half an hour a fifth of the machines of one zone.
  */
-final class ServiceHour {
+final class ServiceFailureSimulation {
   /**
    * The cost of an hour.
    *
@@ -35,7 +35,7 @@
   private static final int SECONDS = 3600;
 
   /** Seconds in which services start for the first time; downtime in them does not count. */
-  private static final int FIRST_STARTS_S = 200;
+  private static final int WARM_UP_S = 200;
 
   private final ServiceFleet fleet = new ServiceFleet();
   private final SplittableRandom random;
@@ -45,7 +45,7 @@
   private double weightedS;
   private double fetchedGb;
 
-  private ServiceHour(long seed, FailureRisk risk) {
+  private ServiceFailureSimulation(long seed, FailureRisk risk) {
     this.random = new SplittableRandom(seed);
     this.risk = risk;
     for (int i = 0; i < 64; i++) {
@@ -58,15 +58,15 @@
 
   /** Simulates an hour in which the scheduler assumes this risk. */
   static Result run(long seed, FailureRisk risk) {
-    ServiceHour hour = new ServiceHour(seed, risk);
-    for (int second = 0; second < SECONDS; second++, hour.fleet.now++) {
-      hour.failMachines(second);
-      hour.startReplicas();
-      if (second > FIRST_STARTS_S) {
-        hour.countLost();
+    ServiceFailureSimulation simulation = new ServiceFailureSimulation(seed, risk);
+    for (int second = 0; second < SECONDS; second++, simulation.fleet.now++) {
+      simulation.failMachines(second);
+      simulation.startReplicas();
+      if (second > WARM_UP_S) {
+        simulation.countLost();
       }
     }
-    return new Result(hour.lostS, hour.weightedS, hour.fetchedGb);
+    return new Result(simulation.lostS, simulation.weightedS, simulation.fetchedGb);
   }
 
   private void failMachines(int second) {
--- a/src/test/java/io/embernotch/scheduling/TopologySpreadTest.java
+++ b/src/test/java/io/embernotch/scheduling/TopologySpreadTest.java
@@ -29,15 +29,15 @@
   }
 
   @Test
-  void whereNothingFailsTheWeightsDecide() {
+  void withoutFailuresReplicasAreStartedWhereTheirImageIs() {
     fleet.machine("z1");
-    Machine withWeights = fleet.machine("z2", "img-j-1");
+    Machine withImage = fleet.machine("z2", "img-j-1");
     fleet.service("j-1", 4, 60);
-    assertThat(placed(FailureRisk.NONE)).containsExactly(Map.entry(withWeights, 4));
+    assertThat(placed(FailureRisk.NONE)).containsExactly(Map.entry(withImage, 4));
   }
 
   @Test
-  void whereNothingIsToBeFetchedAndMachinesFailOftenReplicasSpread() {
+  void replicasWithCachedImagesSpreadOnlyIfMachinesFailOften() {
     for (int i = 0; i < 4; i++) {
       fleet.machine(i % 2 == 0 ? "z1" : "z2", "img-j-1");
     }
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void aFetchIsPaidForSpreadOnlyWhereFailuresCostMore() {
+  void replicasFetchTheirImageToSpreadOnlyIfFailuresCostMore() {
     fleet.machine("z1", "img-j-1");
     fleet.machine("z1");
     fleet.service("j-1", 2, 120);
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void oneZoneAndZonesOfUnequalSizeTakeWhatTheyCan() {
+  void replicasSpreadWithinAZoneAndAcrossZonesOfUnequalSize() {
     for (int i = 0; i < 3; i++) {
       fleet.machine("z1", "img-j-1");
     }
@@ -75,7 +75,7 @@
    * only, spreading only, and the objective that weighs both by the actual failure rates.
    */
   @Test
-  void theObjectiveLosesNoMoreThanEitherAlone() {
+  void theObjectiveLosesNoMoreThanLocalityOrSpreadingAlone() {
     Map<String, FailureRisk> policies = new LinkedHashMap<>();
     policies.put("weights", FailureRisk.NONE);
     policies.put("spread", new FailureRisk(1, 1, 1e6, LEASE_S));
@@ -83,9 +83,9 @@
     Map<String, Double> lost = new HashMap<>();
     policies.forEach(
         (name, risk) -> {
-          ServiceHour.Result mean = new ServiceHour.Result(0, 0, 0);
+          ServiceFailureSimulation.Result mean = new ServiceFailureSimulation.Result(0, 0, 0);
           for (long seed = 1; seed <= SEEDS; seed++) {
-            mean = mean.plus(ServiceHour.run(seed, risk), 1.0 / SEEDS);
+            mean = mean.plus(ServiceFailureSimulation.run(seed, risk), 1.0 / SEEDS);
           }
           System.out.printf(
               "%s: %.0f replica seconds lost, %.0f by the share down at once, %.0f GB fetched%n",
