--- a/src/main/java/io/embernotch/scheduling/CapacityAllocator.java
+++ b/src/main/java/io/embernotch/scheduling/CapacityAllocator.java
@@ -10,8 +10,9 @@
 import java.util.Optional;
 
 /**
- * Gives tasks capacity: free now, being freed, booting, or of machines that are rented for them.
- * What it allocates is taken from the candidates at once, so that nothing is given twice.
+ * Allocates capacity to tasks: capacity that is free, being freed, on booting machines, or on
+ * machines that are rented for them. It is subtracted from the candidates at once, so that no
+ * capacity is allocated twice.
  */
 final class CapacityAllocator implements ReservationPlanner.CapacityProvider {
   private final SchedulingCycle cycle;
@@ -43,7 +44,7 @@
               ranked,
               request,
               (candidate, tasks) -> {
-                take(candidate, spec, tasks, zones);
+                allocateOn(candidate, spec, tasks, zones);
                 listener.allocated(candidate, tasks);
               });
     }
@@ -52,7 +53,7 @@
       int available = candidate.taskCapacity(spec, capacity == Capacity.FREEING);
       int tasks = zones.limit(candidate.zone, available, request.wanted() - allocated);
       if (tasks > 0) {
-        take(candidate, spec, tasks, zones);
+        allocateOn(candidate, spec, tasks, zones);
         listener.allocated(candidate, tasks);
         allocated += tasks;
       }
@@ -72,12 +73,13 @@
         candidate ->
             request.allowed().test(candidate)
                 && request.zones().remaining(candidate.zone) > 0
-                && !(avoidsOrdinary && paidForAlone(spec, candidate)),
+                && !(avoidsOrdinary && isUnneededOrdinary(spec, candidate)),
         request.score());
   }
 
   /** Allocates capacity for tasks on one machine. */
-  static void take(CandidateMachine candidate, JobSpec spec, int tasks, ZoneConstraints zones) {
+  static void allocateOn(
+      CandidateMachine candidate, JobSpec spec, int tasks, ZoneConstraints zones) {
     candidate.allocate(spec, tasks);
     zones.add(candidate.zone, tasks);
   }
@@ -120,7 +122,7 @@
   }
 
   /**
-   * Claims capacity of machines that are booting, or rents machines.
+   * Claims capacity on machines that are booting, or rents machines.
    *
    * @return for how many tasks
    */
@@ -145,7 +147,7 @@
       CandidateMachine candidate = rented.get();
       int tasks =
           zones.limit(candidate.zone, candidate.taskCapacity(spec, false), wanted - claimed);
-      take(candidate, spec, tasks, zones);
+      allocateOn(candidate, spec, tasks, zones);
       claimed += tasks;
     }
     return claimed;
@@ -166,14 +168,14 @@
   }
 
   /**
-   * Whether a job keeps off ordinary machines: it may run on spot machines and the cloud has some.
-   * On an ordinary machine that serves nothing else it would only prevent scale in.
+   * Whether a job avoids ordinary machines: it may run on spot machines, and the cloud has some. On
+   * an ordinary machine that is not needed otherwise it would only prevent scale-in.
    */
   private boolean avoidsOrdinaryMachines(JobSpec spec) {
     return spec.spot() && spec.shape() == JobShape.ARRAY && scaleOutPlanner.spotAvailable(spec);
   }
 
-  private static boolean paidForAlone(JobSpec spec, CandidateMachine candidate) {
+  private static boolean isUnneededOrdinary(JobSpec spec, CandidateMachine candidate) {
     return !candidate.spot && !candidate.paidFor(spec);
   }
 }
--- a/src/main/java/io/embernotch/scheduling/GangPlacement.java
+++ b/src/main/java/io/embernotch/scheduling/GangPlacement.java
@@ -19,8 +19,8 @@
   }
 
   /**
-   * Starts a gang if all of its tasks find free capacity; otherwise claims capacity for them, which
-   * later jobs do not get.
+   * Starts a gang if there is free capacity for all of its tasks; otherwise claims capacity for
+   * them, so that later jobs do not take it.
    */
   void place(Job job) {
     JobSpec spec = job.spec;
@@ -28,9 +28,10 @@
       return;
     }
     if (cycle.usage().remainingTasks(spec) < spec.tasks()) {
-      cycle.waitsForQuota(job, spec.tasks());
+      cycle.recordQuotaWait(job, spec.tasks());
       if (cycle.aged(job)) {
-        // Otherwise smaller jobs of its team would use up the quota for as long as they come.
+        // Otherwise smaller jobs of its team would use up the quota for as long as any are
+        // submitted.
         cycle.usage().keepFor(spec);
       }
       return;
@@ -42,7 +43,7 @@
     }
     cycle.usage().keepFor(spec);
     if (spec.oneZone() && bestZone == null) {
-      cycle.waitsForCapacity(job, spec.tasks(), 0);
+      cycle.recordCapacityWait(job, spec.tasks(), 0);
       return;
     }
     ZoneConstraints zones = new ZoneConstraints(spec, bestZone);
@@ -52,7 +53,7 @@
             AllocationRequest.of(spec, spec.tasks(), zones),
             AllocationListener.CLAIM_ONLY);
     claimed += allocator.claimLater(job, spec.tasks() - claimed, zones);
-    cycle.waitsForCapacity(job, spec.tasks(), claimed);
+    cycle.recordCapacityWait(job, spec.tasks(), claimed);
   }
 
   private boolean startInOtherZone(Job job, String triedZone) {
@@ -89,7 +90,7 @@
       int tasks =
           zones.limit(host.zone, host.taskCapacity(spec, false), spec.tasks() - placements.size());
       if (tasks > 0) {
-        CapacityAllocator.take(host, spec, tasks, zones);
+        CapacityAllocator.allocateOn(host, spec, tasks, zones);
         for (int i = 0; i < tasks; i++) {
           placements.add(new SchedulingPlan.Placement(placements.size(), host.machine));
         }
--- a/src/main/java/io/embernotch/scheduling/TopologySpread.java
+++ b/src/main/java/io/embernotch/scheduling/TopologySpread.java
@@ -10,21 +10,21 @@
 import java.util.TreeSet;
 
 /**
- * Places the replicas of one service: near its weights, against the wish to spread them. Both are
- * measured in seconds of replica time. A replica that must fetch its image is lost for as long as
- * that takes. Of failures it is expected that, within the horizon, a machine with k replicas of n
- * fails with its rate; they are down until that is noticed and, where no other machine has the
- * weights, for a fetch; and each second counts by the share of the service that is down at once, k
- * of n. Another replica on that machine adds (k+1)² - k² = 2k + 1 of n to that; the same holds for
- * its zone. Fetches that a later failure would not save are not paid for: weights on another
- * machine count only while that machine has free capacity.
+ * Places the replicas of one service, weighing image locality against spreading. The costs of both
+ * are seconds of replica downtime. A replica that must fetch its image is down until it has been
+ * fetched. A machine that runs k of n replicas is expected to fail at its failure rate within the
+ * horizon. Its replicas are then down until the failure is detected and, if no other machine has
+ * the image, until it has been fetched. Each second is weighted by the share of the service that is
+ * down at once, k of n, so that a further replica on that machine adds (k+1)² - k² = 2k + 1 of n to
+ * the cost. The same holds for zones. An image on another machine only saves a fetch after a
+ * failure if that machine has free capacity, so it counts only then.
  */
 final class TopologySpread {
   /**
-   * So many of the best machines are compared for each replica: what spreading gains is small
-   * beside a fetch.
+   * Number of the best machines that are compared for each replica. Few are enough: spreading gains
+   * little compared with the cost of a fetch.
    */
-  private static final int WEIGHED_PER_REPLICA = 4;
+  private static final int COMPARED_PER_REPLICA = 4;
 
   private final CandidateMachines candidates;
   private final FailureRisk risk;
@@ -51,59 +51,62 @@
     return machinesByImage.getOrDefault(image, List.of());
   }
 
-  /** Seconds of replica time that one more replica is expected to lose by failures there. */
-  static double lostS(
+  /** Seconds of replica time that one more replica on a machine is expected to lose by failures. */
+  static double expectedLossS(
       FailureRisk risk,
       int replicas,
       double fetchS,
       int onMachine,
       int inZone,
-      boolean otherMachine,
-      boolean otherZone) {
+      boolean imageOnOtherMachine,
+      boolean imageInOtherZone) {
     double machine =
-        risk.machinePerS() * (risk.noticedS() + (otherMachine ? 0 : fetchS)) * (2 * onMachine + 1);
-    double zone = risk.zonePerS() * (risk.noticedS() + (otherZone ? 0 : fetchS)) * (2 * inZone + 1);
+        risk.machinePerS()
+            * (risk.noticedS() + (imageOnOtherMachine ? 0 : fetchS))
+            * (2 * onMachine + 1);
+    double zone =
+        risk.zonePerS() * (risk.noticedS() + (imageInOtherZone ? 0 : fetchS)) * (2 * inZone + 1);
     return risk.horizonS() * (machine + zone) / Math.max(1, replicas);
   }
 
   /**
-   * Places replicas one by one, each where it loses least.
+   * Places replicas one by one, each on the machine where the expected loss is least.
    *
    * @param ranked machines with free capacity, best first
    * @param listener allocates the capacity; called once for each replica
    * @return how many replicas were placed
    */
   int place(List<CandidateMachine> ranked, AllocationRequest request, AllocationListener listener) {
-    int weighed = WEIGHED_PER_REPLICA * (request.wanted() + 1);
+    int compared = COMPARED_PER_REPLICA * (request.wanted() + 1);
     ReplicaDistribution distribution =
-        new ReplicaDistribution(ranked.subList(0, Math.min(ranked.size(), weighed)), request);
+        new ReplicaDistribution(ranked.subList(0, Math.min(ranked.size(), compared)), request);
     int placed = 0;
     while (placed < request.wanted()) {
-      CandidateMachine best = distribution.leastLoss();
+      CandidateMachine best = distribution.machineWithLeastLoss();
       if (best == null) {
         break;
       }
       listener.allocated(best, 1);
-      distribution.placedOn(best);
+      distribution.addReplica(best);
       placed++;
     }
     return placed;
   }
 
-  /** Where the replicas and the image of one service are while its replicas are placed. */
+  /** Counts the replicas and image copies of one service while its replicas are placed. */
   private final class ReplicaDistribution {
-    private final List<CandidateMachine> weighed;
+    private final List<CandidateMachine> compared;
     private final AllocationRequest request;
     private final JobSpec spec;
     private final Map<CandidateMachine, Integer> replicas = new HashMap<>();
     private final Set<String> zonesWithImage = new TreeSet<>();
     private int machinesWithImage;
 
-    ReplicaDistribution(List<CandidateMachine> weighed, AllocationRequest request) {
-      this.weighed = weighed;
+    ReplicaDistribution(List<CandidateMachine> compared, AllocationRequest request) {
+      this.compared = compared;
       this.request = request;
       this.spec = request.spec();
-      weighed.forEach(candidate -> replicas.put(candidate, openReplicas(candidate)));
+      compared.forEach(candidate -> replicas.put(candidate, openReplicas(candidate)));
       for (CandidateMachine candidate : machinesWith(spec.image())) {
         if (candidate.taskCapacity(spec, false) > 0) {
           machinesWithImage++;
@@ -124,11 +127,11 @@
       return candidate.machine.images.contains(spec.image());
     }
 
-    /** The machine on which one more replica loses least; null if none has capacity. */
-    CandidateMachine leastLoss() {
+    /** The machine with the least expected loss for one more replica; null if none has capacity. */
+    CandidateMachine machineWithLeastLoss() {
       CandidateMachine best = null;
       double least = 0;
-      for (CandidateMachine candidate : weighed) {
+      for (CandidateMachine candidate : compared) {
         if (request.zones().remaining(candidate.zone) > 0
             && candidate.taskCapacity(spec, false) > 0) {
           double loss = request.score().applyAsDouble(candidate) + lostByFailuresS(candidate);
@@ -142,7 +145,7 @@
     }
 
     private double lostByFailuresS(CandidateMachine candidate) {
-      return lostS(
+      return expectedLossS(
           risk,
           spec.tasks(),
           candidate.type.fetchS(spec),
@@ -152,7 +155,7 @@
           zonesWithImage.size() > (zonesWithImage.contains(candidate.zone) ? 1 : 0));
     }
 
-    void placedOn(CandidateMachine candidate) {
+    void addReplica(CandidateMachine candidate) {
       replicas.merge(candidate, 1, Integer::sum);
       if (!hasImage(candidate) && replicas.get(candidate) == 1) {
         machinesWithImage++;
--- a/src/test/java/io/embernotch/scheduling/DeadlinesSearch.java
+++ b/src/test/java/io/embernotch/scheduling/DeadlinesSearch.java
@@ -7,14 +7,14 @@
 import net.jqwik.api.constraints.Size;
 
 /**
- * The property of {@link DeadlinesTest} with new seeds on every run. Not part of the build, whose
- * verdict has to be the same every time; CONTRIBUTING.md names the command.
+ * Runs the property of {@link DeadlinesTest} with new seeds. Not part of the build, which must be
+ * reproducible; CONTRIBUTING.md describes how to run it.
  */
 class DeadlinesSearch extends DeadlinesTest {
   @Override
   @Property(tries = 20_000)
-  void noOtherChoiceServesMore(
+  void noOtherSubsetMeetsMoreDeadlines(
       @ForAll @Size(max = 9) List<@IntRange(min = 1, max = 400) Integer> numbers) {
-    super.noOtherChoiceServesMore(numbers);
+    super.noOtherSubsetMeetsMoreDeadlines(numbers);
   }
 }
--- a/src/test/java/io/embernotch/scheduling/PreemptionTest.java
+++ b/src/test/java/io/embernotch/scheduling/PreemptionTest.java
@@ -9,7 +9,7 @@
 import io.embernotch.model.Machine;
 import org.junit.jupiter.api.Test;
 
-/** Which attempts are stopped for which jobs, and which never are. */
+/** Which attempts are preempted for which jobs, and which never are. */
 class PreemptionTest {
   private final SchedulerFixture fixture = new SchedulerFixture();
 
@@ -26,9 +26,10 @@
     fixture.run(tiny, 0, machine);
     fixture.add(gang("j-3").replace("\"cores\":4.0", "\"cores\":8.0"));
     assertThat(fixture.plan().stops()).isEmpty();
-    fixture.cloudFull = true;
+    fixture.cloudExhausted = true;
     SchedulingPlan plan = fixture.plan();
-    // What need not stop stays, and what can save its progress may.
+    // Attempts that need not stop keep running, and those that can save their progress get a grace
+    // period.
     assertThat(plan.stops())
         .hasSize(8)
         .allMatch(stop -> stop.attempt().job == array && stop.graceS() > 0);
@@ -38,8 +39,8 @@
   }
 
   @Test
-  void aGangThatGuestsCannotFreeEnoughForStopsNothingAndNeitherDoesWorkWithoutGuarantee() {
-    fixture.cloudFull = true;
+  void nothingIsPreemptedForGangsThatWouldNotFitOrHaveNoGuarantee() {
+    fixture.cloudExhausted = true;
     Machine machine = fixture.machine("n-1", false);
     fixture.guestArray("j-1", 4, machine);
     Job array = fixture.add(job("j-4", "array", 4));
@@ -57,7 +58,7 @@
 
   @Test
   void guaranteedWorkIsNotPreemptedForOthers() {
-    fixture.cloudFull = true;
+    fixture.cloudExhausted = true;
     Machine machine = fixture.machine("n-1", false);
     fixture.runFirst(fixture.add(job("j-1", "array", 8)), 8, machine);
     fixture.add(gang("j-2"));
@@ -66,7 +67,7 @@
 
   @Test
   void liveServicesPreemptLowerPriorityAtOnce() {
-    fixture.cloudFull = true;
+    fixture.cloudExhausted = true;
     Machine machine = fixture.machine("n-1", false);
     fixture.runFirst(fixture.add(job("j-1", "array", 8)), 8, machine);
     fixture.add(liveService("j-2", 1));
@@ -78,17 +79,20 @@
 
   @Test
   void workOfEqualPriorityIsNeverPreempted() {
-    fixture.cloudFull = true;
+    fixture.cloudExhausted = true;
     Machine machine = fixture.machine("n-1", false);
     fixture.runFirst(fixture.add(job("j-1", "array", 8)), 8, machine);
     fixture.add(job("j-2", "standing", 1));
     assertThat(fixture.plan().stops()).isEmpty();
   }
 
-  /** It would take the capacity back in the next plan and be stopped again, without end. */
+  /**
+   * Guaranteed work would take the capacity back in the next plan and be preempted again, without
+   * end.
+   */
   @Test
-  void guaranteedWorkIsNotPreemptedForWorkThatComesAfterIt() {
-    fixture.cloudFull = true;
+  void guaranteedWorkIsNotPreemptedForWorkOrderedAfterIt() {
+    fixture.cloudExhausted = true;
     Machine machine = fixture.machine("n-1", false);
     Job array = fixture.add(job("j-1", "array", 8));
     fixture.runFirst(array, 8, machine);
@@ -102,7 +106,7 @@
   }
 
   @Test
-  void aLostReplicaReturnsWhereItsImageIsInPlaceOfLowerPriority() {
+  void aLostReplicaPreemptsLowerPriorityWhereItsImageIs() {
     Machine empty = fixture.machine("n-1", false);
     Machine cached = fixture.machine("n-2", false);
     cached.images.add("img");
@@ -110,7 +114,7 @@
         fixture.add(job("j-1", "array", 8).replace("\"bundle\":\"img\"", "\"bundle\":\"other\""));
     fixture.runFirst(array, 8, cached);
     Job service = fixture.add(liveService("j-2", 1));
-    // A new service takes the empty machine; nothing is stopped for an image.
+    // A new service takes the empty machine; nothing is preempted to save a fetch.
     assertThat(fixture.plan().starts().get(0).placements().get(0).machine()).isSameAs(empty);
     service.restartedTasks.set(0);
     SchedulingPlan plan = fixture.plan();
--- a/src/test/java/io/embernotch/scheduling/ScaleOutTest.java
+++ b/src/test/java/io/embernotch/scheduling/ScaleOutTest.java
@@ -17,17 +17,19 @@
         .sum();
   }
 
-  /** An array without a guarantee must not have every ordinary machine rented. */
+  /**
+   * Large arrays of teams without a guarantee must not cause every ordinary machine to be rented.
+   */
   @Test
-  void guestsHaveNoOrdinaryMachinesRentedWhileThereAreSpotMachines() {
-    fixture.spotFull = true;
+  void noOrdinaryMachinesAreRentedForGuestsWhileThereAreSpotMachines() {
+    fixture.spotExhausted = true;
     Job array = fixture.add(SchedulerFixture.guestJob("j-1", 50_000));
     fixture.machine("n-1", true);
     SchedulingPlan plan = fixture.plan();
     assertThat(plan.starts().get(0).placements()).hasSize(8);
     assertThat(plan.scaleOuts()).isEmpty();
     fixture.machines.clear();
-    // Where there are none at all, they would wait for ever otherwise.
+    // If there are no spot machines at all, guests would otherwise wait forever.
     assertThat(fixture.plan().scaleOuts()).isNotEmpty();
     array.cancelRequested = true;
     fixture.add(job("j-2", "array", 50));
@@ -45,8 +47,8 @@
 
   @Test
   void shortTasksQueueForMachinesThatBootLongerThanTheyRun() {
-    // Machines boot in 60 s and the tasks run 30: two in a row wait no longer than for another
-    // boot.
+    // Machines boot in 60 s and tasks run for 30 s: two tasks in a row wait no longer than another
+    // boot takes.
     fixture.add(job("j-1", "array", 24));
     assertThat(rentedMachines()).isEqualTo(1);
     fixture.jobs.clear();
@@ -55,13 +57,13 @@
   }
 
   @Test
-  void spotWorkThatSoonFindsCapacityHasNoOrdinaryMachineRented() {
-    fixture.spotFull = true;
+  void noOrdinaryMachineIsRentedForSpotWorkThatSoonFindsCapacity() {
+    fixture.spotExhausted = true;
     Machine machine = fixture.machine("n-1", true);
     fixture.runFirst(fixture.add(job("j-1", "array", 8)), 8, machine);
     fixture.add(job("j-2", "array", 6));
     assertThat(fixture.plan().scaleOuts()).isEmpty();
-    // More than will have ended by then are worth one.
+    // More tasks wait than end before an ordinary machine boots, so one is rented.
     fixture.add(job("j-3", "array", 6));
     assertThat(fixture.plan().scaleOuts()).hasSize(1);
   }
