--- a/src/main/java/io/embernotch/persistence/Batch.java
+++ b/src/main/java/io/embernotch/persistence/Batch.java
@@ -6,10 +6,11 @@
 import java.util.Map;
 
 /**
- * Shards that are written by one transaction.
+ * The shards that one transaction writes.
  *
- * @param shards those that the transaction writes, by key, in the order they are written
- * @param oversized jobs that were left out since a shard of theirs is too large for the store
+ * @param shards the written shards by key, in the order of the writes
+ * @param oversized jobs that the batch leaves out because one of their shards is too large for the
+ *     store
  */
 record Batch(Transaction transaction, Map<String, DirtyShard> shards, List<Job> oversized) {
   boolean isEmpty() {
--- a/src/main/java/io/embernotch/persistence/BatchBuilder.java
+++ b/src/main/java/io/embernotch/persistence/BatchBuilder.java
@@ -15,11 +15,12 @@
 import java.util.Set;
 
 /**
- * Puts dirty shards into one transaction, most urgent first, as many as fit. The transaction
- * conditions on the leader's key and on the modification revision of each shard. For one batch.
+ * Builds one transaction of as many dirty shards as fit, most urgent first. The transaction is
+ * conditional on the modification revisions of the leader's key and of each shard. An instance
+ * builds one batch.
  */
 final class BatchBuilder {
-  /** A write takes so many bytes besides its value and the key, which stands in it twice. */
+  /** Bytes of a write besides its value and its key; the key occurs twice, in the condition too. */
   private static final int BYTES_PER_WRITE = 100;
 
   private final Transaction transaction;
@@ -28,16 +29,14 @@
   private final int maxChanges;
   private final Map<String, DirtyShard> batch = new LinkedHashMap<>();
 
-  /**
-   * Jobs with a shard that is too large: none of their shards is written before they are refined.
-   */
+  /** Jobs with a shard that is too large; the batch contains none of their shards. */
   private final Set<Job> oversized = new LinkedHashSet<>();
 
   private int bytes;
 
   /**
    * @param leaderModRevision modification revision of the leader's key
-   * @param maxChanges so many shards are written at most
+   * @param maxChanges largest number of shards to write
    */
   BatchBuilder(
       long leaderModRevision, ModRevisions modRevisions, ShardRefiner refiner, int maxChanges) {
@@ -48,9 +47,9 @@
   }
 
   /**
-   * Builds a batch of what is due.
+   * Builds a batch of the shards that are due.
    *
-   * @param withBackground whether shards of background priority may be written
+   * @param withBackground whether the batch may contain shards of background priority
    */
   Batch build(Iterable<DirtyShard> pending, double now, boolean withBackground) {
     List<DirtyShard> order = inOrder(pending, now, withBackground);
--- a/src/main/java/io/embernotch/persistence/DirtyShard.java
+++ b/src/main/java/io/embernotch/persistence/DirtyShard.java
@@ -6,44 +6,45 @@
 import java.util.List;
 
 /**
- * A shard of a job that differs from what the store is known to hold: how urgently it is to be
- * written, who waits for that, and which done marks the store may hold already.
+ * A shard with changes that the store is not known to hold. Records the priority and due time of
+ * its write, the actions that wait for the write, and the done marks that the store may hold
+ * already.
  */
 final class DirtyShard {
-  /** The value of {@code waitingSince} while nobody waits. */
+  /** The value of {@code waitingSince} while nothing waits for the write. */
   private static final double NOT_WAITED_FOR = -1;
 
-  /** Timers may fire early by so much. */
+  /** Largest time by which a timer may fire early. */
   private static final double TIMER_TOLERANCE_S = 0.001;
 
-  /** An action that runs once a task's change is in the store. */
+  /** An action to run once the store holds the change of a task. */
   record Waiter(int task, Runnable action) {}
 
   private final ShardLayout.Shard shard;
 
-  /** Its tasks that differ; what concerns the job as a whole goes with task 0. */
+  /** Numbers of the changed tasks; a change of the job as a whole counts as one of task 0. */
   private final BitSet tasks = new BitSet();
 
   private RequestPriority priority;
 
-  /** When it is to be written, in seconds of the steady clock. */
+  /** When the shard is to be written, in seconds of the monotonic clock. */
   private double due;
 
-  /** When somebody first began to wait for it. */
+  /** Start of the longest wait for the write, in seconds of the monotonic clock. */
   private double waitingSince = NOT_WAITED_FOR;
 
   private List<Waiter> waiters = new ArrayList<>();
 
-  /** The store rejected a transaction with it: it goes alone until that is explained. */
+  /**
+   * Whether the store rejected a transaction that contained this shard. A suspect shard is written
+   * in a transaction of its own, to find out which shard the store rejects.
+   */
   private boolean suspect;
 
-  /** Done marks that the last transaction carries, by the task's number in the job. */
+  /** Done marks in the transaction in flight, by the task's number in the job. */
   private BitSet inFlightMarks = new BitSet();
 
-  /**
-   * Those that a transaction without an answer carried: it may have been applied, or be applied
-   * yet.
-   */
+  /** Done marks of transactions without an answer: the store may have applied them or may yet. */
   private final BitSet unknownMarks = new BitSet();
 
   DirtyShard(ShardLayout.Shard shard, RequestPriority priority, double due) {
@@ -72,18 +73,21 @@
     return due <= now + TIMER_TOLERANCE_S;
   }
 
-  /** Moves it to a later time, after the store rejected it alone. */
+  /** Delays the write, after the store has rejected this shard in a transaction of its own. */
   void postpone(double until) {
     due = until;
   }
 
-  /** Writes it as urgently as {@code to} and as soon as {@code by}, if that is sooner. */
+  /** Raises the priority to at least {@code to} and moves the due time to {@code by} if earlier. */
   void expedite(RequestPriority to, double by) {
     priority = to.compareTo(priority) < 0 ? to : priority;
     due = Math.min(due, by);
   }
 
-  /** Raises the priority of one that has waited for spare capacity too long. */
+  /**
+   * Raises background priority to normal if the shard has waited for spare write capacity for more
+   * than {@code overdueS} seconds after its due time.
+   */
   void promoteIfOverdue(double now, double overdueS) {
     if (priority == RequestPriority.BACKGROUND && now - due > overdueS) {
       priority = RequestPriority.NORMAL;
@@ -102,7 +106,7 @@
     waiters.add(new Waiter(task, action));
   }
 
-  /** Notes that a user or a service waits for it from now on, if none did. */
+  /** Records that a user or a service waits for the write from now on; keeps an earlier start. */
   void startWaiting(double now) {
     waitingSince = isWaitedFor() ? waitingSince : now;
   }
@@ -123,14 +127,14 @@
     suspect = true;
   }
 
-  /** A transaction with the shard as it is now is sent. */
+  /** Called when a transaction with the shard's present value is sent. */
   void sent() {
     inFlightMarks = marksWithin(shard.job().done);
   }
 
   /**
-   * The transaction was applied. Done marks are never taken back, so it carried all that those
-   * before it did.
+   * Called when the transaction in flight was applied. A done mark is never removed, so this
+   * transaction contained all marks of earlier ones.
    */
   void stored() {
     shard.job().persistedDone.or(inFlightMarks);
@@ -138,18 +142,18 @@
     unknownMarks.clear();
   }
 
-  /** The transaction was not executed, and never will be. */
+  /** Called when the store has not executed the transaction in flight and never will. */
   void refused() {
     inFlightMarks = new BitSet();
   }
 
-  /** The transaction got no answer. */
+  /** Called when the transaction in flight got no answer. */
   void unanswered() {
     unknownMarks.or(inFlightMarks);
     inFlightMarks = new BitSet();
   }
 
-  /** The store may hold done marks that it is not known to hold. */
+  /** Whether the store may hold done marks that it is not known to hold. */
   boolean mayBeStored() {
     BitSet marks = (BitSet) unknownMarks.clone();
     marks.or(inFlightMarks);
@@ -157,7 +161,7 @@
     return !marks.isEmpty();
   }
 
-  /** Takes over one task of a larger shard of the same job, which was to be written before. */
+  /** Merges the change of one task from the larger, pending shard that this one replaces. */
   void takeOverTask(int task, DirtyShard larger) {
     expedite(larger.priority, larger.due);
     tasks.set(task);
@@ -165,7 +169,7 @@
     waitingSince = larger.waitingSince;
   }
 
-  /** Takes over all of the same shard, which was to be written before this one was marked. */
+  /** Merges an earlier instance of the same shard, whose transaction was not applied. */
   void takeOver(DirtyShard former) {
     expedite(former.priority, former.due);
     waitingSince = former.isWaitedFor() ? former.waitingSince : waitingSince;
@@ -177,12 +181,12 @@
     waiters = all;
   }
 
-  /** Takes over what the store may hold of the same shard, or of a larger one. */
+  /** Merges the unknown done marks of an earlier instance of this shard, or of a larger shard. */
   private void takeOverUnknownMarks(DirtyShard former) {
     unknownMarks.or(marksWithin(former.unknownMarks));
   }
 
-  /** Those of a job's done marks that are this shard's. */
+  /** Returns the done marks of the job's tasks that belong to this shard. */
   private BitSet marksWithin(BitSet marks) {
     int end = shard.firstTask() + shard.size();
     BitSet own = (BitSet) marks.clone();
--- a/src/main/java/io/embernotch/persistence/DirtyShards.java
+++ b/src/main/java/io/embernotch/persistence/DirtyShards.java
@@ -11,9 +11,9 @@
 import java.util.stream.IntStream;
 
 /**
- * The shards that differ from what the store is known to hold, by key: those that are yet to be
- * sent, and those of the transaction in flight. A shard that changes while it is in flight is in
- * both.
+ * The shards with changes that the store is not known to hold, by key: the pending ones, which are
+ * still to be sent, and those of the transaction in flight. A shard that changes while it is in
+ * flight is in both sets.
  */
 final class DirtyShards {
   private final ShardLayout layout;
@@ -35,7 +35,7 @@
     return IntStream.range(0, shards).anyMatch(index -> contains(job, index * size));
   }
 
-  /** Those that are yet to be sent, in the order they were marked. */
+  /** The shards that are still to be sent, in the order in which they were marked dirty. */
   Collection<DirtyShard> pending() {
     return pending.values();
   }
@@ -44,12 +44,12 @@
     return pending.size();
   }
 
-  /** The pending shard with this key; null if there is none. */
+  /** Returns the pending shard with this key, or null if there is none. */
   DirtyShard pending(String key) {
     return pending.get(key);
   }
 
-  /** Marks the shard with {@code task} as dirty, to be written by {@code due}. */
+  /** Marks the shard of {@code task} as dirty; the write is due at {@code due} or earlier. */
   DirtyShard mark(Job job, int task, RequestPriority priority, double due) {
     DirtyShard dirtyShard = pendingShardOf(job, task, priority, due);
     dirtyShard.expedite(priority, due);
@@ -57,7 +57,10 @@
     return dirtyShard;
   }
 
-  /** Runs {@code action} once the shard with {@code task} is stored; false if it is not dirty. */
+  /**
+   * Runs {@code action} once the shard of {@code task} is stored. Returns false, and never runs it,
+   * if that shard is not dirty.
+   */
   boolean addWaiter(Job job, int task, Runnable action) {
     String key = layout.shardOf(job, task).key();
     DirtyShard dirtyShard = pending.getOrDefault(key, inFlight.get(key));
@@ -69,8 +72,9 @@
   }
 
   /**
-   * Runs {@code action} once the first shard of the job that the store may hold unknown done marks
-   * of is stored; false if there is none.
+   * Finds the first shard of the job of which the store may hold unknown done marks, and runs
+   * {@code action} once that shard is stored. Returns false, and never runs it, if there is no such
+   * shard.
    */
   boolean addDoneMarkWaiter(Job job, Runnable action) {
     int size = layout.shardSize(job.spec.ref());
@@ -86,21 +90,21 @@
     return false;
   }
 
-  /** The shards of a transaction that is sent now. */
+  /** Called when a transaction of these shards is sent. */
   void sent(Map<String, DirtyShard> batch) {
     batch.keySet().forEach(pending::remove);
     batch.values().forEach(DirtyShard::sent);
     inFlight = batch;
   }
 
-  /** The transaction in flight was applied. */
+  /** Called when the transaction in flight was applied. */
   void stored() {
     Map<String, DirtyShard> batch = inFlight;
     inFlight = Map.of();
     batch.values().forEach(DirtyShard::stored);
   }
 
-  /** The shards of the transaction in flight are to be written again. */
+  /** Makes the shards of the transaction in flight pending again. */
   void putBack() {
     Map<String, DirtyShard> batch = inFlight;
     inFlight = Map.of();
@@ -114,8 +118,8 @@
   }
 
   /**
-   * Has a job go over to smaller shards, with all of it that is still to be sent. False if there
-   * are none smaller.
+   * Switches a job to smaller shards and splits its pending shards. Returns false if there is no
+   * smaller shard size.
    */
   boolean refine(Job job) {
     List<DirtyShard> larger =
--- a/src/main/java/io/embernotch/persistence/ModRevisions.java
+++ b/src/main/java/io/embernotch/persistence/ModRevisions.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 
-/** The modification revisions at which this leader knows the shards' keys to be. */
+/** The last known modification revisions of the shards' keys. */
 final class ModRevisions {
-  /** The modification revision of a key that is not there. */
+  /** Modification revision of an absent key. */
   private static final long ABSENT = 0;
 
   private final StoreClient store;
@@ -20,8 +20,8 @@
   private final Map<String, Long> modRevisions = new HashMap<>();
 
   /**
-   * @param retryS seconds after which a read that failed is tried again
-   * @param closed whether nothing is to be read any more
+   * @param retryS seconds before a failed read is retried
+   * @param closed whether the writer is closed; reading stops then
    */
   ModRevisions(StoreClient store, Timers timers, double retryS, BooleanSupplier closed) {
     this.store = store;
@@ -38,7 +38,7 @@
     modRevisions.put(key, modRevision);
   }
 
-  /** Reads the keys one after the other, until each has been read; then runs {@code done}. */
+  /** Reads the keys one by one, retrying failed reads, and then runs {@code done}. */
   void reread(Collection<String> keys, Runnable done) {
     rereadFrom(List.copyOf(keys), 0, done);
   }
--- a/src/main/java/io/embernotch/persistence/PersistedJob.java
+++ b/src/main/java/io/embernotch/persistence/PersistedJob.java
@@ -9,13 +9,13 @@
 import io.vertx.core.Future;
 import java.util.List;
 
-/** Reads a single job back from the store, whatever shards its progress is kept in. */
+/** Reads a single job and its progress, in shards of any size, from the store. */
 public final class PersistedJob {
   private PersistedJob() {}
 
   /**
-   * What the store and the base snapshot of its incarnation hold of a job's submission; an entry
-   * without a value if it was never accepted.
+   * Reads the submission of a job from the store and the base snapshot of its incarnation.
+   * Completes with an entry without a value if the job was never accepted; fails as the read does.
    */
   public static Future<VersionedEntry> submission(
       StoreClient store, BaseSnapshot baseSnapshot, String ref) {
@@ -29,8 +29,9 @@
   }
 
   /**
-   * Reads a job, its first shard and its refined shards; null if it was never accepted. Three reads
-   * at most. Not for one of which the base snapshot knows only how it ended.
+   * Reads a job, its first shard and its refined shards, with at most three requests. Completes
+   * with null if the job was never accepted; fails as the first failing read does. Not applicable
+   * to a job of which the base snapshot holds only the final phase.
    */
   public static Future<Job> read(StoreClient store, BaseSnapshot baseSnapshot, String ref) {
     return submission(store, baseSnapshot, ref)
@@ -70,7 +71,7 @@
     if (job.finalPhase != null) {
       return Future.succeededFuture(job);
     }
-    // Refined shards are only made of shards that were there, or of a job's very first write.
+    // Refined shards are created only from existing shards or by the first write of a job.
     return store
         .list(JobProgressCodec.REFINED_SHARD + ref + "/")
         .map(found -> addRefinedShards(baseSnapshot, job, found.events()));
--- a/src/main/java/io/embernotch/persistence/PersistedState.java
+++ b/src/main/java/io/embernotch/persistence/PersistedState.java
@@ -6,18 +6,18 @@
 import io.vertx.core.Future;
 
 /**
- * All that the store holds of the cluster's state. The prefixes are read one after the other, so
- * later ones may be of a later revision.
+ * The cluster's state as the store holds it. The prefixes are read one by one, in the order of the
+ * components, so each may be of a later revision than the one before.
  *
  * @param jobs submissions
- * @param shards progress of jobs, in shards of their first size
- * @param refinedShards progress of jobs that have gone over to smaller shards
- * @param shared state that is shared beside jobs
+ * @param shards progress of jobs, in shards of the size fixed when the job was accepted
+ * @param refinedShards progress of jobs that were switched to smaller shards
+ * @param shared shared state entries, which do not belong to a job
  */
 public record PersistedState(
     WatchEvents jobs, WatchEvents shards, WatchEvents refinedShards, WatchEvents shared) {
 
-  /** Reads everything, in the order of the components. Fails as the first read that fails does. */
+  /** Reads all prefixes, in the order of the components. Fails as the first failing read does. */
   public static Future<PersistedState> read(StoreClient store) {
     return store.list(JobProgressCodec.JOB).compose(jobs -> readShards(store, jobs));
   }
--- a/src/main/java/io/embernotch/persistence/ShardLayout.java
+++ b/src/main/java/io/embernotch/persistence/ShardLayout.java
@@ -8,17 +8,18 @@
 import java.util.Map;
 
 /**
- * In which shards the progress of each job is kept. A job starts with the size of shards that was
- * fixed when it was accepted. It goes over to smaller, refined shards, for good, once a shard does
- * not fit the store any more; what the larger shards say of other tasks stays valid.
+ * Maps the tasks of each job to the shards that hold their progress. A job starts with the shard
+ * size that was fixed when it was accepted. Once a shard no longer fits the store, the job is
+ * switched permanently to smaller, refined shards. The larger shards stay valid for the tasks that
+ * no refined shard holds yet.
  */
 public final class ShardLayout {
   /**
-   * Tasks of a job whose progress is kept under one key.
+   * A range of a job's tasks whose progress is kept under one key.
    *
-   * @param size number of tasks in a shard; the job's last one may have fewer
-   * @param index number of the shard in the job, from 0
-   * @param refined whether the job has gone over to smaller shards
+   * @param size number of tasks in a shard; the job's last shard may have fewer
+   * @param index index of the shard in the job, from 0
+   * @param refined whether the job was switched to smaller shards
    */
   record Shard(Job job, int size, int index, boolean refined) {
     String key() {
@@ -28,12 +29,12 @@
           : JobProgressCodec.shardKey(ref, index);
     }
 
-    /** Number of its first task. */
+    /** Number of the shard's first task. */
     int firstTask() {
       return index * size;
     }
 
-    /** The value to store, of the job as it is now. */
+    /** Encodes the job's present progress as the value to store. */
     ObjectNode value() {
       return JobProgressCodec.writeShard(job, size, index);
     }
@@ -44,48 +45,48 @@
   private final Map<String, Integer> refinedSizes = new HashMap<>();
 
   /**
-   * A layout that knows of no job yet.
+   * Creates a layout without any jobs.
    *
-   * @param defaultSize tasks in a shard that fits the store under its lowest limits
+   * @param defaultSize number of tasks per shard that fits the lowest limits of the store
    */
   public ShardLayout(int defaultSize) {
     this.defaultSize = defaultSize;
   }
 
-  /** Tasks in a shard that fits the store under the lowest limits that the settings give. */
+  /** Returns the number of tasks per shard that fits the lowest store limits of the settings. */
   public static int defaultSize(Settings settings) {
     return JobProgressCodec.shardSize(settings.minStoreLimits().valueKb(), settings.zones());
   }
 
-  /** The size of shards that was fixed when the job was accepted. */
+  /** Records the shard size, in tasks, that was fixed when the job was accepted. */
   public void recordShardSize(String ref, int size) {
     sizes.put(ref, size);
   }
 
-  /** The store holds refined shards of this size; the smallest ones count. */
+  /** Records that the store holds refined shards of this size; the smallest size applies. */
   public void recordRefinedSize(String ref, int size) {
     refinedSizes.merge(ref, size, Math::min);
   }
 
-  /** Whether any job has gone over to refined shards. */
+  /** Whether any job was switched to refined shards. */
   public boolean refinedAny() {
     return !refinedSizes.isEmpty();
   }
 
-  /** Number of tasks in a shard of the job, as it is written now. */
+  /** Returns the number of tasks per shard with which the job is written now. */
   public int shardSize(String ref) {
     Integer refined = refinedSizes.get(ref);
     return refined != null ? refined : sizes.getOrDefault(ref, defaultSize);
   }
 
-  /** The shard that the task is written in now. */
+  /** Returns the shard in which the task is written now. */
   Shard shardOf(Job job, int task) {
     String ref = job.spec.ref();
     int size = shardSize(ref);
     return new Shard(job, size, task / size, refinedSizes.containsKey(ref));
   }
 
-  /** Has the job go over to smaller shards; false if there are none smaller. */
+  /** Switches the job to smaller shards; returns false if there is no smaller size. */
   boolean refine(String ref) {
     int size = shardSize(ref);
     if (size <= 1) {
--- a/src/main/java/io/embernotch/persistence/ShardRefiner.java
+++ b/src/main/java/io/embernotch/persistence/ShardRefiner.java
@@ -10,24 +10,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Has jobs go over to smaller shards once the store has lowered its limits and their values no
- * longer fit.
+ * Switches jobs to smaller shards once the store has lowered its limits and their values no longer
+ * fit.
  */
 final class ShardRefiner {
-  /** Logs under the name of the writer, of which this class is a part. */
+  /** Logs under the name of {@link StateWriter}, of which this class is a part. */
   private static final Logger LOG = LoggerFactory.getLogger(StateWriter.class);
 
   private final ShardLayout layout;
   private final DirtyShards dirtyShards;
   private final Clock clock;
 
-  /** A value of so many bytes fits the store even once its limits are lowered. */
+  /** Largest value in bytes that fits the store's lowered limits. */
   private final int safeBytes;
 
-  /** Seconds for which a shard that was rejected alone waits. */
+  /** Delay in seconds of a shard that the store rejected in a transaction of its own. */
   private final double postponeS;
 
-  /** The store has rejected what would have fitted its former limits. */
+  /** Whether the store is known to have lowered its limits. */
   private boolean limitsLowered;
 
   private boolean rejectionLogged;
@@ -41,22 +41,22 @@
     this.postponeS = postponeS;
   }
 
-  /** The store's limits are known to be lowered. */
+  /** Records that the store has lowered its limits. */
   void limitsLowered() {
     limitsLowered = true;
   }
 
-  /** Whether values may no longer fit. */
+  /** Whether values may be too large because the store has lowered its limits. */
   boolean mayRefine() {
     return limitsLowered;
   }
 
-  /** Whether a value of so many bytes no longer fits, and the job has smaller shards. */
+  /** Whether a value of {@code bytes} no longer fits and the job can be split further. */
   boolean isOversized(Job job, int bytes) {
     return limitsLowered && bytes > safeBytes && layout.shardOf(job, 0).size() > 1;
   }
 
-  /** Has the job go over to smaller shards; false if there are none smaller. */
+  /** Switches the job to smaller shards; returns false if there is no smaller size. */
   boolean refine(Job job) {
     if (!dirtyShards.refine(job)) {
       return false;
@@ -67,12 +67,13 @@
   }
 
   /**
-   * The store has rejected a transaction as malformed, and has not executed it; its shards are
-   * pending again. Values that fitted its former limits are the likely cause: their jobs go over to
-   * smaller shards. Else what was rejected together is tried one by one, and what is rejected alone
-   * waits, so that it holds up nothing else.
+   * Handles a transaction that the store rejected as malformed and did not execute; its shards are
+   * pending again. The likely cause is a value that fits only the store's former limits: jobs with
+   * such values are switched to smaller shards. If there are none, each shard is retried in a
+   * transaction of its own, and a shard that is rejected in its own transaction is delayed, so that
+   * it does not block the others.
    *
-   * @param reason what the store answered
+   * @param reason the text of the store's answer
    */
   void handleRejection(Map<String, DirtyShard> rejected, String reason) {
     if (!refineLargeJobs(rejected)) {
@@ -80,7 +81,7 @@
     }
   }
 
-  /** Whether any job went over to smaller shards. */
+  /** Switches jobs with large values to smaller shards; returns whether it switched any. */
   private boolean refineLargeJobs(Map<String, DirtyShard> rejected) {
     Set<Job> large = new LinkedHashSet<>();
     for (DirtyShard dirtyShard : rejected.values()) {
--- a/src/main/java/io/embernotch/persistence/StateWriter.java
+++ b/src/main/java/io/embernotch/persistence/StateWriter.java
@@ -15,16 +15,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes the progress of jobs, one transaction at a time. Each write conditions on the leader's key
- * and on the shard's own modification revision, so that neither a deposed leader's transaction nor
- * a late one of ours can be applied over a newer one. The outcome of a transaction without an
- * answer is unknown: its shards are read again before anything is written over them, and nobody
- * learns of their success.
+ * Writes the progress of jobs, one transaction at a time. Each write is conditional on the
+ * modification revisions of the leader's key and of the shard, so that neither a transaction of a
+ * deposed leader nor a delayed one of this leader can overwrite a newer value. The outcome of a
+ * transaction without an answer is unknown: the writer reads its shards again before it overwrites
+ * them, and does not report them as stored.
  */
 public final class StateWriter {
   private static final Logger LOG = LoggerFactory.getLogger(StateWriter.class);
 
-  /** A transaction that was refused is tried again after a heartbeat interval divided by this. */
+  /** A refused transaction is retried after a heartbeat interval divided by this. */
   private static final double RETRIES_PER_HEARTBEAT = 15;
 
   private static final int BYTES_PER_KB = 1024;
@@ -34,16 +34,16 @@
   private final Timers timers;
   private final EventLoopProfile profile;
 
-  /** Modification revision of the leader's key, on which every transaction conditions. */
+  /** Modification revision of the leader's key, a condition of every transaction. */
   private final long leaderModRevision;
 
   private final Runnable deposed;
   private final int maxChanges;
 
-  /** Seconds that a change waits for others to be written with it. */
+  /** Seconds for which a background change waits, so that one transaction writes several. */
   private final double backgroundDelayS;
 
-  /** Seconds after which a change that waits for spare capacity waits no longer. */
+  /** Seconds after its due time at which a background change gets normal priority. */
   private final double overdueS;
 
   private final double retryS;
@@ -54,10 +54,11 @@
   private final WriteStatistics statistics = new WriteStatistics();
 
   /**
-   * A writer for one term of leadership.
+   * Creates a writer for one term of leadership.
    *
    * @param leaderModRevision modification revision of the leader's key in this term
-   * @param deposed runs if a transaction fails since that key has changed; nothing is written after
+   * @param deposed runs if a transaction fails because that key has changed; the writer is closed
+   *     then
    */
   public StateWriter(
       Settings settings,
@@ -87,45 +88,54 @@
     this.refiner = new ShardRefiner(shardLayout, dirtyShards, clock, safeBytes, backgroundDelayS);
   }
 
-  /** Writes nothing any more; what is in flight goes unnoticed. */
+  /** Stops all writing and ignores the answer to a transaction in flight. */
   public void close() {
     scheduler.close();
   }
 
-  /** The store holds refined shards, which are only made once its limits are lowered. */
+  /**
+   * Records that the store has lowered its limits. Refined shards in the store show this, since
+   * they are created only after that.
+   */
   public void limitsLowered() {
     refiner.limitsLowered();
   }
 
-  /** Takes over the modification revision that the store holds a job's shard at. */
+  /** Records the modification revision of a shard's key, as read from the store. */
   public void recordModRevision(String key, long modRevision) {
     modRevisions.record(key, modRevision);
   }
 
-  /** Whether the store is not known to hold the shard with {@code task} as it is now. */
+  /** Whether the shard of {@code task} has changes that the store is not known to hold. */
   public boolean isDirty(Job job, int task) {
     return dirtyShards.contains(job, task);
   }
 
-  /** Whether the store is not known to hold all shards of the job as they are now. */
+  /** Whether any shard of the job has changes that the store is not known to hold. */
   public boolean isDirty(Job job) {
     return dirtyShards.contains(job);
   }
 
-  /** The shard with {@code task} has changed; it waits for others and for spare capacity. */
+  /**
+   * Schedules a write of the shard of {@code task} at background priority: after a delay, and only
+   * when the store has spare write capacity or the shard is overdue.
+   */
   public void writeLater(Job job, int task) {
     mark(job, task, RequestPriority.BACKGROUND, clock.now() + backgroundDelayS);
   }
 
-  /** Like {@link #writeNow}, before everything else of normal priority; nobody waits for it. */
+  /**
+   * Schedules an immediate write of the shard of {@code task} at normal priority, ahead of others
+   * of that priority. Nothing waits for the write.
+   */
   public void writeSoon(Job job, int task) {
     mark(job, task, RequestPriority.NORMAL, clock.now() - overdueS);
   }
 
   /**
-   * The shard with {@code task} has changed.
+   * Schedules an immediate write of the shard of {@code task}.
    *
-   * @param durable runs once that is committed; null if nobody waits for it
+   * @param durable runs once the change is committed; null if nothing waits for it
    */
   public void writeNow(Job job, int task, RequestPriority priority, Runnable durable) {
     DirtyShard dirtyShard = dirtyShards.mark(job, task, priority, clock.now());
@@ -137,24 +147,25 @@
   }
 
   /**
-   * Runs {@code action} once the shard with {@code task}, as it is now, is in the store; false if
-   * it is already.
+   * Runs {@code action} once the store holds the present value of the shard of {@code task}.
+   * Returns false, and never runs it, if the shard is not dirty.
    */
   public boolean whenWritten(Job job, int task, Runnable action) {
     return dirtyShards.addWaiter(job, task, action);
   }
 
   /**
-   * Runs {@code action} once it is known whether the store, and so whoever reads it, has the done
-   * marks last sent; false if that is known already.
+   * Finds the first shard of the job with done marks that the store, and so its readers, may hold
+   * without this leader knowing, and runs {@code action} once that shard is stored. Returns false,
+   * and never runs it, if there is no such shard.
    */
   public boolean whenDoneMarksSettled(Job job, Runnable action) {
     return dirtyShards.addDoneMarkWaiter(job, action);
   }
 
   /**
-   * One line on the latencies from decision to commit, what was written since the last line, and
-   * what waits; null if nothing was written.
+   * Returns one line with the latencies from decision to commit, the writes since the last line and
+   * the number of pending shards; null if no commit latency was recorded since then.
    */
   public String statusLine() {
     return statistics.takeLine(dirtyShards.pendingCount()).orElse(null);
@@ -164,7 +175,7 @@
     scheduler.schedule(dirtyShards.mark(job, task, priority, due));
   }
 
-  /** Writes what is due in one transaction; returns how many changes it makes. */
+  /** Writes the due shards in one transaction; returns the number of changes in it. */
   private int write(int minChanges, RequestPriority priority) {
     double now = clock.now();
     int credit =
@@ -198,7 +209,7 @@
       scheduler.close();
       deposed.run();
     } else {
-      LOG.info("transaction failed on {}", result.conflicts());
+      LOG.info("transaction not applied: conflicts on {}", result.conflicts());
       batch.values().forEach(DirtyShard::refused);
       reread(batch);
     }
@@ -219,7 +230,7 @@
     if (scheduler.isClosed()) {
       return;
     }
-    LOG.debug("transaction of {} shards: {}", batch.size(), failure.getMessage());
+    LOG.debug("transaction of {} shards failed: {}", batch.size(), failure.getMessage());
     switch (StoreException.kindOf(failure)) {
       case REFUSED -> {
         batch.values().forEach(DirtyShard::refused);
@@ -243,7 +254,7 @@
     timers.after(retryS, this::writeAgain);
   }
 
-  /** Reads the modification revisions of the shards before anything is written over them. */
+  /** Reads the shards' modification revisions again, then makes the shards pending again. */
   private void reread(Map<String, DirtyShard> batch) {
     modRevisions.reread(
         batch.keySet(),
--- a/src/main/java/io/embernotch/persistence/StoredSubmission.java
+++ b/src/main/java/io/embernotch/persistence/StoredSubmission.java
@@ -8,16 +8,16 @@
 import java.util.Optional;
 
 /**
- * A submission as the store keeps it.
+ * A submission as read from the store.
  *
  * @param job the job, without progress
- * @param shardSize number of its tasks that are kept in one shard
+ * @param shardSize number of the job's tasks per shard
  */
 public record StoredSubmission(Job job, int shardSize) {
   /**
-   * Reads the value of a submission key.
+   * Decodes the value of a submission key.
    *
-   * @throws MalformedInputException if it is none
+   * @throws MalformedInputException if the value is not a valid submission
    */
   public static StoredSubmission read(JsonNode value) {
     return new StoredSubmission(
@@ -25,8 +25,8 @@
   }
 
   /**
-   * The jobs that a submission depends on, whatever else of its value can't be read; empty if they
-   * can't either.
+   * Decodes the ids of the jobs that a submission depends on, even if the rest of the value is
+   * malformed; empty if the dependencies are malformed too.
    */
   public static Optional<List<String>> readDependencies(JsonNode value) {
     try {
--- a/src/main/java/io/embernotch/persistence/SubmissionWatcher.java
+++ b/src/main/java/io/embernotch/persistence/SubmissionWatcher.java
@@ -10,21 +10,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Watches the store for new jobs: the backstop for announcements of them that were lost on the way
- * to the leader.
+ * Watches the store for new jobs. Finds jobs whose announcement to the leader by the controller
+ * that accepted them was lost.
  */
 public final class SubmissionWatcher {
   private static final Logger LOG = LoggerFactory.getLogger(SubmissionWatcher.class);
 
-  /** A watch waits for so many heartbeat intervals at most before it is renewed. */
+  /** Timeout of a long poll, in heartbeat intervals. */
   private static final double LONG_POLL_HEARTBEATS = 3;
 
-  /** A watch that failed is renewed after a heartbeat interval divided by this. */
+  /** A failed long poll is retried after a heartbeat interval divided by this. */
   private static final double RETRIES_PER_HEARTBEAT = 6;
 
-  /** Receives each job that is found, whether it is known already or not. */
+  /** Receives each job that the watcher finds; a job may be reported more than once. */
   public interface Sink {
-    /** A job is in the store, with so many tasks in each of its shards. */
+    /** Called for a job in the store with {@code shardSize} tasks per shard. */
     void jobFound(Job job, int shardSize);
   }
 
@@ -34,9 +34,9 @@
   private final double heartbeatIntervalS;
 
   /**
-   * A watcher that does not watch yet.
+   * Creates a watcher; {@link #from} starts it.
    *
-   * @param stopped whether the jobs are not needed any more; the watch ends then
+   * @param stopped whether the jobs are no longer needed; the watch ends then
    */
   public SubmissionWatcher(ControllerContext context, Sink sink, BooleanSupplier stopped) {
     this.context = context;
@@ -45,7 +45,7 @@
     this.heartbeatIntervalS = context.settings().workers().heartbeatIntervalS();
   }
 
-  /** Watches for jobs that are written after this revision of the store. */
+  /** Starts watching for jobs that are written after this revision of the store. */
   public void from(long revision) {
     if (stopped.getAsBoolean()) {
       return;
@@ -92,7 +92,7 @@
     try {
       found = StoredSubmission.read(entry.value());
     } catch (RuntimeException e) {
-      // Whatever is wrong with one value must not end the watch; the next leader marks the job.
+      // A value that can't be read must not end the watch; the next leader marks its job.
       LOG.error("the value of {} can't be read: {}", entry.key(), e.toString());
       return;
     }
--- a/src/main/java/io/embernotch/persistence/WriteScheduler.java
+++ b/src/main/java/io/embernotch/persistence/WriteScheduler.java
@@ -7,17 +7,18 @@
 import io.embernotch.store.StoreClient;
 
 /**
- * Decides when the next transaction is built: once a shard is due and the store's limits grant a
- * write slot. One transaction is in flight at a time.
+ * Decides when to build the next transaction: once a shard is due and the rate limits grant a write
+ * slot. At most one transaction is in flight.
  */
 final class WriteScheduler {
   /** Builds and sends a transaction. */
   interface Writer {
     /**
-     * Writes what is due.
+     * Writes the shards that are due.
      *
-     * @param minChanges changes that the write slot grants
-     * @return number of changes made
+     * @param minChanges number of changes that the write slot grants
+     * @param priority the priority at which the slot was requested
+     * @return number of changes in the transaction; 0 if none was sent
      */
     int write(int minChanges, RequestPriority priority);
   }
@@ -25,7 +26,7 @@
   /** The value of {@code armedFor} while no timer is armed. */
   private static final double NOT_ARMED = Double.MAX_VALUE;
 
-  /** A transaction waits for the largest number of changes divided by this, if so many wait. */
+  /** Under rate limiting, a batch has at least the maximum size divided by this, if available. */
   private static final int MIN_BATCH_DIVISOR = 4;
 
   private final StoreClient store;
@@ -40,15 +41,15 @@
   private boolean closed;
   private double armedFor = NOT_ARMED;
 
-  /** The most urgent priority for which a write slot has been requested; null if none is. */
+  /** Priority of the write slot request that is not granted yet; null if there is none. */
   private RequestPriority requested;
 
-  /** Number of the last write slot requested; it supersedes those before it. */
+  /** Number of the last write slot request; it supersedes the earlier ones. */
   private long slotRequests;
 
   /**
-   * @param maxChanges changes that a transaction may make
-   * @param overdueS seconds after its due time when a shard of background priority becomes normal
+   * @param maxChanges largest number of changes in a transaction
+   * @param overdueS seconds after its due time at which a background shard gets normal priority
    */
   WriteScheduler(
       StoreClient store,
@@ -78,17 +79,17 @@
     return closed;
   }
 
-  /** A transaction is sent: nothing else is until it has ended. */
+  /** Called when a transaction is sent; no other is sent until it has ended. */
   void transactionStarted() {
     transactionInFlight = true;
   }
 
-  /** The transaction in flight has ended; does not schedule the next one yet. */
+  /** Called when the transaction in flight has ended; does not schedule the next one. */
   void transactionEnded() {
     transactionInFlight = false;
   }
 
-  /** A shard has become dirty, or more urgent. */
+  /** Requests a write slot for the shard if it is due, or else arms a timer. */
   void schedule(DirtyShard dirtyShard) {
     if (transactionInFlight || closed) {
       return;
@@ -102,13 +103,13 @@
     }
   }
 
-  /** Timers may fire a little early: what is due is looked at anew, and armed again if need be. */
+  /** Schedules again, since a timer may fire before the shard is due. */
   private void timerFired() {
     armedFor = NOT_ARMED;
     scheduleNext();
   }
 
-  /** Requests a write slot, as urgent as the most urgent of what is due. */
+  /** Requests a write slot at the highest priority of the due shards, or arms a timer. */
   void scheduleNext() {
     if (transactionInFlight || closed) {
       return;
@@ -146,7 +147,10 @@
         () -> profile.run("write", () -> slotGranted(request, minChanges, priority)));
   }
 
-  /** Under pressure a transaction waits to be worth its request, unless a service needs it. */
+  /**
+   * Returns the number of changes to request a write slot for. More than one makes the request wait
+   * under rate limiting, so that each request writes several shards. High priority doesn't wait.
+   */
   private int minChanges(RequestPriority priority) {
     return priority == RequestPriority.HIGH
         ? 1
--- a/src/main/java/io/embernotch/persistence/WriteStatistics.java
+++ b/src/main/java/io/embernotch/persistence/WriteStatistics.java
@@ -4,7 +4,7 @@
 import io.embernotch.store.RateLimiter.RequestPriority;
 import java.util.Optional;
 
-/** Counts what was written, and how long it took from a decision to its commit. */
+/** Counts transactions and changes, and records latencies from decision to commit. */
 final class WriteStatistics {
   private static final String URGENT_COMMIT = "urgent commit";
   private static final String COMMIT = "commit";
@@ -18,7 +18,7 @@
     changes += shards;
   }
 
-  /** Records the latency of a shard that is stored now, if anybody waited for it. */
+  /** Records the commit latency of a shard that is stored now, if something waited for it. */
   void stored(DirtyShard dirtyShard, double now) {
     if (dirtyShard.isWaitedFor()) {
       boolean urgent = dirtyShard.priority() == RequestPriority.HIGH;
@@ -26,7 +26,10 @@
     }
   }
 
-  /** One line on what was written since the last line; empty if nothing was. Starts anew. */
+  /**
+   * Returns a line about the writes since the last line and resets the counters; empty if no
+   * latency was recorded.
+   */
   Optional<String> takeLine(int pendingShards) {
     String delays = latencies.line();
     if (delays == null) {
--- a/src/main/java/io/embernotch/persistence/package-info.java
+++ b/src/main/java/io/embernotch/persistence/package-info.java
@@ -1,14 +1,14 @@
 /**
  * Keeps the progress of jobs in the store.
  *
- * <p>Owns which keys a job's progress is kept under ({@link
- * io.embernotch.persistence.ShardLayout}), when and in which order changed shards are written
- * ({@link io.embernotch.persistence.StateWriter}), and how a job is read back. Every write
- * conditions on the leader's key and on the shard's own modification revision.
+ * <p>The package decides under which keys a job's progress is kept ({@link
+ * io.embernotch.persistence.ShardLayout}) and when and in which order changed shards are written
+ * ({@link io.embernotch.persistence.StateWriter}), and reads jobs from the store. Every write is
+ * conditional on the modification revisions of the leader's key and of the shard.
  *
- * <p>It must not decide what becomes of a job, and it must not change jobs, except for the marks of
- * what is known to be persisted. How values are encoded is the codec's business.
+ * <p>It makes no decisions about jobs and changes nothing in them except the marks of persisted
+ * progress. The codec package encodes the values.
  *
- * <p>Everything here is owned by the process's event loop.
+ * <p>All classes are confined to the process's event loop.
  */
 package io.embernotch.persistence;
--- a/src/main/java/io/embernotch/shared/EffectiveConfiguration.java
+++ b/src/main/java/io/embernotch/shared/EffectiveConfiguration.java
@@ -10,13 +10,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One part of the operators' settings, of the highest generation that any leader had. A leader
- * whose file is newer than the store writes what it says, and applies it once the store holds it. A
- * leader whose file is older applies what the store holds, and never writes.
+ * One part of the operators' settings, in the highest generation that any leader has read. If the
+ * leader's operator file is newer than the stored value, the leader writes the file's value to the
+ * store and applies it once it is stored. If the file is older, the leader applies the stored value
+ * and writes nothing.
  *
- * <p>Not thread-safe: it belongs to the event loop of one leader.
+ * <p>Not thread-safe: confined to the leader's event loop.
  *
- * @param <T> what is configured
+ * @param <T> type of the configuration
  */
 public final class EffectiveConfiguration<T> {
   private static final Logger LOG = LoggerFactory.getLogger(EffectiveConfiguration.class);
@@ -35,15 +36,15 @@
   private long generation;
 
   /**
-   * Creates the configuration; {@link #load} comes before any other call.
+   * Creates the configuration. Callers must call {@link #load} before any other method.
    *
-   * @param shared where it is stored
+   * @param shared the shared state that stores the configuration
    * @param name name of the shared state entry
-   * @param own what this controller's file says
-   * @param ownGeneration the generation of the file; 0: the file says nothing
-   * @param ownEntry what the file says, as the entry's value
-   * @param reader reads an entry's value; throws {@link MalformedInputException}
-   * @param onChange called when another value has come into force after {@link #load}
+   * @param own the value in this controller's operator file
+   * @param ownGeneration the generation in the file; 0 if the file has none
+   * @param ownEntry the file's value, encoded as the shared state entry
+   * @param reader decodes an entry; throws {@link MalformedInputException}
+   * @param onChange receives the new effective value whenever it changes after {@link #load}
    */
   public EffectiveConfiguration(
       SharedState shared,
@@ -62,17 +63,20 @@
     this.onChange = onChange;
   }
 
-  /** The value in force; null before {@link #load}. */
+  /** The effective value; null before {@link #load}. */
   public T value() {
     return value;
   }
 
-  /** The generation of the value in force. */
+  /** The generation of the effective value. */
   public long generation() {
     return generation;
   }
 
-  /** Chooses the value in force, once the shared state has been read, and writes a newer one. */
+  /**
+   * Selects the effective value, and writes the operator file's value if it is newer. Call after
+   * the shared state is loaded.
+   */
   public void load() {
     ObjectNode stored = shared.get(name);
     value = own;
@@ -97,12 +101,12 @@
       long storedGeneration = Json.whole(stored, GENERATION);
       if (storedGeneration == ownGeneration && !storedValue.equals(own)) {
         LOG.error(
-            "the operators' file differs from the store on {}, both of generation {}: the store's wins",
+            "{}: operator file and store differ in generation {}; using the stored value",
             name,
             storedGeneration);
       } else if (storedGeneration > ownGeneration) {
         LOG.info(
-            "{} of generation {} is in force, the operators' file here is of {}",
+            "{}: using the stored generation {}, the local operator file has generation {}",
             name,
             storedGeneration,
             ownGeneration);
--- a/src/main/java/io/embernotch/shared/SharedState.java
+++ b/src/main/java/io/embernotch/shared/SharedState.java
@@ -19,40 +19,41 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Entries that a term hands to the next one: under {@code shared/} in the store, read before
- * anything is planned, and written by the leader alone with its key and each entry's own
- * modification revision as conditions. What is reported of an entry is only what the store is known
- * to hold: a change counts once its commit is answered. The outcome of a commit without an answer
- * is unknown, and the keys are read again before anything else is written.
+ * Entries under {@code shared/} in the store that pass state from one leader's term to the next. A
+ * new leader reads them before it plans. Only the leader writes them, on condition of the
+ * modification revisions of its leader key and of each entry. {@link #get} and {@link #all} return
+ * only values that the store is known to hold: a change appears there once its commit is answered.
+ * The outcome of a commit without an answer is unknown; the entries are then read again before the
+ * next write.
  *
- * <p>Each value carries a version, higher than all before it; where two copies of the state differ,
- * the higher one counts ({@link Versions}). All writing together is bounded to a share of the
- * changes that the store takes.
+ * <p>Each value has a version that is higher than all earlier ones; if two copies of the state
+ * differ, the higher version wins ({@link Versions}). The rate of changes is limited to a share of
+ * the store's write limit.
  *
- * <p>Not thread-safe: it belongs to the event loop of one leader.
+ * <p>Not thread-safe: confined to the leader's event loop.
  */
 public final class SharedState {
   private static final Logger LOG = LoggerFactory.getLogger(SharedState.class);
 
-  /** Share of the changes that the store takes which shared state entries may use. */
+  /** Share of the store's write limit that shared state entries may use. */
   static final double MAX_WRITE_SHARE = 0.05;
 
-  /** A commit uses the operations that a transaction may have, divided by this. */
+  /** A commit has at most the store's limit of operations per transaction divided by this. */
   private static final int TXN_OPS_DIVISOR = 2;
 
-  /** Bytes that an entry takes in a transaction beside its value and its keys. */
+  /** Bytes of an entry in a transaction besides its value and its two copies of the key. */
   private static final int BYTES_PER_ENTRY = 100;
 
-  /** Shortest delay of a timer in seconds: changes of one event-loop iteration go together. */
+  /** Shortest timer delay in seconds; batches the changes of one event-loop iteration. */
   private static final double MIN_DELAY_S = 0.001;
 
   /** Failed requests are retried after a heartbeat interval divided by this. */
   private static final double RETRIES_PER_HEARTBEAT = 6;
 
-  /** What the store holds; a modification revision of 0: only the incarnation's base holds it. */
+  /** A stored value; modification revision 0 if only the incarnation's base snapshot holds it. */
   private record StoredEntry(ObjectNode value, long modRevision) {}
 
-  /** A value to be written, and what is to run once the store holds it or a later one. */
+  /** A value to write, and the actions to run once the store holds it or a later version. */
   private record PendingChange(ObjectNode value, List<Runnable> durable) {}
 
   private final ControllerContext context;
@@ -61,16 +62,16 @@
   private final Runnable onDeposed;
   private final Map<String, StoredEntry> stored = new TreeMap<>();
 
-  /** Changes that the store is not known to hold, the oldest first. */
+  /** Changes that the store is not known to hold, oldest first. */
   private final Map<String, PendingChange> pending = new LinkedHashMap<>();
 
-  /** The highest version that any entry has. */
+  /** The highest version of any entry. */
   private long version;
 
   private boolean commitInFlight;
   private boolean closed;
 
-  /** When the next commit may be sent, in seconds of the monotonic clock. */
+  /** Earliest time of the next commit, in seconds of the monotonic clock. */
   private double nextCommitAt;
 
   private boolean timerArmed;
@@ -78,12 +79,12 @@
   private long localVersion;
 
   /**
-   * Creates the shared state of one term; {@link #load} comes before any other call.
+   * Creates the shared state of one term. Callers must call {@link #load} before any other method.
    *
    * @param context clock, timers, store and settings
    * @param modRevision modification revision of the leader's key
-   * @param firstVersion the version that is below all of this term and above all of former terms
-   * @param onDeposed called when a commit fails on the leader's key
+   * @param firstVersion a version above those of former terms; this term's versions are higher
+   * @param onDeposed called if a commit fails because the leader's key has changed
    */
   public SharedState(
       ControllerContext context, long modRevision, long firstVersion, Runnable onDeposed) {
@@ -94,7 +95,12 @@
     this.onDeposed = onDeposed;
   }
 
-  /** Takes over what the store holds, with the base of its incarnation beneath it. */
+  /**
+   * Replaces the known stored values.
+   *
+   * @param entries the store's entries; one with modification revision 0 is from the incarnation's
+   *     base snapshot
+   */
   public void load(List<VersionedEntry> entries) {
     localVersion++;
     stored.clear();
@@ -108,24 +114,24 @@
     }
   }
 
-  /** Ends all writing; answers that come later are ignored. */
+  /** Stops all writing; later answers are ignored. */
   public void close() {
     closed = true;
   }
 
-  /** What the store is known to hold of an entry; null if nothing. */
+  /** Returns the value that the store is known to hold; null if there is none. */
   public ObjectNode get(String name) {
     StoredEntry entry = stored.get(name);
     return entry == null ? null : entry.value;
   }
 
-  /** A change that the store is not known to hold, though it may; null if there is none. */
+  /** Returns the new value of a pending change, which the store may hold; null if there is none. */
   public ObjectNode inFlight(String name) {
     PendingChange change = pending.get(name);
     return change == null ? null : change.value;
   }
 
-  /** The entries whose names begin with the prefix, as the store is known to hold them. */
+  /** Returns the values that the store is known to hold, by name, of names with this prefix. */
   public Map<String, ObjectNode> all(String prefix) {
     Map<String, ObjectNode> matching = new TreeMap<>();
     stored.forEach(
@@ -137,34 +143,34 @@
     return matching;
   }
 
-  /** All entries as they are to be, with the changes that are not stored yet; for snapshots. */
+  /** Returns all entries by name, including the pending changes; used for snapshots. */
   public Map<String, ObjectNode> copy() {
     Map<String, ObjectNode> copy = all("");
     pending.forEach((name, change) -> copy.put(name, change.value));
     return copy;
   }
 
-  /** Increases whenever what the store holds, or may hold, is known to have changed. */
+  /** A counter that increases whenever the stored values or the pending changes change. */
   public long localVersion() {
     return localVersion;
   }
 
-  /** How many changes this term has made. */
+  /** Number of changes committed in this term. */
   public long changes() {
     return changes;
   }
 
-  /** Whether there is a change of the entry that the store is not known to hold. */
+  /** Whether the entry has a pending change, which the store is not known to hold. */
   public boolean pending(String name) {
     return pending.containsKey(name);
   }
 
   /**
-   * Has an entry written, in place of any earlier change that is still pending. A value that is no
-   * longer wanted is written as an empty object: its version must outlive it.
+   * Schedules a write of an entry, replacing an earlier pending change. To remove an entry, write
+   * an empty object: the entry's version must be kept.
    *
-   * @param value the new value, which is copied
-   * @param durable runs once the store is known to hold this value or a later one
+   * @param value the new value; copied
+   * @param durable runs once the store is known to hold this value or a later version
    */
   public void put(String name, ObjectNode value, Runnable durable) {
     ObjectNode versioned = value.deepCopy();
@@ -212,7 +218,7 @@
         .onFailure(failure -> commitFailed(failure, batch));
   }
 
-  /** The oldest changes, as many as fit one transaction. */
+  /** Returns the oldest pending changes, as many as fit one transaction. */
   private Map<String, PendingChange> nextBatch() {
     Map<String, PendingChange> batch = new LinkedHashMap<>();
     int bytes = 0;
@@ -254,11 +260,12 @@
     if (closed) {
       return;
     }
-    LOG.info("shared state entries {} were not written: {}", batch.keySet(), failure.getMessage());
+    LOG.info("commit of shared state entries {} failed: {}", batch.keySet(), failure.getMessage());
     if (StoreException.kindOf(failure) == StoreException.Kind.MALFORMED) {
-      // An entry that the store rejects must not block the others; what the store holds of it
-      // stays true.
-      LOG.error("the store rejects the shared state entries {}", batch.keySet());
+      // A rejected change must not block the others: drop it, the stored value stays in effect.
+      LOG.error(
+          "dropping changes of shared state entries {}: the store rejects them as malformed",
+          batch.keySet());
       batch.forEach(pending::remove);
     }
     if (StoreException.kindOf(failure) == StoreException.Kind.UNKNOWN) {
@@ -285,8 +292,8 @@
   }
 
   /**
-   * Reads all entries again. The last commit may have been applied, or be applied yet: with the
-   * modification revisions that are read now as conditions, it fails from then on.
+   * Reads all entries again. The last commit may have been applied or may be applied late; a later
+   * commit, conditional on the modification revisions read here, makes a late one fail.
    */
   private void reread() {
     context
@@ -304,7 +311,7 @@
   private void loadAgain(List<VersionedEntry> entries) {
     Map<String, StoredEntry> before = new TreeMap<>(stored);
     load(entries);
-    // What only the incarnation's base holds is under none of the store's keys.
+    // The listing doesn't contain entries that only the incarnation's base snapshot holds.
     before.forEach(
         (name, entry) -> {
           if (entry.modRevision == 0) {
@@ -316,7 +323,9 @@
     armTimer();
   }
 
-  /** Removes the changes that the store holds, or has a later version of, and reports them. */
+  /**
+   * Removes pending changes of which the store holds this or a later version; runs their actions.
+   */
   private void settlePending() {
     localVersion++;
     List<Runnable> durable = new ArrayList<>();
--- a/src/main/java/io/embernotch/store/EntryReader.java
+++ b/src/main/java/io/embernotch/store/EntryReader.java
@@ -8,18 +8,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Reads single entries, and whole prefixes page by page. */
+/** Reads single entries, and all entries under a prefix page by page. */
 final class EntryReader {
-  /** The client's, of which this class is a part. */
+  /** Logs under the name of {@link StoreClient}, of which this class is a part. */
   private static final Logger LOG = LoggerFactory.getLogger(StoreClient.class);
 
   private static final int PAGE_SIZE = 1000;
   private static final int TRIES_PER_PAGE = 3;
 
-  /** A page may take so many times as long as any other request. */
+  /** The timeout of a page is that of other requests multiplied by this. */
   private static final int PAGE_TIMEOUT_FACTOR = 2;
 
-  /** The revision of a listing before its first page was read. */
+  /** Placeholder for the revision of a listing before its first page is read. */
   private static final long NO_REVISION = -1;
 
   private static final long MS_PER_S = 1000;
@@ -62,7 +62,7 @@
 
   private void log(VersionedEntry entry, double sentAt) {
     LOG.debug(
-        "read {}: {}; modification revision {}, seen {}, incarnation {}, answered in {} ms",
+        "read {}: {}; modification revision {}, highest revision seen {}, incarnation {}, answered in {} ms",
         entry.key(),
         entry.present() ? "present" : "absent",
         entry.modRevision(),
@@ -71,7 +71,7 @@
         Math.round((clock.now() - sentAt) * MS_PER_S));
   }
 
-  /** All entries under a prefix, with the revision of the first page. */
+  /** Reads all entries under a prefix; the result has the revision of the first page. */
   Future<WatchEvents> list(String prefix) {
     List<VersionedEntry> entries = new ArrayList<>();
     return forEachPage(prefix, RequestPriority.HIGH, entries::addAll)
@@ -87,7 +87,7 @@
     return pagesAfter(prefix, null, priority, sink, NO_REVISION);
   }
 
-  /** Reads the pages after the key {@code after}, or all if it is null. */
+  /** Reads the pages after the key {@code after}, or all pages if it is null. */
   private Future<Long> pagesAfter(
       String prefix, String after, RequestPriority priority, PageSink sink, long firstRevision) {
     return page(StoreProtocol.listPath(prefix, after, PAGE_SIZE), priority, TRIES_PER_PAGE)
@@ -109,7 +109,7 @@
             });
   }
 
-  /** A page that fails is asked for again, so that the pages before it are not read anew. */
+  /** Reads one page and retries it on failure, so that the listing need not start again. */
   private Future<StoreReply> page(String path, RequestPriority priority, int triesLeft) {
     return transport
         .send(StoreRequest.get(path, priority), timeoutS * PAGE_TIMEOUT_FACTOR)
--- a/src/main/java/io/embernotch/store/IncarnationGuard.java
+++ b/src/main/java/io/embernotch/store/IncarnationGuard.java
@@ -6,35 +6,36 @@
 import java.util.TreeMap;
 
 /**
- * What tells one incarnation of the store's contents from another.
+ * Distinguishes the incarnations of the store's contents, to detect lost data.
  *
- * <p>The revision of its contents never falls. So an answer to a request that was sent after some
- * answer had shown revision E shows E at least, in whatever order answers arrive: what shows less
- * comes from contents that were restored from an earlier moment or begun anew. Answers to requests
- * from before a loss was noticed say nothing of the present contents, and are dropped.
+ * <p>Within an incarnation the revision never decreases. If a request is sent after an answer with
+ * revision E, its own answer must have at least revision E, in whatever order answers arrive. A
+ * lower revision proves that the contents were restored from an earlier state or started empty.
+ * Answers to requests that were sent before a loss was detected are ignored.
  *
- * <p>The fence is a key of the present incarnation that every transaction conditions on: revisions
- * may be overtaken, modification revisions repeat after a loss, the fence does not.
+ * <p>The fence is a key of the present incarnation; every transaction is conditional on it. After a
+ * loss, the new contents may reach the revisions seen before and repeat modification revisions, but
+ * they do not contain the same fence.
  */
 final class IncarnationGuard {
   /**
-   * What a request may assume, fixed as it is sent.
+   * What is known of the store's contents when a request is sent.
    *
-   * @param generation number of losses noticed before
-   * @param minRevision the answer shows at least this revision, unless data is lost
+   * @param generation number of losses detected so far
+   * @param minRevision lowest revision that the answer may have unless data is lost
    */
   record Baseline(int generation, long minRevision) {
-    /** Assumes nothing: no revision proves a loss. */
+    /** Baseline without a minimum: no revision proves a loss. */
     static final Baseline NONE = new Baseline(0, 0);
   }
 
-  /** So many of the keys written last are remembered, to be looked for after a suspected loss. */
+  /** Number of last written keys that are remembered and checked after a suspected loss. */
   private static final int REMEMBERED_WRITES = 8;
 
   private int generation;
   private long highestRevision;
 
-  /** The keys written last, with lower bounds of their modification revisions. */
+  /** The last written keys, with lower bounds of their modification revisions. */
   private final Map<String, Long> written =
       new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
@@ -45,25 +46,25 @@
         }
       };
 
-  /** Null until it is set. */
+  /** The fence's key; null until it is set. */
   private String fence;
 
   private long fenceModRevision;
 
-  /** What a request that is sent now may assume. */
+  /** Returns the baseline of a request that is sent now. */
   Baseline baseline() {
     return new Baseline(generation, highestRevision);
   }
 
   /**
-   * False if the contents that the request was meant for are gone; the revision of its answer is
-   * then meaningless.
+   * Whether no loss was detected since the request was sent. If false, the revision in its answer
+   * must not be used.
    */
   boolean isOf(Baseline baseline) {
     return baseline.generation == generation;
   }
 
-  /** Takes note of a revision that an answer shows; false if that proves a loss. */
+  /** Records the revision in an answer; returns false if it proves a loss. */
   boolean observe(Baseline baseline, long revision) {
     if (revision < baseline.minRevision) {
       return false;
@@ -73,8 +74,8 @@
   }
 
   /**
-   * A transaction that wrote {@code key} was answered: a change raises the revision. False if that
-   * proves a loss.
+   * Records an applied transaction that wrote {@code key}. Since a write increases the revision,
+   * returns false, for a loss, if {@code revision} is not above the baseline's minimum.
    */
   boolean recordWrite(Baseline baseline, String key, long revision) {
     if (revision <= baseline.minRevision) {
@@ -87,7 +88,7 @@
     return observe(baseline, revision);
   }
 
-  /** Keys that were written lately, with lower bounds of their modification revisions. */
+  /** Returns the last written keys, with lower bounds of their modification revisions. */
   Map<String, Long> written() {
     return Collections.unmodifiableMap(new TreeMap<>(written));
   }
@@ -97,20 +98,20 @@
     return highestRevision;
   }
 
-  /** Forgets all revisions; the fence stays until the next one is set. */
+  /** Discards all revisions after a loss; keeps the fence until the next one is set. */
   void discard() {
     generation++;
     highestRevision = 0;
     written.clear();
   }
 
-  /** Sets the key that transactions condition on. */
+  /** Sets the key whose modification revision is a condition of every transaction. */
   void setFence(String key, long modRevision) {
     fence = key;
     fenceModRevision = modRevision;
   }
 
-  /** The key that transactions condition on; null if none is set. */
+  /** The fence's key; null if none is set. */
   String fence() {
     return fence;
   }
@@ -124,7 +125,7 @@
     return fence != null;
   }
 
-  /** Adds the fence to the conditions of a transaction, unless there is none or it is unfenced. */
+  /** Adds the fence, if one is set, to the conditions of a transaction unless it is unfenced. */
   void addFence(Transaction transaction) {
     if (fence != null && transaction.fenced()) {
       transaction.when(fence, fenceModRevision);
--- a/src/main/java/io/embernotch/store/IncarnationValidator.java
+++ b/src/main/java/io/embernotch/store/IncarnationValidator.java
@@ -10,16 +10,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads the store's answers and checks for each that it comes from the incarnation that its request
- * was meant for. What proves a loss is reported to the listener before the answer's future fails.
+ * Decodes the store's answers and checks that each comes from the incarnation that its request was
+ * sent to. Proof of a loss is reported to the listener before the answer's future fails.
  */
 final class IncarnationValidator {
-  /** The client's, of which this class is a part. */
+  /** Logs under the name of {@link StoreClient}, of which this class is a part. */
   private static final Logger LOG = LoggerFactory.getLogger(StoreClient.class);
 
   private final IncarnationGuard guard;
 
-  /** Null until it is set. */
+  /** Receives proofs of a loss; null until it is set. */
   private StoreClient.LossListener lossListener;
 
   IncarnationValidator(IncarnationGuard guard) {
@@ -31,9 +31,10 @@
   }
 
   /**
-   * Reads an answer that shows the present revision.
+   * Decodes an answer that contains the store's present revision.
    *
-   * @param revisionOf that revision
+   * @param reader decodes the body
+   * @param revisionOf returns the revision of the decoded answer
    */
   <T> Future<T> read(
       StoreReply reply, Function<ObjectNode, T> reader, ToLongFunction<T> revisionOf) {
@@ -53,8 +54,8 @@
   }
 
   /**
-   * Reads a page of a listing, which shows the present revision. One of contents that were found to
-   * be lost while it was on its way is passed on, and fails.
+   * Decodes a page of a listing, which contains the present revision. If a loss was detected after
+   * the page was requested, passes the lost contents' entries to {@code sink} and fails.
    */
   Future<ObjectNode> readPage(StoreReply reply, PageSink sink) {
     Future<ObjectNode> page = read(reply, json -> json, StoreProtocol::readRevision);
@@ -64,7 +65,7 @@
     return page;
   }
 
-  /** What shows a lower revision than was known of the lost contents is of those after them. */
+  /** A page with a revision below the baseline's minimum is of the contents after the loss. */
   private static void passOnIfOfLostContents(StoreReply reply, PageSink sink) {
     try {
       ObjectNode page = reply.json();
@@ -72,13 +73,13 @@
         sink.pageAskedForBeforeLoss(StoreProtocol.readPage(page));
       }
     } catch (MalformedInputException e) {
-      LOG.info("unreadable page of lost contents: {}", e.getMessage());
+      LOG.info("cannot read a page requested before the loss of data: {}", e.getMessage());
     }
   }
 
   /**
-   * Reads an entry. Its modification revision is a lower bound of the present revision, so a low
-   * one proves nothing.
+   * Decodes an entry. Its modification revision is only a lower bound of the present revision, so a
+   * low one does not prove a loss.
    */
   Future<VersionedEntry> readEntry(StoreReply reply) {
     VersionedEntry entry;
@@ -94,7 +95,7 @@
     return Future.succeededFuture(entry);
   }
 
-  /** Takes note of an applied transaction: if it wrote, the revision must have risen. */
+  /** Records an applied transaction; fails if it wrote but the revision did not increase. */
   Future<TransactionResult> recordWrite(
       StoreReply reply, Transaction transaction, TransactionResult result) {
     return transaction.lastKey() == null
@@ -103,7 +104,7 @@
         : revisionFell(reply.baseline().minRevision(), result.revision());
   }
 
-  /** Fails if the conflicts of a transaction include the fence of our incarnation. */
+  /** Fails if the conflicts of a transaction include the incarnation's fence. */
   Future<TransactionResult> checkFence(TransactionResult conflict) {
     if (conflict.conflicts().stream().noneMatch(guard::isFence)) {
       return Future.succeededFuture(conflict);
@@ -114,13 +115,17 @@
     return lost();
   }
 
-  /** Reports that a key is not there at the modification revision that was seen, or a later one. */
+  /** Reports that the modification revision of a key fell from at least {@code seen}. */
   <T> Future<T> entryLost(String key, long seen, long now) {
-    LOG.warn("{} was written at revision {} or later, and is at {}", key, seen, now);
+    LOG.warn(
+        "{} was written at revision {} or later, now its modification revision is {}",
+        key,
+        seen,
+        now);
     return revisionFell(seen, now);
   }
 
-  /** Reports that a revision fell from {@code seen} to {@code now}. */
+  /** Reports to the listener that a revision fell from {@code seen} to {@code now}, and fails. */
   <T> Future<T> revisionFell(long seen, long now) {
     if (lossListener != null) {
       lossListener.revisionFell(seen, now);
--- a/src/main/java/io/embernotch/store/LeaseClient.java
+++ b/src/main/java/io/embernotch/store/LeaseClient.java
@@ -3,7 +3,7 @@
 import io.embernotch.store.RateLimiter.RequestPriority;
 import io.vertx.core.Future;
 
-/** Grants, renews and revokes leases of the store. */
+/** Sends requests to grant, renew and revoke leases of the store. */
 final class LeaseClient {
   private final StoreTransport transport;
   private final double timeoutS;
--- a/src/main/java/io/embernotch/store/LeaseRenewer.java
+++ b/src/main/java/io/embernotch/store/LeaseRenewer.java
@@ -9,24 +9,25 @@
 import java.util.function.LongConsumer;
 
 /**
- * Renews one lease of the store, on a loop and a connection of its own. Right after a change of
- * leader, scheduling on cold code and a thousand heartbeats take the core loop for seconds at a
- * sixth of a core; if renewals waited behind them, whoever had won leadership would lose it again.
+ * Renews one lease of the store, on an event loop and a connection of its own. Right after a change
+ * of leader, scheduling in code that is not compiled yet and a thousand heartbeats occupy the core
+ * event loop for seconds at a sixth of a CPU core. If renewals were queued behind them, the new
+ * leader would lose its lease.
  *
- * <p>The core shows now and then that it is alive; when it has not for too long, the lease is
- * allowed to expire.
+ * <p>The core event loop reports regularly that it is alive ({@link #coreAlive}). If it has not
+ * done so for too long, the renewer lets the lease expire.
  */
 public final class LeaseRenewer {
-  /** A lease is renewed after its time to live divided by this; a renewal may take as long. */
+  /** Interval and timeout of renewals are the time to live divided by this. */
   private static final double RENEWALS_PER_TTL = 3;
 
-  /** A renewal that failed is tried again after the time to live divided by this. */
+  /** A failed renewal is retried after the time to live divided by this. */
   private static final double RETRIES_PER_TTL = 15;
 
-  /** What {@link #provenUntil} returns if no lease is kept. */
+  /** The result of {@link #provenUntil} while no lease is kept. */
   private static final double NO_LEASE = -1;
 
-  /** The lease cannot have ended before {@code until}, a time of the steady clock. */
+  /** The lease cannot end before {@code until}, in seconds of the monotonic clock. */
   private record ExpiryBound(long leaseId, double until) {}
 
   private final HttpCaller caller;
@@ -39,23 +40,23 @@
   private final double safeTtlS;
   private final double stuckS;
 
-  /** Its value is null while no lease is kept. */
+  /** Contains null while no lease is kept. */
   private final AtomicReference<ExpiryBound> expiryBound = new AtomicReference<>();
 
   private volatile double coreAliveAt;
 
-  /** The lease that is renewed, 0 if none; owned by {@code loop}. */
+  /** The id of the lease to renew, 0 if none; confined to {@code loop}. */
   private long leaseId;
 
   /**
-   * A renewer that keeps no lease yet.
+   * Creates a renewer that keeps no lease.
    *
-   * @param loop runs this renewer, {@code caller} and {@code timers}
-   * @param core runs what is to be done once a lease has ended
-   * @param leaseTtlS time to live of the lease in seconds; a renewal counts from its sending, less
-   *     {@code drift}
-   * @param drift largest part by which the clocks of this node and of the store may differ
-   * @param stuckS seconds without a sign of the core after which nothing is renewed any more
+   * @param loop event loop of this renewer, {@code caller} and {@code timers}
+   * @param core event loop that runs the callbacks of ended leases
+   * @param leaseTtlS time to live of the lease in seconds, counted from the sending of a renewal
+   * @param drift fraction of the time to live by which the clocks of this node and of the store may
+   *     differ
+   * @param stuckS seconds without {@link #coreAlive} after which renewals are suspended
    */
   public LeaseRenewer(
       HttpCaller caller,
@@ -84,22 +85,26 @@
   }
 
   /**
-   * The lease cannot have ended before this time of the steady clock; below 0 if none is kept. Any
-   * thread.
+   * Returns the time before which the lease cannot end, in seconds of the monotonic clock; negative
+   * if no lease is kept. May be called on any thread.
    */
   public double provenUntil() {
     ExpiryBound bound = expiryBound.get();
     return bound == null ? NO_LEASE : bound.until;
   }
 
-  /** The core is at work. Any thread. */
+  /** Reports that the core event loop is alive. May be called on any thread. */
   public void coreAlive() {
     coreAliveAt = clock.now();
   }
 
   /**
-   * Keeps a lease that was granted by a request sent at {@code sentAt}; runs {@code ended} on the
-   * core once it has ended. Any thread.
+   * Keeps renewing a lease. May be called on any thread.
+   *
+   * @param granted id of the lease
+   * @param sentAt when the request that granted the lease was sent, in seconds of the monotonic
+   *     clock
+   * @param ended runs on the core event loop, with the id, once the store no longer has the lease
    */
   public void keep(long granted, double sentAt, LongConsumer ended) {
     coreAlive();
@@ -111,7 +116,7 @@
         });
   }
 
-  /** Keeps no lease any more. Any thread. */
+  /** Stops renewing, without revoking the lease. May be called on any thread. */
   public void release() {
     expiryBound.set(null);
     loop.execute(() -> leaseId = 0);
@@ -155,7 +160,7 @@
     }
   }
 
-  /** An answer about a lease that was released meanwhile proves nothing of the next one. */
+  /** Extends the bound unless that lease was released meanwhile and another one is kept. */
   private void extendBound(long renewed, double until) {
     expiryBound.updateAndGet(
         bound ->
--- a/src/main/java/io/embernotch/store/PageSink.java
+++ b/src/main/java/io/embernotch/store/PageSink.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 
-/** Takes the pages of a listing as they arrive. */
+/** Receives the pages of a listing as they arrive. */
 @FunctionalInterface
 public interface PageSink {
-  /** Entries that the store holds. */
+  /** Receives one page of entries that the store holds. */
   void page(List<VersionedEntry> entries);
 
   /**
-   * Entries that were asked for before the contents were found to be lost, and arrive after that.
-   * The store held them before the loss, or holds them still; perhaps nobody else knows of them.
-   * The listing fails after this.
+   * Receives a page that was requested before a loss of data was detected and arrives after that.
+   * The store held these entries before the loss and may still hold them; possibly no controller
+   * has another copy. The listing fails after this call.
    */
   default void pageAskedForBeforeLoss(List<VersionedEntry> entries) {}
 }
--- a/src/main/java/io/embernotch/store/RateLimiter.java
+++ b/src/main/java/io/embernotch/store/RateLimiter.java
@@ -6,28 +6,28 @@
 import java.util.PriorityQueue;
 
 /**
- * A token bucket with priorities: grants tokens at a given rate, in bursts of at most what collects
- * in a given time. Requests that wait are served by priority, then in the order they came.
+ * A token bucket with priorities. Tokens accumulate at a given rate, up to the burst: the tokens of
+ * a given time. Waiting requests are served by priority, then in order of arrival.
  *
- * <p>Owned by the loop of its timers.
+ * <p>Not thread-safe: confined to the event loop of its timers.
  */
 public final class RateLimiter {
   /** How urgent a request is, the most urgent first. */
   public enum RequestPriority {
-    /** Goes at once, and may overdraw: what keeps leadership and leases alive. */
+    /** Requests for leadership and leases; granted at once, even without tokens. */
     URGENT,
-    /** What a live service or a user who cancelled waits for. */
+    /** Requests that a live service, or a user who cancels a job, waits for. */
     HIGH,
-    /** Everything else that somebody waits for. */
+    /** Other requests that something waits for. */
     NORMAL,
-    /** Only once half of the burst is there, so that it never delays the rest. */
+    /** Granted only when at least half of the burst is available, so as not to delay others. */
     BACKGROUND
   }
 
   /** The value of {@code armedFor} while no timer is armed. */
   private static final double NOT_ARMED = Double.MAX_VALUE;
 
-  /** Timers are armed for so long at least. */
+  /** Shortest timer delay. */
   private static final double MIN_TIMER_S = 0.001;
 
   private record WaitingRequest(
@@ -51,7 +51,7 @@
    * Starts with a full burst.
    *
    * @param rate tokens per second
-   * @param burstS seconds of which a burst holds the tokens; it is one token at least
+   * @param burstS seconds whose tokens make up the burst, which is at least one token
    */
   public RateLimiter(Clock clock, Timers timers, double rate, double burstS) {
     this.clock = clock;
@@ -62,7 +62,7 @@
     this.tokens = burst;
   }
 
-  /** Goes on at another rate, in tokens per second. */
+  /** Changes the rate, in tokens per second, and the burst with it. */
   public final void setRate(double tokensPerS) {
     refill();
     rate = tokensPerS;
@@ -70,7 +70,7 @@
     tokens = Math.min(tokens, burst);
   }
 
-  /** Runs {@code action} as soon as {@code cost} tokens may be spent, and spends them. */
+  /** Runs {@code action} as soon as {@code cost} tokens are available, and takes them. */
   public void acquire(double cost, RequestPriority priority, Runnable action) {
     refill();
     if (cost <= 0
@@ -84,12 +84,12 @@
     arm();
   }
 
-  /** Returns tokens that were spent on something that was not done; below 0: spends more. */
+  /** Returns {@code cost} unused tokens to the bucket; takes more tokens if negative. */
   public void refund(double cost) {
     tokens += cost;
   }
 
-  /** Seconds until a request of normal priority and cost 1 that came now would be granted. */
+  /** Returns the seconds that a request of normal priority and cost 1 would wait if made now. */
   public double waitS() {
     refill();
     double needed = 1;
@@ -99,7 +99,7 @@
     return Math.max(0, (needed - tokens) / rate);
   }
 
-  /** Tokens that could be spent now; below 0 if urgent requests have overdrawn. */
+  /** Returns the available tokens; negative after urgent requests without tokens. */
   public double available() {
     refill();
     return tokens;
@@ -109,7 +109,7 @@
     return queue.isEmpty() || queue.peek().priority.compareTo(priority) > 0;
   }
 
-  /** Tokens that must be there for a request to be granted. */
+  /** Returns the tokens that must be available for a request to be granted. */
   private double required(double cost, RequestPriority priority) {
     return Math.min(
         priority == RequestPriority.BACKGROUND ? Math.max(cost, burst / 2) : cost, burst);
@@ -141,7 +141,7 @@
 
   private void grantWaiting(double fireAt) {
     if (fireAt != armedFor) {
-      // A timer for an earlier time has been armed since.
+      // An earlier timer was armed after this one and replaces it.
       return;
     }
     armedFor = NOT_ARMED;
--- a/src/main/java/io/embernotch/store/StoreClient.java
+++ b/src/main/java/io/embernotch/store/StoreClient.java
@@ -8,29 +8,29 @@
 import io.vertx.core.Future;
 
 /**
- * The store as the rest of the process sees it: reads, watches, transactions and leases, all within
- * this controller's share of the store's rate limits. Futures fail with {@link StoreException}
- * only. Owned by the process's event loop.
+ * Client of the store: reads, watches, transactions and leases, within this controller's share of
+ * the store's rate limits. All futures fail with {@link StoreException} only. Not thread-safe:
+ * confined to the process's event loop.
  */
 public final class StoreClient {
   /**
-   * Receives what shows that the store's contents are not the ones that we knew. Called before the
-   * future of the request that showed it fails.
+   * Receives proofs that the store's contents are not the expected incarnation. Called before the
+   * future of the request that gave the proof fails.
    */
   public interface LossListener {
-    /** The revision fell from {@code seen} to {@code now}: data is lost. */
+    /** Called when a revision fell from {@code seen} to {@code now}, since data is lost. */
     void revisionFell(long seen, long now);
 
-    /** The key of our incarnation is not there as we know it. */
+    /** Called when the fence is absent or has another modification revision. */
     void fenceFailed();
   }
 
-  /** Is told of each transaction of this controller that the store has applied. */
+  /** Receives each transaction of this controller that the store has applied. */
   @FunctionalInterface
   public interface CommitListener {
     /**
-     * A transaction was applied at this revision. Whoever sent it learns of that only once the
-     * future that is returned has completed; it must not fail.
+     * Called when a transaction was applied at {@code revision}. The transaction's own future
+     * completes only after the returned future, which must not fail.
      */
     Future<Void> committed(Transaction transaction, long revision);
   }
@@ -45,7 +45,7 @@
   private final LeaseClient leases;
   private final StoreWatch watch;
 
-  /** A client with a follower's share of the limits, which has not seen any contents yet. */
+  /** Creates a client with a follower's share of the rate limits and without a fence. */
   public StoreClient(HttpCaller caller, Clock clock, Timers timers, Settings settings) {
     double timeoutS = settings.workers().heartbeatIntervalS() / 2;
     this.limits = new StoreRateLimits(clock, timers, settings);
@@ -58,81 +58,84 @@
     this.watch = new StoreWatch(transport, validator, timeoutS);
   }
 
-  /** This controller is leader from now on, or no longer; sets its share of the limits. */
+  /** Sets the rate limits to the share of a leader or of a follower. */
   public void setLeading(boolean leading) {
     limits.setLeading(leading);
   }
 
-  /** Replaces the listener, of which there is one at most. */
+  /** Sets the loss listener, replacing the previous one. */
   public void setLossListener(LossListener listener) {
     validator.setLossListener(listener);
   }
 
-  /** Replaces the listener of commits, of which there is one at most. */
+  /** Sets the commit listener, replacing the previous one. */
   public void setCommitListener(CommitListener listener) {
     transactions.setCommitListener(listener);
   }
 
   /**
-   * Every transaction conditions on this key from now on, unless it is {@linkplain
-   * Transaction#unfenced unfenced}.
+   * Makes this key at this modification revision a condition of every later transaction that is not
+   * {@linkplain Transaction#unfenced unfenced}.
    */
   public void setFence(String key, long modRevision) {
     guard.setFence(key, modRevision);
   }
 
-  /** The contents that were known are gone: requests that were sent before this fail. */
+  /** Discards all revisions seen, after a loss of data; requests in flight will fail. */
   public void discardIncarnation() {
     guard.discard();
   }
 
-  /** Another controller wrote this key at this revision of the present contents. */
+  /** Records that another controller wrote this key at this revision. */
   public void noteRevision(String key, long revision) {
     guard.recordWrite(IncarnationGuard.Baseline.NONE, key, revision);
   }
 
-  /** Another controller has seen the present contents reach this revision. */
+  /** Records that another controller has seen this revision. */
   public void noteRevision(long revision) {
     guard.observe(IncarnationGuard.Baseline.NONE, revision);
   }
 
-  /** The highest revision seen since the last loss. */
+  /** The highest revision seen since the last loss of data. */
   public long highestRevisionSeen() {
     return guard.highestRevision();
   }
 
-  /** When the store last answered anything but a refusal, in seconds of the steady clock. */
+  /**
+   * When the store last answered with anything but 429 or 503, in seconds of the monotonic clock.
+   */
   public double answeredAt() {
     return transport.answeredAt();
   }
 
-  /** Seconds for which it has refused or not answered, 0 if its last answer was good. */
+  /** Seconds since requests began to fail or get a 503; 0 if the last answer was usable. */
   public double failingForS() {
     return transport.failingForS();
   }
 
-  /** Reads a key; an entry without a value if it is absent. */
+  /** Reads a key; completes with an entry without a value if the key is absent. */
   public Future<VersionedEntry> get(String key) {
     return entries.get(key);
   }
 
   /**
-   * Like {@link #get}; that a key is absent is said only if our incarnation still stands after it
-   * was looked for. New contents may have overtaken the revisions that this node has seen.
+   * Like {@link #get}, but reports a key as absent only after a check that the fence still holds.
+   * Without it, contents of another incarnation may pass unnoticed once their revision has reached
+   * the highest one that this controller has seen.
    */
   public Future<VersionedEntry> getConfirmed(String key) {
     return verifier.getConfirmed(key);
   }
 
-  /** Everything under a prefix, page by page, and the revision of the first page. */
+  /** Reads all entries under a prefix; the result has the revision of the first page. */
   public Future<WatchEvents> list(String prefix) {
     return entries.list(prefix);
   }
 
   /**
-   * Passes everything under a prefix to {@code sink}, page by page, in the background.
+   * Passes all entries under a prefix to {@code sink}, page by page, at background priority.
    *
-   * @return the revision of the first page: what has changed since may be missing
+   * @return the revision of the first page; later changes may be missing
    */
   public Future<Long> forEachPage(String prefix, PageSink sink) {
     return entries.forEachPage(prefix, RequestPriority.BACKGROUND, sink);
@@ -143,81 +146,83 @@
     return commit(transaction, RequestPriority.NORMAL);
   }
 
-  /** Commits a transaction. A failure of kind {@code UNKNOWN} leaves open whether it applies. */
+  /**
+   * Commits a transaction. After a failure of kind {@code UNKNOWN}, the store may have applied it
+   * or may yet apply it.
+   */
   public Future<TransactionResult> commit(Transaction transaction, RequestPriority priority) {
     return transactions.commit(transaction, priority);
   }
 
   /**
-   * Verifies that what was written lately, as far as we know, is still there, along with our
-   * incarnation.
+   * Verifies that the store still holds the last writes known to this controller, and the fence.
    *
-   * @param key a key that tells whether anybody else may have written since: it is there at {@code
-   *     modRevision}
-   * @return whether that key is as it was; fails if data is lost
+   * @param key a key that changes whenever another controller may have written
+   * @param modRevision the expected modification revision of {@code key}
+   * @return whether {@code key} is unchanged; fails with kind {@code LOST} if data is lost
    */
   public Future<Boolean> verifyUnchanged(String key, long modRevision) {
     return verifier.verifyUnchanged(key, modRevision);
   }
 
   /**
-   * Runs {@code write} when {@code minChanges} changes may be made. What is written is decided only
-   * then, so that what has become urgent meanwhile goes first. It must end with {@link
-   * #releaseWriteSlot}.
+   * Runs {@code write} when the rate limit allows {@code minChanges} changes. The caller selects
+   * the changes only then, so that more urgent ones that arrive meanwhile go first. {@code write}
+   * must end with {@link #releaseWriteSlot}.
    */
   public void requestWriteSlot(int minChanges, RequestPriority priority, Runnable write) {
     limits.acquireWrites(minChanges, priority, write);
   }
 
-  /** Changes that may be made now beyond those that a write slot grants. */
+  /** Number of changes that may be made now in addition to those granted by a write slot. */
   public double writeCredit() {
     return limits.writeCredit();
   }
 
-  /** Seconds that a change of normal priority would wait. */
+  /** Seconds that a change of normal priority would wait if requested now. */
   public double writeWaitS() {
     return limits.writeWaitS();
   }
 
-  /** Seconds that a read of normal priority would wait. */
+  /** Seconds that a read of normal priority would wait if requested now. */
   public double readWaitS() {
     return limits.readWaitS();
   }
 
-  /** Whether half a burst of changes or more may be made at once. */
+  /** Whether at least half of a leader's burst of changes is available. */
   public boolean hasSpareWrites() {
     return limits.hasSpareWrites();
   }
 
-  /** Ends a write slot that was granted {@code minChanges} changes and made {@code made}. */
+  /** Ends a write slot with {@code minChanges} granted changes, of which {@code made} were used. */
   public void releaseWriteSlot(int minChanges, int made) {
     limits.refundWrites(minChanges - made);
   }
 
-  /** Commits a transaction whose changes are accounted for by a write slot. */
+  /** Commits a transaction whose changes are already counted by a write slot. */
   public Future<TransactionResult> commitInWriteSlot(
       Transaction transaction, RequestPriority priority) {
     return transactions.commitInWriteSlot(transaction, priority);
   }
 
-  /** Grants a lease of so many seconds; returns its id. */
+  /** Requests a lease with a time to live of {@code leaseTtlS} seconds; returns its id. */
   public Future<Long> grant(double leaseTtlS) {
     return leases.grant(leaseTtlS);
   }
 
-  /** Whether a lease exists; if so, it is renewed by this. */
+  /** Renews a lease; completes with false if the store has no such lease. */
   public Future<Boolean> renewIfPresent(long leaseId) {
     return leases.renewIfPresent(leaseId);
   }
 
-  /** Ends a lease, and with it the keys that were written under it. */
+  /** Revokes a lease, which deletes the keys that were written with it. */
   public Future<Void> revoke(long leaseId) {
     return leases.revoke(leaseId);
   }
 
   /**
-   * Waits until something under the prefix has changed after {@code revision}, or {@code longPollS}
-   * seconds have passed. Fails with kind {@code TOO_OLD} if the changes are no longer kept.
+   * Waits until an entry under the prefix changes after {@code revision}, at most {@code longPollS}
+   * seconds. Fails with kind {@code TOO_OLD} if the store no longer keeps these changes.
    */
   public Future<WatchEvents> watch(String prefix, long revision, double longPollS) {
     return watch.poll(prefix, revision, longPollS);
--- a/src/main/java/io/embernotch/store/StoreException.java
+++ b/src/main/java/io/embernotch/store/StoreException.java
@@ -1,42 +1,42 @@
 package io.embernotch.store;
 
-/** The store did not do what it was asked, or did not say whether it did. */
+/** A request to the store failed, or its outcome is unknown. */
 public final class StoreException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  /** What is known of the request that failed. */
+  /** The outcome of a failed request, as far as it is known. */
   public enum Kind {
-    /** It was not executed and never will be. */
+    /** The request was not executed and never will be. */
     REFUSED,
-    /** It may have been executed, or may yet be. */
+    /** The request may have been executed or may yet be. */
     UNKNOWN,
-    /** It was not executed, and the same request never will be: it is too large, for example. */
+    /** The store rejected the request, and would reject it again; it is too large, for example. */
     MALFORMED,
-    /** The lease that the write names has ended. */
+    /** A write in the transaction refers to a lease that has ended. */
     NO_LEASE,
-    /** The watch asks for changes that are no longer kept. */
+    /** The watch requests changes that the store no longer keeps. */
     TOO_OLD,
     /**
-     * It was meant for contents that are gone: the service has lost data, or another incarnation
-     * began.
+     * The request was meant for former contents of the store: the store has lost data, or another
+     * incarnation has begun.
      */
     LOST
   }
 
   private final Kind kind;
 
-  /** A failure without stack trace, since it is an ordinary answer. */
+  /** Creates an exception without a stack trace, since failures of the store are expected. */
   public StoreException(Kind kind, String message) {
     super(message, null, false, false);
     this.kind = kind;
   }
 
-  /** What is known of the request that failed. */
+  /** The outcome of the failed request, as far as it is known. */
   public Kind kind() {
     return kind;
   }
 
-  /** The kind of a failure; {@code UNKNOWN} if it is not a {@link StoreException}. */
+  /** Returns the kind of a failure; {@code UNKNOWN} if it is not a {@link StoreException}. */
   public static Kind kindOf(Throwable failure) {
     return failure instanceof StoreException store ? store.kind : Kind.UNKNOWN;
   }
--- a/src/main/java/io/embernotch/store/StoreProtocol.java
+++ b/src/main/java/io/embernotch/store/StoreProtocol.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 
 /**
- * The store's protocol: its paths, its field names and the shapes of its answers. The names are the
- * wire's own; each constant says which term of this package it stands for.
+ * The store's HTTP protocol: paths, field names and the decoding of answers. The field names are
+ * fixed by the store; the constants have this package's names for them.
  */
 final class StoreProtocol {
   static final String COMMIT_PATH = "/commit";
@@ -30,32 +30,32 @@
   static final String KEY = "key";
   static final String VALUE = "v";
 
-  /** An operation or event that writes the key that it names. */
+  /** Field with the key that an operation or event writes. */
   static final String WRITE = "write";
 
-  /** An operation or event that deletes the key that it names. */
+  /** Field with the key that an operation or event deletes. */
   static final String DROP = "drop";
 
-  /** The conditions of a transaction. */
+  /** Field with the conditions of a transaction. */
   static final String CONDITIONS = "when";
 
-  /** The operations of a transaction. */
+  /** Field with the operations of a transaction. */
   static final String OPERATIONS = "apply";
 
   /** Wire name of a lease's time to live, in milliseconds. */
   private static final String LEASE_TTL_MS = "life_ms";
 
-  /** The keys whose conditions did not hold. */
+  /** Field with the keys whose conditions did not hold. */
   private static final String CONFLICTS = "failed";
 
-  /** Field of an object that stands for a value that is none. */
+  /** Field of the object that wraps a value of another JSON type. */
   private static final String NOT_AN_OBJECT = "not_an_object";
 
   private static final String EVENTS = "events";
   private static final String PAIRS = "pairs";
   private static final String TRUNCATED = "truncated";
 
-  /** What the text of a {@code 400} contains if the transaction names a lease that has ended. */
+  /** Part of the text of a {@code 400} answer if the transaction's lease has ended. */
   private static final String NO_SUCH_LEASE = "no such lease";
 
   private static final double MS_PER_S = 1000;
@@ -66,7 +66,11 @@
     return "/store/" + key;
   }
 
-  /** The path of one page of a listing; {@code after}: the last key of the page before, or null. */
+  /**
+   * Returns the path of one page of a listing.
+   *
+   * @param after the last key of the previous page; null for the first page
+   */
   static String listPath(String prefix, String after, int pageSize) {
     return "/store?starts="
         + prefix
@@ -110,9 +114,9 @@
   }
 
   /**
-   * The value of a key that is there. All values that this program writes are objects; another one
-   * is given as an object without any field that it knows, which is for its reader to report:
-   * failing here would keep everything else of the same answer from being read.
+   * Returns the value of an entry; null if there is none. All values that this program writes are
+   * JSON objects. Another value is wrapped in an object without known fields, so that its reader
+   * reports it as malformed and the rest of the answer can still be read.
    */
   private static ObjectNode readValue(JsonNode entry) {
     JsonNode value = entry.get(VALUE);
@@ -133,7 +137,7 @@
     return entries;
   }
 
-  /** Whether further pages follow this one. */
+  /** Whether more pages follow this one. */
   static boolean isTruncated(ObjectNode page) {
     return Json.flagOr(page, TRUNCATED, false);
   }
@@ -151,7 +155,7 @@
     return new TransactionResult(false, revision, conflicts);
   }
 
-  /** What a transaction that was answered {@code 400} failed for. */
+  /** Returns the failure of a transaction that was answered with {@code 400}. */
   static StoreException readRejection(byte[] body) {
     String text = new String(body, StandardCharsets.UTF_8);
     return text.contains(NO_SUCH_LEASE)
--- a/src/main/java/io/embernotch/store/StoreRateLimits.java
+++ b/src/main/java/io/embernotch/store/StoreRateLimits.java
@@ -5,12 +5,13 @@
 import io.embernotch.settings.Settings;
 import io.embernotch.store.RateLimiter.RequestPriority;
 
-/** This controller's share of the requests and changes that the store takes. */
+/** Limits requests and changes to this controller's share of the store's rate limits. */
 final class StoreRateLimits {
   /**
-   * Shares of the requests that the service takes. They add up to less than all, since leases go
-   * beyond them: at 0.7 for each controller, polls that three controllers read from the store while
-   * there was no leader had 1,500 requests refused on one simulated day.
+   * A leader's share of the store's request limit. The shares of all controllers add up to less
+   * than 1, since requests for leases are not limited. With 0.7 for each of three controllers, the
+   * store refused 1,500 requests in one simulated day, because of status polls that the controllers
+   * answered from the store while there was no leader.
    */
   private static final double LEADER_REQUEST_SHARE = 0.5;
 
@@ -18,17 +19,17 @@
   private static final double REQUEST_BURST_S = 0.5;
 
   /**
-   * The leader writes most; the others only the submissions that they take. The shares of three
-   * controllers add up to the limit: beyond it the service refuses everything, leases included, and
-   * trying again is what keeps it there.
+   * A leader's share of the store's write limit. The leader writes most; followers write only the
+   * submissions that they accept. The shares of three controllers add up to 1. Above its limit the
+   * store refuses all requests, including those for leases, and retries would keep it overloaded.
    */
   private static final double LEADER_WRITE_SHARE = 0.7;
 
   private static final double FOLLOWER_WRITE_SHARE = 0.15;
 
   /**
-   * The service allows bursts of a second's worth. The bursts of all controllers together stay
-   * below that, with something for the leases, which go at once.
+   * The store allows bursts of one second of its rate. The bursts of all controllers together stay
+   * below that and leave some for lease requests, which are sent at once.
    */
   private static final double WRITE_BURST_S = 0.9;
 
@@ -52,7 +53,7 @@
             WRITE_BURST_S);
   }
 
-  /** Goes over to the shares of a leader, or back to those of a follower. */
+  /** Sets the shares to those of a leader or of a follower. */
   void setLeading(boolean leading) {
     writes.setRate(
         settings.minStoreLimits().writeRps()
@@ -62,22 +63,22 @@
             * (leading ? LEADER_REQUEST_SHARE : FOLLOWER_REQUEST_SHARE));
   }
 
-  /** Runs {@code send} when one request with so many changes may be sent. */
+  /** Runs {@code send} when one request with this number of changes may be sent. */
   void acquire(int changes, RequestPriority priority, Runnable send) {
     requests.acquire(1, priority, () -> writes.acquire(changes, priority, send));
   }
 
-  /** Runs {@code send} when one request may be sent whose changes are accounted for already. */
+  /** Runs {@code send} when one request may be sent; its changes were acquired before. */
   void acquireRequest(RequestPriority priority, Runnable send) {
     requests.acquire(1, priority, send);
   }
 
-  /** Runs {@code write} when so many changes may be made. */
+  /** Runs {@code write} when this number of changes may be made. */
   void acquireWrites(int changes, RequestPriority priority, Runnable write) {
     writes.acquire(changes, priority, write);
   }
 
-  /** Returns changes that were acquired and not made; below 0: so many more were made. */
+  /** Returns acquired changes that were not made; negative if more were made than acquired. */
   void refundWrites(int changes) {
     writes.refund(changes);
   }
@@ -86,18 +87,18 @@
     return writes.available();
   }
 
-  /** Whether half a burst of changes or more may be made at once. */
+  /** Whether at least half of a leader's burst of changes is available. */
   boolean hasSpareWrites() {
     return writes.available()
         >= settings.minStoreLimits().writeRps() * LEADER_WRITE_SHARE * WRITE_BURST_S / 2;
   }
 
-  /** Seconds that a change of normal priority would wait. */
+  /** Seconds that a change of normal priority would wait if requested now. */
   double writeWaitS() {
     return writes.waitS();
   }
 
-  /** Seconds that a read of normal priority would wait. */
+  /** Seconds that a read of normal priority would wait if requested now. */
   double readWaitS() {
     return requests.waitS();
   }
--- a/src/main/java/io/embernotch/store/StoreReply.java
+++ b/src/main/java/io/embernotch/store/StoreReply.java
@@ -8,7 +8,7 @@
 /**
  * An answer of the store.
  *
- * @param baseline what the request could assume of the store's contents as it was sent
+ * @param baseline what was known of the store's contents when the request was sent
  */
 record StoreReply(HttpReply http, IncarnationGuard.Baseline baseline) {
   int status() {
@@ -19,7 +19,7 @@
     return http.json();
   }
 
-  /** The failure for an answer whose status the request does not provide for. */
+  /** Returns a failed future for an answer with an unexpected status. */
   <T> Future<T> unexpected() {
     return Future.failedFuture(
         new StoreException(
--- a/src/main/java/io/embernotch/store/StoreRequest.java
+++ b/src/main/java/io/embernotch/store/StoreRequest.java
@@ -5,10 +5,10 @@
 /**
  * A request to the store.
  *
- * @param body null if it has none
- * @param changes number of changes that it counts as under the store's limit of writes
+ * @param body the body; null if there is none
+ * @param changes number of changes that count against the store's write limit
  */
-@SuppressWarnings("ArrayRecordComponent") // The bytes are passed on and never compared.
+@SuppressWarnings("ArrayRecordComponent") // The bytes are sent and never compared.
 record StoreRequest(
     String method, String path, byte[] body, int changes, RequestPriority priority) {
 
--- a/src/main/java/io/embernotch/store/StoreTransport.java
+++ b/src/main/java/io/embernotch/store/StoreTransport.java
@@ -12,14 +12,15 @@
 import io.vertx.core.Promise;
 
 /**
- * Sends requests to the store within its rate limits, sends throttled ones again until their time
- * is out, and records whether the store answers. Futures fail with {@link StoreException} only.
+ * Sends requests to the store within the rate limits, retries throttled requests until their
+ * timeout, and records whether the store answers. All futures fail with {@link StoreException}
+ * only.
  */
 final class StoreTransport {
-  /** Some of a second's worth of requests has come free after so long. */
+  /** Delay before a throttled request is retried; part of the store's limit is free again then. */
   private static final double THROTTLE_RETRY_S = 0.1;
 
-  /** The value of {@code failingSince} while the store answers. */
+  /** The value of {@code failingSince} while the store answers requests. */
   private static final double NOT_FAILING = -1;
 
   private final HttpCaller caller;
@@ -46,12 +47,14 @@
     this.guard = guard;
   }
 
-  /** When the service last answered anything but a refusal, in seconds of the steady clock. */
+  /**
+   * When the store last answered with anything but 429 or 503, in seconds of the monotonic clock.
+   */
   double answeredAt() {
     return answeredAt;
   }
 
-  /** Seconds for which it has refused or not answered, 0 if its last answer was good. */
+  /** Seconds since requests began to fail or get a 503; 0 if the last answer was usable. */
   double failingForS() {
     return failingSince < 0 ? 0 : clock.now() - failingSince;
   }
@@ -63,8 +66,8 @@
   }
 
   /**
-   * Sends a request whose changes are accounted for by a write slot. If it is throttled, it queues
-   * like any other.
+   * Sends a request whose changes are already counted by a write slot. If it is throttled, it waits
+   * for the rate limits like any other request.
    */
   Future<StoreReply> sendInWriteSlot(StoreRequest request, double timeoutS) {
     Promise<StoreReply> promise = Promise.promise();
@@ -98,7 +101,7 @@
       HttpReply reply,
       IncarnationGuard.Baseline baseline) {
     if (reply.status() == StatusCodes.TOO_MANY_REQUESTS) {
-      // It was not executed.
+      // The store has not executed a throttled request.
       timers.after(THROTTLE_RETRY_S, () -> sendWhenAllowed(request, deadline, promise));
     } else if (reply.status() == StatusCodes.UNAVAILABLE) {
       recordFailure();
--- a/src/main/java/io/embernotch/store/StoreWatch.java
+++ b/src/main/java/io/embernotch/store/StoreWatch.java
@@ -4,7 +4,7 @@
 import io.embernotch.store.StoreException.Kind;
 import io.vertx.core.Future;
 
-/** Waits for changes under a prefix by long polls. */
+/** Waits for changes under a prefix with long polls. */
 final class StoreWatch {
   private final StoreTransport transport;
   private final IncarnationValidator validator;
@@ -26,7 +26,9 @@
                   case StatusCodes.OK ->
                       validator.read(reply, StoreProtocol::readEvents, WatchEvents::revision);
                   case StatusCodes.GONE ->
-                      Future.failedFuture(new StoreException(Kind.TOO_OLD, "too old"));
+                      Future.failedFuture(
+                          new StoreException(
+                              Kind.TOO_OLD, "the changes to watch are no longer kept"));
                   default -> reply.unexpected();
                 });
   }
--- a/src/main/java/io/embernotch/store/Transaction.java
+++ b/src/main/java/io/embernotch/store/Transaction.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 
 /**
- * A transaction being put together: operations that are applied all together if all conditions
- * hold. Without operations it only compares.
+ * Builder of a transaction: operations that the store applies atomically if all conditions hold. A
+ * transaction without operations only checks its conditions.
  */
 public final class Transaction {
-  /** The service takes 64 KiB; the rest is for names and conditions. */
+  /** Size limit in bytes; the store accepts 64 KiB, the rest is for field names and conditions. */
   public static final int MAX_BYTES = 60 * 1024;
 
   private final ObjectNode body = Json.object();
@@ -21,19 +21,19 @@
   private String lastKey;
   private final Map<String, ObjectNode> writes = new LinkedHashMap<>();
 
-  /** Adds the condition that the key is at this modification revision; 0: that it is absent. */
+  /** Adds the condition that the key has this modification revision; 0 means that it is absent. */
   public Transaction when(String key, long modRevision) {
     conditions.addObject().put(StoreProtocol.KEY, key).put(StoreProtocol.MOD_REVISION, modRevision);
     return this;
   }
 
-  /** Adds a write. */
+  /** Adds a write of {@code value}. */
   public Transaction write(String key, ObjectNode value) {
     addWrite(key, value);
     return this;
   }
 
-  /** Adds a write of a key that is deleted once the lease ends. */
+  /** Adds a write of a key that the store deletes when the lease ends. */
   public Transaction write(String key, ObjectNode value, long leaseId) {
     addWrite(key, value).put(StoreProtocol.LEASE_ID, leaseId);
     return this;
@@ -47,43 +47,43 @@
     return operation;
   }
 
-  /** Adds a deletion. */
+  /** Adds a deletion of {@code key}. */
   public Transaction drop(String key) {
     operations.addObject().put(StoreProtocol.DROP, key);
     return this;
   }
 
   /**
-   * The transaction belongs to no incarnation: it begins one, or writes under names that no other
-   * incarnation has.
+   * Exempts the transaction from the fence. For transactions that begin an incarnation or write
+   * keys that only one incarnation uses.
    */
   public Transaction unfenced() {
     fenced = false;
     return this;
   }
 
-  /** The last key that it writes; null if it writes none. */
+  /** The key of the last write; null if there is no write. */
   String lastKey() {
     return lastKey;
   }
 
-  /** The values that it writes, by key. */
+  /** The written values, by key. */
   public Map<String, ObjectNode> writes() {
     return writes;
   }
 
-  /** Whether it is to condition on the fence of the present incarnation. */
+  /** Whether the transaction is conditional on the fence of the present incarnation. */
   boolean fenced() {
     return fenced;
   }
 
-  /** Number of changes that it counts as under the store's limits. */
+  /** Number of changes that count against the store's limits. */
   public int changes() {
     return operations.size();
   }
 
   byte[] bytes() {
-    // The service takes a transaction for a mere comparison only without the field of operations.
+    // The store accepts a transaction without operations only if their field is absent.
     return Json.bytes(
         operations.isEmpty() ? Json.object().set(StoreProtocol.CONDITIONS, conditions) : body);
   }
--- a/src/main/java/io/embernotch/store/TransactionSender.java
+++ b/src/main/java/io/embernotch/store/TransactionSender.java
@@ -3,7 +3,7 @@
 import io.embernotch.store.RateLimiter.RequestPriority;
 import io.vertx.core.Future;
 
-/** Sends transactions, each on condition of the incarnation's fence, and reads their results. */
+/** Adds the incarnation's fence to transactions, sends them and decodes their results. */
 final class TransactionSender {
   private final StoreTransport transport;
   private final IncarnationGuard guard;
@@ -33,7 +33,7 @@
     return result(transaction, transport.send(request, timeoutS));
   }
 
-  /** Commits a transaction whose changes a write slot accounts for. */
+  /** Commits a transaction whose changes are already counted by a write slot. */
   Future<TransactionResult> commitInWriteSlot(Transaction transaction, RequestPriority priority) {
     guard.addFence(transaction);
     StoreRequest request = StoreRequest.commit(transaction, priority);
--- a/src/main/java/io/embernotch/store/VersionedEntry.java
+++ b/src/main/java/io/embernotch/store/VersionedEntry.java
@@ -3,18 +3,18 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * A key with its value.
+ * A key with its value and modification revision.
  *
  * @param value null if the key is absent
- * @param modRevision the revision that last wrote the key; 0 if it is absent
+ * @param modRevision the revision of the last change of the key; 0 if a read found it absent
  */
 public record VersionedEntry(String key, ObjectNode value, long modRevision) {
-  /** The entry of a key that is not there. */
+  /** Returns the entry of an absent key. */
   public static VersionedEntry absent(String key) {
     return new VersionedEntry(key, null, 0);
   }
 
-  /** Whether the key is there. */
+  /** Whether the key has a value. */
   public boolean present() {
     return value != null;
   }
--- a/src/main/java/io/embernotch/store/WatchEvents.java
+++ b/src/main/java/io/embernotch/store/WatchEvents.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * What a watch or a listing saw.
+ * The result of a watch or a listing.
  *
- * @param revision the revision up to which everything was seen
- * @param events the entries that changed or were listed; one without a value was deleted
+ * @param revision the revision up to which the result contains all changes
+ * @param events the changed or listed entries; an entry without a value was deleted
  */
 public record WatchEvents(long revision, List<VersionedEntry> events) {}
--- a/src/main/java/io/embernotch/store/WriteVerifier.java
+++ b/src/main/java/io/embernotch/store/WriteVerifier.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * Verifies that the store still holds what this process wrote last. Contents that were restored
- * from an earlier moment may have reached the revisions that we have seen; the last keys that we
- * wrote they cannot hold.
+ * Verifies that the store still holds the last writes known to this controller. Contents that were
+ * restored from an earlier state may since have reached the highest revision seen, but they lack
+ * the last writes.
  */
 final class WriteVerifier {
   private final IncarnationGuard guard;
@@ -27,7 +27,7 @@
     this.transactions = transactions;
   }
 
-  /** Reads a key; if it is absent, also checks that the incarnation's fence still stands. */
+  /** Reads a key; if it is absent, also checks that the incarnation's fence still holds. */
   Future<VersionedEntry> getConfirmed(String key) {
     return entries
         .get(key)
@@ -62,8 +62,8 @@
   }
 
   /**
-   * A write of ours whose answer is still to come may have raised the modification revision;
-   * nothing lowers it but a loss.
+   * Checks that a key has at least this modification revision. A write that is not answered yet may
+   * have increased it; only a loss decreases it.
    */
   private Future<Boolean> verifyAtLeast(String key, long modRevision) {
     return entries
--- a/src/main/java/io/embernotch/store/package-info.java
+++ b/src/main/java/io/embernotch/store/package-info.java
@@ -1,15 +1,14 @@
 /**
  * Client of the external key-value store that holds the cluster's state.
  *
- * <p>Owns everything that is particular to the store's protocol: its paths and field names, its
- * rate limits, retries of throttled requests, paged reads, watches, transactions and leases, and
- * the proof that the store has lost data. Failures leave this package as {@link
- * io.embernotch.store.StoreException}, told apart by their kind.
+ * <p>The package implements the store's protocol (paths and field names), rate limits, retries of
+ * throttled requests, paged reads, watches, transactions, leases and the detection of lost data. It
+ * reports failures as {@link io.embernotch.store.StoreException}, distinguished by their kind.
  *
- * <p>It must not know what keys or values mean, and it does not decide what follows from a loss of
- * data: it reports one to its {@link io.embernotch.store.StoreClient.LossListener}.
+ * <p>It must not interpret keys or values. It does not handle a loss of data, but reports it to its
+ * {@link io.embernotch.store.StoreClient.LossListener}.
  *
- * <p>Everything here runs on the process's event loop, except {@link
- * io.embernotch.store.LeaseRenewer}, which has a loop of its own.
+ * <p>All classes are confined to the process's event loop, except {@link
+ * io.embernotch.store.LeaseRenewer}, which has an event loop of its own.
  */
 package io.embernotch.store;
--- a/src/test/java/io/embernotch/persistence/BatchBuilderTest.java
+++ b/src/test/java/io/embernotch/persistence/BatchBuilderTest.java
@@ -13,14 +13,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A job of which several shards no longer fit, after the store has lowered its limits.
+ * Tests a job with several shards that no longer fit after the store has lowered its limits.
  *
- * <p>What happened: found by reading, shown by this test. A job with two such shards of 40 tasks
- * went over to shards of 5 where 10 fit, so that all that follows took twice the changes; and its
- * third shard, which fitted, was written both as it was and split into the smaller ones.
- *
- * <p>Why: the job was named once for each shard that did not fit, and went over to smaller shards
- * each time; a shard that had got into the batch before was split all the same.
+ * <p>Guards against refining such a job once for each oversized shard: a job with two oversized
+ * shards of 40 tasks ended up with shards of 5 tasks where 10 fit, which doubled the number of
+ * later changes. Also guards against splitting a shard that is already in the batch: the job's
+ * third shard, which fitted, was written both whole and in refined shards.
  */
 class BatchBuilderTest {
   private static final int SAFE_BYTES = 600;
--- a/src/test/java/io/embernotch/store/LeaseRenewerTest.java
+++ b/src/test/java/io/embernotch/store/LeaseRenewerTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Renewal of the leader's lease while the core is busy, the store answers late, or another lease
- * has been granted since.
+ * Tests renewal of the leader's lease while the core event loop is busy, while the store answers
+ * late, and after another lease was granted.
  */
 class LeaseRenewerTest {
   private static final double LEASE_TTL_S = 3;
@@ -24,10 +24,10 @@
   private final List<Long> ended = new ArrayList<>();
   private int status = 200;
 
-  /** Answers come from here if it is set. */
+  /** The answer to all requests if set. */
   private Promise<HttpReply> lateReply;
 
-  /** What is to run on the core waits here, as if the core were busy. */
+  /** Tasks submitted to the core event loop, which is busy until the test runs them. */
   private final List<Runnable> coreTasks = new ArrayList<>();
 
   private final LeaseRenewer leaseRenewer =
@@ -59,7 +59,8 @@
     leaseRenewer.keep(7, time.now(), ended::add);
     time.advance(7);
     assertThat(remainingS()).isGreaterThan(LEASE_TTL_S / 2);
-    // No sign of the core for longer than it may be busy: another controller is to lead.
+    // The core was silent for longer than the limit: the lease must expire, so that another
+    // controller can lead.
     time.advance(8);
     assertThat(remainingS()).isNegative();
     leaseRenewer.coreAlive();
--- a/src/test/java/io/embernotch/store/StoreClientTest.java
+++ b/src/test/java/io/embernotch/store/StoreClientTest.java
@@ -15,15 +15,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Rate limits of the store client, and the order in which its rate limiter grants requests. */
+/** Tests the store client's rate limits and the order in which requests are granted. */
 class StoreClientTest {
   private final FakeTime time = new FakeTime();
   private final Settings settings = SettingsReader.parse(SimulatedCluster.settingsToml(0));
 
   @Test
   void throttledRequestsAreRetriedWithinTheRateLimit() {
-    // Retried without a limit, they make 1,400 requests a second, and the store refuses leases with
-    // the rest.
+    // Retries without a rate limit make 1,400 requests per second, and the store refuses lease
+    // requests too.
     int[] calls = new int[1];
     StoreClient store =
         new StoreClient(
--- a/src/test/java/io/embernotch/store/StoreProtocolTest.java
+++ b/src/test/java/io/embernotch/store/StoreProtocolTest.java
@@ -13,8 +13,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Answers with values that are no objects. They failed the whole answer with a ClassCastException,
- * and in a watch they were taken for deletions; so one such value kept a leader from loading.
+ * Tests answers with values that are not JSON objects. Such a value failed the whole answer with a
+ * ClassCastException, so that a new leader could not load the state; in a watch it was decoded as a
+ * deletion.
  */
 class StoreProtocolTest {
   private static ObjectNode parse(String json) {
