--- a/src/main/java/io/embernotch/persistence/BatchBuilder.java
+++ b/src/main/java/io/embernotch/persistence/BatchBuilder.java
@@ -52,7 +52,7 @@
    * @param withBackground whether the batch may contain shards of background priority
    */
   Batch build(Iterable<DirtyShard> pending, double now, boolean withBackground) {
-    List<DirtyShard> order = inOrder(pending, now, withBackground);
+    List<DirtyShard> order = dueByPriority(pending, now, withBackground);
     findOversized(order);
     for (DirtyShard dirtyShard : order) {
       if (isFull()) {
@@ -91,7 +91,7 @@
     }
   }
 
-  private static List<DirtyShard> inOrder(
+  private static List<DirtyShard> dueByPriority(
       Iterable<DirtyShard> pending, double now, boolean withBackground) {
     List<DirtyShard> order = new ArrayList<>();
     for (DirtyShard dirtyShard : pending) {
--- a/src/main/java/io/embernotch/persistence/DirtyShard.java
+++ b/src/main/java/io/embernotch/persistence/DirtyShard.java
@@ -12,7 +12,7 @@
  */
 final class DirtyShard {
   /** The value of {@code waitingSince} while nothing waits for the write. */
-  private static final double NOT_WAITED_FOR = -1;
+  private static final double NO_WAITER = -1;
 
   /** Largest time by which a timer may fire early. */
   private static final double TIMER_TOLERANCE_S = 0.001;
@@ -31,7 +31,7 @@
   private double due;
 
   /** Start of the longest wait for the write, in seconds of the monotonic clock. */
-  private double waitingSince = NOT_WAITED_FOR;
+  private double waitingSince = NO_WAITER;
 
   private List<Waiter> waiters = new ArrayList<>();
 
@@ -128,7 +128,7 @@
   }
 
   /** Called when a transaction with the shard's present value is sent. */
-  void sent() {
+  void onSent() {
     inFlightMarks = marksWithin(shard.job().done);
   }
 
@@ -136,25 +136,25 @@
    * Called when the transaction in flight was applied. A done mark is never removed, so this
    * transaction contained all marks of earlier ones.
    */
-  void stored() {
+  void onStored() {
     shard.job().persistedDone.or(inFlightMarks);
     inFlightMarks = new BitSet();
     unknownMarks.clear();
   }
 
   /** Called when the store has not executed the transaction in flight and never will. */
-  void refused() {
+  void onRefused() {
     inFlightMarks = new BitSet();
   }
 
   /** Called when the transaction in flight got no answer. */
-  void unanswered() {
+  void onUnanswered() {
     unknownMarks.or(inFlightMarks);
     inFlightMarks = new BitSet();
   }
 
   /** Whether the store may hold done marks that it is not known to hold. */
-  boolean mayBeStored() {
+  boolean hasUnknownMarks() {
     BitSet marks = (BitSet) unknownMarks.clone();
     marks.or(inFlightMarks);
     marks.andNot(shard.job().persistedDone);
@@ -162,28 +162,28 @@
   }
 
   /** Merges the change of one task from the larger, pending shard that this one replaces. */
-  void takeOverTask(int task, DirtyShard larger) {
+  void mergeTask(int task, DirtyShard larger) {
     expedite(larger.priority, larger.due);
     tasks.set(task);
-    takeOverUnknownMarks(larger);
+    mergeUnknownMarks(larger);
     waitingSince = larger.waitingSince;
   }
 
   /** Merges an earlier instance of the same shard, whose transaction was not applied. */
-  void takeOver(DirtyShard former) {
-    expedite(former.priority, former.due);
-    waitingSince = former.isWaitedFor() ? former.waitingSince : waitingSince;
-    tasks.or(former.tasks);
-    takeOverUnknownMarks(former);
-    suspect |= former.suspect;
-    List<Waiter> all = new ArrayList<>(former.waiters);
+  void mergeEarlier(DirtyShard earlier) {
+    expedite(earlier.priority, earlier.due);
+    waitingSince = earlier.isWaitedFor() ? earlier.waitingSince : waitingSince;
+    tasks.or(earlier.tasks);
+    mergeUnknownMarks(earlier);
+    suspect |= earlier.suspect;
+    List<Waiter> all = new ArrayList<>(earlier.waiters);
     all.addAll(waiters);
     waiters = all;
   }
 
   /** Merges the unknown done marks of an earlier instance of this shard, or of a larger shard. */
-  private void takeOverUnknownMarks(DirtyShard former) {
-    unknownMarks.or(marksWithin(former.unknownMarks));
+  private void mergeUnknownMarks(DirtyShard earlier) {
+    unknownMarks.or(marksWithin(earlier.unknownMarks));
   }
 
   /** Returns the done marks of the job's tasks that belong to this shard. */
--- a/src/main/java/io/embernotch/persistence/DirtyShards.java
+++ b/src/main/java/io/embernotch/persistence/DirtyShards.java
@@ -81,7 +81,7 @@
     for (int task = 0; task < job.spec.tasks(); task += size) {
       String key = layout.shardOf(job, task).key();
       for (DirtyShard dirtyShard : Arrays.asList(inFlight.get(key), pending.get(key))) {
-        if (dirtyShard != null && dirtyShard.mayBeStored()) {
+        if (dirtyShard != null && dirtyShard.hasUnknownMarks()) {
           dirtyShard.addWaiter(task, action);
           return true;
         }
@@ -91,28 +91,28 @@
   }
 
   /** Called when a transaction of these shards is sent. */
-  void sent(Map<String, DirtyShard> batch) {
+  void onSent(Map<String, DirtyShard> batch) {
     batch.keySet().forEach(pending::remove);
-    batch.values().forEach(DirtyShard::sent);
+    batch.values().forEach(DirtyShard::onSent);
     inFlight = batch;
   }
 
   /** Called when the transaction in flight was applied. */
-  void stored() {
+  void onStored() {
     Map<String, DirtyShard> batch = inFlight;
     inFlight = Map.of();
-    batch.values().forEach(DirtyShard::stored);
+    batch.values().forEach(DirtyShard::onStored);
   }
 
   /** Makes the shards of the transaction in flight pending again. */
-  void putBack() {
+  void requeueInFlight() {
     Map<String, DirtyShard> batch = inFlight;
     inFlight = Map.of();
     batch.forEach(
         (key, dirtyShard) -> {
           DirtyShard newer = pending.putIfAbsent(key, dirtyShard);
           if (newer != null) {
-            newer.takeOver(dirtyShard);
+            newer.mergeEarlier(dirtyShard);
           }
         });
   }
@@ -137,8 +137,7 @@
     larger.tasks().stream()
         .forEach(
             task ->
-                pendingShardOf(job, task, larger.priority(), larger.due())
-                    .takeOverTask(task, larger));
+                pendingShardOf(job, task, larger.priority(), larger.due()).mergeTask(task, larger));
     for (Waiter waiter : larger.waiters()) {
       String key = layout.shardOf(job, waiter.task()).key();
       pending.get(key).addWaiter(waiter.task(), waiter.action());
--- a/src/main/java/io/embernotch/persistence/StateWriter.java
+++ b/src/main/java/io/embernotch/persistence/StateWriter.java
@@ -37,7 +37,7 @@
   /** Modification revision of the leader's key, a condition of every transaction. */
   private final long leaderModRevision;
 
-  private final Runnable deposed;
+  private final Runnable onDeposed;
   private final int maxChanges;
 
   /** Seconds for which a background change waits, so that one transaction writes several. */
@@ -57,7 +57,7 @@
    * Creates a writer for one term of leadership.
    *
    * @param leaderModRevision modification revision of the leader's key in this term
-   * @param deposed runs if a transaction fails because that key has changed; the writer is closed
+   * @param onDeposed runs if a transaction fails because that key has changed; the writer is closed
    *     then
    */
   public StateWriter(
@@ -68,13 +68,13 @@
       Timers timers,
       EventLoopProfile profile,
       long leaderModRevision,
-      Runnable deposed) {
+      Runnable onDeposed) {
     this.store = store;
     this.clock = clock;
     this.timers = timers;
     this.profile = profile;
     this.leaderModRevision = leaderModRevision;
-    this.deposed = deposed;
+    this.onDeposed = onDeposed;
     this.maxChanges = settings.minStoreLimits().txnOps();
     this.backgroundDelayS = settings.workers().heartbeatIntervalS();
     this.overdueS = settings.workers().leaseS() / 2;
@@ -135,12 +135,12 @@
   /**
    * Schedules an immediate write of the shard of {@code task}.
    *
-   * @param durable runs once the change is committed; null if nothing waits for it
+   * @param onDurable runs once the change is committed; null if nothing waits for it
    */
-  public void writeNow(Job job, int task, RequestPriority priority, Runnable durable) {
+  public void writeNow(Job job, int task, RequestPriority priority, Runnable onDurable) {
     DirtyShard dirtyShard = dirtyShards.mark(job, task, priority, clock.now());
-    if (durable != null) {
-      dirtyShard.addWaiter(task, durable);
+    if (onDurable != null) {
+      dirtyShard.addWaiter(task, onDurable);
       dirtyShard.startWaiting(clock.now());
     }
     scheduler.schedule(dirtyShard);
@@ -189,69 +189,69 @@
       scheduler.scheduleNext();
       return 0;
     }
-    dirtyShards.sent(batch.shards());
+    dirtyShards.onSent(batch.shards());
     scheduler.transactionStarted();
-    statistics.transactionSent(batch.size());
+    statistics.recordTransaction(batch.size());
     store
         .commitInWriteSlot(batch.transaction(), priority)
-        .onSuccess(result -> profile.run("committed", () -> answered(result, batch.shards())))
-        .onFailure(failure -> failed(failure, batch.shards()));
+        .onSuccess(result -> profile.run("committed", () -> handleResult(result, batch.shards())))
+        .onFailure(failure -> handleFailure(failure, batch.shards()));
     return batch.size();
   }
 
-  private void answered(TransactionResult result, Map<String, DirtyShard> batch) {
+  private void handleResult(TransactionResult result, Map<String, DirtyShard> batch) {
     if (scheduler.isClosed()) {
       return;
     }
     if (result.applied()) {
-      applied(result.revision(), batch);
+      handleApplied(result.revision(), batch);
     } else if (result.conflicts().contains(JobProgressCodec.LEADER)) {
       scheduler.close();
-      deposed.run();
+      onDeposed.run();
     } else {
       LOG.info("transaction not applied: conflicts on {}", result.conflicts());
-      batch.values().forEach(DirtyShard::refused);
+      batch.values().forEach(DirtyShard::onRefused);
       reread(batch);
     }
   }
 
-  private void applied(long revision, Map<String, DirtyShard> batch) {
+  private void handleApplied(long revision, Map<String, DirtyShard> batch) {
     batch.keySet().forEach(key -> modRevisions.record(key, revision));
-    dirtyShards.stored();
+    dirtyShards.onStored();
     scheduler.transactionEnded();
     for (DirtyShard dirtyShard : batch.values()) {
-      statistics.stored(dirtyShard, clock.now());
+      statistics.recordLatency(dirtyShard, clock.now());
       dirtyShard.waiters().forEach(waiter -> waiter.action().run());
     }
     scheduler.scheduleNext();
   }
 
-  private void failed(Throwable failure, Map<String, DirtyShard> batch) {
+  private void handleFailure(Throwable failure, Map<String, DirtyShard> batch) {
     if (scheduler.isClosed()) {
       return;
     }
     LOG.debug("transaction of {} shards failed: {}", batch.size(), failure.getMessage());
     switch (StoreException.kindOf(failure)) {
       case REFUSED -> {
-        batch.values().forEach(DirtyShard::refused);
-        dirtyShards.putBack();
+        batch.values().forEach(DirtyShard::onRefused);
+        dirtyShards.requeueInFlight();
         retryLater();
       }
       case MALFORMED -> {
-        batch.values().forEach(DirtyShard::refused);
-        dirtyShards.putBack();
+        batch.values().forEach(DirtyShard::onRefused);
+        dirtyShards.requeueInFlight();
         refiner.handleRejection(batch, failure.getMessage());
         retryLater();
       }
       default -> {
-        batch.values().forEach(DirtyShard::unanswered);
+        batch.values().forEach(DirtyShard::onUnanswered);
         reread(batch);
       }
     }
   }
 
   private void retryLater() {
-    timers.after(retryS, this::writeAgain);
+    timers.after(retryS, this::endAndReschedule);
   }
 
   /** Reads the shards' modification revisions again, then makes the shards pending again. */
@@ -259,12 +259,12 @@
     modRevisions.reread(
         batch.keySet(),
         () -> {
-          dirtyShards.putBack();
-          writeAgain();
+          dirtyShards.requeueInFlight();
+          endAndReschedule();
         });
   }
 
-  private void writeAgain() {
+  private void endAndReschedule() {
     scheduler.transactionEnded();
     scheduler.scheduleNext();
   }
--- a/src/main/java/io/embernotch/persistence/WriteScheduler.java
+++ b/src/main/java/io/embernotch/persistence/WriteScheduler.java
@@ -42,10 +42,10 @@
   private double armedFor = NOT_ARMED;
 
   /** Priority of the write slot request that is not granted yet; null if there is none. */
-  private RequestPriority requested;
+  private RequestPriority requestedPriority;
 
   /** Number of the last write slot request; it supersedes the earlier ones. */
-  private long slotRequests;
+  private long lastSlotRequest;
 
   /**
    * @param maxChanges largest number of changes in a transaction
@@ -72,7 +72,7 @@
 
   void close() {
     closed = true;
-    slotRequests++;
+    lastSlotRequest++;
   }
 
   boolean isClosed() {
@@ -135,11 +135,11 @@
   }
 
   private void requestSlot(RequestPriority priority) {
-    if (requested != null && requested.compareTo(priority) <= 0) {
+    if (requestedPriority != null && requestedPriority.compareTo(priority) <= 0) {
       return;
     }
-    requested = priority;
-    long request = ++slotRequests;
+    requestedPriority = priority;
+    long request = ++lastSlotRequest;
     int minChanges = minChanges(priority);
     store.requestWriteSlot(
         minChanges,
@@ -158,11 +158,11 @@
   }
 
   private void slotGranted(long request, int minChanges, RequestPriority priority) {
-    int made = 0;
-    if (request == slotRequests && !transactionInFlight && !closed) {
-      requested = null;
-      made = writer.write(minChanges, priority);
+    int changes = 0;
+    if (request == lastSlotRequest && !transactionInFlight && !closed) {
+      requestedPriority = null;
+      changes = writer.write(minChanges, priority);
     }
-    store.releaseWriteSlot(minChanges, made);
+    store.releaseWriteSlot(minChanges, changes);
   }
 }
--- a/src/main/java/io/embernotch/persistence/WriteStatistics.java
+++ b/src/main/java/io/embernotch/persistence/WriteStatistics.java
@@ -13,13 +13,13 @@
   private long transactions;
   private long changes;
 
-  void transactionSent(int shards) {
+  void recordTransaction(int shards) {
     transactions++;
     changes += shards;
   }
 
   /** Records the commit latency of a shard that is stored now, if something waited for it. */
-  void stored(DirtyShard dirtyShard, double now) {
+  void recordLatency(DirtyShard dirtyShard, double now) {
     if (dirtyShard.isWaitedFor()) {
       boolean urgent = dirtyShard.priority() == RequestPriority.HIGH;
       latencies.record(urgent ? URGENT_COMMIT : COMMIT, now - dirtyShard.waitingSince());
--- a/src/test/java/io/embernotch/persistence/BatchBuilderTest.java
+++ b/src/test/java/io/embernotch/persistence/BatchBuilderTest.java
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void aJobOfSeveralOversizedShardsIsRefinedOnceAndNoneOfItIsWrittenTwice() {
+  void aJobWithSeveralOversizedShardsIsRefinedOnceAndNoTaskIsWrittenTwice() {
     refiner.limitsLowered();
     Job large = job("j-1");
     for (int task = 40; task < 120; task++) {
@@ -56,8 +56,8 @@
     assertThat(batch.shards().keySet()).containsExactly("run/j-2", "run/j-2/1", "run/j-2/2");
     batch.oversized().forEach(refiner::refine);
     assertThat(layout.shardSize("j-1")).isEqualTo(10);
-    dirtyShards.sent(batch.shards());
-    dirtyShards.stored();
+    dirtyShards.onSent(batch.shards());
+    dirtyShards.onStored();
     assertThat(build().shards().keySet())
         .containsExactly("part/j-1/10/0", "part/j-1/10/4", "part/j-1/10/8");
   }
