--- a/src/main/java/io/embernotch/shared/EffectiveConfiguration.java
+++ b/src/main/java/io/embernotch/shared/EffectiveConfiguration.java
@@ -27,9 +27,9 @@
 
   private final SharedState shared;
   private final String name;
-  private final T own;
-  private final long ownGeneration;
-  private final ObjectNode ownEntry;
+  private final T localValue;
+  private final long localGeneration;
+  private final ObjectNode localEntry;
   private final Function<JsonNode, T> reader;
   private final Consumer<T> onChange;
   private T value;
@@ -40,25 +40,25 @@
    *
    * @param shared the shared state that stores the configuration
    * @param name name of the shared state entry
-   * @param own the value in this controller's operator file
-   * @param ownGeneration the generation in the file; 0 if the file has none
-   * @param ownEntry the file's value, encoded as the shared state entry
+   * @param localValue the value in this controller's operator file
+   * @param localGeneration the generation in the file; 0 if the file has none
+   * @param localEntry the file's value, encoded as the shared state entry
    * @param reader decodes an entry; throws {@link MalformedInputException}
    * @param onChange receives the new effective value whenever it changes after {@link #load}
    */
   public EffectiveConfiguration(
       SharedState shared,
       String name,
-      T own,
-      long ownGeneration,
-      ObjectNode ownEntry,
+      T localValue,
+      long localGeneration,
+      ObjectNode localEntry,
       Function<JsonNode, T> reader,
       Consumer<T> onChange) {
     this.shared = shared;
     this.name = name;
-    this.own = own;
-    this.ownGeneration = ownGeneration;
-    this.ownEntry = ownEntry;
+    this.localValue = localValue;
+    this.localGeneration = localGeneration;
+    this.localEntry = localEntry;
     this.reader = reader;
     this.onChange = onChange;
   }
@@ -79,37 +79,37 @@
    */
   public void load() {
     ObjectNode stored = shared.get(name);
-    value = own;
-    generation = ownGeneration;
+    value = localValue;
+    generation = localGeneration;
     if (stored != null) {
-      useStored(stored);
+      applyStored(stored);
     }
-    if (ownGeneration > 0 && (stored == null || generation < ownGeneration)) {
-      shared.put(name, ownEntry, this::useOwn);
+    if (localGeneration > 0 && (stored == null || generation < localGeneration)) {
+      shared.put(name, localEntry, this::applyLocal);
     }
   }
 
-  private void useOwn() {
-    value = own;
-    generation = ownGeneration;
+  private void applyLocal() {
+    value = localValue;
+    generation = localGeneration;
     onChange.accept(value);
   }
 
-  private void useStored(ObjectNode stored) {
+  private void applyStored(ObjectNode stored) {
     try {
       T storedValue = reader.apply(stored);
       long storedGeneration = Json.whole(stored, GENERATION);
-      if (storedGeneration == ownGeneration && !storedValue.equals(own)) {
+      if (storedGeneration == localGeneration && !storedValue.equals(localValue)) {
         LOG.error(
             "{}: operator file and store differ in generation {}; using the stored value",
             name,
             storedGeneration);
-      } else if (storedGeneration > ownGeneration) {
+      } else if (storedGeneration > localGeneration) {
         LOG.info(
             "{}: using the stored generation {}, the local operator file has generation {}",
             name,
             storedGeneration,
-            ownGeneration);
+            localGeneration);
       }
       value = storedValue;
       generation = storedGeneration;
--- a/src/main/java/io/embernotch/shared/SharedState.java
+++ b/src/main/java/io/embernotch/shared/SharedState.java
@@ -82,14 +82,14 @@
    * Creates the shared state of one term. Callers must call {@link #load} before any other method.
    *
    * @param context clock, timers, store and settings
-   * @param modRevision modification revision of the leader's key
+   * @param leaderModRevision modification revision of the leader's key
    * @param firstVersion a version above those of former terms; this term's versions are higher
    * @param onDeposed called if a commit fails because the leader's key has changed
    */
   public SharedState(
-      ControllerContext context, long modRevision, long firstVersion, Runnable onDeposed) {
+      ControllerContext context, long leaderModRevision, long firstVersion, Runnable onDeposed) {
     this.context = context;
-    this.leaderModRevision = modRevision;
+    this.leaderModRevision = leaderModRevision;
     this.version = firstVersion;
     this.maxChanges = Math.max(1, context.settings().minStoreLimits().txnOps() / TXN_OPS_DIVISOR);
     this.onDeposed = onDeposed;
@@ -170,14 +170,14 @@
    * an empty object: the entry's version must be kept.
    *
    * @param value the new value; copied
-   * @param durable runs once the store is known to hold this value or a later version
+   * @param onDurable runs once the store is known to hold this value or a later version
    */
-  public void put(String name, ObjectNode value, Runnable durable) {
+  public void put(String name, ObjectNode value, Runnable onDurable) {
     ObjectNode versioned = value.deepCopy();
     versioned.put(Versions.FIELD, ++version);
     PendingChange before = pending.remove(name);
     List<Runnable> all = before == null ? new ArrayList<>() : before.durable;
-    all.add(durable);
+    all.add(onDurable);
     localVersion++;
     pending.put(name, new PendingChange(versioned, all));
     armTimer();
@@ -252,7 +252,7 @@
     batch.forEach(
         (name, change) -> stored.put(name, new StoredEntry(change.value, result.revision())));
     commitInFlight = false;
-    settlePending();
+    removeStoredChanges();
     armTimer();
   }
 
@@ -302,13 +302,13 @@
         .onSuccess(
             read -> {
               if (!closed) {
-                loadAgain(read.events());
+                reload(read.events());
               }
             })
         .onFailure(failure -> retryLater(this::reread));
   }
 
-  private void loadAgain(List<VersionedEntry> entries) {
+  private void reload(List<VersionedEntry> entries) {
     Map<String, StoredEntry> before = new TreeMap<>(stored);
     load(entries);
     // The listing doesn't contain entries that only the incarnation's base snapshot holds.
@@ -318,7 +318,7 @@
             stored.putIfAbsent(name, entry);
           }
         });
-    settlePending();
+    removeStoredChanges();
     commitInFlight = false;
     armTimer();
   }
@@ -326,7 +326,7 @@
   /**
    * Removes pending changes of which the store holds this or a later version; runs their actions.
    */
-  private void settlePending() {
+  private void removeStoredChanges() {
     localVersion++;
     List<Runnable> durable = new ArrayList<>();
     pending
--- a/src/main/java/io/embernotch/store/EntryReader.java
+++ b/src/main/java/io/embernotch/store/EntryReader.java
@@ -14,7 +14,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(StoreClient.class);
 
   private static final int PAGE_SIZE = 1000;
-  private static final int TRIES_PER_PAGE = 3;
+  private static final int MAX_PAGE_ATTEMPTS = 3;
 
   /** The timeout of a page is that of other requests multiplied by this. */
   private static final int PAGE_TIMEOUT_FACTOR = 2;
@@ -62,7 +62,7 @@
 
   private void log(VersionedEntry entry, double sentAt) {
     LOG.debug(
-        "read {}: {}; modification revision {}, highest revision seen {}, incarnation {}, answered in {} ms",
+        "read {}: {}; modification revision {}, highest revision {}, incarnation {}, answered in {} ms",
         entry.key(),
         entry.present() ? "present" : "absent",
         entry.modRevision(),
@@ -84,13 +84,13 @@
    * @return the revision of the first page
    */
   Future<Long> forEachPage(String prefix, RequestPriority priority, PageSink sink) {
-    return pagesAfter(prefix, null, priority, sink, NO_REVISION);
+    return readPagesAfter(prefix, null, priority, sink, NO_REVISION);
   }
 
   /** Reads the pages after the key {@code after}, or all pages if it is null. */
-  private Future<Long> pagesAfter(
+  private Future<Long> readPagesAfter(
       String prefix, String after, RequestPriority priority, PageSink sink, long firstRevision) {
-    return page(StoreProtocol.listPath(prefix, after, PAGE_SIZE), priority, TRIES_PER_PAGE)
+    return readPage(StoreProtocol.listPath(prefix, after, PAGE_SIZE), priority, MAX_PAGE_ATTEMPTS)
         .compose(
             reply ->
                 reply.status() == StatusCodes.OK
@@ -103,18 +103,20 @@
               long revision = firstRevision >= 0 ? firstRevision : StoreProtocol.readRevision(page);
               if (StoreProtocol.isTruncated(page) && !entries.isEmpty()) {
                 String last = entries.get(entries.size() - 1).key();
-                return pagesAfter(prefix, last, priority, sink, revision);
+                return readPagesAfter(prefix, last, priority, sink, revision);
               }
               return Future.succeededFuture(revision);
             });
   }
 
   /** Reads one page and retries it on failure, so that the listing need not start again. */
-  private Future<StoreReply> page(String path, RequestPriority priority, int triesLeft) {
+  private Future<StoreReply> readPage(String path, RequestPriority priority, int attemptsLeft) {
     return transport
         .send(StoreRequest.get(path, priority), timeoutS * PAGE_TIMEOUT_FACTOR)
         .recover(
             failure ->
-                triesLeft > 1 ? page(path, priority, triesLeft - 1) : Future.failedFuture(failure));
+                attemptsLeft > 1
+                    ? readPage(path, priority, attemptsLeft - 1)
+                    : Future.failedFuture(failure));
   }
 }
--- a/src/main/java/io/embernotch/store/IncarnationGuard.java
+++ b/src/main/java/io/embernotch/store/IncarnationGuard.java
@@ -30,19 +30,19 @@
   }
 
   /** Number of last written keys that are remembered and checked after a suspected loss. */
-  private static final int REMEMBERED_WRITES = 8;
+  private static final int MAX_LAST_WRITES = 8;
 
   private int generation;
   private long highestRevision;
 
   /** The last written keys, with lower bounds of their modification revisions. */
-  private final Map<String, Long> written =
+  private final Map<String, Long> lastWrites =
       new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-          return size() > REMEMBERED_WRITES;
+          return size() > MAX_LAST_WRITES;
         }
       };
 
@@ -60,7 +60,7 @@
    * Whether no loss was detected since the request was sent. If false, the revision in its answer
    * must not be used.
    */
-  boolean isOf(Baseline baseline) {
+  boolean isCurrent(Baseline baseline) {
     return baseline.generation == generation;
   }
 
@@ -81,16 +81,16 @@
     if (revision <= baseline.minRevision) {
       return false;
     }
-    Long before = written.get(key);
+    Long before = lastWrites.get(key);
     if (before == null || before < revision) {
-      written.put(key, revision);
+      lastWrites.put(key, revision);
     }
     return observe(baseline, revision);
   }
 
   /** Returns the last written keys, with lower bounds of their modification revisions. */
-  Map<String, Long> written() {
-    return Collections.unmodifiableMap(new TreeMap<>(written));
+  Map<String, Long> lastWrites() {
+    return Collections.unmodifiableMap(new TreeMap<>(lastWrites));
   }
 
   /** The highest revision seen in this incarnation. */
@@ -102,7 +102,7 @@
   void discard() {
     generation++;
     highestRevision = 0;
-    written.clear();
+    lastWrites.clear();
   }
 
   /** Sets the key whose modification revision is a condition of every transaction. */
@@ -121,7 +121,7 @@
   }
 
   /** Whether a fence has been set. */
-  boolean fenced() {
+  boolean hasFence() {
     return fence != null;
   }
 
--- a/src/main/java/io/embernotch/store/IncarnationValidator.java
+++ b/src/main/java/io/embernotch/store/IncarnationValidator.java
@@ -44,8 +44,8 @@
     } catch (MalformedInputException e) {
       return unreadable(e);
     }
-    if (!guard.isOf(reply.baseline())) {
-      return lost();
+    if (!guard.isCurrent(reply.baseline())) {
+      return lostFailure();
     }
     long revision = revisionOf.applyAsLong(value);
     return guard.observe(reply.baseline(), revision)
@@ -59,14 +59,14 @@
    */
   Future<ObjectNode> readPage(StoreReply reply, PageSink sink) {
     Future<ObjectNode> page = read(reply, json -> json, StoreProtocol::readRevision);
-    if (!guard.isOf(reply.baseline())) {
-      passOnIfOfLostContents(reply, sink);
+    if (!guard.isCurrent(reply.baseline())) {
+      forwardLostPage(reply, sink);
     }
     return page;
   }
 
   /** A page with a revision below the baseline's minimum is of the contents after the loss. */
-  private static void passOnIfOfLostContents(StoreReply reply, PageSink sink) {
+  private static void forwardLostPage(StoreReply reply, PageSink sink) {
     try {
       ObjectNode page = reply.json();
       if (StoreProtocol.readRevision(page) >= reply.baseline().minRevision()) {
@@ -88,8 +88,8 @@
     } catch (MalformedInputException e) {
       return unreadable(e);
     }
-    if (!guard.isOf(reply.baseline())) {
-      return lost();
+    if (!guard.isCurrent(reply.baseline())) {
+      return lostFailure();
     }
     guard.observe(IncarnationGuard.Baseline.NONE, entry.modRevision());
     return Future.succeededFuture(entry);
@@ -98,8 +98,8 @@
   /** Records an applied transaction; fails if it wrote but the revision did not increase. */
   Future<TransactionResult> recordWrite(
       StoreReply reply, Transaction transaction, TransactionResult result) {
-    return transaction.lastKey() == null
-            || guard.recordWrite(reply.baseline(), transaction.lastKey(), result.revision())
+    return transaction.lastWrittenKey() == null
+            || guard.recordWrite(reply.baseline(), transaction.lastWrittenKey(), result.revision())
         ? Future.succeededFuture(result)
         : revisionFell(reply.baseline().minRevision(), result.revision());
   }
@@ -112,11 +112,11 @@
     if (lossListener != null) {
       lossListener.fenceFailed();
     }
-    return lost();
+    return lostFailure();
   }
 
   /** Reports that the modification revision of a key fell from at least {@code seen}. */
-  <T> Future<T> entryLost(String key, long seen, long now) {
+  <T> Future<T> reportLostEntry(String key, long seen, long now) {
     LOG.warn(
         "{} was written at revision {} or later, now its modification revision is {}",
         key,
@@ -130,7 +130,7 @@
     if (lossListener != null) {
       lossListener.revisionFell(seen, now);
     }
-    return lost();
+    return lostFailure();
   }
 
   private static <T> Future<T> unreadable(MalformedInputException failure) {
@@ -138,7 +138,7 @@
         new StoreException(Kind.UNKNOWN, "unreadable answer: " + failure.getMessage()));
   }
 
-  private static <T> Future<T> lost() {
+  private static <T> Future<T> lostFailure() {
     return Future.failedFuture(
         new StoreException(Kind.LOST, "another store incarnation, or data was lost"));
   }
--- a/src/main/java/io/embernotch/store/LeaseRenewer.java
+++ b/src/main/java/io/embernotch/store/LeaseRenewer.java
@@ -35,10 +35,10 @@
   private final Clock clock;
   private final Timers timers;
   private final Executor loop;
-  private final Executor core;
+  private final Executor coreLoop;
   private final double leaseTtlS;
   private final double safeTtlS;
-  private final double stuckS;
+  private final double coreTimeoutS;
 
   /** Contains null while no lease is kept. */
   private final AtomicReference<ExpiryBound> expiryBound = new AtomicReference<>();
@@ -52,11 +52,11 @@
    * Creates a renewer that keeps no lease.
    *
    * @param loop event loop of this renewer, {@code caller} and {@code timers}
-   * @param core event loop that runs the callbacks of ended leases
+   * @param coreLoop event loop that runs the callbacks of ended leases
    * @param leaseTtlS time to live of the lease in seconds, counted from the sending of a renewal
    * @param drift fraction of the time to live by which the clocks of this node and of the store may
    *     differ
-   * @param stuckS seconds without {@link #coreAlive} after which renewals are suspended
+   * @param coreTimeoutS seconds without {@link #coreAlive} after which renewals are suspended
    */
   public LeaseRenewer(
       HttpCaller caller,
@@ -64,19 +64,19 @@
       Clock clock,
       Timers timers,
       Executor loop,
-      Executor core,
+      Executor coreLoop,
       double leaseTtlS,
       double drift,
-      double stuckS) {
+      double coreTimeoutS) {
     this.caller = caller;
     this.storeAddress = storeAddress;
     this.clock = clock;
     this.timers = timers;
     this.loop = loop;
-    this.core = core;
+    this.coreLoop = coreLoop;
     this.leaseTtlS = leaseTtlS;
     this.safeTtlS = leaseTtlS * (1 - drift);
-    this.stuckS = stuckS;
+    this.coreTimeoutS = coreTimeoutS;
   }
 
   /** Time to live of the lease in seconds. */
@@ -104,15 +104,15 @@
    * @param granted id of the lease
    * @param sentAt when the request that granted the lease was sent, in seconds of the monotonic
    *     clock
-   * @param ended runs on the core event loop, with the id, once the store no longer has the lease
+   * @param onEnded runs on the core event loop, with the id, once the store no longer has the lease
    */
-  public void keep(long granted, double sentAt, LongConsumer ended) {
+  public void keep(long granted, double sentAt, LongConsumer onEnded) {
     coreAlive();
     expiryBound.set(new ExpiryBound(granted, sentAt + safeTtlS));
     loop.execute(
         () -> {
           leaseId = granted;
-          renew(granted, ended);
+          renew(granted, onEnded);
         });
   }
 
@@ -122,54 +122,54 @@
     loop.execute(() -> leaseId = 0);
   }
 
-  private void renew(long renewed, LongConsumer ended) {
-    if (leaseId != renewed) {
+  private void renew(long renewedId, LongConsumer onEnded) {
+    if (leaseId != renewedId) {
       return;
     }
     double sentAt = clock.now();
-    if (sentAt - coreAliveAt > stuckS) {
-      timers.after(leaseTtlS / RENEWALS_PER_TTL, () -> renew(renewed, ended));
+    if (sentAt - coreAliveAt > coreTimeoutS) {
+      timers.after(leaseTtlS / RENEWALS_PER_TTL, () -> renew(renewedId, onEnded));
       return;
     }
     caller
         .call(
             "POST",
             storeAddress,
-            StoreProtocol.leaseRenewalPath(renewed),
+            StoreProtocol.leaseRenewalPath(renewedId),
             null,
             leaseTtlS / RENEWALS_PER_TTL)
-        .onSuccess(reply -> renewalAnswered(renewed, sentAt, reply.status(), ended))
-        .onFailure(failure -> retry(renewed, ended));
+        .onSuccess(reply -> handleRenewalReply(renewedId, sentAt, reply.status(), onEnded))
+        .onFailure(failure -> retry(renewedId, onEnded));
   }
 
-  private void renewalAnswered(long renewed, double sentAt, int status, LongConsumer ended) {
-    if (leaseId != renewed) {
+  private void handleRenewalReply(long renewedId, double sentAt, int status, LongConsumer onEnded) {
+    if (leaseId != renewedId) {
       return;
     }
     switch (status) {
       case StatusCodes.NOT_FOUND -> {
         leaseId = 0;
-        core.execute(() -> ended.accept(renewed));
+        coreLoop.execute(() -> onEnded.accept(renewedId));
       }
       case StatusCodes.OK -> {
-        extendBound(renewed, sentAt + safeTtlS);
+        extendBound(renewedId, sentAt + safeTtlS);
         double nextAt = sentAt + leaseTtlS / RENEWALS_PER_TTL;
-        timers.after(Math.max(0, nextAt - clock.now()), () -> renew(renewed, ended));
+        timers.after(Math.max(0, nextAt - clock.now()), () -> renew(renewedId, onEnded));
       }
-      default -> retry(renewed, ended);
+      default -> retry(renewedId, onEnded);
     }
   }
 
   /** Extends the bound unless that lease was released meanwhile and another one is kept. */
-  private void extendBound(long renewed, double until) {
+  private void extendBound(long renewedId, double until) {
     expiryBound.updateAndGet(
         bound ->
-            bound != null && bound.leaseId == renewed
-                ? new ExpiryBound(renewed, Math.max(bound.until, until))
+            bound != null && bound.leaseId == renewedId
+                ? new ExpiryBound(renewedId, Math.max(bound.until, until))
                 : bound);
   }
 
-  private void retry(long renewed, LongConsumer ended) {
-    timers.after(leaseTtlS / RETRIES_PER_TTL, () -> renew(renewed, ended));
+  private void retry(long renewedId, LongConsumer onEnded) {
+    timers.after(leaseTtlS / RETRIES_PER_TTL, () -> renew(renewedId, onEnded));
   }
 }
--- a/src/main/java/io/embernotch/store/RateLimiter.java
+++ b/src/main/java/io/embernotch/store/RateLimiter.java
@@ -43,7 +43,7 @@
           Comparator.comparing(WaitingRequest::priority)
               .thenComparingLong(WaitingRequest::sequence));
   private double tokens;
-  private double filledAt;
+  private double refilledAt;
   private long nextSequence;
   private double armedFor = NOT_ARMED;
 
@@ -57,7 +57,7 @@
     this.clock = clock;
     this.timers = timers;
     this.burstS = burstS;
-    this.filledAt = clock.now();
+    this.refilledAt = clock.now();
     setRate(rate);
     this.tokens = burst;
   }
@@ -81,7 +81,7 @@
       return;
     }
     queue.add(new WaitingRequest(priority, nextSequence++, cost, action));
-    arm();
+    armTimer();
   }
 
   /** Returns {@code cost} unused tokens to the bucket; takes more tokens if negative. */
@@ -121,11 +121,11 @@
 
   private void refill() {
     double now = clock.now();
-    tokens = Math.min(burst, tokens + (now - filledAt) * rate);
-    filledAt = now;
+    tokens = Math.min(burst, tokens + (now - refilledAt) * rate);
+    refilledAt = now;
   }
 
-  private void arm() {
+  private void armTimer() {
     if (queue.isEmpty()) {
       return;
     }
@@ -151,6 +151,6 @@
       tokens -= waiting.cost;
       waiting.action.run();
     }
-    arm();
+    armTimer();
   }
 }
--- a/src/main/java/io/embernotch/store/StoreProtocol.java
+++ b/src/main/java/io/embernotch/store/StoreProtocol.java
@@ -34,7 +34,7 @@
   static final String WRITE = "write";
 
   /** Field with the key that an operation or event deletes. */
-  static final String DROP = "drop";
+  static final String DELETE = "drop";
 
   /** Field with the conditions of a transaction. */
   static final String CONDITIONS = "when";
@@ -172,9 +172,9 @@
   }
 
   private static VersionedEntry readEvent(JsonNode event) {
-    JsonNode dropped = Json.opt(event, DROP);
-    if (dropped != null) {
-      return new VersionedEntry(dropped.asText(), null, Json.whole(event, MOD_REVISION));
+    JsonNode deletedKey = Json.opt(event, DELETE);
+    if (deletedKey != null) {
+      return new VersionedEntry(deletedKey.asText(), null, Json.whole(event, MOD_REVISION));
     }
     return new VersionedEntry(
         Json.text(event, WRITE), readValue(event), Json.whole(event, MOD_REVISION));
--- a/src/main/java/io/embernotch/store/StoreTransport.java
+++ b/src/main/java/io/embernotch/store/StoreTransport.java
@@ -18,7 +18,7 @@
  */
 final class StoreTransport {
   /** Delay before a throttled request is retried; part of the store's limit is free again then. */
-  private static final double THROTTLE_RETRY_S = 0.1;
+  private static final double THROTTLE_RETRY_DELAY_S = 0.1;
 
   /** The value of {@code failingSince} while the store answers requests. */
   private static final double NOT_FAILING = -1;
@@ -90,11 +90,11 @@
     IncarnationGuard.Baseline baseline = guard.baseline();
     caller
         .call(request.method(), storeAddress, request.path(), request.body(), remainingS)
-        .onSuccess(reply -> answered(request, deadline, promise, reply, baseline))
-        .onFailure(failure -> callFailed(promise, failure));
+        .onSuccess(reply -> handleReply(request, deadline, promise, reply, baseline))
+        .onFailure(failure -> handleCallFailure(promise, failure));
   }
 
-  private void answered(
+  private void handleReply(
       StoreRequest request,
       double deadline,
       Promise<StoreReply> promise,
@@ -102,7 +102,7 @@
       IncarnationGuard.Baseline baseline) {
     if (reply.status() == StatusCodes.TOO_MANY_REQUESTS) {
       // The store has not executed a throttled request.
-      timers.after(THROTTLE_RETRY_S, () -> sendWhenAllowed(request, deadline, promise));
+      timers.after(THROTTLE_RETRY_DELAY_S, () -> sendWhenAllowed(request, deadline, promise));
     } else if (reply.status() == StatusCodes.UNAVAILABLE) {
       recordFailure();
       promise.fail(new StoreException(Kind.REFUSED, "state service answers 503"));
@@ -113,7 +113,7 @@
     }
   }
 
-  private void callFailed(Promise<StoreReply> promise, Throwable failure) {
+  private void handleCallFailure(Promise<StoreReply> promise, Throwable failure) {
     recordFailure();
     boolean sent = !(failure instanceof CallFailedException call) || call.sent();
     promise.fail(new StoreException(sent ? Kind.UNKNOWN : Kind.REFUSED, failure.getMessage()));
--- a/src/main/java/io/embernotch/store/Transaction.java
+++ b/src/main/java/io/embernotch/store/Transaction.java
@@ -18,7 +18,7 @@
   private final ArrayNode conditions = body.putArray(StoreProtocol.CONDITIONS);
   private final ArrayNode operations = body.putArray(StoreProtocol.OPERATIONS);
   private boolean fenced = true;
-  private String lastKey;
+  private String lastWrittenKey;
   private final Map<String, ObjectNode> writes = new LinkedHashMap<>();
 
   /** Adds the condition that the key has this modification revision; 0 means that it is absent. */
@@ -40,7 +40,7 @@
   }
 
   private ObjectNode addWrite(String key, ObjectNode value) {
-    lastKey = key;
+    lastWrittenKey = key;
     writes.put(key, value);
     ObjectNode operation = operations.addObject().put(StoreProtocol.WRITE, key);
     operation.set(StoreProtocol.VALUE, value);
@@ -49,7 +49,7 @@
 
   /** Adds a deletion of {@code key}. */
   public Transaction drop(String key) {
-    operations.addObject().put(StoreProtocol.DROP, key);
+    operations.addObject().put(StoreProtocol.DELETE, key);
     return this;
   }
 
@@ -63,8 +63,8 @@
   }
 
   /** The key of the last write; null if there is no write. */
-  String lastKey() {
-    return lastKey;
+  String lastWrittenKey() {
+    return lastWrittenKey;
   }
 
   /** The written values, by key. */
--- a/src/main/java/io/embernotch/store/WriteVerifier.java
+++ b/src/main/java/io/embernotch/store/WriteVerifier.java
@@ -33,7 +33,7 @@
         .get(key)
         .compose(
             entry ->
-                entry.present() || !guard.fenced()
+                entry.present() || !guard.hasFence()
                     ? Future.succeededFuture(entry)
                     : transactions
                         .commit(new Transaction(), RequestPriority.NORMAL)
@@ -42,7 +42,7 @@
 
   /** See {@link StoreClient#verifyUnchanged}. */
   Future<Boolean> verifyUnchanged(String key, long modRevision) {
-    Map<String, Long> written = new HashMap<>(guard.written());
+    Map<String, Long> written = new HashMap<>(guard.lastWrites());
     written.remove(key);
     Transaction comparison = new Transaction().when(key, modRevision);
     written.forEach(comparison::when);
@@ -72,6 +72,6 @@
             entry ->
                 entry.present() && entry.modRevision() >= modRevision
                     ? Future.succeededFuture(true)
-                    : validator.entryLost(key, modRevision, entry.modRevision()));
+                    : validator.reportLostEntry(key, modRevision, entry.modRevision()));
   }
 }
--- a/src/test/java/io/embernotch/store/LeaseRenewerTest.java
+++ b/src/test/java/io/embernotch/store/LeaseRenewerTest.java
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void renewsWhileTheCoreIsBusyButNotForEver() {
+  void renewsWhileTheCoreLoopIsBusyUntilTheCoreTimeout() {
     leaseRenewer.keep(7, time.now(), ended::add);
     time.advance(7);
     assertThat(remainingS()).isGreaterThan(LEASE_TTL_S / 2);
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void aRenewalCountsFromItsSendingAndOnlyIfAnswered() {
+  void onlyAnAnsweredRenewalExtendsTheLeaseFromItsSendTime() {
     leaseRenewer.keep(7, time.now(), ended::add);
     time.advance(0.5);
     double proven = leaseRenewer.provenUntil();
@@ -89,7 +89,7 @@
   }
 
   @Test
-  void anAnswerAboutAFormerLeaseProvesNothingOfTheNextOne() {
+  void anAnswerForAReleasedLeaseDoesNotExtendTheNextLease() {
     lateReply = Promise.promise();
     leaseRenewer.keep(7, time.now(), ended::add);
     time.advance(0.1);
--- a/src/test/java/io/embernotch/store/StoreClientTest.java
+++ b/src/test/java/io/embernotch/store/StoreClientTest.java
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void higherPriorityPassesNormalAndBackgroundWaitsForHalfOfTheBurst() {
+  void highPriorityGoesBeforeNormalAndBackgroundWaitsForHalfTheBurst() {
     RateLimiter limiter = new RateLimiter(time, time, 10, 1);
     List<String> granted = new ArrayList<>();
     limiter.acquire(10, RequestPriority.NORMAL, () -> granted.add("burst"));
--- a/src/test/java/io/embernotch/store/StoreProtocolTest.java
+++ b/src/test/java/io/embernotch/store/StoreProtocolTest.java
@@ -24,7 +24,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"3", "\"x\"", "[]", "null", "true"})
-  void aValueThatIsNoObjectIsThereAndFailsNoOther(String value) {
+  void aValueThatIsNotAnObjectIsPresentAndTheOtherEntriesAreRead(String value) {
     List<VersionedEntry> page =
         StoreProtocol.readPage(
             parse(
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void aPageOfAnotherShapeIsATypedFailure() {
+  void aPageWithEntriesThatAreNotObjectsIsReportedAsMalformed() {
     assertThatThrownBy(() -> StoreProtocol.readPage(parse("{\"pairs\":[3]}")))
         .isInstanceOf(MalformedInputException.class);
   }
