--- a/src/main/java/io/embernotch/store/WriteVerifier.java
+++ b/src/main/java/io/embernotch/store/WriteVerifier.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * Verifies that the store still holds what this process wrote last. Contents that were restored
- * from an earlier moment may have reached the revisions that we have seen; the last keys that we
- * wrote they cannot hold.
+ * Verifies that the store still holds the last writes known to this controller. Contents that were
+ * restored from an earlier state may since have reached the highest revision seen, but they lack
+ * the last writes.
  */
 final class WriteVerifier {
   private final IncarnationGuard guard;
@@ -27,13 +27,13 @@
     this.transactions = transactions;
   }
 
-  /** Reads a key; if it is absent, also checks that the incarnation's fence still stands. */
+  /** Reads a key; if it is absent, also checks that the incarnation's fence still holds. */
   Future<VersionedEntry> getConfirmed(String key) {
     return entries
         .get(key)
         .compose(
             entry ->
-                entry.present() || !guard.fenced()
+                entry.present() || !guard.hasFence()
                     ? Future.succeededFuture(entry)
                     : transactions
                         .commit(new Transaction(), RequestPriority.NORMAL)
@@ -42,7 +42,7 @@
 
   /** See {@link StoreClient#verifyUnchanged}. */
   Future<Boolean> verifyUnchanged(String key, long modRevision) {
-    Map<String, Long> written = new HashMap<>(guard.written());
+    Map<String, Long> written = new HashMap<>(guard.lastWrites());
     written.remove(key);
     Transaction comparison = new Transaction().when(key, modRevision);
     written.forEach(comparison::when);
@@ -62,8 +62,8 @@
   }
 
   /**
-   * A write of ours whose answer is still to come may have raised the modification revision;
-   * nothing lowers it but a loss.
+   * Checks that a key has at least this modification revision. A write that is not answered yet may
+   * have increased it; only a loss decreases it.
    */
   private Future<Boolean> verifyAtLeast(String key, long modRevision) {
     return entries
@@ -72,6 +72,6 @@
             entry ->
                 entry.present() && entry.modRevision() >= modRevision
                     ? Future.succeededFuture(true)
-                    : validator.entryLost(key, modRevision, entry.modRevision()));
+                    : validator.reportLostEntry(key, modRevision, entry.modRevision()));
   }
 }
