--- a/src/main/java/io/embernotch/actor/Actor.java
+++ b/src/main/java/io/embernotch/actor/Actor.java
@@ -29,7 +29,7 @@
    * Puts a message into the mailbox; it is received in order, after the caller has returned. To be
    * called on the actor's loop.
    */
-  public final void tell(M message) {
+  public final void send(M message) {
     mailbox.add(message);
     if (!scheduled) {
       scheduled = true;
--- a/src/main/java/io/embernotch/agents/AgentReconciler.java
+++ b/src/main/java/io/embernotch/agents/AgentReconciler.java
@@ -35,7 +35,7 @@
      *
      * @param reason the proof, for the log
      */
-    void attemptGone(Attempt attempt, Machine machine, String reason);
+    void attemptLost(Attempt attempt, Machine machine, String reason);
 
     /** Called when an agent reports a fencing token of a later term. */
     void superseded(long token);
@@ -158,7 +158,7 @@
    * @return false if the machine was deleted in this term, or if the heartbeat proves that this
    *     leader is superseded
    */
-  public boolean processForwarded(Heartbeat heartbeat) {
+  public boolean processWithoutReply(Heartbeat heartbeat) {
     return heartbeats.processWithoutResponse(heartbeat);
   }
 
@@ -194,7 +194,7 @@
   }
 
   /** Requests the status of a machine that has sent no heartbeat yet; otherwise does nothing. */
-  public void find(Machine machine) {
+  public void discover(Machine machine) {
     prober.discover(machine);
   }
 }
--- a/src/main/java/io/embernotch/agents/AttemptReconciler.java
+++ b/src/main/java/io/embernotch/agents/AttemptReconciler.java
@@ -82,7 +82,7 @@
     switch (attempt.launchState) {
       case CONFIRMED -> {
         if (newAgentEpoch || heartbeat.token() > attempt.startToken) {
-          listener.attemptGone(
+          listener.attemptLost(
               attempt, machine, newAgentEpoch ? "new agent epoch" : "no longer in heartbeats");
         } else {
           // The agent may have restarted without its tasks. It would still execute a delayed copy
@@ -100,7 +100,7 @@
         // known only for commands of this term.
         if (heartbeat.token() > attempt.startToken
             || (newAgentEpoch && attempt.startToken >= tokenBase)) {
-          listener.attemptGone(attempt, machine, "never started");
+          listener.attemptLost(attempt, machine, "never started");
         }
       }
       case UNCOMMITTED, READY, SENDING -> {
@@ -117,7 +117,7 @@
   void startNotExecuted(Attempt attempt, Machine machine) {
     attempt.launchState = LaunchState.READY;
     if (attempt.stopping) {
-      listener.attemptGone(attempt, machine, "never started");
+      listener.attemptLost(attempt, machine, "never started");
     }
   }
 
--- a/src/main/java/io/embernotch/agents/CommandSender.java
+++ b/src/main/java/io/embernotch/agents/CommandSender.java
@@ -100,7 +100,7 @@
     for (Attempt attempt : batch.starting) {
       attempt.launchState = LaunchState.SENDING;
       attempt.startToken = machine.token;
-      machine.highestSentToken = machine.token;
+      machine.highestStartToken = machine.token;
     }
     batch.stopping.forEach(attempt -> attempt.stopSentAt = now);
     send(machine, batch);
@@ -183,7 +183,7 @@
       machine.commandFailedAt = context.clock().now();
     }
     if (executed
-        && !heartbeat.newerThan(machine.agentEpoch, machine.heartbeatSeq)
+        && !heartbeat.isNewerThan(machine.agentEpoch, machine.heartbeatSeq)
         && heartbeat.agentEpoch() == machine.agentEpoch) {
       // A newer heartbeat overtook this response. It was reconciled while these starts still
       // counted as in flight.
--- a/src/main/java/io/embernotch/agents/HeartbeatProcessor.java
+++ b/src/main/java/io/embernotch/agents/HeartbeatProcessor.java
@@ -100,7 +100,7 @@
     return WorkerCodec.response(machine.token, commands);
   }
 
-  /** See {@link AgentReconciler#processForwarded}. */
+  /** See {@link AgentReconciler#processWithoutReply}. */
   boolean processWithoutResponse(Heartbeat heartbeat) {
     return !wasDeleted(heartbeat.machine())
         && reconcileCurrentIncarnation(heartbeat, state.machine(heartbeat.machine(), tokenBase));
@@ -122,7 +122,7 @@
   }
 
   private static boolean isNewer(Heartbeat heartbeat, Machine machine) {
-    return heartbeat.newerThan(machine.agentEpoch, machine.heartbeatSeq);
+    return heartbeat.isNewerThan(machine.agentEpoch, machine.heartbeatSeq);
   }
 
   /**
--- a/src/main/java/io/embernotch/agents/HeartbeatResponder.java
+++ b/src/main/java/io/embernotch/agents/HeartbeatResponder.java
@@ -114,7 +114,7 @@
             status.attempt());
         commands.add(command(AgentCommand.Verb.STOP, status));
       } else if (noDelayedStart && listener.isOutcomePersisted(status.ref(), status.task())) {
-        machine.token = Math.max(machine.token, machine.highestSentToken + 1);
+        machine.token = Math.max(machine.token, machine.highestStartToken + 1);
         commands.add(command(AgentCommand.Verb.FORGET, status));
       }
     }
--- a/src/main/java/io/embernotch/agents/ReachabilityTracker.java
+++ b/src/main/java/io/embernotch/agents/ReachabilityTracker.java
@@ -120,7 +120,7 @@
           Math.round(now - machine.unreachableSince));
     }
     machine.confirmedAliveAt = now;
-    machine.missedAcknowledgements = 0;
+    machine.unreachableSigns = 0;
     machine.forwarderChanges = 0;
     machine.callUnanswered = false;
     machine.unreachableSince = -1;
@@ -144,8 +144,8 @@
   }
 
   private static void recordUnreachableSign(Machine machine, double now) {
-    machine.missedAcknowledgements++;
-    if (machine.missedAcknowledgements >= SIGNS_REQUIRED && machine.unreachableSince < 0) {
+    machine.unreachableSigns++;
+    if (machine.unreachableSigns >= SIGNS_REQUIRED && machine.unreachableSince < 0) {
       machine.unreachableSince = now;
       LOG.info(
           "machine {} is unreachable (one-way partition), with {} open attempts",
--- a/src/main/java/io/embernotch/agents/StatusProber.java
+++ b/src/main/java/io/embernotch/agents/StatusProber.java
@@ -97,7 +97,7 @@
      * token. Then it is from another incarnation of the machine.
      */
     boolean isContradictedBy(Heartbeat heartbeat) {
-      return !heartbeat.newerThan(agentEpoch, heartbeatSeq) || heartbeat.token() < reportedToken;
+      return !heartbeat.isNewerThan(agentEpoch, heartbeatSeq) || heartbeat.token() < reportedToken;
     }
   }
 
--- a/src/main/java/io/embernotch/agents/TaskLauncher.java
+++ b/src/main/java/io/embernotch/agents/TaskLauncher.java
@@ -65,7 +65,7 @@
   public void launch(SchedulingPlan.Start start, double now) {
     Job job = start.job();
     if (job.openAttempts.isEmpty() && job.done.isEmpty() && job.restartedTasks.isEmpty()) {
-      state.largestJobWaits.recordStart(job, context.clock().wallMs());
+      state.largestJobWaitTimes.recordStart(job, context.clock().wallMs());
     }
     long number = job.nextAttempt++;
     RequestPriority priority = isProduction(job) ? RequestPriority.HIGH : RequestPriority.NORMAL;
@@ -105,7 +105,7 @@
   /** Collects the starts of one commit, so that each machine gets them in one call. */
   private void sendSoon(Machine machine) {
     if (machinesWithDueStarts.isEmpty()) {
-      context.loop().execute(this::sendCollected);
+      context.coreLoop().execute(this::sendCollected);
     }
     machinesWithDueStarts.add(machine);
   }
--- a/src/main/java/io/embernotch/agents/TaskStopper.java
+++ b/src/main/java/io/embernotch/agents/TaskStopper.java
@@ -103,7 +103,7 @@
    * @return whether the machine is up and has no open attempts, and is either about to be reclaimed
    *     or cordoned
    */
-  public boolean drained(Machine machine) {
+  public boolean drain(Machine machine) {
     if (machine.reclaimAt >= 0) {
       for (Attempt attempt : List.copyOf(machine.openAttempts.values())) {
         if (!attempt.stopping && attempt.job.finalPhase == null) {
--- a/src/main/java/io/embernotch/agents/WorkerCalls.java
+++ b/src/main/java/io/embernotch/agents/WorkerCalls.java
@@ -30,7 +30,7 @@
       double timeoutS) {
     try {
       HostPort address = HostPort.parse(machine.address);
-      return context.workers().call(method, address, path, body, timeoutS);
+      return context.agentClient().call(method, address, path, body, timeoutS);
     } catch (RuntimeException e) {
       return Future.failedFuture(CallFailedException.untried(e.getMessage()));
     }
--- a/src/main/java/io/embernotch/api/CompletedJobCache.java
+++ b/src/main/java/io/embernotch/api/CompletedJobCache.java
@@ -45,12 +45,14 @@
   /** The response to a poll; null if no end of the job is known. */
   public HttpResponse status(String ref) {
     CompletedJob job = completed.get(ref);
-    return job == null ? null : HttpResponse.of(200, JobCodec.status(ref, job.phase, job.done, 0));
+    return job == null
+        ? null
+        : HttpResponse.of(200, JobCodec.statusResponse(ref, job.phase, job.done, 0));
   }
 
   /** The response to a submission or a cancellation; null if no end of the job is known. */
   public HttpResponse brief(String ref) {
     CompletedJob job = completed.get(ref);
-    return job == null ? null : HttpResponse.of(200, JobCodec.brief(ref, job.phase));
+    return job == null ? null : HttpResponse.of(200, JobCodec.phaseResponse(ref, job.phase));
   }
 }
--- a/src/main/java/io/embernotch/api/DependencyValidator.java
+++ b/src/main/java/io/embernotch/api/DependencyValidator.java
@@ -25,20 +25,22 @@
 
   private final ControllerContext context;
   private final Supplier<BaseSnapshot> baseSnapshot;
-  private final BooleanSupplier mayDenyJobs;
+  private final BooleanSupplier mayAnswerNotFound;
 
   /** By id: accepted jobs, and whether they are services. */
   private final Map<String, Boolean> services = new LeastRecentlyUsed<>(MAX_CACHED_JOBS);
 
   /**
    * @param baseSnapshot what the present store incarnation began with
-   * @param mayDenyJobs whether a job that the store does not hold was never accepted
+   * @param mayAnswerNotFound whether a job that the store does not hold was never accepted
    */
   DependencyValidator(
-      ControllerContext context, Supplier<BaseSnapshot> baseSnapshot, BooleanSupplier mayDenyJobs) {
+      ControllerContext context,
+      Supplier<BaseSnapshot> baseSnapshot,
+      BooleanSupplier mayAnswerNotFound) {
     this.context = context;
     this.baseSnapshot = baseSnapshot;
-    this.mayDenyJobs = mayDenyJobs;
+    this.mayAnswerNotFound = mayAnswerNotFound;
   }
 
   /** The job is in the store. */
@@ -75,14 +77,14 @@
   }
 
   private Future<Optional<String>> readAndCheck(String ref) {
-    if (baseSnapshot.get().ended(ref) != null) {
+    if (baseSnapshot.get().endedJob(ref) != null) {
       // Only its end is left. A service that has ended was cancelled, and so is what depends on it.
       return Future.succeededFuture(Optional.empty());
     }
     return PersistedJob.submission(context.store(), baseSnapshot.get(), ref)
         .map(
             entry -> {
-              if (!entry.present() && !mayDenyJobs.getAsBoolean()) {
+              if (!entry.present() && !mayAnswerNotFound.getAsBoolean()) {
                 throw new IllegalStateException(ref + " may have been accepted before a loss");
               }
               if (!entry.present()) {
--- a/src/main/java/io/embernotch/api/JobAnswers.java
+++ b/src/main/java/io/embernotch/api/JobAnswers.java
@@ -65,11 +65,11 @@
    * @param revision the highest revision of the store that was seen
    * @param incarnation the store incarnation
    */
-  public record Knowledge(String leader, long epoch, long revision, String incarnation) {}
+  public record AnswerContext(String leader, long epoch, long revision, String incarnation) {}
 
   private final ControllerContext context;
   private final CompletedJobCache completedJobs;
-  private final Supplier<Knowledge> knowledge;
+  private final Supplier<AnswerContext> knowledge;
   private final Map<Source, Integer> counts = new EnumMap<>(Source.class);
 
   /** Ends that were told here, whether or not they are in the cache that answers are given from. */
@@ -80,15 +80,17 @@
 
   /** {@code knowledge}: what the controller knows at the moment it is asked. */
   public JobAnswers(
-      ControllerContext context, CompletedJobCache completedJobs, Supplier<Knowledge> knowledge) {
+      ControllerContext context,
+      CompletedJobCache completedJobs,
+      Supplier<AnswerContext> knowledge) {
     this.context = context;
     this.completedJobs = completedJobs;
     this.knowledge = knowledge;
   }
 
   /** A question that has just arrived. */
-  public Question asked(Kind kind, String ref) {
-    return new Question(kind, ref, context.clock().now(), knownEnd(ref));
+  public JobQuery startQuery(Kind kind, String ref) {
+    return new JobQuery(kind, ref, context.clock().now(), knownEnd(ref));
   }
 
   /** How many answers contradicted an end that was known, and were not given. */
@@ -97,7 +99,7 @@
   }
 
   /** How many answers were overtaken by the job's end, which was told instead. */
-  public int overtaken() {
+  public int outdatedAnswers() {
     return overtaken;
   }
 
@@ -120,7 +122,7 @@
   }
 
   /** A question about one job, from its arrival to its answer. */
-  public final class Question {
+  public final class JobQuery {
     private final Kind kind;
     private final String ref;
     private final double askedAt;
@@ -128,7 +130,7 @@
     /** Null if no end was known when the question arrived. */
     private final JobPhase endWhenAsked;
 
-    private Question(Kind kind, String ref, double askedAt, JobPhase endWhenAsked) {
+    private JobQuery(Kind kind, String ref, double askedAt, JobPhase endWhenAsked) {
       this.kind = kind;
       this.ref = ref;
       this.askedAt = askedAt;
@@ -160,7 +162,7 @@
       if (endWhenAsked == null && !ended) {
         // Right as of its question; but the job has ended since, and that may have been told.
         overtaken++;
-        return HttpResponse.of(SUCCESS, JobCodec.brief(ref, knownEnd));
+        return HttpResponse.of(SUCCESS, JobCodec.phaseResponse(ref, knownEnd));
       }
       contradictions++;
       LOG.error(
@@ -170,14 +172,14 @@
           lowerCase(source),
           phase == null ? "that it was never accepted" : lowerCase(phase),
           lowerCase(knownEnd));
-      return HttpResponse.later("what is known of it is contradictory");
+      return HttpResponse.unavailable("what is known of it is contradictory");
     }
 
     private void log(Source source, HttpResponse response) {
       if (!LOG.isDebugEnabled()) {
         return;
       }
-      Knowledge known = knowledge.get();
+      AnswerContext known = knowledge.get();
       LOG.debug(
           "{} answers {} of {}: {} {}, decided by {}; leader {} of epoch {}, revision {}, incarnation {}, asked {} ms ago",
           context.settings().node(),
--- a/src/main/java/io/embernotch/api/PendingSubmission.java
+++ b/src/main/java/io/embernotch/api/PendingSubmission.java
@@ -36,7 +36,7 @@
   void start() {
     after(
         services.patienceS(),
-        () -> reply.tryComplete(HttpResponse.later("the state service does not answer")));
+        () -> reply.tryComplete(HttpResponse.unavailable("the state service does not answer")));
     StoreClient store = services.context().store();
     if (store.failingForS() > 0 || store.writeWaitS() > services.hedgeS()) {
       // Another controller may have write capacity left while writes here wait behind starts.
@@ -83,7 +83,7 @@
       services.dependencies().accepted(submission.job().spec);
       services.recent().add(ref, submission.value());
       services.host().submissionAccepted(submission.job(), submission.value(), result.revision());
-      reply.tryComplete(HttpResponse.of(201, JobCodec.brief(ref, JobPhase.QUEUED)));
+      reply.tryComplete(HttpResponse.of(201, JobCodec.phaseResponse(ref, JobPhase.QUEUED)));
       return;
     }
     services.statusOfAccepted(ref).onSuccess(reply::tryComplete);
@@ -121,7 +121,7 @@
 
   private void replyIfBothFailed() {
     if (writeFailed && (forwardFailed || !forwarded)) {
-      reply.tryComplete(HttpResponse.later("the state service does not take it"));
+      reply.tryComplete(HttpResponse.unavailable("the state service does not take it"));
     }
   }
 
--- a/src/main/java/io/embernotch/api/PersistedStatus.java
+++ b/src/main/java/io/embernotch/api/PersistedStatus.java
@@ -48,7 +48,7 @@
 
   /** The response to a poll: 200, 404 or 503. */
   public Future<HttpResponse> of(String ref) {
-    ClusterState.EndedJob ended = baseSnapshot.get().ended(ref);
+    ClusterState.EndedJob ended = baseSnapshot.get().endedJob(ref);
     if (ended != null) {
       completedJobs.put(ref, ended.phase(), ended.done());
       return Future.succeededFuture(completedJobs.status(ref));
@@ -60,7 +60,7 @@
 
   /** The response where a read failed, or what it brought can't be read. */
   private static HttpResponse unknown(Throwable failure) {
-    return HttpResponse.later(
+    return HttpResponse.unavailable(
         failure instanceof MalformedInputException
             ? "what the state service holds of it can't be read"
             : "the state service does not answer");
@@ -84,7 +84,7 @@
     }
     int running = phase == JobPhase.RUNNING ? job.openAttempts.size() : 0;
     return Future.succeededFuture(
-        HttpResponse.of(200, JobCodec.status(job.spec.ref(), phase, done, running)));
+        HttpResponse.of(200, JobCodec.statusResponse(job.spec.ref(), phase, done, running)));
   }
 
   /** A breadth-first search for a cancelled dependency of a job that has no end of its own. */
@@ -106,10 +106,10 @@
       }
       if (reads == MAX_DEPENDENCY_READS) {
         return Future.succeededFuture(
-            HttpResponse.later("too many jobs before this one, and no steward"));
+            HttpResponse.unavailable("too many jobs before this one, and no steward"));
       }
       String ref = queue.poll();
-      ClusterState.EndedJob ended = baseSnapshot.get().ended(ref);
+      ClusterState.EndedJob ended = baseSnapshot.get().endedJob(ref);
       if (ended != null && ended.phase() == JobPhase.CANCELLED) {
         return status(job, JobPhase.CANCELLED);
       }
@@ -128,7 +128,7 @@
       reads++;
       if (dependency == null) {
         return Future.succeededFuture(
-            HttpResponse.later("what the state service holds is not known yet"));
+            HttpResponse.unavailable("what the state service holds is not known yet"));
       }
       if (dependency.finalPhase == JobPhase.CANCELLED) {
         return status(job, JobPhase.CANCELLED);
--- a/src/main/java/io/embernotch/api/RecentSubmissions.java
+++ b/src/main/java/io/embernotch/api/RecentSubmissions.java
@@ -54,7 +54,7 @@
   /** A new incarnation has begun: writes the submissions that it did not begin with. */
   void restoreLost() {
     for (Map.Entry<String, byte[]> entry : values.entrySet()) {
-      if (!host.base().has(entry.getKey())) {
+      if (!host.baseSnapshot().containsJob(entry.getKey())) {
         ObjectNode value = Json.parseObject(entry.getValue());
         rewrite(entry.getKey(), value.put(JobProgressCodec.REWRITTEN_AFTER_LOSS, true));
       }
--- a/src/main/java/io/embernotch/api/SubmissionHandler.java
+++ b/src/main/java/io/embernotch/api/SubmissionHandler.java
@@ -53,13 +53,13 @@
     boolean storeIsIntact();
 
     /** Whether a job that the store does not hold was never accepted; false after some losses. */
-    boolean mayDenyJobs();
+    boolean mayAnswerNotFound();
 
     /** The name of the present store incarnation. */
     String incarnationName();
 
     /** What the present store incarnation began with. */
-    BaseSnapshot base();
+    BaseSnapshot baseSnapshot();
 
     /** The present status of a job: 200, 404 if it was never accepted, or 503. */
     Future<HttpResponse> poll(String ref);
@@ -107,7 +107,7 @@
             context,
             host,
             writer,
-            new DependencyValidator(context, host::base, host::mayDenyJobs),
+            new DependencyValidator(context, host::baseSnapshot, host::mayAnswerNotFound),
             new RecentSubmissions(context, host, writer, patienceS),
             hedgeS,
             patienceS);
@@ -130,7 +130,7 @@
     } catch (MalformedInputException e) {
       return Future.succeededFuture(HttpResponse.error(400, e.getMessage()));
     }
-    JobAnswers.Question question = answers.asked(kind, JobCodec.refOf(request));
+    JobAnswers.JobQuery question = answers.startQuery(kind, JobCodec.refOf(request));
     return handle(request, body, kind == JobAnswers.Kind.SUBMISSION)
         .map(response -> question.answer(JobAnswers.Source.SUBMISSION, response));
   }
@@ -144,7 +144,7 @@
           JobCodec.refOf(request), HttpResponse.error(400, e.getMessage()));
     }
     if (types.isEmpty()) {
-      return Future.succeededFuture(HttpResponse.later("machine types are not known yet"));
+      return Future.succeededFuture(HttpResponse.unavailable("machine types are not known yet"));
     }
     Optional<String> rejectionReason =
         AdmissionControl.rejectionReason(spec, context.settings().teams(), types.values());
@@ -178,9 +178,11 @@
   private Future<HttpResponse> admit(JobSpec spec, byte[] body, boolean mayForward) {
     if (!host.storeIsIntact()) {
       return refuse(
-          body, mayForward, HttpResponse.later("what the state service holds is not known yet"));
+          body,
+          mayForward,
+          HttpResponse.unavailable("what the state service holds is not known yet"));
     }
-    if (host.base().has(spec.ref())) {
+    if (host.baseSnapshot().containsJob(spec.ref())) {
       // Its key may be gone; written anew it would be a job that has done nothing.
       return host.poll(spec.ref());
     }
@@ -189,7 +191,7 @@
       return refuse(
           body,
           mayForward,
-          HttpResponse.later(
+          HttpResponse.unavailable(
               "more is submitted than the state service takes", (int) Math.ceil(waitS)));
     }
     Job job = new Job(spec, context.clock().wallMs());
--- a/src/main/java/io/embernotch/api/SubmissionServices.java
+++ b/src/main/java/io/embernotch/api/SubmissionServices.java
@@ -25,7 +25,9 @@
   /** The present status of a job that is in the store. */
   Future<HttpResponse> statusOfAccepted(String ref) {
     return host.poll(ref)
-        .map(status -> status.status() == 404 ? HttpResponse.later("not accepted yet") : status);
+        .map(
+            status ->
+                status.status() == 404 ? HttpResponse.unavailable("not accepted yet") : status);
   }
 
   /**
--- a/src/main/java/io/embernotch/api/SubmissionWriter.java
+++ b/src/main/java/io/embernotch/api/SubmissionWriter.java
@@ -28,7 +28,7 @@
 
   /** Within a slot: writes {@code job/REF} if it is absent; not applied if it is there. */
   Future<TransactionResult> create(String ref, ObjectNode value) {
-    String key = JobProgressCodec.JOB + ref;
+    String key = JobProgressCodec.JOB_PREFIX + ref;
     return store.commitInWriteSlot(
         new Transaction().when(key, 0).write(key, value), RequestPriority.NORMAL);
   }
--- a/src/main/java/io/embernotch/app/Server.java
+++ b/src/main/java/io/embernotch/app/Server.java
@@ -46,7 +46,7 @@
   private Server() {}
 
   /** Starts a controller; returns before it listens. Exits the process if it cannot listen. */
-  static void start(Settings settings, OperatorSettings operator) {
+  static void start(Settings settings, OperatorSettings operatorSettings) {
     VertxOptions options = new VertxOptions();
     options.setEventLoopPoolSize(EVENT_LOOPS).setWorkerPoolSize(1).setInternalBlockingPoolSize(1);
     // A process with a share of a core is paused at times; that is no reason for a stack trace.
@@ -55,13 +55,13 @@
         new FileSystemOptions().setClassPathResolvingEnabled(false).setFileCachingEnabled(false));
     Vertx vertx = Vertx.vertx(options);
     Context loop = vertx.getOrCreateContext();
-    loop.runOnContext(v -> assemble(vertx, loop, settings, operator));
+    loop.runOnContext(v -> assemble(vertx, loop, settings, operatorSettings));
   }
 
   /** On the core loop. */
   private static void assemble(
-      Vertx vertx, Context loop, Settings settings, OperatorSettings operator) {
-    ControllerContext context = context(vertx, loop, settings, operator);
+      Vertx vertx, Context loop, Settings settings, OperatorSettings operatorSettings) {
+    ControllerContext context = context(vertx, loop, settings, operatorSettings);
     VertxPeerLink peers = new VertxPeerLink(vertx, context.timers(), settings);
     Promise<LeaseRenewer> renewer = Promise.promise();
     vertx
@@ -81,7 +81,7 @@
   }
 
   private static ControllerContext context(
-      Vertx vertx, Context loop, Settings settings, OperatorSettings operator) {
+      Vertx vertx, Context loop, Settings settings, OperatorSettings operatorSettings) {
     SystemClock clock = new SystemClock();
     EventLoopProfile profile = EventLoopProfile.createIfLogged();
     Timers timers = profile.around("timer", new VertxTimers(vertx, loop));
@@ -93,18 +93,18 @@
     // Each worker has a connection to this process already: those to workers are few at a time, and
     // short-lived.
     int directCalls = settings.quota().directCalls();
-    VertxHttpCaller workers =
+    VertxHttpCaller agentClient =
         new VertxHttpCaller(vertx, clock, timers, 1, directCalls, connectS, connectS);
     return new ControllerContext(
         settings,
-        operator,
+        operatorSettings,
         clock,
         timers,
         task -> loop.runOnContext(v -> profile.run("asked", task)),
         profile,
         new StoreClient(store, clock, timers, settings),
         new CloudClient(cloud, clock, timers, settings),
-        workers,
+        agentClient,
         () -> UUID.randomUUID().toString(),
         task -> executeBlocking(vertx, task));
   }
@@ -134,8 +134,8 @@
         context.clock(),
         timers,
         task -> leaseLoop.runOnContext(v -> task.run()),
-        context.loop(),
-        settings.leaderLeaseS(context.operator()),
+        context.coreLoop(),
+        settings.leaderLeaseS(context.operatorSettings()),
         Settings.DRIFT,
         settings.contactTimeoutS());
   }
@@ -167,7 +167,7 @@
       Vertx vertx, Context loop, ControllerContext context, Controller controller) {
     Settings settings = context.settings();
     return new HttpApiServer(
-            controller, context.loop(), context.clock(), new VertxTimers(vertx, loop), settings)
+            controller, context.coreLoop(), context.clock(), new VertxTimers(vertx, loop), settings)
         .listen(vertx, settings.clientListen());
   }
 }
--- a/src/main/java/io/embernotch/app/SnapshotCommand.java
+++ b/src/main/java/io/embernotch/app/SnapshotCommand.java
@@ -93,8 +93,8 @@
   private int show() throws IOException {
     SnapshotArchive archive = SnapshotDirectory.read(files.get(0));
     print(describe(archive, Json.object().put("file", files.get(0).getFileName().toString())));
-    archive.snapshot().getJobList().forEach(job -> print(SnapshotDiff.line(job)));
-    archive.snapshot().getEndedList().forEach(job -> print(SnapshotDiff.line(job)));
+    archive.snapshot().getJobList().forEach(job -> print(SnapshotDiff.toJson(job)));
+    archive.snapshot().getEndedList().forEach(job -> print(SnapshotDiff.toJson(job)));
     return 0;
   }
 
--- a/src/main/java/io/embernotch/calendar/OccurrenceStore.java
+++ b/src/main/java/io/embernotch/calendar/OccurrenceStore.java
@@ -30,13 +30,13 @@
 
   /** Reads the entries if any of the shared state has changed; malformed ones are left out. */
   void refresh() {
-    if (readVersion == shared.localVersion()) {
+    if (readVersion == shared.changeCounter()) {
       return;
     }
-    readVersion = shared.localVersion();
+    readVersion = shared.changeCounter();
     occurrences.clear();
     shared
-        .all(PREFIX)
+        .storedValues(PREFIX)
         .forEach(
             (name, value) -> {
               try {
@@ -63,7 +63,7 @@
 
   /** Whether an occurrence is being written. */
   boolean pending(String name) {
-    return shared.pending(PREFIX + name);
+    return shared.hasPendingChange(PREFIX + name);
   }
 
   /** Has an occurrence written; {@code durable} runs once the store holds it. */
--- a/src/main/java/io/embernotch/calendar/ReleaseCalendar.java
+++ b/src/main/java/io/embernotch/calendar/ReleaseCalendar.java
@@ -77,7 +77,7 @@
     this.onSettled = onSettled;
     this.occurrences = new OccurrenceStore(shared);
     this.progress = new ReleaseProgress(state);
-    OperatorSettings.Calendar own = context.operator().calendar();
+    OperatorSettings.Calendar own = context.operatorSettings().calendar();
     this.releases =
         new EffectiveConfiguration<>(
             shared,
@@ -277,7 +277,7 @@
    * @param sample a replica of the service
    * @param wallMs the time of day
    */
-  public boolean near(JobSpec sample, long wallMs) {
+  public boolean isReleaseNear(JobSpec sample, long wallMs) {
     if (sample.priority() != Priority.PRODUCTION) {
       return false;
     }
--- a/src/main/java/io/embernotch/codec/CalendarCodec.java
+++ b/src/main/java/io/embernotch/codec/CalendarCodec.java
@@ -160,7 +160,7 @@
   public static List<Release> readReleases(JsonNode json) {
     List<Release> releases = new ArrayList<>();
     try {
-      for (JsonNode entry : Json.need(json, RELEASES)) {
+      for (JsonNode entry : Json.required(json, RELEASES)) {
         releases.add(readRelease(entry));
       }
     } catch (DateTimeException e) {
@@ -179,9 +179,9 @@
         .path(WORK_SELECTORS)
         .forEach(selector -> orders.add(ReservationCodec.readSelector(selector)));
     return new Release(
-        Json.need(entry, ID).asText(),
-        ZoneId.of(Json.need(entry, ZONE).asText()),
-        LocalTime.parse(Json.need(entry, TIME).asText()),
+        Json.required(entry, ID).asText(),
+        ZoneId.of(Json.required(entry, ZONE).asText()),
+        LocalTime.parse(Json.required(entry, TIME).asText()),
         days,
         except,
         readTimes(entry.path(ADDITIONAL_DATES)),
--- a/src/main/java/io/embernotch/codec/CloudCodec.java
+++ b/src/main/java/io/embernotch/codec/CloudCodec.java
@@ -94,7 +94,7 @@
    */
   public static List<MachineType> readTypes(JsonNode json) {
     List<MachineType> types = new ArrayList<>();
-    for (JsonNode entry : Json.need(json, WireFields.TYPES)) {
+    for (JsonNode entry : Json.required(json, WireFields.TYPES)) {
       types.add(readType(entry));
     }
     return types;
@@ -102,20 +102,20 @@
 
   private static MachineType readType(JsonNode entry) {
     List<String> zones = new ArrayList<>();
-    for (JsonNode zone : Json.need(entry, WireFields.ZONES)) {
+    for (JsonNode zone : Json.required(entry, WireFields.ZONES)) {
       zones.add(zone.asText());
     }
-    double price = Json.amount(entry, PRICE);
+    double price = Json.nonNegativeDouble(entry, PRICE);
     return new MachineType(
         Json.text(entry, TYPE_NAME),
-        Json.amount(entry, WireFields.CPUS),
-        Json.amountOr(entry, WireFields.GPUS, 0),
-        Json.amount(entry, WireFields.MEM_GB),
-        Json.amountOr(entry, CACHE_GB, 0),
-        Json.amountOr(entry, FETCH_GB_PER_S, 0),
+        Json.nonNegativeDouble(entry, WireFields.CPUS),
+        Json.nonNegativeDoubleOr(entry, WireFields.GPUS, 0),
+        Json.nonNegativeDouble(entry, WireFields.MEM_GB),
+        Json.nonNegativeDoubleOr(entry, CACHE_GB, 0),
+        Json.nonNegativeDoubleOr(entry, FETCH_GB_PER_S, 0),
         price,
-        Json.amountOr(entry, SPOT_PRICE, price),
-        Json.amount(entry, BOOT_S),
+        Json.nonNegativeDoubleOr(entry, SPOT_PRICE, price),
+        Json.nonNegativeDouble(entry, BOOT_S),
         List.copyOf(zones));
   }
 
@@ -147,20 +147,20 @@
    */
   public static MachinePage readPage(JsonNode json) {
     List<ListedMachine> machines = new ArrayList<>();
-    for (JsonNode entry : Json.need(json, WireFields.MACHINES)) {
+    for (JsonNode entry : Json.required(json, WireFields.MACHINES)) {
       machines.add(
           new ListedMachine(
               Json.text(entry, WireFields.REF),
-              Json.opt(entry, WireFields.ADDRESS) == null
+              Json.optional(entry, WireFields.ADDRESS) == null
                   ? null
                   : Json.text(entry, WireFields.ADDRESS),
               Json.text(entry, WireFields.TYPE),
               Json.text(entry, WireFields.ZONE),
-              Json.flagOr(entry, WireFields.SPOT, false),
+              Json.boolOr(entry, WireFields.SPOT, false),
               Json.text(entry, WireFields.PHASE),
-              Json.amountOr(entry, AGE_S, 0)));
+              Json.nonNegativeDoubleOr(entry, AGE_S, 0)));
     }
-    return new MachinePage(machines, Json.flagOr(json, MORE_PAGES, false));
+    return new MachinePage(machines, Json.boolOr(json, MORE_PAGES, false));
   }
 
   /**
@@ -191,7 +191,7 @@
    */
   public static List<String> readRented(JsonNode json) {
     List<String> names = new ArrayList<>();
-    for (JsonNode name : Json.need(json, WireFields.MACHINES)) {
+    for (JsonNode name : Json.required(json, WireFields.MACHINES)) {
       names.add(name.asText());
     }
     return names;
--- a/src/main/java/io/embernotch/codec/IncarnationCodec.java
+++ b/src/main/java/io/embernotch/codec/IncarnationCodec.java
@@ -10,8 +10,8 @@
 
 /**
  * Keys and values that represent store incarnations in the store. The key {@link #POINTER} holds
- * the current incarnation, the {@linkplain #fence fence key} exists as long as its incarnation
- * lasts, and the {@linkplain #block block keys} hold the packed snapshot that an incarnation was
+ * the current incarnation, the {@linkplain #fenceKey fence key} exists as long as its incarnation
+ * lasts, and the {@linkplain #blockKey block keys} hold the packed snapshot that an incarnation was
  * restored from.
  */
 public final class IncarnationCodec {
@@ -19,7 +19,7 @@
   public static final String POINTER = "era";
 
   /** Key that the leader writes while it misses heartbeats of any other controller. */
-  public static final String HEARTBEAT = "heartbeat";
+  public static final String LEADER_HEARTBEAT_KEY = "heartbeat";
 
   /** In a heartbeat: highest store revision that its writer had seen. */
   private static final String SEEN_REVISION = "seen";
@@ -86,12 +86,12 @@
    *
    * @throws MalformedInputException if the revision is missing or malformed
    */
-  public static long readHeartbeatSeen(JsonNode json) {
+  public static long readHeartbeatSeenRevision(JsonNode json) {
     return Json.whole(json, SEEN_REVISION);
   }
 
   /** Returns the fence key, on which every transaction of an incarnation is conditional. */
-  public static String fence(StoreIncarnation incarnation) {
+  public static String fenceKey(StoreIncarnation incarnation) {
     return FENCE_PREFIX + incarnation.name();
   }
 
@@ -100,7 +100,7 @@
    *
    * @param snapshot name of the snapshot
    */
-  public static String blocks(String snapshot) {
+  public static String blockKeyPrefix(String snapshot) {
     return BLOCK_PREFIX + snapshot + "/";
   }
 
@@ -110,8 +110,8 @@
    * @param snapshot name of the snapshot
    * @param index index of the block, from 0
    */
-  public static String block(String snapshot, int index) {
-    return blocks(snapshot) + String.format("%06d", index);
+  public static String blockKey(String snapshot, int index) {
+    return blockKeyPrefix(snapshot) + String.format("%06d", index);
   }
 
   /** Encodes an incarnation. */
@@ -137,10 +137,10 @@
    */
   public static StoreIncarnation read(JsonNode json, long modRevision) {
     List<String> predecessors = new ArrayList<>();
-    for (JsonNode name : Json.need(json, PREDECESSORS)) {
+    for (JsonNode name : Json.required(json, PREDECESSORS)) {
       predecessors.add(name.asText());
     }
-    boolean hasSnapshot = Json.opt(json, SNAPSHOT) != null;
+    boolean hasSnapshot = Json.optional(json, SNAPSHOT) != null;
     return new StoreIncarnation(
         Json.text(json, NAME),
         modRevision,
@@ -159,7 +159,7 @@
    * @param incarnation name of the incarnation
    * @param revision store revision of the write
    */
-  public static ObjectNode announcement(ObjectNode value, String incarnation, long revision) {
+  public static ObjectNode writeAnnouncement(ObjectNode value, String incarnation, long revision) {
     return value
         .deepCopy()
         .put(ANNOUNCED_INCARNATION, incarnation)
@@ -167,19 +167,19 @@
   }
 
   /**
-   * Reads the name of the incarnation in an {@link #announcement}; empty if a version without
+   * Reads the name of the incarnation in an {@link #writeAnnouncement}; empty if a version without
    * incarnations sent it.
    */
-  public static String announcedIncarnation(JsonNode json) {
+  public static String readAnnouncedIncarnation(JsonNode json) {
     return json.path(ANNOUNCED_INCARNATION).asText("");
   }
 
   /**
-   * Reads the store revision in an {@link #announcement}.
+   * Reads the store revision in an {@link #writeAnnouncement}.
    *
    * @throws MalformedInputException if the revision is missing or malformed
    */
-  public static long announcedEpoch(JsonNode json) {
+  public static long readAnnouncedRevision(JsonNode json) {
     return Json.whole(json, ANNOUNCED_REVISION);
   }
 
@@ -193,7 +193,7 @@
    *
    * @throws MalformedInputException if the checksum is missing or malformed
    */
-  public static long readCrc(JsonNode json) {
+  public static long readBlockCrc(JsonNode json) {
     return Json.whole(json, CRC);
   }
 
--- a/src/main/java/io/embernotch/codec/JobCodec.java
+++ b/src/main/java/io/embernotch/codec/JobCodec.java
@@ -111,20 +111,20 @@
         JobEnumNames.shape(Json.text(json, SHAPE)),
         JobEnumNames.priority(Json.text(json, PRIORITY)),
         (int) tasks,
-        Json.amount(json, WireFields.CPUS),
-        Json.amount(json, WireFields.GPUS),
-        Json.amount(json, WireFields.MEM_GB),
+        Json.nonNegativeDouble(json, WireFields.CPUS),
+        Json.nonNegativeDouble(json, WireFields.GPUS),
+        Json.nonNegativeDouble(json, WireFields.MEM_GB),
         name(json, IMAGE),
-        Json.amount(json, IMAGE_GB),
-        types(Json.opt(json, WireFields.TYPES)),
-        Json.opt(json, WireFields.ZONE) == null ? null : name(json, WireFields.ZONE),
-        Json.flag(json, ONE_ZONE),
-        Json.flag(json, SPREAD),
-        Json.flag(json, WireFields.SPOT),
-        Json.amount(json, EXPECTED_S),
-        Json.amount(json, CHECKPOINT_S),
-        Json.amount(json, SAVE_S),
-        Json.opt(json, DUE_S) == null ? null : Json.amount(json, DUE_S),
+        Json.nonNegativeDouble(json, IMAGE_GB),
+        types(Json.optional(json, WireFields.TYPES)),
+        Json.optional(json, WireFields.ZONE) == null ? null : name(json, WireFields.ZONE),
+        Json.bool(json, ONE_ZONE),
+        Json.bool(json, SPREAD),
+        Json.bool(json, WireFields.SPOT),
+        Json.nonNegativeDouble(json, EXPECTED_S),
+        Json.nonNegativeDouble(json, CHECKPOINT_S),
+        Json.nonNegativeDouble(json, SAVE_S),
+        Json.optional(json, DUE_S) == null ? null : Json.nonNegativeDouble(json, DUE_S),
         readDependencies(json));
   }
 
@@ -172,7 +172,7 @@
    * @param done number of done tasks
    * @param running number of running tasks
    */
-  public static byte[] status(String ref, JobPhase phase, int done, int running) {
+  public static byte[] statusResponse(String ref, JobPhase phase, int done, int running) {
     return utf8(
         responseStart(ref, phase) + field(DONE_TASKS, done) + field(RUNNING_TASKS, running) + "}");
   }
@@ -182,7 +182,7 @@
    *
    * @param additionalFields adds the fields to the response
    */
-  public static byte[] status(
+  public static byte[] statusResponse(
       String ref, JobPhase phase, int done, int running, Consumer<ObjectNode> additionalFields) {
     ObjectNode json =
         Json.object()
@@ -200,9 +200,9 @@
    * @param machines names of the machines on which it failed, most recent last; the response
    *     contains their number and the last few names
    */
-  public static byte[] failing(
+  public static byte[] failingResponse(
       String ref, JobPhase phase, int done, int running, Collection<String> machines) {
-    return status(
+    return statusResponse(
         ref,
         phase,
         done,
@@ -223,7 +223,7 @@
    *
    * @param unmetDependencies number of unmet dependencies
    */
-  public static byte[] waiting(String ref, int unmetDependencies) {
+  public static byte[] waitingResponse(String ref, int unmetDependencies) {
     return utf8(
         responseStart(ref, JobPhase.QUEUED)
             + field(DONE_TASKS, 0)
@@ -239,7 +239,7 @@
 
   /**
    * Returns the phase in a response; empty if it contains none. Searches the text without building
-   * a JSON tree, see {@link #status}.
+   * a JSON tree, see {@link #statusResponse}.
    */
   public static Optional<JobPhase> phaseOf(byte[] answer) {
     String text = new String(answer, StandardCharsets.UTF_8);
@@ -251,7 +251,7 @@
   }
 
   /** Encodes the response to a submission or a cancellation. */
-  public static byte[] brief(String ref, JobPhase phase) {
+  public static byte[] phaseResponse(String ref, JobPhase phase) {
     return utf8(responseStart(ref, phase) + "}");
   }
 
@@ -312,7 +312,7 @@
    * @throws MalformedInputException if the field is not an array of job ids
    */
   static List<String> readDependencies(JsonNode json) {
-    JsonNode dependencies = Json.opt(json, DEPENDENCIES);
+    JsonNode dependencies = Json.optional(json, DEPENDENCIES);
     if (dependencies == null) {
       return List.of();
     }
--- a/src/main/java/io/embernotch/codec/JobProgressCodec.java
+++ b/src/main/java/io/embernotch/codec/JobProgressCodec.java
@@ -23,7 +23,7 @@
  */
 public final class JobProgressCodec {
   /** Prefix of the keys of submissions. */
-  public static final String JOB = "job/";
+  public static final String JOB_PREFIX = "job/";
 
   /** Prefix of the keys of progress shards. */
   public static final String SHARD = "run/";
@@ -32,7 +32,7 @@
   public static final String REFINED_SHARD = "part/";
 
   /** Prefix of the keys of shared state entries: data besides jobs that each leader inherits. */
-  public static final String SHARED = "shared/";
+  public static final String SHARED_STATE_PREFIX = "shared/";
 
   /** Key of the leader lock, which the current leader holds. */
   public static final String LEADER = "steward";
@@ -118,8 +118,8 @@
    * @throws MalformedInputException if the value is malformed
    */
   public static Job readJob(JsonNode json) {
-    Job job = new Job(JobCodec.read(Json.need(json, SPEC)), Json.whole(json, TIME_MS));
-    job.restoredAfterLoss = Json.flagOr(json, REWRITTEN_AFTER_LOSS, false);
+    Job job = new Job(JobCodec.read(Json.required(json, SPEC)), Json.whole(json, TIME_MS));
+    job.restoredAfterLoss = Json.boolOr(json, REWRITTEN_AFTER_LOSS, false);
     return job;
   }
 
@@ -130,7 +130,7 @@
    * @throws MalformedInputException if the submission is missing or the dependencies are malformed
    */
   public static List<String> readDependencies(JsonNode json) {
-    JsonNode spec = Json.need(json, SPEC);
+    JsonNode spec = Json.required(json, SPEC);
     if (!spec.isObject()) {
       throw new MalformedInputException(SPEC + ": must be an object");
     }
@@ -156,7 +156,7 @@
    *
    * @throws MalformedInputException if the job id is followed by something other than a number
    */
-  public static int shardOf(String key) {
+  public static int shardNumber(String key) {
     int slash = key.indexOf('/', SHARD.length());
     if (slash < 0) {
       return 0;
@@ -237,7 +237,7 @@
    * @throws MalformedInputException if the phase is unknown
    */
   public static JobPhase readEnd(JsonNode json) {
-    JsonNode end = Json.opt(json, FINAL_PHASE);
+    JsonNode end = Json.optional(json, FINAL_PHASE);
     if (end == null) {
       return null;
     }
@@ -252,7 +252,7 @@
    * Returns whether the value of shard 0 determines if and how its job has ended. The other fields
    * of the value may be malformed.
    */
-  public static boolean tellsEnd(JsonNode json) {
+  public static boolean determinesEnd(JsonNode json) {
     try {
       return readEnd(json) != null || json.has(NEXT_ATTEMPT) || json.has(OPEN) || json.has(DONE);
     } catch (MalformedInputException e) {
@@ -292,18 +292,19 @@
       if (job.finalPhase == JobPhase.DONE) {
         job.done.set(0, job.spec.tasks());
       }
-      job.endedMs = Json.opt(json, TIME_MS) == null ? job.submittedMs : Json.whole(json, TIME_MS);
+      job.endedMs =
+          Json.optional(json, TIME_MS) == null ? job.submittedMs : Json.whole(json, TIME_MS);
       job.release = json.path(RELEASE).asText(null);
       job.nextAttempt = Json.whole(json, NEXT_ATTEMPT);
     }
-    JsonNode done = Json.opt(json, DONE);
+    JsonNode done = Json.optional(json, DONE);
     if (done != null) {
       readBitSet(done).stream()
           .map(task -> Math.multiplyExact(shard, shardSize) + task)
           .filter(task -> isTaskOf(job, task))
           .forEach(job.done::set);
     }
-    JsonNode open = Json.opt(json, OPEN);
+    JsonNode open = Json.optional(json, OPEN);
     if (open != null) {
       readOpenAttempts(open, job);
     }
--- a/src/main/java/io/embernotch/codec/Json.java
+++ b/src/main/java/io/embernotch/codec/Json.java
@@ -53,7 +53,7 @@
   }
 
   /** Returns a field, or null if it is absent or JSON null. */
-  public static JsonNode opt(JsonNode object, String name) {
+  public static JsonNode optional(JsonNode object, String name) {
     JsonNode node = object.get(name);
     return node == null || node.isNull() ? null : node;
   }
@@ -63,8 +63,8 @@
    *
    * @throws MalformedInputException if it is absent or JSON null
    */
-  public static JsonNode need(JsonNode object, String name) {
-    JsonNode node = opt(object, name);
+  public static JsonNode required(JsonNode object, String name) {
+    JsonNode node = optional(object, name);
     if (node == null) {
       throw new MalformedInputException(name + ": missing");
     }
@@ -77,7 +77,7 @@
    * @throws MalformedInputException if the field is missing or not a string
    */
   public static String text(JsonNode object, String name) {
-    JsonNode node = need(object, name);
+    JsonNode node = required(object, name);
     if (!node.isTextual()) {
       throw new MalformedInputException(name + ": must be a string");
     }
@@ -89,8 +89,8 @@
    *
    * @throws MalformedInputException if the field is missing or not a boolean
    */
-  public static boolean flag(JsonNode object, String name) {
-    JsonNode node = need(object, name);
+  public static boolean bool(JsonNode object, String name) {
+    JsonNode node = required(object, name);
     if (!node.isBoolean()) {
       throw new MalformedInputException(name + ": must be true or false");
     }
@@ -103,8 +103,8 @@
    * @param fallback returned if the field is absent or JSON null
    * @throws MalformedInputException if the field is present and not a boolean
    */
-  public static boolean flagOr(JsonNode object, String name, boolean fallback) {
-    return opt(object, name) == null ? fallback : flag(object, name);
+  public static boolean boolOr(JsonNode object, String name, boolean fallback) {
+    return optional(object, name) == null ? fallback : bool(object, name);
   }
 
   /**
@@ -112,8 +112,8 @@
    *
    * @throws MalformedInputException if the field is missing or not such a number
    */
-  public static double amount(JsonNode object, String name) {
-    JsonNode node = need(object, name);
+  public static double nonNegativeDouble(JsonNode object, String name) {
+    JsonNode node = required(object, name);
     double number = node.isNumber() ? node.doubleValue() : Double.NaN;
     if (!(number >= 0) || Double.isInfinite(number)) {
       throw new MalformedInputException(name + ": must be a number of at least 0");
@@ -127,8 +127,8 @@
    * @param fallback returned if the field is absent or JSON null
    * @throws MalformedInputException if the field is present and not such a number
    */
-  public static double amountOr(JsonNode object, String name, double fallback) {
-    return opt(object, name) == null ? fallback : amount(object, name);
+  public static double nonNegativeDoubleOr(JsonNode object, String name, double fallback) {
+    return optional(object, name) == null ? fallback : nonNegativeDouble(object, name);
   }
 
   /**
@@ -137,7 +137,7 @@
    * @throws MalformedInputException if the field is missing or not such a number
    */
   public static long whole(JsonNode object, String name) {
-    JsonNode node = need(object, name);
+    JsonNode node = required(object, name);
     if (!node.isIntegralNumber() || !node.canConvertToLong() || node.longValue() < 0) {
       throw new MalformedInputException(name + ": must be a whole number of at least 0");
     }
--- a/src/main/java/io/embernotch/codec/ReservationCodec.java
+++ b/src/main/java/io/embernotch/codec/ReservationCodec.java
@@ -137,7 +137,7 @@
    */
   public static List<Reservation> readTerms(JsonNode json) {
     List<Reservation> terms = new ArrayList<>();
-    for (JsonNode entry : Json.need(json, TERMS)) {
+    for (JsonNode entry : Json.required(json, TERMS)) {
       terms.add(readReservation(entry));
     }
     return terms;
@@ -154,7 +154,7 @@
         .fields()
         .forEachRemaining(zone -> zones.put(zone.getKey(), zone.getValue().asDouble()));
     return new Reservation(
-        Json.need(entry, NAME).asText(),
+        Json.required(entry, NAME).asText(),
         serves,
         entry.path(MACHINES).asInt(),
         entry.path(CPUS).asDouble(),
--- a/src/main/java/io/embernotch/codec/WorkerCodec.java
+++ b/src/main/java/io/embernotch/codec/WorkerCodec.java
@@ -71,14 +71,14 @@
    */
   public static Heartbeat read(byte[] body) {
     ObjectNode json = Json.parseObject(body);
-    List<TaskStatus> tasks = readTasks(Json.opt(json, WireFields.TASKS));
-    JsonNode reclaim = Json.opt(json, RECLAIM_IN_S);
+    List<TaskStatus> tasks = readTasks(Json.optional(json, WireFields.TASKS));
+    JsonNode reclaim = Json.optional(json, RECLAIM_IN_S);
     return new Heartbeat(
         Json.text(json, WireFields.MACHINE),
         Json.text(json, WireFields.ADDRESS),
         Json.text(json, WireFields.TYPE),
         Json.text(json, WireFields.ZONE),
-        Json.flagOr(json, WireFields.SPOT, false),
+        Json.boolOr(json, WireFields.SPOT, false),
         Json.whole(json, AGENT_EPOCH),
         Json.whole(json, SEQ),
         Json.whole(json, TOKEN),
@@ -105,14 +105,14 @@
     int slash = name.lastIndexOf('/');
     int index = taskIndex(name, slash);
     TaskState state = state(Json.text(entry, WireFields.PHASE));
-    JsonNode cause = Json.opt(entry, EXIT_CAUSE);
+    JsonNode cause = Json.optional(entry, EXIT_CAUSE);
     return new TaskStatus(
         name.substring(0, slash),
         index,
         Json.whole(entry, ATTEMPT),
         state,
         state == TaskState.EXITED ? exitCause(cause == null ? "" : cause.asText()) : null,
-        Json.flagOr(entry, SAVED, false));
+        Json.boolOr(entry, SAVED, false));
   }
 
   private static int taskIndex(String name, int slash) {
--- a/src/main/java/io/embernotch/context/ControllerContext.java
+++ b/src/main/java/io/embernotch/context/ControllerContext.java
@@ -15,26 +15,26 @@
  * Settings, clocks, executors and clients that the parts of a controller share.
  *
  * @param settings the platform's settings
- * @param operator the operators' settings
+ * @param operatorSettings the operators' settings
  * @param clock monotonic and wall-clock time of the process
  * @param timers timers on the core loop
- * @param loop runs tasks on the core loop, the event loop of the controller
+ * @param coreLoop runs tasks on the core loop, the event loop of the controller
  * @param profile measures what the time of the core loop is spent on
  * @param store client of the store
  * @param cloud client of the cloud
- * @param workers HTTP client for the agents of the machines
- * @param names generates globally unique names
- * @param blocking runs blocking tasks such as disk access
+ * @param agentClient HTTP client for the agents of the machines
+ * @param nameGenerator generates globally unique names
+ * @param blockingExecutor runs blocking tasks such as disk access
  */
 public record ControllerContext(
     Settings settings,
-    OperatorSettings operator,
+    OperatorSettings operatorSettings,
     Clock clock,
     Timers timers,
-    Executor loop,
+    Executor coreLoop,
     EventLoopProfile profile,
     StoreClient store,
     CloudClient cloud,
-    HttpCaller workers,
-    Supplier<String> names,
-    Executor blocking) {}
+    HttpCaller agentClient,
+    Supplier<String> nameGenerator,
+    Executor blockingExecutor) {}
--- a/src/main/java/io/embernotch/context/ProcessIncarnation.java
+++ b/src/main/java/io/embernotch/context/ProcessIncarnation.java
@@ -18,11 +18,11 @@
   /**
    * Starts a new incarnation.
    *
-   * @param names generates globally unique names
+   * @param nameGenerator generates globally unique names
    * @return the number before the first message number of the incarnation
    */
-  public static long begin(Supplier<String> names) {
-    return (names.get().hashCode() & INCARNATION_MASK) << COUNTER_BITS;
+  public static long begin(Supplier<String> nameGenerator) {
+    return (nameGenerator.get().hashCode() & INCARNATION_MASK) << COUNTER_BITS;
   }
 
   /** The incarnation that a message number belongs to. */
--- a/src/main/java/io/embernotch/controller/Controller.java
+++ b/src/main/java/io/embernotch/controller/Controller.java
@@ -82,7 +82,7 @@
     this.peers = peers;
     this.leaseRenewer = leaseRenewer;
     Settings settings = context.settings();
-    pendingRequests = new PendingRequests(context.timers(), peers, context.names());
+    pendingRequests = new PendingRequests(context.timers(), peers, context.nameGenerator());
     imageInventory = new ImageInventory(settings.quota().rememberedMachines());
     machineTypes = new MachineTypeCatalog(context, this::onMachineTypesLoaded);
     peerLiveness = new PeerLiveness(settings, context.clock());
@@ -97,7 +97,7 @@
     election = new LeaderElection(context, leaseRenewer, incarnations, peerLiveness);
     localPartition =
         new LocalPartition(
-            context.clock(), MACHINE_VIEW_EXPIRY_ROUNDS * context.operator().roundS());
+            context.clock(), MACHINE_VIEW_EXPIRY_ROUNDS * context.operatorSettings().roundS());
     leaderClient = createLeaderClient();
     shardSize = ShardLayout.defaultSize(settings);
     jobAnnouncements = createJobAnnouncements();
@@ -185,8 +185,8 @@
         context, machineTypes.types(), shardSize, submissionContext, answers);
   }
 
-  private JobAnswers.Knowledge currentKnowledge() {
-    return new JobAnswers.Knowledge(
+  private JobAnswers.AnswerContext currentKnowledge() {
+    return new JobAnswers.AnswerContext(
         leaderObserver.node(),
         leaderObserver.epoch(),
         context.store().highestRevisionSeen(),
@@ -210,7 +210,7 @@
         context,
         () -> localLeader.current().map(leader -> leader.modRevision()),
         incarnations::name,
-        () -> !peerLiveness.hearsAll());
+        () -> !peerLiveness.areAllLive());
   }
 
   private NodeStatus createNodeStatus() {
@@ -285,18 +285,18 @@
   }
 
   private void tick() {
-    leaseRenewer.coreAlive();
+    leaseRenewer.reportCoreAlive();
     peerHeartbeats.send();
     heartbeatForwarder.sendDelegateHeartbeat();
     localLeader
         .current()
         .ifPresent(
             leader -> {
-              incarnations.probe(leader.modRevision());
+              incarnations.verifyContents(leader.modRevision());
               snapshotScheduler.tick(incarnations.name(), leader::snapshot);
             });
     replication.tick();
-    peerLiveness.takeNewlyUnresponsive().forEach(peers::renew);
+    peerLiveness.takeConnectionsToRenew().forEach(peers::reconnect);
     double heartbeatIntervalS = context.settings().workers().heartbeatIntervalS();
     context.timers().after(heartbeatIntervalS / TICKS_PER_HEARTBEAT_INTERVAL, this::tick);
   }
--- a/src/main/java/io/embernotch/controller/ControllerLeaderContext.java
+++ b/src/main/java/io/embernotch/controller/ControllerLeaderContext.java
@@ -51,7 +51,7 @@
   }
 
   @Override
-  public Set<String> controllers() {
+  public Set<String> liveControllers() {
     Set<String> controllers = new TreeSet<>(peerLiveness.live());
     controllers.add(settings.node());
     return controllers;
@@ -63,13 +63,13 @@
   }
 
   @Override
-  public void superseded(String reason) {
+  public void reportNewerLeader(String reason) {
     election.stepDown(reason);
   }
 
   @Override
-  public void contentsPutBack(String reason) {
-    incarnations.lossSigns().contentsPutBack(reason);
+  public void storeRolledBack(String reason) {
+    incarnations.dataLossIndicators().storeRolledBack(reason);
   }
 
   @Override
--- a/src/main/java/io/embernotch/controller/ForwardingContext.java
+++ b/src/main/java/io/embernotch/controller/ForwardingContext.java
@@ -32,7 +32,8 @@
   }
 
   @Override
-  public Future<HttpResponse> ask(String node, LongFunction<Frame> request, double timeoutS) {
+  public Future<HttpResponse> sendRequest(
+      String node, LongFunction<Frame> request, double timeoutS) {
     return pendingRequests.send(node, request, timeoutS);
   }
 
@@ -44,6 +45,6 @@
   @Override
   public boolean isPartitionedFromStore() {
     return store.failingForS() > 0
-        && (peerLiveness.live().isEmpty() || peerLiveness.anyReachesStore());
+        && (peerLiveness.live().isEmpty() || peerLiveness.isAnyReachingStore());
   }
 }
--- a/src/main/java/io/embernotch/controller/IncarnationEvents.java
+++ b/src/main/java/io/embernotch/controller/IncarnationEvents.java
@@ -57,7 +57,7 @@
   }
 
   @Override
-  public void incarnationSettled(BaseSnapshot baseSnapshot) {
+  public void incarnationAdopted(BaseSnapshot baseSnapshot) {
     if (localLeader.isPresent()) {
       // An incarnation that this node begins settles before this node's term starts, so another
       // node has begun this one.
@@ -65,26 +65,26 @@
     }
     boolean lacksKnownJobs =
         !election.holdsKey() && restoreSource.retainIfMissingFrom(baseSnapshot);
-    replication.incarnationSettled(baseSnapshot);
+    replication.incarnationAdopted(baseSnapshot);
     submissions.storeIncarnationChanged();
-    if (baseSnapshot.since() > 0) {
+    if (baseSnapshot.sinceRevision() > 0) {
       machineTypes.writeToStore();
     }
     if (lacksKnownJobs) {
-      incarnations.get().lossSigns().contentsLackKnown();
+      incarnations.get().dataLossIndicators().incarnationLacksKnownJobs();
     }
   }
 
   @Override
-  public boolean allPeersHeard() {
-    return peerLiveness.hasHeardFromAll();
+  public boolean hasHeartbeatFromAllPeers() {
+    return peerLiveness.hasHeartbeatFromAll();
   }
 
   @Override
-  public boolean wouldHearOfLoss() {
+  public boolean wouldReceiveLossReport() {
     String leader = leaderObserver.node();
     boolean anotherNodeLeads = leader != null && !leader.equals(node);
-    return anotherNodeLeads ? peerLiveness.isLive(leader) : peerLiveness.hearsAny();
+    return anotherNodeLeads ? peerLiveness.isLive(leader) : peerLiveness.isAnyLive();
   }
 
   @Override
--- a/src/main/java/io/embernotch/controller/JobAnnouncements.java
+++ b/src/main/java/io/embernotch/controller/JobAnnouncements.java
@@ -54,7 +54,8 @@
   void announce(Job job, ObjectNode value, long revision) {
     boolean deliveredLocally = localLeader.send(new LeaderMessage.JobAccepted(job, shardSize));
     if (!deliveredLocally && leaderObserver.node() != null) {
-      ObjectNode announcement = IncarnationCodec.announcement(value, incarnations.name(), revision);
+      ObjectNode announcement =
+          IncarnationCodec.writeAnnouncement(value, incarnations.name(), revision);
       peers.send(leaderObserver.node(), new Frame.JobAccepted(Json.bytes(announcement)));
     }
   }
@@ -68,7 +69,7 @@
   boolean deliverCommitted(Frame.StateUpdate update) {
     boolean allDelivered = true;
     for (Frame.StateEntry entry : update.entries()) {
-      allDelivered &= entry.key().startsWith(JobProgressCodec.JOB) && deliver(entry, update);
+      allDelivered &= entry.key().startsWith(JobProgressCodec.JOB_PREFIX) && deliver(entry, update);
     }
     return allDelivered;
   }
@@ -76,7 +77,7 @@
   private boolean deliver(Frame.StateEntry entry, Frame.StateUpdate update) {
     try {
       StoredSubmission submission = StoredSubmission.read(Json.parseObject(entry.value()));
-      store.noteRevision(entry.key(), update.revision());
+      store.recordRemoteWrite(entry.key(), update.revision());
       return localLeader.send(
           new LeaderMessage.JobAccepted(submission.job(), submission.shardSize()));
     } catch (MalformedInputException e) {
@@ -97,11 +98,11 @@
           new LeaderMessage.JobAccepted(submission.job(), submission.shardSize());
       String incarnation = incarnations.name();
       if (!incarnation.isEmpty()
-          && incarnation.equals(IncarnationCodec.announcedIncarnation(value))) {
+          && incarnation.equals(IncarnationCodec.readAnnouncedIncarnation(value))) {
         // Otherwise a rollback of the store to a state just before this write would go undetected.
-        store.noteRevision(
-            JobProgressCodec.JOB + accepted.job().spec.ref(),
-            IncarnationCodec.announcedEpoch(value));
+        store.recordRemoteWrite(
+            JobProgressCodec.JOB_PREFIX + accepted.job().spec.ref(),
+            IncarnationCodec.readAnnouncedRevision(value));
       }
       localLeader.send(accepted);
     } catch (MalformedInputException e) {
--- a/src/main/java/io/embernotch/controller/JobQueries.java
+++ b/src/main/java/io/embernotch/controller/JobQueries.java
@@ -71,7 +71,7 @@
     this.answers = answers;
     this.completedJobs = completedJobs;
     this.incarnations = incarnations;
-    this.persistedStatus = new PersistedStatus(context, completedJobs, incarnations::base);
+    this.persistedStatus = new PersistedStatus(context, completedJobs, incarnations::baseSnapshot);
     this.acceptedLocally = acceptedLocally;
     this.leaderRequests = leaderRequests;
     this.heartbeatIntervalS = context.settings().workers().heartbeatIntervalS();
@@ -89,13 +89,13 @@
     if (!JobCodec.isRef(ref)) {
       return futureOf(HttpResponse.error(NOT_FOUND, "no such job"));
     }
-    JobAnswers.Question question = answers.asked(JobAnswers.Kind.POLL, ref);
+    JobAnswers.JobQuery question = answers.startQuery(JobAnswers.Kind.POLL, ref);
     HttpResponse cached = completedJobs.status(ref);
     if (cached != null) {
       return futureOf(question.answer(JobAnswers.Source.CACHE, cached));
     }
     if (!rateLimiter.admit(ref)) {
-      return futureOf(HttpResponse.later("too many polls"));
+      return futureOf(HttpResponse.unavailable("too many polls"));
     }
     return statusFromLeaderOrStore(question, ref)
         .onSuccess(
@@ -106,7 +106,7 @@
             });
   }
 
-  private Future<HttpResponse> statusFromLeaderOrStore(JobAnswers.Question question, String ref) {
+  private Future<HttpResponse> statusFromLeaderOrStore(JobAnswers.JobQuery question, String ref) {
     return leaderRequests
         .request(Frame.ForwardedRequest.Kind.POLL, ref, pollTimeoutS)
         .compose(
@@ -122,16 +122,16 @@
    * wait for two seconds at most.
    */
   private Future<HttpResponse> statusFromStore(String ref) {
-    if (!incarnations.answerPolicy().mayTellEnds()) {
+    if (!incarnations.answerPolicy().mayReportEndedJobs()) {
       return futureOf(storeContentsUnknown());
     }
     if (context.store().failingForS() > maxStoreFailureS) {
-      return futureOf(HttpResponse.later("the state service does not answer"));
+      return futureOf(HttpResponse.unavailable("the state service does not answer"));
     }
     if (context.store().readWaitS() > maxReadWaitS) {
       // The user would time out before a read that is queued for this long is answered, and so
       // would the users of the reads queued behind it.
-      return futureOf(HttpResponse.later("more is asked than the state service takes"));
+      return futureOf(HttpResponse.unavailable("more is asked than the state service takes"));
     }
     boolean acceptedBefore = acceptedLocally.test(ref);
     return persistedStatus.of(ref).compose(response -> verifyStatus(ref, response, acceptedBefore));
@@ -154,7 +154,7 @@
         ? futureOf(verified)
         : incarnations
             .answerPolicy()
-            .mayTellUnended()
+            .mayReportUnendedJobs()
             .map(proven -> proven ? verified : storeContentsUnknown());
   }
 
@@ -166,7 +166,7 @@
     if (!JobCodec.isRef(ref)) {
       return futureOf(HttpResponse.error(NOT_FOUND, "no such job"));
     }
-    JobAnswers.Question question = answers.asked(JobAnswers.Kind.ABORT, ref);
+    JobAnswers.JobQuery question = answers.startQuery(JobAnswers.Kind.ABORT, ref);
     HttpResponse cached = completedJobs.brief(ref);
     return cached != null
         ? futureOf(question.answer(JobAnswers.Source.CACHE, cached))
@@ -183,16 +183,16 @@
    */
   private HttpResponse verifyAbsence(String ref, HttpResponse notFound, boolean acceptedBefore) {
     if (!acceptedLocally.test(ref)) {
-      return incarnations.answerPolicy().mayDenyJobs() ? notFound : storeContentsUnknown();
+      return incarnations.answerPolicy().mayAnswerNotFound() ? notFound : storeContentsUnknown();
     }
     if (acceptedBefore) {
-      incarnations.lossSigns().acceptedJobMissing(ref);
+      incarnations.dataLossIndicators().acceptedJobMissing(ref);
     }
     return storeContentsUnknown();
   }
 
   private static HttpResponse storeContentsUnknown() {
-    return HttpResponse.later("what the state service holds is not known yet");
+    return HttpResponse.unavailable("what the state service holds is not known yet");
   }
 
   private static Future<HttpResponse> futureOf(HttpResponse response) {
--- a/src/main/java/io/embernotch/controller/LeaderClient.java
+++ b/src/main/java/io/embernotch/controller/LeaderClient.java
@@ -63,7 +63,7 @@
     }
     String leader = leaderObserver.node();
     if (leader == null || !peerLiveness.isLive(leader)) {
-      return Future.succeededFuture(HttpResponse.later("no steward is known"));
+      return Future.succeededFuture(HttpResponse.unavailable("no steward is known"));
     }
     return pendingRequests.send(leader, id -> new Frame.ForwardedRequest(id, kind, ref), timeoutS);
   }
@@ -78,11 +78,11 @@
    */
   Future<HttpResponse> deliverHeartbeat(Heartbeat heartbeat, long forwarderIncarnation) {
     Leader leader = localLeader.current().orElse(null);
-    if (leader == null || election.leaseUnprovenForS() > leader.gracePeriodS()) {
-      return Future.succeededFuture(HttpResponse.later("leadership is not proven"));
+    if (leader == null || election.leaseExpiredForS() > leader.gracePeriodS()) {
+      return Future.succeededFuture(HttpResponse.unavailable("leadership is not proven"));
     }
     Promise<byte[]> reply = Promise.promise();
-    leader.tell(new LeaderMessage.HeartbeatReceived(heartbeat, forwarderIncarnation, reply));
+    leader.send(new LeaderMessage.HeartbeatReceived(heartbeat, forwarderIncarnation, reply));
     return reply
         .future()
         .map(
@@ -99,7 +99,7 @@
   void proposeRestarts(long epoch, List<Restart> restarts) {
     Leader leader = localLeader.current().orElse(null);
     if (leader != null && leader.epoch() == epoch) {
-      leader.tell(new LeaderMessage.RestartsProposed(node, restarts));
+      leader.send(new LeaderMessage.RestartsProposed(node, restarts));
     } else if (leaderObserver.node() != null) {
       peers.send(leaderObserver.node(), new Frame.RestartProposals(node, epoch, restarts));
     }
--- a/src/main/java/io/embernotch/controller/LocalLeader.java
+++ b/src/main/java/io/embernotch/controller/LocalLeader.java
@@ -14,9 +14,9 @@
    *
    * @param leader the leader of that term, which is stopped
    * @param claimedAt when this node began to claim the leader key, in seconds of the steady clock
-   * @param provenUntil until when no other node can have led, in seconds of the steady clock
+   * @param leaseValidUntil until when no other node can have led, in seconds of the steady clock
    */
-  record FormerTerm(Leader leader, double claimedAt, double provenUntil) {}
+  record FormerTerm(Leader leader, double claimedAt, double leaseValidUntil) {}
 
   private Leader current;
   private double claimedAt;
@@ -37,7 +37,7 @@
     if (current == null) {
       return false;
     }
-    current.tell(message);
+    current.send(message);
     return true;
   }
 
@@ -56,13 +56,13 @@
    * Ends the current term and stops its leader; does nothing if this node does not lead. The ended
    * term becomes the former one, unless it has no snapshot and an earlier term is still held.
    *
-   * @param provenUntil until when no other node can have led, in seconds of the steady clock
+   * @param leaseValidUntil until when no other node can have led, in seconds of the steady clock
    */
-  void end(double provenUntil) {
+  void end(double leaseValidUntil) {
     if (current != null) {
       current.stop();
       if (former == null || current.snapshot() != null) {
-        former = new FormerTerm(current, claimedAt, provenUntil);
+        former = new FormerTerm(current, claimedAt, leaseValidUntil);
       }
       current = null;
     }
--- a/src/main/java/io/embernotch/controller/NodeStatus.java
+++ b/src/main/java/io/embernotch/controller/NodeStatus.java
@@ -54,20 +54,20 @@
   /** Returns 200 if load balancers should send requests to this controller, else 503. */
   HttpResponse ready() {
     if (machineTypes.types().isEmpty()) {
-      return HttpResponse.later("machine types are not known yet");
+      return HttpResponse.unavailable("machine types are not known yet");
     }
     double storeFailingForS = context.store().failingForS();
     double toleratedFailureS = context.settings().workers().heartbeatIntervalS() / 2;
     // A store outage affects all nodes alike. Leaving the load balancer then would only delay
     // recovery.
     boolean onlyThisNodeFails =
-        storeFailingForS > toleratedFailureS && peerLiveness.anyReachesStore();
+        storeFailingForS > toleratedFailureS && peerLiveness.isAnyReachingStore();
     boolean isolated =
         !context.settings().members().isEmpty()
             && peerLiveness.live().isEmpty()
             && storeFailingForS > 0;
     return onlyThisNodeFails || isolated
-        ? HttpResponse.later("cannot reach the state service")
+        ? HttpResponse.unavailable("cannot reach the state service")
         : HttpResponse.of(200, EMPTY_OBJECT);
   }
 
@@ -84,13 +84,13 @@
     overview.put("state_ok", context.store().failingForS() == 0);
     overview.put("era", incarnations.name());
     overview.put("sound", incarnations.isIntact());
-    overview.put("losses", incarnations.losses());
+    overview.put("losses", incarnations.lossCount());
     overview.put("part", localPartition.size());
     overview.put("term_epoch", election.epoch());
-    overview.put("lease_left_s", Math.max(0, -election.leaseUnprovenForS()));
+    overview.put("lease_left_s", Math.max(0, -election.leaseExpiredForS()));
     replication.describe(overview.putObject("replica"));
     writeAnswerCounts(overview.putObject("answers"));
-    overview.put("answers_overtaken", answers.overtaken());
+    overview.put("answers_overtaken", answers.outdatedAnswers());
     overview.put("answer_contradictions", answers.contradictions());
     var peers = overview.putArray("peers");
     peerLiveness.live().forEach(peers::add);
--- a/src/main/java/io/embernotch/controller/PeerFrameDispatcher.java
+++ b/src/main/java/io/embernotch/controller/PeerFrameDispatcher.java
@@ -98,7 +98,7 @@
     checkAnswer(request, reply.future())
         .onSuccess(response -> replies.send(responseFrame(request.id(), response)));
     if (!localLeader.send(new LeaderMessage.UserRequest(request.kind(), request.ref(), reply))) {
-      reply.complete(HttpResponse.later("not the steward"));
+      reply.complete(HttpResponse.unavailable("not the steward"));
     }
   }
 
@@ -108,14 +108,14 @@
     if (request.kind() == Frame.ForwardedRequest.Kind.OVERVIEW) {
       return leaderResponse;
     }
-    JobAnswers.Question question = answers.asked(JobAnswers.Kind.FORWARDED, request.ref());
+    JobAnswers.JobQuery question = answers.startQuery(JobAnswers.Kind.FORWARDED, request.ref());
     return leaderResponse.map(response -> question.answer(JobAnswers.Source.LEADER, response));
   }
 
   private void handleForwardedHeartbeat(
       Frame.ForwardedHeartbeat forwarded, PeerLink.ReplyChannel replies) {
     if (forwarded.id() == NO_RESPONSE) {
-      localLeader.send(new LeaderMessage.HeartbeatHandedOver(forwarded.heartbeat()));
+      localLeader.send(new LeaderMessage.HeartbeatWithoutReply(forwarded.heartbeat()));
       return;
     }
     leaderClient
@@ -143,7 +143,7 @@
         .filter(leader -> leader.epoch() == proposals.epoch())
         .ifPresent(
             leader ->
-                leader.tell(
+                leader.send(
                     new LeaderMessage.RestartsProposed(proposals.from(), proposals.restarts())));
   }
 
--- a/src/main/java/io/embernotch/controller/PeerHeartbeats.java
+++ b/src/main/java/io/embernotch/controller/PeerHeartbeats.java
@@ -61,10 +61,10 @@
 
   private Frame.PeerHeartbeat currentHeartbeat(String node) {
     boolean storeReachable = context.store().failingForS() == 0;
-    if (incarnations.lossNews().isTold()) {
+    if (incarnations.dataLossReports().isLossUnresolved()) {
       // A heartbeat without a leader, with an epoch that the store cannot reach, reports the loss.
       return new Frame.PeerHeartbeat(
-          node, null, incarnations.lossNews().lossEpoch(), storeReachable, true);
+          node, null, incarnations.dataLossReports().lossEpoch(), storeReachable, true);
     }
     if (localLeader.isPresent() && election.isLeaseValid()) {
       return new Frame.PeerHeartbeat(node, node, election.epoch(), storeReachable, true);
@@ -76,8 +76,11 @@
   /** Handles a heartbeat from another controller. */
   void handleHeartbeat(Frame.PeerHeartbeat heartbeat) {
     String sender = heartbeat.node();
-    peerLiveness.recordHeartbeat(sender, heartbeat.storeReachable(), heartbeat.replicates());
-    incarnations.lossNews().heartbeatReceived(sender, heartbeat.leader(), heartbeat.leaderEpoch());
+    peerLiveness.recordHeartbeat(
+        sender, heartbeat.storeReachable(), heartbeat.acceptsReplication());
+    incarnations
+        .dataLossReports()
+        .heartbeatReceived(sender, heartbeat.leader(), heartbeat.leaderEpoch());
     if (heartbeat.leader() != null) {
       leaderObserver.observeEpoch(heartbeat.leader(), heartbeat.leaderEpoch());
     }
--- a/src/main/java/io/embernotch/controller/Replication.java
+++ b/src/main/java/io/embernotch/controller/Replication.java
@@ -87,7 +87,7 @@
    * before the store was read the one that another controller reported. Null if there is none.
    */
   private String followedIncarnation() {
-    boolean onlyReported = incarnations.toldIncarnation().isOnlyTold();
+    boolean onlyReported = incarnations.incarnationExchange().isReportedOnly();
     return onlyReported ? incarnations.name() : intactIncarnation();
   }
 
@@ -104,9 +104,9 @@
   void handlePeerHeartbeat(String node) {
     boolean hasOwnContents =
         feed.isFollowing() || election.holdsKey() || localLeader.former().isPresent();
-    boolean reportsLoss = incarnations.lossNews().isTold();
-    if (!hasOwnContents && !reportsLoss && peerLiveness.replicates(node)) {
-      bootstrap.ask(node, this::applyReportedContents);
+    boolean reportsLoss = incarnations.dataLossReports().isLossUnresolved();
+    if (!hasOwnContents && !reportsLoss && peerLiveness.acceptsReplication(node)) {
+      bootstrap.requestContents(node, this::applyReportedContents);
     }
   }
 
@@ -124,21 +124,21 @@
     String followedBefore = followedIncarnation();
     observeReportedIncarnation(knowledge);
     String followed = followedIncarnation();
-    boolean isStoreUnread = incarnations.toldIncarnation().isOnlyTold();
+    boolean isStoreUnread = incarnations.incarnationExchange().isReportedOnly();
     if (isStoreUnread && !followed.equals(followedBefore)) {
-      bootstrap.add(replica.snapshot());
+      bootstrap.mergeState(replica.snapshot());
       feed.awaitStore();
     }
     setReportedBase();
     updates.stream()
         .filter(update -> update.incarnation().equals(followed))
-        .forEach(replicator::take);
+        .forEach(replicator::apply);
   }
 
   private void setReportedBase() {
-    if (bootstrap.isTold()) {
-      long since = incarnations.toldIncarnation().since();
-      replica.putBeneath(new BaseSnapshot(bootstrap.told().getState(), since));
+    if (bootstrap.hasReport()) {
+      long since = incarnations.incarnationExchange().since();
+      replica.setProvisionalBase(new BaseSnapshot(bootstrap.reported().getState(), since));
     }
   }
 
@@ -151,36 +151,36 @@
           IncarnationCodec.read(
               Json.parseObject(knowledge.getPointer().toByteArray()),
               knowledge.getPointerModRevision());
-      incarnations.toldIncarnation().observe(incarnation, knowledge.getRevision());
+      incarnations.incarnationExchange().observe(incarnation, knowledge.getRevision());
     } catch (MalformedInputException e) {
       LOG.warn("malformed incarnation from a controller: {}", e.getMessage());
     }
   }
 
   /** Restarts the replica: the store holds an incarnation that began with this snapshot. */
-  void incarnationSettled(BaseSnapshot baseSnapshot) {
-    if (bootstrap.isTold()) {
-      bootstrap.add(replica.snapshot());
+  void incarnationAdopted(BaseSnapshot baseSnapshot) {
+    if (bootstrap.hasReport()) {
+      bootstrap.mergeState(replica.snapshot());
     }
     if (election.holdsKey()) {
       // This node is about to lead, and its leader reads the store by itself.
-      feed.rest();
+      feed.stop();
       replica.reset(baseSnapshot);
     } else {
-      feed.begin(baseSnapshot);
+      feed.start(baseSnapshot);
       setReportedBase();
     }
   }
 
   /** Stops updating the replica, which keeps its contents while data is lost. */
   void stopUpdating() {
-    feed.contentsLost();
+    feed.stopAfterLoss();
   }
 
   /** Starts to fill the replica again once this node no longer leads. */
   void leadershipLost() {
     if (intactIncarnation() != null) {
-      feed.begin(incarnations.base());
+      feed.start(incarnations.baseSnapshot());
     }
   }
 
@@ -212,9 +212,9 @@
   /** Handles an update that another controller has committed. */
   void handleUpdate(Frame.StateUpdate update, PeerLink.ReplyChannel replies) {
     if (feed.isActive()) {
-      replicator.received(update, replies);
-    } else if (bootstrap.isAsking()) {
-      bootstrap.hold(update);
+      replicator.handleUpdate(update, replies);
+    } else if (bootstrap.isRequesting()) {
+      bootstrap.bufferUpdate(update);
     }
     boolean deliveredToLeader =
         localLeader.isPresent()
@@ -231,14 +231,14 @@
 
   /** Handles another controller's acknowledgement of an update from this controller. */
   void handleAck(Frame.StateUpdateAck acknowledgement) {
-    replicator.acknowledged(acknowledgement);
+    replicator.handleAck(acknowledgement);
   }
 
   /** Answers another controller that requests this controller's knowledge of the contents. */
   void handleKnowledgeRequest(Frame.KnowledgeRequest request, PeerLink.ReplyChannel replies) {
     // The heartbeats of a controller that the store does not answer do not state whether it
     // replicates; its request does.
-    peerLiveness.recordReplicates(request.node());
+    peerLiveness.recordReplicationAccepted(request.node());
     knowledgeServer.answer(request, replies);
   }
 
@@ -247,6 +247,6 @@
     target.put("following", feed.isFollowing());
     target.put("bytes", replica.bytes());
     target.put("evicted", replica.hasEvicted());
-    target.put("unreplicated", replicator.unreplicated());
+    target.put("unreplicated", replicator.unreplicatedCommits());
   }
 }
--- a/src/main/java/io/embernotch/controller/RestoreSource.java
+++ b/src/main/java/io/embernotch/controller/RestoreSource.java
@@ -9,13 +9,13 @@
 import io.embernotch.election.LeaderObserver;
 import io.embernotch.election.PeerLiveness;
 import io.embernotch.forwarding.PendingRequests;
+import io.embernotch.incarnation.IncarnationExchange;
 import io.embernotch.incarnation.StoreIncarnationTracker;
 import io.embernotch.incarnation.StoreRestorer;
-import io.embernotch.incarnation.ToldIncarnation;
 import io.embernotch.leader.Leader;
-import io.embernotch.replication.JoinedKnowledge;
 import io.embernotch.replication.KnowledgeCollector;
 import io.embernotch.replication.LocalKnowledge;
+import io.embernotch.replication.MergedKnowledge;
 import io.embernotch.replication.ReplicaBootstrap;
 import io.embernotch.replication.StoreReplica;
 import io.embernotch.replication.proto.ReplicationProto.Knowledge;
@@ -101,7 +101,7 @@
   @Override
   public Optional<ClusterSnapshot> lastLeaderState(double noticedAt) {
     return formerTermIfNotSuperseded()
-        .filter(former -> former.provenUntil() >= noticedAt)
+        .filter(former -> former.leaseValidUntil() >= noticedAt)
         .flatMap(RestoreSource::stateOf);
   }
 
@@ -112,9 +112,9 @@
         .map(
             others -> {
               others.stream().flatMap(Optional::stream).forEach(this::addReceived);
-              JoinedKnowledge joined = JoinedKnowledge.of(knowledge(), others);
+              MergedKnowledge joined = MergedKnowledge.of(knowledge(), others);
               return formerTermIfNotSuperseded()
-                  .filter(former -> JoinedKnowledge.provesLast(endedTermOf(former), others))
+                  .filter(former -> MergedKnowledge.isProvenLastTerm(endedTermOf(former), others))
                   .flatMap(RestoreSource::stateOf)
                   .map(state -> stateOfLastLeader(state, joined))
                   .orElseGet(() -> stateWithoutLastLeader(joined));
@@ -122,7 +122,7 @@
   }
 
   private static StoreRestorer.RestorableState stateOfLastLeader(
-      ClusterSnapshot state, JoinedKnowledge joined) {
+      ClusterSnapshot state, MergedKnowledge joined) {
     return new StoreRestorer.RestorableState(
         SnapshotMerge.supplemented(state, joined.state()),
         true,
@@ -131,13 +131,13 @@
         false);
   }
 
-  private static StoreRestorer.RestorableState stateWithoutLastLeader(JoinedKnowledge joined) {
+  private static StoreRestorer.RestorableState stateWithoutLastLeader(MergedKnowledge joined) {
     return new StoreRestorer.RestorableState(
         joined.state(),
         false,
         joined.highestEpoch(),
         joined.incarnations(),
-        !joined.allAnswered() || joined.ledElsewhere());
+        !joined.allAnswered() || joined.lastTermLedElsewhere());
   }
 
   private void addReceived(Knowledge other) {
@@ -173,17 +173,17 @@
     Knowledge known = knowledge();
     receivedKnowledge = Knowledge.getDefaultInstance();
     boolean isReportedIncarnation =
-        bootstrap.told().getIncarnation().equals(incarnations.get().name());
+        bootstrap.reported().getIncarnation().equals(incarnations.get().name());
     if (!baseSnapshot.jobsMissing() || mergesLeft == 0 || isReportedIncarnation) {
       mergesLeft = MAX_MERGES;
       return false;
     }
     boolean missing =
-        known.getToldList().stream().anyMatch(end -> !baseSnapshot.tellsEnd(end.getRef()))
+        known.getToldList().stream().anyMatch(end -> !baseSnapshot.containsEnd(end.getRef()))
             || known.getState().getEndedList().stream()
-                .anyMatch(end -> !baseSnapshot.tellsEnd(end.getRef()))
+                .anyMatch(end -> !baseSnapshot.containsEnd(end.getRef()))
             || known.getState().getJobList().stream()
-                .anyMatch(job -> !baseSnapshot.has(job.getRef()));
+                .anyMatch(job -> !baseSnapshot.containsJob(job.getRef()));
     if (missing) {
       mergesLeft--;
       addReceived(known);
@@ -200,14 +200,14 @@
   public Knowledge knowledge() {
     Optional<ClusterSnapshot> termState = currentOrFormerTermState();
     Knowledge.Builder knowledge =
-        merge(ownKnowledge(termState), merge(receivedKnowledge, bootstrap.told())).toBuilder()
+        merge(ownKnowledge(termState), merge(receivedKnowledge, bootstrap.reported())).toBuilder()
             .setUpMs((long) ((context.clock().now() - startedAt) * MS_PER_S))
             .setIncarnation(incarnations.get().name())
             .setHighestEpoch(leaderObserver.highestEpoch())
-            .setHighestSeenMs((long) (leaderObserver.highestSeenForS() * MS_PER_S))
+            .setHighestSeenMs((long) (leaderObserver.highestEpochKnownForS() * MS_PER_S))
             .setLedEpoch(termState.map(ClusterSnapshot::getEpoch).orElse(0L));
-    if (leaderObserver.highestNode() != null) {
-      knowledge.setHighestNode(leaderObserver.highestNode());
+    if (leaderObserver.highestEpochLeader() != null) {
+      knowledge.setHighestNode(leaderObserver.highestEpochLeader());
     }
     addIncarnation(knowledge);
     return knowledge.build();
@@ -241,7 +241,7 @@
   }
 
   private void addIncarnation(Knowledge.Builder knowledge) {
-    ToldIncarnation reported = incarnations.get().toldIncarnation();
+    IncarnationExchange reported = incarnations.get().incarnationExchange();
     knowledge.setRevision(reported.highestRevision());
     reported
         .known()
@@ -256,19 +256,19 @@
   @Override
   public boolean holdsContents() {
     return isReplicaFilled.getAsBoolean()
-        || bootstrap.isTold()
+        || bootstrap.hasReport()
         || localLeader.current().map(Leader::isLoaded).orElse(false)
         || localLeader.former().map(former -> former.leader().isLoaded()).orElse(false);
   }
 
   @Override
-  public boolean lossHeard(String node, long lossEpoch) {
-    return incarnations.get().lossNews().lossHeard(node, lossEpoch);
+  public boolean lossReported(String node, long lossEpoch) {
+    return incarnations.get().dataLossReports().lossReported(node, lossEpoch);
   }
 
   @Override
-  public void lossIsOver() {
-    incarnations.get().lossNews().lossIsOver();
+  public void lossResolved() {
+    incarnations.get().dataLossReports().lossResolved();
   }
 
   /** Returns this node's former term, unless a later term is known or may have existed. */
@@ -276,16 +276,16 @@
     return localLeader
         .former()
         .filter(former -> former.leader().epoch() >= leaderObserver.highestEpoch())
-        .filter(former -> !former.leader().hasLedPutBackContents());
+        .filter(former -> !former.leader().hasLedRolledBackStore());
   }
 
-  private JoinedKnowledge.EndedTerm endedTermOf(FormerTerm former) {
+  private MergedKnowledge.EndedTerm endedTermOf(FormerTerm former) {
     double now = context.clock().now();
-    return new JoinedKnowledge.EndedTerm(
+    return new MergedKnowledge.EndedTerm(
         context.settings().node(),
         former.leader().epoch(),
         now - former.claimedAt(),
-        now - former.provenUntil());
+        now - former.leaseValidUntil());
   }
 
   /** Returns the state of the leader of a term; empty if it had not loaded the store. */
--- a/src/main/java/io/embernotch/controller/RoleTransitions.java
+++ b/src/main/java/io/embernotch/controller/RoleTransitions.java
@@ -64,14 +64,14 @@
         new Leader(
             context,
             leaderContext,
-            new LeaderTerm(epoch, modRevision, incarnations.base()),
+            new LeaderTerm(epoch, modRevision, incarnations.baseSnapshot()),
             machineTypes.types().values(),
             incarnations.takeInitialSnapshot(),
             heartbeatForwarder.controllersDelayingCancellations());
     localLeader.begin(leader, election.claimedAt());
     heartbeatForwarder
         .recentHeartbeats()
-        .forEach(heartbeat -> leader.tell(new LeaderMessage.HeartbeatHandedOver(heartbeat)));
+        .forEach(heartbeat -> leader.send(new LeaderMessage.HeartbeatWithoutReply(heartbeat)));
     heartbeatForwarder.releaseParked(
         heartbeat -> leaderClient.deliverHeartbeat(heartbeat, LeaderClient.RECEIVED_DIRECTLY));
     leader.start();
@@ -79,16 +79,16 @@
   }
 
   @Override
-  public void leadershipLost(String reason, double provenUntil) {
+  public void leadershipLost(String reason, double leaseValidUntil) {
     context.store().setLeading(false);
-    localLeader.end(provenUntil);
+    localLeader.end(leaseValidUntil);
     leaderAbsent();
     replication.leadershipLost();
   }
 
   @Override
   public void leaderChanged(String node, long epoch, boolean acceptsForwarded) {
-    leaderObserver.update(node, epoch);
+    leaderObserver.setLeader(node, epoch);
     heartbeatForwarder.leaderChanged(node, epoch, acceptsForwarded);
   }
 
@@ -99,7 +99,7 @@
 
   @Override
   public void leaderAbsent() {
-    leaderObserver.update(null, 0);
+    leaderObserver.setLeader(null, 0);
     heartbeatForwarder.leaderChanged(null, 0, false);
   }
 
--- a/src/main/java/io/embernotch/controller/SubmissionContext.java
+++ b/src/main/java/io/embernotch/controller/SubmissionContext.java
@@ -47,8 +47,8 @@
   }
 
   @Override
-  public boolean mayDenyJobs() {
-    return incarnations.answerPolicy().mayDenyJobs();
+  public boolean mayAnswerNotFound() {
+    return incarnations.answerPolicy().mayAnswerNotFound();
   }
 
   @Override
@@ -57,8 +57,8 @@
   }
 
   @Override
-  public BaseSnapshot base() {
-    return incarnations.base();
+  public BaseSnapshot baseSnapshot() {
+    return incarnations.baseSnapshot();
   }
 
   @Override
@@ -69,7 +69,7 @@
   @Override
   public Future<HttpResponse> submitElsewhere(byte[] body, double timeoutS) {
     return peerLiveness
-        .nextWithStore()
+        .nextReachingStore()
         .map(
             node ->
                 pendingRequests.send(node, id -> new Frame.ForwardedSubmission(id, body), timeoutS))
--- a/src/main/java/io/embernotch/election/Candidacy.java
+++ b/src/main/java/io/embernotch/election/Candidacy.java
@@ -41,7 +41,7 @@
   void claimSucceeded(long modRevision);
 
   /** The last claim failed. */
-  void claimRefused();
+  void claimFailed();
 
   /**
    * The leader key was read.
@@ -49,13 +49,13 @@
    * @param incarnation name of the store incarnation that the key names; "" if its leader runs a
    *     version without incarnations; null if the key is absent
    */
-  void incarnationNamed(String incarnation);
+  void leaderIncarnationRead(String incarnation);
 
   /**
    * The leader key names this controller, which does not lead: verifies that the store's contents
    * are current.
    */
-  void probe();
+  void verifyContents();
 
   /**
    * The leader key exists although its lease has ended, which shows that the store has lost leases.
--- a/src/main/java/io/embernotch/election/LeaderClaim.java
+++ b/src/main/java/io/embernotch/election/LeaderClaim.java
@@ -78,13 +78,16 @@
   /** Starts the claim. To be called once. */
   void start() {
     grantSentAt = clock.now();
-    store.grant(leaseTtlS).onSuccess(this::write).onFailure(failure -> outcome.failed(retryDelayS));
+    store
+        .grantLease(leaseTtlS)
+        .onSuccess(this::write)
+        .onFailure(failure -> outcome.failed(retryDelayS));
   }
 
   private void write(long grantedLeaseId) {
     leaseId = grantedLeaseId;
     if (!candidacy.mayClaim() || (current.present() && !candidacy.startsNewIncarnation())) {
-      store.revoke(leaseId);
+      store.revokeLease(leaseId);
       outcome.failed(LeaderElection.NEXT_ITERATION_S);
       return;
     }
@@ -99,12 +102,12 @@
 
   private void writeAnswered(TransactionResult result) {
     if (!result.applied()) {
-      store.revoke(leaseId);
+      store.revokeLease(leaseId);
       claimFailed(LeaderElection.NEXT_ITERATION_S);
       return;
     }
     // Revoking the former leader's lease prevents that leader from renewing it.
-    LeaderKey.read(current).ifPresent(former -> store.revoke(former.leaseId()));
+    LeaderKey.read(current).ifPresent(former -> store.revokeLease(former.leaseId()));
     succeeded(result.revision());
   }
 
@@ -112,7 +115,7 @@
     if (StoreException.kindOf(failure) == StoreException.Kind.UNKNOWN) {
       readBack();
     } else {
-      store.revoke(leaseId);
+      store.revokeLease(leaseId);
       claimFailed(retryDelayS);
     }
   }
@@ -134,7 +137,7 @@
 
   /** Revokes the lease before the claim fails: once it has ended, a late write can't be applied. */
   private void withdraw() {
-    store.revoke(leaseId).onComplete(revoked -> claimFailed(retryDelayS));
+    store.revokeLease(leaseId).onComplete(revoked -> claimFailed(retryDelayS));
   }
 
   private void succeeded(long modRevision) {
@@ -142,7 +145,7 @@
   }
 
   private void claimFailed(double retryAfterS) {
-    candidacy.claimRefused();
+    candidacy.claimFailed();
     outcome.failed(retryAfterS);
   }
 }
--- a/src/main/java/io/embernotch/election/LeaderElection.java
+++ b/src/main/java/io/embernotch/election/LeaderElection.java
@@ -109,12 +109,12 @@
    */
   public boolean isLeaseValid() {
     double now = clock.now();
-    return state == State.LEADER && now >= leadsFrom && now < leaseRenewer.provenUntil();
+    return state == State.LEADER && now >= leadsFrom && now < leaseRenewer.leaseValidUntil();
   }
 
   /** Seconds since the lease stopped being proven valid; 0 or negative while it is valid. */
-  public double leaseUnprovenForS() {
-    return clock.now() - leaseRenewer.provenUntil();
+  public double leaseExpiredForS() {
+    return clock.now() - leaseRenewer.leaseValidUntil();
   }
 
   /** Epoch of the last term in which this controller held the key; 0 if there was none. */
@@ -138,7 +138,7 @@
   public void resign(String reason, double noClaimForS) {
     noClaimBefore = clock.now() + noClaimForS;
     if (state == State.LEADER) {
-      store.revoke(leaseId);
+      store.revokeLease(leaseId);
       loseLeadership(reason, clock.now());
     }
   }
@@ -160,7 +160,7 @@
    */
   public void stepDownAfterLoss() {
     if (state == State.LEADER) {
-      loseLeadership("the store has lost data", leaseRenewer.provenUntil());
+      loseLeadership("the store has lost data", leaseRenewer.leaseValidUntil());
     }
   }
 
@@ -195,7 +195,7 @@
     }
     boolean startsNewIncarnation = candidacy.startsNewIncarnation();
     Optional<LeaderKey> key = LeaderKey.read(entry);
-    candidacy.incarnationNamed(key.map(LeaderKey::incarnation).orElse(null));
+    candidacy.leaderIncarnationRead(key.map(LeaderKey::incarnation).orElse(null));
     if (startsNewIncarnation) {
       key.ifPresent(
           former ->
@@ -253,9 +253,9 @@
    */
   private void revokeOwnKey(VersionedEntry entry, LeaderKey key) {
     orphanedKeys.observeOwnKey(entry, node);
-    candidacy.probe();
+    candidacy.verifyContents();
     store
-        .revoke(key.leaseId())
+        .revokeLease(key.leaseId())
         .onSuccess(revoked -> orphanedKeys.leaseRevoked(entry.modRevision()))
         .onComplete(revoked -> readKeyAfter(REREAD_AFTER_REVOCATION_S));
   }
@@ -333,16 +333,16 @@
   private void leaseEnded(long endedLeaseId) {
     if (state == State.LEADER && leaseId == endedLeaseId) {
       // A lease ends before its proven validity does only if the store has lost data.
-      loseLeadership("the lease expired", leaseRenewer.provenUntil());
+      loseLeadership("the lease expired", leaseRenewer.leaseValidUntil());
     }
   }
 
-  private void loseLeadership(String reason, double provenUntil) {
-    double leaseLeftS = -leaseUnprovenForS();
+  private void loseLeadership(String reason, double leaseValidUntil) {
+    double leaseLeftS = -leaseExpiredForS();
     LOG.info("no longer leader: {}; epoch {}, lease left {} s", reason, epoch, leaseLeftS);
     state = State.FOLLOWER;
     leaseRenewer.release();
-    listener.leadershipLost(reason, provenUntil);
+    listener.leadershipLost(reason, leaseValidUntil);
     readKey();
   }
 }
--- a/src/main/java/io/embernotch/election/LeaderObserver.java
+++ b/src/main/java/io/embernotch/election/LeaderObserver.java
@@ -14,7 +14,7 @@
   private long highestEndedEpoch;
   private final Clock clock;
   private long highestEpoch;
-  private String highestNode;
+  private String highestEpochLeader;
   private double highestSeenAt;
 
   /** Creates an observer that knows of no leader. */
@@ -42,12 +42,12 @@
   }
 
   /** Name of the first leader observed with the highest epoch; null if there was none. */
-  public String highestNode() {
-    return highestNode;
+  public String highestEpochLeader() {
+    return highestEpochLeader;
   }
 
   /** Seconds since the highest epoch was first observed; meaningless if there was none. */
-  public double highestSeenForS() {
+  public double highestEpochKnownForS() {
     return clock.now() - highestSeenAt;
   }
 
@@ -55,7 +55,7 @@
   public void observeEpoch(String leader, long observedEpoch) {
     if (observedEpoch > highestEpoch) {
       highestEpoch = observedEpoch;
-      highestNode = leader;
+      highestEpochLeader = leader;
       highestSeenAt = clock.now();
     }
   }
@@ -66,7 +66,7 @@
    * @param newNode name of the leader; null if there is none
    * @param newEpoch epoch of the leader; 0 if there is none
    */
-  public void update(String newNode, long newEpoch) {
+  public void setLeader(String newNode, long newEpoch) {
     observeEpoch(newNode, newEpoch);
     if (newNode == null) {
       highestEndedEpoch = Math.max(highestEndedEpoch, epoch);
--- a/src/main/java/io/embernotch/election/LeadershipListener.java
+++ b/src/main/java/io/embernotch/election/LeadershipListener.java
@@ -14,10 +14,10 @@
    * This controller stops leading, or loses the leader key before it has started to lead.
    *
    * @param reason the reason, for the log
-   * @param provenUntil time of the monotonic clock, in seconds, until which no other controller can
-   *     have led; negative if no such time is proven
+   * @param leaseValidUntil time of the monotonic clock, in seconds, until which no other controller
+   *     can have led; negative if no such time is proven
    */
-  void leadershipLost(String reason, double provenUntil);
+  void leadershipLost(String reason, double leaseValidUntil);
 
   /**
    * The leader key was read or claimed, and names a leader: this controller or another one. Calls
--- a/src/main/java/io/embernotch/election/OrphanedKeyDetector.java
+++ b/src/main/java/io/embernotch/election/OrphanedKeyDetector.java
@@ -51,7 +51,7 @@
     } else if (now - unresponsiveSince > unresponsiveTimeoutS) {
       unresponsiveSince = now;
       store
-          .renewIfPresent(key.leaseId())
+          .renewLeaseIfPresent(key.leaseId())
           .onSuccess(
               leasePresent -> {
                 if (!leasePresent) {
--- a/src/main/java/io/embernotch/election/PeerLiveness.java
+++ b/src/main/java/io/embernotch/election/PeerLiveness.java
@@ -52,29 +52,29 @@
    *     the store
    */
   public void recordHeartbeat(String node, boolean storeReachable, boolean replicates) {
-    boolean acceptsReplication = storeReachable ? replicates : replicates(node);
+    boolean acceptsReplication = storeReachable ? replicates : acceptsReplication(node);
     lastHeartbeats.put(node, new LastHeartbeat(clock.now(), storeReachable, acceptsReplication));
   }
 
   /** Records that a controller has sent a replication frame: it accepts such frames as well. */
-  public void recordReplicates(String node) {
+  public void recordReplicationAccepted(String node) {
     lastHeartbeats.computeIfPresent(
         node, (name, last) -> new LastHeartbeat(last.receivedAt, last.storeReachable, true));
   }
 
   /** Whether the controller accepts replication frames, according to its last report. */
-  public boolean replicates(String node) {
+  public boolean acceptsReplication(String node) {
     LastHeartbeat last = lastHeartbeats.get(node);
     return last != null && last.acceptsReplication;
   }
 
   /** Names of the live controllers that accept replication frames, sorted. */
   public List<String> liveReplicas() {
-    return live().stream().filter(this::replicates).toList();
+    return live().stream().filter(this::acceptsReplication).toList();
   }
 
   /** True once every other controller has sent a heartbeat to this process. */
-  public boolean hasHeardFromAll() {
+  public boolean hasHeartbeatFromAll() {
     return lastHeartbeats.keySet().containsAll(connectionRenewedAt.keySet());
   }
 
@@ -85,12 +85,12 @@
   }
 
   /** True if another controller is live, or if there is no other one. */
-  public boolean hearsAny() {
+  public boolean isAnyLive() {
     return connectionRenewedAt.isEmpty() || !live().isEmpty();
   }
 
   /** True if every other controller is live. */
-  public boolean hearsAll() {
+  public boolean areAllLive() {
     return connectionRenewedAt.keySet().stream().allMatch(this::isLive);
   }
 
@@ -106,14 +106,14 @@
   }
 
   /** True if another controller is live and can reach the store. */
-  public boolean anyReachesStore() {
+  public boolean isAnyReachingStore() {
     return !liveReachingStore().isEmpty();
   }
 
   /**
    * Name of a live controller that can reach the store, chosen round-robin; empty if there is none.
    */
-  public Optional<String> nextWithStore() {
+  public Optional<String> nextReachingStore() {
     List<String> candidates = liveReachingStore();
     return candidates.isEmpty()
         ? Optional.empty()
@@ -128,7 +128,7 @@
    * Controllers whose connections are to be renewed now, since they may hang although a network
    * partition has ended. Each controller is returned at most once per heartbeat interval.
    */
-  public List<String> takeNewlyUnresponsive() {
+  public List<String> takeConnectionsToRenew() {
     List<String> unresponsive = new ArrayList<>();
     for (Map.Entry<String, Double> renewal : connectionRenewedAt.entrySet()) {
       if (!isLive(renewal.getKey()) && clock.now() - renewal.getValue() > reconnectIntervalS) {
--- a/src/main/java/io/embernotch/fleet/CloudInventory.java
+++ b/src/main/java/io/embernotch/fleet/CloudInventory.java
@@ -25,8 +25,8 @@
   private final double startedAt;
   private double requestedAt = Clock.NEVER;
   private boolean requestPending;
-  private boolean listedOnce;
-  private boolean cloudAnswers;
+  private boolean hasReceivedMachineList;
+  private boolean isCloudReachable;
 
   /**
    * @param clusterChanged called after the first list, and after each that contains a new machine
@@ -50,13 +50,13 @@
   }
 
   /** Whether a list has been received. */
-  boolean listedOnce() {
-    return listedOnce;
+  boolean hasReceivedMachineList() {
+    return hasReceivedMachineList;
   }
 
   /** Whether the most recent completed list request succeeded. */
-  boolean cloudAnswers() {
-    return cloudAnswers;
+  boolean isCloudReachable() {
+    return isCloudReachable;
   }
 
   /** Requests the list if a request is due. */
@@ -84,7 +84,7 @@
               if (result.succeeded()) {
                 apply(result.result());
               } else {
-                cloudAnswers = false;
+                isCloudReachable = false;
                 LOG.debug("machine list request failed: {}", result.cause().getMessage());
               }
             });
@@ -97,9 +97,9 @@
    */
   private void apply(List<ListedMachine> list) {
     double now = context.clock().now();
-    boolean changed = !listedOnce;
-    listedOnce = true;
-    cloudAnswers = true;
+    boolean changed = !hasReceivedMachineList;
+    hasReceivedMachineList = true;
+    isCloudReachable = true;
     for (ListedMachine listed : list) {
       Machine machine = state.machines.get(listed.name());
       if (machine == null) {
@@ -116,7 +116,7 @@
         machine.listedUpAt = machine.listedUpAt < 0 ? now : machine.listedUpAt;
         // Contacts a machine that ran under an earlier leader at once: until its worker finds this
         // leader by itself, nothing can be started on it.
-        agents.find(machine);
+        agents.discover(machine);
       }
       if (listed.failed() && !machine.failed) {
         LOG.info("machine {} has failed", machine.name);
--- a/src/main/java/io/embernotch/fleet/FailureDetector.java
+++ b/src/main/java/io/embernotch/fleet/FailureDetector.java
@@ -178,7 +178,7 @@
    * zone keep running, and no machine is rented there.
    */
   private void updatePartitionedZones(List<Machine> unresponsive) {
-    Set<String> live = listener.controllers();
+    Set<String> live = listener.liveControllers();
     Set<String> zones = new HashSet<>();
     for (Settings.Member member : context.settings().members()) {
       String zone = member.location();
--- a/src/main/java/io/embernotch/fleet/FleetManager.java
+++ b/src/main/java/io/embernotch/fleet/FleetManager.java
@@ -33,7 +33,7 @@
   /** Receives changes of the fleet; called on the leader's event loop. */
   public interface Listener {
     /** Called when the machine is deleted, and all tasks on it have ended. */
-    void machineGone(Machine machine);
+    void machineDeleted(Machine machine);
 
     /**
      * Called when machines were added or failed, or a rental was refused, so that a new plan may
@@ -44,10 +44,10 @@
     /**
      * Returns the names of the controllers that have sent messages recently, including this one.
      */
-    Set<String> controllers();
+    Set<String> liveControllers();
 
     /** Called when the start command of the attempt can't reach its machine. */
-    void startUnreachable(Attempt attempt);
+    void startUndeliverable(Attempt attempt);
 
     /**
      * Called when so many machines are unresponsive at once that this controller must be the
@@ -83,7 +83,7 @@
     this.agents = agents;
     this.scaleOut =
         new ScaleOut(context, state, agents.tokenBase(), epoch, listener::clusterChanged);
-    this.scaleIn = new ScaleIn(context, state, listener::machineGone);
+    this.scaleIn = new ScaleIn(context, state, listener::machineDeleted);
     this.rates = new FailureRates(context.settings());
     this.inventory =
         new CloudInventory(
@@ -96,33 +96,33 @@
   }
 
   /** Whether this leader has received the cloud's machine list at least once. */
-  public boolean listedOnce() {
-    return inventory.listedOnce();
+  public boolean hasReceivedMachineList() {
+    return inventory.hasReceivedMachineList();
   }
 
   /**
    * Whether the cloud answers. While it does not, idle machines are kept: they can be neither
    * returned nor replaced, and a deletion that was requested may be executed at any later time.
    */
-  public boolean cloudAnswers() {
-    return inventory.cloudAnswers();
+  public boolean isCloudReachable() {
+    return inventory.isCloudReachable();
   }
 
   /** The machines that are being rented. */
-  public List<FleetView.Expected> expected() {
-    return scaleOut.expected();
+  public List<FleetView.Expected> pendingRentals() {
+    return scaleOut.pendingRentals();
   }
 
   /** Returns the estimated failure rates of machines and zones. */
-  public FailureRisk risk() {
+  public FailureRisk failureRisk() {
     return rates.risk();
   }
 
   /**
    * Whether nothing can be rented in a pool at present: it is exhausted, or its zone partitioned.
    */
-  public boolean exhausted(String type, String zone, boolean spot) {
-    return failureDetector.isPartitioned(zone) || scaleOut.exhausted(type, zone, spot);
+  public boolean isExhausted(String type, String zone, boolean spot) {
+    return failureDetector.isPartitioned(zone) || scaleOut.isExhausted(type, zone, spot);
   }
 
   /** Rents machines as described in {@link ScaleOut#rent}. */
--- a/src/main/java/io/embernotch/fleet/OneWayPartitions.java
+++ b/src/main/java/io/embernotch/fleet/OneWayPartitions.java
@@ -91,7 +91,7 @@
           attempt.launchState == Attempt.LaunchState.CONFIRMED
               || attempt.launchState == Attempt.LaunchState.SENDING;
       if (!started && !attempt.stopping) {
-        listener.startUnreachable(attempt);
+        listener.startUndeliverable(attempt);
       }
     }
   }
--- a/src/main/java/io/embernotch/fleet/ScaleOut.java
+++ b/src/main/java/io/embernotch/fleet/ScaleOut.java
@@ -26,7 +26,7 @@
   /** Heartbeat intervals for which a pool that provided too few machines counts as exhausted. */
   private static final double EXHAUSTED_HEARTBEATS = 5;
 
-  /** Time that {@link #exhausted} assumes for a pool that was never exhausted. */
+  /** Time that {@link #isExhausted} assumes for a pool that was never exhausted. */
   private static final double NOT_EXHAUSTED = -1.0;
 
   /** A rental whose response has not been received yet; its name is an idempotency key. */
@@ -70,7 +70,7 @@
   }
 
   /** Returns the machines that are being rented. */
-  List<FleetView.Expected> expected() {
+  List<FleetView.Expected> pendingRentals() {
     List<FleetView.Expected> expected = new ArrayList<>();
     for (Rental rental : pendingRentals.values()) {
       Pool pool = rental.pool;
@@ -80,7 +80,7 @@
   }
 
   /** Whether the cloud recently had too few machines in a pool. */
-  boolean exhausted(String type, String zone, boolean spot) {
+  boolean isExhausted(String type, String zone, boolean spot) {
     Pool pool = new Pool(type, zone, spot);
     return exhaustedUntil.getOrDefault(pool, NOT_EXHAUSTED) > context.clock().now();
   }
--- a/src/main/java/io/embernotch/forwarding/DelegatedRenewal.java
+++ b/src/main/java/io/embernotch/forwarding/DelegatedRenewal.java
@@ -63,7 +63,7 @@
     this.settings = context.settings();
     this.contactAt = context.clock().now();
     this.redirectedAt = new LeastRecentlyUsed<>(settings.quota().maxConnections());
-    this.lastSeq = ProcessIncarnation.begin(context.names());
+    this.lastSeq = ProcessIncarnation.begin(context.nameGenerator());
   }
 
   /** Returns this controller's next heartbeat; the caller must send it to the leader at once. */
--- a/src/main/java/io/embernotch/forwarding/HeartbeatForwarder.java
+++ b/src/main/java/io/embernotch/forwarding/HeartbeatForwarder.java
@@ -47,7 +47,7 @@
      * @param request makes the frame that carries the given request number
      * @return the response; 503 if none arrives within {@code withinS} seconds
      */
-    Future<HttpResponse> ask(String node, LongFunction<Frame> request, double withinS);
+    Future<HttpResponse> sendRequest(String node, LongFunction<Frame> request, double withinS);
 
     /** Sends a frame to another controller, without waiting for a response. */
     void send(String node, Frame frame);
@@ -226,7 +226,8 @@
       return Future.succeededFuture(misdirected(leader));
     }
     long toEpoch = epoch;
-    return host.ask(leader, id -> new Frame.ForwardedHeartbeat(id, heartbeat), RESPONSE_TIMEOUT_S)
+    return host.sendRequest(
+            leader, id -> new Frame.ForwardedHeartbeat(id, heartbeat), RESPONSE_TIMEOUT_S)
         .map(
             response -> {
               if (response.status() == SERVICE_UNAVAILABLE) {
--- a/src/main/java/io/embernotch/forwarding/PendingRequests.java
+++ b/src/main/java/io/embernotch/forwarding/PendingRequests.java
@@ -25,11 +25,11 @@
   /**
    * Creates an instance with no request pending.
    *
-   * @param names makes globally unique names, from which request numbers derive: a response to a
-   *     former incarnation of this process must not complete a request of the present one
+   * @param nameGenerator makes globally unique names, from which request numbers derive: a response
+   *     to a former incarnation of this process must not complete a request of the present one
    */
-  public PendingRequests(Timers timers, PeerLink peers, Supplier<String> names) {
-    this.lastId = ProcessIncarnation.begin(names);
+  public PendingRequests(Timers timers, PeerLink peers, Supplier<String> nameGenerator) {
+    this.lastId = ProcessIncarnation.begin(nameGenerator);
     this.timers = timers;
     this.peers = peers;
   }
@@ -60,7 +60,7 @@
   private void timedOut(long id, String node) {
     Promise<HttpResponse> response = pending.remove(id);
     if (response != null) {
-      response.tryComplete(HttpResponse.later(node + " does not answer"));
+      response.tryComplete(HttpResponse.unavailable(node + " does not answer"));
     }
   }
 
--- a/src/main/java/io/embernotch/forwarding/RecentHeartbeats.java
+++ b/src/main/java/io/embernotch/forwarding/RecentHeartbeats.java
@@ -36,7 +36,7 @@
   void record(Heartbeat heartbeat, double now) {
     Received previous = newest.get(heartbeat.machine());
     if (previous == null
-        || heartbeat.newerThan(previous.heartbeat.agentEpoch(), previous.heartbeat.seq())) {
+        || heartbeat.isNewerThan(previous.heartbeat.agentEpoch(), previous.heartbeat.seq())) {
       newest.put(heartbeat.machine(), new Received(heartbeat, now));
     }
   }
--- a/src/main/java/io/embernotch/http/CoreDispatcher.java
+++ b/src/main/java/io/embernotch/http/CoreDispatcher.java
@@ -39,7 +39,7 @@
     core.execute(
         () -> {
           if (clock.now() - receivedAt > patienceS) {
-            eventLoop.runOnContext(v -> response.complete(HttpResponse.later("overloaded")));
+            eventLoop.runOnContext(v -> response.complete(HttpResponse.unavailable("overloaded")));
             return;
           }
           run(request).onComplete(result -> eventLoop.runOnContext(v -> response.handle(result)));
--- a/src/main/java/io/embernotch/http/HttpResponse.java
+++ b/src/main/java/io/embernotch/http/HttpResponse.java
@@ -24,8 +24,8 @@
   }
 
   /** The request cannot be served now: the caller is to try again in a second. */
-  public static HttpResponse later(String why) {
-    return later(why, 1);
+  public static HttpResponse unavailable(String why) {
+    return unavailable(why, 1);
   }
 
   /**
@@ -33,7 +33,7 @@
    *
    * @param retryAfterS seconds after which the caller is to try again; at least 1 is said
    */
-  public static HttpResponse later(String why, int retryAfterS) {
+  public static HttpResponse unavailable(String why, int retryAfterS) {
     return new HttpResponse(SERVICE_UNAVAILABLE, reason(why), Math.max(1, retryAfterS));
   }
 
--- a/src/main/java/io/embernotch/http/RequestRouter.java
+++ b/src/main/java/io/embernotch/http/RequestRouter.java
@@ -35,7 +35,7 @@
   private final RequestHandler handler;
   private final CoreDispatcher dispatcher;
   private final Timers timers;
-  private HttpResponse lastReady = HttpResponse.later("starting");
+  private HttpResponse lastReady = HttpResponse.unavailable("starting");
 
   /**
    * @param timers those of the server's event loop
--- a/src/main/java/io/embernotch/incarnation/BaseSnapshotReader.java
+++ b/src/main/java/io/embernotch/incarnation/BaseSnapshotReader.java
@@ -35,8 +35,8 @@
 
   private static byte[] readBlock(StoreIncarnation incarnation, VersionedEntry entry, int index) {
     byte[] block = IncarnationCodec.readBlock(entry.value());
-    if (!entry.key().equals(IncarnationCodec.block(incarnation.snapshotName(), index))
-        || SnapshotBlocks.sum(block) != IncarnationCodec.readCrc(entry.value())) {
+    if (!entry.key().equals(IncarnationCodec.blockKey(incarnation.snapshotName(), index))
+        || SnapshotBlocks.crc32(block) != IncarnationCodec.readBlockCrc(entry.value())) {
       throw new MalformedInputException("block " + index + " is missing or damaged");
     }
     return block;
--- a/src/main/java/io/embernotch/incarnation/LossSigns.java
+++ b/src/main/java/io/embernotch/incarnation/DataLossIndicators.java
@@ -1,7 +1,7 @@
 package io.embernotch.incarnation;
 
 /** Accepts evidence of data loss that other parts of the controller find. */
-public final class LossSigns {
+public final class DataLossIndicators {
   /** Receives each detected data loss. */
   @FunctionalInterface
   interface Listener {
@@ -18,7 +18,7 @@
   private final IncarnationState state;
   private final Listener listener;
 
-  LossSigns(IncarnationState state, Listener listener) {
+  DataLossIndicators(IncarnationState state, Listener listener) {
     this.state = state;
     this.listener = listener;
   }
@@ -34,7 +34,7 @@
    * Reports that the current incarnation began without jobs or ends of jobs that this controller
    * knows. That counts as another data loss, so that the next incarnation begins with all of them.
    */
-  public void contentsLackKnown() {
+  public void incarnationLacksKnownJobs() {
     listener.dataLost("it lacks jobs or ends of jobs that this controller knows", true);
   }
 
@@ -43,7 +43,7 @@
    *
    * @param why the evidence, for the log
    */
-  public void contentsPutBack(String why) {
+  public void storeRolledBack(String why) {
     if (state.isIntact()) {
       listener.dataLost(why, false);
     }
--- a/src/main/java/io/embernotch/incarnation/LossNews.java
+++ b/src/main/java/io/embernotch/incarnation/DataLossReports.java
@@ -6,7 +6,7 @@
  * above it. So a delayed report of a loss that is already restored is not mistaken for a report of
  * a new one.
  */
-public final class LossNews {
+public final class DataLossReports {
   /** Receives each data loss that another controller reports. */
   @FunctionalInterface
   interface Listener {
@@ -26,14 +26,14 @@
   /**
    * @param readPointer starts a read of the store's current incarnation
    */
-  LossNews(IncarnationState state, Listener listener, Runnable readPointer) {
+  DataLossReports(IncarnationState state, Listener listener, Runnable readPointer) {
     this.state = state;
     this.listener = listener;
     this.readPointer = readPointer;
   }
 
   /** Whether data is lost and no later incarnation is known; the loss is reported until then. */
-  public boolean isTold() {
+  public boolean isLossUnresolved() {
     return state.isDataLost() && !state.isLossResolved();
   }
 
@@ -76,13 +76,13 @@
    * @param peerLossEpoch the epoch that identifies the loss in that request
    * @return false if this controller knows a later incarnation, so there is nothing to restore
    */
-  public boolean lossHeard(String node, long peerLossEpoch) {
+  public boolean lossReported(String node, long peerLossEpoch) {
     heartbeatReceived(node, null, peerLossEpoch);
-    return state.isStoreUnread() || isTold();
+    return state.isStoreUnread() || isLossUnresolved();
   }
 
   /** Another controller knows a later incarnation: reads it from the store. */
-  public void lossIsOver() {
+  public void lossResolved() {
     readPointer.run();
   }
 }
--- a/src/main/java/io/embernotch/incarnation/IncarnationAdopter.java
+++ b/src/main/java/io/embernotch/incarnation/IncarnationAdopter.java
@@ -64,7 +64,7 @@
     }
     int lossesBefore = state.lossCount();
     store
-        .list(IncarnationCodec.blocks(stored.snapshotName()))
+        .list(IncarnationCodec.blockKeyPrefix(stored.snapshotName()))
         .onSuccess(
             found -> {
               boolean reportedLost = state.isStoreUnread() && state.isReportedLost(stored);
@@ -106,12 +106,12 @@
    */
   void adoptWithSnapshot(StoreIncarnation incarnation, BaseSnapshot baseSnapshot) {
     if (incarnation != null) {
-      store.setFence(IncarnationCodec.fence(incarnation), incarnation.modRevision());
+      store.setFence(IncarnationCodec.fenceKey(incarnation), incarnation.modRevision());
     }
     confirmation.contentsRead(incarnation != null);
     if (state.recordAdopted(incarnation, baseSnapshot)) {
       LOG.info("store incarnation {}, epochs from {}", state.name(), state.epochFloor());
-      host.incarnationSettled(baseSnapshot);
+      host.incarnationAdopted(baseSnapshot);
     }
   }
 }
--- a/src/main/java/io/embernotch/incarnation/IncarnationClaimer.java
+++ b/src/main/java/io/embernotch/incarnation/IncarnationClaimer.java
@@ -56,16 +56,17 @@
       // written last, so a store that holds it holds all blocks.
       PreparedSnapshot prepared = restorer.prepared();
       transaction.when(
-          IncarnationCodec.block(prepared.name(), prepared.blockCount() - 1),
+          IncarnationCodec.blockKey(prepared.name(), prepared.blockCount() - 1),
           prepared.lastModRevision());
     }
     if (replaced.isPresent()) {
-      transaction.drop(IncarnationCodec.fence(replaced.incarnation()));
+      transaction.delete(IncarnationCodec.fenceKey(replaced.incarnation()));
     }
     transaction
         .write(IncarnationCodec.POINTER, IncarnationCodec.write(pendingIncarnation))
         .write(
-            IncarnationCodec.fence(pendingIncarnation), IncarnationCodec.write(pendingIncarnation));
+            IncarnationCodec.fenceKey(pendingIncarnation),
+            IncarnationCodec.write(pendingIncarnation));
     double graceS = state.isDataLost() ? restorer.formerLeaderGraceS() : 0;
     return new Claim(pendingIncarnation.name(), pendingIncarnation.epochFloor(), graceS);
   }
--- a/src/main/java/io/embernotch/incarnation/ToldIncarnation.java
+++ b/src/main/java/io/embernotch/incarnation/IncarnationExchange.java
@@ -9,11 +9,11 @@
  * the store does not answer it. Such a controller can replicate what the others commit, and detects
  * a rollback once it can read the store.
  */
-public final class ToldIncarnation {
+public final class IncarnationExchange {
   private final StoreClient store;
   private final IncarnationState state;
 
-  ToldIncarnation(StoreClient store, IncarnationState state) {
+  IncarnationExchange(StoreClient store, IncarnationState state) {
     this.store = store;
     this.state = state;
   }
@@ -40,7 +40,7 @@
   }
 
   /** Whether the incarnation is known from other controllers only, not read from the store yet. */
-  public boolean isOnlyTold() {
+  public boolean isReportedOnly() {
     return state.isReportedOnly();
   }
 
@@ -57,7 +57,7 @@
       store.discardIncarnation();
     }
     if (!state.isDataLost() && state.name().equals(incarnation.name())) {
-      store.noteRevision(revision);
+      store.recordRemoteRevision(revision);
     }
   }
 }
--- a/src/main/java/io/embernotch/incarnation/IncarnationHost.java
+++ b/src/main/java/io/embernotch/incarnation/IncarnationHost.java
@@ -12,16 +12,16 @@
    *
    * @param baseSnapshot the snapshot that the incarnation began with
    */
-  void incarnationSettled(BaseSnapshot baseSnapshot);
+  void incarnationAdopted(BaseSnapshot baseSnapshot);
 
   /** Whether every other controller has sent a heartbeat since this process started. */
-  boolean allPeersHeard();
+  boolean hasHeartbeatFromAllPeers();
 
   /**
    * Whether this controller would receive a report of a data loss that other controllers have
    * detected: the leader is live or, while no leader is known, some other controller is.
    */
-  boolean wouldHearOfLoss();
+  boolean wouldReceiveLossReport();
 
   /**
    * The store has lost data: this controller must stop leading.
--- a/src/main/java/io/embernotch/incarnation/RemainingContentsReader.java
+++ b/src/main/java/io/embernotch/incarnation/RemainingContentsReader.java
@@ -27,12 +27,12 @@
         .map(PointerReader::parse)
         .compose(pointer -> readBase(store, pointer))
         .compose(
-            base ->
+            baseSnapshot ->
                 PersistedState.read(store)
                     .map(
                         remaining ->
                             StateSnapshot.of(
-                                base,
+                                baseSnapshot,
                                 remaining.jobs(),
                                 remaining.shards(),
                                 remaining.refinedShards(),
@@ -44,7 +44,7 @@
       return Future.succeededFuture(BaseSnapshot.EMPTY);
     }
     return store
-        .list(IncarnationCodec.blocks(pointer.incarnation().snapshotName()))
+        .list(IncarnationCodec.blockKeyPrefix(pointer.incarnation().snapshotName()))
         .map(
             found -> {
               try {
--- a/src/main/java/io/embernotch/incarnation/StoreAnswerPolicy.java
+++ b/src/main/java/io/embernotch/incarnation/StoreAnswerPolicy.java
@@ -44,7 +44,7 @@
    * the store was rolled back; controllers that were running before detect it within two leader
    * leases.
    */
-  public boolean mayTellEnds() {
+  public boolean mayReportEndedJobs() {
     return incarnations.isIntact()
         && !state.isBehindHighestEpoch()
         && context.clock().now() - startedAt > startupSilenceS;
@@ -56,12 +56,12 @@
    * store that was rolled back shows. The leader has: either this controller receives its
    * heartbeats, or the leader's next heartbeat in the store proves that nothing was lost.
    */
-  public Future<Boolean> mayTellUnended() {
+  public Future<Boolean> mayReportUnendedJobs() {
     Future<Boolean> proven =
-        host.wouldHearOfLoss()
+        host.wouldReceiveLossReport()
             ? Future.succeededFuture(true)
             : heartbeatReader.awaitNext(state.name());
-    return proven.map(isProven -> isProven && mayTellEnds());
+    return proven.map(isProven -> isProven && mayReportEndedJobs());
   }
 
   /**
@@ -69,7 +69,7 @@
    * never accepted. False if the job may have been accepted before a data loss that was restored
    * incompletely or that no controller has detected yet.
    */
-  public boolean mayDenyJobs() {
+  public boolean mayAnswerNotFound() {
     return !state.baseSnapshot().jobsMissing() && confirmation.isConfirmed();
   }
 }
--- a/src/main/java/io/embernotch/incarnation/StoreHeartbeatReader.java
+++ b/src/main/java/io/embernotch/incarnation/StoreHeartbeatReader.java
@@ -66,7 +66,7 @@
     List<Waiter> waitersOfRead = List.copyOf(waiters);
     context
         .store()
-        .get(IncarnationCodec.HEARTBEAT)
+        .get(IncarnationCodec.LEADER_HEARTBEAT_KEY)
         .onSuccess(heartbeat -> waitersOfRead.forEach(waiter -> heartbeatRead(waiter, heartbeat)))
         .onComplete(result -> readCompleted());
   }
@@ -86,7 +86,8 @@
   private static boolean provesCurrent(VersionedEntry heartbeat, String incarnation) {
     try {
       return IncarnationCodec.readHeartbeatIncarnation(heartbeat.value()).equals(incarnation)
-          && IncarnationCodec.readHeartbeatSeen(heartbeat.value()) < heartbeat.modRevision();
+          && IncarnationCodec.readHeartbeatSeenRevision(heartbeat.value())
+              < heartbeat.modRevision();
     } catch (MalformedInputException e) {
       return false;
     }
--- a/src/main/java/io/embernotch/incarnation/StoreHeartbeatWriter.java
+++ b/src/main/java/io/embernotch/incarnation/StoreHeartbeatWriter.java
@@ -61,7 +61,7 @@
         new Transaction()
             .when(JobProgressCodec.LEADER, leaderModRevision)
             .write(
-                IncarnationCodec.HEARTBEAT,
+                IncarnationCodec.LEADER_HEARTBEAT_KEY,
                 IncarnationCodec.writeHeartbeat(incarnation.get(), highestRevision));
     context.store().commit(heartbeat, RequestPriority.HIGH);
   }
--- a/src/main/java/io/embernotch/incarnation/StoreIncarnationTracker.java
+++ b/src/main/java/io/embernotch/incarnation/StoreIncarnationTracker.java
@@ -39,9 +39,9 @@
   private final IncarnationClaimer claimer;
   private final ClaimEligibility eligibility;
   private final StoreAnswerPolicy answerPolicy;
-  private final LossNews lossNews;
-  private final LossSigns lossSigns;
-  private final ToldIncarnation toldIncarnation;
+  private final DataLossReports dataLossReports;
+  private final DataLossIndicators dataLossIndicators;
+  private final IncarnationExchange incarnationExchange;
   private final ContentsConfirmation confirmation;
 
   /** The snapshot of the incarnation that this node's next term begins; null if it begins none. */
@@ -79,14 +79,16 @@
     this.restorer = new StoreRestorer(context, source, leaseTtlS, state, pointer::answeringForS);
     this.confirmation = new ContentsConfirmation(context);
     this.adopter = new IncarnationAdopter(context.store(), host, state, pointer, confirmation);
-    this.claimer = new IncarnationClaimer(state, pointer, restorer, context.names());
+    this.claimer = new IncarnationClaimer(state, pointer, restorer, context.nameGenerator());
     this.eligibility =
-        new ClaimEligibility(context, state, host::allPeersHeard, why -> dataLost(why, UNREPORTED));
+        new ClaimEligibility(
+            context, state, host::hasHeartbeatFromAllPeers, why -> dataLost(why, UNREPORTED));
     this.answerPolicy =
         new StoreAnswerPolicy(context, host, this, state, confirmation, 2 * leaseTtlS);
-    this.lossNews = new LossNews(state, this::dataLost, pointer::read);
-    this.lossSigns = new LossSigns(state, (why, observed) -> dataLost(why, UNREPORTED, observed));
-    this.toldIncarnation = new ToldIncarnation(context.store(), state);
+    this.dataLossReports = new DataLossReports(state, this::dataLost, pointer::read);
+    this.dataLossIndicators =
+        new DataLossIndicators(state, (why, observed) -> dataLost(why, UNREPORTED, observed));
+    this.incarnationExchange = new IncarnationExchange(context.store(), state);
     context.store().setLossListener(this);
   }
 
@@ -105,13 +107,13 @@
   }
 
   /** Exchanges reports of data loss with other controllers. */
-  public LossNews lossNews() {
-    return lossNews;
+  public DataLossReports dataLossReports() {
+    return dataLossReports;
   }
 
   /** Exchanges the store's incarnation with other controllers. */
-  public ToldIncarnation toldIncarnation() {
-    return toldIncarnation;
+  public IncarnationExchange incarnationExchange() {
+    return incarnationExchange;
   }
 
   /** Knows whether the store may have been rolled back just before this process read it. */
@@ -125,12 +127,12 @@
   }
 
   /** Accepts evidence of data loss that other parts of the controller find. */
-  public LossSigns lossSigns() {
-    return lossSigns;
+  public DataLossIndicators dataLossIndicators() {
+    return dataLossIndicators;
   }
 
   /** Number of data losses that this process has recorded. */
-  public int losses() {
+  public int lossCount() {
     return state.lossCount();
   }
 
@@ -140,7 +142,7 @@
   }
 
   /** The snapshot that the known incarnation began with. */
-  public BaseSnapshot base() {
+  public BaseSnapshot baseSnapshot() {
     return state.baseSnapshot();
   }
 
@@ -161,7 +163,7 @@
   }
 
   @Override
-  public void incarnationNamed(String incarnation) {
+  public void leaderIncarnationRead(String incarnation) {
     legacyLeaderPresent = incarnation != null && incarnation.isEmpty();
     if (!state.isStoreUnread() && incarnation != null && !incarnation.equals(name())) {
       pointer.read();
@@ -173,14 +175,14 @@
    *
    * @param leaderModRevision modification revision of the leader key
    */
-  public void probe(long leaderModRevision) {
+  public void verifyContents(long leaderModRevision) {
     if (shouldProbe()) {
       context.store().verifyUnchanged(JobProgressCodec.LEADER, leaderModRevision);
     }
   }
 
   @Override
-  public void probe() {
+  public void verifyContents() {
     if (shouldProbe()) {
       context.store().commit(new Transaction());
     }
@@ -299,7 +301,7 @@
     if (state.isIntact()) {
       return eligibility.mayClaimIntact();
     }
-    return lossNews.isTold()
+    return dataLossReports.isLossUnresolved()
         && pointer.hasReadSinceLoss()
         && restorer.prepared() != null
         && !isLaterIncarnation(pointer.latest().incarnation());
@@ -333,7 +335,7 @@
   }
 
   @Override
-  public void claimRefused() {
+  public void claimFailed() {
     if (!claimer.discardClaim()) {
       return;
     }
--- a/src/main/java/io/embernotch/incarnation/StoreRestorer.java
+++ b/src/main/java/io/embernotch/incarnation/StoreRestorer.java
@@ -70,15 +70,15 @@
    *     of a task is missing from it
    * @param highestEpoch highest epoch of a leader that any controller that answered has observed
    * @param incarnations names of the store incarnations that other controllers knew
-   * @param mayImprove whether a later attempt may yield more, or another controller may restore
-   *     more itself: some controller has not answered, or may have led last
+   * @param othersMayKnowMore whether a later attempt may yield more, or another controller may
+   *     restore more itself: some controller has not answered, or may have led last
    */
   public record RestorableState(
       ClusterSnapshot state,
       boolean fromLastLeader,
       long highestEpoch,
       List<String> incarnations,
-      boolean mayImprove) {}
+      boolean othersMayKnowMore) {}
 
   private final ControllerContext context;
   private final Source source;
@@ -225,7 +225,7 @@
           "all other controllers confirm that nobody has led since epoch {}",
           gathered.state().getEpoch());
       prepare(attempt, gathered.state(), gathered.incarnations());
-    } else if (gathered.mayImprove()
+    } else if (gathered.othersMayKnowMore()
         && (context.clock().now() < deadline || storeJustRecovered())) {
       context.timers().after(leaseTtlS / READ_RETRIES_PER_LEASE, () -> gather(attempt, deadline));
     } else {
@@ -286,7 +286,7 @@
 
   /** {@code incarnations}: those that other controllers knew, whose contents the snapshot holds. */
   private void prepare(int attempt, ClusterSnapshot snapshot, List<String> incarnations) {
-    String name = context.names().get();
+    String name = context.nameGenerator().get();
     int valueBytes = (int) (context.settings().minStoreLimits().valueKb() * BYTES_PER_KB);
     SnapshotBlocks packed = SnapshotBlocks.pack(snapshot, valueBytes);
     int blockCount = packed.blocks().size();
@@ -339,8 +339,8 @@
         break;
       }
       transaction.write(
-          IncarnationCodec.block(name, index),
-          IncarnationCodec.writeBlock(block, SnapshotBlocks.sum(block)));
+          IncarnationCodec.blockKey(name, index),
+          IncarnationCodec.writeBlock(block, SnapshotBlocks.crc32(block)));
       index++;
     }
     return index;
--- a/src/main/java/io/embernotch/jobs/AttemptOutcomes.java
+++ b/src/main/java/io/embernotch/jobs/AttemptOutcomes.java
@@ -96,7 +96,7 @@
    *
    * @param saved whether the task saved its state before it exited
    */
-  public void exited(Attempt attempt, Machine machine, ExitCause cause, boolean saved) {
+  public void handleExit(Attempt attempt, Machine machine, ExitCause cause, boolean saved) {
     double now = context.clock().now();
     logExit(attempt, cause, saved, now);
     if (cause == ExitCause.DONE && attempt.job.spec.shape() != JobShape.SERVICE) {
@@ -180,7 +180,7 @@
   }
 
   /** Handles an attempt that provably no longer runs although its exit was not reported. */
-  public void gone(Attempt attempt, Machine machine, String reason) {
+  public void handleLost(Attempt attempt, Machine machine, String reason) {
     LOG.info("{} no longer runs: {}", attempt, reason);
     stopRestOfGang(attempt, 0);
     close(attempt);
--- a/src/main/java/io/embernotch/jobs/Cancellations.java
+++ b/src/main/java/io/embernotch/jobs/Cancellations.java
@@ -75,7 +75,7 @@
         .timers()
         .after(
             context.settings().workers().heartbeatIntervalS() / REQUEST_WAITS_PER_HEARTBEAT,
-            () -> reply.tryComplete(HttpResponse.later("tasks of it cannot be reached yet")));
+            () -> reply.tryComplete(HttpResponse.unavailable("tasks of it cannot be reached yet")));
     check(job);
   }
 
@@ -104,7 +104,8 @@
   }
 
   private void replyOnceEndPersisted(Job job, List<Promise<HttpResponse>> replies) {
-    HttpResponse response = HttpResponse.of(200, JobCodec.brief(job.spec.ref(), job.finalPhase));
+    HttpResponse response =
+        HttpResponse.of(200, JobCodec.phaseResponse(job.spec.ref(), job.finalPhase));
     JobCompletions.onceEndPersisted(
         stateWriter, job, () -> replies.forEach(reply -> reply.tryComplete(response)));
   }
@@ -120,6 +121,6 @@
     Machine machine = state.machines.get(attempt.machine);
     return machine != null
         && agents.leaseExpiresBy(machine) <= deadline
-        && !attempt.mayYetStart(agents.tokenBase());
+        && !attempt.mayStillStart(agents.tokenBase());
   }
 }
--- a/src/main/java/io/embernotch/jobs/DependencyLookup.java
+++ b/src/main/java/io/embernotch/jobs/DependencyLookup.java
@@ -71,7 +71,7 @@
   private void read(String ref) {
     context
         .store()
-        .get(JobProgressCodec.JOB + ref)
+        .get(JobProgressCodec.JOB_PREFIX + ref)
         .onComplete(
             result -> {
               inFlight.remove(ref);
--- a/src/main/java/io/embernotch/jobs/FailoverRecovery.java
+++ b/src/main/java/io/embernotch/jobs/FailoverRecovery.java
@@ -77,10 +77,10 @@
   public void load(WatchEvents submissions, WatchEvents shards, WatchEvents refinedShards) {
     clearState();
     Map<String, StoredSubmission> recovered =
-        new StoredJobReader(state, shardLayout, baseSnapshot.since(), unknownTasksEndAt())
+        new StoredJobReader(state, shardLayout, baseSnapshot.sinceRevision(), unknownTasksEndAt())
             .read(submissions, shards, refinedShards);
-    if (shardLayout.refinedAny()) {
-      stateWriter.limitsLowered();
+    if (shardLayout.hasRefinedJobs()) {
+      stateWriter.recordLimitsLowered();
     }
     recordModRevisions(shards, refinedShards, recovered);
     recovered.values().stream()
@@ -94,7 +94,7 @@
     state.jobs.clear();
     state.endedJobs.clear();
     state.machines.clear();
-    state.endedJobs.putAll(baseSnapshot.allEnded());
+    state.endedJobs.putAll(baseSnapshot.endedJobs());
     state.unreadable.clear();
   }
 
@@ -140,7 +140,7 @@
    * controllers show.
    */
   private boolean isLossRecent() {
-    double sinceLossS = (context.clock().wallMs() - baseSnapshot.madeMs()) / MS_PER_S;
+    double sinceLossS = (context.clock().wallMs() - baseSnapshot.takenAtMs()) / MS_PER_S;
     return sinceLossS < RECENT_LOSS_LEASES * WorkerLeases.longestLeaseS(context.settings());
   }
 
@@ -148,7 +148,7 @@
    * Whether this leader knows every task that can run: the base snapshot is complete, or all tasks
    * that it may lack must have ended.
    */
-  public boolean allStartsKnown() {
+  public boolean allRunningTasksKnown() {
     return baseSnapshot.complete() || context.clock().now() > unknownTasksEndAt();
   }
 
--- a/src/main/java/io/embernotch/jobs/JobRequestHandler.java
+++ b/src/main/java/io/embernotch/jobs/JobRequestHandler.java
@@ -44,7 +44,7 @@
      * Whether a job that the store does not hold was certainly never accepted; false after a loss
      * of data that may have affected accepted jobs.
      */
-    boolean mayDenyJobs();
+    boolean mayAnswerNotFound();
 
     /** Adds further fields to the status of a job that has not ended. */
     void describe(Job job, ObjectNode into);
@@ -79,7 +79,7 @@
   public void poll(String ref, Promise<HttpResponse> reply) {
     JobKnowledge knowledge = state.knowledgeOf(ref);
     if (knowledge != JobKnowledge.ENDED && !leaseValid.getAsBoolean()) {
-      reply.complete(HttpResponse.later("leadership is not proven"));
+      reply.complete(HttpResponse.unavailable("leadership is not proven"));
       return;
     }
     switch (knowledge) {
@@ -93,7 +93,7 @@
 
   private HttpResponse endedStatus(String ref) {
     ClusterState.EndedJob ended = state.endedJobs.get(ref);
-    return HttpResponse.of(200, JobCodec.status(ref, ended.phase(), ended.done(), 0));
+    return HttpResponse.of(200, JobCodec.statusResponse(ref, ended.phase(), ended.done(), 0));
   }
 
   /**
@@ -107,7 +107,7 @@
       return unreadable();
     }
     return phaseByDependencies(dependencies.get())
-        .map(phase -> HttpResponse.of(200, JobCodec.status(ref, phase, 0, 0)))
+        .map(phase -> HttpResponse.of(200, JobCodec.statusResponse(ref, phase, 0, 0)))
         .orElseGet(JobRequestHandler::unreadable);
   }
 
@@ -139,11 +139,12 @@
       // leader must not report an older state: a user would see the job done, then running, then
       // done.
       Job ended = beingWritten.get();
-      boolean writePending = stateWriter.whenWritten(ended, JobCompletions.FIRST_TASK, pollAgain);
+      boolean writePending = stateWriter.whenStored(ended, JobCompletions.FIRST_TASK, pollAgain);
       replyLater(reply, writePending ? pollTimeoutS() : 0, "its end is being written");
     } else if (job.finalPhase == null && job.blocked()) {
-      reply.complete(HttpResponse.of(200, JobCodec.waiting(ref, job.unmetDependencies.size())));
-    } else if (job.finalPhase == null && stateWriter.whenDoneMarksSettled(job, pollAgain)) {
+      reply.complete(
+          HttpResponse.of(200, JobCodec.waitingResponse(ref, job.unmetDependencies.size())));
+    } else if (job.finalPhase == null && stateWriter.whenUnknownDoneMarksStored(job, pollAgain)) {
       // The same holds for the count of done tasks.
       replyLater(reply, pollTimeoutS(), "what is done of it is being written");
     } else {
@@ -171,7 +172,7 @@
 
   /** Replies with 503 unless {@code reply} is completed within {@code delayS} seconds. */
   private void replyLater(Promise<HttpResponse> reply, double delayS, String reason) {
-    context.timers().after(delayS, () -> reply.tryComplete(HttpResponse.later(reason)));
+    context.timers().after(delayS, () -> reply.tryComplete(HttpResponse.unavailable(reason)));
   }
 
   private double pollTimeoutS() {
@@ -185,20 +186,20 @@
     String ref = job.spec.ref();
     int running = job.runningCount();
     if (job.endPersisted) {
-      return JobCodec.status(ref, job.finalPhase, job.done.cardinality(), running);
+      return JobCodec.statusResponse(ref, job.finalPhase, job.done.cardinality(), running);
     }
     // A start command without a response for as long as a poll may take may have arrived.
     double sentBefore = context.clock().now() - pollTimeoutS();
     JobPhase phase =
         running > 0 || job.startMayHaveArrived(sentBefore) ? JobPhase.RUNNING : JobPhase.QUEUED;
     int done = job.persistedDone.cardinality();
-    if (job.failsEverywhere()) {
-      return JobCodec.failing(ref, phase, done, running, job.errorMachines);
+    if (job.isAtFault()) {
+      return JobCodec.failingResponse(ref, phase, done, running, job.errorMachines);
     }
     if (job.release != null) {
-      return JobCodec.status(ref, phase, done, running, body -> host.describe(job, body));
+      return JobCodec.statusResponse(ref, phase, done, running, body -> host.describe(job, body));
     }
-    return JobCodec.status(ref, phase, done, running);
+    return JobCodec.statusResponse(ref, phase, done, running);
   }
 
   /**
@@ -208,39 +209,40 @@
   private void lookUp(String ref, Promise<HttpResponse> reply, Runnable whenFound) {
     context
         .store()
-        .getConfirmed(JobProgressCodec.JOB + ref)
+        .getConfirmed(JobProgressCodec.JOB_PREFIX + ref)
         .onSuccess(
             entry -> {
               if (!entry.present()) {
                 reply.complete(
-                    host.mayDenyJobs()
+                    host.mayAnswerNotFound()
                         ? HttpResponse.error(404, "no such job")
-                        : HttpResponse.later(
+                        : HttpResponse.unavailable(
                             "whether it was accepted before data was lost is not known"));
               } else if (host.isStopped()) {
-                reply.complete(HttpResponse.later("no steward"));
+                reply.complete(HttpResponse.unavailable("no steward"));
               } else {
                 host.jobFound(entry);
                 whenFound.run();
               }
             })
-        .onFailure(e -> reply.complete(HttpResponse.later("the state service does not answer")));
+        .onFailure(
+            e -> reply.complete(HttpResponse.unavailable("the state service does not answer")));
   }
 
   /** Cancels a job; completes {@code reply} with its final phase, 404 or 503. */
-  public void abort(String ref, Promise<HttpResponse> reply) {
+  public void cancel(String ref, Promise<HttpResponse> reply) {
     switch (state.knowledgeOf(ref)) {
       case ENDED -> {
         JobPhase end = state.endedJobs.get(ref).phase();
-        reply.complete(HttpResponse.of(200, JobCodec.brief(ref, end)));
+        reply.complete(HttpResponse.of(200, JobCodec.phaseResponse(ref, end)));
       }
-      case LIVE -> abort(state.jobs.get(ref), reply);
+      case LIVE -> cancel(state.jobs.get(ref), reply);
       case END_UNREADABLE, SUBMISSION_UNREADABLE -> reply.complete(unreadable());
-      case NOT_SEEN -> lookUp(ref, reply, () -> abort(ref, reply));
+      case NOT_SEEN -> lookUp(ref, reply, () -> cancel(ref, reply));
     }
   }
 
-  private void abort(Job job, Promise<HttpResponse> reply) {
+  private void cancel(Job job, Promise<HttpResponse> reply) {
     if (job.finalPhase == null) {
       host.cancel(job, reply);
     } else {
@@ -249,11 +251,12 @@
   }
 
   private static HttpResponse unreadable() {
-    return HttpResponse.later("what the state service holds of it can't be read");
+    return HttpResponse.unavailable("what the state service holds of it can't be read");
   }
 
   private void replyOnceEndPersisted(Job job, Promise<HttpResponse> reply) {
-    HttpResponse response = HttpResponse.of(200, JobCodec.brief(job.spec.ref(), job.finalPhase));
+    HttpResponse response =
+        HttpResponse.of(200, JobCodec.phaseResponse(job.spec.ref(), job.finalPhase));
     JobCompletions.onceEndPersisted(stateWriter, job, () -> reply.tryComplete(response));
     if (!job.endPersisted) {
       replyLater(reply, context.settings().workers().heartbeatIntervalS(), "not in the store yet");
--- a/src/main/java/io/embernotch/jobs/StoreLoader.java
+++ b/src/main/java/io/embernotch/jobs/StoreLoader.java
@@ -70,7 +70,7 @@
       return;
     }
     sink.read(
-        baseSnapshot.overlay(JobProgressCodec.JOB, stored.jobs()),
+        baseSnapshot.overlay(JobProgressCodec.JOB_PREFIX, stored.jobs()),
         baseSnapshot.overlay(JobProgressCodec.SHARD, stored.shards()),
         baseSnapshot.overlay(JobProgressCodec.REFINED_SHARD, stored.refinedShards()),
         baseSnapshot.overlayShared(stored.shared()));
--- a/src/main/java/io/embernotch/jobs/StoredJobReader.java
+++ b/src/main/java/io/embernotch/jobs/StoredJobReader.java
@@ -81,7 +81,7 @@
   }
 
   private void readSubmission(VersionedEntry entry) {
-    String ref = entry.key().substring(JobProgressCodec.JOB.length());
+    String ref = entry.key().substring(JobProgressCodec.JOB_PREFIX.length());
     boolean readable =
         tryRead(
             entry,
@@ -103,7 +103,7 @@
     if (owner != null) {
       if (!tryRead(entry, () -> readShard(entry, owner))) {
         delayUntilUnknownTasksEnd(owner);
-        if (holdsEnd && !JobProgressCodec.tellsEnd(entry.value())) {
+        if (holdsEnd && !JobProgressCodec.determinesEnd(entry.value())) {
           recovered.remove(ref);
           state.unreadable.addUnknownEnd(owner.job());
         }
@@ -115,7 +115,7 @@
 
   private static void readShard(VersionedEntry entry, StoredSubmission owner) {
     JobProgressCodec.readShard(
-        entry.value(), owner.job(), owner.shardSize(), JobProgressCodec.shardOf(entry.key()));
+        entry.value(), owner.job(), owner.shardSize(), JobProgressCodec.shardNumber(entry.key()));
   }
 
   /** Reads the end of a job whose submission can't be read, so that it can be reported. */
@@ -123,7 +123,7 @@
     if (!state.unreadable.isStarted(ref)) {
       return;
     }
-    if (!JobProgressCodec.tellsEnd(entry.value())) {
+    if (!JobProgressCodec.determinesEnd(entry.value())) {
       state.unreadable.addUnknownEnd(ref);
       return;
     }
--- a/src/main/java/io/embernotch/leader/AgentEventHandler.java
+++ b/src/main/java/io/embernotch/leader/AgentEventHandler.java
@@ -21,18 +21,18 @@
 
   @Override
   public void taskExited(Attempt attempt, Machine machine, ExitCause cause, boolean saved) {
-    components.attemptOutcomes.exited(attempt, machine, cause, saved);
+    components.attemptOutcomes.handleExit(attempt, machine, cause, saved);
   }
 
   @Override
-  public void attemptGone(Attempt attempt, Machine machine, String reason) {
-    components.attemptOutcomes.gone(attempt, machine, reason);
+  public void attemptLost(Attempt attempt, Machine machine, String reason) {
+    components.attemptOutcomes.handleLost(attempt, machine, reason);
   }
 
   @Override
   public void superseded(long token) {
     components.leaderContext.observeEpoch(FencingTokens.epochOf(token));
-    components.leaderContext.superseded("a worker has seen fencing token " + token);
+    components.leaderContext.reportNewerLeader("a worker has seen fencing token " + token);
   }
 
   @Override
--- a/src/main/java/io/embernotch/leader/FleetEventHandler.java
+++ b/src/main/java/io/embernotch/leader/FleetEventHandler.java
@@ -15,12 +15,12 @@
   }
 
   @Override
-  public void machineGone(Machine machine) {
+  public void machineDeleted(Machine machine) {
     if (components.state.machines.get(machine.name) != machine) {
       return;
     }
     for (Attempt attempt : List.copyOf(machine.openAttempts.values())) {
-      components.attemptOutcomes.gone(attempt, machine, "its machine was scaled in");
+      components.attemptOutcomes.handleLost(attempt, machine, "its machine was scaled in");
     }
     components.state.machines.remove(machine.name);
     components.imagePublisher.machineRemoved(
@@ -35,12 +35,12 @@
   }
 
   @Override
-  public Set<String> controllers() {
-    return components.leaderContext.controllers();
+  public Set<String> liveControllers() {
+    return components.leaderContext.liveControllers();
   }
 
   @Override
-  public void startUnreachable(Attempt attempt) {
+  public void startUndeliverable(Attempt attempt) {
     components.stopper.stopWithGang(attempt, 0);
   }
 
--- a/src/main/java/io/embernotch/leader/HeartbeatHandler.java
+++ b/src/main/java/io/embernotch/leader/HeartbeatHandler.java
@@ -38,7 +38,7 @@
 
   /** Processes an agent's heartbeat to which no response is awaited. */
   void handleWithoutReply(Heartbeat heartbeat) {
-    if (!components.lifecycle.isStopped() && components.agents.processForwarded(heartbeat)) {
+    if (!components.lifecycle.isStopped() && components.agents.processWithoutReply(heartbeat)) {
       components.schedulingLoop.scheduleSoon();
     }
   }
--- a/src/main/java/io/embernotch/leader/HeartbeatQueue.java
+++ b/src/main/java/io/embernotch/leader/HeartbeatQueue.java
@@ -83,7 +83,7 @@
     Long position = positionByMachine.get(machine);
     if (position != null) {
       Heartbeat queued = queue.get(position).message.heartbeat();
-      if (!message.heartbeat().newerThan(queued.agentEpoch(), queued.seq())) {
+      if (!message.heartbeat().isNewerThan(queued.agentEpoch(), queued.seq())) {
         // A late copy, or a heartbeat of another incarnation of the agent: it must not replace the
         // one that the agent awaits a response to.
         onDropped.accept(message);
--- a/src/main/java/io/embernotch/leader/JobEventHandler.java
+++ b/src/main/java/io/embernotch/leader/JobEventHandler.java
@@ -94,7 +94,7 @@
     UnreadableEntries unreadable = components.state.unreadable;
     unreadable.addKey(entry.key());
     unreadable.addSubmission(
-        entry.key().substring(JobProgressCodec.JOB.length()),
+        entry.key().substring(JobProgressCodec.JOB_PREFIX.length()),
         new UnreadableSubmission(StoredSubmission.readDependencies(entry.value()), false));
   }
 
@@ -113,13 +113,13 @@
   }
 
   @Override
-  public boolean mayDenyJobs() {
+  public boolean mayAnswerNotFound() {
     return !components.term.baseSnapshot().jobsMissing() && areContentsConfirmed();
   }
 
   private boolean areContentsConfirmed() {
     LeaderContext leaderContext = components.leaderContext;
-    boolean machinesListed = components.fleetManager.listedOnce();
+    boolean machinesListed = components.fleetManager.hasReceivedMachineList();
     if (!leaderContext.areContentsConfirmed()
         && components.lifecycle.isLoaded()
         && components.rollbackDetector.isCheckComplete(machinesListed)) {
--- a/src/main/java/io/embernotch/leader/Leader.java
+++ b/src/main/java/io/embernotch/leader/Leader.java
@@ -37,7 +37,7 @@
   /**
    * Whether it was certain, when the term ended, that no task ran that this leader did not know of.
    */
-  private boolean allStartsKnown;
+  private boolean allRunningTasksKnown;
 
   /**
    * Returned by {@link #snapshot} until the cluster state is loaded; null if there is none, and
@@ -60,7 +60,7 @@
       Collection<MachineType> machineTypes,
       ClusterSnapshot initialSnapshot,
       Set<String> controllersDelayingCancellations) {
-    super(context.loop());
+    super(context.coreLoop());
     this.context = context;
     this.term = term;
     this.initialSnapshot = initialSnapshot;
@@ -74,7 +74,7 @@
             acquiredAt,
             machineTypes,
             controllersDelayingCancellations,
-            this::tell);
+            this::send);
     this.dispatcher = new LeaderMessageDispatcher(components);
   }
 
@@ -93,7 +93,7 @@
 
   /** Ends the term: nothing is written or sent any more, and pending messages are refused. */
   public void stop() {
-    allStartsKnown = components.failoverRecovery.allStartsKnown();
+    allRunningTasksKnown = components.failoverRecovery.allRunningTasksKnown();
     lifecycle.markStopped();
     components.schedulingLoop.close();
     components.stateWriter.close();
@@ -115,9 +115,9 @@
         Math.round((now - acquiredAt) * MILLIS_PER_S));
     new SubmissionWatcher(
             context,
-            (job, shardSize) -> tell(new LeaderMessage.JobAccepted(job, shardSize)),
+            (job, shardSize) -> send(new LeaderMessage.JobAccepted(job, shardSize)),
             lifecycle::isStopped)
-        .from(jobsRevision);
+        .watchFrom(jobsRevision);
     dispatcher.dispatchPending();
     components.schedulingLoop.scheduleSoon();
   }
@@ -129,7 +129,7 @@
             context.settings().workers().heartbeatIntervalS() / TICKS_PER_HEARTBEAT_INTERVAL,
             () -> {
               if (!lifecycle.isStopped()) {
-                tell(new LeaderMessage.Tick());
+                send(new LeaderMessage.Tick());
                 scheduleTick();
               }
             });
@@ -168,7 +168,7 @@
    * Whether the store was found to have been rolled back before this term began. Other leaders may
    * then have led after the state that this leader has loaded.
    */
-  public boolean hasLedPutBackContents() {
+  public boolean hasLedRolledBackStore() {
     return lifecycle.isStoreRolledBack();
   }
 
@@ -201,7 +201,9 @@
             context.clock().wallMs());
     return snapshot.toBuilder()
         .setComplete(
-            lifecycle.isStopped() ? allStartsKnown : components.failoverRecovery.allStartsKnown())
+            lifecycle.isStopped()
+                ? allRunningTasksKnown
+                : components.failoverRecovery.allRunningTasksKnown())
         .setJobsMissing(term.baseSnapshot().jobsMissing())
         .build();
   }
--- a/src/main/java/io/embernotch/leader/LeaderComponents.java
+++ b/src/main/java/io/embernotch/leader/LeaderComponents.java
@@ -117,7 +117,7 @@
     sharedState = createSharedState();
     schedulingLoop = createSchedulingLoop();
     restartReviewer = new RestartReviewer(context, state, stateWriter, stopper);
-    imagePublisher = new ImageInventoryPublisher(context.operator().roundS());
+    imagePublisher = new ImageInventoryPublisher(context.operatorSettings().roundS());
     statusLogger = new StatusLogger(context, state, schedulingLoop, stateWriter);
     failoverRecovery = createFailoverRecovery();
     state.setImageLookup(this::lastKnownImages);
@@ -136,7 +136,9 @@
         context.timers(),
         context.profile(),
         term.modRevision(),
-        () -> leaderContext.superseded("a transaction failed its condition on the leader key"));
+        () ->
+            leaderContext.reportNewerLeader(
+                "a transaction failed its condition on the leader key"));
   }
 
   private JobCompletions createCompletions() {
@@ -183,7 +185,7 @@
         term,
         job -> stateWriter.writeLater(job, FIRST_TASK),
         () ->
-            leaderContext.superseded(
+            leaderContext.reportNewerLeader(
                 "a shared state transaction failed its condition on the leader key"));
   }
 
@@ -223,7 +225,7 @@
   void storeRolledBack(String reason) {
     if (!lifecycle.isStopped()) {
       lifecycle.markStoreRolledBack();
-      leaderContext.contentsPutBack(reason);
+      leaderContext.storeRolledBack(reason);
     }
   }
 
--- a/src/main/java/io/embernotch/leader/LeaderContext.java
+++ b/src/main/java/io/embernotch/leader/LeaderContext.java
@@ -12,7 +12,7 @@
   boolean isLeaseValid();
 
   /** Names of the live controllers, including this one. */
-  Set<String> controllers();
+  Set<String> liveControllers();
 
   /** Sends machine views to the controllers that own the partitions of the machines. */
   PartitionViews partitionViews();
@@ -23,14 +23,14 @@
    *
    * @param reason the reason, for the log
    */
-  void superseded(String reason);
+  void reportNewerLeader(String reason);
 
   /**
    * Reports that the store was rolled back to an earlier revision before this term began.
    *
    * @param reason evidence of the rollback, for the log
    */
-  void contentsPutBack(String reason);
+  void storeRolledBack(String reason);
 
   /**
    * Whether it is certain that the store was not rolled back just before this process first read
--- a/src/main/java/io/embernotch/leader/LeaderMessage.java
+++ b/src/main/java/io/embernotch/leader/LeaderMessage.java
@@ -26,7 +26,7 @@
    * The last heartbeat of an agent that a controller received before it knew this leader. The
    * controller passes it on when the leader becomes known; no response is awaited.
    */
-  record HeartbeatHandedOver(Heartbeat heartbeat) implements LeaderMessage {}
+  record HeartbeatWithoutReply(Heartbeat heartbeat) implements LeaderMessage {}
 
   /**
    * A user's request that concerns a job, or for the overview.
--- a/src/main/java/io/embernotch/leader/LeaderMessageDispatcher.java
+++ b/src/main/java/io/embernotch/leader/LeaderMessageDispatcher.java
@@ -49,7 +49,7 @@
   private void defer(LeaderMessage message) {
     if (message instanceof LeaderMessage.HeartbeatReceived received) {
       pendingHeartbeats.add(received, context.timers());
-    } else if (message instanceof LeaderMessage.HeartbeatHandedOver handedOver) {
+    } else if (message instanceof LeaderMessage.HeartbeatWithoutReply handedOver) {
       pendingHeartbeats.add(handedOver.heartbeat());
     } else if (message instanceof LeaderMessage.UserRequest request) {
       // The user would have given up before the store is loaded.
@@ -62,7 +62,7 @@
   private void handle(LeaderMessage message) {
     if (message instanceof LeaderMessage.HeartbeatReceived received) {
       components.heartbeatQueue.add(received);
-    } else if (message instanceof LeaderMessage.HeartbeatHandedOver handedOver) {
+    } else if (message instanceof LeaderMessage.HeartbeatWithoutReply handedOver) {
       components.heartbeatHandler.handleWithoutReply(handedOver.heartbeat());
     } else if (message instanceof LeaderMessage.UserRequest request) {
       userRequests.handle(request);
@@ -84,7 +84,7 @@
     List<LeaderMessage> deferred = List.copyOf(pendingMessages);
     pendingMessages.clear();
     deferred.forEach(this::dispatch);
-    pendingHeartbeats.drain(context.loop(), this::dispatch);
+    pendingHeartbeats.drain(context.coreLoop(), this::dispatch);
   }
 
   /** Refuses the deferred messages because the leader was stopped. */
@@ -101,7 +101,7 @@
     if (message instanceof LeaderMessage.HeartbeatReceived received) {
       received.reply().tryComplete(null);
     } else if (message instanceof LeaderMessage.UserRequest request) {
-      request.reply().complete(HttpResponse.later("no steward yet"));
+      request.reply().complete(HttpResponse.unavailable("no steward yet"));
     }
   }
 }
--- a/src/main/java/io/embernotch/leader/PendingHeartbeats.java
+++ b/src/main/java/io/embernotch/leader/PendingHeartbeats.java
@@ -58,7 +58,7 @@
     withoutReply.merge(
         heartbeat.machine(),
         heartbeat,
-        (known, added) -> added.newerThan(known.agentEpoch(), known.seq()) ? added : known);
+        (known, added) -> added.isNewerThan(known.agentEpoch(), known.seq()) ? added : known);
   }
 
   /**
@@ -72,7 +72,7 @@
     ArrayDeque<LeaderMessage> pending = new ArrayDeque<>(awaitingReply.values());
     withoutReply
         .values()
-        .forEach(heartbeat -> pending.add(new LeaderMessage.HeartbeatHandedOver(heartbeat)));
+        .forEach(heartbeat -> pending.add(new LeaderMessage.HeartbeatWithoutReply(heartbeat)));
     awaitingReply.clear();
     withoutReply.clear();
     drainSome(pending, loop, handler);
--- a/src/main/java/io/embernotch/leader/PeriodicTasks.java
+++ b/src/main/java/io/embernotch/leader/PeriodicTasks.java
@@ -37,13 +37,13 @@
   private void expireLeases() {
     for (Attempt attempt : components.fleetManager.attemptsWithExpiredLease()) {
       Machine machine = components.state.machines.get(attempt.machine);
-      components.attemptOutcomes.gone(attempt, machine, "the worker's lease expired");
+      components.attemptOutcomes.handleLost(attempt, machine, "the worker's lease expired");
     }
   }
 
   private void checkMachines() {
     for (Machine machine : List.copyOf(components.state.machines.values())) {
-      if (components.stopper.drained(machine)) {
+      if (components.stopper.drain(machine)) {
         components.fleetManager.scaleIn(machine);
       }
       components.agents.sendDueCommands(machine);
@@ -52,7 +52,7 @@
 
   private void evictAndPublish(double now) {
     components.completions.evict();
-    components.machineViewPublisher.publish(components.leaderContext.controllers());
+    components.machineViewPublisher.publish(components.leaderContext.liveControllers());
     components.imagePublisher.publish(
         components.state.machines.values(),
         components.term.epoch(),
--- a/src/main/java/io/embernotch/leader/PlanExecutor.java
+++ b/src/main/java/io/embernotch/leader/PlanExecutor.java
@@ -37,10 +37,10 @@
     for (SchedulingPlan.Start start : plan.starts()) {
       launcher.launch(start, now);
     }
-    if (fleetManager.listedOnce()) {
+    if (fleetManager.hasReceivedMachineList()) {
       plan.scaleOuts().forEach(fleetManager::rent);
     }
-    if (fleetManager.cloudAnswers()) {
+    if (fleetManager.isCloudReachable()) {
       for (Machine machine : plan.scaleIns()) {
         LOG.debug("machine {} is idle", machine.name);
         fleetManager.scaleIn(machine);
--- a/src/main/java/io/embernotch/leader/RollbackDetector.java
+++ b/src/main/java/io/embernotch/leader/RollbackDetector.java
@@ -61,7 +61,7 @@
     if (state.knowledgeOf(ref) == JobKnowledge.NOT_SEEN && pendingLookups.add(ref)) {
       context
           .store()
-          .getConfirmed(JobProgressCodec.JOB + ref)
+          .getConfirmed(JobProgressCodec.JOB_PREFIX + ref)
           .onSuccess(entry -> submissionLookedUp(machine, ref, entry))
           .onFailure(failure -> pendingLookups.remove(ref));
     }
--- a/src/main/java/io/embernotch/leader/SchedulingInputCollector.java
+++ b/src/main/java/io/embernotch/leader/SchedulingInputCollector.java
@@ -48,23 +48,23 @@
         state.unreadable.jobsWithUnknownEnd(),
         state.machines.values(),
         state.types,
-        fleetManager::exhausted,
-        fleetManager.expected(),
+        fleetManager::isExhausted,
+        fleetManager.pendingRentals(),
         headroom,
         sharedState.reservations().view(headroom),
-        fleetManager.risk());
+        fleetManager.failureRisk());
   }
 
   private List<FleetView.Headroom> headroom(double now, long wallMs) {
     return demandForecast
-        .headroom(context.operator(), state.types.values(), state.jobs.values(), now)
+        .headroom(context.operatorSettings(), state.types.values(), state.jobs.values(), now)
         .stream()
         .map(headroom -> raisedIfReleaseNear(headroom, wallMs))
         .toList();
   }
 
   private FleetView.Headroom raisedIfReleaseNear(FleetView.Headroom headroom, long wallMs) {
-    return sharedState.calendar().near(headroom.sample(), wallMs)
+    return sharedState.calendar().isReleaseNear(headroom.sample(), wallMs)
         ? new FleetView.Headroom(
             headroom.sample(), (int) Math.ceil(NEAR_RELEASE_FACTOR * headroom.count()))
         : headroom;
--- a/src/main/java/io/embernotch/leader/SchedulingLoop.java
+++ b/src/main/java/io/embernotch/leader/SchedulingLoop.java
@@ -99,7 +99,7 @@
     this.isUnderPressure = isUnderPressure;
     this.requestRun = requestRun;
     this.heartbeatIntervalS = context.settings().workers().heartbeatIntervalS();
-    this.scheduler = new Scheduler(context.settings(), context.operator());
+    this.scheduler = new Scheduler(context.settings(), context.operatorSettings());
   }
 
   /** Starts scheduling, once the store is loaded. */
@@ -189,7 +189,8 @@
     dependencyGraph.propagateUrgency();
     boolean liveServicesOnly = shouldPlanLiveServicesOnly(now);
     SchedulingInput input = inputCollector.collect(now);
-    SchedulingPlan plan = liveServicesOnly ? scheduler.liveOnly(input) : scheduler.plan(input);
+    SchedulingPlan plan =
+        liveServicesOnly ? scheduler.planProduction(input) : scheduler.plan(input);
     plan.failures().forEach(this::reportFailure);
     if (!liveServicesOnly) {
       waits = plan.waits();
@@ -214,7 +215,7 @@
    * True for a new leader that knows no machine and has not received the machine list of the cloud.
    */
   private boolean isFleetUnknown(double now) {
-    return !fleetManager.listedOnce()
+    return !fleetManager.hasReceivedMachineList()
         && now - acquiredAt < heartbeatIntervalS
         && state.machines.isEmpty();
   }
--- a/src/main/java/io/embernotch/leader/SharedStateServices.java
+++ b/src/main/java/io/embernotch/leader/SharedStateServices.java
@@ -90,7 +90,7 @@
 
   /** The shared state entries by name, for snapshots. */
   Map<String, ObjectNode> entries() {
-    return sharedState.copy();
+    return sharedState.copyWithPendingChanges();
   }
 
   /** Adds reservations and the calendar to the overview. */
--- a/src/main/java/io/embernotch/leader/StatusLogger.java
+++ b/src/main/java/io/embernotch/leader/StatusLogger.java
@@ -48,7 +48,7 @@
     logUnlessNull("written", stateWriter.statusLine());
     logUnlessNull(
         "wait times of the largest jobs",
-        state.largestJobWaits.statusLine(state.jobs.values(), context.clock().wallMs()));
+        state.largestJobWaitTimes.statusLine(state.jobs.values(), context.clock().wallMs()));
   }
 
   private static void logUnlessNull(String subject, String status) {
--- a/src/main/java/io/embernotch/leader/UserRequestHandler.java
+++ b/src/main/java/io/embernotch/leader/UserRequestHandler.java
@@ -16,7 +16,7 @@
   void handle(LeaderMessage.UserRequest request) {
     switch (request.kind()) {
       case POLL -> components.jobRequests.poll(request.ref(), request.reply());
-      case ABORT -> components.jobRequests.abort(request.ref(), request.reply());
+      case ABORT -> components.jobRequests.cancel(request.ref(), request.reply());
       case OVERVIEW -> request.reply().complete(HttpResponse.of(200, Json.bytes(overview())));
     }
   }
--- a/src/main/java/io/embernotch/model/Attempt.java
+++ b/src/main/java/io/embernotch/model/Attempt.java
@@ -82,7 +82,7 @@
    *
    * @param tokenBase lowest fencing token of this leader
    */
-  public boolean mayYetStart(long tokenBase) {
+  public boolean mayStillStart(long tokenBase) {
     return switch (launchState) {
       case SENDING, IN_HEARTBEAT_RESPONSE -> true;
       case UNCONFIRMED -> startToken >= tokenBase;
--- a/src/main/java/io/embernotch/model/Heartbeat.java
+++ b/src/main/java/io/embernotch/model/Heartbeat.java
@@ -29,7 +29,7 @@
     List<TaskStatus> tasks) {
 
   /** Whether this heartbeat was made after the one with the given agent epoch and number. */
-  public boolean newerThan(long otherAgentEpoch, long otherSeq) {
+  public boolean isNewerThan(long otherAgentEpoch, long otherSeq) {
     return agentEpoch > otherAgentEpoch || (agentEpoch == otherAgentEpoch && seq > otherSeq);
   }
 }
--- a/src/main/java/io/embernotch/model/Job.java
+++ b/src/main/java/io/embernotch/model/Job.java
@@ -12,7 +12,7 @@
 /** A job and its progress, owned by the leader. */
 public final class Job {
   /** A job that has failed on so many machines and succeeded nowhere is itself at fault. */
-  public static final int MANY_MACHINES = 3;
+  public static final int AT_FAULT_MIN_MACHINES = 3;
 
   /** The job as submitted. */
   public final JobSpec spec;
@@ -147,8 +147,8 @@
   }
 
   /** Whether it fails on every machine, most likely by a mistake in its submission. */
-  public boolean failsEverywhere() {
-    return errorMachines.size() >= MANY_MACHINES;
+  public boolean isAtFault() {
+    return errorMachines.size() >= AT_FAULT_MIN_MACHINES;
   }
 
   /** Whether it waits for jobs that it depends on: nothing of it may be planned or started. */
--- a/src/main/java/io/embernotch/model/Machine.java
+++ b/src/main/java/io/embernotch/model/Machine.java
@@ -66,7 +66,7 @@
   public long incarnationToken;
 
   /** Highest fencing token under which a direct start command was sent to it. */
-  public long highestSentToken;
+  public long highestStartToken;
 
   /** Highest fencing token that this term has sent it in any message; 0 if none was sent. */
   public long highestIssuedToken;
@@ -87,7 +87,7 @@
   public int forwarderChanges;
 
   /** Signs in a row that responses do not reach it. */
-  public int missedAcknowledgements;
+  public int unreachableSigns;
 
   /** Whether an unanswered call is one of those signs. */
   public boolean callUnanswered;
--- a/src/main/java/io/embernotch/peer/Frame.java
+++ b/src/main/java/io/embernotch/peer/Frame.java
@@ -16,11 +16,15 @@
    * @param leaderEpoch epoch of that leader; while the sender reports a data loss, an epoch that
    *     the lost contents cannot reach, which identifies the loss
    * @param storeReachable whether the store answers the sender
-   * @param replicates whether the sender accepts {@link StateUpdate} and {@link KnowledgeRequest};
-   *     sent as false if the store is not reachable
+   * @param acceptsReplication whether the sender accepts {@link StateUpdate} and {@link
+   *     KnowledgeRequest}; sent as false if the store is not reachable
    */
   record PeerHeartbeat(
-      String node, String leader, long leaderEpoch, boolean storeReachable, boolean replicates)
+      String node,
+      String leader,
+      long leaderEpoch,
+      boolean storeReachable,
+      boolean acceptsReplication)
       implements Frame {
     /** Creates a heartbeat as sent by the version without replication. */
     public PeerHeartbeat(String node, String leader, long leaderEpoch, boolean storeReachable) {
@@ -30,8 +34,9 @@
 
   /**
    * Replicates changes that the sender has committed to the store. Send it, like {@link
-   * KnowledgeRequest}, only to a controller whose heartbeat has {@link PeerHeartbeat#replicates}
-   * set: the previous version closes the connection on receiving one.
+   * KnowledgeRequest}, only to a controller whose heartbeat has {@link
+   * PeerHeartbeat#acceptsReplication} set: the previous version closes the connection on receiving
+   * one.
    *
    * @param id number of the update, which its {@link StateUpdateAck} repeats
    * @param incarnation name of the store incarnation of the changes
--- a/src/main/java/io/embernotch/peer/FrameEncoder.java
+++ b/src/main/java/io/embernotch/peer/FrameEncoder.java
@@ -76,7 +76,7 @@
     if (!heartbeat.storeReachable()) {
       return FrameCodec.STORE_UNREACHABLE;
     }
-    return heartbeat.replicates()
+    return heartbeat.acceptsReplication()
         ? FrameCodec.STORE_REACHABLE_AND_REPLICATES
         : FrameCodec.STORE_REACHABLE;
   }
--- a/src/main/java/io/embernotch/peer/PeerLink.java
+++ b/src/main/java/io/embernotch/peer/PeerLink.java
@@ -29,5 +29,5 @@
   }
 
   /** Closes the connection to an unresponsive controller and reconnects. */
-  void renew(String node);
+  void reconnect(String node);
 }
--- a/src/main/java/io/embernotch/peer/VertxPeerLink.java
+++ b/src/main/java/io/embernotch/peer/VertxPeerLink.java
@@ -105,7 +105,7 @@
   }
 
   @Override
-  public void renew(String node) {
+  public void reconnect(String node) {
     OutgoingConnection connection = outgoing.get(node);
     if (connection != null && connection.socket != null) {
       connection.socket.close();
--- a/src/main/java/io/embernotch/persistence/PersistedJob.java
+++ b/src/main/java/io/embernotch/persistence/PersistedJob.java
@@ -20,10 +20,10 @@
   public static Future<VersionedEntry> submission(
       StoreClient store, BaseSnapshot baseSnapshot, String ref) {
     return store
-        .getConfirmed(JobProgressCodec.JOB + ref)
+        .getConfirmed(JobProgressCodec.JOB_PREFIX + ref)
         .map(
             entry ->
-                baseSnapshot.overlay(ref, JobProgressCodec.JOB, present(entry)).stream()
+                baseSnapshot.overlay(ref, JobProgressCodec.JOB_PREFIX, present(entry)).stream()
                     .findFirst()
                     .orElse(VersionedEntry.absent(entry.key())));
   }
@@ -66,7 +66,7 @@
     for (VersionedEntry shard :
         baseSnapshot.overlay(ref, JobProgressCodec.SHARD, present(firstShard))) {
       JobProgressCodec.readShard(
-          shard.value(), job, shardSize, JobProgressCodec.shardOf(shard.key()));
+          shard.value(), job, shardSize, JobProgressCodec.shardNumber(shard.key()));
     }
     if (job.finalPhase != null) {
       return Future.succeededFuture(job);
--- a/src/main/java/io/embernotch/persistence/PersistedState.java
+++ b/src/main/java/io/embernotch/persistence/PersistedState.java
@@ -19,7 +19,7 @@
 
   /** Reads all prefixes, in the order of the components. Fails as the first failing read does. */
   public static Future<PersistedState> read(StoreClient store) {
-    return store.list(JobProgressCodec.JOB).compose(jobs -> readShards(store, jobs));
+    return store.list(JobProgressCodec.JOB_PREFIX).compose(jobs -> readShards(store, jobs));
   }
 
   private static Future<PersistedState> readShards(StoreClient store, WatchEvents jobs) {
@@ -32,7 +32,7 @@
                     .compose(
                         refinedShards ->
                             store
-                                .list(JobProgressCodec.SHARED)
+                                .list(JobProgressCodec.SHARED_STATE_PREFIX)
                                 .map(
                                     shared ->
                                         new PersistedState(jobs, shards, refinedShards, shared))));
--- a/src/main/java/io/embernotch/persistence/ShardLayout.java
+++ b/src/main/java/io/embernotch/persistence/ShardLayout.java
@@ -69,7 +69,7 @@
   }
 
   /** Whether any job was switched to refined shards. */
-  public boolean refinedAny() {
+  public boolean hasRefinedJobs() {
     return !refinedSizes.isEmpty();
   }
 
--- a/src/main/java/io/embernotch/persistence/ShardRefiner.java
+++ b/src/main/java/io/embernotch/persistence/ShardRefiner.java
@@ -42,7 +42,7 @@
   }
 
   /** Records that the store has lowered its limits. */
-  void limitsLowered() {
+  void recordLimitsLowered() {
     limitsLowered = true;
   }
 
--- a/src/main/java/io/embernotch/persistence/StateWriter.java
+++ b/src/main/java/io/embernotch/persistence/StateWriter.java
@@ -97,8 +97,8 @@
    * Records that the store has lowered its limits. Refined shards in the store show this, since
    * they are created only after that.
    */
-  public void limitsLowered() {
-    refiner.limitsLowered();
+  public void recordLimitsLowered() {
+    refiner.recordLimitsLowered();
   }
 
   /** Records the modification revision of a shard's key, as read from the store. */
@@ -150,7 +150,7 @@
    * Runs {@code action} once the store holds the present value of the shard of {@code task}.
    * Returns false, and never runs it, if the shard is not dirty.
    */
-  public boolean whenWritten(Job job, int task, Runnable action) {
+  public boolean whenStored(Job job, int task, Runnable action) {
     return dirtyShards.addWaiter(job, task, action);
   }
 
@@ -159,7 +159,7 @@
    * without this leader knowing, and runs {@code action} once that shard is stored. Returns false,
    * and never runs it, if there is no such shard.
    */
-  public boolean whenDoneMarksSettled(Job job, Runnable action) {
+  public boolean whenUnknownDoneMarksStored(Job job, Runnable action) {
     return dirtyShards.addDoneMarkWaiter(job, action);
   }
 
--- a/src/main/java/io/embernotch/persistence/SubmissionWatcher.java
+++ b/src/main/java/io/embernotch/persistence/SubmissionWatcher.java
@@ -34,7 +34,7 @@
   private final double heartbeatIntervalS;
 
   /**
-   * Creates a watcher; {@link #from} starts it.
+   * Creates a watcher; {@link #watchFrom} starts it.
    *
    * @param stopped whether the jobs are no longer needed; the watch ends then
    */
@@ -46,17 +46,17 @@
   }
 
   /** Starts watching for jobs that are written after this revision of the store. */
-  public void from(long revision) {
+  public void watchFrom(long revision) {
     if (stopped.getAsBoolean()) {
       return;
     }
     context
         .store()
-        .watch(JobProgressCodec.JOB, revision, LONG_POLL_HEARTBEATS * heartbeatIntervalS)
+        .watch(JobProgressCodec.JOB_PREFIX, revision, LONG_POLL_HEARTBEATS * heartbeatIntervalS)
         .onSuccess(
             changes -> {
               changes.events().forEach(this::deliver);
-              from(Math.max(revision, changes.revision()));
+              watchFrom(Math.max(revision, changes.revision()));
             })
         .onFailure(failure -> watchFailed(revision, failure));
   }
@@ -65,7 +65,7 @@
     if (StoreException.kindOf(failure) == StoreException.Kind.TOO_OLD) {
       readAll();
     } else {
-      context.timers().after(heartbeatIntervalS / RETRIES_PER_HEARTBEAT, () -> from(revision));
+      context.timers().after(heartbeatIntervalS / RETRIES_PER_HEARTBEAT, () -> watchFrom(revision));
     }
   }
 
@@ -75,11 +75,11 @@
     }
     context
         .store()
-        .list(JobProgressCodec.JOB)
+        .list(JobProgressCodec.JOB_PREFIX)
         .onSuccess(
             jobs -> {
               jobs.events().forEach(this::deliver);
-              from(jobs.revision());
+              watchFrom(jobs.revision());
             })
         .onFailure(failure -> context.timers().after(heartbeatIntervalS, this::readAll));
   }
--- a/src/main/java/io/embernotch/replication/KnowledgeCollector.java
+++ b/src/main/java/io/embernotch/replication/KnowledgeCollector.java
@@ -115,7 +115,7 @@
 
     private Future<Optional<Knowledge>> handleResponse(HttpResponse response) {
       if (response.status() == LOSS_RESOLVED && lossEpoch != NO_LOSS) {
-        local.lossIsOver();
+        local.lossResolved();
       }
       if (response.status() != OK) {
         return Future.succeededFuture(Optional.empty());
--- a/src/main/java/io/embernotch/replication/KnowledgeServer.java
+++ b/src/main/java/io/embernotch/replication/KnowledgeServer.java
@@ -34,7 +34,7 @@
         refuse(request, KnowledgeCollector.NO_SUCH_PART, replies);
         return;
       }
-    } else if (!local.lossHeard(request.node(), request.lossEpoch())) {
+    } else if (!local.lossReported(request.node(), request.lossEpoch())) {
       refuse(request, KnowledgeCollector.LOSS_RESOLVED, replies);
       return;
     }
--- a/src/main/java/io/embernotch/replication/LocalKnowledge.java
+++ b/src/main/java/io/embernotch/replication/LocalKnowledge.java
@@ -24,8 +24,8 @@
    * @param lossEpoch epoch that identifies the loss
    * @return false if this controller knows a later incarnation, so that the loss is resolved
    */
-  boolean lossHeard(String node, long lossEpoch);
+  boolean lossReported(String node, long lossEpoch);
 
   /** Called when another controller reports that a later incarnation has resolved the loss. */
-  void lossIsOver();
+  void lossResolved();
 }
--- a/src/main/java/io/embernotch/replication/JoinedKnowledge.java
+++ b/src/main/java/io/embernotch/replication/MergedKnowledge.java
@@ -16,15 +16,15 @@
  * @param incarnations names of the store incarnations that the other controllers knew; the next
  *     incarnation names all of them as its predecessors
  * @param allAnswered whether every other controller has answered
- * @param ledElsewhere whether another controller may have led the last term and still holds its
- *     state
+ * @param lastTermLedElsewhere whether another controller may have led the last term and still holds
+ *     its state
  */
-public record JoinedKnowledge(
+public record MergedKnowledge(
     ClusterSnapshot state,
     long highestEpoch,
     List<String> incarnations,
     boolean allAnswered,
-    boolean ledElsewhere) {
+    boolean lastTermLedElsewhere) {
   private static final double MS_PER_S = 1000;
 
   /**
@@ -33,7 +33,7 @@
    * @param others the answers of the other controllers; an empty element for each that did not
    *     answer
    */
-  public static JoinedKnowledge of(Knowledge own, List<Optional<Knowledge>> others) {
+  public static MergedKnowledge of(Knowledge own, List<Optional<Knowledge>> others) {
     ClusterSnapshot state = ClusterSnapshot.newBuilder().setComplete(false).build();
     state = SnapshotMerge.of(state, own.getState());
     long highestEpoch = own.getHighestEpoch();
@@ -47,7 +47,7 @@
     for (Knowledge other : others.stream().flatMap(Optional::stream).toList()) {
       state = SnapshotMerge.withEnds(state, other.getToldList());
     }
-    return new JoinedKnowledge(
+    return new MergedKnowledge(
         state,
         highestEpoch,
         others.stream()
@@ -79,7 +79,7 @@
    * @param others the answers of the other controllers; an empty element, for one that did not
    *     answer, proves nothing
    */
-  public static boolean provesLast(EndedTerm term, List<Optional<Knowledge>> others) {
+  public static boolean isProvenLastTerm(EndedTerm term, List<Optional<Knowledge>> others) {
     return others.stream()
         .allMatch(other -> other.isPresent() && confirmsLastTerm(term, other.get()));
   }
--- a/src/main/java/io/embernotch/replication/ReplicaBootstrap.java
+++ b/src/main/java/io/embernotch/replication/ReplicaBootstrap.java
@@ -59,12 +59,12 @@
   }
 
   /** Whether a request is pending and no controller has reported anything yet. */
-  public boolean isAsking() {
+  public boolean isRequesting() {
     return state == State.NO_REPORT && pendingRequests > 0;
   }
 
   /** Whether another controller has reported what it knows, and that is still needed. */
-  public boolean isTold() {
+  public boolean hasReport() {
     return state == State.REPORTED;
   }
 
@@ -76,7 +76,8 @@
    * @param listener receives all that was reported so far, and the updates that were committed
    *     during the request
    */
-  public void ask(String node, BiConsumer<Knowledge, List<Frame.StateUpdate>> listener) {
+  public void requestContents(
+      String node, BiConsumer<Knowledge, List<Frame.StateUpdate>> listener) {
     double now = clock.now();
     boolean isDue =
         now - lastRequestAt.getOrDefault(node, Double.NEGATIVE_INFINITY) >= requestIntervalS;
@@ -123,17 +124,17 @@
   }
 
   /** Keeps an update that another controller committed during a request, for the listener. */
-  public void hold(Frame.StateUpdate update) {
+  public void bufferUpdate(Frame.StateUpdate update) {
     bufferedUpdates.add(update);
   }
 
   /** Merges what this controller knows otherwise, before the caller discards it. */
-  public void add(ClusterSnapshot known) {
+  public void mergeState(ClusterSnapshot known) {
     reported = reported.toBuilder().setState(SnapshotMerge.of(reported.getState(), known)).build();
   }
 
   /** All that was reported and added so far; an empty message after {@link #finish}. */
-  public Knowledge told() {
+  public Knowledge reported() {
     return reported;
   }
 
--- a/src/main/java/io/embernotch/replication/ReplicaFeed.java
+++ b/src/main/java/io/embernotch/replication/ReplicaFeed.java
@@ -26,10 +26,10 @@
 
   private static final List<String> REPLICATED_PREFIXES =
       List.of(
-          JobProgressCodec.JOB,
+          JobProgressCodec.JOB_PREFIX,
           JobProgressCodec.SHARD,
           JobProgressCodec.REFINED_SHARD,
-          JobProgressCodec.SHARED);
+          JobProgressCodec.SHARED_STATE_PREFIX);
 
   /** Share of the store's request rate that the watches of all controllers together may use. */
   private static final double WATCH_REQUEST_SHARE = 0.03;
@@ -109,10 +109,10 @@
   /**
    * Clears the replica and reads the store again.
    *
-   * @param base snapshot that the store's incarnation began with
+   * @param baseSnapshot snapshot that the store's incarnation began with
    */
-  public void begin(BaseSnapshot base) {
-    replica.reset(base);
+  public void start(BaseSnapshot baseSnapshot) {
+    replica.reset(baseSnapshot);
     replica.beginFilling();
     state = State.FILLING;
     filled = false;
@@ -120,7 +120,7 @@
   }
 
   /** Stops reading the store; the replica stays as it is. */
-  public void rest() {
+  public void stop() {
     generation++;
     state = State.STOPPED;
   }
@@ -129,13 +129,13 @@
    * Called when the store has lost the contents that were being read. Sends no further requests and
    * keeps the replica. Pages that were requested before the loss and still arrive are added.
    */
-  public void contentsLost() {
+  public void stopAfterLoss() {
     state = State.STOPPED;
   }
 
   /** Stops reading the store and clears the replica: this controller leads. */
   public void clear() {
-    rest();
+    stop();
     filled = false;
     replica.reset(BaseSnapshot.EMPTY);
   }
@@ -199,7 +199,7 @@
     }
 
     @Override
-    public void pageAskedForBeforeLoss(List<VersionedEntry> entries) {
+    public void pageRequestedBeforeLoss(List<VersionedEntry> entries) {
       if (requestGeneration == generation) {
         LOG.info("received {} entries that were requested before the loss", entries.size());
         entries.forEach(replica::put);
--- a/src/main/java/io/embernotch/replication/StateReplicator.java
+++ b/src/main/java/io/embernotch/replication/StateReplicator.java
@@ -72,11 +72,11 @@
     this.incarnation = incarnation;
     this.ackTimeoutS =
         context.settings().workers().heartbeatIntervalS() / ACK_TIMEOUTS_PER_HEARTBEAT;
-    this.lastUpdateId = ProcessIncarnation.begin(context.names());
+    this.lastUpdateId = ProcessIncarnation.begin(context.nameGenerator());
   }
 
   /** Number of commits that were reported without an acknowledgement of another controller. */
-  public int unreplicated() {
+  public int unreplicatedCommits() {
     return unreplicatedCommits;
   }
 
@@ -142,7 +142,7 @@
   }
 
   /** Called when another controller acknowledges an update, which may have timed out before. */
-  public void acknowledged(Frame.StateUpdateAck ack) {
+  public void handleAck(Frame.StateUpdateAck ack) {
     if (ProcessIncarnation.of(ack.id()) != ProcessIncarnation.of(lastUpdateId)) {
       return;
     }
@@ -154,22 +154,22 @@
   }
 
   /** Applies an update of another controller to the replica, and records its revision. */
-  public void take(Frame.StateUpdate update) {
+  public void apply(Frame.StateUpdate update) {
     applyToReplica(update.entries(), update.revision());
     for (Frame.StateEntry entry : update.entries()) {
       // Lets this controller detect a store that is rolled back to before this revision.
-      context.store().noteRevision(entry.key(), update.revision());
+      context.store().recordRemoteWrite(entry.key(), update.revision());
     }
   }
 
   /**
    * Applies and acknowledges an update, if it is of the current incarnation and the feed is active.
    */
-  public void received(Frame.StateUpdate update, PeerLink.ReplyChannel replies) {
+  public void handleUpdate(Frame.StateUpdate update, PeerLink.ReplyChannel replies) {
     if (!feed.isActive() || !update.incarnation().equals(incarnation.get())) {
       return;
     }
-    take(update);
+    apply(update);
     replies.send(new Frame.StateUpdateAck(update.id()));
   }
 }
--- a/src/main/java/io/embernotch/replication/StoreReplica.java
+++ b/src/main/java/io/embernotch/replication/StoreReplica.java
@@ -55,11 +55,11 @@
   private final Set<String> endedJobsWithEntries = new LinkedHashSet<>();
 
   private boolean fillComplete = true;
-  private BaseSnapshot base = BaseSnapshot.EMPTY;
+  private BaseSnapshot baseSnapshot = BaseSnapshot.EMPTY;
 
   /**
-   * Contents that another controller reported, used in place of {@link #base} while the replica is
-   * being filled; null if there are none.
+   * Contents that another controller reported, used in place of {@link #baseSnapshot} while the
+   * replica is being filled; null if there are none.
    */
   private BaseSnapshot provisionalBase;
 
@@ -85,7 +85,7 @@
     jobs.clear();
     endedJobs.clear();
     shared.clear();
-    base = newBase;
+    baseSnapshot = newBase;
     provisionalBase = null;
     bytes = 0;
     evicted = false;
@@ -103,7 +103,7 @@
    * filled. With it, a shard can be used though the submission of its job was not put yet. Ignored
    * if the replica is filled already.
    */
-  public void putBeneath(BaseSnapshot reportedContents) {
+  public void setProvisionalBase(BaseSnapshot reportedContents) {
     if (!fillComplete) {
       provisionalBase = reportedContents;
     }
@@ -143,7 +143,7 @@
    * @param modRevision modification revision of the key
    */
   public void put(String key, byte[] value, long modRevision) {
-    if (key.startsWith(JobProgressCodec.SHARED)) {
+    if (key.startsWith(JobProgressCodec.SHARED_STATE_PREFIX)) {
       putIfNewer(shared, key, new SerializedEntry(value, modRevision));
     } else if (isReplicated(key)) {
       putJobEntry(refOf(key), key, new SerializedEntry(value, modRevision));
@@ -153,10 +153,10 @@
 
   /** Whether a key is replicated: those of jobs, their progress and shared state are. */
   static boolean isReplicated(String key) {
-    return key.startsWith(JobProgressCodec.JOB)
+    return key.startsWith(JobProgressCodec.JOB_PREFIX)
         || key.startsWith(JobProgressCodec.SHARD)
         || key.startsWith(JobProgressCodec.REFINED_SHARD)
-        || key.startsWith(JobProgressCodec.SHARED);
+        || key.startsWith(JobProgressCodec.SHARED_STATE_PREFIX);
   }
 
   private static String refOf(String key) {
@@ -164,7 +164,7 @@
   }
 
   private void putJobEntry(String ref, String key, SerializedEntry entry) {
-    if (endedJobs.containsKey(ref) || base.ended(ref) != null) {
+    if (endedJobs.containsKey(ref) || baseSnapshot.endedJob(ref) != null) {
       return;
     }
     Map<String, SerializedEntry> entries = jobs.computeIfAbsent(ref, unknown -> new TreeMap<>());
@@ -203,10 +203,13 @@
   private void compactIfEnded(String ref) {
     List<VersionedEntry> jobEntries = parseEntries(jobs.get(ref));
     StateSnapshot.endOf(
-            base.overlay(ref, JobProgressCodec.JOB, withPrefix(JobProgressCodec.JOB, jobEntries)),
-            base.overlay(
+            baseSnapshot.overlay(
+                ref,
+                JobProgressCodec.JOB_PREFIX,
+                withPrefix(JobProgressCodec.JOB_PREFIX, jobEntries)),
+            baseSnapshot.overlay(
                 ref, JobProgressCodec.SHARD, withPrefix(JobProgressCodec.SHARD, jobEntries)),
-            base.overlay(
+            baseSnapshot.overlay(
                 ref,
                 JobProgressCodec.REFINED_SHARD,
                 withPrefix(JobProgressCodec.REFINED_SHARD, jobEntries)))
@@ -259,8 +262,8 @@
     List<VersionedEntry> sharedEntries = parseEntries(shared);
     ClusterSnapshot.Builder snapshot =
         StateSnapshot.of(
-            provisionalBase == null ? base : provisionalBase,
-            eventsWithPrefix(JobProgressCodec.JOB, jobEntries),
+            provisionalBase == null ? baseSnapshot : provisionalBase,
+            eventsWithPrefix(JobProgressCodec.JOB_PREFIX, jobEntries),
             eventsWithPrefix(JobProgressCodec.SHARD, jobEntries),
             eventsWithPrefix(JobProgressCodec.REFINED_SHARD, jobEntries),
             new WatchEvents(0, sharedEntries))
--- a/src/main/java/io/embernotch/reservation/ReservationHeadroom.java
+++ b/src/main/java/io/embernotch/reservation/ReservationHeadroom.java
@@ -46,10 +46,10 @@
       Reservation reservation,
       List<Headroom> headroom,
       ClusterState state,
-      OperatorSettings operator) {
+      OperatorSettings operatorSettings) {
     ReservationHeadroom computation = new ReservationHeadroom(reservation, state);
     computation.addUsage();
-    computation.addDeviations(headroom, operator);
+    computation.addDeviations(headroom, operatorSettings);
     computation.addShare();
     if (reservation.fixed()) {
       computation.addMissing();
@@ -68,13 +68,13 @@
   }
 
   /** So many deviations of what comes of each job class in a boot time. */
-  private void addDeviations(List<Headroom> headroom, OperatorSettings operator) {
+  private void addDeviations(List<Headroom> headroom, OperatorSettings operatorSettings) {
     for (Headroom entry : headroom) {
       if (reservation.serves(entry.sample())) {
         sample = entry.sample();
         double factor =
-            operator.serviceSpare() > 0 && entry.sample().shape() == JobShape.SERVICE
-                ? reservation.deviations() / operator.serviceSpare()
+            operatorSettings.serviceSpare() > 0 && entry.sample().shape() == JobShape.SERVICE
+                ? reservation.deviations() / operatorSettings.serviceSpare()
                 : reservation.deviations();
         int count = (int) Math.round(entry.count() * factor);
         tasks += count;
--- a/src/main/java/io/embernotch/reservation/ReservationManager.java
+++ b/src/main/java/io/embernotch/reservation/ReservationManager.java
@@ -89,7 +89,7 @@
     this.shared = shared;
     this.shards = new ReservationShards(shared);
     this.usage = new ReservationUsage(state);
-    OperatorSettings.Reserve own = context.operator().reserve();
+    OperatorSettings.Reserve own = context.operatorSettings().reserve();
     this.configuration =
         new EffectiveConfiguration<>(
             shared,
@@ -120,8 +120,8 @@
 
   private void use(List<Reservation> configured) {
     reservations =
-        configured.isEmpty() && context.operator().reserve().live()
-            ? List.of(context.operator().reserve().defaultReservation())
+        configured.isEmpty() && context.operatorSettings().reserve().live()
+            ? List.of(context.operatorSettings().reserve().defaultReservation())
             : configured;
     usage.use(reservations);
     wanted = Map.of();
@@ -155,7 +155,8 @@
                 reservation ->
                     new ReservationView.ReservationDemand(
                         reservation,
-                        ReservationHeadroom.of(reservation, headroom, state, context.operator())))
+                        ReservationHeadroom.of(
+                            reservation, headroom, state, context.operatorSettings())))
             .toList();
     return new ReservationView(demands, reserved, usage::of);
   }
@@ -269,7 +270,7 @@
 
   /** Adds what each reservation has, wants and costs, for operators. */
   public void overview(ObjectNode into) {
-    into.put("generation", configuration.generation()).put("changes", shared.changes());
+    into.put("generation", configuration.generation()).put("changes", shared.committedChanges());
     ArrayNode list = into.putArray("reservations");
     double now = context.clock().now();
     for (int i = 0; i < reservations.size(); i++) {
--- a/src/main/java/io/embernotch/reservation/ReservationShards.java
+++ b/src/main/java/io/embernotch/reservation/ReservationShards.java
@@ -57,17 +57,18 @@
    * @param generation of the reservations
    */
   Map<String, ReservationAmounts> possiblyStored(List<Reservation> reservations, long generation) {
-    if (possiblyStoredVersion == shared.localVersion() && possiblyStoredGeneration == generation) {
+    if (possiblyStoredVersion == shared.changeCounter() && possiblyStoredGeneration == generation) {
       return possiblyStored;
     }
     Map<String, ReservationAmounts> result = stored(reservations);
     for (int i = 0; i < reservations.size(); i++) {
       for (int shard = 0; shard < SHARDS; shard++) {
-        addTo(result, shared.inFlight(name(reservations.get(i), shard)), i, reservations.size());
+        addTo(
+            result, shared.pendingValue(name(reservations.get(i), shard)), i, reservations.size());
       }
     }
     possiblyStored = result;
-    possiblyStoredVersion = shared.localVersion();
+    possiblyStoredVersion = shared.changeCounter();
     possiblyStoredGeneration = generation;
     return result;
   }
@@ -92,7 +93,7 @@
 
   /** Empties the entries of reservations that are not among these. */
   void clearOthers(List<Reservation> reservations) {
-    for (Map.Entry<String, ObjectNode> entry : shared.all(PREFIX).entrySet()) {
+    for (Map.Entry<String, ObjectNode> entry : shared.storedValues(PREFIX).entrySet()) {
       boolean current =
           reservations.stream()
               .anyMatch(
@@ -124,7 +125,7 @@
       ObjectNode stored = shared.get(name);
       boolean same =
           stored == null ? amounts.isEmpty() : stored.path(MACHINES).equals(value.path(MACHINES));
-      if (!same && !shared.pending(name)) {
+      if (!same && !shared.hasPendingChange(name)) {
         shared.put(name, value, durable);
       }
     }
--- a/src/main/java/io/embernotch/rounds/MachineViewPublisher.java
+++ b/src/main/java/io/embernotch/rounds/MachineViewPublisher.java
@@ -96,7 +96,7 @@
   }
 
   private void sendIfDue(Machine machine, SentView sent, double now) {
-    double roundS = context.operator().roundS();
+    double roundS = context.operatorSettings().roundS();
     if (now - sent.sentAt < roundS) {
       return;
     }
