--- a/src/main/java/io/embernotch/rounds/RestartReviewer.java
+++ b/src/main/java/io/embernotch/rounds/RestartReviewer.java
@@ -95,7 +95,7 @@
     queues.forEach(
         (from, queue) -> {
           if (!queue.isEmpty() && now >= nextBatchAt.getOrDefault(from, Clock.NEVER)) {
-            nextBatchAt.put(from, now + 1 / context.operator().batchesPerS());
+            nextBatchAt.put(from, now + 1 / context.operatorSettings().batchesPerS());
             for (Restart restart : queue.poll()) {
               if (valid(restart)) {
                 due.add(restart);
--- a/src/main/java/io/embernotch/rounds/StragglerRounds.java
+++ b/src/main/java/io/embernotch/rounds/StragglerRounds.java
@@ -30,17 +30,19 @@
     this.propose = propose;
     this.round =
         new StragglerRound(
-            context.operator().flagRatio(), context.operator().beta(), context.operator().roundS());
+            context.operatorSettings().flagRatio(),
+            context.operatorSettings().beta(),
+            context.operatorSettings().roundS());
   }
 
   /** Schedules the next round, which schedules the one after it. */
   public void start() {
-    context.timers().after(context.operator().roundS(), this::run);
+    context.timers().after(context.operatorSettings().roundS(), this::run);
   }
 
   private void run() {
     start();
-    if (!context.operator().stragglerEnabled()) {
+    if (!context.operatorSettings().stragglerEnabled()) {
       return;
     }
     Collection<MachineView> views = localPartition.current();
--- a/src/main/java/io/embernotch/scheduling/GangAccumulation.java
+++ b/src/main/java/io/embernotch/scheduling/GangAccumulation.java
@@ -75,7 +75,7 @@
   private boolean isWaitingGang(Job job) {
     return job.spec.shape() == JobShape.GANG
         && job.openAttempts.isEmpty()
-        && !job.failsEverywhere()
+        && !job.isAtFault()
         && cycle.aged(job);
   }
 
--- a/src/main/java/io/embernotch/scheduling/QuotaUsage.java
+++ b/src/main/java/io/embernotch/scheduling/QuotaUsage.java
@@ -40,10 +40,10 @@
   QuotaUsage(
       Map<String, Settings.Team> teams,
       Collection<Job> jobs,
-      Collection<Job> withUnknownEnd,
+      Collection<Job> possiblyEndedJobs,
       double now) {
     this.teams = teams;
-    Stream.concat(jobs.stream(), withUnknownEnd.stream())
+    Stream.concat(jobs.stream(), possiblyEndedJobs.stream())
         .forEach(
             job ->
                 add(
--- a/src/main/java/io/embernotch/scheduling/Scheduler.java
+++ b/src/main/java/io/embernotch/scheduling/Scheduler.java
@@ -26,7 +26,7 @@
   private static final double MAX_MISSED_HEARTBEATS = 2;
 
   private final Settings settings;
-  private final OperatorSettings operator;
+  private final OperatorSettings operatorSettings;
 
   /** Most machines that one plan rents: the cloud would not take more requests in a second. */
   private final int maxNewMachines;
@@ -35,11 +35,11 @@
    * Creates a scheduler for one leader.
    *
    * @param settings the settings of the cluster: teams, zones, intervals and limits
-   * @param operator the operators' settings of this controller
+   * @param operatorSettings the operators' settings of this controller
    */
-  public Scheduler(Settings settings, OperatorSettings operator) {
+  public Scheduler(Settings settings, OperatorSettings operatorSettings) {
     this.settings = settings;
-    this.operator = operator;
+    this.operatorSettings = operatorSettings;
     this.maxNewMachines =
         ((int) Math.max(1, settings.cloudLimits().rps())) * Settings.CloudLimits.MAX_RENT;
   }
@@ -64,7 +64,7 @@
     headroom.keepForOthers();
     SchedulingPlanBuilder plan = cycle.plan();
     cycle.scaleOutPlanner().addTo(plan);
-    ScaleInPlanner.addTo(plan, cycle.candidates(), cycle.now(), operator.keepIdleBoots());
+    ScaleInPlanner.addTo(plan, cycle.candidates(), cycle.now(), operatorSettings.keepIdleBoots());
     plan.reserve(cycle.candidates().reserved());
     plan.teamGpus(cycle.usage().gpusByTeam());
     return plan.build();
@@ -77,7 +77,7 @@
    * @param input the state of the cluster; its collections must not change during the call
    * @return the plan, without scale-in and without a change of the reservations
    */
-  public SchedulingPlan liveOnly(SchedulingInput input) {
+  public SchedulingPlan planProduction(SchedulingInput input) {
     SchedulingCycle cycle = SchedulingCycle.begin(settings, maxNewMachines, input);
     placeProduction(cycle, new JobPlacement(cycle, new CapacityAllocator(cycle)), input);
     cycle.scaleOutPlanner().addTo(cycle.plan());
--- a/src/main/java/io/embernotch/scheduling/SchedulingCycle.java
+++ b/src/main/java/io/embernotch/scheduling/SchedulingCycle.java
@@ -40,7 +40,8 @@
   static SchedulingCycle begin(Settings settings, int maxNewMachines, SchedulingInput input) {
     double now = input.now();
     SchedulingPlanBuilder plan = new SchedulingPlanBuilder();
-    QuotaUsage usage = new QuotaUsage(settings.teams(), input.jobs(), input.withUnknownEnd(), now);
+    QuotaUsage usage =
+        new QuotaUsage(settings.teams(), input.jobs(), input.possiblyEndedJobs(), now);
     usage.markGuaranteed(input.jobs());
     CandidateMachines candidates =
         CandidateMachines.of(
--- a/src/main/java/io/embernotch/scheduling/SchedulingInput.java
+++ b/src/main/java/io/embernotch/scheduling/SchedulingInput.java
@@ -13,8 +13,8 @@
  * @param now monotonic time in seconds
  * @param wallMs wall-clock time in milliseconds
  * @param jobs all jobs of the cluster that may be planned
- * @param withUnknownEnd jobs that may have ended: their open attempts count towards the quota, but
- *     none of their tasks is placed
+ * @param possiblyEndedJobs jobs that may have ended: their open attempts count towards the quota,
+ *     but none of their tasks is placed
  * @param machines all machines of the fleet
  * @param types machine types by name
  * @param pools tells which machines the cloud has run out of
@@ -27,7 +27,7 @@
     double now,
     long wallMs,
     Collection<Job> jobs,
-    Collection<Job> withUnknownEnd,
+    Collection<Job> possiblyEndedJobs,
     Collection<Machine> machines,
     Map<String, MachineType> types,
     FleetView.Pools pools,
--- a/src/main/java/io/embernotch/scheduling/TaskPlacement.java
+++ b/src/main/java/io/embernotch/scheduling/TaskPlacement.java
@@ -24,7 +24,7 @@
   void place(Job job) {
     JobSpec spec = job.spec;
     // One task is enough to test whether a job that fails on every machine still fails.
-    int startable = job.failsEverywhere() ? Math.min(1, job.pendingCount()) : job.pendingCount();
+    int startable = job.isAtFault() ? Math.min(1, job.pendingCount()) : job.pendingCount();
     int wanted = Math.max(0, Math.min(startable, cycle.usage().remainingTasks(spec)));
     cycle.recordQuotaWait(job, startable - wanted);
     if (wanted == 0) {
--- a/src/main/java/io/embernotch/scheduling/TopologySpread.java
+++ b/src/main/java/io/embernotch/scheduling/TopologySpread.java
@@ -62,10 +62,10 @@
       boolean imageInOtherZone) {
     double machine =
         risk.machinePerS()
-            * (risk.noticedS() + (imageOnOtherMachine ? 0 : fetchS))
+            * (risk.detectionS() + (imageOnOtherMachine ? 0 : fetchS))
             * (2 * onMachine + 1);
     double zone =
-        risk.zonePerS() * (risk.noticedS() + (imageInOtherZone ? 0 : fetchS)) * (2 * inZone + 1);
+        risk.zonePerS() * (risk.detectionS() + (imageInOtherZone ? 0 : fetchS)) * (2 * inZone + 1);
     return risk.horizonS() * (machine + zone) / Math.max(1, replicas);
   }
 
--- a/src/main/java/io/embernotch/settings/Settings.java
+++ b/src/main/java/io/embernotch/settings/Settings.java
@@ -192,10 +192,10 @@
   private static final int CONTACT_TIMEOUTS_PER_LEASE = 4;
 
   /** Duration of the leader's lease in the store, in seconds. */
-  public double leaderLeaseS(OperatorSettings operator) {
-    return operator.leaseHeartbeats() > 0
-        ? workers.heartbeatIntervalS() * operator.leaseHeartbeats()
-        : workers.leaseS() * operator.leaseShare();
+  public double leaderLeaseS(OperatorSettings operatorSettings) {
+    return operatorSettings.leaseHeartbeats() > 0
+        ? workers.heartbeatIntervalS() * operatorSettings.leaseHeartbeats()
+        : workers.leaseS() * operatorSettings.leaseShare();
   }
 
   /**
--- a/src/main/java/io/embernotch/shared/SharedState.java
+++ b/src/main/java/io/embernotch/shared/SharedState.java
@@ -21,10 +21,10 @@
 /**
  * Entries under {@code shared/} in the store that pass state from one leader's term to the next. A
  * new leader reads them before it plans. Only the leader writes them, on condition of the
- * modification revisions of its leader key and of each entry. {@link #get} and {@link #all} return
- * only values that the store is known to hold: a change appears there once its commit is answered.
- * The outcome of a commit without an answer is unknown; the entries are then read again before the
- * next write.
+ * modification revisions of its leader key and of each entry. {@link #get} and {@link
+ * #storedValues} return only values that the store is known to hold: a change appears there once
+ * its commit is answered. The outcome of a commit without an answer is unknown; the entries are
+ * then read again before the next write.
  *
  * <p>Each value has a version that is higher than all earlier ones; if two copies of the state
  * differ, the higher version wins ({@link Versions}). The rate of changes is limited to a share of
@@ -75,8 +75,8 @@
   private double nextCommitAt;
 
   private boolean timerArmed;
-  private long changes;
-  private long localVersion;
+  private long committedChanges;
+  private long changeCounter;
 
   /**
    * Creates the shared state of one term. Callers must call {@link #load} before any other method.
@@ -102,12 +102,12 @@
    *     base snapshot
    */
   public void load(List<VersionedEntry> entries) {
-    localVersion++;
+    changeCounter++;
     stored.clear();
     for (VersionedEntry entry : entries) {
       if (entry.present()) {
         stored.put(
-            entry.key().substring(JobProgressCodec.SHARED.length()),
+            entry.key().substring(JobProgressCodec.SHARED_STATE_PREFIX.length()),
             new StoredEntry(entry.value(), entry.modRevision()));
         version = Math.max(version, Versions.of(entry.value()));
       }
@@ -126,13 +126,13 @@
   }
 
   /** Returns the new value of a pending change, which the store may hold; null if there is none. */
-  public ObjectNode inFlight(String name) {
+  public ObjectNode pendingValue(String name) {
     PendingChange change = pending.get(name);
     return change == null ? null : change.value;
   }
 
   /** Returns the values that the store is known to hold, by name, of names with this prefix. */
-  public Map<String, ObjectNode> all(String prefix) {
+  public Map<String, ObjectNode> storedValues(String prefix) {
     Map<String, ObjectNode> matching = new TreeMap<>();
     stored.forEach(
         (name, entry) -> {
@@ -144,24 +144,24 @@
   }
 
   /** Returns all entries by name, including the pending changes; used for snapshots. */
-  public Map<String, ObjectNode> copy() {
-    Map<String, ObjectNode> copy = all("");
+  public Map<String, ObjectNode> copyWithPendingChanges() {
+    Map<String, ObjectNode> copy = storedValues("");
     pending.forEach((name, change) -> copy.put(name, change.value));
     return copy;
   }
 
   /** A counter that increases whenever the stored values or the pending changes change. */
-  public long localVersion() {
-    return localVersion;
+  public long changeCounter() {
+    return changeCounter;
   }
 
   /** Number of changes committed in this term. */
-  public long changes() {
-    return changes;
+  public long committedChanges() {
+    return committedChanges;
   }
 
   /** Whether the entry has a pending change, which the store is not known to hold. */
-  public boolean pending(String name) {
+  public boolean hasPendingChange(String name) {
     return pending.containsKey(name);
   }
 
@@ -178,7 +178,7 @@
     PendingChange before = pending.remove(name);
     List<Runnable> all = before == null ? new ArrayList<>() : before.durable;
     all.add(onDurable);
-    localVersion++;
+    changeCounter++;
     pending.put(name, new PendingChange(versioned, all));
     armTimer();
   }
@@ -207,7 +207,7 @@
     batch.forEach(
         (name, change) -> {
           StoredEntry entry = stored.get(name);
-          String key = JobProgressCodec.SHARED + name;
+          String key = JobProgressCodec.SHARED_STATE_PREFIX + name;
           transaction.when(key, entry == null ? 0 : entry.modRevision).write(key, change.value);
         });
     commitInFlight = true;
@@ -246,7 +246,7 @@
       reread();
       return;
     }
-    changes += batch.size();
+    committedChanges += batch.size();
     double changesPerS = MAX_WRITE_SHARE * context.settings().minStoreLimits().writeRps();
     nextCommitAt = context.clock().now() + batch.size() / changesPerS;
     batch.forEach(
@@ -298,7 +298,7 @@
   private void reread() {
     context
         .store()
-        .list(JobProgressCodec.SHARED)
+        .list(JobProgressCodec.SHARED_STATE_PREFIX)
         .onSuccess(
             read -> {
               if (!closed) {
@@ -327,7 +327,7 @@
    * Removes pending changes of which the store holds this or a later version; runs their actions.
    */
   private void removeStoredChanges() {
-    localVersion++;
+    changeCounter++;
     List<Runnable> durable = new ArrayList<>();
     pending
         .entrySet()
--- a/src/main/java/io/embernotch/snapshot/BaseSnapshot.java
+++ b/src/main/java/io/embernotch/snapshot/BaseSnapshot.java
@@ -81,7 +81,7 @@
   }
 
   /** Wall-clock time at which the snapshot was taken, in milliseconds since the Unix epoch. */
-  public long madeMs() {
+  public long takenAtMs() {
     return takenAtMs;
   }
 
@@ -89,27 +89,27 @@
    * Modification revision; keys with this one or a lower one are older than the snapshot. 0 if the
    * incarnation began without a snapshot.
    */
-  public long since() {
+  public long sinceRevision() {
     return since;
   }
 
   /** Whether it contains a job, which therefore must not be accepted again as a new one. */
-  public boolean has(String ref) {
+  public boolean containsJob(String ref) {
     return jobs.containsKey(ref) || endedJobs.containsKey(ref);
   }
 
   /** Whether it contains the end of a job, with or without open attempts. */
-  public boolean tellsEnd(String ref) {
+  public boolean containsEnd(String ref) {
     return endedJobs.containsKey(ref) || endedWithOpenAttempts.contains(ref);
   }
 
   /** The end of a job that is reduced to its end; null if the snapshot has no such job. */
-  public ClusterState.EndedJob ended(String ref) {
+  public ClusterState.EndedJob endedJob(String ref) {
     return endedJobs.get(ref);
   }
 
   /** The ends of all jobs that are reduced to their end, by id. */
-  public Map<String, ClusterState.EndedJob> allEnded() {
+  public Map<String, ClusterState.EndedJob> endedJobs() {
     return endedJobs;
   }
 
@@ -142,8 +142,8 @@
     shared.forEach(
         (name, value) ->
             entries.put(
-                JobProgressCodec.SHARED + name,
-                new VersionedEntry(JobProgressCodec.SHARED + name, value, 0)));
+                JobProgressCodec.SHARED_STATE_PREFIX + name,
+                new VersionedEntry(JobProgressCodec.SHARED_STATE_PREFIX + name, value, 0)));
     for (VersionedEntry entry : stored.events()) {
       if (entry.present()) {
         VersionedEntry snapshotEntry = entries.get(entry.key());
--- a/src/main/java/io/embernotch/snapshot/JobSnapshots.java
+++ b/src/main/java/io/embernotch/snapshot/JobSnapshots.java
@@ -93,7 +93,7 @@
     Job job = readJob(snapshot, value);
     int shardSize = JobProgressCodec.readShardSize(value);
     List<VersionedEntry> entries = new ArrayList<>();
-    entries.add(new VersionedEntry(JobProgressCodec.JOB + snapshot.getRef(), value, 0));
+    entries.add(new VersionedEntry(JobProgressCodec.JOB_PREFIX + snapshot.getRef(), value, 0));
     for (int shard = 0; shard * shardSize < job.spec.tasks(); shard++) {
       entries.add(
           new VersionedEntry(
--- a/src/main/java/io/embernotch/snapshot/SnapshotBlocks.java
+++ b/src/main/java/io/embernotch/snapshot/SnapshotBlocks.java
@@ -32,7 +32,7 @@
   }
 
   /** The CRC-32 of bytes. */
-  public static long sum(byte[] bytes) {
+  public static long crc32(byte[] bytes) {
     return DeflatedParts.crc32(bytes);
   }
 
--- a/src/main/java/io/embernotch/snapshot/StateSnapshot.java
+++ b/src/main/java/io/embernotch/snapshot/StateSnapshot.java
@@ -69,7 +69,7 @@
     ClusterSnapshot.Builder snapshot = ClusterSnapshot.newBuilder().setComplete(false);
     for (VersionedEntry entry : shared.events()) {
       if (entry.present()) {
-        String name = entry.key().substring(JobProgressCodec.SHARED.length());
+        String name = entry.key().substring(JobProgressCodec.SHARED_STATE_PREFIX.length());
         snapshot.addShared(sharedEntry(name, entry.value()));
       }
     }
@@ -83,19 +83,19 @@
    * base snapshot, which alone contains what was not written since. It is marked as incomplete.
    */
   public static ClusterSnapshot of(
-      BaseSnapshot base,
+      BaseSnapshot baseSnapshot,
       WatchEvents jobs,
       WatchEvents shards,
       WatchEvents refinedShards,
       WatchEvents shared) {
     ClusterSnapshot.Builder snapshot =
         of(
-            base.overlay(JobProgressCodec.JOB, jobs),
-            base.overlay(JobProgressCodec.SHARD, shards),
-            base.overlay(JobProgressCodec.REFINED_SHARD, refinedShards),
-            new WatchEvents(shared.revision(), base.overlayShared(shared)))
+            baseSnapshot.overlay(JobProgressCodec.JOB_PREFIX, jobs),
+            baseSnapshot.overlay(JobProgressCodec.SHARD, shards),
+            baseSnapshot.overlay(JobProgressCodec.REFINED_SHARD, refinedShards),
+            new WatchEvents(shared.revision(), baseSnapshot.overlayShared(shared)))
             .toBuilder();
-    new TreeMap<>(base.allEnded())
+    new TreeMap<>(baseSnapshot.endedJobs())
         .forEach((ref, end) -> snapshot.addEnded(JobSnapshots.writeEnded(ref, end)));
     return snapshot.build();
   }
@@ -167,7 +167,7 @@
             entry.value(),
             job,
             shardSizes.get(job.spec.ref()),
-            JobProgressCodec.shardOf(entry.key()));
+            JobProgressCodec.shardNumber(entry.key()));
       }
     }
 
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotDiff.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotDiff.java
@@ -28,7 +28,7 @@
   private SnapshotDiff() {}
 
   /** Describes a job that is not reduced to its end. */
-  public static ObjectNode line(JobSnapshot job) {
+  public static ObjectNode toJson(JobSnapshot job) {
     return Json.object()
         .put(REF, job.getRef())
         .put(
@@ -42,7 +42,7 @@
   }
 
   /** Describes a job that is reduced to its end. */
-  public static ObjectNode line(EndedJobSnapshot endedJob) {
+  public static ObjectNode toJson(EndedJobSnapshot endedJob) {
     return Json.object()
         .put(REF, endedJob.getRef())
         .put(PHASE, endedJob.getEnd().name().toLowerCase(Locale.ROOT))
@@ -85,7 +85,8 @@
     if (job == null) {
       return "absent";
     }
-    ObjectNode line = job instanceof JobSnapshot open ? line(open) : line((EndedJobSnapshot) job);
+    ObjectNode line =
+        job instanceof JobSnapshot open ? toJson(open) : toJson((EndedJobSnapshot) job);
     return line.path(PHASE).asText()
         + ", "
         + line.path(DONE_TASKS).asText()
--- a/src/main/java/io/embernotch/snapshot/file/SnapshotScheduler.java
+++ b/src/main/java/io/embernotch/snapshot/file/SnapshotScheduler.java
@@ -39,7 +39,7 @@
   /** Creates a scheduler; its first interval begins now. */
   public SnapshotScheduler(ControllerContext context) {
     this.context = context;
-    this.settings = context.operator().snapshots();
+    this.settings = context.operatorSettings().snapshots();
     this.directory =
         settings.directory() == null
             ? null
@@ -67,7 +67,7 @@
     latencies.record("copy", context.clock().now() - now);
     writing = true;
     try {
-      context.blocking().execute(() -> write(taken, incarnation));
+      context.blockingExecutor().execute(() -> write(taken, incarnation));
     } catch (RejectedExecutionException e) {
       handleFailure(e);
     }
@@ -77,10 +77,10 @@
   private void write(ClusterSnapshot snapshot, String incarnation) {
     try {
       Path file = directory.write(snapshot, incarnation);
-      context.loop().execute(() -> handleWritten(file, snapshot));
+      context.coreLoop().execute(() -> handleWritten(file, snapshot));
     } catch (IOException | RuntimeException e) {
       // Catches unchecked exceptions too: otherwise no snapshot would be taken any more.
-      context.loop().execute(() -> handleFailure(e));
+      context.coreLoop().execute(() -> handleFailure(e));
     }
   }
 
--- a/src/main/java/io/embernotch/state/ClusterState.java
+++ b/src/main/java/io/embernotch/state/ClusterState.java
@@ -52,7 +52,7 @@
   public final Map<String, MachineType> types = new LinkedHashMap<>();
 
   /** Wait times of the largest jobs under this leader. */
-  public final LargestJobWaitTimes largestJobWaits = new LargestJobWaitTimes();
+  public final LargestJobWaitTimes largestJobWaitTimes = new LargestJobWaitTimes();
 
   /** Sizes of images in GB; only of images whose jobs have been seen running. */
   public final Map<String, Double> imageGb = new HashMap<>();
--- a/src/main/java/io/embernotch/state/DemandForecast.java
+++ b/src/main/java/io/embernotch/state/DemandForecast.java
@@ -85,7 +85,10 @@
    * @param now seconds of the steady clock
    */
   public List<Headroom> headroom(
-      OperatorSettings operator, Collection<MachineType> types, Collection<Job> jobs, double now) {
+      OperatorSettings operatorSettings,
+      Collection<MachineType> types,
+      Collection<Job> jobs,
+      double now) {
     Map<String, Integer> placed = new HashMap<>();
     jobs.forEach(job -> placed.merge(job.spec.jobClass(), job.openAttempts.size(), Integer::sum));
     List<Headroom> headroom = new ArrayList<>();
@@ -98,7 +101,8 @@
       }
       double deviation = demand.deviation();
       double ratio = placed.getOrDefault(latest.jobClass(), 0) / Math.max(1, deviation);
-      double tasks = deviation * configuredFactor(operator, latest.shape()) * costFactor(ratio);
+      double tasks =
+          deviation * configuredFactor(operatorSettings, latest.shape()) * costFactor(ratio);
       headroom.add(new Headroom(latest.withTasks(1), (int) Math.round(tasks)));
     }
     return headroom;
@@ -112,11 +116,11 @@
     return ratio <= 1 ? 1 : Math.max(1, Math.sqrt(2 * Math.log(ratio)));
   }
 
-  private static double configuredFactor(OperatorSettings operator, JobShape shape) {
+  private static double configuredFactor(OperatorSettings operatorSettings, JobShape shape) {
     return switch (shape) {
-      case ARRAY -> operator.arraySpare();
-      case GANG -> operator.gangSpare();
-      case SERVICE -> operator.serviceSpare();
+      case ARRAY -> operatorSettings.arraySpare();
+      case GANG -> operatorSettings.gangSpare();
+      case SERVICE -> operatorSettings.serviceSpare();
     };
   }
 }
--- a/src/main/java/io/embernotch/state/FailureAttribution.java
+++ b/src/main/java/io/embernotch/state/FailureAttribution.java
@@ -67,7 +67,7 @@
     if (!hasSucceeded(job)) {
       job.errorMachines.add(machine.name);
     }
-    if (job.failsEverywhere()) {
+    if (job.isAtFault()) {
       job.backoffUntil = now + jobBackoffS(job);
       clearMachinesOf(job);
     } else {
@@ -82,7 +82,7 @@
    * time, so the cost of its retries is bounded regardless of its size.
    */
   private double jobBackoffS(Job job) {
-    int doublings = job.errorMachines.size() - Job.MANY_MACHINES;
+    int doublings = job.errorMachines.size() - Job.AT_FAULT_MIN_MACHINES;
     return Math.min(
         settings.workers().leaseS(),
         heartbeatIntervalS() * (1 << Math.min(MAX_JOB_DOUBLINGS, doublings)));
@@ -125,7 +125,7 @@
     double sum = ROUNDING_TOLERANCE;
     for (Map.Entry<String, Integer> failures : machine.failures.entrySet()) {
       Job job = state.jobs.get(failures.getKey());
-      if (job != null && !job.failsEverywhere()) {
+      if (job != null && !job.isAtFault()) {
         sum += failureWeight(job, failures.getValue());
       }
     }
@@ -151,7 +151,7 @@
     for (String ref : machine.failures.keySet()) {
       Job job = state.jobs.get(ref);
       // A failure on a machine at fault does not count against the job.
-      if (job != null && job.errorMachines.remove(machine.name) && !job.failsEverywhere()) {
+      if (job != null && job.errorMachines.remove(machine.name) && !job.isAtFault()) {
         job.backoffUntil = 0;
       }
     }
--- a/src/main/java/io/embernotch/store/IncarnationValidator.java
+++ b/src/main/java/io/embernotch/store/IncarnationValidator.java
@@ -70,7 +70,7 @@
     try {
       ObjectNode page = reply.json();
       if (StoreProtocol.readRevision(page) >= reply.baseline().minRevision()) {
-        sink.pageAskedForBeforeLoss(StoreProtocol.readPage(page));
+        sink.pageRequestedBeforeLoss(StoreProtocol.readPage(page));
       }
     } catch (MalformedInputException e) {
       LOG.info("cannot read a page requested before the loss of data: {}", e.getMessage());
--- a/src/main/java/io/embernotch/store/LeaseRenewer.java
+++ b/src/main/java/io/embernotch/store/LeaseRenewer.java
@@ -14,8 +14,8 @@
  * event loop for seconds at a sixth of a CPU core. If renewals were queued behind them, the new
  * leader would lose its lease.
  *
- * <p>The core event loop reports regularly that it is alive ({@link #coreAlive}). If it has not
- * done so for too long, the renewer lets the lease expire.
+ * <p>The core event loop reports regularly that it is alive ({@link #reportCoreAlive}). If it has
+ * not done so for too long, the renewer lets the lease expire.
  */
 public final class LeaseRenewer {
   /** Interval and timeout of renewals are the time to live divided by this. */
@@ -24,7 +24,7 @@
   /** A failed renewal is retried after the time to live divided by this. */
   private static final double RETRIES_PER_TTL = 15;
 
-  /** The result of {@link #provenUntil} while no lease is kept. */
+  /** The result of {@link #leaseValidUntil} while no lease is kept. */
   private static final double NO_LEASE = -1;
 
   /** The lease cannot end before {@code until}, in seconds of the monotonic clock. */
@@ -56,7 +56,7 @@
    * @param leaseTtlS time to live of the lease in seconds, counted from the sending of a renewal
    * @param drift fraction of the time to live by which the clocks of this node and of the store may
    *     differ
-   * @param coreTimeoutS seconds without {@link #coreAlive} after which renewals are suspended
+   * @param coreTimeoutS seconds without {@link #reportCoreAlive} after which renewals are suspended
    */
   public LeaseRenewer(
       HttpCaller caller,
@@ -88,13 +88,13 @@
    * Returns the time before which the lease cannot end, in seconds of the monotonic clock; negative
    * if no lease is kept. May be called on any thread.
    */
-  public double provenUntil() {
+  public double leaseValidUntil() {
     ExpiryBound bound = expiryBound.get();
     return bound == null ? NO_LEASE : bound.until;
   }
 
   /** Reports that the core event loop is alive. May be called on any thread. */
-  public void coreAlive() {
+  public void reportCoreAlive() {
     coreAliveAt = clock.now();
   }
 
@@ -107,7 +107,7 @@
    * @param onEnded runs on the core event loop, with the id, once the store no longer has the lease
    */
   public void keep(long granted, double sentAt, LongConsumer onEnded) {
-    coreAlive();
+    reportCoreAlive();
     expiryBound.set(new ExpiryBound(granted, sentAt + safeTtlS));
     loop.execute(
         () -> {
--- a/src/main/java/io/embernotch/store/PageSink.java
+++ b/src/main/java/io/embernotch/store/PageSink.java
@@ -13,5 +13,5 @@
    * The store held these entries before the loss and may still hold them; possibly no controller
    * has another copy. The listing fails after this call.
    */
-  default void pageAskedForBeforeLoss(List<VersionedEntry> entries) {}
+  default void pageRequestedBeforeLoss(List<VersionedEntry> entries) {}
 }
--- a/src/main/java/io/embernotch/store/StoreClient.java
+++ b/src/main/java/io/embernotch/store/StoreClient.java
@@ -87,12 +87,12 @@
   }
 
   /** Records that another controller wrote this key at this revision. */
-  public void noteRevision(String key, long revision) {
+  public void recordRemoteWrite(String key, long revision) {
     guard.recordWrite(IncarnationGuard.Baseline.NONE, key, revision);
   }
 
   /** Records that another controller has seen this revision. */
-  public void noteRevision(long revision) {
+  public void recordRemoteRevision(long revision) {
     guard.observe(IncarnationGuard.Baseline.NONE, revision);
   }
 
@@ -206,17 +206,17 @@
   }
 
   /** Requests a lease with a time to live of {@code leaseTtlS} seconds; returns its id. */
-  public Future<Long> grant(double leaseTtlS) {
+  public Future<Long> grantLease(double leaseTtlS) {
     return leases.grant(leaseTtlS);
   }
 
   /** Renews a lease; completes with false if the store has no such lease. */
-  public Future<Boolean> renewIfPresent(long leaseId) {
+  public Future<Boolean> renewLeaseIfPresent(long leaseId) {
     return leases.renewIfPresent(leaseId);
   }
 
   /** Revokes a lease, which deletes the keys that were written with it. */
-  public Future<Void> revoke(long leaseId) {
+  public Future<Void> revokeLease(long leaseId) {
     return leases.revoke(leaseId);
   }
 
--- a/src/main/java/io/embernotch/store/StoreProtocol.java
+++ b/src/main/java/io/embernotch/store/StoreProtocol.java
@@ -128,7 +128,7 @@
 
   static List<VersionedEntry> readPage(ObjectNode page) {
     List<VersionedEntry> entries = new ArrayList<>();
-    for (JsonNode pair : Json.need(page, PAIRS)) {
+    for (JsonNode pair : Json.required(page, PAIRS)) {
       if (!(pair instanceof ObjectNode entry)) {
         throw new MalformedInputException(PAIRS + ": must be objects");
       }
@@ -139,7 +139,7 @@
 
   /** Whether more pages follow this one. */
   static boolean isTruncated(ObjectNode page) {
-    return Json.flagOr(page, TRUNCATED, false);
+    return Json.boolOr(page, TRUNCATED, false);
   }
 
   static TransactionResult readApplied(ObjectNode answer) {
@@ -149,7 +149,7 @@
   static TransactionResult readConflict(ObjectNode answer) {
     long revision = readRevision(answer);
     Set<String> conflicts = new HashSet<>();
-    for (JsonNode key : Json.need(answer, CONFLICTS)) {
+    for (JsonNode key : Json.required(answer, CONFLICTS)) {
       conflicts.add(key.asText());
     }
     return new TransactionResult(false, revision, conflicts);
@@ -165,14 +165,14 @@
 
   static WatchEvents readEvents(ObjectNode answer) {
     List<VersionedEntry> events = new ArrayList<>();
-    for (JsonNode event : Json.need(answer, EVENTS)) {
+    for (JsonNode event : Json.required(answer, EVENTS)) {
       events.add(readEvent(event));
     }
     return new WatchEvents(readRevision(answer), events);
   }
 
   private static VersionedEntry readEvent(JsonNode event) {
-    JsonNode deletedKey = Json.opt(event, DELETE);
+    JsonNode deletedKey = Json.optional(event, DELETE);
     if (deletedKey != null) {
       return new VersionedEntry(deletedKey.asText(), null, Json.whole(event, MOD_REVISION));
     }
--- a/src/main/java/io/embernotch/store/Transaction.java
+++ b/src/main/java/io/embernotch/store/Transaction.java
@@ -48,7 +48,7 @@
   }
 
   /** Adds a deletion of {@code key}. */
-  public Transaction drop(String key) {
+  public Transaction delete(String key) {
     operations.addObject().put(StoreProtocol.DELETE, key);
     return this;
   }
--- a/src/main/java/io/embernotch/weights/ImageLocality.java
+++ b/src/main/java/io/embernotch/weights/ImageLocality.java
@@ -68,7 +68,7 @@
   /** Takes over what a former leader knew, once the shared state has been read. */
   public void load() {
     imagesByMachine.clear();
-    shared.all(PREFIX).values().forEach(this::addShard);
+    shared.storedValues(PREFIX).values().forEach(this::addShard);
   }
 
   private void addShard(ObjectNode entry) {
@@ -108,7 +108,7 @@
     shard = (shard + 1) % SHARDS;
     String name = PREFIX + shard;
     ObjectNode value = currentShard().toJson();
-    if (!LocalityShard.sameContent(shared.get(name), value) && !shared.pending(name)) {
+    if (!LocalityShard.sameContent(shared.get(name), value) && !shared.hasPendingChange(name)) {
       shared.put(name, value, () -> {});
     }
   }
--- a/src/test/java/io/embernotch/agents/AgentReconcilerTest.java
+++ b/src/test/java/io/embernotch/agents/AgentReconcilerTest.java
@@ -76,7 +76,7 @@
   /** A machine whose first heartbeat has just arrived, with a committed start. */
   private Machine machineWithDueStart(int index) {
     Machine machine = state.machine("n-" + index, agents.tokenBase());
-    agents.processForwarded(heartbeat(index, 1));
+    agents.processWithoutReply(heartbeat(index, 1));
     state.openAttempt(job, index, 1, machine, time.now()).launchState = Attempt.LaunchState.READY;
     return machine;
   }
@@ -133,10 +133,10 @@
   void machinesWithoutAHeartbeatAreProbedAFewAtATime() {
     for (int i = 0; i < 3; i++) {
       state.machine("n-" + i, agents.tokenBase()).address = "10.0.1." + i + ":9000";
-      agents.find(state.machines.get("n-" + i));
+      agents.discover(state.machines.get("n-" + i));
     }
     assertThat(calls).containsExactly("10.0.1.0/status");
-    agents.processForwarded(heartbeat(1, 1));
+    agents.processWithoutReply(heartbeat(1, 1));
     replies.get(0).fail(new CallFailedException(true, "no answer in time"));
     assertThat(calls).containsExactly("10.0.1.0/status", "10.0.1.2/status");
   }
@@ -165,7 +165,7 @@
   public void taskExited(Attempt attempt, Machine machine, ExitCause cause, boolean saved) {}
 
   @Override
-  public void attemptGone(Attempt attempt, Machine machine, String why) {
+  public void attemptLost(Attempt attempt, Machine machine, String why) {
     endedAttempts.add(attempt);
   }
 
--- a/src/test/java/io/embernotch/agents/LateHeartbeatCopiesTest.java
+++ b/src/test/java/io/embernotch/agents/LateHeartbeatCopiesTest.java
@@ -19,7 +19,7 @@
   private void startService() {
     cluster.awaitLeader(3);
     for (int i = 0; i < 4; i++) {
-      cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
+      cluster.bootMachine("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
     cluster.advance(8);
     assertThat(cluster.submit(0, job("j-1", "standing", 16)).status()).isEqualTo(201);
@@ -124,7 +124,7 @@
    */
   private byte[] replaceIncarnation(int laterSeq) {
     cluster.awaitLeader(3);
-    String name = cluster.boot("g8", "z1", true);
+    String name = cluster.bootMachine("g8", "z1", true);
     cluster.advance(12);
     dead = cluster.workers.get(name);
     long seq = dead.sequence;
@@ -150,7 +150,7 @@
     cluster.nodes.forEach(node -> cluster.deliverHeartbeat(node, former));
     cluster.faults.commandDelivery = Delivery.DELIVERED;
     cluster.cloud.bootDisabled = false;
-    cluster.boot("g8", "z1", true);
+    cluster.bootMachine("g8", "z1", true);
     cluster.advance(20);
   }
 
@@ -182,7 +182,7 @@
   @Test
   void copyFromAFormerIncarnationInALaterAgentEpochProvesNothing() {
     cluster.awaitLeader(3);
-    String name = cluster.boot("g8", "z1", true);
+    String name = cluster.bootMachine("g8", "z1", true);
     cluster.advance(7);
     FakeWorker worker = cluster.workers.get(name);
     worker.partitioned = true;
--- a/src/test/java/io/embernotch/agents/ReachabilityTrackerTest.java
+++ b/src/test/java/io/embernotch/agents/ReachabilityTrackerTest.java
@@ -19,7 +19,7 @@
 
   private List<FakeWorker> bootMachines(int count) {
     for (int i = 0; i < count; i++) {
-      cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
+      cluster.bootMachine("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
     cluster.advance(8);
     return List.copyOf(cluster.workers.values());
--- a/src/test/java/io/embernotch/api/JobAnswersTest.java
+++ b/src/test/java/io/embernotch/api/JobAnswersTest.java
@@ -3,8 +3,8 @@
 import static io.embernotch.testkit.TestJobs.job;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import io.embernotch.api.JobAnswers.JobQuery;
 import io.embernotch.api.JobAnswers.Kind;
-import io.embernotch.api.JobAnswers.Question;
 import io.embernotch.api.JobAnswers.Source;
 import io.embernotch.codec.JobCodec;
 import io.embernotch.codec.Json;
@@ -26,14 +26,14 @@
           TestContexts.withWorkers(
               SettingsReader.parse(SimulatedCluster.settingsToml(0)), new FakeTime(), null),
           completedJobs,
-          () -> new JobAnswers.Knowledge("c0", 12, 340, "era-1"));
+          () -> new JobAnswers.AnswerContext("c0", 12, 340, "era-1"));
 
   private static HttpResponse state(JobPhase phase) {
-    return HttpResponse.of(200, JobCodec.status("j-1", phase, 0, 0));
+    return HttpResponse.of(200, JobCodec.statusResponse("j-1", phase, 0, 0));
   }
 
-  private Question ask() {
-    return answers.asked(Kind.POLL, "j-1");
+  private JobQuery ask() {
+    return answers.startQuery(Kind.POLL, "j-1");
   }
 
   private static String phaseOf(HttpResponse response) {
@@ -48,9 +48,9 @@
             .isEqualTo(phase.name().toLowerCase(Locale.ROOT));
       }
     }
-    assertThat(ask().answer(Source.LEADER, HttpResponse.later("x")).status()).isEqualTo(503);
+    assertThat(ask().answer(Source.LEADER, HttpResponse.unavailable("x")).status()).isEqualTo(503);
     assertThat(answers.contradictions()).isZero();
-    assertThat(answers.overtaken()).isZero();
+    assertThat(answers.outdatedAnswers()).isZero();
   }
 
   @Test
@@ -76,10 +76,10 @@
   /** It was right as of its question. By now the end may have been told, so that is told. */
   @Test
   void anAnswerThatTheEndOvertookIsReplacedByTheEnd() {
-    Question before = ask();
+    JobQuery before = ask();
     ask().answer(Source.STORE, state(JobPhase.DONE));
     assertThat(phaseOf(before.answer(Source.LEADER, state(JobPhase.RUNNING)))).isEqualTo("done");
-    assertThat(answers.overtaken()).isEqualTo(1);
+    assertThat(answers.outdatedAnswers()).isEqualTo(1);
     assertThat(answers.contradictions()).isZero();
   }
 
--- a/src/test/java/io/embernotch/calendar/ReleaseCalendarTest.java
+++ b/src/test/java/io/embernotch/calendar/ReleaseCalendarTest.java
@@ -58,7 +58,7 @@
    * that were submitted in the reverse order of their urgency.
    */
   private void submitThreePendingJobs() {
-    cluster.boot("g8", "z1", false);
+    cluster.bootMachine("g8", "z1", false);
     cluster.advance(7);
     cluster.cloud.outOfCapacity = true;
     cluster.submit(0, jobOfClass("c", "j-1", 8));
--- a/src/test/java/io/embernotch/codec/CodecTest.java
+++ b/src/test/java/io/embernotch/codec/CodecTest.java
@@ -82,9 +82,9 @@
     assertThat(heartbeat.tasks().get(0).state()).isEqualTo(TaskState.RUNNING);
     assertThat(heartbeat.tasks().get(1).cause()).isEqualTo(ExitCause.STOPPED);
     assertThat(heartbeat.tasks().get(1).saved()).isTrue();
-    assertThat(heartbeat.newerThan(2, 87)).isTrue();
-    assertThat(heartbeat.newerThan(2, 88)).isFalse();
-    assertThat(heartbeat.newerThan(3, 1)).isFalse();
+    assertThat(heartbeat.isNewerThan(2, 87)).isTrue();
+    assertThat(heartbeat.isNewerThan(2, 88)).isFalse();
+    assertThat(heartbeat.isNewerThan(3, 1)).isFalse();
   }
 
   @Test
--- a/src/test/java/io/embernotch/controller/FaultSequencesTest.java
+++ b/src/test/java/io/embernotch/controller/FaultSequencesTest.java
@@ -28,7 +28,7 @@
   private void startServices() {
     cluster.awaitLeader(3);
     for (int i = 0; i < MACHINES; i++) {
-      cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
+      cluster.bootMachine("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
     cluster.advance(8);
     int nextController = 0;
--- a/src/test/java/io/embernotch/controller/HeartbeatForwardingTest.java
+++ b/src/test/java/io/embernotch/controller/HeartbeatForwardingTest.java
@@ -32,7 +32,7 @@
   /** Boots machines with capacity for eight tasks each, which send heartbeats to a controller. */
   private void bootMachines(int count, ControllerNode controller) {
     for (int i = 0; i < count; i++) {
-      cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
+      cluster.bootMachine("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
     cluster.advance(cluster.cloud.bootS + 0.5);
     cluster.workers.values().forEach(worker -> worker.controllerIndex = controller.index);
@@ -126,7 +126,7 @@
     ControllerNode follower = cluster.otherNode(leader);
     follower.start();
     cluster.advance(1);
-    cluster.boot("g8", "z1", true);
+    cluster.bootMachine("g8", "z1", true);
     cluster.advance(cluster.cloud.bootS + 0.3);
     HttpResponse response = heartbeat(follower, cluster.workers.firstEntry().getValue());
     assertThat(response.status()).isEqualTo(421);
--- a/src/test/java/io/embernotch/controller/JobStateTest.java
+++ b/src/test/java/io/embernotch/controller/JobStateTest.java
@@ -17,7 +17,7 @@
 
   private void startWithOneMachine() {
     cluster.awaitLeader(2);
-    cluster.boot("g8", "z1", true);
+    cluster.bootMachine("g8", "z1", true);
     cluster.advance(8);
   }
 
@@ -45,7 +45,7 @@
   @Test
   void delayedCommandOfADeposedLeaderStartsNothing() {
     ControllerNode deposed = cluster.awaitLeader(2);
-    String name = cluster.boot("g8", "z1", true);
+    String name = cluster.bootMachine("g8", "z1", true);
     cluster.advance(8);
     FakeWorker worker = cluster.workers.get(name);
     cluster.faults.commandDelivery = Delivery.DELAYED;
--- a/src/test/java/io/embernotch/controller/MachineFailureTest.java
+++ b/src/test/java/io/embernotch/controller/MachineFailureTest.java
@@ -44,7 +44,7 @@
     cluster.awaitLeader(2);
     runJob(job("j-5", "array", 1), "j-5", 1);
     FakeWorker worker = cluster.runningTasks("j-5").get("j-5/0");
-    cluster.boot("g8", "z1", true);
+    cluster.bootMachine("g8", "z1", true);
     cluster.advance(6);
     worker.partitioned = true;
     cluster.cloud.down = true;
@@ -66,7 +66,7 @@
   @Test
   void machineThatFailsAllTasksIsAvoidedAndScaledIn() {
     cluster.awaitLeader(2);
-    String failing = cluster.boot("g8", "z1", true);
+    String failing = cluster.bootMachine("g8", "z1", true);
     cluster.advance(6);
     cluster.workers.get(failing).failsTasks = true;
     cluster.submit(0, job("j-22", "array", 4));
@@ -130,7 +130,7 @@
     cluster.awaitLeader(2);
     String service = withoutSpot(withPriority(job("j-70", "standing", 1), "production"));
     FakeWorker worker = runJob(service, "j-70", 1).get("j-70/0");
-    cluster.boot("g8", "z1", false);
+    cluster.bootMachine("g8", "z1", false);
     cluster.advance(6);
     worker.partitioned = true;
     cluster.advance(20);
@@ -145,7 +145,7 @@
   void unresponsiveMachineWithArraysIsDeletedOnceAProbeFails() {
     cluster.awaitLeader(2);
     FakeWorker worker = runJob(job("j-71", "array", 1), "j-71", 1).get("j-71/0");
-    cluster.boot("g8", "z1", true);
+    cluster.bootMachine("g8", "z1", true);
     cluster.advance(6);
     worker.partitioned = true;
     cluster.advance(10);
--- a/src/test/java/io/embernotch/controller/ProcessIncarnationsTest.java
+++ b/src/test/java/io/embernotch/controller/ProcessIncarnationsTest.java
@@ -91,11 +91,11 @@
   void peerHeartbeatOfAnEndedTermIsIgnored() {
     LeaderObserver leaderObserver = new LeaderObserver(cluster.time);
     assertThat(leaderObserver.observeClaim("c1", 7)).isTrue();
-    leaderObserver.update(null, 0);
+    leaderObserver.setLeader(null, 0);
     assertThat(leaderObserver.observeClaim("c1", 7)).isFalse();
     assertThat(leaderObserver.node()).isNull();
     assertThat(leaderObserver.observeClaim("c2", 9)).isTrue();
-    leaderObserver.update("c2", 9);
+    leaderObserver.setLeader("c2", 9);
     assertThat(leaderObserver.observeClaim("c1", 8)).isFalse();
   }
 
--- a/src/test/java/io/embernotch/controller/RollingUpgradeTest.java
+++ b/src/test/java/io/embernotch/controller/RollingUpgradeTest.java
@@ -94,7 +94,7 @@
 
   @Test
   void leaderOfThePreviousVersionStopsWhileStartingTasks() {
-    String name = cluster.boot("g8", "z1", true);
+    String name = cluster.bootMachine("g8", "z1", true);
     cluster.advance(6);
     // Three starts are stored: two whose commands were not sent or did not arrive, and one on a
     // machine that no longer exists.
--- a/src/test/java/io/embernotch/controller/ScaleTest.java
+++ b/src/test/java/io/embernotch/controller/ScaleTest.java
@@ -26,7 +26,7 @@
   private void runOnAllMachines() {
     cluster.cloud.bootDisabled = false;
     for (int i = 0; i < MACHINES; i++) {
-      cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
+      cluster.bootMachine("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
     cluster.advance(8);
     for (int job = 0; job < MACHINES * 8 / TASKS_PER_JOB; job++) {
--- a/src/test/java/io/embernotch/controller/TaskPlacementTest.java
+++ b/src/test/java/io/embernotch/controller/TaskPlacementTest.java
@@ -27,10 +27,10 @@
     assertThat(cluster.submit(0, gang).status()).isEqualTo(201);
     cluster.advance(3);
     cluster.cloud.bootDisabled = false;
-    cluster.boot("g8", "z1", true);
+    cluster.bootMachine("g8", "z1", true);
     cluster.advance(8);
     assertThat(cluster.runningTasks("j-2")).isEmpty();
-    cluster.boot("g8", "z1", true);
+    cluster.bootMachine("g8", "z1", true);
     cluster.advance(8);
     assertThat(cluster.runningTasks("j-2")).hasSize(2);
   }
@@ -47,8 +47,8 @@
   @Test
   void taskRunsOnlyWhereItsJobAllows() {
     cluster.awaitLeader(2);
-    cluster.boot("g8", "z1", true);
-    cluster.boot("g8", "z2", false);
+    cluster.bootMachine("g8", "z1", true);
+    cluster.bootMachine("g8", "z2", false);
     cluster.advance(8);
     String job = inZone(withoutSpot(job("j-20", "standing", 2)), "z1");
     cluster.submit(0, job);
@@ -61,7 +61,7 @@
   @Test
   void spreadServiceHasAtMostHalfInAZone() {
     cluster.awaitLeader(2);
-    cluster.boot("g8", "z1", true);
+    cluster.bootMachine("g8", "z1", true);
     cluster.advance(8);
     cluster.submit(0, spreadOverZones(job("j-21", "standing", 5)));
     cluster.advance(15);
@@ -78,7 +78,7 @@
     cluster.nodes.get(1).kill();
     cluster.nodes.get(2).kill();
     cluster.advance(8);
-    String fast = cluster.boot("g8", "z1", true);
+    String fast = cluster.bootMachine("g8", "z1", true);
     cluster.advance(6);
     runJob(job("j-29", "standing", 1), "j-29", 1);
     runTwelveTasks("j-30");
--- a/src/test/java/io/embernotch/election/LeaderObserverTest.java
+++ b/src/test/java/io/embernotch/election/LeaderObserverTest.java
@@ -14,15 +14,15 @@
   private final LeaderObserver observer = new LeaderObserver(time);
 
   private void expectHighest(String node, long epoch, double seenForS) {
-    assertThat(observer.highestNode()).isEqualTo(node);
+    assertThat(observer.highestEpochLeader()).isEqualTo(node);
     assertThat(observer.highestEpoch()).isEqualTo(epoch);
-    assertThat(observer.highestSeenForS()).isEqualTo(seenForS);
+    assertThat(observer.highestEpochKnownForS()).isEqualTo(seenForS);
   }
 
   /** Guards against a reported leader although none was observed. */
   @Test
   void noEpochIsKnownInitially() {
-    assertThat(observer.highestNode()).isNull();
+    assertThat(observer.highestEpochLeader()).isNull();
     assertThat(observer.highestEpoch()).isZero();
   }
 
@@ -32,7 +32,7 @@
    */
   @Test
   void highestEpochIncludesKeyReadsClaimsAndReports() {
-    observer.update("c0", 5);
+    observer.setLeader("c0", 5);
     expectHighest("c0", 5, 0);
     observer.observeClaim("c1", 6);
     expectHighest("c1", 6, 0);
@@ -49,7 +49,7 @@
     observer.observeEpoch("c0", 5);
     time.advance(4);
     observer.observeEpoch("c0", 5);
-    observer.update("c0", 5);
+    observer.setLeader("c0", 5);
     observer.observeClaim("c0", 5);
     expectHighest("c0", 5, 4);
   }
@@ -57,11 +57,11 @@
   /** Guards against late heartbeats that replace the epoch of a later term. */
   @Test
   void lowerEpochsAndTheEndOfTheTermKeepTheHighestEpoch() {
-    observer.update("c0", 5);
+    observer.setLeader("c0", 5);
     time.advance(2);
     observer.observeEpoch("c1", 4);
     observer.observeClaim("c1", 4);
-    observer.update(null, 0);
+    observer.setLeader(null, 0);
     expectHighest("c0", 5, 2);
   }
 
@@ -73,7 +73,7 @@
   void firstLeaderOfTheHighestEpochIsKept() {
     observer.observeEpoch("c0", 5);
     time.advance(1);
-    observer.update("c1", 5);
+    observer.setLeader("c1", 5);
     expectHighest("c0", 5, 1);
   }
 }
--- a/src/test/java/io/embernotch/faultcombinations/AnswersAtScaleTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/AnswersAtScaleTest.java
@@ -26,7 +26,7 @@
   void startServicesOnAllMachines() {
     cluster.awaitLeader(3);
     for (int i = 0; i < MACHINES; i++) {
-      cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
+      cluster.bootMachine("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
     cluster.advance(cluster.cloud.bootS + 3);
     for (int i = 0; i < MACHINES / TASKS_PER_SERVICE; i++) {
--- a/src/test/java/io/embernotch/faultcombinations/ConfirmedCancellationTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/ConfirmedCancellationTest.java
@@ -35,7 +35,7 @@
   private static ControllerNode startJobs(SimulatedCluster cluster, int jobs) {
     ControllerNode leader = cluster.awaitLeader(3);
     for (int i = 0; i < 2 * jobs; i++) {
-      cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
+      cluster.bootMachine("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
     cluster.advance(7);
     cluster.workers.values().forEach(worker -> worker.controllerIndex = leader.index);
@@ -198,7 +198,7 @@
     ControllerNode leader = cluster.leader();
     assertThat(leader.index).isEqualTo(2);
     for (int i = 0; i < 4; i++) {
-      cluster.boot("g8", "z2", true);
+      cluster.bootMachine("g8", "z2", true);
     }
     cluster.advance(12);
     cluster.faults.commandDelivery = hung ? Delivery.DELIVERED : Delivery.DELAYED;
--- a/src/test/java/io/embernotch/faultcombinations/InvariantCheckerTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/InvariantCheckerTest.java
@@ -36,7 +36,7 @@
   private void accept(String json) {
     invariants.submitted(
         json.getBytes(StandardCharsets.UTF_8),
-        HttpResponse.of(201, JobCodec.brief(ref(json), JobPhase.QUEUED)),
+        HttpResponse.of(201, JobCodec.phaseResponse(ref(json), JobPhase.QUEUED)),
         0,
         0);
   }
@@ -58,7 +58,7 @@
 
   private void statusReceived(String ref, JobPhase phase, double now) {
     invariants.statusReceived(
-        ref, HttpResponse.of(200, JobCodec.status(ref, phase, 0, 0)), now, now);
+        ref, HttpResponse.of(200, JobCodec.statusResponse(ref, phase, 0, 0)), now, now);
   }
 
   private void assertOnlyViolation(String text) {
@@ -152,7 +152,11 @@
         1,
         1);
     invariants.polled(
-        "j-2", HttpResponse.of(200, JobCodec.status("j-2", JobPhase.QUEUED, 0, 0)), 1, 1, false);
+        "j-2",
+        HttpResponse.of(200, JobCodec.statusResponse("j-2", JobPhase.QUEUED, 0, 0)),
+        1,
+        1,
+        false);
     invariants.cancelRequested("j-1", 1);
     statusReceived("j-1", JobPhase.CANCELLED, 2);
     statusReceived("j-1", JobPhase.RUNNING, 3);
@@ -175,7 +179,7 @@
   }
 
   private static HttpResponse running(String ref, int done) {
-    return HttpResponse.of(200, JobCodec.status(ref, JobPhase.RUNNING, done, 1));
+    return HttpResponse.of(200, JobCodec.statusResponse(ref, JobPhase.RUNNING, done, 1));
   }
 
   /** Answers whose times overlap may come in any order. */
@@ -223,7 +227,7 @@
     accept(json);
     invariants.cancelRequested("j-1", 1);
     statusReceived("j-1", JobPhase.CANCELLED, 2);
-    HttpResponse queued = HttpResponse.of(200, JobCodec.brief("j-1", JobPhase.QUEUED));
+    HttpResponse queued = HttpResponse.of(200, JobCodec.phaseResponse("j-1", JobPhase.QUEUED));
     byte[] body = json.getBytes(StandardCharsets.UTF_8);
     invariants.submitted(body, queued, 1.9, 2.1);
     assertThat(invariants.violations()).isEmpty();
@@ -238,7 +242,7 @@
     invariants.cancelRequested("j-1", 1);
     statusReceived("j-1", JobPhase.CANCELLED, 2);
     invariants.statusReceived(
-        "j-1", HttpResponse.of(200, JobCodec.brief("j-1", JobPhase.DONE)), 3, 3);
+        "j-1", HttpResponse.of(200, JobCodec.phaseResponse("j-1", JobPhase.DONE)), 3, 3);
     assertOnlyViolation("was cancelled and is done");
   }
 
@@ -260,7 +264,8 @@
     FakeWorker worker = addMachine("z1", true);
     start(worker, "j-1/0", 1);
     polled("j-1", running("j-1", 0), 2, 2.1);
-    HttpResponse queued = HttpResponse.of(200, JobCodec.status("j-1", JobPhase.QUEUED, 0, 0));
+    HttpResponse queued =
+        HttpResponse.of(200, JobCodec.statusResponse("j-1", JobPhase.QUEUED, 0, 0));
     polled("j-1", queued, 2.05, 2.2);
     assertThat(invariants.violations()).isEmpty();
     polled("j-1", queued, 2.3, 2.4);
@@ -279,7 +284,7 @@
     String json = job("j-1", "array", 2).replace("\"flush_s\":2.0,", "");
     invariants.submitted(
         json.getBytes(StandardCharsets.UTF_8),
-        HttpResponse.of(201, JobCodec.brief("j-1", JobPhase.QUEUED)),
+        HttpResponse.of(201, JobCodec.phaseResponse("j-1", JobPhase.QUEUED)),
         0,
         0);
     assertOnlyViolation("lacks something");
--- a/src/test/java/io/embernotch/faultcombinations/LostResponseTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/LostResponseTest.java
@@ -114,7 +114,7 @@
   @Test
   void startWithUnknownCommitIsNotSent() {
     ControllerNode leader = cluster.awaitLeader(3);
-    cluster.boot("g8", "z1", true);
+    cluster.bootMachine("g8", "z1", true);
     cluster.advance(10);
     cluster.faults.commitDelivery = Delivery.RESPONSE_LOST;
     cluster.faults.lostReadShare = 1;
--- a/src/test/java/io/embernotch/faultcombinations/MachineFaultsTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/MachineFaultsTest.java
@@ -55,7 +55,7 @@
 
   private void bootFour(String zone) {
     for (int i = 0; i < 4; i++) {
-      cluster.boot("g8", zone, true);
+      cluster.bootMachine("g8", zone, true);
     }
   }
 
--- a/src/test/java/io/embernotch/faultcombinations/QuotaFaultsTest.java
+++ b/src/test/java/io/embernotch/faultcombinations/QuotaFaultsTest.java
@@ -64,7 +64,7 @@
     SimulatedCluster cluster = scenario.cluster;
     ControllerNode leader = cluster.awaitLeader(3);
     for (int i = 0; i < 6; i++) {
-      cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
+      cluster.bootMachine("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
     cluster.advance(6);
     cluster.cloud.outOfCapacity = true;
--- a/src/test/java/io/embernotch/forwarding/IsolatedControllerTest.java
+++ b/src/test/java/io/embernotch/forwarding/IsolatedControllerTest.java
@@ -23,7 +23,7 @@
   private Map<String, FakeWorker> startService() {
     cluster.awaitLeader(3);
     for (int i = 0; i < 30; i++) {
-      cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
+      cluster.bootMachine("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
     cluster.advance(8);
     // Spread the agents over the controllers.
--- a/src/test/java/io/embernotch/forwarding/PendingRequestsTest.java
+++ b/src/test/java/io/embernotch/forwarding/PendingRequestsTest.java
@@ -17,8 +17,8 @@
   private long lastId;
 
   private PendingRequests incarnation(String name) {
-    Supplier<String> names = () -> name;
-    return new PendingRequests(time, this, names);
+    Supplier<String> nameGenerator = () -> name;
+    return new PendingRequests(time, this, nameGenerator);
   }
 
   /**
@@ -50,5 +50,5 @@
   }
 
   @Override
-  public void renew(String node) {}
+  public void reconnect(String node) {}
 }
--- a/src/test/java/io/embernotch/incarnation/DataLossAtScaleTest.java
+++ b/src/test/java/io/embernotch/incarnation/DataLossAtScaleTest.java
@@ -19,7 +19,7 @@
   void startServicesOnAllMachines() {
     cluster.awaitLeader(3);
     for (int i = 0; i < MACHINES; i++) {
-      cluster.boot("g8", i % 2 == 0 ? "z1" : "z2", true);
+      cluster.bootMachine("g8", i % 2 == 0 ? "z1" : "z2", true);
     }
     cluster.advance(cluster.cloud.bootS + 2);
     int index = 0;
@@ -44,7 +44,7 @@
    * else has changed.
    */
   private void verifyServiceResumes() {
-    cluster.boot("g8", "z1", true);
+    cluster.bootMachine("g8", "z1", true);
     double lostAt = cluster.time.now();
     // 200 if the first attempt was written to the rolled-back store without an answer.
     while (cluster
--- a/src/test/java/io/embernotch/peer/ReplicationFramesTest.java
+++ b/src/test/java/io/embernotch/peer/ReplicationFramesTest.java
@@ -22,8 +22,8 @@
     return FrameCodec.decode(ByteBuffer.wrap(bytes, 4, bytes.length - 4).slice());
   }
 
-  private static Frame.PeerHeartbeat heartbeat(boolean storeReachable, boolean replicates) {
-    return new Frame.PeerHeartbeat("c1", "c2", 44, storeReachable, replicates);
+  private static Frame.PeerHeartbeat heartbeat(boolean storeReachable, boolean acceptsReplication) {
+    return new Frame.PeerHeartbeat("c1", "c2", 44, storeReachable, acceptsReplication);
   }
 
   /** Guards against a changed order or width of an update's fields, which other versions read. */
--- a/src/test/java/io/embernotch/persistence/BatchBuilderTest.java
+++ b/src/test/java/io/embernotch/persistence/BatchBuilderTest.java
@@ -41,7 +41,7 @@
 
   @Test
   void aJobWithSeveralOversizedShardsIsRefinedOnceAndNoTaskIsWrittenTwice() {
-    refiner.limitsLowered();
+    refiner.recordLimitsLowered();
     Job large = job("j-1");
     for (int task = 40; task < 120; task++) {
       large.openAttempts.put(task, new Attempt(large, task, 1, "n-000001", "z1", 0));
--- a/src/test/java/io/embernotch/replication/JoinedKnowledgeTest.java
+++ b/src/test/java/io/embernotch/replication/MergedKnowledgeTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.google.protobuf.ByteString;
-import io.embernotch.replication.JoinedKnowledge.EndedTerm;
+import io.embernotch.replication.MergedKnowledge.EndedTerm;
 import io.embernotch.replication.proto.ReplicationProto.Knowledge;
 import io.embernotch.snapshot.proto.SnapshotProto.ClusterSnapshot;
 import io.embernotch.snapshot.proto.SnapshotProto.End;
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Merging what controllers know about lost contents, and what it proves about the last term. */
-class JoinedKnowledgeTest {
+class MergedKnowledgeTest {
   /** A term of c0 that began 20 s ago; its lease was last known to be valid 5 s ago. */
   private static final EndedTerm TERM = new EndedTerm("c0", 7, 20, 5);
 
@@ -35,7 +35,7 @@
   }
 
   private static boolean provesTermLast(Knowledge.Builder other) {
-    return JoinedKnowledge.provesLast(TERM, List.of(Optional.of(other.build())));
+    return MergedKnowledge.isProvenLastTerm(TERM, List.of(Optional.of(other.build())));
   }
 
   private static EndedJobSnapshot cancelled(String ref) {
@@ -61,7 +61,7 @@
         Knowledge.newBuilder().addTold(cancelled("j-1")).addTold(cancelled("j-3")).build();
     Knowledge own = knowledgeWith(running("j-1")).toBuilder().addTold(cancelled("j-2")).build();
     ClusterSnapshot joined =
-        JoinedKnowledge.of(
+        MergedKnowledge.of(
                 own,
                 List.of(Optional.of(reportedByOther), Optional.of(knowledgeWith(running("j-2")))))
             .state();
@@ -77,30 +77,30 @@
   void allAnsweredOnlyIfNoAnswerIsMissing() {
     Knowledge own = knowledge(7, 0);
     Optional<Knowledge> other = Optional.of(knowledge(7, 0));
-    assertThat(JoinedKnowledge.of(own, List.of(other, other)).allAnswered()).isTrue();
-    assertThat(JoinedKnowledge.of(own, List.of(other, NO_ANSWER)).allAnswered()).isFalse();
-    assertThat(JoinedKnowledge.of(own, List.of()).allAnswered()).isTrue();
+    assertThat(MergedKnowledge.of(own, List.of(other, other)).allAnswered()).isTrue();
+    assertThat(MergedKnowledge.of(own, List.of(other, NO_ANSWER)).allAnswered()).isFalse();
+    assertThat(MergedKnowledge.of(own, List.of()).allAnswered()).isTrue();
   }
 
   /** Guards against a restore from replicas while the last leader still holds its state. */
   @Test
   void anotherControllerLedLastIfItsTermIsHighestObserved() {
-    assertThat(ledElsewhere(knowledge(7, 0), knowledge(7, 7))).isTrue();
-    assertThat(ledElsewhere(knowledge(6, 0), knowledge(6, 7))).isTrue();
-    assertThat(ledElsewhere(knowledge(8, 0), knowledge(7, 7))).isFalse();
-    assertThat(ledElsewhere(knowledge(7, 7), knowledge(7, 0))).isFalse();
-    assertThat(ledElsewhere(knowledge(0, 0), knowledge(0, 0))).isFalse();
+    assertThat(lastTermLedElsewhere(knowledge(7, 0), knowledge(7, 7))).isTrue();
+    assertThat(lastTermLedElsewhere(knowledge(6, 0), knowledge(6, 7))).isTrue();
+    assertThat(lastTermLedElsewhere(knowledge(8, 0), knowledge(7, 7))).isFalse();
+    assertThat(lastTermLedElsewhere(knowledge(7, 7), knowledge(7, 0))).isFalse();
+    assertThat(lastTermLedElsewhere(knowledge(0, 0), knowledge(0, 0))).isFalse();
   }
 
   /** Guards against waiting for a former leader when a third controller observed a later term. */
   @Test
   void termIsNotLastIfThirdControllerObservedLaterOne() {
-    assertThat(ledElsewhere(knowledge(7, 0), knowledge(7, 7), knowledge(8, 0))).isFalse();
+    assertThat(lastTermLedElsewhere(knowledge(7, 0), knowledge(7, 7), knowledge(8, 0))).isFalse();
   }
 
-  private static boolean ledElsewhere(Knowledge own, Knowledge... others) {
-    return JoinedKnowledge.of(own, List.of(others).stream().map(Optional::of).toList())
-        .ledElsewhere();
+  private static boolean lastTermLedElsewhere(Knowledge own, Knowledge... others) {
+    return MergedKnowledge.of(own, List.of(others).stream().map(Optional::of).toList())
+        .lastTermLedElsewhere();
   }
 
   /** Guards against the last leader never restoring the store from its own state. */
@@ -108,14 +108,14 @@
   void termIsProvenLastIfNobodyObservedLaterOne() {
     assertThat(provesTermLast(observerOfTerm())).isTrue();
     assertThat(provesTermLast(observerOfTerm().setHighestEpoch(6).setHighestNode("c2"))).isTrue();
-    assertThat(JoinedKnowledge.provesLast(TERM, List.of())).isTrue();
+    assertThat(MergedKnowledge.isProvenLastTerm(TERM, List.of())).isTrue();
   }
 
   /** Guards against a later leader that only a controller without an answer knows of. */
   @Test
   void missingAnswerProvesNothing() {
     assertThat(
-            JoinedKnowledge.provesLast(
+            MergedKnowledge.isProvenLastTerm(
                 TERM, List.of(Optional.of(observerOfTerm().build()), NO_ANSWER)))
         .isFalse();
   }
--- a/src/test/java/io/embernotch/replication/StateReplicatorTest.java
+++ b/src/test/java/io/embernotch/replication/StateReplicatorTest.java
@@ -80,7 +80,7 @@
     }
 
     @Override
-    public void renew(String node) {}
+    public void reconnect(String node) {}
   }
 
   private void recordHeartbeatsOfBothPeers() {
@@ -97,7 +97,7 @@
   }
 
   private void acknowledge(long id) {
-    replicator.acknowledged(new Frame.StateUpdateAck(id));
+    replicator.handleAck(new Frame.StateUpdateAck(id));
   }
 
   private static Frame.StateUpdate update(String updateIncarnation) {
@@ -116,7 +116,7 @@
     acknowledge(lastId());
     assertThat(reported.succeeded()).isTrue();
     time.advance(LONGER_THAN_ACK_TIMEOUT_S);
-    assertThat(replicator.unreplicated()).isZero();
+    assertThat(replicator.unreplicatedCommits()).isZero();
   }
 
   /** Guards against an acknowledgement that is counted for another commit. */
@@ -140,10 +140,10 @@
     Future<Void> reported = commit();
     time.advance(settings.workers().heartbeatIntervalS() / 40 - 0.001);
     assertThat(reported.isComplete()).isFalse();
-    assertThat(replicator.unreplicated()).isZero();
+    assertThat(replicator.unreplicatedCommits()).isZero();
     time.advance(0.002);
     assertThat(reported.succeeded()).isTrue();
-    assertThat(replicator.unreplicated()).isEqualTo(1);
+    assertThat(replicator.unreplicatedCommits()).isEqualTo(1);
   }
 
   /** Guards against successive commits that each wait for the full timeout. */
@@ -153,13 +153,13 @@
     commit();
     time.advance(LONGER_THAN_ACK_TIMEOUT_S);
     assertThat(commit().succeeded()).isTrue();
-    assertThat(replicator.unreplicated()).isEqualTo(2);
+    assertThat(replicator.unreplicatedCommits()).isEqualTo(2);
     acknowledge(lastId());
     Future<Void> waiting = commit();
     assertThat(waiting.isComplete()).isFalse();
     acknowledge(lastId());
     assertThat(waiting.succeeded()).isTrue();
-    assertThat(replicator.unreplicated()).isEqualTo(2);
+    assertThat(replicator.unreplicatedCommits()).isEqualTo(2);
   }
 
   /** Guards against late acknowledgements for an earlier process at the same address. */
@@ -187,7 +187,7 @@
     time.advance(settings.workers().heartbeatIntervalS());
     assertThat(commit().succeeded()).isTrue();
     assertThat(sent).isEmpty();
-    assertThat(replicator.unreplicated()).isEqualTo(3);
+    assertThat(replicator.unreplicatedCommits()).isEqualTo(3);
   }
 
   /** Guards against the cost of sending keys that no replica holds, such as the leader's. */
@@ -199,20 +199,20 @@
     incarnation = null;
     assertThat(commit().succeeded()).isTrue();
     assertThat(sent).isEmpty();
-    assertThat(replicator.unreplicated()).isZero();
+    assertThat(replicator.unreplicatedCommits()).isZero();
   }
 
   /** Guards against acknowledging an update that was not applied to the replica. */
   @Test
   void onlyAppliedUpdatesAreAcknowledged() {
     List<Frame> replies = new ArrayList<>();
-    replicator.received(update(INCARNATION), replies::add);
+    replicator.handleUpdate(update(INCARNATION), replies::add);
     assertThat(replies).isEmpty();
-    feed.begin(BaseSnapshot.EMPTY);
-    replicator.received(update("c0-8"), replies::add);
+    feed.start(BaseSnapshot.EMPTY);
+    replicator.handleUpdate(update("c0-8"), replies::add);
     assertThat(replies).isEmpty();
     assertThat(replica.snapshot().getSharedList()).isEmpty();
-    replicator.received(update(INCARNATION), replies::add);
+    replicator.handleUpdate(update(INCARNATION), replies::add);
     assertThat(replies).containsExactly(new Frame.StateUpdateAck(9));
     assertThat(replica.snapshot().getSharedList()).hasSize(1);
   }
--- a/src/test/java/io/embernotch/replication/StoreReplicaTest.java
+++ b/src/test/java/io/embernotch/replication/StoreReplicaTest.java
@@ -47,7 +47,7 @@
 
   private static void putJob(StoreReplica target, Job job, long revision) {
     ObjectNode value = JobProgressCodec.writeJob(job, SHARD_SIZE);
-    target.put(JobProgressCodec.JOB + job.spec.ref(), Json.bytes(value), revision);
+    target.put(JobProgressCodec.JOB_PREFIX + job.spec.ref(), Json.bytes(value), revision);
   }
 
   private static void putShard(StoreReplica target, Job job, int shard, long revision) {
--- a/src/test/java/io/embernotch/reservation/ReservationTest.java
+++ b/src/test/java/io/embernotch/reservation/ReservationTest.java
@@ -106,7 +106,7 @@
   @Test
   void whatMayBeStoredStaysReservedThoughItIsNoLongerWanted() {
     begin("");
-    cluster.boot("g8", "z1", false);
+    cluster.bootMachine("g8", "z1", false);
     capacity.advance(7);
     cluster.cloud.outOfCapacity = true;
     cluster.faults.commitDeliveryFilter = "shared/";
@@ -184,7 +184,7 @@
   @Test
   void aFixedAmountIsRestoredByPreemptingLowerPriority() {
     begin("reserve_live: false");
-    String name = cluster.boot("g8", "z1", false);
+    String name = cluster.bootMachine("g8", "z1", false);
     capacity.advance(8);
     cluster.cloud.outOfCapacity = true;
     cluster.submit(0, array("j-1", 8).replace("standard", "idle"));
--- a/src/test/java/io/embernotch/scheduling/SchedulerTest.java
+++ b/src/test/java/io/embernotch/scheduling/SchedulerTest.java
@@ -24,7 +24,7 @@
     Job array = fixture.add(job("j-1", "array", 8));
     Job live = fixture.add(liveService("j-2", 2));
     SchedulingPlan all = fixture.plan();
-    SchedulingPlan first = fixture.scheduler.liveOnly(fixture.input());
+    SchedulingPlan first = fixture.scheduler.planProduction(fixture.input());
     assertThat(all.starts()).extracting(start -> start.job()).containsExactly(live, array);
     assertThat(first.starts()).containsExactly(all.starts().get(0));
     assertThat(first.scaleIns()).isEmpty();
--- a/src/test/java/io/embernotch/snapshot/file/SnapshotSchedulerTest.java
+++ b/src/test/java/io/embernotch/snapshot/file/SnapshotSchedulerTest.java
@@ -26,14 +26,14 @@
 
   private final FakeTime time = new FakeTime();
 
-  private SnapshotScheduler scheduler(Executor blocking) {
+  private SnapshotScheduler scheduler(Executor blockingExecutor) {
     return new SnapshotScheduler(
         TestContexts.withBlocking(
             SettingsReader.parse(SimulatedCluster.settingsToml(0)),
             OperatorSettings.parse(
                 "snapshots { directory: '" + dir + "' every_s: " + EVERY_S + " }"),
             time,
-            blocking));
+            blockingExecutor));
   }
 
   private int writtenSnapshots() throws IOException {
--- a/src/test/java/io/embernotch/soak/Fact.java
+++ b/src/test/java/io/embernotch/soak/Fact.java
@@ -35,7 +35,7 @@
     String key = entry.path("key").asText(entry.path("write").asText());
     String ref = entry.path("ref").asText(key.substring(key.indexOf('/') + 1));
     Set<Fact> facts = new HashSet<>();
-    if (key.startsWith(JobProgressCodec.JOB) || entry.has("ref")) {
+    if (key.startsWith(JobProgressCodec.JOB_PREFIX) || entry.has("ref")) {
       facts.add(new Fact(ref, ACCEPTED));
     }
     boolean toldEnd = FINAL_PHASES.contains(entry.path("phase").asText());
--- a/src/test/java/io/embernotch/state/FailureAttributionTest.java
+++ b/src/test/java/io/embernotch/state/FailureAttributionTest.java
@@ -64,7 +64,7 @@
       for (int task = 0; task < 12; task++) {
         fail(job, task / 3 + job);
       }
-      assertThat(job(job).failsEverywhere()).isTrue();
+      assertThat(job(job).isAtFault()).isTrue();
     }
     assertThat(state.machines.values())
         .noneMatch(machine -> machine.cordoned || machine.avoidUntil > time.now());
@@ -90,10 +90,10 @@
         fail(1, machine);
       }
     }
-    assertThat(job(1).failsEverywhere()).isTrue();
+    assertThat(job(1).isAtFault()).isTrue();
     assertThat(job(1).backoffUntil).isGreaterThan(time.now());
     succeed(1, 9);
-    assertThat(job(1).failsEverywhere()).isFalse();
+    assertThat(job(1).isAtFault()).isFalse();
     assertThat(job(1).backoffUntil).isZero();
     assertThat(IntStream.range(1, 6)).allMatch(machine -> machine(machine).cordoned);
     assertThat(machine(9).cordoned).isFalse();
--- a/src/test/java/io/embernotch/state/LargestJobWaitTimesTest.java
+++ b/src/test/java/io/embernotch/state/LargestJobWaitTimesTest.java
@@ -22,16 +22,16 @@
 
   @Test
   void onlyTheLargestTenthOfAClassCountsAndPresentWaitsAreIncluded() {
-    LargestJobWaitTimes largestJobWaits = new LargestJobWaitTimes();
-    assertThat(largestJobWaits.statusLine(List.of(), 0)).isNull();
+    LargestJobWaitTimes largestJobWaitTimes = new LargestJobWaitTimes();
+    assertThat(largestJobWaitTimes.statusLine(List.of(), 0)).isNull();
     for (int i = 0; i < 100; i++) {
-      largestJobWaits.recordStart(job(i, 1 + i % 10), 2000);
+      largestJobWaitTimes.recordStart(job(i, 1 + i % 10), 2000);
     }
-    largestJobWaits.recordStart(job(200, 40), 61_000);
-    assertThat(largestJobWaits.statusLine(List.of(job(300, 2), job(301, 50)), 31_000))
+    largestJobWaitTimes.recordStart(job(200, 40), 61_000);
+    assertThat(largestJobWaitTimes.statusLine(List.of(job(300, 2), job(301, 50)), 31_000))
         .contains("max 60")
         .endsWith("one waiting for 30000 ms");
-    assertThat(largestJobWaits.statusLine(List.of(job(300, 2)), 31_000))
+    assertThat(largestJobWaitTimes.statusLine(List.of(job(300, 2)), 31_000))
         .doesNotContain("waiting for");
   }
 }
--- a/src/test/java/io/embernotch/store/LeaseRenewerTest.java
+++ b/src/test/java/io/embernotch/store/LeaseRenewerTest.java
@@ -51,7 +51,7 @@
           8);
 
   private double remainingS() {
-    return leaseRenewer.provenUntil() - time.now();
+    return leaseRenewer.leaseValidUntil() - time.now();
   }
 
   @Test
@@ -63,7 +63,7 @@
     // controller can lead.
     time.advance(8);
     assertThat(remainingS()).isNegative();
-    leaseRenewer.coreAlive();
+    leaseRenewer.reportCoreAlive();
     time.advance(2);
     assertThat(remainingS()).isPositive();
   }
@@ -72,10 +72,10 @@
   void onlyAnAnsweredRenewalExtendsTheLeaseFromItsSendTime() {
     leaseRenewer.keep(7, time.now(), ended::add);
     time.advance(0.5);
-    double proven = leaseRenewer.provenUntil();
+    double proven = leaseRenewer.leaseValidUntil();
     status = 0;
     time.advance(2);
-    assertThat(leaseRenewer.provenUntil()).isEqualTo(proven);
+    assertThat(leaseRenewer.leaseValidUntil()).isEqualTo(proven);
     status = 503;
     time.advance(2);
     assertThat(remainingS()).isNegative();
@@ -96,12 +96,12 @@
     Promise<HttpReply> formerReply = lateReply;
     lateReply = Promise.promise();
     leaseRenewer.release();
-    assertThat(leaseRenewer.provenUntil()).isNegative();
+    assertThat(leaseRenewer.leaseValidUntil()).isNegative();
     leaseRenewer.keep(8, time.now() - 2, ended::add);
-    double proven = leaseRenewer.provenUntil();
+    double proven = leaseRenewer.leaseValidUntil();
     formerReply.complete(new HttpReply(200, new byte[0]));
     time.advance(0.1);
-    assertThat(leaseRenewer.provenUntil()).isEqualTo(proven);
+    assertThat(leaseRenewer.leaseValidUntil()).isEqualTo(proven);
     assertThat(requestedPaths).last().isEqualTo("/leases/8/extend");
   }
 }
--- a/src/test/java/io/embernotch/storeddata/StoredDataCompatibilityTest.java
+++ b/src/test/java/io/embernotch/storeddata/StoredDataCompatibilityTest.java
@@ -71,7 +71,7 @@
       expected.put("since", 7);
     }
     assertSameBytes(IncarnationCodec.write(incarnation), expected, "era");
-    assertThat(IncarnationCodec.fence(incarnation)).isEqualTo("era/" + incarnation.name());
+    assertThat(IncarnationCodec.fenceKey(incarnation)).isEqualTo("era/" + incarnation.name());
     assertThat(values.get("era/" + incarnation.name())).isEqualTo(pointer);
     ObjectNode types = values.get("types");
     assertSameBytes(CloudCodec.writeTypes(CloudCodec.readTypes(types)), types, "types");
--- a/src/test/java/io/embernotch/testkit/IncarnationEnds.java
+++ b/src/test/java/io/embernotch/testkit/IncarnationEnds.java
@@ -26,9 +26,10 @@
     if (incarnation.snapshotName() == null) {
       return done;
     }
-    BaseSnapshot base =
+    BaseSnapshot baseSnapshot =
         BaseSnapshotReader.read(incarnation, blocks(data, incarnation.snapshotName()));
-    base.allEnded()
+    baseSnapshot
+        .endedJobs()
         .forEach(
             (ref, end) -> {
               if (end.phase() == JobPhase.DONE) {
@@ -36,7 +37,7 @@
               }
             });
     for (String prefix : List.of(JobProgressCodec.SHARD, JobProgressCodec.REFINED_SHARD)) {
-      base.overlay(prefix, NO_ENTRIES).events().stream()
+      baseSnapshot.overlay(prefix, NO_ENTRIES).events().stream()
           .filter(entry -> isDone(entry.value()))
           .forEach(entry -> done.add(FakeStore.refOf(entry.key())));
     }
@@ -49,7 +50,7 @@
   }
 
   private static List<VersionedEntry> blocks(StoreData data, String snapshotName) {
-    return data.list(IncarnationCodec.blocks(snapshotName), null).entrySet().stream()
+    return data.list(IncarnationCodec.blockKeyPrefix(snapshotName), null).entrySet().stream()
         .map(
             block ->
                 new VersionedEntry(
--- a/src/test/java/io/embernotch/testkit/PeerNetwork.java
+++ b/src/test/java/io/embernotch/testkit/PeerNetwork.java
@@ -95,7 +95,7 @@
     }
 
     @Override
-    public void renew(String name) {
+    public void reconnect(String name) {
       // Simulated connections do not hang.
     }
   }
--- a/src/test/java/io/embernotch/testkit/SimulatedCluster.java
+++ b/src/test/java/io/embernotch/testkit/SimulatedCluster.java
@@ -248,7 +248,7 @@
   // ---- machines
 
   /** Creates a machine, which is up after a while and sends heartbeats. Returns its name. */
-  public String boot(String type, String zone, boolean spot) {
+  public String bootMachine(String type, String zone, boolean spot) {
     return cloud.boot(type, zone, spot);
   }
 
--- a/src/test/java/io/embernotch/testkit/TestContexts.java
+++ b/src/test/java/io/embernotch/testkit/TestContexts.java
@@ -14,8 +14,8 @@
 
   /** With workers to call. */
   public static ControllerContext withWorkers(
-      Settings settings, FakeTime time, HttpCaller workers) {
-    return create(settings, OperatorSettings.DEFAULTS, time, null, workers, null);
+      Settings settings, FakeTime time, HttpCaller agentClient) {
+    return create(settings, OperatorSettings.DEFAULTS, time, null, agentClient, null);
   }
 
   /** With a cloud. */
@@ -25,28 +25,31 @@
 
   /** With operators' settings, and what runs blocking tasks. */
   public static ControllerContext withBlocking(
-      Settings settings, OperatorSettings operator, FakeTime time, Executor blocking) {
-    return create(settings, operator, time, null, null, blocking);
+      Settings settings,
+      OperatorSettings operatorSettings,
+      FakeTime time,
+      Executor blockingExecutor) {
+    return create(settings, operatorSettings, time, null, null, blockingExecutor);
   }
 
   private static ControllerContext create(
       Settings settings,
-      OperatorSettings operator,
+      OperatorSettings operatorSettings,
       FakeTime time,
       CloudClient cloud,
-      HttpCaller workers,
-      Executor blocking) {
+      HttpCaller agentClient,
+      Executor blockingExecutor) {
     return new ControllerContext(
         settings,
-        operator,
+        operatorSettings,
         time,
         time,
         time,
         EventLoopProfile.NONE,
         null,
         cloud,
-        workers,
+        agentClient,
         null,
-        blocking);
+        blockingExecutor);
   }
 }
--- a/src/test/java/io/embernotch/weights/ImageLocalityTest.java
+++ b/src/test/java/io/embernotch/weights/ImageLocalityTest.java
@@ -23,14 +23,14 @@
 
   private FakeWorker startServiceOnOneMachine() {
     cluster.awaitLeader(3);
-    cluster.boot("g8", "z1", false);
+    cluster.bootMachine("g8", "z1", false);
     cluster.advance(7);
     cluster.submit(0, service("j-1", 2));
     cluster.advance(8);
     Map<String, FakeWorker> on = cluster.runningTasks("j-1");
     assertThat(on).hasSize(2);
     // A fuller machine, which would be taken but for the weights.
-    cluster.boot("g8", "z1", false);
+    cluster.bootMachine("g8", "z1", false);
     cluster.advance(7);
     cluster.submit(1, job("j-2", "array", 11).replace("\"loaner\":true", "\"loaner\":false"));
     cluster.advance(40);
